--- /dev/null
+++ b/tests/formats/test_control.py
@@ -0,0 +1,177 @@
+"""The control socket's bytes, held by fixtures that the program wrote before its names were changed.
+
+Each fixture is a conversation with one node: a line after ``> `` is sent, the line after ``< `` must come back.
+"""
+
+import asyncio
+import os
+import time
+from pathlib import Path
+from types import SimpleNamespace
+
+import pytest
+from peers import run, soon
+
+from oakbridge.control import protocol, state
+from oakbridge.control.server import ControlServer
+from oakbridge.control.state import NodeControl
+from oakbridge.policy.view import BalancerView, ServerView
+from oakbridge.sources.files import FileOptions, FileSource, InlineSource
+
+FIXTURES = Path(__file__).parent / "fixtures"
+
+# What the command line asks, in the order of the fixture ``asked.txt``.
+ASKED = [
+    ("status", {"rows": 40}),
+    ("status", {}),
+    ("servers.accept", {"digest": "4b2f"}),
+    ("servers.look", {}),
+    ("peers", {}),
+    ("peers.why", {"name": "edge-2"}),
+    ("sites", {}),
+    ("sites.why", {"site": "north"}),
+    ("sites.operate", {"site": "north", "out": True, "by": "kim"}),
+    ("spread", {}),
+]
+
+VIEW = BalancerView(
+    list_version=12,
+    servers=3,
+    subset=2,
+    ejected=1,
+    out=4,
+    limit=32.5,
+    waiting=1,
+    open_requests=6,
+    retries_left=10.25,
+    attempts_per_s=81.3,
+    fail_rate=0.0125,
+    rows=[
+        ServerView(
+            name="s1",
+            state="up",
+            zone="a",
+            address="10.0.0.1:9000",
+            subset=True,
+            out=3,
+            ejected_for=0.0,
+            warmth=1.0,
+            slowness=0.75,
+            cap=None,
+            since_version=1,
+        ),
+        ServerView(
+            name="s2",
+            state="ejected",
+            zone="b",
+            address="10.0.0.2:9000",
+            subset=False,
+            out=1,
+            ejected_for=2.5,
+            warmth=0.25,
+            slowness=1.5,
+            cap=7.5,
+            since_version=12,
+        ),
+    ],
+)
+
+
+class HeldMembers:
+    def describe(self):
+        return {"name": "edge-1", "members": [{"name": "edge-2", "state": "alive"}]}
+
+    def why(self, name):
+        return {"edge-2": [{"ago_s": 1.5, "before": "", "after": "alive"}]}[name]
+
+
+class HeldSites:
+    def describe(self):
+        return {"name": "edge-1", "home": "north", "sites": []}
+
+    def why(self, name):
+        return {"north": [{"ago_s": 2.5, "before": "well", "after": "lost"}]}[name]
+
+    def operate(self, name, out, by):
+        return {"site": name, "out": out, "stamp": 1_700_000_000_000, "by": by}
+
+
+class HeldSpread:
+    def describe(self):
+        return {"name": "edge-1", "rings": 2, "servers": []}
+
+
+def node(source, *, ready):
+    return SimpleNamespace(
+        balancer=None,
+        clock=SimpleNamespace(now=lambda: 7_000_000),
+        source=source,
+        config=SimpleNamespace(name="edge-1"),
+        server=SimpleNamespace(
+            addresses=[("127.0.0.1", 8080), ("127.0.0.1", 8081)], leaving=not ready, callers=lambda: 5
+        ),
+        pool=SimpleNamespace(count=9),
+        served=1000,
+        refused=20,
+        failed=3,
+        serving=lambda: True,
+    )
+
+
+def node_with_all():
+    saved = FIXTURES / "sources" / "saved.list"
+    source = FileSource(
+        FileOptions(Path("/srv/servers.json"), saved=saved), now=lambda: 1_700_000_000_000_000
+    )
+    return NodeControl(node(source, ready=True), "c0ffee", HeldMembers(), HeldSites(), HeldSpread())
+
+
+def node_alone():
+    return NodeControl(node(InlineSource([]), ready=False))
+
+
+@pytest.fixture
+def stopped_clock(monkeypatch):
+    """A moment that stands still, in one process with one version, that holds ``VIEW``."""
+    monkeypatch.setattr(time, "time", lambda: 1_700_000_000.0)
+    monkeypatch.setattr(os, "getpid", lambda: 4321)
+    monkeypatch.setattr(state, "__version__", "0.3.0")
+    monkeypatch.setattr(state, "view", lambda balancer, now, rows: VIEW)
+
+
+def conversation(name):
+    lines = (FIXTURES / "control" / name).read_bytes().splitlines(keepends=True)
+    return [(sent[2:], answer[2:]) for sent, answer in zip(lines[::2], lines[1::2], strict=True)]
+
+
+@pytest.mark.parametrize(("name", "make"), [("all.txt", node_with_all), ("alone.txt", node_alone)])
+def test_each_request_gets_the_same_bytes(tmp_path, stopped_clock, name, make):
+    async def scenario():
+        server = ControlServer(tmp_path / "n.sock", make().handle)
+        await server.start()
+        try:
+            reader, writer = await asyncio.open_unix_connection(str(tmp_path / "n.sock"))
+            for sent, answer in conversation(name):
+                writer.write(sent)
+                assert await soon(reader.readline()) == answer
+            writer.close()
+        finally:
+            server.close()
+
+    run(scenario())
+
+
+def test_the_command_lines_requests_are_the_same_bytes():
+    lines = (FIXTURES / "control" / "asked.txt").read_bytes().splitlines(keepends=True)
+    assert [protocol.request(do, arguments) for do, arguments in ASKED] == lines
+    for (do, arguments), line in zip(ASKED, lines, strict=True):
+        read = protocol.read_request(line.strip())
+        assert (read.do, read.arguments) == (do, arguments)
+
+
+def test_answers_are_read():
+    answers = dict(conversation("alone.txt"))
+    told = protocol.read_answer(answers[b'{"v":1,"do":"status"}\n'])
+    assert (told["name"], told["rows"][1]["cap"], told["source"]) == ("edge-1", 7.5, {"kind": "inline"})
+    with pytest.raises(protocol.Refusal, match=r"^this node divides no servers: .* no \[spread\]$"):
+        protocol.read_answer(answers[b'{"v":1,"do":"spread"}\n'])
--- /dev/null
+++ b/tests/formats/test_lab.py
@@ -0,0 +1,126 @@
+"""The files that a run of the lab leaves, held by fixtures.
+
+Parquet and histograms are compared by what they hold: their bytes depend on the library that packs them.
+"""
+
+import json
+from pathlib import Path
+
+import pytest
+from hdrh.histogram import HdrHistogram
+
+from oakbridge.lab import compare_report, report, table
+from oakbridge.lab.checks import Check
+from oakbridge.lab.compare import Compared
+from oakbridge.lab.course import Course, fleet_of
+from oakbridge.lab.history import Done, History, SiteChange, ViewChange, changes_of
+from oakbridge.lab.links import Rule
+from oakbridge.lab.plan import load_plan
+
+S = 1_000_000
+FIXTURES = Path(__file__).parent / "fixtures" / "lab"
+TABLES = {
+    "views.parquet": [
+        {"at": 5 * S, "who": "n000", "about": "n001", "before": "alive", "after": "suspect"},
+        {"at": 8 * S, "who": "n000", "about": "n001", "before": "suspect", "after": "failed"},
+    ],
+    "steps.parquet": [
+        {"at": 0, "do": "begin", "names": []},
+        {"at": 4 * S, "do": "kill", "names": ["n001"]},
+    ],
+}
+COMPARED = [
+    Compared("served", "before", 0.975),
+    Compared("served", "after", 0.98, 0.005, 0.001, 0.009, "higher"),
+]
+RULE = Rule(3, frozenset({"n001", "n000"}), frozenset({"s000"}), False, True, 0.5, 0.25, 1000, 200)
+
+
+def history():
+    plan = load_plan(FIXTURES / "plan.toml")
+    fleet = fleet_of(plan)
+    found = History(plan, fleet, Course((), {}, ((4 * S, 9 * S),)), 1000 * S, 10 * S)
+    found.changes = [ViewChange(*row.values()) for row in TABLES["views.parquet"]]
+    found.done = [Done(0, "begin", ()), Done(4 * S, "kill", ("n001",))]
+    for number, status in enumerate((200, 200, 503, 200, 429)):
+        due = 1000 * S + number * S
+        found.requests.append(
+            {
+                "due": due,
+                "class": number % 2,
+                "site": 0,
+                "node": 0,
+                "status": status,
+                "took": 20_000 * (number + 1),
+                "tries": 1,
+                "request": f"r{number}",
+                "aim": S,
+            }  # fmt: skip
+        )
+        found.executions.append(
+            {"server": 0, "request": f"r{number}", "came": due, "ended": due + 15_000, "status": status, "begun": True}
+        )  # fmt: skip
+    return found
+
+
+def written(out):
+    checks = [
+        Check("one answer", 0, "0", True),
+        Check("served", 0.6, "at least 0.99", False, "one node was dead"),
+        Check("idle", None, "", True),
+    ]
+    told = {
+        "switch": [{"datagrams": 5, "lost": 1}, {"datagrams": 7}],
+        "load": [{"sent late": 2}, {"sent late": 1}],
+        "keeper": [{"costs": {"n000": [0.5, 21.0], "n001": [0.25, 22.5]}}],
+    }
+    return report.write(out, history(), checks, told, 7, "fd72d9b")
+
+
+def test_a_runs_results_are_the_same(tmp_path, monkeypatch):
+    monkeypatch.setattr(report, "__version__", "0.3.0")
+    summary = written(tmp_path)
+    assert (tmp_path / "summary.json").read_bytes() == (FIXTURES / "summary.json").read_bytes()
+    assert json.loads((FIXTURES / "summary.json").read_bytes()) == summary
+    for name, rows in TABLES.items():
+        assert table.read([tmp_path / name]) == rows
+    found = json.loads((tmp_path / "latencies.hdr.json").read_bytes())
+    held = json.loads((FIXTURES / "latencies.hdr.json").read_bytes())
+    assert list(found) == list(held) == ["read", "write"]
+    for name, served in (("read", 1), ("write", 2)):
+        assert HdrHistogram.decode(held[name]).get_total_count() == served
+        assert HdrHistogram.decode(found[name]).equals(HdrHistogram.decode(held[name]))
+
+
+@pytest.mark.parametrize("name", TABLES)
+def test_a_runs_tables_are_read(name):
+    assert table.read([FIXTURES / name]) == TABLES[name]
+
+
+def test_a_summary_is_read():
+    summary = json.loads((FIXTURES / "summary.json").read_bytes())
+    assert report.lines(summary) == (FIXTURES / "summary.txt").read_text().splitlines()
+
+
+def test_a_comparisons_table_is_the_same(tmp_path):
+    compare_report.write(
+        tmp_path, COMPARED, {"before": {1: {"served": 0.975}}, "after": {1: {"served": 0.98}}}
+    )
+    held = json.loads((FIXTURES / "compared.json").read_text())
+    for name in ("compared.parquet", "runs.parquet"):
+        rows = table.read([tmp_path / name])
+        assert rows == table.read([FIXTURES / name]) == held[name]
+        assert [list(row) for row in rows] == [list(row) for row in held[name]]
+
+
+def test_a_rule_for_a_switch_is_read_and_written():
+    held = (FIXTURES / "rule.json").read_text()
+    assert json.dumps(RULE.as_json()) + "\n" == held
+    assert Rule.from_json(json.loads(held)) == RULE
+
+
+def test_a_nodes_log_is_read():
+    log = (FIXTURES / "node.log").read_text().splitlines()
+    members, sites = changes_of(log, "n000", 1000 * S)
+    assert members == [ViewChange(5 * S, "n000", "n001", "alive", "suspect")]
+    assert sites == [SiteChange(6 * S, "n000", "b", "well", "doubted")]
--- /dev/null
+++ b/tests/formats/test_sources.py
@@ -0,0 +1,31 @@
+"""The saved copy of a list of servers, held by a fixture."""
+
+from pathlib import Path
+
+from oakbridge.node.listing import Entry
+from oakbridge.policy import vocabulary as api
+from oakbridge.sources.files import load_saved, save
+from oakbridge.sources.versions import Version
+
+FIXTURE = Path(__file__).parent / "fixtures" / "sources" / "saved.list"
+
+
+def version():
+    servers = [
+        Entry(
+            api.ListedServer("s1", api.UP, "a", 1, 1.0, 1_700_000_000_000_000, "10.0.0.1:9000"),
+            ("10.0.0.1", 9000),
+        ),
+        Entry(api.ListedServer("s2", api.DRAINING, "b", 0, 2.5, 0, "10.0.0.2:9000"), ("10.0.0.2", 9000)),
+        Entry(api.ListedServer("näm", api.UP, "", 0, 0.5, 0, "::1:9000"), ("::1", 9000)),
+    ]
+    return Version(12, "4b2f" + "0" * 60, {entry.server.id: entry for entry in servers})
+
+
+def test_a_saved_list_is_read():
+    assert load_saved(FIXTURE) == version()
+
+
+def test_a_saved_list_is_written_with_the_same_bytes(tmp_path):
+    save(tmp_path / "saved.list", version())
+    assert (tmp_path / "saved.list").read_bytes() == FIXTURE.read_bytes()
