--- a/oakbridge/agent/host.py
+++ b/oakbridge/agent/host.py
@@ -49,4 +49,4 @@
         """What the node's own checker says against a configuration, in one line; "" if nothing."""
 
     async def ask(self, control: Path, do: str, **arguments: Any) -> Any:
-        """Ask a node.  Raises OSError, EOFError, ValueError or a Refusal."""
+        """Ask a node.  Raises OSError, EOFError, ValueError or RequestRejectedError."""
--- a/oakbridge/agent/process.py
+++ b/oakbridge/agent/process.py
@@ -150,12 +150,12 @@
 
     async def ask(self, control: Path, do: str, **arguments: Any) -> Any:
         """Ask a node over its control socket."""
-        reader, writer = await asyncio.open_unix_connection(str(control), limit=protocol.MAX_ANSWER)
+        reader, writer = await asyncio.open_unix_connection(str(control), limit=protocol.MAX_RESPONSE_BYTES)
         try:
-            writer.write(protocol.request(do, arguments))
+            writer.write(protocol.encode_request(do, arguments))
             line = await reader.readline()
             if not line:
                 raise EOFError
-            return protocol.read_answer(line)
+            return protocol.decode_response(line)
         finally:
             writer.transport.abort()
--- a/oakbridge/agent/runner.py
+++ b/oakbridge/agent/runner.py
@@ -171,7 +171,7 @@
             try:
                 async with asyncio.timeout(SILENT_S):
                     told = await self.agent.host.ask(self.control, "status", rows=0)
-            except (OSError, TimeoutError, EOFError, ValueError, protocol.Refusal):
+            except (OSError, TimeoutError, EOFError, ValueError, protocol.RequestRejectedError):
                 self.told = {}
                 continue
             self.told, self.heard = told, time.time()
--- a/oakbridge/cli/common.py
+++ b/oakbridge/cli/common.py
@@ -9,8 +9,8 @@
 
 import click
 
-from oakbridge.control.client import ControlClient, Unreachable
-from oakbridge.control.place import runtime_folder
+from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.paths import runtime_directory
 
 
 class Failed(click.ClickException):
@@ -56,7 +56,7 @@
     """A connection to the node that is meant: by socket, by configuration, or the only one there is."""
     try:
         return ControlClient(find_socket(socket_path, config))
-    except Unreachable as e:
+    except NodeUnreachableError as e:
         raise Failed(str(e)) from None
 
 
@@ -74,7 +74,7 @@
         if found is None:
             raise BadInput(f"{config}: control: enabled is false, so this node has no control socket")
         return found
-    folder = runtime_folder()
+    folder = runtime_directory()
     sockets = sorted(folder.glob("*.sock"))
     if len(sockets) == 1:
         return sockets[0]
--- a/oakbridge/cli/looking.py
+++ b/oakbridge/cli/looking.py
@@ -11,8 +11,8 @@
 from rich.live import Live
 
 from oakbridge.cli.common import Failed, connect, say_json
-from oakbridge.control.client import Unreachable
-from oakbridge.control.protocol import Refusal
+from oakbridge.control.client import NodeUnreachableError
+from oakbridge.control.protocol import RequestRejectedError
 
 
 def show(
@@ -37,7 +37,7 @@
                 while True:
                     live.update(picture(client.ask(do, **arguments)), refresh=True)
                     time.sleep(every)
-        except (Unreachable, Refusal) as e:
+        except (NodeUnreachableError, RequestRejectedError) as e:
             raise Failed(str(e)) from None
         except KeyboardInterrupt:
             return
--- a/oakbridge/cli/peers.py
+++ b/oakbridge/cli/peers.py
@@ -13,8 +13,8 @@
 
 from oakbridge.cli.common import Failed, connect, look_options, say_json, socket_options
 from oakbridge.cli.looking import show
-from oakbridge.control.client import Unreachable
-from oakbridge.control.protocol import Refusal
+from oakbridge.control.client import NodeUnreachableError
+from oakbridge.control.protocol import RequestRejectedError
 
 STYLE = {"alive": "green", "this node": "bold", "suspect": "yellow", "failed": "red", "left": "dim"}
 
@@ -47,7 +47,7 @@
     with connect(*where) as client:
         try:
             told = client.ask("peers.why", name=name)
-        except (Unreachable, Refusal) as e:
+        except (NodeUnreachableError, RequestRejectedError) as e:
             raise Failed(str(e)) from None
     if as_json:
         return say_json(told)
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -23,9 +23,9 @@
 from oakbridge.cli.logs import JSON, log_option, start_logs
 from oakbridge.config.load import BadFile, Loaded, inline_entries, load
 from oakbridge.config.schema import resolved
-from oakbridge.control.place import default_socket, worker_socket
+from oakbridge.control.paths import default_socket_path, worker_socket_path
 from oakbridge.control.server import ControlServer
-from oakbridge.control.state import NodeControl
+from oakbridge.control.state import NodeControlHandler
 from oakbridge.node.clock import Clock
 from oakbridge.node.listing import ConfigError, Source, parse_address
 from oakbridge.node.node import Node
@@ -61,7 +61,7 @@
         config, control = loaded.config, loaded.control
         if self.name is not None:
             config = replace(config, name=self.name)
-            control = default_socket(self.name) if loaded.file.control.socket is None else control
+            control = default_socket_path(self.name) if loaded.file.control.socket is None else control
         if self.listen:
             first, *others = map(parse_address, self.listen)
             config = replace(config, listen=first, also_listen=tuple(others))
@@ -77,7 +77,7 @@
             raise ConfigError(f"{self.path}: {e}") from None
         if self.worker:
             config = parts[self.worker - 1]
-            control = worker_socket(control, self.worker) if control is not None else None
+            control = worker_socket_path(control, self.worker) if control is not None else None
         member = self.member and (self.member[0], parse_address(self.member[1]))
         return replace(loaded, config=config, control=control, member=member)
 
@@ -252,7 +252,9 @@
     if loaded.control is None:
         yield
         return
-    server = ControlServer(loaded.control, NodeControl(node, loaded.digest, held, plan, divided).handle)
+    server = ControlServer(
+        loaded.control, NodeControlHandler(node, loaded.digest, held, plan, divided).handle
+    )
     await server.start()
     try:
         yield
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from oakbridge.cli.common import BadInput, Failed, connect, say_json, socket_options
-from oakbridge.control.protocol import Refusal
+from oakbridge.control.protocol import RequestRejectedError
 from oakbridge.node.listing import Entry
 from oakbridge.sources.files import load_saved
 from oakbridge.sources.inspect import Inspection, inspect
@@ -135,7 +135,7 @@
     with connect(socket_path, config) as client:
         try:
             return client.ask(do, **arguments)
-        except Refusal as e:
+        except RequestRejectedError as e:
             raise Failed(str(e)) from None
 
 
--- a/oakbridge/cli/sites.py
+++ b/oakbridge/cli/sites.py
@@ -15,8 +15,8 @@
 from oakbridge.cli.common import BadInput, Failed, connect, look_options, say_json, socket_options
 from oakbridge.cli.looking import show
 from oakbridge.config.load import BadFile
-from oakbridge.control.client import Unreachable
-from oakbridge.control.protocol import Refusal
+from oakbridge.control.client import NodeUnreachableError
+from oakbridge.control.protocol import RequestRejectedError
 
 STYLE = {"well": "green", "lost": "red", "cut off": "red", "doubted": "yellow", "held out": "dim"}
 PATH = click.Path(path_type=Path)
@@ -39,7 +39,7 @@
     with connect(*where) as client:
         try:
             return client.ask(do, **arguments)
-        except (Unreachable, Refusal) as e:
+        except (NodeUnreachableError, RequestRejectedError) as e:
             raise Failed(str(e)) from None
 
 
--- a/oakbridge/config/load.py
+++ b/oakbridge/config/load.py
@@ -14,7 +14,7 @@
 from pydantic_core import ErrorDetails
 
 from oakbridge.config import schema
-from oakbridge.control.place import default_socket
+from oakbridge.control.paths import default_socket_path
 from oakbridge.node.config import Config
 from oakbridge.node.listing import Entry
 from oakbridge.policy import vocabulary as api
@@ -156,7 +156,7 @@
         return None
     if file.control.socket is not None:
         return Path(file.control.socket).expanduser().absolute()
-    return default_socket(file.node.name)
+    return default_socket_path(file.node.name)
 
 
 def _node_config(file: schema.File) -> Config:
--- a/oakbridge/control/client.py
+++ b/oakbridge/control/client.py
@@ -9,7 +9,7 @@
 from oakbridge.control import protocol
 
 
-class Unreachable(Exception):
+class NodeUnreachableError(Exception):
     """No node answers there; the text says why."""
 
 
@@ -17,31 +17,31 @@
     """One connection to a node's control socket."""
 
     def __init__(self, path: Path, timeout_s: float = 5.0) -> None:
-        """Connect.  Raises :class:`Unreachable`."""
+        """Connect.  Raises :class:`NodeUnreachableError`."""
         self._path = path
         self._socket = socket.socket(socket.AF_UNIX)
         self._socket.settimeout(timeout_s)
-        self._lines = protocol.Lines(protocol.MAX_ANSWER)
+        self._lines = protocol.LineSplitter(protocol.MAX_RESPONSE_BYTES)
         try:
             self._socket.connect(str(path))
         except OSError as e:
             self._socket.close()
-            raise Unreachable(f"{path}: no node answers there ({e.strerror or e})") from None
+            raise NodeUnreachableError(f"{path}: no node answers there ({e.strerror or e})") from None
 
     def ask(self, do: str, **arguments: Any) -> Any:
-        """Ask; raises :class:`Unreachable`, or :class:`protocol.Refusal` with what the node says."""
+        """Ask.  Raises NodeUnreachableError, or RequestRejectedError with what the node says."""
         try:
-            self._socket.sendall(protocol.request(do, arguments))
+            self._socket.sendall(protocol.encode_request(do, arguments))
             while True:
                 data = self._socket.recv(256 * 1024)
                 if not data:
-                    raise Unreachable(f"{self._path}: the node closed the connection")
+                    raise NodeUnreachableError(f"{self._path}: the node closed the connection")
                 if lines := self._lines.feed(data):
-                    return protocol.read_answer(lines[0])
+                    return protocol.decode_response(lines[0])
         except OSError as e:
-            raise Unreachable(f"{self._path}: {e.strerror or e}") from None
+            raise NodeUnreachableError(f"{self._path}: {e.strerror or e}") from None
         except protocol.ProtocolError as e:
-            raise Unreachable(f"{self._path}: not a node's control socket: {e}") from None
+            raise NodeUnreachableError(f"{self._path}: not a node's control socket: {e}") from None
 
     def close(self) -> None:
         """Hang up."""
--- a/oakbridge/control/protocol.py
+++ b/oakbridge/control/protocol.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 VERSION = 1
-MAX_REQUEST = 64 * 1024
-MAX_ANSWER = 64 * 1024 * 1024
+MAX_REQUEST_BYTES = 64 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 COMMANDS = (
     "status",
     "servers.accept",
@@ -28,14 +28,14 @@
     "spread",
 )
 
-Raw = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 class ProtocolError(ValueError):
     """A line that the wire does not allow; the text says what was expected."""
 
 
-class Refusal(Exception):
+class RequestRejectedError(Exception):
     """The other side understood, and says no; the text is its reason."""
 
 
@@ -44,32 +44,32 @@
     """What a node is asked."""
 
     do: str
-    arguments: Raw = field(default_factory=dict)
+    arguments: JsonObject = field(default_factory=dict)
 
 
-class Lines:
+class LineSplitter:
     """Cuts a stream of bytes into lines, within a bound."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._rest = bytearray()
+    def __init__(self, max_line_bytes: int) -> None:
+        self._max_line_bytes = max_line_bytes
+        self._partial_line = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
         """Take bytes in; returns the lines that are whole now.  Raises :class:`ProtocolError`."""
-        self._rest += data
-        *lines, rest = bytes(self._rest).split(b"\n")
-        self._rest = bytearray(rest)
-        if any(len(line) > self._most for line in (*lines, rest)):
-            raise ProtocolError(f"expected lines of at most {self._most} bytes")
+        self._partial_line += data
+        *lines, rest = bytes(self._partial_line).split(b"\n")
+        self._partial_line = bytearray(rest)
+        if any(len(line) > self._max_line_bytes for line in (*lines, rest)):
+            raise ProtocolError(f"expected lines of at most {self._max_line_bytes} bytes")
         return lines
 
 
-def encode(message: Raw) -> bytes:
+def encode(message: JsonObject) -> bytes:
     """A message's line."""
     return json.dumps({"v": VERSION, **message}, separators=(",", ":")).encode() + b"\n"
 
 
-def _decode(line: bytes) -> Raw:
+def _decode(line: bytes) -> JsonObject:
     try:
         message = json.loads(line)
     except (ValueError, RecursionError):
@@ -81,7 +81,7 @@
     return message
 
 
-def read_request(line: bytes) -> Request:
+def decode_request(line: bytes) -> Request:
     """A request from its line.  Raises :class:`ProtocolError`."""
     message = _decode(line)
     do = message.pop("do", None)
@@ -91,24 +91,24 @@
     return Request(do, message)
 
 
-def request(do: str, arguments: Raw) -> bytes:
+def encode_request(do: str, arguments: JsonObject) -> bytes:
     """A request's line."""
     return encode({**arguments, "do": do})
 
 
-def answer(result: Any) -> bytes:
+def encode_response(result: Any) -> bytes:
     """A good answer's line."""
     return encode({"ok": True, "result": result})
 
 
-def refusal(text: str) -> bytes:
+def encode_error(text: str) -> bytes:
     """The line of an answer that says no."""
     return encode({"ok": False, "error": text})
 
 
-def read_answer(line: bytes) -> Any:
-    """An answer's result.  Raises :class:`Refusal` with what the node said, or :class:`ProtocolError`."""
+def decode_response(line: bytes) -> Any:
+    """An answer's result.  Raises :class:`RequestRejectedError` with what the node said, or :class:`ProtocolError`."""
     message = _decode(line)
     if message.get("ok") is True:
         return message.get("result")
-    raise Refusal(str(message.get("error") or "refused without a reason"))
+    raise RequestRejectedError(str(message.get("error") or "refused without a reason"))
--- a/oakbridge/control/server.py
+++ b/oakbridge/control/server.py
@@ -17,17 +17,17 @@
 
 log = logging.getLogger(__name__)
 
-MOST = 16  # connections at once
-PATIENCE_S = 30.0  # how long a connection may say nothing, or leave an answer unread
+MAX_CONNECTIONS = 16  # connections at once
+IDLE_TIMEOUT_S = 30.0  # how long a connection may say nothing, or leave an answer unread
 
 Handler = Callable[[protocol.Request], Any]  # an awaitable is awaited
 
 
-class SocketTaken(OSError):
+class SocketInUseError(OSError):
     """Somebody else listens on the socket."""
 
 
-def prepare(path: Path) -> None:
+def claim_socket_path(path: Path) -> None:
     """Make the folder, owner-only, and take away what a node that died has left.  Raises OSError."""
     path.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
     try:
@@ -35,7 +35,7 @@
     except FileNotFoundError:
         return
     if not stat.S_ISSOCK(found.st_mode):
-        raise SocketTaken(f"{path}: expected a socket or nothing, and something else is there")
+        raise SocketInUseError(f"{path}: expected a socket or nothing, and something else is there")
     with socket.socket(socket.AF_UNIX) as probe:
         probe.settimeout(1)
         try:
@@ -44,8 +44,8 @@
             path.unlink(missing_ok=True)  # nobody listens: its node has died
             return
         except OSError as e:
-            raise SocketTaken(f"{path}: {e}") from None
-    raise SocketTaken(f"{path}: another node listens there")
+            raise SocketInUseError(f"{path}: {e}") from None
+    raise SocketInUseError(f"{path}: another node listens there")
 
 
 class ControlServer:
@@ -59,7 +59,7 @@
 
     async def start(self) -> None:
         """Listen.  Raises OSError, with the path in its text."""
-        prepare(self.path)
+        claim_socket_path(self.path)
         before = os.umask(0o177)
         try:
             self._server = await asyncio.start_unix_server(self._serve, str(self.path))
@@ -80,23 +80,23 @@
                 pass
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._open) >= MOST or not _owner(writer):
+        if len(self._open) >= MAX_CONNECTIONS or not _is_same_user(writer):
             writer.transport.abort()
             return
         self._open.add(writer)
-        lines = protocol.Lines(protocol.MAX_REQUEST)
+        lines = protocol.LineSplitter(protocol.MAX_REQUEST_BYTES)
         try:
             while True:
-                async with asyncio.timeout(PATIENCE_S):
-                    data = await reader.read(protocol.MAX_REQUEST)
+                async with asyncio.timeout(IDLE_TIMEOUT_S):
+                    data = await reader.read(protocol.MAX_REQUEST_BYTES)
                 if not data:
                     return
                 for line in lines.feed(data):
                     writer.write(await self._answer(line))
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(IDLE_TIMEOUT_S):
                     await writer.drain()
         except protocol.ProtocolError as e:
-            writer.write(protocol.refusal(str(e)))
+            writer.write(protocol.encode_error(str(e)))
         except (OSError, TimeoutError):
             pass
         finally:
@@ -106,16 +106,16 @@
     async def _answer(self, line: bytes) -> bytes:
         """Guards the node: a fault in here is told to whoever asked, and ends nothing."""
         try:
-            result = self._handle(protocol.read_request(line))
-            return protocol.answer(await result if inspect.isawaitable(result) else result)
-        except (protocol.Refusal, protocol.ProtocolError, ValueError) as e:
-            return protocol.refusal(str(e))
+            result = self._handle(protocol.decode_request(line))
+            return protocol.encode_response(await result if inspect.isawaitable(result) else result)
+        except (protocol.RequestRejectedError, protocol.ProtocolError, ValueError) as e:
+            return protocol.encode_error(str(e))
         except Exception as e:
             log.exception("a request on the control socket failed")
-            return protocol.refusal(f"the node failed on this: {type(e).__name__}")
+            return protocol.encode_error(f"the node failed on this: {type(e).__name__}")
 
 
-def _owner(writer: asyncio.StreamWriter) -> bool:
+def _is_same_user(writer: asyncio.StreamWriter) -> bool:
     """Whether the other end is a process of the same user, or of root."""
     sock: socket.socket = writer.get_extra_info("socket")
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
--- a/oakbridge/control/state.py
+++ b/oakbridge/control/state.py
@@ -13,11 +13,11 @@
 from oakbridge.policy.view import view
 from oakbridge.sources.files import FileSource
 
-ROWS = 200
-MOST_ROWS = 100_000
+DEFAULT_ROWS = 200
+MAX_ROWS = 100_000
 
 
-class Members(Protocol):
+class PeerDirectory(Protocol):
     """What is held of the other nodes."""
 
     def describe(self) -> dict[str, Any]:
@@ -27,22 +27,22 @@
         """How one came to be held as it is.  Raises KeyError."""
 
 
-def about_members(members: Members | None, request: protocol.Request) -> Any:
-    """Answer a request about members.  Raises :class:`protocol.Refusal`."""
-    if members is None:
-        raise protocol.Refusal("this node knows no others: its configuration has no [peers]")
+def handle_peer_request(peers: PeerDirectory | None, request: protocol.Request) -> Any:
+    """Answer a request about peers.  Raises :class:`protocol.RequestRejectedError`."""
+    if peers is None:
+        raise protocol.RequestRejectedError("this node knows no others: its configuration has no [peers]")
     if request.do == "peers":
-        return members.describe()
+        return peers.describe()
     name = request.arguments.get("name")
     if not isinstance(name, str):
-        raise protocol.Refusal("name: expected a text")
+        raise protocol.RequestRejectedError("name: expected a text")
     try:
-        return {"name": name, "history": members.why(name)}
+        return {"name": name, "history": peers.why(name)}
     except KeyError:
-        raise protocol.Refusal(f"no member of the name {name!r:.80} is known here") from None
+        raise protocol.RequestRejectedError(f"no member of the name {name!r:.80} is known here") from None
 
 
-class SitesHeld(Protocol):
+class SiteController(Protocol):
     """What is held of the sites."""
 
     def describe(self) -> dict[str, Any]:
@@ -52,70 +52,74 @@
         """How one came into its state.  Raises KeyError."""
 
     def operate(self, name: str, out: bool, by: str) -> dict[str, Any]:
-        """Drain one, or return it.  Raises :class:`protocol.Refusal`."""
+        """Drain one, or return it.  Raises :class:`protocol.RequestRejectedError`."""
 
 
-def about_sites(sites: SitesHeld | None, request: protocol.Request) -> Any:
-    """Answer a request about sites.  Raises :class:`protocol.Refusal`."""
+def handle_site_request(sites: SiteController | None, request: protocol.Request) -> Any:
+    """Answer a request about sites.  Raises :class:`protocol.RequestRejectedError`."""
     if sites is None:
-        raise protocol.Refusal("this node has no plan for sites: its configuration has no [sites]")
+        raise protocol.RequestRejectedError(
+            "this node has no plan for sites: its configuration has no [sites]"
+        )
     if request.do == "sites":
         return sites.describe()
     name = request.arguments.get("site")
     if not isinstance(name, str):
-        raise protocol.Refusal("site: expected a text")
+        raise protocol.RequestRejectedError("site: expected a text")
     if request.do == "sites.why":
         try:
             return {"site": name, "history": sites.why(name)}
         except KeyError:
-            raise protocol.Refusal(f"no site of the name {name!r:.80} is known here") from None
+            raise protocol.RequestRejectedError(f"no site of the name {name!r:.80} is known here") from None
     out, by = request.arguments.get("out"), request.arguments.get("by", "")
     if not isinstance(out, bool) or not isinstance(by, str):
-        raise protocol.Refusal("out: expected true or false; by: expected a text")
+        raise protocol.RequestRejectedError("out: expected true or false; by: expected a text")
     return sites.operate(name, out, by)
 
 
-class Divided(Protocol):
-    """How servers are divided among the nodes of a tier."""
+class SpreadReporter(Protocol):
+    """How servers are spread among the nodes of a tier."""
 
     def describe(self) -> dict[str, Any]:
         """All of it."""
 
 
-class NodeControl:
+class NodeControlHandler:
     """Answers for one node."""
 
     def __init__(
         self,
         node: Node,
         config_digest: str = "",
-        members: Members | None = None,
-        sites: SitesHeld | None = None,
-        divided: Divided | None = None,
+        peers: PeerDirectory | None = None,
+        sites: SiteController | None = None,
+        spread: SpreadReporter | None = None,
     ) -> None:
         """``config_digest``: of the configuration that the node was started with; ``members``: the others."""
-        self._members, self._sites, self._divided = members, sites, divided
+        self._peers, self._sites, self._spread = peers, sites, spread
         self.node, self.started, self._digest = node, time.time(), config_digest
 
     def handle(self, request: protocol.Request) -> Any:
-        """Answer one request.  Raises :class:`protocol.Refusal` or ValueError with the reason."""
+        """Answer one request.  Raises :class:`protocol.RequestRejectedError` or ValueError with the reason."""
         if request.do == "status":
-            return self.status(request.arguments.get("rows", ROWS))
+            return self.status(request.arguments.get("rows", DEFAULT_ROWS))
         if request.do.startswith("peers"):
-            return about_members(self._members, request)
+            return handle_peer_request(self._peers, request)
         if request.do.startswith("sites"):
-            return about_sites(self._sites, request)
+            return handle_site_request(self._sites, request)
         if request.do == "spread":
-            if self._divided is None:
-                raise protocol.Refusal("this node divides no servers: its configuration has no [spread]")
-            return self._divided.describe()
+            if self._spread is None:
+                raise protocol.RequestRejectedError(
+                    "this node divides no servers: its configuration has no [spread]"
+                )
+            return self._spread.describe()
         source = self.node.source
         if not isinstance(source, FileSource):
-            raise protocol.Refusal("this node's servers do not come from files")
+            raise protocol.RequestRejectedError("this node's servers do not come from files")
         if request.do == "servers.accept":
             digest = request.arguments.get("digest", "")
             if not isinstance(digest, str):
-                raise protocol.Refusal("digest: expected a text")
+                raise protocol.RequestRejectedError("digest: expected a text")
             source.accept(digest)
         else:
             source.fetch()
@@ -123,8 +127,10 @@
 
     def status(self, rows: object) -> dict[str, Any]:
         """All that the node believes."""
-        if isinstance(rows, bool) or not isinstance(rows, int) or not 0 <= rows <= MOST_ROWS:
-            raise protocol.Refusal(f"rows: expected a whole number from 0 to {MOST_ROWS}, got {rows!r:.40}")
+        if isinstance(rows, bool) or not isinstance(rows, int) or not 0 <= rows <= MAX_ROWS:
+            raise protocol.RequestRejectedError(
+                f"rows: expected a whole number from 0 to {MAX_ROWS}, got {rows!r:.40}"
+            )
         node = self.node
         believed = dataclasses.asdict(view(node.balancer, node.clock.now(), rows))
         servers = believed.pop("rows")
--- a/oakbridge/demo/play.py
+++ b/oakbridge/demo/play.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.control.client import ControlClient, Unreachable
+from oakbridge.control.client import ControlClient, NodeUnreachableError
 from oakbridge.demo.load import Load, Tally
 from oakbridge.standin.behaviour import Behaviour
 from oakbridge.standin.server import StandIn
@@ -100,7 +100,7 @@
     loop = asyncio.get_running_loop()
     until = loop.time() + START_S
     while loop.time() < until and process.returncode is None:
-        with suppress(Unreachable):
+        with suppress(NodeUnreachableError):
             return ControlClient(path)
         await asyncio.sleep(0.05)
     raise DemoFailed(f"the node did not start:\n{log.read_text()[-2000:]}")
--- a/oakbridge/sites/beside.py
+++ b/oakbridge/sites/beside.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 from typing import Any
 
-from oakbridge.control.protocol import Refusal
+from oakbridge.control.protocol import RequestRejectedError
 from oakbridge.node.node import Node
 from oakbridge.peers.shell import Peers
 from oakbridge.policy import vocabulary as api
@@ -106,11 +106,11 @@
         return self.sites.why(name, self.node.clock.now())
 
     def operate(self, name: str, out: bool, by: str) -> dict[str, Any]:
-        """Drain a site, or return it.  Raises Refusal."""
+        """Drain a site, or return it.  Raises RequestRejectedError."""
         try:
             held = self.sites.operate(time.time_ns() // 1_000_000, name, out, by)
         except UnknownSite as e:
-            raise Refusal(str(e)) from None
+            raise RequestRejectedError(str(e)) from None
         log.warning(
             "operators: site %s is to be %s, by %s", name, "drained" if out else "returned", by or "somebody"
         )
--- a/oakbridge/workers/door.py
+++ b/oakbridge/workers/door.py
@@ -20,10 +20,10 @@
 
 from oakbridge import __version__
 from oakbridge.control import protocol
-from oakbridge.control.client import ControlClient, Unreachable
-from oakbridge.control.place import worker_socket
+from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.paths import worker_socket_path
 from oakbridge.control.server import ControlServer
-from oakbridge.control.state import Members, about_members
+from oakbridge.control.state import PeerDirectory, handle_peer_request
 from oakbridge.node.downstream import ACCEPTED, listen_on
 from oakbridge.node.listing import Address
 from oakbridge.process import supervisor as sup
@@ -56,7 +56,7 @@
     ) -> None:
         """Listen.  Raises OSError with the address in its text."""
         self.name, self.control = name, control
-        self.members: Members | None = None  # one member for all workers
+        self.members: PeerDirectory | None = None  # one member for all workers
         self._loop = asyncio.get_running_loop()
         self._command = command
         self.crew, self.spread = c.Crew(workers), Spread()
@@ -279,7 +279,7 @@
     async def _answer(self, request: protocol.Request) -> Any:
         assert self.control is not None
         if request.do.startswith("peers"):
-            return about_members(self.members, request)
+            return handle_peer_request(self.members, request)
         workers = list(self.crew.machines)
         asked = await asyncio.gather(*(asyncio.to_thread(self._ask, w, request) for w in workers))
         told: dict[int, Any] = dict(zip(workers, asked, strict=True))
@@ -287,16 +287,16 @@
             return merge(self._own(), told, int(request.arguments.get("rows", 200)))
         refused = [f"worker {w}: {text}" for w, text in told.items() if isinstance(text, str)]
         if refused:
-            raise protocol.Refusal("; ".join(refused))
+            raise protocol.RequestRejectedError("; ".join(refused))
         return told[workers[0]]
 
     def _ask(self, worker: int, request: protocol.Request) -> Any:
         """A worker's answer, or a text that says why there is none."""
         assert self.control is not None
         try:
-            with ControlClient(worker_socket(self.control, worker), ASK_WITHIN_S) as client:
+            with ControlClient(worker_socket_path(self.control, worker), ASK_WITHIN_S) as client:
                 return client.ask(request.do, **request.arguments)
-        except (Unreachable, protocol.Refusal) as e:
+        except (NodeUnreachableError, protocol.RequestRejectedError) as e:
             machine = self.crew.machines[worker]
             return f"{machine.state.value}: {e}" + (
                 f"; ended last: {machine.last_exit}" * bool(machine.last_exit)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -12,7 +12,7 @@
 import pytest
 from peers import LIMIT, free_ports
 
-from oakbridge.control.client import ControlClient, Unreachable
+from oakbridge.control.client import ControlClient, NodeUnreachableError
 
 ROOT = Path(__file__).parents[2]
 CLASSES = '[[class]]\nname = "look"\naim = "1s"\ndeadline = "2s"\nrepeat = "safe"\n'
@@ -61,7 +61,7 @@
         try:
             with ControlClient(self.config.parent / "t.sock") as client:
                 return client.ask(do, **arguments)
-        except Unreachable:
+        except NodeUnreachableError:
             return None
 
     def until(self, what):
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -6,7 +6,7 @@
 
 from oakbridge.config.load import BadFile, check, inline_entries, load
 from oakbridge.config.reference import page
-from oakbridge.control.place import default_socket
+from oakbridge.control.paths import default_socket_path
 from oakbridge.sources.locate import lines_of
 
 ROOT = Path(__file__).parents[2]
@@ -67,7 +67,7 @@
     assert (second.repeat, second.repeat_window, second.group) == ("keyed", 30_000_000, "cell")
     assert settings.tenants[0].quota_per_s == 20
     assert (settings.retry_ratio, settings.retry_floor, settings.retry_window) == (0.1, 0.1, 10)
-    assert got.control == default_socket("n1")
+    assert got.control == default_socket_path("n1")
 
 
 def test_every_mistake_is_told_at_once_with_line_and_field():
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -12,14 +12,14 @@
 from peers import run, soon
 
 from oakbridge.control import protocol
-from oakbridge.control.client import ControlClient, Unreachable
-from oakbridge.control.server import MOST, ControlServer, SocketTaken
+from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.server import MAX_CONNECTIONS, ControlServer, SocketInUseError
 
 
 @given(st.binary(max_size=400), st.lists(st.integers(1, 50)))
 @settings(derandomize=True)
 def test_lines_come_out_however_the_bytes_come_in(data, sizes):
-    lines, got, rest = protocol.Lines(1000), [], data
+    lines, got, rest = protocol.LineSplitter(1000), [], data
     for size in [*sizes, len(data)]:
         got += lines.feed(rest[:size])
         rest = rest[size:]
@@ -27,7 +27,7 @@
 
 
 def test_a_line_without_end_is_refused():
-    lines = protocol.Lines(10)
+    lines = protocol.LineSplitter(10)
     lines.feed(b"12345")
     with pytest.raises(protocol.ProtocolError, match="at most 10"):
         lines.feed(b"678901")
@@ -42,15 +42,15 @@
 )  # fmt: skip
 def test_a_request_that_is_none_is_named(line, says):
     with pytest.raises(protocol.ProtocolError, match=says):
-        protocol.read_request(line)
+        protocol.decode_request(line)
 
 
 def test_requests_and_answers_go_round():
-    request = protocol.read_request(protocol.request("status", {"rows": 3}).strip())
+    request = protocol.decode_request(protocol.encode_request("status", {"rows": 3}).strip())
     assert (request.do, request.arguments) == ("status", {"rows": 3})
-    assert protocol.read_answer(protocol.answer({"a": 1}).strip()) == {"a": 1}
-    with pytest.raises(protocol.Refusal, match="no"):
-        protocol.read_answer(protocol.refusal("no").strip())
+    assert protocol.decode_response(protocol.encode_response({"a": 1}).strip()) == {"a": 1}
+    with pytest.raises(protocol.RequestRejectedError, match="no"):
+        protocol.decode_response(protocol.encode_error("no").strip())
 
 
 class Serving:
@@ -93,7 +93,7 @@
 
     async def scenario():
         async with Serving(path):
-            with pytest.raises(SocketTaken, match="another node"):
+            with pytest.raises(SocketInUseError, match="another node"):
                 await ControlServer(path, lambda _: None).start()
             assert await ask(path) == {}
 
@@ -105,7 +105,7 @@
     path.write_text("precious")
 
     async def scenario():
-        with pytest.raises(SocketTaken, match="something else"):
+        with pytest.raises(SocketInUseError, match="something else"):
             await ControlServer(path, lambda _: None).start()
 
     run(scenario())
@@ -122,7 +122,7 @@
 
     async def scenario():
         async with Serving(path, handle):
-            with pytest.raises(protocol.Refusal, match="RuntimeError"):
+            with pytest.raises(protocol.RequestRejectedError, match="RuntimeError"):
                 await ask(path, a=1)
             assert await ask(path) == "fine"
 
@@ -149,8 +149,8 @@
 
     async def scenario():
         async with Serving(path) as server:
-            held = [await asyncio.open_unix_connection(str(path)) for _ in range(MOST)]
-            while len(server._open) < MOST:
+            held = [await asyncio.open_unix_connection(str(path)) for _ in range(MAX_CONNECTIONS)]
+            while len(server._open) < MAX_CONNECTIONS:
                 await asyncio.sleep(0.01)
             reader, _ = await asyncio.open_unix_connection(str(path))
             assert await soon(reader.read()) == b""
@@ -164,6 +164,6 @@
 
 
 def test_nobody_there_is_one_line(tmp_path):
-    with pytest.raises(Unreachable, match="no node answers there"):
+    with pytest.raises(NodeUnreachableError, match="no node answers there"):
         ControlClient(tmp_path / "nothing.sock")
     assert os.listdir(tmp_path) == []
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -14,7 +14,7 @@
 
 from oakbridge.control import protocol, state
 from oakbridge.control.server import ControlServer
-from oakbridge.control.state import NodeControl
+from oakbridge.control.state import NodeControlHandler
 from oakbridge.policy.view import BalancerView, ServerView
 from oakbridge.sources.files import FileOptions, FileSource, InlineSource
 
@@ -123,11 +123,11 @@
     source = FileSource(
         FileOptions(Path("/srv/servers.json"), saved=saved), now=lambda: 1_700_000_000_000_000
     )
-    return NodeControl(node(source, ready=True), "c0ffee", HeldMembers(), HeldSites(), HeldSpread())
+    return NodeControlHandler(node(source, ready=True), "c0ffee", HeldMembers(), HeldSites(), HeldSpread())
 
 
 def node_alone():
-    return NodeControl(node(InlineSource([]), ready=False))
+    return NodeControlHandler(node(InlineSource([]), ready=False))
 
 
 @pytest.fixture
@@ -163,15 +163,17 @@
 
 def test_the_command_lines_requests_are_the_same_bytes():
     lines = (FIXTURES / "control" / "asked.txt").read_bytes().splitlines(keepends=True)
-    assert [protocol.request(do, arguments) for do, arguments in ASKED] == lines
+    assert [protocol.encode_request(do, arguments) for do, arguments in ASKED] == lines
     for (do, arguments), line in zip(ASKED, lines, strict=True):
-        read = protocol.read_request(line.strip())
+        read = protocol.decode_request(line.strip())
         assert (read.do, read.arguments) == (do, arguments)
 
 
 def test_answers_are_read():
     answers = dict(conversation("alone.txt"))
-    told = protocol.read_answer(answers[b'{"v":1,"do":"status"}\n'])
+    told = protocol.decode_response(answers[b'{"v":1,"do":"status"}\n'])
     assert (told["name"], told["rows"][1]["cap"], told["source"]) == ("edge-1", 7.5, {"kind": "inline"})
-    with pytest.raises(protocol.Refusal, match=r"^this node divides no servers: .* no \[spread\]$"):
-        protocol.read_answer(answers[b'{"v":1,"do":"spread"}\n'])
+    with pytest.raises(
+        protocol.RequestRejectedError, match=r"^this node divides no servers: .* no \[spread\]$"
+    ):
+        protocol.decode_response(answers[b'{"v":1,"do":"spread"}\n'])
--- a/tests/formats/test_workers.py
+++ b/tests/formats/test_workers.py
@@ -29,7 +29,7 @@
         "name": "edge", "pid": 1234, "version": "0.3.0", "uptime_s": 3.5, "listen": ["127.0.0.1:8080"],
         "handed": {1: 7, 2: 8}, "crashes": {1: 0, 2: 0, 3: 4},
     }  # fmt: skip
-    account = protocol.read_answer(lines[1].removeprefix(b"< "))
+    account = protocol.decode_response(lines[1].removeprefix(b"< "))
     return merge(own, {1: account, 2: account, 3: "waiting: no node answers there"}, 1)
 
 
--- a/tests/rollout/test_fifty.py
+++ b/tests/rollout/test_fifty.py
@@ -18,7 +18,7 @@
 from peers import LIMIT, free_ports
 
 from oakbridge.agent.process import listener_pid
-from oakbridge.control.client import ControlClient, Unreachable
+from oakbridge.control.client import ControlClient, NodeUnreachableError
 from oakbridge.fleet import pki, wire
 from oakbridge.fleet.inventory import Inventory, write
 from oakbridge.standin.behaviour import Behaviour
@@ -157,7 +157,7 @@
         try:
             with ControlClient(self.socket(name)) as client:
                 return self.digests[client.ask("status", rows=0)["config_digest"]]
-        except Unreachable:
+        except NodeUnreachableError:
             return "silent"
 
     def send(self, name: str, number: signal.Signals) -> None:
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -12,7 +12,7 @@
 from peers import LIMIT, free_ports
 
 from oakbridge.agent.process import listener_pid
-from oakbridge.control.client import ControlClient, Unreachable
+from oakbridge.control.client import ControlClient, NodeUnreachableError
 from oakbridge.fleet import pki, wire
 from oakbridge.fleet.inventory import Inventory, write
 
@@ -99,7 +99,7 @@
             try:
                 with ControlClient(self.folder / name / "n.sock") as client:
                     found[name] = by_digest[client.ask("status", rows=0)["config_digest"]]
-            except Unreachable as e:
+            except NodeUnreachableError as e:
                 found[name] = f"silent: {e}"
         return found
 
--- a/tests/workers/test_processes.py
+++ b/tests/workers/test_processes.py
@@ -11,7 +11,7 @@
 import pytest
 from peers import IDS, free_ports, run, soon
 
-from oakbridge.control.client import ControlClient, Unreachable
+from oakbridge.control.client import ControlClient, NodeUnreachableError
 from oakbridge.standin.behaviour import Behaviour
 from oakbridge.standin.server import StandIn
 
@@ -76,7 +76,7 @@
                 told = await asyncio.to_thread(self.ask)
                 if so(told):
                     return told
-            except Unreachable:
+            except NodeUnreachableError:
                 assert self.process.returncode is None, (self.folder / "log").read_text()
             await asyncio.sleep(0.02)
 
--- a/tests/workers/test_pure.py
+++ b/tests/workers/test_pure.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from oakbridge.control.place import worker_socket
+from oakbridge.control.paths import worker_socket_path
 from oakbridge.node.config import Config
 from oakbridge.policy import vocabulary as api
 from oakbridge.policy.balancer import Balancer
@@ -263,4 +263,4 @@
 
 
 def test_each_worker_has_a_socket_beside_the_nodes_own(tmp_path):
-    assert worker_socket(tmp_path / "n.sock", 3) == tmp_path / "n.3.sock"
+    assert worker_socket_path(tmp_path / "n.sock", 3) == tmp_path / "n.3.sock"
