--- a/oakbridge/agent/process.py
+++ b/oakbridge/agent/process.py
@@ -152,7 +152,7 @@
         """Ask a node over its control socket."""
         reader, writer = await asyncio.open_unix_connection(str(control), limit=protocol.MAX_RESPONSE_BYTES)
         try:
-            writer.write(protocol.encode_request(do, arguments))
+            writer.write(protocol.encode_request(protocol.ControlCommand(do), arguments))
             line = await reader.readline()
             if not line:
                 raise EOFError
--- a/oakbridge/agent/runner.py
+++ b/oakbridge/agent/runner.py
@@ -21,7 +21,7 @@
 from oakbridge.agent.host import Host, Launch, Running
 from oakbridge.agent.lease import Granted, Lease, Refused
 from oakbridge.agent.store import Store, StoreError, check_files, check_name, digest_of
-from oakbridge.control import protocol
+from oakbridge.control.errors import RequestRejectedError
 from oakbridge.fleet import wire
 from oakbridge.process import supervisor as sup
 
@@ -171,7 +171,7 @@
             try:
                 async with asyncio.timeout(SILENT_S):
                     told = await self.agent.host.ask(self.control, "status", rows=0)
-            except (OSError, TimeoutError, EOFError, ValueError, protocol.RequestRejectedError):
+            except (OSError, TimeoutError, EOFError, ValueError, RequestRejectedError):
                 self.told = {}
                 continue
             self.told, self.heard = told, time.time()
--- a/oakbridge/cli/common.py
+++ b/oakbridge/cli/common.py
@@ -9,7 +9,8 @@
 
 import click
 
-from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.client import ControlClient
+from oakbridge.control.errors import NodeUnreachableError
 from oakbridge.control.paths import runtime_directory
 
 
--- a/oakbridge/cli/looking.py
+++ b/oakbridge/cli/looking.py
@@ -11,14 +11,14 @@
 from rich.live import Live
 
 from oakbridge.cli.common import Failed, connect, say_json
-from oakbridge.control.client import NodeUnreachableError
-from oakbridge.control.protocol import RequestRejectedError
+from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
+from oakbridge.control.protocol import ControlCommand
 
 
 def show(
     socket_path: Path | None,
     config: Path | None,
-    do: str,
+    command: ControlCommand,
     picture: Callable[[dict[str, Any]], Group],
     as_json: bool,
     watch: bool,
@@ -29,13 +29,13 @@
     with connect(socket_path, config) as client:
         try:
             if as_json:
-                return say_json(client.ask(do, **arguments))
+                return say_json(client.request(command, **arguments))
             console = Console()
             if not watch:
-                return console.print(picture(client.ask(do, **arguments)))
+                return console.print(picture(client.request(command, **arguments)))
             with Live(console=console, auto_refresh=False, screen=console.is_terminal) as live:
                 while True:
-                    live.update(picture(client.ask(do, **arguments)), refresh=True)
+                    live.update(picture(client.request(command, **arguments)), refresh=True)
                     time.sleep(every)
         except (NodeUnreachableError, RequestRejectedError) as e:
             raise Failed(str(e)) from None
--- a/oakbridge/cli/peers.py
+++ b/oakbridge/cli/peers.py
@@ -13,8 +13,8 @@
 
 from oakbridge.cli.common import Failed, connect, look_options, say_json, socket_options
 from oakbridge.cli.looking import show
-from oakbridge.control.client import NodeUnreachableError
-from oakbridge.control.protocol import RequestRejectedError
+from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
+from oakbridge.control.protocol import ControlCommand
 
 STYLE = {"alive": "green", "this node": "bold", "suspect": "yellow", "failed": "red", "left": "dim"}
 
@@ -35,7 +35,7 @@
     ctx.obj = (socket_path, config)
     if ctx.invoked_subcommand is not None:
         return
-    show(socket_path, config, "peers", picture, as_json, watch, every)
+    show(socket_path, config, ControlCommand.PEERS, picture, as_json, watch, every)
 
 
 @command.command("why")
@@ -46,7 +46,7 @@
     """Tell how this node came to hold what it holds of one member, oldest first."""
     with connect(*where) as client:
         try:
-            told = client.ask("peers.why", name=name)
+            told = client.request(ControlCommand.PEER_HISTORY, name=name)
         except (NodeUnreachableError, RequestRejectedError) as e:
             raise Failed(str(e)) from None
     if as_json:
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -23,9 +23,9 @@
 from oakbridge.cli.logs import JSON, log_option, start_logs
 from oakbridge.config.load import BadFile, Loaded, inline_entries, load
 from oakbridge.config.schema import resolved
+from oakbridge.control.handler import NodeControlHandler
 from oakbridge.control.paths import default_socket_path, worker_socket_path
 from oakbridge.control.server import ControlServer
-from oakbridge.control.state import NodeControlHandler
 from oakbridge.node.clock import Clock
 from oakbridge.node.listing import ConfigError, Source, parse_address
 from oakbridge.node.node import Node
@@ -252,14 +252,9 @@
     if loaded.control is None:
         yield
         return
-    server = ControlServer(
-        loaded.control, NodeControlHandler(node, loaded.digest, held, plan, divided).handle
-    )
-    await server.start()
-    try:
+    handler = NodeControlHandler(node, loaded.digest, peers=held, sites=plan, spread=divided)
+    async with ControlServer(loaded.control, handler.handle):
         yield
-    finally:
-        server.close()
 
 
 def reload(given: Given, node: Node) -> None:
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -13,7 +13,8 @@
 from rich.table import Table
 
 from oakbridge.cli.common import BadInput, Failed, connect, say_json, socket_options
-from oakbridge.control.protocol import RequestRejectedError
+from oakbridge.control.errors import RequestRejectedError
+from oakbridge.control.protocol import ControlCommand
 from oakbridge.node.listing import Entry
 from oakbridge.sources.files import load_saved
 from oakbridge.sources.inspect import Inspection, inspect
@@ -131,10 +132,10 @@
     return told
 
 
-def _ask(do: str, socket_path: Path | None, config: Path | None, **arguments: Any) -> Any:
+def _ask(command: ControlCommand, socket_path: Path | None, config: Path | None, **arguments: Any) -> Any:
     with connect(socket_path, config) as client:
         try:
-            return client.ask(do, **arguments)
+            return client.request(command, **arguments)
         except RequestRejectedError as e:
             raise Failed(str(e)) from None
 
@@ -146,7 +147,7 @@
 )
 def accept(socket_path: Path | None, config: Path | None, digest: str) -> None:
     """Have a node use the version that it holds because it takes many servers away."""
-    _ask("servers.accept", socket_path, config, digest=digest)
+    _ask(ControlCommand.ACCEPT_SERVER_LIST, socket_path, config, digest=digest)
     click.echo("accepted")
 
 
@@ -154,5 +155,5 @@
 @socket_options
 def look(socket_path: Path | None, config: Path | None) -> None:
     """Have a node look at its server file now."""
-    _ask("servers.look", socket_path, config)
+    _ask(ControlCommand.FETCH_SERVER_LIST, socket_path, config)
     click.echo("it looks now")
--- a/oakbridge/cli/sites.py
+++ b/oakbridge/cli/sites.py
@@ -15,8 +15,8 @@
 from oakbridge.cli.common import BadInput, Failed, connect, look_options, say_json, socket_options
 from oakbridge.cli.looking import show
 from oakbridge.config.load import BadFile
-from oakbridge.control.client import NodeUnreachableError
-from oakbridge.control.protocol import RequestRejectedError
+from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
+from oakbridge.control.protocol import ControlCommand
 
 STYLE = {"well": "green", "lost": "red", "cut off": "red", "doubted": "yellow", "held out": "dim"}
 PATH = click.Path(path_type=Path)
@@ -32,13 +32,13 @@
     """Show each site's state, by whose word, its part of the calls, and what is refused meanwhile."""
     ctx.obj = (socket_path, config)
     if ctx.invoked_subcommand is None:
-        show(socket_path, config, "sites", picture, as_json, watch, every)
+        show(socket_path, config, ControlCommand.SITES, picture, as_json, watch, every)
 
 
-def _ask(where: tuple[Path | None, Path | None], do: str, **arguments: Any) -> Any:
+def _ask(where: tuple[Path | None, Path | None], command: ControlCommand, **arguments: Any) -> Any:
     with connect(*where) as client:
         try:
-            return client.ask(do, **arguments)
+            return client.request(command, **arguments)
         except (NodeUnreachableError, RequestRejectedError) as e:
             raise Failed(str(e)) from None
 
@@ -49,7 +49,7 @@
 @click.pass_obj
 def why(where: tuple[Path | None, Path | None], site: str, as_json: bool) -> None:
     """Tell how a site came into its state, oldest first."""
-    told = _ask(where, "sites.why", site=site)
+    told = _ask(where, ControlCommand.SITE_HISTORY, site=site)
     if as_json:
         return say_json(told)
     for change in told["history"]:
@@ -76,7 +76,7 @@
 
 
 def _operate(where: tuple[Path | None, Path | None], site: str, out: bool) -> None:
-    told = _ask(where, "sites.operate", site=site, out=out, by=getpass.getuser())
+    told = _ask(where, ControlCommand.DRAIN_OR_RETURN_SITE, site=site, out=out, by=getpass.getuser())
     what = "drained" if told["out"] else "returned"
     click.echo(f"site {site} is to be {what}, by {told['by']}; the other nodes hear of it in seconds")
 
--- a/oakbridge/cli/spread.py
+++ b/oakbridge/cli/spread.py
@@ -14,6 +14,7 @@
 
 from oakbridge.cli.common import BadInput, look_options, say_json, socket_options
 from oakbridge.cli.looking import show
+from oakbridge.control.protocol import ControlCommand
 
 MOST = 20_000  # nodes, and servers, that are reckoned with
 UNEVEN = 1.25  # times the fair share, beyond which a row stands out
@@ -29,7 +30,7 @@
 ) -> None:  # fmt: skip
     """Show for each server how many nodes use it and its load over its fair share, and which nodes stand out."""
     if ctx.invoked_subcommand is None:
-        show(socket_path, config, "spread", picture, as_json, watch, every)
+        show(socket_path, config, ControlCommand.SPREAD, picture, as_json, watch, every)
 
 
 @command.command("plan")
--- a/oakbridge/cli/status.py
+++ b/oakbridge/cli/status.py
@@ -13,6 +13,7 @@
 
 from oakbridge.cli.common import look_options, socket_options
 from oakbridge.cli.looking import show
+from oakbridge.control.protocol import ControlCommand
 
 STATE_STYLE = {"up": "green", "cold": "cyan", "ejected": "red", "drains": "yellow"}
 
@@ -25,7 +26,7 @@
     socket_path: Path | None, config: Path | None, as_json: bool, watch: bool, every: float, rows: int
 ) -> None:
     """Show what a running node believes: its servers, its limits, the list that it uses."""
-    show(socket_path, config, "status", picture, as_json, watch, every, rows=rows)
+    show(socket_path, config, ControlCommand.STATUS, picture, as_json, watch, every, rows=rows)
 
 
 def _source(told: dict[str, Any]) -> list[str]:
--- a/oakbridge/control/__init__.py
+++ b/oakbridge/control/__init__.py
@@ -1,4 +1,6 @@
-"""The local control socket: what a running node believes, and the few things that it can be told.
+"""The local control socket: what a running node reports of itself, and the few commands that it takes.
 
-``protocol`` is the wire (pure), ``server`` the node's end, ``client`` the other one.
+``protocol`` is the encoding of requests and responses (no I/O), ``arguments`` what each command takes, ``handler``
+carries commands out on a node, ``status`` is the schema of its report, ``server`` the node's end of the socket,
+``client`` the command line's, ``paths`` where the socket is.
 """
--- a/oakbridge/control/client.py
+++ b/oakbridge/control/client.py
@@ -1,4 +1,4 @@
-"""The other end of the control socket: a plain blocking client, for the command line."""
+"""The command line's end of the control socket: a blocking client."""
 
 from __future__ import annotations
 
@@ -6,51 +6,58 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.control import protocol
+from oakbridge.control.errors import NodeUnreachableError, ProtocolError
+from oakbridge.control.protocol import (
+    MAX_RESPONSE_BYTES,
+    ControlCommand,
+    LineSplitter,
+    decode_response,
+    encode_request,
+)
 
-
-class NodeUnreachableError(Exception):
-    """No node answers there; the text says why."""
+DEFAULT_TIMEOUT_S = 5.0
+RECEIVE_BYTES = 256 * 1024
 
 
 class ControlClient:
-    """One connection to a node's control socket."""
+    """One connection to a node's control socket, for one request after another."""
 
-    def __init__(self, path: Path, timeout_s: float = 5.0) -> None:
-        """Connect.  Raises :class:`NodeUnreachableError`."""
+    def __init__(self, path: Path, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
+        """Connect.  Raises NodeUnreachableError."""
         self._path = path
+        self._lines = LineSplitter(MAX_RESPONSE_BYTES)
         self._socket = socket.socket(socket.AF_UNIX)
         self._socket.settimeout(timeout_s)
-        self._lines = protocol.LineSplitter(protocol.MAX_RESPONSE_BYTES)
         try:
             self._socket.connect(str(path))
         except OSError as e:
             self._socket.close()
-            raise NodeUnreachableError(f"{path}: no node answers there ({e.strerror or e})") from None
+            raise NodeUnreachableError(path, f"no node answers there ({e.strerror or e})") from None
 
-    def ask(self, do: str, **arguments: Any) -> Any:
-        """Ask.  Raises NodeUnreachableError, or RequestRejectedError with what the node says."""
+    def request(self, command: ControlCommand, **arguments: Any) -> Any:
+        """Send a request and return its result.  Raises NodeUnreachableError or RequestRejectedError."""
         try:
-            self._socket.sendall(protocol.encode_request(do, arguments))
-            while True:
-                data = self._socket.recv(256 * 1024)
-                if not data:
-                    raise NodeUnreachableError(f"{self._path}: the node closed the connection")
-                if lines := self._lines.feed(data):
-                    return protocol.decode_response(lines[0])
+            self._socket.sendall(encode_request(command, arguments))
+            return decode_response(self._receive_line())
         except OSError as e:
-            raise NodeUnreachableError(f"{self._path}: {e.strerror or e}") from None
-        except protocol.ProtocolError as e:
-            raise NodeUnreachableError(f"{self._path}: not a node's control socket: {e}") from None
+            raise NodeUnreachableError(self._path, f"{e.strerror or e}") from None
+        except ProtocolError as e:
+            raise NodeUnreachableError(self._path, f"not a node's control socket: {e}") from None
+
+    def _receive_line(self) -> bytes:
+        while data := self._socket.recv(RECEIVE_BYTES):
+            if lines := self._lines.feed(data):
+                return lines[0]
+        raise NodeUnreachableError(self._path, "the node closed the connection")
 
     def close(self) -> None:
-        """Hang up."""
+        """Close the connection."""
         self._socket.close()
 
     def __enter__(self) -> ControlClient:
-        """Use it for a while."""
+        """Return the connected client."""
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Hang up."""
+        """Close the connection."""
         self.close()
--- a/oakbridge/control/paths.py
+++ b/oakbridge/control/paths.py
@@ -1,4 +1,4 @@
-"""Where a node's control socket is, if nobody says otherwise."""
+"""The default paths of control sockets."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 
 
 def runtime_directory() -> Path:
-    """The user's folder for sockets."""
+    """Return the user's directory for control sockets."""
     runtime = os.environ.get("XDG_RUNTIME_DIR")
-    return Path(runtime) / "oakbridge" if runtime else Path(f"/tmp/oakbridge-{os.getuid()}")
+    if runtime:
+        return Path(runtime) / "oakbridge"
+    return Path(f"/tmp/oakbridge-{os.getuid()}")
 
 
-def default_socket_path(name: str) -> Path:
-    """The socket of a node by its name."""
-    return runtime_directory() / f"{re.sub(r'[^A-Za-z0-9._-]', '_', name)}.sock"
+def default_socket_path(node_name: str) -> Path:
+    """Return the path of a node's socket where its configuration names none."""
+    file_name = re.sub(r"[^A-Za-z0-9._-]", "_", node_name)
+    return runtime_directory() / f"{file_name}.sock"
 
 
-def worker_socket_path(control: Path, worker: int) -> Path:
-    """The socket of one of a node's workers, beside the node's own."""
-    return control.with_name(f"{control.stem}.{worker}{control.suffix}")
+def worker_socket_path(node_socket: Path, worker: int) -> Path:
+    """Return the path of a worker's socket, which is beside its node's."""
+    return node_socket.with_name(f"{node_socket.stem}.{worker}{node_socket.suffix}")
--- /dev/null
+++ b/oakbridge/control/sites.py
@@ -0,0 +1,41 @@
+"""Handle requests about sites."""
+
+from __future__ import annotations
+
+from typing import Any, Protocol
+
+from oakbridge.control.arguments import DrainOrReturnSiteArguments, SiteHistoryArguments
+from oakbridge.control.errors import RequestRejectedError
+from oakbridge.control.protocol import ControlCommand, JsonObject, Request
+
+
+class SiteController(Protocol):
+    """The sites, as this node knows them, and the operators' drains."""
+
+    def describe(self) -> dict[str, Any]:
+        """Return all sites and what is known of each."""
+
+    def why(self, name: str) -> list[dict[str, Any]]:
+        """Return the changes of a site's state, oldest first.  Raises KeyError."""
+
+    def operate(self, name: str, out: bool, by: str) -> dict[str, Any]:
+        """Drain a site (``out``) or return it.  Raises RequestRejectedError."""
+
+
+def handle_site_request(sites: SiteController | None, request: Request) -> JsonObject:
+    """Return the result of a command about sites.  Raises RequestRejectedError."""
+    if sites is None:
+        raise RequestRejectedError("this node has no plan for sites: its configuration has no [sites]")
+    if request.command is ControlCommand.SITES:
+        return sites.describe()
+    if request.command is ControlCommand.SITE_HISTORY:
+        return _site_history(sites, SiteHistoryArguments.decode(request.arguments).site)
+    order = DrainOrReturnSiteArguments.decode(request.arguments)
+    return sites.operate(order.site, order.drain, order.operator)
+
+
+def _site_history(sites: SiteController, site: str) -> JsonObject:
+    try:
+        return {"site": site, "history": sites.why(site)}
+    except KeyError:
+        raise RequestRejectedError(f"no site of the name {site!r:.80} is known here") from None
--- a/oakbridge/demo/play.py
+++ b/oakbridge/demo/play.py
@@ -13,7 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.client import ControlClient
+from oakbridge.control.errors import NodeUnreachableError
+from oakbridge.control.protocol import ControlCommand
 from oakbridge.demo.load import Load, Tally
 from oakbridge.standin.behaviour import Behaviour
 from oakbridge.standin.server import StandIn
@@ -135,7 +137,7 @@
             await load.run()
             changes.cancel()
             director.cancel()
-            scene.status, scene.seconds = client.ask("status"), seconds
+            scene.status, scene.seconds = client.request(ControlCommand.STATUS), seconds
             client.close()
             draw(scene)
             return scene
@@ -161,7 +163,7 @@
     loop = asyncio.get_running_loop()
     begin = loop.time()
     while True:
-        scene.status = await asyncio.to_thread(client.ask, "status")
+        scene.status = await asyncio.to_thread(client.request, ControlCommand.STATUS)
         scene.seconds = min(seconds, loop.time() - begin)
         draw(scene)
         await asyncio.sleep(0.25)
--- a/oakbridge/sites/beside.py
+++ b/oakbridge/sites/beside.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 from typing import Any
 
-from oakbridge.control.protocol import RequestRejectedError
+from oakbridge.control.errors import RequestRejectedError
 from oakbridge.node.node import Node
 from oakbridge.peers.shell import Peers
 from oakbridge.policy import vocabulary as api
--- a/oakbridge/workers/door.py
+++ b/oakbridge/workers/door.py
@@ -19,11 +19,13 @@
 from typing import Any
 
 from oakbridge import __version__
-from oakbridge.control import protocol
-from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.arguments import DEFAULT_STATUS_ROWS
+from oakbridge.control.client import ControlClient
+from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
 from oakbridge.control.paths import worker_socket_path
+from oakbridge.control.peers import PeerDirectory, handle_peer_request
+from oakbridge.control.protocol import PEER_COMMANDS, ControlCommand, Request
 from oakbridge.control.server import ControlServer
-from oakbridge.control.state import PeerDirectory, handle_peer_request
 from oakbridge.node.downstream import ACCEPTED, listen_on
 from oakbridge.node.listing import Address
 from oakbridge.process import supervisor as sup
@@ -276,27 +278,27 @@
 
     # ---- the control socket
 
-    async def _answer(self, request: protocol.Request) -> Any:
+    async def _answer(self, request: Request) -> Any:
         assert self.control is not None
-        if request.do.startswith("peers"):
+        if request.command in PEER_COMMANDS:
             return handle_peer_request(self.members, request)
         workers = list(self.crew.machines)
         asked = await asyncio.gather(*(asyncio.to_thread(self._ask, w, request) for w in workers))
         told: dict[int, Any] = dict(zip(workers, asked, strict=True))
-        if request.do == "status":
-            return merge(self._own(), told, int(request.arguments.get("rows", 200)))
+        if request.command is ControlCommand.STATUS:
+            return merge(self._own(), told, int(request.arguments.get("rows", DEFAULT_STATUS_ROWS)))
         refused = [f"worker {w}: {text}" for w, text in told.items() if isinstance(text, str)]
         if refused:
-            raise protocol.RequestRejectedError("; ".join(refused))
+            raise RequestRejectedError("; ".join(refused))
         return told[workers[0]]
 
-    def _ask(self, worker: int, request: protocol.Request) -> Any:
+    def _ask(self, worker: int, request: Request) -> Any:
         """A worker's answer, or a text that says why there is none."""
         assert self.control is not None
         try:
             with ControlClient(worker_socket_path(self.control, worker), ASK_WITHIN_S) as client:
-                return client.ask(request.do, **request.arguments)
-        except (NodeUnreachableError, protocol.RequestRejectedError) as e:
+                return client.request(request.command, **request.arguments)
+        except (NodeUnreachableError, RequestRejectedError) as e:
             machine = self.crew.machines[worker]
             return f"{machine.state.value}: {e}" + (
                 f"; ended last: {machine.last_exit}" * bool(machine.last_exit)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -12,7 +12,9 @@
 import pytest
 from peers import LIMIT, free_ports
 
-from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.client import ControlClient
+from oakbridge.control.errors import NodeUnreachableError
+from oakbridge.control.protocol import ControlCommand
 
 ROOT = Path(__file__).parents[2]
 CLASSES = '[[class]]\nname = "look"\naim = "1s"\ndeadline = "2s"\nrepeat = "safe"\n'
@@ -60,7 +62,7 @@
     def ask(self, do: str, **arguments):
         try:
             with ControlClient(self.config.parent / "t.sock") as client:
-                return client.ask(do, **arguments)
+                return client.request(ControlCommand(do), **arguments)
         except NodeUnreachableError:
             return None
 
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -12,8 +12,15 @@
 from peers import run, soon
 
 from oakbridge.control import protocol
-from oakbridge.control.client import ControlClient, NodeUnreachableError
-from oakbridge.control.server import MAX_CONNECTIONS, ControlServer, SocketInUseError
+from oakbridge.control.client import ControlClient
+from oakbridge.control.errors import (
+    NodeUnreachableError,
+    ProtocolError,
+    RequestRejectedError,
+    SocketInUseError,
+)
+from oakbridge.control.protocol import ControlCommand
+from oakbridge.control.server import MAX_CONNECTIONS, ControlServer
 
 
 @given(st.binary(max_size=400), st.lists(st.integers(1, 50)))
@@ -29,7 +36,7 @@
 def test_a_line_without_end_is_refused():
     lines = protocol.LineSplitter(10)
     lines.feed(b"12345")
-    with pytest.raises(protocol.ProtocolError, match="at most 10"):
+    with pytest.raises(ProtocolError, match="at most 10"):
         lines.feed(b"678901")
 
 
@@ -41,34 +48,26 @@
     ],
 )  # fmt: skip
 def test_a_request_that_is_none_is_named(line, says):
-    with pytest.raises(protocol.ProtocolError, match=says):
+    with pytest.raises(ProtocolError, match=says):
         protocol.decode_request(line)
 
 
 def test_requests_and_answers_go_round():
-    request = protocol.decode_request(protocol.encode_request("status", {"rows": 3}).strip())
-    assert (request.do, request.arguments) == ("status", {"rows": 3})
+    request = protocol.decode_request(protocol.encode_request(ControlCommand.STATUS, {"rows": 3}).strip())
+    assert (request.command, request.arguments) == (ControlCommand.STATUS, {"rows": 3})
     assert protocol.decode_response(protocol.encode_response({"a": 1}).strip()) == {"a": 1}
-    with pytest.raises(protocol.RequestRejectedError, match="no"):
+    with pytest.raises(RequestRejectedError, match="no"):
         protocol.decode_response(protocol.encode_error("no").strip())
 
 
-class Serving:
-    def __init__(self, path: Path, handle=lambda request: request.arguments) -> None:
-        self.server = ControlServer(path, handle)
-
-    async def __aenter__(self) -> ControlServer:
-        await self.server.start()
-        return self.server
-
-    async def __aexit__(self, *_) -> None:
-        self.server.close()
+def serving(path: Path, handler=lambda request: request.arguments) -> ControlServer:
+    return ControlServer(path, handler)
 
 
 async def ask(path: Path, do: str = "status", **arguments):
     def blocking():
         with ControlClient(path) as client:
-            return client.ask(do, **arguments)
+            return client.request(ControlCommand(do), **arguments)
 
     return await asyncio.to_thread(blocking)
 
@@ -77,7 +76,7 @@
     path = tmp_path / "run" / "n.sock"
 
     async def scenario():
-        async with Serving(path):
+        async with serving(path):
             assert stat.S_IMODE(path.stat().st_mode) == 0o600
             assert stat.S_IMODE(path.parent.stat().st_mode) == 0o700
             assert await ask(path, a=1) == {"a": 1}
@@ -92,7 +91,7 @@
         dead.bind(str(path))
 
     async def scenario():
-        async with Serving(path):
+        async with serving(path):
             with pytest.raises(SocketInUseError, match="another node"):
                 await ControlServer(path, lambda _: None).start()
             assert await ask(path) == {}
@@ -121,8 +120,8 @@
         return "fine"
 
     async def scenario():
-        async with Serving(path, handle):
-            with pytest.raises(protocol.RequestRejectedError, match="RuntimeError"):
+        async with serving(path, handle):
+            with pytest.raises(RequestRejectedError, match="RuntimeError"):
                 await ask(path, a=1)
             assert await ask(path) == "fine"
 
@@ -133,7 +132,7 @@
     path = tmp_path / "n.sock"
 
     async def scenario():
-        async with Serving(path):
+        async with serving(path):
             for garbage in (b"x" * 100_000 + b"\n", b"\xff\xfe\n"):
                 reader, writer = await asyncio.open_unix_connection(str(path))
                 writer.write(garbage)
@@ -148,15 +147,15 @@
     path = tmp_path / "n.sock"
 
     async def scenario():
-        async with Serving(path) as server:
+        async with serving(path) as server:
             held = [await asyncio.open_unix_connection(str(path)) for _ in range(MAX_CONNECTIONS)]
-            while len(server._open) < MAX_CONNECTIONS:
+            while server.connection_count < MAX_CONNECTIONS:
                 await asyncio.sleep(0.01)
             reader, _ = await asyncio.open_unix_connection(str(path))
             assert await soon(reader.read()) == b""
             for _, writer in held:
                 writer.close()
-            while server._open:
+            while server.connection_count:
                 await asyncio.sleep(0.01)
             assert await ask(path) == {}
 
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -12,9 +12,11 @@
 import pytest
 from peers import run, soon
 
-from oakbridge.control import protocol, state
+from oakbridge.control import handler, protocol
+from oakbridge.control.errors import RequestRejectedError
+from oakbridge.control.handler import NodeControlHandler
+from oakbridge.control.protocol import ControlCommand
 from oakbridge.control.server import ControlServer
-from oakbridge.control.state import NodeControlHandler
 from oakbridge.policy.view import BalancerView, ServerView
 from oakbridge.sources.files import FileOptions, FileSource, InlineSource
 
@@ -135,8 +137,8 @@
     """A moment that stands still, in one process with one version, that holds ``VIEW``."""
     monkeypatch.setattr(time, "time", lambda: 1_700_000_000.0)
     monkeypatch.setattr(os, "getpid", lambda: 4321)
-    monkeypatch.setattr(state, "__version__", "0.3.0")
-    monkeypatch.setattr(state, "view", lambda balancer, now, rows: VIEW)
+    monkeypatch.setattr(handler, "__version__", "0.3.0")
+    monkeypatch.setattr(handler, "view", lambda balancer, now, rows: VIEW)
 
 
 def conversation(name):
@@ -163,17 +165,15 @@
 
 def test_the_command_lines_requests_are_the_same_bytes():
     lines = (FIXTURES / "control" / "asked.txt").read_bytes().splitlines(keepends=True)
-    assert [protocol.encode_request(do, arguments) for do, arguments in ASKED] == lines
+    assert [protocol.encode_request(ControlCommand(do), arguments) for do, arguments in ASKED] == lines
     for (do, arguments), line in zip(ASKED, lines, strict=True):
         read = protocol.decode_request(line.strip())
-        assert (read.do, read.arguments) == (do, arguments)
+        assert (read.command, read.arguments) == (do, arguments)
 
 
 def test_answers_are_read():
     answers = dict(conversation("alone.txt"))
     told = protocol.decode_response(answers[b'{"v":1,"do":"status"}\n'])
     assert (told["name"], told["rows"][1]["cap"], told["source"]) == ("edge-1", 7.5, {"kind": "inline"})
-    with pytest.raises(
-        protocol.RequestRejectedError, match=r"^this node divides no servers: .* no \[spread\]$"
-    ):
+    with pytest.raises(RequestRejectedError, match=r"^this node divides no servers: .* no \[spread\]$"):
         protocol.decode_response(answers[b'{"v":1,"do":"spread"}\n'])
--- a/tests/rollout/test_fifty.py
+++ b/tests/rollout/test_fifty.py
@@ -18,7 +18,9 @@
 from peers import LIMIT, free_ports
 
 from oakbridge.agent.process import listener_pid
-from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.client import ControlClient
+from oakbridge.control.errors import NodeUnreachableError
+from oakbridge.control.protocol import ControlCommand
 from oakbridge.fleet import pki, wire
 from oakbridge.fleet.inventory import Inventory, write
 from oakbridge.standin.behaviour import Behaviour
@@ -156,7 +158,7 @@
         """What a node's own process says that it runs."""
         try:
             with ControlClient(self.socket(name)) as client:
-                return self.digests[client.ask("status", rows=0)["config_digest"]]
+                return self.digests[client.request(ControlCommand.STATUS, rows=0)["config_digest"]]
         except NodeUnreachableError:
             return "silent"
 
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -12,7 +12,9 @@
 from peers import LIMIT, free_ports
 
 from oakbridge.agent.process import listener_pid
-from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.client import ControlClient
+from oakbridge.control.errors import NodeUnreachableError
+from oakbridge.control.protocol import ControlCommand
 from oakbridge.fleet import pki, wire
 from oakbridge.fleet.inventory import Inventory, write
 
@@ -98,7 +100,7 @@
         for name in self.names:
             try:
                 with ControlClient(self.folder / name / "n.sock") as client:
-                    found[name] = by_digest[client.ask("status", rows=0)["config_digest"]]
+                    found[name] = by_digest[client.request(ControlCommand.STATUS, rows=0)["config_digest"]]
             except NodeUnreachableError as e:
                 found[name] = f"silent: {e}"
         return found
--- a/tests/workers/test_processes.py
+++ b/tests/workers/test_processes.py
@@ -11,7 +11,9 @@
 import pytest
 from peers import IDS, free_ports, run, soon
 
-from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.client import ControlClient
+from oakbridge.control.errors import NodeUnreachableError
+from oakbridge.control.protocol import ControlCommand
 from oakbridge.standin.behaviour import Behaviour
 from oakbridge.standin.server import StandIn
 
@@ -68,7 +70,7 @@
 
     def ask(self, do="status"):
         with ControlClient(self.socket, 10) as client:
-            return client.ask(do)
+            return client.request(ControlCommand(do))
 
     async def until(self, so):
         while True:
