--- a/oakbridge/cli/peers.py
+++ b/oakbridge/cli/peers.py
@@ -35,7 +35,7 @@
     ctx.obj = (socket_path, config)
     if ctx.invoked_subcommand is not None:
         return
-    show(socket_path, config, ControlCommand.PEERS, picture, as_json, watch, every)
+    show(socket_path, config, ControlCommand.PEERS, render_peers, as_json, watch, every)
 
 
 @command.command("why")
@@ -46,12 +46,12 @@
     """Tell how this node came to hold what it holds of one member, oldest first."""
     with connect(*where) as client:
         try:
-            told = client.request(ControlCommand.PEER_HISTORY, name=name)
+            report = client.request(ControlCommand.PEER_HISTORY, name=name)
         except (NodeUnreachableError, RequestRejectedError) as e:
             raise Failed(str(e)) from None
     if as_json:
-        return say_json(told)
-    for change in told["history"]:
+        return say_json(report)
+    for change in report["history"]:
         before = change["before"] or "not known"
         click.echo(
             f"{change['ago_s']:>9.1f} s ago  {before} -> {change['after']} at {change['address']}, "
@@ -59,27 +59,39 @@
         )
 
 
-def picture(told: dict[str, Any]) -> Group:
-    """A node's view of the others as a table."""
-    head = Table.grid(padding=(0, 2))
-    place = "none yet" if told["place"] is None else "{} of {}".format(*told["place"])
-    for name, value in (
-        ("node", told["name"]),
-        ("stance", told["stance"] or "not known yet"),
-        ("place", place),
-        ("health", "well" if not told["health"] else f"slow itself: times {told['health'] + 1}"),
-    ):
-        head.add_row(Text(name, style="bold"), value)
+def render_peers(report: dict[str, Any]) -> Group:
+    """Return a node's view of the others as tables.  ``report``: the result of ``peers``."""
+    return Group(_summary(report), _members(report["members"]))
+
+
+def _summary(report: dict[str, Any]) -> Table:
+    place = "none yet" if report["place"] is None else "{} of {}".format(*report["place"])
+    health = f"slow itself: times {report['health'] + 1}" if report["health"] else "well"
+    table = Table.grid(padding=(0, 2))
+    table.add_row(Text("node", style="bold"), report["name"])
+    table.add_row(Text("stance", style="bold"), report["stance"] or "not known yet")
+    table.add_row(Text("place", style="bold"), place)
+    table.add_row(Text("health", style="bold"), health)
+    for doubt in report["doubted"]:
+        weight = f"weight {doubt['weight']}" if doubt["weight"] else "one voice counts for nothing"
+        line = f"{doubt['server']} by {', '.join(doubt['by'])}: {weight}"
+        table.add_row(Text("doubted", style="bold"), line)
+    return table
+
+
+def _members(members: list[dict[str, Any]]) -> Table:
     table = Table(box=box.SIMPLE_HEAD)
     for column in ("member", "site", "state", "since", "by", "incarnation", "version"):
         table.add_column(column, justify="right" if column in ("since", "incarnation") else "left")
-    for row in told["members"]:
-        state = Text(row["state"], style=STYLE.get(row["state"], ""))
-        since = "" if row["state"] == "this node" else f"{row['since_s']:.0f} s"
+    for member in members:
+        state = member["state"]
         table.add_row(
-            row["name"], row["site"], state, since, row["by"], str(row["incarnation"]), row["version"]
+            member["name"],
+            member["site"],
+            Text(state, style=STYLE.get(state, "")),
+            "" if state == "this node" else f"{member['since_s']:.0f} s",
+            member["by"],
+            str(member["incarnation"]),
+            member["version"],
         )
-    for row in told["doubted"]:
-        worth = f"weight {row['weight']}" if row["weight"] else "one voice counts for nothing"
-        head.add_row(Text("doubted", style="bold"), f"{row['server']} by {', '.join(row['by'])}: {worth}")
-    return Group(head, table)
+    return table
--- a/oakbridge/cli/status.py
+++ b/oakbridge/cli/status.py
@@ -15,6 +15,7 @@
 from oakbridge.cli.looking import show
 from oakbridge.control.protocol import ControlCommand
 
+SHORT_DIGEST_LENGTH = 12
 STATE_STYLE = {"up": "green", "cold": "cyan", "ejected": "red", "drains": "yellow"}
 
 
@@ -26,65 +27,125 @@
     socket_path: Path | None, config: Path | None, as_json: bool, watch: bool, every: float, rows: int
 ) -> None:
     """Show what a running node believes: its servers, its limits, the list that it uses."""
-    show(socket_path, config, ControlCommand.STATUS, picture, as_json, watch, every, rows=rows)
+    show(socket_path, config, ControlCommand.STATUS, render_status, as_json, watch, every, rows=rows)
 
 
-def _source(told: dict[str, Any]) -> list[str]:
-    source = told["source"]
+def render_status(status: dict[str, Any]) -> Group:
+    """Return a node's status as tables.  ``status``: the result of the command of this name."""
+    parts = [_summary(status)]
+    if "workers" in status:
+        parts.append(_workers(status["workers"]))
+    parts.append(_servers(status["rows"]))
+    hidden = status["servers"] - len(status["rows"])
+    if hidden > 0:
+        return Group(*parts, Text(f"{hidden} more servers (--rows)"))
+    return Group(*parts)
+
+
+def _summary(status: dict[str, Any]) -> Table:
+    table = Table.grid(padding=(0, 2))
+    table.add_row(Text("node", style="bold"), _node_line(status))
+    table.add_row(Text("source", style="bold"), "\n".join(_source_lines(status["source"])))
+    table.add_row(Text("servers", style="bold"), _servers_line(status))
+    table.add_row(Text("requests", style="bold"), _requests_line(status))
+    table.add_row(Text("retries", style="bold"), _retries_line(status))
+    return table
+
+
+def _node_line(status: dict[str, Any]) -> str:
+    addresses = ", ".join(status["listen"])
+    process = f"pid {status['pid']}, {status['uptime_s']:.0f} s"
+    return f"{status['name']}  {_readiness(status)}  {addresses}  {process}"
+
+
+def _readiness(status: dict[str, Any]) -> str:
+    if status["leaving"]:
+        return "leaving"
+    return "ready" if status["ready"] else "not ready"
+
+
+def _source_lines(source: dict[str, Any]) -> list[str]:
+    """Return where the list of servers comes from, then why nothing newer is in use."""
     lines = [f"{source['kind']} {source.get('path', '')}".strip()]
     if (used := source.get("used")) is not None:
-        lines[0] += f", version {used['number']} ({used['servers']} servers, {used['digest'][:12]})"
+        lines[0] += f", version {used['number']} ({used['servers']} servers, {_short(used['digest'])})"
     if held := source.get("held"):
-        lines.append(f"HELD: {held['digest'][:12]} takes {held['lost']} of {held['of']} ready servers away")
-    if refused := source.get("refused"):
-        lines.append(f"NOT USED: {refused['problems'][0]}")
-    for word in ("missing", "save_error"):
-        if source.get(word):
-            lines.append(f"{word.replace('_', ' ').upper()}: {source[word]}")
+        lines.append(
+            f"HELD: {_short(held['digest'])} takes {held['lost']} of {held['of']} ready servers away"
+        )
+    if rejected := source.get("refused"):
+        lines.append(f"NOT USED: {rejected['problems'][0]}")
+    for key, label in (("missing", "MISSING"), ("save_error", "SAVE ERROR")):
+        if source.get(key):
+            lines.append(f"{label}: {source[key]}")
     return lines
 
 
-def _workers(rows: list[dict[str, Any]]) -> Table:
-    """One line for each worker of a node that has several."""
+def _short(digest: str) -> str:
+    return digest[:SHORT_DIGEST_LENGTH]
+
+
+def _servers_line(status: dict[str, Any]) -> str:
+    return f"{status['servers']} listed, {status['subset']} in the subset, {status['ejected']} ejected"
+
+
+def _requests_line(status: dict[str, Any]) -> str:
+    in_flight = f"{status['out']} out (limit {status['limit']:g})"
+    queued = f"{status['waiting']} waiting, {status['callers']} callers"
+    return f"{status['open_requests']} open, {in_flight}, {queued}"
+
+
+def _retries_line(status: dict[str, Any]) -> str:
+    budget = f"{status['retries_left']:g} left in the budget"
+    rates = f"{status['attempts_per_s']:g} attempts/s, {status['fail_rate']:.1%} of them failed lately"
+    return f"{budget}; {rates}"
+
+
+def _workers(workers: list[dict[str, Any]]) -> Table:
+    """Return a line for each worker of a node that has several."""
     table = Table(box=box.SIMPLE_HEAD)
     for column in ("worker", "pid", "state", "callers", "out", "limit", "waiting", "served"):
         table.add_column(column, justify="left" if column == "state" else "right")
-    for row in rows:
-        if "problem" in row:
-            table.add_row(str(row["worker"]), "", Text(row["problem"].split(":")[0], style="red"))
+    for worker in workers:
+        number = str(worker["worker"])
+        if "problem" in worker:
+            table.add_row(number, "", Text(worker["problem"].split(":")[0], style="red"))
             continue
-        state = "leaving" if row["leaving"] else "ready" if row["ready"] else "not ready"
-        figures = (row["callers"], row["out"], f"{row['limit']:g}", row["waiting"], row["answers"]["served"])
-        table.add_row(str(row["worker"]), str(row["pid"]), state, *map(str, figures))
+        table.add_row(
+            number,
+            str(worker["pid"]),
+            _readiness(worker),
+            str(worker["callers"]),
+            str(worker["out"]),
+            f"{worker['limit']:g}",
+            str(worker["waiting"]),
+            str(worker["answers"]["served"]),
+        )
     return table
 
 
-def picture(told: dict[str, Any]) -> Group:
-    """A node's state as a table."""
-    head = Table.grid(padding=(0, 2))
-    state = "leaving" if told["leaving"] else "ready" if told["ready"] else "not ready"
-    for name, value in (
-        ("node", f"{told['name']}  {state}  {', '.join(told['listen'])}  pid {told['pid']}, {told['uptime_s']:.0f} s"),
-        ("source", "\n".join(_source(told))),
-        ("servers", f"{told['servers']} listed, {told['subset']} in the subset, {told['ejected']} ejected"),
-        ("requests", f"{told['open_requests']} open, {told['out']} out (limit {told['limit']:g}), "
-                     f"{told['waiting']} waiting, {told['callers']} callers"),
-        ("retries", f"{told['retries_left']:g} left in the budget; {told['attempts_per_s']:g} attempts/s, "
-                    f"{told['fail_rate']:.1%} of them failed lately"),
-    ):  # fmt: skip
-        head.add_row(Text(name, style="bold"), value)
+def _servers(servers: list[dict[str, Any]]) -> Table:
     table = Table(box=box.SIMPLE_HEAD)
-    for column in ("server", "address", "zone", "state", "subset", "out", "warm", "slow", "since version"):
-        table.add_column(
-            column, justify="left" if column in ("server", "address", "zone", "state") else "right"
-        )
-    for row in told["rows"]:
-        shown = row["state"] + (f" {row['ejected_for']:.1f} s" if row["ejected_for"] else "")
+    for column in ("server", "address", "zone", "state"):
+        table.add_column(column)
+    for column in ("subset", "out", "warm", "slow", "since version"):
+        table.add_column(column, justify="right")
+    for server in servers:
         table.add_row(
-            row["name"], row["address"], row["zone"], Text(shown, style=STATE_STYLE.get(row["state"], "")),
-            "yes" if row["subset"] else "", str(row["out"]), f"{row['warmth']:.0%}", f"{row['slowness']:.2f}",
-            str(row["since_version"]),
-        )  # fmt: skip
-    hidden = told["servers"] - len(told["rows"])
-    workers = [_workers(told["workers"])] if "workers" in told else []
-    return Group(head, *workers, table, *([Text(f"{hidden} more servers (--rows)")] if hidden > 0 else []))
+            server["name"],
+            server["address"],
+            server["zone"],
+            _server_state(server),
+            "yes" if server["subset"] else "",
+            str(server["out"]),
+            f"{server['warmth']:.0%}",
+            f"{server['slowness']:.2f}",
+            str(server["since_version"]),
+        )
+    return table
+
+
+def _server_state(server: dict[str, Any]) -> Text:
+    state = server["state"]
+    remaining = f" {server['ejected_for']:.1f} s" if server["ejected_for"] else ""
+    return Text(f"{state}{remaining}", style=STATE_STYLE.get(state, ""))
--- a/oakbridge/control/__init__.py
+++ b/oakbridge/control/__init__.py
@@ -1,6 +1,7 @@
-"""The local control socket: what a running node reports of itself, and the few commands that it takes.
+"""The local control socket: a running node's report of itself, and the few commands it takes.
 
-``protocol`` is the encoding of requests and responses (no I/O), ``arguments`` what each command takes, ``handler``
-carries commands out on a node, ``status`` is the schema of its report, ``server`` the node's end of the socket,
-``client`` the command line's, ``paths`` where the socket is.
+- ``protocol``: encoding of requests and responses, without I/O; ``errors``: what can go wrong;
+- ``arguments``: what each command takes;
+- ``handler``, ``peers``, ``sites``: carry commands out; ``status``: the schema of a node's report;
+- ``server``: the node's end of the socket; ``client``: the command line's; ``paths``: where it is.
 """
--- a/oakbridge/control/client.py
+++ b/oakbridge/control/client.py
@@ -35,7 +35,10 @@
             raise NodeUnreachableError(path, f"no node answers there ({e.strerror or e})") from None
 
     def request(self, command: ControlCommand, **arguments: Any) -> Any:
-        """Send a request and return its result.  Raises NodeUnreachableError or RequestRejectedError."""
+        """Send a request and return its result.
+
+        Raises NodeUnreachableError, or RequestRejectedError with the node's reason.
+        """
         try:
             self._socket.sendall(encode_request(command, arguments))
             return decode_response(self._receive_line())
--- a/oakbridge/control/handler.py
+++ b/oakbridge/control/handler.py
@@ -48,7 +48,10 @@
         self._started_at = time.time()
 
     def handle(self, request: Request) -> JsonObject:
-        """Carry out one request and return its result.  Raises RequestRejectedError or ValueError with the reason."""
+        """Carry out one request and return its result.
+
+        Raises RequestRejectedError or ValueError with the reason.
+        """
         match request.command:
             case ControlCommand.STATUS:
                 arguments = StatusArguments.decode(request.arguments)
--- a/oakbridge/control/protocol.py
+++ b/oakbridge/control/protocol.py
@@ -1,10 +1,11 @@
-"""Encode and decode the control socket's messages: one JSON object a line, versioned and bounded; no I/O.
+"""Encode and decode the control socket's messages: one JSON object a line, without I/O.
 
     {"v": 1, "do": "status", "rows": 200}
     {"v": 1, "ok": true, "result": {...}}
     {"v": 1, "ok": false, "error": "..."}
 
-A connection carries one request after another.  A line that is too long ends it with an error.
+Messages carry a version, and lines are bounded.  A connection carries one request after another; a
+line that is too long ends it with an error.
 """
 
 from __future__ import annotations
@@ -57,7 +58,10 @@
         self._partial_line = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes in and return the lines that are complete now.  Raises ProtocolError for one that is too long."""
+        """Take bytes in and return the lines that are complete now.
+
+        Raises ProtocolError for a line that is too long.
+        """
         *lines, partial_line = (self._partial_line + data).split(b"\n")
         self._partial_line = partial_line
         if any(len(line) > self._max_line_bytes for line in (*lines, partial_line)):
@@ -92,7 +96,10 @@
 
 
 def decode_response(line: bytes) -> Any:
-    """Read the result from a response's line.  Raises RequestRejectedError with the node's reason, or ProtocolError."""
+    """Read the result from a response's line.
+
+    Raises ProtocolError, or RequestRejectedError with the node's reason.
+    """
     message = _decode(line)
     if message.get("ok") is True:
         return message.get("result")
--- a/oakbridge/control/server.py
+++ b/oakbridge/control/server.py
@@ -41,7 +41,11 @@
     """Serve each connection's requests one after another."""
 
     def __init__(self, path: Path, handler: Handler) -> None:
-        """``handler``: returns a result or an awaitable of it, or raises RequestRejectedError or ValueError."""
+        """Serve at ``path`` once started.
+
+        ``handler`` returns a request's result or an awaitable of it, or raises RequestRejectedError
+        or ValueError with the reason.
+        """
         self.path = path
         self._handler = handler
         self._server: asyncio.Server | None = None
@@ -114,7 +118,11 @@
                 await writer.drain()
 
     async def _respond(self, line: bytes) -> bytes:
-        """Return the response to one request; a fault in the handler is reported to the client and ends nothing."""
+        """Return the response to one request.
+
+        An unexpected exception in the handler is logged and reported; it ends neither the connection
+        nor the node.
+        """
         try:
             result = self._handler(decode_request(line))
             if inspect.isawaitable(result):
--- /dev/null
+++ b/tests/control/test_protocol.py
@@ -0,0 +1,59 @@
+"""The control socket's encoding: lines, requests and responses."""
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from oakbridge.control.errors import ProtocolError, RequestRejectedError
+from oakbridge.control.protocol import (
+    ControlCommand,
+    LineSplitter,
+    decode_request,
+    decode_response,
+    encode_error,
+    encode_request,
+    encode_response,
+)
+
+
+@given(st.binary(max_size=400), st.lists(st.integers(1, 50)))
+@settings(derandomize=True)
+def test_lines_are_the_same_however_the_stream_is_cut(data, sizes):
+    splitter = LineSplitter(1000)
+    lines = []
+    rest = data
+    for size in [*sizes, len(data)]:
+        lines += splitter.feed(rest[:size])
+        rest = rest[size:]
+    assert lines == (data + rest).split(b"\n")[:-1]
+
+
+def test_a_line_that_is_too_long_is_rejected_before_its_end():
+    splitter = LineSplitter(10)
+    splitter.feed(b"12345")
+    with pytest.raises(ProtocolError, match="at most 10"):
+        splitter.feed(b"678901")
+
+
+@pytest.mark.parametrize(
+    ("line", "message"),
+    [
+        (b"", "JSON object"),
+        (b"[]", "JSON object"),
+        (b'{"v": 2}', "v: expected 1"),
+        (b"[" * 9999, "JSON object"),
+        (b'{"v": 1}', "do: expected one of"),
+        (b'{"v": 1, "do": ["x"]}', "do: expected one of"),
+    ],
+)
+def test_an_invalid_request_is_rejected_with_what_was_expected(line, message):
+    with pytest.raises(ProtocolError, match=message):
+        decode_request(line)
+
+
+def test_requests_and_responses_survive_a_round_trip():
+    request = decode_request(encode_request(ControlCommand.STATUS, {"rows": 3}).strip())
+    assert (request.command, request.arguments) == (ControlCommand.STATUS, {"rows": 3})
+    assert decode_response(encode_response({"a": 1}).strip()) == {"a": 1}
+    with pytest.raises(RequestRejectedError, match="no"):
+        decode_response(encode_error("no").strip())
