--- /dev/null
+++ b/tests/formats/test_handover.py
@@ -0,0 +1,93 @@
+"""The packets between the two processes of a node, of which one may be older than the other.
+
+Each fixture is one packet, written by the program before its code was renamed; they never change.
+"""
+
+from pathlib import Path
+
+import pytest
+
+from oakbridge.handover.message import Message, Reader, pack
+
+FIXTURES = Path(__file__).parent / "fixtures" / "handover"
+CONFIG_FILE = {
+    "name": "n3",
+    "listen": "127.0.0.1:7000",
+    "discovery": "127.0.0.1:7001",
+    "limits": {"sockets": 512},
+    "settings": {"layers": ["only"]},
+}
+ENDPOINTS = [
+    {
+        "name": "s-0",
+        "address": "127.0.0.1:8080",
+        "zone": "z0",
+        "group": 3,
+        "status": "ready",
+        "weight": 1.5,
+        "since_ms": 1700000000.0,
+    },
+    {
+        "name": "s-1",
+        "address": "127.0.0.1:8081",
+        "zone": "",
+        "group": 0,
+        "status": "draining",
+        "weight": 1.0,
+        "since_ms": 0.0,
+    },
+]
+SERVER_RECORD = [0, "127.0.0.1:8080", -2.0, 1, 0, 1000000, 2, 3, 0.0, -1, 1.0, 4, 0.0, 0, None, True]
+POLICY_STATE = {
+    "servers": {"s-0": SERVER_RECORD},
+    "latency": {"read": [25000.0, 3000.5, 24000.0, 160]},
+    "admission": [5.0, 10.0, 6, 0.5, 0.05, 1e-05, 32, 0.9],
+    "due": {"gold": 7.0},
+    "rate": 0.004,
+    "copy": [0.02, 2.0, 9.5],
+    "slots": [[53, [20.0, 0.0], {}], [54, [5.0, 17.5], {"gold": 0.2}]],
+}
+MESSAGES = {
+    "hello": Message("hello", {"name": "n3"}),
+    "welcome": Message(
+        "welcome",
+        {
+            "file": CONFIG_FILE,
+            "known": {"index": 41, "snapshot": True, "endpoints": ENDPOINTS},
+            "outages": {"s-1": [5000000, 0, 0], "s-2": [6000000, 7000000, 7000000]},
+            "draining": True,
+        },
+    ),
+    "decline": Message("decline", {"why": "another process takes over"}),
+    "ready": Message("ready"),
+    "over": Message("over", {"learned": POLICY_STATE}),
+    "call": Message("call", {"word": "OFFLINE", "server": "s-1"}),
+    "still": Message("still", {"out": 2, "held": 9}),
+    "caller": Message("caller"),
+}
+
+
+def test_each_kind_of_message_has_a_fixture():
+    assert {path.stem for path in FIXTURES.iterdir()} == set(MESSAGES)
+
+
+@pytest.mark.parametrize("kind", MESSAGES)
+def test_a_packet_is_read_and_written_as_before(kind):
+    packet = (FIXTURES / f"{kind}.packet").read_bytes()
+    assert Reader().take(packet) == MESSAGES[kind]
+    assert pack(MESSAGES[kind]) == [packet]
+
+
+def test_a_long_message_is_divided_as_before():
+    message = Message("decline", {"why": "x" * 40_000})
+    text = b'{"v": 1, "kind": "decline", "why": "' + b"x" * 40_000 + b'"}'
+    packets = [b"+" + text[: 32 * 1024], b"." + text[32 * 1024 :]]
+    assert pack(message) == packets
+    reader = Reader()
+    assert [reader.take(packet) for packet in packets] == [None, message]
+
+
+def test_fields_that_a_later_version_adds_are_passed_over():
+    packet = b'.{"v": 1, "kind": "still", "out": 2, "held": 9, "waiting": 4}'
+    message = Reader().take(packet)
+    assert (message.says["out"], message.says["held"]) == (2, 9)
