--- a/oakbridge/handover/channel.py
+++ b/oakbridge/handover/channel.py
@@ -12,17 +12,19 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from oakbridge.handover.message import PACKET, BadMessage, Message, Reader, pack
+from oakbridge.handover.messages import PACKET, BadMessage, Message, Reader, pack
 
 log = logging.getLogger(__name__)
 
-DOORS = 8  # descriptors that come with one message at most
-TURNS = 32  # packets read in one turn of the loop
-QUEUE = 4096  # packets that wait to be written; a process that reads none of so many is taken for gone
+MAX_DESCRIPTORS = 8  # descriptors that come with one message at most
+PACKETS_PER_TURN = 32  # packets read in one turn of the loop
+MAX_QUEUED_PACKETS = (
+    4096  # packets that wait to be written; a process that reads none of so many is taken for gone
+)
 
 
 @contextlib.contextmanager
-def short(path: Path) -> Iterator[str]:
+def addressable(path: Path) -> Iterator[str]:
     """A name under which a socket in a long folder can be bound: a Unix address holds 107 bytes."""
     if len(os.fsencode(path)) <= 100:
         yield str(path)
@@ -40,7 +42,7 @@
     try:
         with contextlib.suppress(FileNotFoundError):
             path.unlink()
-        with short(path) as name:
+        with addressable(path) as name:
             sock.bind(name)
         path.chmod(0o600)
         sock.listen(4)
@@ -56,7 +58,7 @@
         return None
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
     try:
-        with short(path) as name:
+        with addressable(path) as name:
             sock.connect(name)
     except OSError as e:
         sock.close()
@@ -72,29 +74,34 @@
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        heard: Callable[[Channel, Message, list[int]], None],
-        lost: Callable[[Channel], None],
+        on_message: Callable[[Channel, Message, list[int]], None],
+        on_disconnect: Callable[[Channel], None],
     ) -> None:
-        """``heard``: told of each message, with descriptors that are its own to close; ``lost``: of the end, once."""
-        self.loop, self.sock, self._heard, self._lost = loop, sock, heard, lost
+        """``on_message``: told of each message, with descriptors that are its own to close.
+
+        ``on_disconnect``: told of the end, once.
+        """
+        self.loop, self.sock, self._on_message, self._on_disconnect = loop, sock, on_message, on_disconnect
         self._reader = Reader()
-        self._fds: list[int] = []  # that came with the packets of a message that is not whole yet
+        self._received_descriptors: list[
+            int
+        ] = []  # that came with the packets of a message that is not whole yet
         self._queue: deque[tuple[bytes, list[int]]] = deque()
-        self._waits = self.closed = False
-        loop.add_reader(sock, self._readable)
+        self._write_blocked = self.closed = False
+        loop.add_reader(sock, self._read)
 
-    def say(self, message: Message, fds: tuple[int, ...] = ()) -> bool:
+    def send(self, message: Message, fds: tuple[int, ...] = ()) -> bool:
         """Send a message; its descriptors are closed here once they are sent.  False if the connection is over."""
-        if self.closed or len(self._queue) > QUEUE:
+        if self.closed or len(self._queue) > MAX_QUEUED_PACKETS:
             return False
         packets = pack(message)
         self._queue.extend((packet, []) for packet in packets[:-1])
         self._queue.append((packets[-1], list(fds)))
-        if not self._waits:
+        if not self._write_blocked:
             self._write()
         return not self.closed
 
-    def unsent(self) -> list[int]:
+    def take_unsent_descriptors(self) -> list[int]:
         """Take back the descriptors that were never sent."""
         fds = [fd for _, fds in self._queue for fd in fds]
         self._queue.clear()
@@ -107,55 +114,55 @@
             try:
                 self.sock.sendmsg([packet], ancillary)
             except BlockingIOError:
-                if not self._waits:
-                    self._waits = True
+                if not self._write_blocked:
+                    self._write_blocked = True
                     self.loop.add_writer(self.sock, self._write)
                 return
             except OSError:
-                return self._end()
+                return self._disconnect()
             self._queue.popleft()
             for fd in fds:
                 os.close(fd)
-        if self._waits:
-            self._waits = False
+        if self._write_blocked:
+            self._write_blocked = False
             self.loop.remove_writer(self.sock)
 
-    def _readable(self) -> None:
-        for _ in range(TURNS):
+    def _read(self) -> None:
+        for _ in range(PACKETS_PER_TURN):
             if self.closed:
                 return
             try:
-                packet, fds, flags, _ = socket.recv_fds(self.sock, PACKET + 1, DOORS)
+                packet, fds, flags, _ = socket.recv_fds(self.sock, PACKET + 1, MAX_DESCRIPTORS)
             except BlockingIOError:
                 return
             except OSError:
-                return self._end()
-            self._fds += fds
+                return self._disconnect()
+            self._received_descriptors += fds
             if not packet or flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-                return self._end()
+                return self._disconnect()
             try:
                 message = self._reader.take(packet)
             except BadMessage as e:
                 log.warning("the other process of this node: %s", e)
-                return self._end()
+                return self._disconnect()
             if message is not None:
-                fds, self._fds = self._fds, []
-                self._heard(self, message, fds)
+                fds, self._received_descriptors = self._received_descriptors, []
+                self._on_message(self, message, fds)
 
-    def _end(self) -> None:
+    def _disconnect(self) -> None:
         if not self.closed:
             self.close()
-            self._lost(self)
+            self._on_disconnect(self)
 
     def close(self) -> None:
-        """Close it; what was not sent stays in :meth:`unsent`."""
+        """Close it; what was not sent stays in :meth:`take_unsent_descriptors`."""
         if self.closed:
             return
         self.closed = True
         self.loop.remove_reader(self.sock)
-        if self._waits:
+        if self._write_blocked:
             self.loop.remove_writer(self.sock)
         self.sock.close()
-        for fd in self._fds:
+        for fd in self._received_descriptors:
             os.close(fd)
-        self._fds = []
+        self._received_descriptors = []
--- a/oakbridge/handover/keeper.py
+++ b/oakbridge/handover/keeper.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.handover import machine
+from oakbridge.handover import state_machine
 from oakbridge.handover.channel import Channel, connect, listen
-from oakbridge.handover.message import CALL, CALLER, OVER, STILL, WELCOME, Message
+from oakbridge.handover.messages import CALL, CALLER, OVER, STILL, WELCOME, Message
 from oakbridge.node.discovery import Discovery
 from oakbridge.node.listing import as_raw
 from oakbridge.node.node import Node
@@ -22,30 +22,30 @@
 
 log = logging.getLogger(__name__)
 
-REPORT_S = 0.02  # between two words of what the old process still has
-ANSWER_S = 1.0  # for the other process to answer: one that takes longer is frozen, and is done without
+LOAD_REPORT_INTERVAL_S = 0.02  # between two words of what the old process still has
+REPLY_TIMEOUT_S = 1.0  # for the other process to answer: one that takes longer is frozen, and is done without
 
-Calls = Callable[[str, str], None]  # an operator's word and the id it names
+CommandHandler = Callable[[str, str], None]  # an operator's word and the id it names
 
 
-def meeting_place(name: str, folder: str | None = None) -> Path:
+def socket_path(name: str, folder: str | None = None) -> Path:
     """Where the processes of a node find one another."""
     safe = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:64]
     return Path(folder or os.environ.get("TMPDIR") or "/tmp") / f"oakbridge-{safe}.sock"
 
 
-class Giver:
+class Predecessor:
     """The process that runs: listens for one that is started beside it, and hands over to it."""
 
-    def __init__(self, node: Node, apply: Calls, path: Path) -> None:
-        self.node, self.apply, self.path = node, apply, path
+    def __init__(self, node: Node, apply_command: CommandHandler, path: Path) -> None:
+        self.node, self.apply_command, self.path = node, apply_command, path
         self.loop = asyncio.get_running_loop()
-        self.machine = machine.Predecessor(node.config.name)
+        self.machine = state_machine.PredecessorStateMachine(node.config.name)
         self.channel: Channel | None = None
         self._sock: socket.socket | None = None
         self._inode = 0
 
-    def start(self) -> None:
+    def listen(self) -> None:
         """Listen; a node that can't be found goes on all the same, as SO_REUSEPORT lets another one in."""
         try:
             self._sock = listen(self.path)
@@ -62,55 +62,55 @@
         except OSError:
             return
         sock.setblocking(False)
-        Channel(self.loop, sock, self._heard, self._lost)
+        Channel(self.loop, sock, self._on_message, self._on_disconnect)
 
-    def _heard(self, channel: Channel, message: Message, fds: list[int]) -> None:
+    def _on_message(self, channel: Channel, message: Message, fds: list[int]) -> None:
         for fd in fds:
             os.close(fd)  # none is expected on this side
         if self.channel not in (None, channel):
             self._decline(channel)
             return
         self.channel = channel
-        self._look()
-        self._follow(self.machine.heard(message))
+        self._notice_shutdown()
+        self._perform(self.machine.receive(message))
 
-    def _look(self) -> None:
+    def _notice_shutdown(self) -> None:
         """Whether this process was told to end meanwhile."""
         if self.node.server.leaving:
-            self.machine.told_to_end()
+            self.machine.begin_shutdown()
 
     def _decline(self, channel: Channel) -> None:
-        channel.say(Message("decline", {"why": "another process takes over"}))
+        channel.send(Message("decline", {"why": "another process takes over"}))
         channel.close()
 
-    def _lost(self, channel: Channel) -> None:
+    def _on_disconnect(self, channel: Channel) -> None:
         if channel is self.channel:
-            for fd in channel.unsent():
+            for fd in channel.take_unsent_descriptors():
                 self.node.server.admit(socket.socket(fileno=fd))
-            self._look()
-            self._follow(self.machine.lost())
+            self._notice_shutdown()
+            self._perform(self.machine.disconnected())
 
-    def _follow(self, steps: list[machine.Step]) -> None:
-        for step in steps:
-            if isinstance(step, machine.Say):
-                if step.kind == WELCOME:
+    def _perform(self, actions: list[state_machine.Action]) -> None:
+        for action in actions:
+            if isinstance(action, state_machine.Send):
+                if action.kind == WELCOME:
                     self._welcome()
                 else:
-                    self._say(Message(step.kind, step.says))
-            elif isinstance(step, machine.HandOver):
-                self._hand_over()
-            elif isinstance(step, machine.TakeBack):
+                    self._send(Message(action.kind, action.says))
+            elif isinstance(action, state_machine.DrainToSuccessor):
+                self._drain_to_successor()
+            elif isinstance(action, state_machine.ResumeServing):
                 log.warning("the process that took over is gone: serving again")
                 self.node.balancer.retired = False
                 self.node.server.take_back()
-            elif isinstance(step, machine.Apply):
-                self.apply(step.word, step.server)
-            elif isinstance(step, machine.Part) and self.channel is not None:
+            elif isinstance(action, state_machine.ApplyCommand):
+                self.apply_command(action.word, action.server)
+            elif isinstance(action, state_machine.Disconnect) and self.channel is not None:
                 channel, self.channel = self.channel, None
                 channel.close()
 
-    def _say(self, message: Message, fds: tuple[int, ...] = ()) -> bool:
-        return self.channel is not None and self.channel.say(message, fds)
+    def _send(self, message: Message, fds: tuple[int, ...] = ()) -> bool:
+        return self.channel is not None and self.channel.send(message, fds)
 
     def _welcome(self) -> None:
         node = self.node
@@ -121,36 +121,36 @@
             "outages": node.outages.saved(),
             "draining": node.server.life.draining,
         }
-        self._say(Message(WELCOME, says), tuple(node.server.doors()))
+        self._send(Message(WELCOME, says), tuple(node.server.doors()))
         log.info("a process that takes over was told all")
 
-    def _hand_over(self) -> None:
+    def _drain_to_successor(self) -> None:
         node = self.node
-        node.server.hand_over(self._send)
+        node.server.hand_over(self._migrate_connection)
         node.pool.close_idle()
         learned = state.save(node.balancer, node.clock.now())
-        self._say(Message(OVER, {"learned": learned}))
+        self._send(Message(OVER, {"learned": learned}))
         log.info("handed over; %d callers move on as they rest", node.server.callers())
-        self._report(())
+        self._report_load(())
         node.server.move_all()
 
-    def _report(self, before: tuple[int, ...]) -> None:
+    def _report_load(self, before: tuple[int, ...]) -> None:
         """Now and then say what this process still has: until it ends, the limits are for both together."""
-        if self.channel is None or self.machine.state != machine.Old.OVER:
+        if self.channel is None or self.machine.state != state_machine.PredecessorState.DRAINING:
             return
         still = self.node.balancer.admission.out, self.node.server.callers() + self.node.pool.count
         if still != before:
-            self._say(Message(STILL, {"out": still[0], "held": still[1]}))
-        self.loop.call_later(REPORT_S, self._report, still)
+            self._send(Message(STILL, {"out": still[0], "held": still[1]}))
+        self.loop.call_later(LOAD_REPORT_INTERVAL_S, self._report_load, still)
 
-    def _send(self, fd: int) -> bool:
+    def _migrate_connection(self, fd: int) -> bool:
         """Send a caller's connection along."""
-        return self._say(Message(CALLER), (fd,))
+        return self._send(Message(CALLER), (fd,))
 
-    def tell(self, word: str, server: str) -> None:
+    def relay_command(self, word: str, server: str) -> None:
         """An operator's call that came in here holds in the other process too."""
-        if self.machine.shares():
-            self._say(Message(CALL, {"word": word, "server": server}))
+        if self.machine.relays_commands():
+            self._send(Message(CALL, {"word": word, "server": server}))
 
     def close(self) -> None:
         """Be found no more; the name may be another process's by now."""
@@ -165,117 +165,119 @@
             self.channel.close()
 
 
-class Taker:
+class Successor:
     """The process that was started: looks for one that runs, and takes over from it or serves alone."""
 
     def __init__(self, name: str, path: Path) -> None:
-        self.machine = machine.Successor(name)
+        self.machine = state_machine.SuccessorStateMachine(name)
         self.loop = asyncio.get_running_loop()
         self.path = path
         self.channel: Channel | None = None
         self.welcome: dict[str, Any] | None = None
-        self.doors: list[socket.socket] = []
+        self.listeners: list[socket.socket] = []
         self.node: Node | None = None
-        self.apply: Calls | None = None
-        self._step = asyncio.Event()
-        self._early: list[tuple[str, str]] = []  # calls that came before the node was there
-        self._callers: list[socket.socket] = []  # and callers before it served
+        self.apply_command: CommandHandler | None = None
+        self._progress = asyncio.Event()
+        self._early_commands: list[tuple[str, str]] = []  # calls that came before the node was there
+        self._early_connections: list[socket.socket] = []  # and callers before it served
 
-    async def ask(self) -> None:
+    async def connect(self) -> None:
         """Have ``welcome`` and ``doors`` from the process that runs, or know that there is none to ask."""
         sock = connect(self.path)
         if sock is None:
-            self.machine.linked = False
-            self.machine.state = machine.New.BUILDING
+            self.machine.is_connected = False
+            self.machine.state = state_machine.SuccessorState.BUILDING
             return
-        self.channel = Channel(self.loop, sock, self._heard, lambda _: self._follow(self.machine.lost()))
-        self._follow(self.machine.begin())
-        await self._wait(lambda: self.machine.state != machine.New.ASKING)
+        self.channel = Channel(
+            self.loop, sock, self._on_message, lambda _: self._perform(self.machine.disconnected())
+        )
+        self._perform(self.machine.connected())
+        await self._wait_until(lambda: self.machine.state != state_machine.SuccessorState.CONNECTING)
 
-    async def _wait(self, done: Callable[[], bool]) -> None:
+    async def _wait_until(self, done: Callable[[], bool]) -> None:
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
                 while not done():
-                    self._step.clear()
-                    await self._step.wait()
+                    self._progress.clear()
+                    await self._progress.wait()
         except TimeoutError:
             log.warning("the process that runs does not answer: going on without it")
-            self._follow(self.machine.late())
+            self._perform(self.machine.timed_out())
 
-    def restore(self, node: Node, apply: Calls) -> None:
+    def attach(self, node: Node, apply_command: CommandHandler) -> None:
         """Have the node be as it was in the other process."""
-        self.node, self.apply = node, apply
-        for word, server in self._early:
-            apply(word, server)
+        self.node, self.apply_command = node, apply_command
+        for word, server in self._early_commands:
+            apply_command(word, server)
 
-    async def take(self) -> None:
+    async def take_over(self) -> None:
         """The node could serve: have the other process hand over, and be the node from then on."""
-        self._follow(self.machine.built())
-        await self._wait(lambda: self.machine.state == machine.New.SERVING)
+        self._perform(self.machine.node_built())
+        await self._wait_until(lambda: self.machine.state == state_machine.SuccessorState.SERVING)
 
-    def _heard(self, channel: Channel, message: Message, fds: list[int]) -> None:
+    def _on_message(self, channel: Channel, message: Message, fds: list[int]) -> None:
         if message.kind == CALLER:
             for fd in fds:
-                self._caller(socket.socket(fileno=fd))
+                self._accept_connection(socket.socket(fileno=fd))
             return
         if message.kind == WELCOME:
-            self.doors = [socket.socket(fileno=fd) for fd in fds]
+            self.listeners = [socket.socket(fileno=fd) for fd in fds]
         else:
             for fd in fds:
                 os.close(fd)
-        self._follow(self.machine.heard(message))
+        self._perform(self.machine.receive(message))
 
-    def _caller(self, sock: socket.socket) -> None:
-        if self.node is not None and self.machine.state == machine.New.SERVING:
+    def _accept_connection(self, sock: socket.socket) -> None:
+        if self.node is not None and self.machine.state == state_machine.SuccessorState.SERVING:
             self.node.server.admit(sock)
         else:
-            self._callers.append(sock)
-
-    def _follow(self, steps: list[machine.Step]) -> None:
-        for step in steps:
-            if isinstance(step, machine.Say) and self.channel is not None:
-                self.channel.say(Message(step.kind, step.says))
-            elif isinstance(step, machine.Build):
-                self.welcome = step.welcome
-            elif isinstance(step, machine.Serve):
-                self._serve(step)
-            elif isinstance(step, machine.Share):
-                self._share(step.out, step.held)
-            elif isinstance(step, machine.Apply):
-                if self.apply is None:
-                    self._early.append((step.word, step.server))
+            self._early_connections.append(sock)
+
+    def _perform(self, actions: list[state_machine.Action]) -> None:
+        for action in actions:
+            if isinstance(action, state_machine.Send) and self.channel is not None:
+                self.channel.send(Message(action.kind, action.says))
+            elif isinstance(action, state_machine.BuildNode):
+                self.welcome = action.welcome
+            elif isinstance(action, state_machine.StartServing):
+                self._start_serving(action)
+            elif isinstance(action, state_machine.ReserveForPredecessor):
+                self._reserve_for_predecessor(action.out, action.held)
+            elif isinstance(action, state_machine.ApplyCommand):
+                if self.apply_command is None:
+                    self._early_commands.append((action.word, action.server))
                 else:
-                    self.apply(step.word, step.server)
-            elif isinstance(step, machine.Part) and self.channel is not None:
+                    self.apply_command(action.word, action.server)
+            elif isinstance(action, state_machine.Disconnect) and self.channel is not None:
                 channel, self.channel = self.channel, None
                 channel.close()
-                self._share(0, 0)
-        self._step.set()
+                self._reserve_for_predecessor(0, 0)
+        self._progress.set()
 
-    def _share(self, out: int, held: int) -> None:
+    def _reserve_for_predecessor(self, out: int, held: int) -> None:
         if self.node is not None:
             self.node.share(held)
             self.node.post(Elsewhere(out))
 
-    def _serve(self, step: machine.Serve) -> None:
+    def _start_serving(self, action: state_machine.StartServing) -> None:
         node = self.node
         assert node is not None
-        if step.learned is not None:
+        if action.learned is not None:
             try:
-                state.restore(node.balancer, step.learned, node.clock.now())
+                state.restore(node.balancer, action.learned, node.clock.now())
             except (KeyError, TypeError, ValueError) as e:
                 log.warning("what the other process learned can't be used: %s", e)
             if node.settings.must_ask:
                 node.source.watch(True)
             log.info("taken over")
-        for sock in self._callers:
+        for sock in self._early_connections:
             node.server.admit(sock)
-        self._callers = []
+        self._early_connections = []
 
-    def tell(self, word: str, server: str) -> None:
+    def relay_command(self, word: str, server: str) -> None:
         """An operator's call that came in here holds in the other process too."""
-        if self.channel is not None and self.machine.shares():
-            self.channel.say(Message(CALL, {"word": word, "server": server}))
+        if self.channel is not None and self.machine.relays_commands():
+            self.channel.send(Message(CALL, {"word": word, "server": server}))
 
     def close(self) -> None:
         """Have nothing more to do with the other process."""
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -9,7 +9,7 @@
 from contextlib import asynccontextmanager
 from dataclasses import replace
 
-from oakbridge.handover.keeper import Giver, Taker, meeting_place
+from oakbridge.handover.keeper import Predecessor, Successor, socket_path
 from oakbridge.node.config import Config, load, made
 from oakbridge.node.listing import ConfigError
 from oakbridge.node.node import Node
@@ -27,7 +27,7 @@
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         self.environment = environment
-        self.taker: Taker | None = None
+        self.successor: Successor | None = None
 
     async def build(self, loop: asyncio.AbstractEventLoop) -> Node:
         """The node, as it was in the process that runs, if there is one.  Raises ConfigError, OSError."""
@@ -39,18 +39,18 @@
         name = config.name if config is not None else self.environment.get("NODE_NAME")
         if not name:
             raise fault or ConfigError("NODE_NAME: missing")
-        self.taker = Taker(name, meeting_place(name, self.environment.get("TMPDIR")))
-        await self.taker.ask()
+        self.successor = Successor(name, socket_path(name, self.environment.get("TMPDIR")))
+        await self.successor.connect()
         config = self._configured(config, fault)
-        welcome = self.taker.welcome or {}
+        welcome = self.successor.welcome or {}
         outages = Outages()
         outages.restore(welcome.get("outages", {}))
         return Node(config, loop, doors=self._doors(config), shared=True, outages=outages)
 
     def _configured(self, config: Config | None, fault: ConfigError | None) -> Config:
         """The file's configuration, or that of the process that runs where the file is broken now."""
-        assert self.taker is not None
-        welcome = self.taker.welcome
+        assert self.successor is not None
+        welcome = self.successor.welcome
         if welcome is None:
             if config is None:
                 raise fault or ConfigError("NODE_CONFIG: missing")
@@ -64,8 +64,8 @@
 
     def _doors(self, config: Config) -> list[socket.socket]:
         """The running process's listening sockets, if they are where this node listens."""
-        assert self.taker is not None
-        doors, self.taker.doors = self.taker.doors, []
+        assert self.successor is not None
+        doors, self.successor.listeners = self.successor.listeners, []
         if doors and doors[0].getsockname() == config.listen:
             for door in doors:
                 door.setblocking(False)
@@ -77,8 +77,8 @@
     @asynccontextmanager
     async def beside(self, node: Node) -> AsyncIterator[None]:
         """The operators' address, and both sides of a hand-over, for as long as the node lives."""
-        assert node.config.control is not None and self.taker is not None
-        taker = self.taker
+        assert node.config.control is not None and self.successor is not None
+        successor = self.successor
         desk = NodeDesk(node)
 
         def apply(word: str, server: str) -> None:
@@ -88,24 +88,24 @@
             except Refused as e:
                 log.warning("a call at the node's other process: %s %s: %s", word, server, e)
 
-        giver = Giver(node, apply, taker.path)
+        predecessor = Predecessor(node, apply, successor.path)
 
         def tell(word: str, server: str) -> None:
-            taker.tell(word, server)
-            giver.tell(word, server)
+            successor.relay_command(word, server)
+            predecessor.relay_command(word, server)
 
         desk.changed = tell
-        if taker.welcome is not None and taker.welcome["draining"]:
+        if successor.welcome is not None and successor.welcome["draining"]:
             node.server.drain()
         listener = Listener(asyncio.get_running_loop(), node.config.control, lambda line: answer(desk, line))
         listener.start()
         try:
-            taker.restore(node, apply)
-            await taker.take()
-            giver.start()
+            successor.attach(node, apply)
+            await successor.take_over()
+            predecessor.listen()
             desk.started = True
             yield
         finally:
             listener.close()
-            giver.close()
-            taker.close()
+            predecessor.close()
+            successor.close()
--- a/tests/formats/test_handover.py
+++ b/tests/formats/test_handover.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from oakbridge.handover.message import Message, Reader, pack
+from oakbridge.handover.messages import Message, Reader, pack
 
 FIXTURES = Path(__file__).parent / "fixtures" / "handover"
 CONFIG_FILE = {
--- a/tests/handover/test_message.py
+++ b/tests/handover/test_messages.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from oakbridge.handover import message as m
-from oakbridge.handover.message import BadMessage, Message, Reader, pack, parse
+from oakbridge.handover import messages as m
+from oakbridge.handover.messages import BadMessage, Message, Reader, pack, parse
 
 
 @given(st.text(max_size=200), st.integers(1, 4))
