--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -9,7 +9,9 @@
 from contextlib import asynccontextmanager
 from dataclasses import replace
 
-from oakbridge.handover.keeper import Predecessor, Successor, socket_path
+from oakbridge.handover.predecessor import Predecessor
+from oakbridge.handover.successor import Successor
+from oakbridge.handover.unix_socket import socket_path
 from oakbridge.node.config import Config, load, made
 from oakbridge.node.listing import ConfigError
 from oakbridge.node.node import Node
