--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -25,11 +25,11 @@
 from oakbridge.fleet.ask import Operator
 from oakbridge.fleet.http import Server
 from oakbridge.fleet.inventory import Inventory
-from oakbridge.rollout.change import Values, Whole
-from oakbridge.rollout.coordinator import Coordinator, Options
-from oakbridge.rollout.journal import Entry, Journal
+from oakbridge.rollout.change import ReplaceFiles, SetValues
+from oakbridge.rollout.coordinator import Coordinator, RolloutOptions
+from oakbridge.rollout.journal import Journal, JournalEntry
 from oakbridge.rollout.machine import RolloutRecord
-from oakbridge.rollout.plan import Target, Waves, plan
+from oakbridge.rollout.plan import Target, WaveOptions, plan_waves
 from oakbridge.standin.host import PlayedHost
 
 CONFIG = (
@@ -70,7 +70,9 @@
     asyncio.run(serve())
 
 
-async def roll(folder: Path, operator: Operator, change: Any, options: Options, unavailable: int) -> None:
+async def roll(
+    folder: Path, operator: Operator, change: Any, options: RolloutOptions, unavailable: int
+) -> None:
     """One rollout; prints what it came to."""
     journal, began = Journal(folder), time.monotonic()
     held = await operator.acquire(60.0)
@@ -80,16 +82,16 @@
         Target(h.agent, row["name"], "", row["generation"])
         for h in heard if h.status == 200 for row in h.answer["instances"]
     ]  # fmt: skip
-    waves = plan(targets, Waves(unavailable=unavailable))
+    waves = plan_waves(targets, WaveOptions(unavailable=unavailable))
     record = RolloutRecord(tuple(map(tuple, waves)), unavailable, False)
-    journal.add(Entry(held.token, "bench", time.time(), time.time(), "", change, record))
+    journal.add(JournalEntry(held.token, "bench", time.time(), time.time(), "", change, record))
     coordinator = Coordinator(operator, journal, held.token, change, record, held, options)
     stage = await coordinator.run()
     await operator.release(coordinator.held)
     fates = Counter(row.outcome.value for row in coordinator.machine.statuses().values())
     took = time.monotonic() - began
     print(
-        f"  {change.says()}: {stage.value}, {dict(fates)}: {took:.1f} s (lease and first look {leased:.1f} s)"
+        f"  {change.describe()}: {stage.value}, {dict(fates)}: {took:.1f} s (lease and first look {leased:.1f} s)"
     )
 
 
@@ -102,12 +104,12 @@
         heard = await operator.ask_all(wire.Status())
         assert all(h.status == 200 for h in heard)
         print(f"  status of {len(heard)}, {turn}: {time.monotonic() - began:.2f} s")
-    options = Options(watch=1.0, window=2.0, silent=5.0)
+    options = RolloutOptions(watch=1.0, window=2.0, silent=5.0)
     waves = max(1, len(addresses) // 2)
-    await roll(folder, operator, Whole({"oakbridge.toml": CONFIG}), options, waves)
-    await roll(folder, operator, Values({"class.look.aim": "2s"}), options, waves)
+    await roll(folder, operator, ReplaceFiles({"oakbridge.toml": CONFIG}), options, waves)
+    await roll(folder, operator, SetValues({"class.look.aim": "2s"}), options, waves)
     asyncio.get_running_loop().call_later(4.0, freeze, frozen)
-    await roll(folder, operator, Values({"class.look.aim": "3s"}), options, waves)
+    await roll(folder, operator, SetValues({"class.look.aim": "3s"}), options, waves)
     operator.close()
 
 
--- a/oakbridge/cli/rollout.py
+++ b/oakbridge/cli/rollout.py
@@ -25,13 +25,13 @@
 from oakbridge.fleet import pki, wire
 from oakbridge.fleet.ask import Held, Operator
 from oakbridge.rollout import change as changes
-from oakbridge.rollout.change import CONFIG, BadChange, Change
-from oakbridge.rollout.coordinator import LEASE_S, Coordinator, Options
-from oakbridge.rollout.doctor import BAD, examine
-from oakbridge.rollout.gate import Rules
-from oakbridge.rollout.journal import Entry, Journal, JournalError
+from oakbridge.rollout.change import CONFIG_FILE, Change, ChangeError
+from oakbridge.rollout.coordinator import LEASE_S, Coordinator, RolloutOptions
+from oakbridge.rollout.doctor import BAD, diagnose
+from oakbridge.rollout.gate import GateRules
+from oakbridge.rollout.journal import Journal, JournalEntry, JournalError
 from oakbridge.rollout.machine import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
-from oakbridge.rollout.plan import BadPlan, Target, Waves, plan
+from oakbridge.rollout.plan import PlanError, Target, WaveOptions, plan_waves
 from oakbridge.rollout.rebuild import rebuild
 
 PARTIAL, HALTED = 3, 4  # exit codes: done but for some that are unknown; halted or undone
@@ -49,10 +49,10 @@
         raise BadInput(f"{folder}: {e.strerror}") from None
     except (UnicodeDecodeError, StoreError) as e:
         raise BadInput(f"{folder}: {e}") from None
-    if CONFIG not in found:
-        raise BadInput(f"{folder}: expected a file {CONFIG}")
-    if changes.DRAINED in found:
-        raise BadInput(f"{folder}: {changes.DRAINED}: this name is kept for `fleet drain`")
+    if CONFIG_FILE not in found:
+        raise BadInput(f"{folder}: expected a file {CONFIG_FILE}")
+    if changes.DRAIN_MARKER in found:
+        raise BadInput(f"{folder}: {changes.DRAIN_MARKER}: this name is kept for `fleet drain`")
     return found
 
 
@@ -61,16 +61,16 @@
     if sum(1 for given in (files, servers, values) if given) != 1:
         raise BadInput("apply: expected one of --files, --servers or --set")
     if files is not None:
-        return changes.Whole(read_files(files))
+        return changes.ReplaceFiles(read_files(files))
     try:
         if servers is not None:
-            return changes.ServerFile(servers.read_text("utf-8"))
-        return changes.Values(dict(map(changes.parse_setting, values)))
+            return changes.ReplaceServerFile(servers.read_text("utf-8"))
+        return changes.SetValues(dict(map(changes.parse_setting, values)))
     except OSError as e:
         raise BadInput(f"{servers}: {e.strerror}") from None
     except UnicodeDecodeError as e:
         raise BadInput(f"{servers}: {e}") from None
-    except BadChange as e:
+    except ChangeError as e:
         raise BadInput(str(e)) from None
 
 
@@ -88,8 +88,8 @@
         """The waves.  Raises BadInput."""
         shares = self.shares or (0.1, 0.5, 1.0)
         try:
-            return plan(targets, Waves(self.canary, shares, self.by_zone, self.unavailable))
-        except BadPlan as e:
+            return plan_waves(targets, WaveOptions(self.canary, shares, self.by_zone, self.unavailable))
+        except PlanError as e:
             raise BadInput(str(e)) from None
 
 
@@ -125,11 +125,11 @@
 
 
 def patience_options(function: Any) -> Any:
-    """How patient a rollout is; the command gets :class:`Options`."""
+    """How patient a rollout is; the command gets :class:`RolloutOptions`."""
 
     @functools.wraps(function)
     def with_options(watch: float, window: float, silent: float, **rest: Any) -> Any:
-        return function(options=Options(watch, window, silent, Rules()), **rest)
+        return function(options=RolloutOptions(watch, window, silent, GateRules()), **rest)
 
     seconds = click.FloatRange
     return _options(with_options, [
@@ -176,7 +176,7 @@
 
     folder: Path
     operator: str
-    options: Options
+    options: RolloutOptions
     as_json: bool
 
     def out(
@@ -191,7 +191,7 @@
             waves = tuple(map(tuple, cut.waves(targets)))
             record = RolloutRecord(waves, cut.unavailable, undo)
             now, who = time.time(), f"{self.operator} ({getpass.getuser()})"
-            journal.add(Entry(held.token, who, now, now, why or change.says(), change, record))
+            journal.add(JournalEntry(held.token, who, now, now, why or change.describe(), change, record))
             return await self._conduct(asker, journal, held.token, change, record, held, sources), unseen
 
         self._end(*self._with_lease(run))
@@ -284,7 +284,7 @@
 
 def sources_of(journal: Journal, change: Change) -> dict[str, int] | None:
     """For a way back: the generation that each instance ran before that rollout."""
-    if not isinstance(change, changes.Back):
+    if not isinstance(change, changes.RollBackRollout):
         return None
     entry = journal.entry(change.rollout)
     fates = dict(entry.record.statuses)
@@ -310,7 +310,7 @@
 @patience_options
 def apply(
     folder: Path, operator: str, cut: Cut, files: Path | None, servers: Path | None, values: tuple[str, ...],
-    why: str, undo: bool, options: Options, as_json: bool,
+    why: str, undo: bool, options: RolloutOptions, as_json: bool,
 ) -> None:  # fmt: skip
     """Roll a change out in waves, each with a gate; the report says what became of each instance.
 
@@ -327,7 +327,7 @@
 @wave_options
 @why_option
 @patience_options
-def drain(folder: Path, operator: str, cut: Cut, why: str, options: Options, as_json: bool) -> None:
+def drain(folder: Path, operator: str, cut: Cut, why: str, options: RolloutOptions, as_json: bool) -> None:
     """Have the nodes of --only end what they have and take nothing new, until they are undrained."""
     if not cut.only:
         raise BadInput("drain: expected --only AGENT/INSTANCE: a whole fleet is not drained by accident")
@@ -340,7 +340,7 @@
 @wave_options
 @why_option
 @patience_options
-def undrain(folder: Path, operator: str, cut: Cut, why: str, options: Options, as_json: bool) -> None:
+def undrain(folder: Path, operator: str, cut: Cut, why: str, options: RolloutOptions, as_json: bool) -> None:
     """Have drained nodes run again (all, or those of --only)."""
     roll = Roll(folder, operator, options, as_json)
     targets, _ = asyncio.run(find_targets(operator_of(folder, operator, 5.0), cut.only))
@@ -360,10 +360,17 @@
 @undo_option
 @patience_options
 def rollback(
-    folder: Path, operator: str, cut: Cut, rollout: int, why: str, undo: bool, options: Options, as_json: bool
+    folder: Path,
+    operator: str,
+    cut: Cut,
+    rollout: int,
+    why: str,
+    undo: bool,
+    options: RolloutOptions,
+    as_json: bool,
 ) -> None:
     """Bring the instances that took a rollout back to what each ran before it; a rollout like any other."""
-    change = changes.Back(rollout)
+    change = changes.RollBackRollout(rollout)
     try:
         sources = sources_of(open_journal(folder), change)
     except JournalError as e:
@@ -378,7 +385,7 @@
 @operator_option
 @click.argument("rollout", type=int)
 @patience_options
-def resume(folder: Path, operator: str, rollout: int, options: Options, as_json: bool) -> None:
+def resume(folder: Path, operator: str, rollout: int, options: RolloutOptions, as_json: bool) -> None:
     """Go on with a rollout whose tool was killed, or take along those that were unknown at its end."""
     try:
         open_journal(folder).entry(rollout)
@@ -423,7 +430,7 @@
     """Make a journal that was lost again, from what the agents remember; rollouts it has stay as they are."""
     asker, journal = operator_of(folder, operator, 5.0), open_journal(folder)
 
-    async def run() -> tuple[list[Entry], list[str]]:
+    async def run() -> tuple[list[JournalEntry], list[str]]:
         heard = await asker.ask_all(wire.Status())
         silent = [h.agent for h in heard if h.status != 200]
         there = {h.agent: h.answer["instances"] for h in heard if h.status == 200}
@@ -435,8 +442,8 @@
             if found.held_by is not None:
                 got = await asker.ask(found.held_by.agent, wire.Fetch(found.held_by.instance, found.id))
                 files = got.answer.get("files", {})
-            whole, now = changes.Whole(files), time.time()
-            made.append(Entry(found.id, "unknown", now, now, "(rebuilt)", whole, found.record))
+            whole, now = changes.ReplaceFiles(files), time.time()
+            made.append(JournalEntry(found.id, "unknown", now, now, "(rebuilt)", whole, found.record))
         asker.close()
         return made, silent
 
@@ -473,7 +480,7 @@
         except (pki.PkiError, OSError, ValueError):
             certificates[str(path.relative_to(folder))] = 0.0
     try:
-        found = examine(told, journal.entries(), time.time(), certificates, members)
+        found = diagnose(told, journal.entries(), time.time(), certificates, members)
     except JournalError as e:
         raise BadInput(str(e)) from None
     if as_json:
--- a/oakbridge/cli/rollout_view.py
+++ b/oakbridge/cli/rollout_view.py
@@ -74,10 +74,10 @@
     told = ", ".join(f"{n} {word}" for word, n in counts.most_common())
     rows = _rows(coordinator)
     lines = [
-        Text(f"rollout {coordinator.rollout} ({coordinator.change.says()}): {record.phase.value}; {told}")
+        Text(f"rollout {coordinator.rollout} ({coordinator.change.describe()}): {record.phase.value}; {told}")
     ]
-    if coordinator.judgement is not None:
-        lines.append(Text(f"gate: {coordinator.judgement.reason}"))
+    if coordinator.gate_result is not None:
+        lines.append(Text(f"gate: {coordinator.gate_result.reason}"))
     if record.reason:
         lines.append(Text(record.reason, style="red"))
     return Group(_waves(coordinator), *([rows] if rows.row_count else []), *lines)
--- a/oakbridge/rollout/change.py
+++ b/oakbridge/rollout/change.py
@@ -15,74 +15,74 @@
 import tomlkit
 from tomlkit.exceptions import TOMLKitError
 
-CONFIG = "oakbridge.toml"
-DRAINED = "drained"  # the name of the mark: a file of a generation
+CONFIG_FILE = "oakbridge.toml"
+DRAIN_MARKER = "drained"  # the name of the mark: a file of a generation
 Files = dict[str, str]
 
 
-class BadChange(ValueError):
+class ChangeError(ValueError):
     """A change that can't be made; the text names the place and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class ReplaceFiles:
     """All files anew; an instance that is drained stays so."""
 
     kind: ClassVar[str] = "files"
     files: Files = field(repr=False)
 
-    def after(self, before: Files) -> Files:
+    def apply(self, before: Files) -> Files:
         """The files after the change."""
-        mark = {DRAINED: before[DRAINED]} if DRAINED in before else {}
+        mark = {DRAIN_MARKER: before[DRAIN_MARKER]} if DRAIN_MARKER in before else {}
         return {**self.files, **mark}
 
-    def says(self) -> str:
+    def describe(self) -> str:
         """In a few words."""
         return f"{len(self.files)} files"
 
 
 @dataclass(frozen=True, slots=True)
-class ServerFile:
+class ReplaceServerFile:
     """Another server file, under the name that the configuration has for it."""
 
     kind: ClassVar[str] = "servers"
     text: str = field(repr=False)
 
-    def after(self, before: Files) -> Files:
-        """The files after the change.  Raises :class:`BadChange` where the configuration names no file."""
+    def apply(self, before: Files) -> Files:
+        """The files after the change.  Raises :class:`ChangeError` where the configuration names no file."""
         try:
-            named = tomllib.loads(before.get(CONFIG, "")).get("servers", {}).get("file")
+            named = tomllib.loads(before.get(CONFIG_FILE, "")).get("servers", {}).get("file")
         except tomllib.TOMLDecodeError as e:
-            raise BadChange(f"{CONFIG}: expected TOML: {e}") from None
+            raise ChangeError(f"{CONFIG_FILE}: expected TOML: {e}") from None
         if not isinstance(named, str) or named not in before:
-            raise BadChange(
-                f"{CONFIG}: servers.file: expected the name of a file beside it, got {named!r:.60}"
+            raise ChangeError(
+                f"{CONFIG_FILE}: servers.file: expected the name of a file beside it, got {named!r:.60}"
             )
         return {**before, named: self.text}
 
-    def says(self) -> str:
+    def describe(self) -> str:
         """In a few words."""
         return "the server file"
 
 
 @dataclass(frozen=True, slots=True)
-class Values:
+class SetValues:
     """Single settings: ``limits.max_open`` or, for a class by its name, ``class.car-nearby.aim``; the rest stays."""
 
     kind: ClassVar[str] = "set"
     values: Mapping[str, Any]
 
-    def after(self, before: Files) -> Files:
-        """The files after the change, comments and order kept.  Raises :class:`BadChange`."""
+    def apply(self, before: Files) -> Files:
+        """The files after the change, comments and order kept.  Raises :class:`ChangeError`."""
         try:
-            document = tomlkit.parse(before.get(CONFIG, ""))
+            document = tomlkit.parse(before.get(CONFIG_FILE, ""))
         except TOMLKitError as e:
-            raise BadChange(f"{CONFIG}: expected TOML: {e}") from None
+            raise ChangeError(f"{CONFIG_FILE}: expected TOML: {e}") from None
         for path, value in self.values.items():
             _put(document, path, value)
-        return {**before, CONFIG: tomlkit.dumps(document)}
+        return {**before, CONFIG_FILE: tomlkit.dumps(document)}
 
-    def says(self) -> str:
+    def describe(self) -> str:
         """In a few words."""
         return ", ".join(f"{path} = {value}" for path, value in self.values.items())
 
@@ -94,11 +94,11 @@
     kind: ClassVar[str] = "drain"
     why: str = ""
 
-    def after(self, before: Files) -> Files:
+    def apply(self, before: Files) -> Files:
         """The files after the change."""
-        return {**before, DRAINED: before.get(DRAINED) or f"{self.why or 'drained'}\n"}
+        return {**before, DRAIN_MARKER: before.get(DRAIN_MARKER) or f"{self.why or 'drained'}\n"}
 
-    def says(self) -> str:
+    def describe(self) -> str:
         """In a few words."""
         return "drained"
 
@@ -109,58 +109,60 @@
 
     kind: ClassVar[str] = "undrain"
 
-    def after(self, before: Files) -> Files:
+    def apply(self, before: Files) -> Files:
         """The files after the change."""
-        return {name: text for name, text in before.items() if name != DRAINED}
+        return {name: text for name, text in before.items() if name != DRAIN_MARKER}
 
-    def says(self) -> str:
+    def describe(self) -> str:
         """In a few words."""
         return "undrained"
 
 
 @dataclass(frozen=True, slots=True)
-class Back:
+class RollBackRollout:
     """What each instance ran before a rollout; the shell hands in those files as ``before``."""
 
     kind: ClassVar[str] = "back"
     rollout: int
 
-    def after(self, before: Files) -> Files:
+    def apply(self, before: Files) -> Files:
         """The files after the change."""
         return before
 
-    def says(self) -> str:
+    def describe(self) -> str:
         """In a few words."""
         return f"back to before rollout {self.rollout}"
 
 
-Change = Whole | ServerFile | Values | Drain | Undrain | Back
-KINDS: dict[str, type[Any]] = {c.kind: c for c in (Whole, ServerFile, Values, Drain, Undrain, Back)}
+Change = ReplaceFiles | ReplaceServerFile | SetValues | Drain | Undrain | RollBackRollout
+KINDS: dict[str, type[Any]] = {
+    c.kind: c for c in (ReplaceFiles, ReplaceServerFile, SetValues, Drain, Undrain, RollBackRollout)
+}
 
 
-def encode(change: Change) -> dict[str, Any]:
+def encode_change(change: Change) -> dict[str, Any]:
     """A change as the journal has it."""
     return {"": change.kind, **asdict(change)}
 
 
-def decode(raw: dict[str, Any]) -> Change:
-    """A change from the journal; a plain object of texts is one of whole files.  Raises :class:`BadChange`."""
+def decode_change(raw: dict[str, Any]) -> Change:
+    """A change from the journal; a plain object of texts is one of whole files.  Raises :class:`ChangeError`."""
     if "" not in raw:
-        return Whole(raw)
+        return ReplaceFiles(raw)
     fields = {key: value for key, value in raw.items() if key}
     try:
         found: Change = KINDS[raw[""]](**fields)
     except (KeyError, TypeError):
-        raise BadChange(f"expected a change of a known kind, got {raw['']!r:.60}") from None
+        raise ChangeError(f"expected a change of a known kind, got {raw['']!r:.60}") from None
     return found
 
 
 def parse_setting(text: str) -> tuple[str, Any]:
-    """``PATH=VALUE``: the value as TOML has it, or else a text.  Raises :class:`BadChange`."""
+    """``PATH=VALUE``: the value as TOML has it, or else a text.  Raises :class:`ChangeError`."""
     path, equals, value = text.partition("=")
     path, value = path.strip(), value.strip()
     if not equals or not value or not all(path.split(".")):
-        raise BadChange(f"--set {text!r:.80}: expected PATH=VALUE, as in class.car-nearby.aim=3s")
+        raise ChangeError(f"--set {text!r:.80}: expected PATH=VALUE, as in class.car-nearby.aim=3s")
     try:
         return path, tomllib.loads(f"v = {value}")["v"]
     except tomllib.TOMLDecodeError:
@@ -178,9 +180,9 @@
                 place[word] = tomlkit.table()
             place = place[word]
         if not isinstance(place, dict | list):
-            raise BadChange(f"{path}: expected a table at {'.'.join(words[: i + 1])}, there is a value")
+            raise ChangeError(f"{path}: expected a table at {'.'.join(words[: i + 1])}, there is a value")
     if isinstance(place, list):
-        raise BadChange(f"{path}: expected a field behind the name, as in class.car-nearby.aim")
+        raise ChangeError(f"{path}: expected a field behind the name, as in class.car-nearby.aim")
     place[words[-1]] = value
 
 
@@ -188,5 +190,5 @@
     found = next((row for row in rows if isinstance(row, dict) and row.get("name") == name), None)
     if found is None:
         names = ", ".join(str(row.get("name")) for row in rows if isinstance(row, dict))
-        raise BadChange(f"{where}: there is none of that name; expected one of {names:.200}")
+        raise ChangeError(f"{where}: there is none of that name; expected one of {names:.200}")
     return found
--- a/oakbridge/rollout/coordinator.py
+++ b/oakbridge/rollout/coordinator.py
@@ -16,8 +16,8 @@
 from oakbridge.rollout import machine as m
 from oakbridge.rollout import step_report
 from oakbridge.rollout.agent_watcher import AgentWatcher
-from oakbridge.rollout.change import BadChange, Change, Drain, Files, Whole
-from oakbridge.rollout.gate import Counts, Judgement, Rules, Word, judge
+from oakbridge.rollout.change import Change, ChangeError, Drain, Files, ReplaceFiles
+from oakbridge.rollout.gate import GateResult, GateRules, ResponseCounts, Verdict, evaluate
 from oakbridge.rollout.journal import Journal
 from oakbridge.rollout.plan import Target
 from oakbridge.rollout.silence_timeout import SilenceTimeout
@@ -31,13 +31,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
+class RolloutOptions:
     """How patient a rollout is; times in seconds."""
 
     watch: float = 5.0  # an instance is watched for so long by its agent
     window: float = 10.0  # a gate looks for so long
     silent: float = 30.0  # beyond the watch, without news, an instance is unknown
-    rules: Rules = Rules()
+    rules: GateRules = GateRules()
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
     """A gate that is open."""
 
     changed: tuple[Target, ...]
-    before: dict[str, Counts]
+    before: dict[str, ResponseCounts]
     looked: float
     over: bool = False
 
@@ -55,7 +55,7 @@
 
     def __init__(
         self, operator: Operator, journal: Journal, rollout: int, change: Change, record: m.RolloutRecord,
-        held: Held, options: Options, show: Callable[[Coordinator], None] = lambda _: None,
+        held: Held, options: RolloutOptions, show: Callable[[Coordinator], None] = lambda _: None,
         sources: dict[str, int] | None = None,
     ) -> None:  # fmt: skip
         """``sources``: the generation that an instance's files are made from, where it is not what it runs."""
@@ -68,12 +68,12 @@
         for name, target in self.targets.items():
             self._of_agent.setdefault(target.agent, []).append(name)
         self.watcher = AgentWatcher(operator, tuple(self._of_agent), self._pace)
-        self.judgement: Judgement | None = None
+        self.gate_result: GateResult | None = None
         self._steps = SilenceTimeout(options.watch + options.silent)
         self._backs = SilenceTimeout(options.watch + options.silent)
         self._settling: set[str] = set()
         self._gate: Gate | None = None
-        self._first: dict[str, Counts] = {}
+        self._first: dict[str, ResponseCounts] = {}
         self._queue: deque[m.Action] = deque()
         self._tasks: set[asyncio.Task[None]] = set()
         self._raising = asyncio.Lock()  # one at a time asks for a higher token
@@ -193,14 +193,14 @@
         """What the instance should run by, or why that can't be told; None without an answer."""
         number = self._sources.get(target.name, target.base)
         before: Files = {}
-        if number and (target.drained or not isinstance(self.change, Whole)):
+        if number and (target.drained or not isinstance(self.change, ReplaceFiles)):
             heard = await self.operator.ask(target.agent, wire.Fetch(target.instance, number))
             if heard.status != 200:
                 return _refusal(heard)
             before = heard.answer["files"]
         try:
-            return self.change.after(before)
-        except BadChange as e:
+            return self.change.apply(before)
+        except ChangeError as e:
             return str(e)
 
     async def _order(self, target: Target, order: wire.StepOrder) -> Heard:
@@ -263,12 +263,12 @@
             return _refusal(heard)
         files: Files = heard.answer["files"]
         if not base:
-            files = Drain("it ran nothing before").after(files)
+            files = Drain("it ran nothing before").apply(files)
         token = await self._above(self.rollout)
         if not await self._admit(target.agent):
             return None
         order = wire.StepOrder(
-            token, step_report.back_id(self.rollout, target.instance), target.instance, token, self.rollout,
+            token, step_report.rollback_step_id(self.rollout, target.instance), target.instance, token, self.rollout,
             int(self.options.watch * 1e6), files,
         )  # fmt: skip
         return _refusal(await self._order(target, order))
@@ -289,13 +289,13 @@
     def _row(self, target: Target) -> wire.Raw | None:
         return self.watcher.row(target.agent, target.instance)
 
-    def _all_counts(self) -> dict[str, Counts]:
+    def _all_counts(self) -> dict[str, ResponseCounts]:
         return {name: self._counts(target) for name, target in self.targets.items()}
 
-    def _counts(self, target: Target) -> Counts:
+    def _counts(self, target: Target) -> ResponseCounts:
         row = self._row(target)
         told = row["node"].get("answers", {}) if row else {}
-        return Counts(told.get("served", 0), told.get("refused", 0), told.get("failed", 0))
+        return ResponseCounts(told.get("served", 0), told.get("refused", 0), told.get("failed", 0))
 
     def _news(self) -> None:
         """Tell the machine what has ended, what has gone silent, and what the gate says."""
@@ -315,16 +315,18 @@
     def _step_news(self, name: str, target: Target, row: wire.Raw | None) -> None:
         step = step_report.step_id(self.rollout, target.instance)
         if name in self._settling:
-            ended = step_report.settled(row, step, self.watcher.promised(target.agent), self.held.token)
+            ended = step_report.resolved_result(
+                row, step, self.watcher.promised(target.agent), self.held.token
+            )
         else:
-            ended = step_report.ended(row, step)
+            ended = step_report.step_result(row, step)
         if ended is not None:
             self._steps.heard(name)
             self._settling.discard(name)
             self._do(self.machine.on_step_ended(name, *ended))
 
     def _back_news(self, name: str, target: Target, row: wire.Raw | None) -> None:
-        ended = step_report.ended(row, step_report.back_id(self.rollout, target.instance))
+        ended = step_report.step_result(row, step_report.rollback_step_id(self.rollout, target.instance))
         if ended is None:
             return
         self._backs.heard(name)
@@ -350,10 +352,10 @@
         if not others:  # nobody is unchanged any more: what they answered before
             others = self._first
         unwell = {t.name: why for t in gate.changed if (why := unwell_because(self._row(t), self.rollout))}
-        self.judgement = judge(mine, others, unwell, self.options.rules, gate.over)
-        if self.judgement.word is not Word.WAIT:
+        self.gate_result = evaluate(mine, others, unwell, self.options.rules, gate.over)
+        if self.gate_result.word is not Verdict.PENDING:
             self._gate = None
-            self._do(self.machine.on_gate_result(self.judgement))
+            self._do(self.machine.on_gate_result(self.gate_result))
 
 
 def _refusal(heard: Heard) -> str | None:
--- a/oakbridge/rollout/doctor.py
+++ b/oakbridge/rollout/doctor.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from oakbridge.fleet.health import DRAINED, health, in_order
-from oakbridge.rollout.journal import Entry
+from oakbridge.rollout.journal import JournalEntry
 from oakbridge.rollout.machine import InstanceOutcome, Phase
 
 CLOCK_OFF_S = 5.0
@@ -27,8 +27,8 @@
     do: str
 
 
-def examine(
-    agents: Mapping[str, Mapping[str, Any] | str], entries: Sequence[Entry], now: float,
+def diagnose(
+    agents: Mapping[str, Mapping[str, Any] | str], entries: Sequence[JournalEntry], now: float,
     certificates: Mapping[str, float] | None = None, members: Sequence[Mapping[str, Any]] | None = None,
 ) -> list[Finding]:  # fmt: skip
     """All findings, the bad ones first.
@@ -85,7 +85,7 @@
     return [Finding(BAD, name, word + last, does.get(word, "look at node.log in the agent's state folder"))]
 
 
-def _rollouts(entries: Sequence[Entry], rows: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
+def _rollouts(entries: Sequence[JournalEntry], rows: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
     found = []
     for entry in entries:
         record = entry.record
@@ -107,7 +107,7 @@
     return found
 
 
-def _reached(entry: Entry, name: str) -> bool:
+def _reached(entry: JournalEntry, name: str) -> bool:
     return any(n == name and row.outcome is InstanceOutcome.APPLIED for n, row in entry.record.statuses)
 
 
--- a/oakbridge/rollout/gate.py
+++ b/oakbridge/rollout/gate.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
+class ResponseCounts:
     """Answers of one instance, as it counts them since its start."""
 
     served: int = 0
@@ -28,15 +28,17 @@
         """All of them."""
         return self.served + self.refused + self.failed
 
-    def since(self, before: Counts) -> Counts:
+    def since(self, before: ResponseCounts) -> ResponseCounts:
         """What has come since; an instance that has started anew meanwhile counts from its start."""
         if self.answered < before.answered or self.served < before.served:
             return self
-        return Counts(self.served - before.served, self.refused - before.refused, self.failed - before.failed)
+        return ResponseCounts(
+            self.served - before.served, self.refused - before.refused, self.failed - before.failed
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class GateRules:
     """How strict the gate is."""
 
     alpha: float = 0.01  # how often a change that does no harm may be halted
@@ -45,38 +47,40 @@
     need_traffic: bool = False  # whether too few answers halt, or let health alone decide
 
 
-class Word(Enum):
+class Verdict(Enum):
     """What the gate says."""
 
     PASS = "pass"
     FAIL = "fail"
-    WAIT = "wait"
+    PENDING = "wait"
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class GateResult:
     """The gate's word, and the figures that it rests on."""
 
-    word: Word
+    word: Verdict
     reason: str
     changed: float = math.nan  # share served
     others: float = math.nan
     p_value: float = math.nan
 
 
-def total(counts: Mapping[str, Counts]) -> Counts:
+def total(counts: Mapping[str, ResponseCounts]) -> ResponseCounts:
     """All of them together."""
     rows = counts.values()
-    return Counts(sum(c.served for c in rows), sum(c.refused for c in rows), sum(c.failed for c in rows))
+    return ResponseCounts(
+        sum(c.served for c in rows), sum(c.refused for c in rows), sum(c.failed for c in rows)
+    )
 
 
-def judge(
-    changed: Mapping[str, Counts],
-    others: Mapping[str, Counts],
+def evaluate(
+    changed: Mapping[str, ResponseCounts],
+    others: Mapping[str, ResponseCounts],
     unwell: Mapping[str, str],
-    rules: Rules,
+    rules: GateRules,
     over: bool,
-) -> Judgement:
+) -> GateResult:
     """EvaluateGate one window.
 
     ``changed`` and ``others`` are what came in the window; where nobody is unchanged any more, ``others`` is what the
@@ -86,25 +90,25 @@
     if unwell:
         name, why = min(unwell.items())
         more = f" (and {len(unwell) - 1} more)" if len(unwell) > 1 else ""
-        return Judgement(Word.FAIL, f"{name}: {why}{more}")
+        return GateResult(Verdict.FAIL, f"{name}: {why}{more}")
     mine, theirs = total(changed), total(others)
     if min(mine.answered, theirs.answered) < rules.least:
         if not over:
-            return Judgement(
-                Word.WAIT, f"{mine.answered} and {theirs.answered} answers, {rules.least} are needed"
+            return GateResult(
+                Verdict.PENDING, f"{mine.answered} and {theirs.answered} answers, {rules.least} are needed"
             )
-        word = Word.FAIL if rules.need_traffic else Word.PASS
-        return Judgement(
+        word = Verdict.FAIL if rules.need_traffic else Verdict.PASS
+        return GateResult(
             word, f"too few answers to compare ({mine.answered} and {theirs.answered}); all are well"
         )
     p, a, b = compare(mine, theirs, rules.margin)
     figures = f"{a:.2%} of {mine.answered} served, {b:.2%} of {theirs.answered} by the others (p = {p:.2g})"
     if p < rules.alpha:
-        return Judgement(Word.FAIL, f"it serves less: {figures}", a, b, p)
-    return Judgement(Word.PASS if over else Word.WAIT, figures, a, b, p)
+        return GateResult(Verdict.FAIL, f"it serves less: {figures}", a, b, p)
+    return GateResult(Verdict.PASS if over else Verdict.PENDING, figures, a, b, p)
 
 
-def compare(mine: Counts, theirs: Counts, margin: float) -> tuple[float, float, float]:
+def compare(mine: ResponseCounts, theirs: ResponseCounts, margin: float) -> tuple[float, float, float]:
     """The p-value of "no lower by more than the margin", and both shares as they are."""
     a, n = (mine.served + 1) / (mine.answered + 2), mine.answered + 2
     b, m = (theirs.served + 1) / (theirs.answered + 2), theirs.answered + 2
--- a/oakbridge/rollout/journal.py
+++ b/oakbridge/rollout/journal.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from oakbridge.rollout import change as changes
-from oakbridge.rollout.change import BadChange, Change
+from oakbridge.rollout.change import Change, ChangeError
 from oakbridge.rollout.machine import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
 from oakbridge.rollout.plan import Target
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class JournalEntry:
     """One rollout."""
 
     id: int  # the token under which it began, and the generation that it brings
@@ -38,7 +38,7 @@
     record: RolloutRecord
 
 
-def encode(record: RolloutRecord) -> str:
+def encode_record(record: RolloutRecord) -> str:
     """A record as the journal has it."""
     return json.dumps(
         {
@@ -58,7 +58,7 @@
     )
 
 
-def decode(text: str) -> RolloutRecord:
+def decode_record(text: str) -> RolloutRecord:
     """A record from the journal.  Raises :class:`JournalError`."""
     try:
         raw: dict[str, Any] = json.loads(text)
@@ -96,25 +96,33 @@
         """Close it."""
         self._db.close()
 
-    def add(self, entry: Entry) -> None:
+    def add(self, entry: JournalEntry) -> None:
         """Write a new rollout down."""
-        change = json.dumps(changes.encode(entry.change))
-        values = entry.id, entry.operator, entry.began, entry.changed, entry.why, change, encode(entry.record)
+        change = json.dumps(changes.encode_change(entry.change))
+        values = (
+            entry.id,
+            entry.operator,
+            entry.began,
+            entry.changed,
+            entry.why,
+            change,
+            encode_record(entry.record),
+        )
         self._db.execute("INSERT INTO rollouts VALUES (?, ?, ?, ?, ?, ?, ?)", values)
 
     def keep(self, rollout: int, record: RolloutRecord) -> None:
         """Have a record on disk."""
-        values = encode(record), time.time(), rollout
+        values = encode_record(record), time.time(), rollout
         self._db.execute("UPDATE rollouts SET record = ?, changed = ? WHERE id = ?", values)
 
-    def entries(self, last: int = 20) -> list[Entry]:
+    def entries(self, last: int = 20) -> list[JournalEntry]:
         """The newest rollouts, newest first.  Raises :class:`JournalError`."""
         return [
             _entry(row)
             for row in self._db.execute("SELECT * FROM rollouts ORDER BY id DESC LIMIT ?", (last,))
         ]
 
-    def entry(self, rollout: int) -> Entry:
+    def entry(self, rollout: int) -> JournalEntry:
         """One rollout.  Raises :class:`JournalError`."""
         row = self._db.execute("SELECT * FROM rollouts WHERE id = ?", (rollout,)).fetchone()
         if row is None:
@@ -122,11 +130,17 @@
         return _entry(row)
 
 
-def _entry(row: tuple[Any, ...]) -> Entry:
+def _entry(row: tuple[Any, ...]) -> JournalEntry:
     number, operator, began, changed, why, change, record = row
     try:
-        return Entry(
-            number, operator, began, changed, why, changes.decode(json.loads(change)), decode(record)
+        return JournalEntry(
+            number,
+            operator,
+            began,
+            changed,
+            why,
+            changes.decode_change(json.loads(change)),
+            decode_record(record),
         )
-    except (ValueError, BadChange) as e:
+    except (ValueError, ChangeError) as e:
         raise JournalError(f"rollout {number}: {e}") from None
--- a/oakbridge/rollout/machine.py
+++ b/oakbridge/rollout/machine.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from oakbridge.rollout.gate import Judgement, Word
+from oakbridge.rollout.gate import GateResult, Verdict
 from oakbridge.rollout.plan import Target
 
 SECOND = 1_000_000
@@ -192,12 +192,12 @@
             return self._kept(self._go_on())
         return self._halt_if_stuck() or self._kept(self._go_on())
 
-    def on_gate_result(self, judgement: Judgement) -> list[Action]:
+    def on_gate_result(self, gate_result: GateResult) -> list[Action]:
         """The gate has spoken."""
-        if self.record.phase is not Phase.GATING or judgement.word is Word.WAIT:
+        if self.record.phase is not Phase.GATING or gate_result.word is Verdict.PENDING:
             return []
-        if judgement.word is Word.FAIL:
-            return self._halt(f"the gate after wave {self.record.wave_index + 1}: {judgement.reason}")
+        if gate_result.word is Verdict.FAIL:
+            return self._halt(f"the gate after wave {self.record.wave_index + 1}: {gate_result.reason}")
         if self.record.wave_index + 1 == len(self.record.waves):
             return self._kept(self._finish(Phase.DONE))
         self._set(phase=Phase.RUNNING, wave_index=self.record.wave_index + 1)
--- a/oakbridge/rollout/plan.py
+++ b/oakbridge/rollout/plan.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 
-class BadPlan(ValueError):
+class PlanError(ValueError):
     """A plan that can't be made; the text says what was expected."""
 
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waves:
+class WaveOptions:
     """How the whole is cut."""
 
     canary: int = 1  # instances of the first wave
@@ -39,15 +39,15 @@
     def __post_init__(self) -> None:
         """Refuse impossible values."""
         if self.canary < 0:
-            raise BadPlan(f"canary: expected a count of 0 or more, got {self.canary}")
+            raise PlanError(f"canary: expected a count of 0 or more, got {self.canary}")
         if self.unavailable < 1:
-            raise BadPlan(f"unavailable: expected a count of 1 or more, got {self.unavailable}")
+            raise PlanError(f"unavailable: expected a count of 1 or more, got {self.unavailable}")
         grows = all(a < b for a, b in zip(self.shares, self.shares[1:], strict=False))
         if not self.shares or not grows or self.shares[0] <= 0 or self.shares[-1] != 1.0:
-            raise BadPlan(f"shares: expected growing shares above 0 that end at 1, got {self.shares}")
+            raise PlanError(f"shares: expected growing shares above 0 that end at 1, got {self.shares}")
 
 
-def spread(targets: list[Target]) -> list[Target]:
+def interleave(targets: list[Target]) -> list[Target]:
     """In an order in which zones, and within them agents, take turns: any beginning of it is spread as well."""
     zones: dict[str, list[Target]] = defaultdict(list)
     for zone in sorted({t.zone for t in targets}):
@@ -63,13 +63,13 @@
     return [row[i] for i in range(longest) for row in rows if i < len(row)]
 
 
-def plan(targets: list[Target], waves: Waves) -> list[list[Target]]:
-    """The waves, none of them empty; each target is in exactly one.  Raises :class:`BadPlan`."""
+def plan_waves(targets: list[Target], waves: WaveOptions) -> list[list[Target]]:
+    """The waves, none of them empty; each target is in exactly one.  Raises :class:`PlanError`."""
     if not targets:
-        raise BadPlan("expected at least one instance")
+        raise PlanError("expected at least one instance")
     if len({t.name for t in targets}) != len(targets):
-        raise BadPlan("expected each instance once")
-    order = spread(targets)
+        raise PlanError("expected each instance once")
+    order = interleave(targets)
     cuts = [min(waves.canary, len(order))]
     cuts += [max(cuts[0], math.ceil(share * len(order))) for share in waves.shares]
     cut: list[list[Target]] = []
--- a/oakbridge/rollout/rebuild.py
+++ b/oakbridge/rollout/rebuild.py
@@ -14,13 +14,13 @@
 
 from oakbridge.rollout.machine import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
 from oakbridge.rollout.plan import Target
-from oakbridge.rollout.step_report import ENDS
+from oakbridge.rollout.step_report import OUTCOMES
 
 _STEP = re.compile(r"r(\d+)-(back-)?(.+)")
 
 
 @dataclass(frozen=True, slots=True)
-class Rebuilt:
+class RebuiltRollout:
     """One rollout as the agents remember it, and an instance that has its files (None: none has)."""
 
     id: int
@@ -28,7 +28,9 @@
     held_by: Target | None
 
 
-def rebuild(agents: Mapping[str, Sequence[Mapping[str, Any]]], silent: Sequence[str] = ()) -> list[Rebuilt]:
+def rebuild(
+    agents: Mapping[str, Sequence[Mapping[str, Any]]], silent: Sequence[str] = ()
+) -> list[RebuiltRollout]:
     """All rollouts that any agent remembers, oldest first; ``agents``: the instances' rows by agent."""
     rows: dict[int, dict[str, InstanceStatus]] = {}
     targets: dict[int, dict[str, Target]] = {}
@@ -56,7 +58,7 @@
         wave = tuple(targets[number][name] for name in sorted(targets[number]))
         named = tuple((name, rows[number][name]) for name in sorted(rows[number]))
         record = RolloutRecord((wave,), len(wave), False, stage, 0, named, reason)
-        found.append(Rebuilt(number, record, holders.get(number)))
+        found.append(RebuiltRollout(number, record, holders.get(number)))
     return found
 
 
@@ -71,7 +73,7 @@
         if (found := _STEP.fullmatch(step)) is None:
             continue
         number, back, name = int(found[1]), bool(found[2]), f"{agent}/{told['name']}"
-        fate = ENDS[verdict]
+        fate = OUTCOMES[verdict]
         if back:
             if fate is not InstanceOutcome.APPLIED:
                 continue
--- a/oakbridge/rollout/step_report.py
+++ b/oakbridge/rollout/step_report.py
@@ -7,7 +7,7 @@
 
 from oakbridge.rollout.machine import InstanceOutcome
 
-ENDS = {
+OUTCOMES = {
     "took it": InstanceOutcome.APPLIED,
     "did not": InstanceOutcome.NOT_APPLIED,
     "undone": InstanceOutcome.ROLLED_BACK,
@@ -19,20 +19,20 @@
     return f"r{rollout}-{instance}"
 
 
-def back_id(rollout: int, instance: str) -> str:
+def rollback_step_id(rollout: int, instance: str) -> str:
     """Of the step that takes a rollout back."""
     return f"r{rollout}-back-{instance}"
 
 
-def ended(row: Mapping[str, Any] | None, step: str) -> tuple[InstanceOutcome, str] | None:
+def step_result(row: Mapping[str, Any] | None, step: str) -> tuple[InstanceOutcome, str] | None:
     """How a step ended, if the agent says so."""
     for name, verdict, reason in row["outcomes"] if row is not None else ():
         if name == step:
-            return ENDS[verdict], reason
+            return OUTCOMES[verdict], reason
     return None
 
 
-def settled(
+def resolved_result(
     row: Mapping[str, Any] | None, step: str, promised: int, token: int
 ) -> tuple[InstanceOutcome, str] | None:
     """How a step ended that is sent no more; None while that is open.
@@ -40,7 +40,7 @@
     ``promised`` is the highest token that the agent has promised and ``token`` ours: once ours is promised, a step of
     an earlier token that has not begun never will.
     """
-    if row is None or (known := ended(row, step)) is not None:
+    if row is None or (known := step_result(row, step)) is not None:
         return None if row is None else known
     under_way = row["step"] is not None and row["step"]["id"] == step
     if under_way or promised < token:
--- a/tests/formats/test_rollout.py
+++ b/tests/formats/test_rollout.py
@@ -17,7 +17,15 @@
 from oakbridge.rollout import change as changes
 from oakbridge.rollout import journal as journals
 from oakbridge.rollout import step_report
-from oakbridge.rollout.change import Back, BadChange, Drain, ServerFile, Undrain, Values, Whole
+from oakbridge.rollout.change import (
+    ChangeError,
+    Drain,
+    ReplaceFiles,
+    ReplaceServerFile,
+    RollBackRollout,
+    SetValues,
+    Undrain,
+)
 from oakbridge.rollout.journal import Journal, JournalError
 from oakbridge.rollout.machine import (
     EvaluateGate,
@@ -52,14 +60,14 @@
 }
 
 CHANGES = {
-    1: Whole({"oakbridge.toml": CONFIG, "s.toml": '[[server]]\nname = "å"\n'}),
-    3: ServerFile('[[server]]\nname = "b"\n'),
-    5: Values(SETTINGS),
+    1: ReplaceFiles({"oakbridge.toml": CONFIG, "s.toml": '[[server]]\nname = "å"\n'}),
+    3: ReplaceServerFile('[[server]]\nname = "b"\n'),
+    5: SetValues(SETTINGS),
     7: Drain("a new disk"),
     9: Undrain(),
-    11: Back(5),
+    11: RollBackRollout(5),
     13: Drain(),
-    15: Whole({"oakbridge.toml": CONFIG}),
+    15: ReplaceFiles({"oakbridge.toml": CONFIG}),
 }
 RECORDS = {
     1: RolloutRecord(
@@ -201,7 +209,7 @@
     actions = RolloutMachine(journal.entry(rollout).record).start()
     assert [act(a) for a in actions if not isinstance(a, Persist)] == RESUMED[rollout]["actions"]
     kept = [a.record for a in actions if isinstance(a, Persist)]
-    assert [json.loads(journals.encode(r)) for r in kept] == (
+    assert [json.loads(journals.encode_record(r)) for r in kept] == (
         [RESUMED[rollout]["kept"]] if RESUMED[rollout]["kept"] else []
     )
     for record in kept:
@@ -219,7 +227,7 @@
 
 
 def test_a_step_is_known_to_agents_by_its_id():
-    assert step_report.step_id(7, "n0") == "r7-n0" and step_report.back_id(7, "n0") == "r7-back-n0"
+    assert step_report.step_id(7, "n0") == "r7-n0" and step_report.rollback_step_id(7, "n0") == "r7-back-n0"
 
 
 @pytest.mark.parametrize(
@@ -232,8 +240,8 @@
     ],
 )
 def test_a_change_of_no_known_kind_is_refused(folder, raw, says):
-    with pytest.raises(BadChange) as refused:
-        changes.decode(raw)
+    with pytest.raises(ChangeError) as refused:
+        changes.decode_change(raw)
     assert str(refused.value) == says
     with sqlite3.connect(folder / "journal.db") as db:
         db.execute("UPDATE rollouts SET files = ? WHERE id = 5", (json.dumps(raw),))
--- a/tests/rollout/killed_tool.py
+++ b/tests/rollout/killed_tool.py
@@ -14,15 +14,15 @@
 
 from oakbridge.cli.fleet import operator_of
 from oakbridge.cli.rollout import find_targets
-from oakbridge.rollout.change import Whole
+from oakbridge.rollout.change import ReplaceFiles
 from oakbridge.rollout.coordinator import Coordinator
-from oakbridge.rollout.journal import Entry, Journal
+from oakbridge.rollout.journal import Journal, JournalEntry
 from oakbridge.rollout.machine import RolloutRecord
-from oakbridge.rollout.plan import Waves, plan
+from oakbridge.rollout.plan import WaveOptions, plan_waves
 
 
 class Deadly(Journal):
-    """Counts its writes."""
+    """ResponseCounts its writes."""
 
     left, side = 0, ""
 
@@ -52,10 +52,10 @@
     else:
         targets, unseen = await find_targets(operator, ())
         assert not unseen
-        rollout, change = held.token, Whole(config(word))
-        waves = plan(targets, Waves(1, (1.0,), False, 2))
+        rollout, change = held.token, ReplaceFiles(config(word))
+        waves = plan_waves(targets, WaveOptions(1, (1.0,), False, 2))
         record = RolloutRecord(tuple(map(tuple, waves)), 2, False)
-        journal.add(Entry(rollout, "admin", 0.0, 0.0, "", change, record))
+        journal.add(JournalEntry(rollout, "admin", 0.0, 0.0, "", change, record))
     coordinator = Coordinator(operator, journal, rollout, change, record, held, QUICK)
     await coordinator.run()
     print(json.dumps(fates(coordinator)))
--- a/tests/rollout/played.py
+++ b/tests/rollout/played.py
@@ -10,17 +10,17 @@
 from oakbridge.fleet import wire
 from oakbridge.fleet.ask import Heard, Operator
 from oakbridge.fleet.inventory import Inventory
-from oakbridge.rollout.change import Whole
-from oakbridge.rollout.coordinator import Coordinator, Options
-from oakbridge.rollout.gate import Rules
-from oakbridge.rollout.journal import Entry, Journal
+from oakbridge.rollout.change import ReplaceFiles
+from oakbridge.rollout.coordinator import Coordinator, RolloutOptions
+from oakbridge.rollout.gate import GateRules
+from oakbridge.rollout.journal import Journal, JournalEntry
 from oakbridge.rollout.machine import RolloutRecord
-from oakbridge.rollout.plan import Target, Waves, plan
+from oakbridge.rollout.plan import Target, WaveOptions, plan_waves
 from oakbridge.standin.host import PlayedHost
 
-QUICK = Options(watch=0.05, window=0.05, silent=20.0, rules=Rules())
+QUICK = RolloutOptions(watch=0.05, window=0.05, silent=20.0, rules=GateRules())
 
-WAVES = Waves(canary=1, unavailable=99)
+WAVES = WaveOptions(canary=1, unavailable=99)
 
 
 def config(word: str, plays: str = "") -> dict[str, str]:
@@ -132,8 +132,8 @@
         if not held.won(len(self.agents)):
             return None
         targets = [t for t in await self.targets(operator) if sources is None or t.name in sources]
-        record = RolloutRecord(tuple(map(tuple, plan(targets, waves))), waves.unavailable, undo)
-        journal.add(Entry(held.token, operator.name, 0.0, 0.0, "", change, record))
+        record = RolloutRecord(tuple(map(tuple, plan_waves(targets, waves))), waves.unavailable, undo)
+        journal.add(JournalEntry(held.token, operator.name, 0.0, 0.0, "", change, record))
         coordinator = Coordinator(
             operator, journal, held.token, change, record, held, options, sources=sources
         )
@@ -158,7 +158,9 @@
         return coordinator
 
     async def first(self, word: str = "1s") -> Coordinator:
-        done = await self.roll(Whole(config(word)), waves=Waves(canary=0, shares=(1.0,), unavailable=999))
+        done = await self.roll(
+            ReplaceFiles(config(word)), waves=WaveOptions(canary=0, shares=(1.0,), unavailable=999)
+        )
         assert done.machine.is_complete(), done.machine.statuses()
         return done
 
--- a/tests/rollout/test_doctor.py
+++ b/tests/rollout/test_doctor.py
@@ -3,7 +3,7 @@
 import pytest
 
 from oakbridge.agent.file import BadAgentFile, read
-from oakbridge.rollout.doctor import BAD, NOTE, examine
+from oakbridge.rollout.doctor import BAD, NOTE, diagnose
 
 WELL = {
     "process": "running", "crash_loop": False, "change": "settled", "drained": False, "answers": True,
@@ -23,8 +23,8 @@
             "lease": {"alive": False, "token": 0, "holder": ""},
         }
     } | (agents or {})
-    before = examine(told, [], 0.0)
-    return [f for f in examine(told, [], 0.0, None, members) if f not in before]
+    before = diagnose(told, [], 0.0)
+    return [f for f in diagnose(told, [], 0.0, None, members) if f not in before]
 
 
 def member(name, state="alive", address="10.0.0.1:1", by=""):
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from oakbridge.rollout.gate import Judgement, Word
+from oakbridge.rollout.gate import GateResult, Verdict
 from oakbridge.rollout.machine import (
     EvaluateGate,
     Finish,
@@ -19,7 +19,7 @@
 )
 from oakbridge.rollout.plan import Target
 
-PASS, FAIL = Judgement(Word.PASS, "as good"), Judgement(Word.FAIL, "it serves less")
+PASS, FAIL = GateResult(Verdict.PASS, "as good"), GateResult(Verdict.FAIL, "it serves less")
 
 
 def targets(*names: str) -> tuple[Target, ...]:
--- a/tests/rollout/test_played.py
+++ b/tests/rollout/test_played.py
@@ -9,12 +9,19 @@
 from played import QUICK, Network, PlayedFleet, config, fates
 
 from oakbridge.fleet import wire
-from oakbridge.rollout.change import Back, Drain, ServerFile, Undrain, Values, Whole
-from oakbridge.rollout.coordinator import Options
-from oakbridge.rollout.gate import Rules
+from oakbridge.rollout.change import (
+    Drain,
+    ReplaceFiles,
+    ReplaceServerFile,
+    RollBackRollout,
+    SetValues,
+    Undrain,
+)
+from oakbridge.rollout.coordinator import RolloutOptions
+from oakbridge.rollout.gate import GateRules
 from oakbridge.rollout.journal import Journal
 from oakbridge.rollout.machine import Phase
-from oakbridge.rollout.plan import BadPlan, Waves
+from oakbridge.rollout.plan import PlanError, WaveOptions
 from oakbridge.rollout.rebuild import rebuild
 
 
@@ -23,18 +30,18 @@
         async with PlayedFleet(tmp_path, 3) as fleet:
             first = await fleet.first()
             assert (
-                await fleet.roll(Values({"class.look.aim": "2s", "limits.max_open": 77}))
+                await fleet.roll(SetValues({"class.look.aim": "2s", "limits.max_open": 77}))
             ).machine.is_complete()
             text = fleet.files("h1/n0")["oakbridge.toml"]
             assert (
                 set(fleet.truth().values()) == {"2s"} and "max_open = 77" in text and 'name = "look"' in text
             )
-            assert (await fleet.roll(ServerFile('[[server]]\nname = "b"\n'))).machine.is_complete()
+            assert (await fleet.roll(ReplaceServerFile('[[server]]\nname = "b"\n'))).machine.is_complete()
             assert '"b"' in fleet.files("h0/n0")["s.toml"] and set(fleet.truth().values()) == {"2s"}
             # One host drains; a change meanwhile leaves it drained, and brings it along.
             drained = await fleet.roll(Drain("a new disk"), sources={"h1/n0": 0} | {"h1/n0": 3})
             assert fates(drained) == {"h1/n0": "took it"} and fleet.truth()["h1/n0"] == "-"
-            third = await fleet.roll(Whole(config("3s")))
+            third = await fleet.roll(ReplaceFiles(config("3s")))
             assert third.machine.is_complete() and list(fleet.truth().values()) == ["3s", "-", "3s"]
             assert (await fleet.roll(Undrain())).machine.is_complete() and set(fleet.truth().values()) == {
                 "3s"
@@ -42,9 +49,9 @@
             # Back to before the third: each to what it ran then, also the one that was drained.
             journal = Journal(fleet.folder)
             before = {t.name: t.base for w in journal.entry(third.rollout).record.waves for t in w}
-            back = await fleet.roll(Back(third.rollout), sources=before)
+            back = await fleet.roll(RollBackRollout(third.rollout), sources=before)
             assert back.machine.is_complete() and list(fleet.truth().values()) == ["2s", "-", "2s"]
-            bad = await fleet.roll(Values({"class.lok.aim": "2s"}))
+            bad = await fleet.roll(SetValues({"class.lok.aim": "2s"}))
             assert (
                 bad.machine.record.phase is Phase.HALTED
                 and "there is none of that name" in bad.machine.record.reason
@@ -73,9 +80,11 @@
             await fleet.first()
             if plays == "mute":  # the only one that has to run out of this time; the others must not
                 monkeypatch.setattr("oakbridge.agent.instance.READY_WITHIN", 2_000_000)
-            options = Options(watch=0.3, window=0.6, silent=20.0, rules=Rules())
-            waves = Waves(canary=1, shares=(0.5, 1.0), unavailable=1)
-            done = await fleet.roll(Whole(config("2s", plays)), waves=waves, undo=True, options=options)
+            options = RolloutOptions(watch=0.3, window=0.6, silent=20.0, rules=GateRules())
+            waves = WaveOptions(canary=1, shares=(0.5, 1.0), unavailable=1)
+            done = await fleet.roll(
+                ReplaceFiles(config("2s", plays)), waves=waves, undo=True, options=options
+            )
             told = list(fates(done).values())
             assert {word: told.count(word) for word in told} == ends and says in done.machine.record.reason
             await until(lambda: set(fleet.truth().values()) == ({"2s"} if "took it" in ends else {"1s"}))
@@ -98,9 +107,9 @@
                 for name in chosen:
                     fleet.network.freeze(name)
 
-            options = Options(watch=0.05, window=0.05, silent=6.0, rules=Rules())
-            waves = Waves(canary=2, shares=(0.5, 1.0), unavailable=20)
-            done = await fleet.roll(Whole(config("2s")), waves=waves, options=options, during=freeze)
+            options = RolloutOptions(watch=0.05, window=0.05, silent=6.0, rules=GateRules())
+            waves = WaveOptions(canary=2, shares=(0.5, 1.0), unavailable=20)
+            done = await fleet.roll(ReplaceFiles(config("2s")), waves=waves, options=options, during=freeze)
             truth = fleet.truth()
             for name, fate in fates(done).items():
                 assert fate == "unknown" or (fate == "took it") == (truth[name] == "2s"), (name, fate)
@@ -112,7 +121,7 @@
                 assert "unknown" not in fates(again).values()
             else:
                 assert again.machine.is_complete() and set(fleet.truth().values()) == {"2s"}
-            last = await fleet.roll(Whole(config("3s")))
+            last = await fleet.roll(ReplaceFiles(config("3s")))
             assert last.machine.is_complete() and set(fleet.truth().values()) == {"3s"}
 
     run(test(), 4 * LIMIT)
@@ -122,11 +131,13 @@
     async def test(seed):
         network = Network(seed, lose=0.1, double=0.2, delay_s=0.02)
         async with PlayedFleet(tmp_path / str(seed), 4, 2, network) as fleet:
-            operator, options = fleet.operator(within_s=0.3), Options(0.05, 0.05, 3.0)
+            operator, options = fleet.operator(within_s=0.3), RolloutOptions(0.05, 0.05, 3.0)
             for number in itertools.count():
                 try:
-                    held = await fleet.roll(Whole(config(f"{number}s")), operator=operator, options=options)
-                except BadPlan:  # nobody was heard in time when the waves were to be made
+                    held = await fleet.roll(
+                        ReplaceFiles(config(f"{number}s")), operator=operator, options=options
+                    )
+                except PlanError:  # nobody was heard in time when the waves were to be made
                     continue
                 if held is None:
                     continue
@@ -161,7 +172,9 @@
                 await asyncio.sleep(draw.random() * 0.01)
                 (fleet.folder / name).mkdir()
                 operator, journal = fleet.operator(name), Journal(fleet.folder / name)
-                done = await fleet.roll(Whole(config(word)), operator, journal, Waves(0, (1.0,), False, 9))
+                done = await fleet.roll(
+                    ReplaceFiles(config(word)), operator, journal, WaveOptions(0, (1.0,), False, 9)
+                )
                 journal.close()
                 return done
 
@@ -192,9 +205,9 @@
     async def test():
         async with PlayedFleet(tmp_path, 3) as fleet:
             await fleet.first()
-            second = await fleet.roll(Whole(config("2s")))
-            third = await fleet.roll(Whole(config("3s", "dies 0.01")))
-            third = await fleet.roll(Whole(config("3s", "refused")))
+            second = await fleet.roll(ReplaceFiles(config("2s")))
+            third = await fleet.roll(ReplaceFiles(config("3s", "dies 0.01")))
+            third = await fleet.roll(ReplaceFiles(config("3s", "refused")))
             heard = await fleet.operator().ask_all(wire.Status())
             found = rebuild({h.agent: h.answer["instances"] for h in heard})
             told = {
@@ -222,10 +235,12 @@
                 fleet.agents["h0"].add("n9", ["127.0.0.1:1"], fleet.folder / "h0" / "n9.sock")
                 fleet.agents["h0"].managed.update(fleet.agents["h0"].spawn("n9"))
 
-            done = await fleet.roll(Whole(config("2s")), waves=Waves(0, (0.4, 1.0), False, 1), during=change)
+            done = await fleet.roll(
+                ReplaceFiles(config("2s")), waves=WaveOptions(0, (0.4, 1.0), False, 1), during=change
+            )
             assert fates(done)["h2/n0"] == "did not" and "there is no n0 here" in done.machine.record.reason
             assert "h0/n9" not in fates(done)
-            last = await fleet.roll(Whole(config("3s")))
+            last = await fleet.roll(ReplaceFiles(config("3s")))
             assert fates(last)["h0/n9"] == "took it"
 
     run(test())
@@ -242,7 +257,9 @@
                 await asyncio.sleep(0.1)
                 await fleet.operator("kari").acquire(60.0)  # the same holder, from another tool
 
-            done = await fleet.roll(Whole(config("2s")), options=Options(0.3, 0.3, 5.0), during=take)
+            done = await fleet.roll(
+                ReplaceFiles(config("2s")), options=RolloutOptions(0.3, 0.3, 5.0), during=take
+            )
             assert done.machine.record.phase is Phase.HALTED and "lease" in done.machine.record.reason
             assert "not reached" in fates(done).values()
             assert QUICK.watch == 0.05
--- a/tests/rollout/test_protocol.py
+++ b/tests/rollout/test_protocol.py
@@ -12,7 +12,7 @@
 from oakbridge.agent.lease import Granted, Lease, Promise
 from oakbridge.fleet.quorum import majority
 from oakbridge.rollout import step_report
-from oakbridge.rollout.gate import Judgement, Word
+from oakbridge.rollout.gate import GateResult, Verdict
 from oakbridge.rollout.machine import (
     EvaluateGate,
     InstanceOutcome,
@@ -30,7 +30,7 @@
 HOSTS = ("a", "b", "c", "d")
 FATES = ("once", "once", "once", "once", "twice", "twice", "lost")
 TOOLS = st.sampled_from(["kari", "ola"])
-PASS, FAIL = Judgement(Word.PASS, "as good"), Judgement(Word.FAIL, "it serves less")
+PASS, FAIL = GateResult(Verdict.PASS, "as good"), GateResult(Verdict.FAIL, "it serves less")
 
 
 # What hypothesis derived from the text of the explorer as it was first written: a rename keeps its courses.
@@ -194,7 +194,7 @@
         tool = self.tools[who]
         if target.agent not in tool.granted:  # it did not answer when all were asked: it is asked again first
             return self.bag.append(("acquire", who, target.agent, tool.token))
-        make = step_report.back_id if back else step_report.step_id
+        make = step_report.rollback_step_id if back else step_report.step_id
         number, base = (tool.token, tool.rollout) if back else (tool.rollout, target.base)
         step = inst.Step(
             make(tool.rollout, f"{target.agent}-n"), tool.token, inst.Generation(number, f"{number}"), base, S
@@ -294,7 +294,7 @@
         elif kind == "refused" and tool.machine is not None:
             if what[0] == step_report.step_id(tool.rollout, f"{host}-n"):
                 self.do(who, tool.machine.on_step_ended(f"{host}/n", InstanceOutcome.NOT_APPLIED, what[1]))
-            elif what[0] == step_report.back_id(tool.rollout, f"{host}-n"):
+            elif what[0] == step_report.rollback_step_id(tool.rollout, f"{host}-n"):
                 tool.backs = {t for t in tool.backs if t.agent != host}
                 self.do(who, tool.machine.on_silence(f"{host}/n", f"it was not taken back: {what[1]}", 1.0))
         elif kind == "news" and tool.machine is not None and what[0] == tool.rollout:
@@ -304,15 +304,15 @@
         tool, name = self.tools[who], f"{host}/n"
         step = step_report.step_id(tool.rollout, f"{host}-n")
         if name in tool.settling:
-            end = step_report.settled(row, step, promised, tool.token) if self.holds(who) else None
+            end = step_report.resolved_result(row, step, promised, tool.token) if self.holds(who) else None
         else:
-            end = step_report.ended(row, step) if name in tool.awaited else None
+            end = step_report.step_result(row, step) if name in tool.awaited else None
         if end is not None:
             tool.settling.discard(name)
             tool.awaited.discard(name)
             self.do(who, tool.machine.on_step_ended(name, *end))
         target = next((t for t in tool.backs if t.name == name), None)
-        back = step_report.ended(row, step_report.back_id(tool.rollout, f"{host}-n"))
+        back = step_report.step_result(row, step_report.rollback_step_id(tool.rollout, f"{host}-n"))
         if target and back:
             tool.backs.discard(target)
             taken = back[0] is InstanceOutcome.APPLIED
@@ -377,7 +377,7 @@
                 host = name[0]
                 outcomes = {o.step: o.verdict.value for o in self.agents[host].record.outcomes}
                 mine = outcomes.get(step_report.step_id(tool.rollout, f"{host}-n"))
-                back = outcomes.get(step_report.back_id(tool.rollout, f"{host}-n"))
+                back = outcomes.get(step_report.rollback_step_id(tool.rollout, f"{host}-n"))
                 if row.outcome is InstanceOutcome.APPLIED:
                     assert mine == "took it"
                 elif row.outcome is InstanceOutcome.ROLLED_BACK:
