--- a/oakbridge/cli/rollout.py
+++ b/oakbridge/cli/rollout.py
@@ -25,13 +25,13 @@
 from oakbridge.fleet import pki, wire
 from oakbridge.fleet.ask import Held, Operator
 from oakbridge.rollout import change as changes
-from oakbridge.rollout.change import CONFIG, BadChange, Change
-from oakbridge.rollout.conduct import LEASE_S, Conductor, Options
-from oakbridge.rollout.doctor import BAD, examine
-from oakbridge.rollout.gate import Rules
-from oakbridge.rollout.journal import Entry, Journal, JournalError
-from oakbridge.rollout.machine import Fate, Record, Row, Stage
-from oakbridge.rollout.plan import BadPlan, Target, Waves, plan
+from oakbridge.rollout.change import CONFIG_FILE, Change, ChangeError
+from oakbridge.rollout.coordinator import LEASE_S, Coordinator, RolloutOptions
+from oakbridge.rollout.doctor import BAD, diagnose
+from oakbridge.rollout.gate import GateRules
+from oakbridge.rollout.journal import Journal, JournalEntry, JournalError
+from oakbridge.rollout.machine import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
+from oakbridge.rollout.plan import PlanError, Target, WaveOptions, plan_waves
 from oakbridge.rollout.rebuild import rebuild
 
 PARTIAL, HALTED = 3, 4  # exit codes: done but for some that are unknown; halted or undone
@@ -49,10 +49,10 @@
         raise BadInput(f"{folder}: {e.strerror}") from None
     except (UnicodeDecodeError, StoreError) as e:
         raise BadInput(f"{folder}: {e}") from None
-    if CONFIG not in found:
-        raise BadInput(f"{folder}: expected a file {CONFIG}")
-    if changes.DRAINED in found:
-        raise BadInput(f"{folder}: {changes.DRAINED}: this name is kept for `fleet drain`")
+    if CONFIG_FILE not in found:
+        raise BadInput(f"{folder}: expected a file {CONFIG_FILE}")
+    if changes.DRAIN_MARKER in found:
+        raise BadInput(f"{folder}: {changes.DRAIN_MARKER}: this name is kept for `fleet drain`")
     return found
 
 
@@ -61,16 +61,16 @@
     if sum(1 for given in (files, servers, values) if given) != 1:
         raise BadInput("apply: expected one of --files, --servers or --set")
     if files is not None:
-        return changes.Whole(read_files(files))
+        return changes.ReplaceFiles(read_files(files))
     try:
         if servers is not None:
-            return changes.ServerFile(servers.read_text("utf-8"))
-        return changes.Values(dict(map(changes.parse_setting, values)))
+            return changes.ReplaceServerFile(servers.read_text("utf-8"))
+        return changes.SetValues(dict(map(changes.parse_setting, values)))
     except OSError as e:
         raise BadInput(f"{servers}: {e.strerror}") from None
     except UnicodeDecodeError as e:
         raise BadInput(f"{servers}: {e}") from None
-    except BadChange as e:
+    except ChangeError as e:
         raise BadInput(str(e)) from None
 
 
@@ -88,8 +88,8 @@
         """The waves.  Raises BadInput."""
         shares = self.shares or (0.1, 0.5, 1.0)
         try:
-            return plan(targets, Waves(self.canary, shares, self.by_zone, self.unavailable))
-        except BadPlan as e:
+            return plan_waves(targets, WaveOptions(self.canary, shares, self.by_zone, self.unavailable))
+        except PlanError as e:
             raise BadInput(str(e)) from None
 
 
@@ -125,11 +125,11 @@
 
 
 def patience_options(function: Any) -> Any:
-    """How patient a rollout is; the command gets :class:`Options`."""
+    """How patient a rollout is; the command gets :class:`RolloutOptions`."""
 
     @functools.wraps(function)
     def with_options(watch: float, window: float, silent: float, **rest: Any) -> Any:
-        return function(options=Options(watch, window, silent, Rules()), **rest)
+        return function(options=RolloutOptions(watch, window, silent, GateRules()), **rest)
 
     seconds = click.FloatRange
     return _options(with_options, [
@@ -176,7 +176,7 @@
 
     folder: Path
     operator: str
-    options: Options
+    options: RolloutOptions
     as_json: bool
 
     def out(
@@ -184,14 +184,14 @@
     ) -> None:
         """Roll a change out; ends the command with its exit code."""
 
-        async def run(asker: Operator, journal: Journal, held: Held) -> tuple[Conductor, list[str]]:
+        async def run(asker: Operator, journal: Journal, held: Held) -> tuple[Coordinator, list[str]]:
             targets, unseen = await find_targets(asker, cut.only)
             if sources is not None:
                 targets = [t for t in targets if t.name in sources]
             waves = tuple(map(tuple, cut.waves(targets)))
-            record = Record(waves, cut.unavailable, undo)
+            record = RolloutRecord(waves, cut.unavailable, undo)
             now, who = time.time(), f"{self.operator} ({getpass.getuser()})"
-            journal.add(Entry(held.token, who, now, now, why or change.says(), change, record))
+            journal.add(JournalEntry(held.token, who, now, now, why or change.describe(), change, record))
             return await self._conduct(asker, journal, held.token, change, record, held, sources), unseen
 
         self._end(*self._with_lease(run))
@@ -199,7 +199,7 @@
     def again(self, rollout: int) -> None:
         """Go on with a rollout; ends the command with its exit code."""
 
-        async def run(asker: Operator, journal: Journal, held: Held) -> tuple[Conductor, list[str]]:
+        async def run(asker: Operator, journal: Journal, held: Held) -> tuple[Coordinator, list[str]]:
             entry = journal.entry(rollout)
             sources = sources_of(journal, entry.change)
             return await self._conduct(asker, journal, rollout, entry.change, entry.record, held, sources), []
@@ -212,13 +212,13 @@
 
         async def whole() -> Any:
             held = await lease(asker)
-            conductor: Conductor | None = None
+            coordinator: Coordinator | None = None
             try:
                 got = await run(asker, journal, held)
-                conductor = got[0]
+                coordinator = got[0]
                 return got
             finally:
-                await asker.release(conductor.held if conductor is not None else held)
+                await asker.release(coordinator.held if coordinator is not None else held)
                 asker.close()
 
         try:
@@ -227,63 +227,70 @@
             raise BadInput(str(e)) from None
 
     async def _conduct(
-        self, asker: Operator, journal: Journal, rollout: int, change: Change, record: Record, held: Held,
+        self, asker: Operator, journal: Journal, rollout: int, change: Change, record: RolloutRecord, held: Held,
         sources: dict[str, int] | None,
-    ) -> Conductor:  # fmt: skip
+    ) -> Coordinator:  # fmt: skip
         """Carry it out, with a live view where people look."""
         console, last = Console(), 0.0
         if self.as_json or not console.is_terminal:
-            conductor = Conductor(
+            coordinator = Coordinator(
                 asker, journal, rollout, change, record, held, self.options, sources=sources
             )
-            await conductor.run()
-            return conductor
+            await coordinator.run()
+            return coordinator
         with Live(console=console, auto_refresh=False) as live:
 
-            def show(conductor: Conductor) -> None:
+            def show(coordinator: Coordinator) -> None:
                 nonlocal last
                 if time.monotonic() - last > SHOW_S:
                     last = time.monotonic()
-                    live.update(picture(conductor), refresh=True)
+                    live.update(picture(coordinator), refresh=True)
 
-            conductor = Conductor(asker, journal, rollout, change, record, held, self.options, show, sources)
-            await conductor.run()
-            live.update(picture(conductor), refresh=True)
-        return conductor
+            coordinator = Coordinator(
+                asker, journal, rollout, change, record, held, self.options, show, sources
+            )
+            await coordinator.run()
+            live.update(picture(coordinator), refresh=True)
+        return coordinator
 
-    def _end(self, conductor: Conductor, unseen: list[str]) -> None:
-        machine = conductor.machine
+    def _end(self, coordinator: Coordinator, unseen: list[str]) -> None:
+        machine = coordinator.machine
         if self.as_json:
             say_json({
-                "rollout": conductor.rollout, "stage": machine.record.stage.value, "reason": machine.record.reason,
-                "complete": machine.complete() and not unseen, "unseen": unseen,
-                "instances": [_line(n, r) for n, r in machine.report().items()],
+                "rollout": coordinator.rollout, "stage": machine.record.phase.value, "reason": machine.record.reason,
+                "complete": machine.is_complete() and not unseen, "unseen": unseen,
+                "instances": [_line(n, r) for n, r in machine.statuses().items()],
             })  # fmt: skip
         else:
             console = Console()
             if not console.is_terminal:
-                console.print(picture(conductor))
+                console.print(picture(coordinator))
             for text in unseen:
                 click.echo(f"not seen at the start, and so in no wave: {text}")
-        if machine.record.stage is not Stage.DONE:
+        if machine.record.phase is not Phase.DONE:
             raise click.exceptions.Exit(HALTED)
-        if unseen or not machine.complete():
+        if unseen or not machine.is_complete():
             raise click.exceptions.Exit(PARTIAL)
 
 
-def _line(name: str, row: Row) -> dict[str, Any]:
-    return {"instance": name, "fate": row.fate.value, "reason": row.reason, "last_heard": row.since or None}
+def _line(name: str, row: InstanceStatus) -> dict[str, Any]:
+    return {
+        "instance": name,
+        "fate": row.outcome.value,
+        "reason": row.reason,
+        "last_heard": row.last_response_unix_s or None,
+    }
 
 
 def sources_of(journal: Journal, change: Change) -> dict[str, int] | None:
     """For a way back: the generation that each instance ran before that rollout."""
-    if not isinstance(change, changes.Back):
+    if not isinstance(change, changes.RollBackRollout):
         return None
     entry = journal.entry(change.rollout)
-    fates = dict(entry.record.rows)
+    fates = dict(entry.record.statuses)
     return {
         t.name: t.base for wave in entry.record.waves for t in wave
-        if t.base and t.name in fates and fates[t.name].fate is Fate.TOOK
+        if t.base and t.name in fates and fates[t.name].outcome is InstanceOutcome.APPLIED
     }  # fmt: skip
 
 
@@ -303,7 +310,7 @@
 @patience_options
 def apply(
     folder: Path, operator: str, cut: Cut, files: Path | None, servers: Path | None, values: tuple[str, ...],
-    why: str, undo: bool, options: Options, as_json: bool,
+    why: str, undo: bool, options: RolloutOptions, as_json: bool,
 ) -> None:  # fmt: skip
     """Roll a change out in waves, each with a gate; the report says what became of each instance.
 
@@ -320,7 +327,7 @@
 @wave_options
 @why_option
 @patience_options
-def drain(folder: Path, operator: str, cut: Cut, why: str, options: Options, as_json: bool) -> None:
+def drain(folder: Path, operator: str, cut: Cut, why: str, options: RolloutOptions, as_json: bool) -> None:
     """Have the nodes of --only end what they have and take nothing new, until they are undrained."""
     if not cut.only:
         raise BadInput("drain: expected --only AGENT/INSTANCE: a whole fleet is not drained by accident")
@@ -333,7 +340,7 @@
 @wave_options
 @why_option
 @patience_options
-def undrain(folder: Path, operator: str, cut: Cut, why: str, options: Options, as_json: bool) -> None:
+def undrain(folder: Path, operator: str, cut: Cut, why: str, options: RolloutOptions, as_json: bool) -> None:
     """Have drained nodes run again (all, or those of --only)."""
     roll = Roll(folder, operator, options, as_json)
     targets, _ = asyncio.run(find_targets(operator_of(folder, operator, 5.0), cut.only))
@@ -353,10 +360,17 @@
 @undo_option
 @patience_options
 def rollback(
-    folder: Path, operator: str, cut: Cut, rollout: int, why: str, undo: bool, options: Options, as_json: bool
+    folder: Path,
+    operator: str,
+    cut: Cut,
+    rollout: int,
+    why: str,
+    undo: bool,
+    options: RolloutOptions,
+    as_json: bool,
 ) -> None:
     """Bring the instances that took a rollout back to what each ran before it; a rollout like any other."""
-    change = changes.Back(rollout)
+    change = changes.RollBackRollout(rollout)
     try:
         sources = sources_of(open_journal(folder), change)
     except JournalError as e:
@@ -371,7 +385,7 @@
 @operator_option
 @click.argument("rollout", type=int)
 @patience_options
-def resume(folder: Path, operator: str, rollout: int, options: Options, as_json: bool) -> None:
+def resume(folder: Path, operator: str, rollout: int, options: RolloutOptions, as_json: bool) -> None:
     """Go on with a rollout whose tool was killed, or take along those that were unknown at its end."""
     try:
         open_journal(folder).entry(rollout)
@@ -392,19 +406,19 @@
     if as_json:
         return say_json([
             {"rollout": entry.id, "operator": entry.operator, "began": entry.began, "why": entry.why,
-             "change": entry.change.kind, "stage": entry.record.stage.value, "reason": entry.record.reason,
-             "instances": {n: r.fate.value for n, r in entry.record.rows}}
+             "change": entry.change.kind, "stage": entry.record.phase.value, "reason": entry.record.reason,
+             "instances": {n: r.outcome.value for n, r in entry.record.statuses}}
             for entry in entries
         ])  # fmt: skip
     table = Table(box=box.SIMPLE_HEAD, pad_edge=False)
     for column in ("rollout", "began, by", "stage", "instances", "why, and why it stands"):
         table.add_column(column)
     for entry in entries:
-        counts = Counter(row.fate.value for _, row in entry.record.rows)
+        counts = Counter(row.outcome.value for _, row in entry.record.statuses)
         told = ", ".join(f"{n} {word}" for word, n in counts.most_common())
         began = time.strftime("%m-%d %H:%M", time.localtime(entry.began))
         reasons = "; ".join(filter(None, (entry.why, entry.record.reason)))
-        table.add_row(str(entry.id), f"{began} {entry.operator}", entry.record.stage.value, told, reasons)
+        table.add_row(str(entry.id), f"{began} {entry.operator}", entry.record.phase.value, told, reasons)
     Console().print(table)
 
 
@@ -416,7 +430,7 @@
     """Make a journal that was lost again, from what the agents remember; rollouts it has stay as they are."""
     asker, journal = operator_of(folder, operator, 5.0), open_journal(folder)
 
-    async def run() -> tuple[list[Entry], list[str]]:
+    async def run() -> tuple[list[JournalEntry], list[str]]:
         heard = await asker.ask_all(wire.Status())
         silent = [h.agent for h in heard if h.status != 200]
         there = {h.agent: h.answer["instances"] for h in heard if h.status == 200}
@@ -428,8 +442,8 @@
             if found.held_by is not None:
                 got = await asker.ask(found.held_by.agent, wire.Fetch(found.held_by.instance, found.id))
                 files = got.answer.get("files", {})
-            whole, now = changes.Whole(files), time.time()
-            made.append(Entry(found.id, "unknown", now, now, "(rebuilt)", whole, found.record))
+            whole, now = changes.ReplaceFiles(files), time.time()
+            made.append(JournalEntry(found.id, "unknown", now, now, "(rebuilt)", whole, found.record))
         asker.close()
         return made, silent
 
@@ -466,7 +480,7 @@
         except (pki.PkiError, OSError, ValueError):
             certificates[str(path.relative_to(folder))] = 0.0
     try:
-        found = examine(told, journal.entries(), time.time(), certificates, members)
+        found = diagnose(told, journal.entries(), time.time(), certificates, members)
     except JournalError as e:
         raise BadInput(str(e)) from None
     if as_json:
--- a/oakbridge/rollout/journal.py
+++ b/oakbridge/rollout/journal.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from oakbridge.rollout import change as changes
-from oakbridge.rollout.change import BadChange, Change
-from oakbridge.rollout.machine import Fate, Record, Row, Stage
+from oakbridge.rollout.change import Change, ChangeError
+from oakbridge.rollout.machine import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
 from oakbridge.rollout.plan import Target
 
 FORMAT = 1
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class JournalEntry:
     """One rollout."""
 
     id: int  # the token under which it began, and the generation that it brings
@@ -35,26 +35,40 @@
     changed: float
     why: str
     change: Change
-    record: Record
+    record: RolloutRecord
 
 
-def encode(record: Record) -> str:
+def encode_record(record: RolloutRecord) -> str:
     """A record as the journal has it."""
-    return json.dumps({
-        "waves": [[[t.agent, t.instance, t.zone, t.base, t.drained] for t in wave] for wave in record.waves],
-        "unavailable": record.unavailable, "undo": record.undo, "stage": record.stage.value, "wave": record.wave,
-        "rows": [[name, row.fate.value, row.reason, row.since] for name, row in record.rows], "reason": record.reason,
-    })  # fmt: skip
-
-
-def decode(text: str) -> Record:
+    return json.dumps(
+        {
+            "waves": [
+                [[t.agent, t.instance, t.zone, t.base, t.drained] for t in wave] for wave in record.waves
+            ],
+            "unavailable": record.max_unavailable,
+            "undo": record.auto_rollback,
+            "stage": record.phase.value,
+            "wave": record.wave_index,
+            "rows": [
+                [name, row.outcome.value, row.reason, row.last_response_unix_s]
+                for name, row in record.statuses
+            ],
+            "reason": record.reason,
+        }
+    )
+
+
+def decode_record(text: str) -> RolloutRecord:
     """A record from the journal.  Raises :class:`JournalError`."""
     try:
         raw: dict[str, Any] = json.loads(text)
         waves = tuple(tuple(Target(*t) for t in wave) for wave in raw["waves"])
-        rows = tuple((name, Row(Fate(fate), reason, since)) for name, fate, reason, since in raw["rows"])
-        stage = Stage(raw["stage"])
-        return Record(waves, raw["unavailable"], raw["undo"], stage, raw["wave"], rows, raw["reason"])
+        rows = tuple(
+            (name, InstanceStatus(InstanceOutcome(fate), reason, since))
+            for name, fate, reason, since in raw["rows"]
+        )
+        stage = Phase(raw["stage"])
+        return RolloutRecord(waves, raw["unavailable"], raw["undo"], stage, raw["wave"], rows, raw["reason"])
     except (ValueError, KeyError, TypeError) as e:
         raise JournalError(f"a record that can't be read: {e}") from None
 
@@ -82,25 +96,33 @@
         """Close it."""
         self._db.close()
 
-    def add(self, entry: Entry) -> None:
+    def add(self, entry: JournalEntry) -> None:
         """Write a new rollout down."""
-        change = json.dumps(changes.encode(entry.change))
-        values = entry.id, entry.operator, entry.began, entry.changed, entry.why, change, encode(entry.record)
+        change = json.dumps(changes.encode_change(entry.change))
+        values = (
+            entry.id,
+            entry.operator,
+            entry.began,
+            entry.changed,
+            entry.why,
+            change,
+            encode_record(entry.record),
+        )
         self._db.execute("INSERT INTO rollouts VALUES (?, ?, ?, ?, ?, ?, ?)", values)
 
-    def keep(self, rollout: int, record: Record) -> None:
+    def keep(self, rollout: int, record: RolloutRecord) -> None:
         """Have a record on disk."""
-        values = encode(record), time.time(), rollout
+        values = encode_record(record), time.time(), rollout
         self._db.execute("UPDATE rollouts SET record = ?, changed = ? WHERE id = ?", values)
 
-    def entries(self, last: int = 20) -> list[Entry]:
+    def entries(self, last: int = 20) -> list[JournalEntry]:
         """The newest rollouts, newest first.  Raises :class:`JournalError`."""
         return [
             _entry(row)
             for row in self._db.execute("SELECT * FROM rollouts ORDER BY id DESC LIMIT ?", (last,))
         ]
 
-    def entry(self, rollout: int) -> Entry:
+    def entry(self, rollout: int) -> JournalEntry:
         """One rollout.  Raises :class:`JournalError`."""
         row = self._db.execute("SELECT * FROM rollouts WHERE id = ?", (rollout,)).fetchone()
         if row is None:
@@ -108,11 +130,17 @@
         return _entry(row)
 
 
-def _entry(row: tuple[Any, ...]) -> Entry:
+def _entry(row: tuple[Any, ...]) -> JournalEntry:
     number, operator, began, changed, why, change, record = row
     try:
-        return Entry(
-            number, operator, began, changed, why, changes.decode(json.loads(change)), decode(record)
+        return JournalEntry(
+            number,
+            operator,
+            began,
+            changed,
+            why,
+            changes.decode_change(json.loads(change)),
+            decode_record(record),
         )
-    except (ValueError, BadChange) as e:
+    except (ValueError, ChangeError) as e:
         raise JournalError(f"rollout {number}: {e}") from None
