--- /dev/null
+++ b/tests/formats/test_node_trace.py
@@ -0,0 +1,127 @@
+"""The lines of a node with OAKBRIDGE_TRACE=1, held by a log that an earlier version wrote.
+
+``fixtures/node/trace.log`` has the trace lines of such a run as :func:`traced_run` makes.
+"""
+
+import asyncio
+import importlib.util
+import json
+import os
+import signal
+import sys
+from collections import Counter
+from pathlib import Path
+
+from peers import SETTINGS, Caller, Peer, Registry, endpoint, free_ports, listing, reply, run, soon
+
+ROOT = Path(__file__).parents[2]
+FIXTURE = Path(__file__).parent / "fixtures" / "node" / "trace.log"
+MARK = " trace {"
+# Counted since the last line; a count of zero is left out.
+COUNTS = [
+    "taken", "sent", "again", "cold", "served", "refuse", "fail", "cancel", "settimer", "watch",
+    "lists", "lists_lost", "opened", "refused_connections", "asked_whole", "asked_changes",
+    "list_lines",
+]  # fmt: skip
+
+
+def fleet_day():
+    """The program that adds the lines of all nodes up."""
+    spec = importlib.util.spec_from_file_location("fleet_day", ROOT / "benchmarks" / "fleet_day.py")
+    module = importlib.util.module_from_spec(spec)
+    spec.loader.exec_module(module)
+    return module
+
+
+def trace_lines(log: str) -> list[str]:
+    return [line[line.index(MARK) + len(MARK) - 1 :] for line in log.splitlines() if MARK in line]
+
+
+async def traced_run(folder: Path) -> str:
+    """One server listens and one does not: two requests served, one failed, one rejected."""
+    answers = {
+        "/ok": reply(200),
+        "/full": reply(503, b"", "X-Not-Processed: 1"),
+        "/error": reply(500),
+    }
+    async with Peer(lambda seen: answers[seen.url]) as peer, Registry() as registry:
+        port, closed = free_ports(2)
+        registry.put(listing(2, endpoint("s-0", peer.port), endpoint("s-1", closed)))
+        raw = {
+            "name": "n3", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{registry.port}",
+            "seed": "7", "limits": {"sockets": 1024}, "settings": SETTINGS,
+            "known": listing(1, endpoint("s-0", peer.port)),
+        }  # fmt: skip
+        (folder / "c.json").write_text(json.dumps(raw))
+        given = os.environ | {"NODE_CONFIG": str(folder / "c.json"), "OAKBRIDGE_TRACE": "1"}
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "oakbridge", cwd=ROOT, env=given, stderr=asyncio.subprocess.PIPE
+        )
+        try:
+            log = await until_line(process, "listens")
+            calls = [("/ok", "look"), ("/ok", "book"), ("/error", "book"), ("/full", "brief")]
+            for url, klass in calls:
+                caller = await Caller.connect(port)
+                caller.send(klass, url=url)
+                await caller.answer()
+                caller.close()
+            for _ in range(2):
+                log += await until_line(process, MARK)
+            process.send_signal(signal.SIGTERM)
+            log += (await soon(process.stderr.read())).decode()
+            assert await soon(process.wait()) == 0
+        finally:
+            if process.returncode is None:
+                process.kill()
+                await process.wait()
+    return log
+
+
+async def until_line(process, word: str) -> str:
+    lines = []
+    while not lines or word not in lines[-1]:
+        lines.append((await soon(process.stderr.readline())).decode())
+        assert lines[-1], "the node has ended"
+    return "".join(lines)
+
+
+def fixed_fields(line: dict) -> list[str]:
+    return [name for name in line if name not in COUNTS]
+
+
+def test_a_trace_of_today_has_the_fields_of_the_earlier_version(tmp_path):
+    log = run(traced_run(tmp_path))
+    start, *lines = trace_lines(log)
+    start_before, *lines_before = trace_lines(FIXTURE.read_text())
+    at, at_before = (f'"at":{json.loads(line)["at"]}' for line in (start, start_before))
+    assert start.replace(at, at_before) == start_before
+    lines, before = [json.loads(line) for line in lines], json.loads(lines_before[0])
+    for line in lines:
+        assert fixed_fields(line) == fixed_fields(before)
+        assert set(line) - set(fixed_fields(line)) <= set(COUNTS)
+        assert all(line[name] for name in COUNTS if name in line)
+    total = Counter()
+    for line in lines:
+        total.update({name: line[name] for name in COUNTS if name in line})
+    assert (total["taken"], total["served"]) == (4, 2)
+    ends = Counter()
+    for line in lines:
+        for counts in line["ends"].values():
+            ends.update(counts)
+    assert ends["ok"] == 2
+    assert ends["error"] >= 1
+    assert ends["full"] + ends["connect_failed"] >= 1
+    assert total["sent"] == sum(n for name, n in ends.items() if name != "cold")
+    assert total["refused_connections"] <= total["opened"] <= total["sent"]
+    assert total["refuse"] + total["fail"] == 2
+
+
+def test_the_fleet_program_reads_the_earlier_log():
+    """Every figure of its table, from a line of the fixture."""
+    module = fleet_day()
+    found = list(module.lines(FIXTURE.parent))
+    assert [line["node"] for line in found] == ["n3"] * 3
+    sums = module.add_up(found[1:2])
+    assert {name: sums[name] for name in ("nodes", "taken", "served", "ok")} == {
+        "nodes": 1, "taken": 4, "served": 2, "ok": 2,
+    }  # fmt: skip
