--- a/oakbridge/node/downstream.py
+++ b/oakbridge/node/downstream.py
@@ -14,10 +14,10 @@
 import httptools
 
 from oakbridge.node.clock import Clock, Timer
+from oakbridge.node.http_framing import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
 from oakbridge.node.lifecycle import Lifecycle, Phase
 from oakbridge.node.listing import Address
 from oakbridge.node.streams import Upload, absolute, chunk, outgoing, progressed
-from oakbridge.node.upstream import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
 
 log = logging.getLogger(__name__)
 
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -13,14 +13,16 @@
 from itertools import islice
 from typing import Protocol
 
+from oakbridge.node.attempt import Attempt, Reply, Sink
 from oakbridge.node.clock import Clock
 from oakbridge.node.config import Config
+from oakbridge.node.connection_pool import Pool
 from oakbridge.node.discovery import Discovery
 from oakbridge.node.downstream import HELD_PART, HOP, Request, Server
 from oakbridge.node.listing import BadList, ConfigError, Entry, Listing, Source, parse, pieces
 from oakbridge.node.outages import Outages
+from oakbridge.node.server_connection import Connection
 from oakbridge.node.settings import in_place
-from oakbridge.node.upstream import Attempt, Connection, Pool, Reply, Sink
 from oakbridge.policy import vocabulary as api
 from oakbridge.policy.balancer import Balancer
 
--- a/oakbridge/node/upstream.py
+++ b/oakbridge/node/server_connection.py
@@ -1,4 +1,4 @@
-"""The servers' side: kept connections to each server, one request each, and what came back as an outcome.
+"""A connection to a server: it carries one request at a time, and tells what came back as an outcome.
 
 Sockets are driven by hand, not by a stream or transport: the rules hang on whether a request's last byte was
 *written to the socket*, and on a connection being closed before anything else happens, which buffers hide.
@@ -6,113 +6,30 @@
 
 from __future__ import annotations
 
-import asyncio
 import errno
 import logging
 import socket
-from bisect import bisect_right
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any
 
 import httptools
 
-from oakbridge.node.clock import Clock, Timer
-from oakbridge.node.listing import Address, Listing
+from oakbridge.node.attempt import Attempt, Reply, Sink
+from oakbridge.node.clock import Timer
+from oakbridge.node.http_framing import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
 from oakbridge.node.streams import Upload, chunk
-from oakbridge.policy.vocabulary import UP, Result
+from oakbridge.policy.vocabulary import Result
+
+if TYPE_CHECKING:
+    from oakbridge.node.connection_pool import Pool, Target
 
 log = logging.getLogger(__name__)
 
 # An answer up to this size is taken whole first, so that a spoilt one can still be tried again.
 WHOLE = 64 * 1024
-MOST_BODY = 34 * 1024 * 1024  # no body is longer, either way
-MAX_HEAD = 16 * 1024
 CHUNK = 64 * 1024
 STALL = 1_000_000  # a server that has begun a short answer and says no more for so long won't
 STALL_STREAM = 10_000_000  # and one whose answer is passed on already: nothing can be tried again
-SETTLE = (
-    5_000  # a connection rests so long before it is used again: what comes behind an answer shows by then
-)
-FRAMING = 8  # bytes that frame one of a body at most: more is no framing but a flood
-IDLE_PART = 10  # an idle connection is closed this part of the server's limit before the limit
-
-Headers = list[tuple[bytes, bytes]]
-
-
-class Sink(Protocol):
-    """Where an answer goes that is passed on as it comes: a caller."""
-
-    def pass_on(self, data: bytes) -> None:
-        """Take a part; it says :meth:`Connection.pause` when it has enough for now."""
-
-    def finish(self) -> None:
-        """The answer is whole."""
-
-    def cut(self) -> None:
-        """The answer ends here and is not whole; the caller must be able to tell."""
-
-
-@dataclass(slots=True)
-class Reply:
-    """How an attempt ended, and what the server said."""
-
-    result: Result
-    headers: Headers = field(default_factory=list)
-    body: bytes = b""
-    status: int = 0  # 0: there was no answer
-
-
-class Attempt:
-    """One attempt: what to write, how long to wait, and whom to tell of its end, once."""
-
-    __slots__ = ("server", "data", "due", "on_end", "number", "connection", "timer", "ended", "on_begin", "upload",
-                 "on_sent", "begin_by")  # fmt: skip
-
-    def __init__(
-        self,
-        server: str,
-        data: Callable[[int], bytes],
-        due: int,
-        on_end: Callable[[Reply], None],
-        number: int = 0,
-        on_begin: Callable[[Reply, int | None, Connection], Sink | None] | None = None,
-        upload: Upload | None = None,
-        on_sent: Callable[[], None] | None = None,
-        begin_by: int | None = None,
-    ) -> None:
-        """``data``: the bytes to write, made once they can be: told what time is left then.
-
-        ``on_begin``: told of a long answer's head and length, says where it goes; ``upload``: what follows ``data``;
-        ``on_sent``: told when the last of it is written; ``begin_by``: nothing is written later.
-        """
-        self.begin_by = begin_by
-        self.on_begin, self.upload, self.on_sent = on_begin, upload, on_sent
-        self.server, self.data, self.due, self.on_end, self.number = server, data, due, on_end, number
-        self.connection: Connection | None = None
-        self.timer: Timer | None = None
-        self.ended = False
-
-    def end(self, reply: Reply) -> None:
-        """Tell the end; whatever comes later is not told."""
-        if self.ended:
-            return
-        self.ended = True
-        self.connection = None
-        if self.timer is not None:
-            self.timer.cancel()
-        self.on_end(reply)
-
-
-class Target:
-    """A server that may be sent to, as discovery last told it, and the connections to it."""
-
-    __slots__ = ("address", "started", "idle", "busy")
-
-    def __init__(self, address: Address, started: int) -> None:
-        self.address, self.started = address, started
-        self.idle: list[Connection] = []  # used last comes last
-        self.busy: set[Connection] = set()
 
 
 class Connection:
@@ -448,23 +365,6 @@
         self.pool.forget(self)
 
 
-def framing(headers: Headers) -> tuple[int, int | None, bool]:
-    """How a message is framed (RFC 9112, 6.1 to 6.3): its fault, or 0; its length, if told; whether it is in chunks.
-
-    413: it says that it is longer than any may be (the parser let nothing but digits through); 400: it is framed in a
-    way that nobody here uses, so that others may see another end of it.  One pass, for each message.
-    """
-    length, chunked = None, False
-    for name, value in headers:
-        if name == b"content-length":
-            length = int(value)
-        elif name == b"transfer-encoding":
-            if value.lower() != b"chunked":
-                return 400, None, False
-            chunked = True
-    return 413 if length is not None and length > MOST_BODY else 0, length, chunked
-
-
 def outcome(status: int, headers: Headers) -> Result:
     """An answer's outcome, by the protocol's table."""
     if status == 200:
@@ -472,190 +372,3 @@
     if status in (503, 504) and (b"x-not-processed", b"1") in headers:
         return Result.FULL
     return Result.ERROR
-
-
-def _idle_since(connection: Connection) -> int:
-    return connection.idle_since
-
-
-class Pool:
-    """The connections to all servers, within a bound."""
-
-    def __init__(
-        self, loop: asyncio.AbstractEventLoop, clock: Clock, connect_timeout: int, idle: int, most: int
-    ) -> None:
-        self.loop, self.clock, self.connect_timeout, self.most = loop, clock, connect_timeout, most
-        self.idle_for = idle - idle // IDLE_PART
-        self.listed: dict[str, tuple[Address, int]] = {}  # where servers listen, and since when
-        self.targets: dict[str, Target] = {}  # those of them that something was sent to
-        self.count = 0
-        self._sweep: Timer | None = None
-
-    def retune(self, connect_timeout: int, idle: int) -> None:
-        """Go by other settings from now on."""
-        self.connect_timeout, self.idle_for = connect_timeout, idle - idle // IDLE_PART
-
-    def take(self, listing: Listing) -> None:
-        """Take the servers that may be sent to; connections to any other, or to an earlier start, go."""
-        if listing.whole:
-            self.listed = {}
-        for entry in listing.entries:
-            server = entry.server
-            if server.state == UP:
-                self.listed[server.id] = entry.address, server.started
-            else:
-                self.listed.pop(server.id, None)
-        named = self.targets if listing.whole else [e.server.id for e in listing.entries]
-        for name in list(named):
-            target = self.targets.get(name)
-            if target is not None and self.listed.get(name) != (target.address, target.started):
-                self._retire(self.targets.pop(name))
-
-    def _target(self, server: str) -> Target | None:
-        """What is kept for a server, from the first attempt on; None if it may not be sent to."""
-        target = self.targets.get(server)
-        if target is None and server in self.listed:
-            target = self.targets[server] = Target(*self.listed[server])
-        return target
-
-    def _retire(self, target: Target) -> None:
-        """Give idle connections back; what is out may end, and what has not begun ends unsent.
-
-        Guards drains: an attempt that still connects would put its first byte on the wire after the drain.
-        """
-        self._close_idle(target)
-        for connection in list(target.busy):
-            connection.keep = False
-            attempt = connection.attempt
-            if not connection.connected and attempt is not None:
-                self.not_begun(attempt)
-
-    def close_idle(self) -> None:
-        """Give back all connections that rest."""
-        for target in self.targets.values():
-            self._close_idle(target)
-
-    @staticmethod
-    def _close_idle(target: Target) -> None:
-        for connection in list(target.idle):
-            connection.close()
-
-    def release(self, server: str) -> None:
-        """Give back the idle connections to a server."""
-        if server in self.targets:
-            self._close_idle(self.targets[server])
-
-    def send(self, attempt: Attempt) -> None:
-        """Start an attempt; its end is told later, never from in here."""
-        attempt.timer = self.clock.call_at(attempt.due, lambda: self._timed_out(attempt))
-        target = self._target(attempt.server)
-        if target is None:
-            self.loop.call_soon(attempt.end, Reply(Result.CONNECT_FAILED))
-            return
-        connection = self._rested(target, SETTLE)
-        if connection is None and self.count >= self.most:
-            connection = self._rested(target, 0)
-        if connection is not None:
-            target.busy.add(connection)
-            return connection.use(attempt)
-        if self.count >= self.most and not self._make_room():
-            self.loop.call_soon(attempt.end, Reply(Result.CONNECT_FAILED))
-            return
-        self._open(target, attempt)
-
-    def _rested(self, target: Target, least: int) -> Connection | None:
-        """Take the connection that was used last of those that have rested for long enough and are still good.
-
-        Guards against a second copy of an answer, or noise behind it, that is read as the next one's answer.
-        """
-        idle = target.idle
-        place = bisect_right(idle, self.clock.now() - least, key=_idle_since)
-        while place > 0:
-            place -= 1
-            connection = idle.pop(place)
-            if not connection.stale():
-                return connection
-            connection.close()
-        return None
-
-    def _open(self, target: Target, attempt: Attempt) -> None:
-        try:
-            connection = Connection(self, target)
-        except OSError as e:  # no descriptor is left: nothing was sent
-            log.error("no socket for a connection: %s", e)
-            self.loop.call_soon(attempt.end, Reply(Result.CONNECT_FAILED))
-            return
-        self.count += 1
-        target.busy.add(connection)
-        connection.open(attempt)
-
-    def cancel(self, attempt: Attempt) -> None:
-        """Call an attempt off: its connection is closed before this returns."""
-        if not attempt.ended:
-            if attempt.connection is not None:
-                attempt.connection.give_up()
-            attempt.end(Reply(Result.CANCELLED))
-
-    def not_begun(self, attempt: Attempt) -> None:
-        """End an attempt of which nothing may be written any more."""
-        if not attempt.ended:
-            if attempt.connection is not None:
-                attempt.connection.give_up()
-            attempt.end(Reply(Result.CONNECT_FAILED))
-
-    def postpone(self, attempt: Attempt, due: int) -> None:
-        """Wait for an attempt's answer until then."""
-        if not attempt.ended and attempt.timer is not None:
-            attempt.timer.cancel()
-            attempt.timer = self.clock.call_at(due, lambda: self._timed_out(attempt))
-
-    def _timed_out(self, attempt: Attempt) -> None:
-        """Stop waiting; a request whose last byte was never written has not run."""
-        if not attempt.ended:
-            written = attempt.connection is not None and attempt.connection.give_up()
-            attempt.end(Reply(Result.TIMEOUT if written else Result.CONNECT_FAILED))
-
-    def _make_room(self) -> bool:
-        """Close the connection that has been idle longest, of any server."""
-        oldest = min((t.idle[0] for t in self.targets.values() if t.idle), default=None,
-                     key=lambda c: c.idle_since)  # fmt: skip
-        if oldest is not None:
-            oldest.close()
-        return oldest is not None
-
-    def rest(self, connection: Connection) -> None:
-        """Keep a connection for the next attempt, until shortly before the server would close it."""
-        connection.target.busy.discard(connection)
-        connection.target.idle.append(connection)
-        connection.idle_since = self.clock.now()
-        if self._sweep is None and self.idle_for > 0:
-            self._sweep = self.clock.call_at(connection.idle_since + self.idle_for, self._close_expired)
-
-    def _close_expired(self) -> None:
-        """Close what has been idle for long enough; look again when the next one is due."""
-        self._sweep = None
-        now = self.clock.now()
-        first = now
-        for target in self.targets.values():
-            while target.idle and target.idle[0].idle_since + self.idle_for <= now:
-                target.idle[0].close()
-            if target.idle:
-                first = min(first, target.idle[0].idle_since)
-        if first < now:
-            self._sweep = self.clock.call_at(first + self.idle_for, self._close_expired)
-
-    def forget(self, connection: Connection) -> None:
-        """A connection has been closed."""
-        self.count -= 1
-        target = connection.target
-        target.busy.discard(connection)
-        if connection in target.idle:
-            target.idle.remove(connection)
-
-    def close(self) -> None:
-        """Close all connections, at the node's end."""
-        for target in self.targets.values():
-            for connection in [*target.idle, *target.busy]:
-                connection.give_up()
-        if self._sweep is not None:
-            self._sweep.cancel()
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -13,10 +13,12 @@
 from dataclasses import asdict
 from typing import Any
 
+from oakbridge.node.attempt import Attempt
+from oakbridge.node.connection_pool import Target
 from oakbridge.node.discovery import Discovery
 from oakbridge.node.listing import Listing
 from oakbridge.node.node import Node
-from oakbridge.node.upstream import Attempt, Connection, Target
+from oakbridge.node.server_connection import Connection
 from oakbridge.policy import vocabulary as api
 
 log = logging.getLogger(__name__)
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_connection_pool.py
@@ -7,9 +7,10 @@
 import pytest
 from peers import Peer, reply, run, silent_listener, soon, until
 
+from oakbridge.node.attempt import Attempt, Reply
 from oakbridge.node.clock import Clock
+from oakbridge.node.connection_pool import SETTLE, Pool
 from oakbridge.node.listing import Entry, Listing
-from oakbridge.node.upstream import SETTLE, Attempt, Pool, Reply
 from oakbridge.policy.vocabulary import ListedServer, Result
 
 LONG = 60_000_000
@@ -179,7 +180,7 @@
 
 def test_kept_connection_that_the_server_has_just_closed_is_no_reset(monkeypatch):
     """The loop has not read the end yet, but nothing may be written to that connection."""
-    monkeypatch.setattr("oakbridge.node.upstream.SETTLE", 0)
+    monkeypatch.setattr("oakbridge.node.connection_pool.SETTLE", 0)
 
     async def scenario():
         with listening() as listener:
@@ -339,7 +340,7 @@
 
 def test_second_copy_right_behind_an_answer_serves_nobody(monkeypatch):
     """Guards against a connection that is used again before what comes behind its answer could show."""
-    monkeypatch.setattr("oakbridge.node.upstream.SETTLE", LONG)
+    monkeypatch.setattr("oakbridge.node.connection_pool.SETTLE", LONG)
 
     async def scenario():
         with listening() as listener:
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -7,10 +7,10 @@
 from peers import SETTINGS, Peer, Registry, Running, endpoint, listing, reply, run, soon, until
 
 from oakbridge.node import discovery
+from oakbridge.node.connection_pool import SETTLE
 from oakbridge.node.downstream import parse_timeout
 from oakbridge.node.listing import BadList, parse
 from oakbridge.node.node import parse_report
-from oakbridge.node.upstream import SETTLE
 from oakbridge.policy import vocabulary as api
 from oakbridge.policy.balancer import AT_ONCE
 
--- a/tests/node/test_streams.py
+++ b/tests/node/test_streams.py
@@ -10,10 +10,10 @@
 from peers import SETTINGS, Peer, Running, reply, run, soon, until
 
 from oakbridge.node import downstream as callers
-from oakbridge.node import streams, upstream
+from oakbridge.node import server_connection, streams
+from oakbridge.node.connection_pool import SETTLE
 from oakbridge.node.settings import read_settings
 from oakbridge.node.streams import WINDOW, Upload, absolute
-from oakbridge.node.upstream import SETTLE
 
 BIG = 3_000_000
 PART = bytes(range(256)) * 256
@@ -220,7 +220,7 @@
                 await asyncio.sleep(0.005)
             [[connection]] = [target.busy for target in node.node.pool.targets.values()]
             assert connection.paused  # what the server still writes stays with it
-            assert one.transport.get_write_buffer_size() < 2 * upstream.CHUNK + 65536
+            assert one.transport.get_write_buffer_size() < 2 * server_connection.CHUNK + 65536
             caller.writer.transport.resume_reading()
             got = 0
             # Slowly, but it goes on: the caller is kept beyond its patience.
@@ -228,7 +228,7 @@
                 got += len(await soon(caller.reader.read(65536)))
                 await asyncio.sleep(0.01)
             assert node.node.server._callers == {one}
-            assert one.transport.get_write_buffer_size() < 2 * upstream.CHUNK + 65536
+            assert one.transport.get_write_buffer_size() < 2 * server_connection.CHUNK + 65536
             caller.writer.transport.pause_reading()  # and one that reads nothing more is cut off
             while node.node.server._callers:
                 await asyncio.sleep(0.01)
@@ -424,7 +424,7 @@
             while one.upload is None or not one.upload.upload.full:
                 await asyncio.sleep(0.005)
             await asyncio.sleep(0.7)
-            assert one.upload.upload._waiting < WINDOW + upstream.CHUNK + callers.HOLD
+            assert one.upload.upload._waiting < WINDOW + server_connection.CHUNK + callers.HOLD
             go.set()
             assert (await caller.answer())[0] == 200
 
