--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -13,10 +13,11 @@
 from itertools import islice
 from typing import Protocol
 
+from oakbridge.node.client_request import HOP, Request
 from oakbridge.node.clock import Clock
 from oakbridge.node.config import Config
 from oakbridge.node.discovery import Discovery
-from oakbridge.node.downstream import HELD_PART, HOP, Request, Server
+from oakbridge.node.http_server import HELD_PART, Server
 from oakbridge.node.listing import BadList, ConfigError, Entry, Listing, Source, parse, pieces
 from oakbridge.node.outages import Outages
 from oakbridge.node.settings import in_place
--- a/oakbridge/node/streams.py
+++ b/oakbridge/node/request_body.py
@@ -1,11 +1,7 @@
-"""What passes through the node as it comes: request bodies on their way, and how far a caller has read."""
+"""Request bodies that go on to a server as they come, with back-pressure."""
 
 from __future__ import annotations
 
-import asyncio
-import fcntl
-import struct
-import termios
 from collections import deque
 from collections.abc import Callable
 
@@ -66,36 +62,3 @@
         if full != self.full:
             self.full = full
             self._changed()
-
-
-def chunk(data: bytes) -> bytes:
-    """A chunk (RFC 9112, 7.1); with no data, the last one and the end of the body."""
-    return b"%x\r\n%b\r\n" % (len(data), data)
-
-
-def absolute(url: bytes) -> bytes:
-    """A target without the scheme and host that its absolute form has (RFC 9112, 3.2.2): path and query."""
-    if url[:1] == b"/" or b"://" not in url:
-        return url
-    rest = url.split(b"://", 1)[1]
-    for i, c in enumerate(rest):
-        if c in b"/?":
-            return rest[i:] if c == ord("/") else b"/" + rest[i:]
-    return b"/"
-
-
-def outgoing(transport: asyncio.Transport | None) -> int:
-    """Bytes that were written to a caller and that it has not taken: here and in the kernel (SIOCOUTQ)."""
-    if transport is None:
-        return 0
-    waiting = transport.get_write_buffer_size()
-    try:
-        sock = transport.get_extra_info("socket")
-        return waiting + int(struct.unpack("i", fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4))[0])
-    except (OSError, ValueError, AttributeError):  # a socket that can't tell
-        return waiting
-
-
-def progressed(before: int, now: int) -> bool:
-    """Whether a caller has read since the last look, or this is the first (``before`` is below 0)."""
-    return before < 0 or now < before
--- a/oakbridge/node/upstream.py
+++ b/oakbridge/node/upstream.py
@@ -17,9 +17,10 @@
 
 import httptools
 
+from oakbridge.node.chunks import chunk
 from oakbridge.node.clock import Clock, Timer
 from oakbridge.node.listing import Address, Listing
-from oakbridge.node.streams import Upload, chunk
+from oakbridge.node.request_body import Upload
 from oakbridge.policy.vocabulary import UP, Result
 
 log = logging.getLogger(__name__)
--- a/oakbridge/operators/listener.py
+++ b/oakbridge/operators/listener.py
@@ -11,7 +11,7 @@
 import socket
 from collections.abc import Callable
 
-from oakbridge.node.downstream import listen_on
+from oakbridge.node.listener import listen_on
 from oakbridge.node.listing import Address
 from oakbridge.operators import calls
 
--- a/oakbridge/workers/door.py
+++ b/oakbridge/workers/door.py
@@ -24,7 +24,7 @@
 from oakbridge.control.place import worker_socket
 from oakbridge.control.server import ControlServer
 from oakbridge.control.state import Members, about_members
-from oakbridge.node.downstream import ACCEPTED, listen_on
+from oakbridge.node.listener import ACCEPTED, listen_on
 from oakbridge.node.listing import Address
 from oakbridge.process import supervisor as sup
 from oakbridge.workers import crew as c
--- a/tests/node/test_downstream.py
+++ b/tests/node/test_downstream.py
@@ -6,8 +6,7 @@
 import pytest
 from peers import Peer, Running, reply, run, soon, until
 
-from oakbridge.node import downstream as callers
-from oakbridge.node import lifecycle
+from oakbridge.node import http_server, lifecycle, listener
 from oakbridge.node.clock import Clock
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: a\r\nX-Request-ID: rude\r\nX-Priority-Class: look\r\n"
@@ -16,7 +15,7 @@
 @pytest.fixture
 def impatient(monkeypatch):
     """Limits that a test need not wait for."""
-    monkeypatch.setattr(callers, "PATIENCE", 400_000)
+    monkeypatch.setattr(http_server, "PATIENCE", 400_000)
 
 
 @pytest.mark.parametrize(
@@ -67,7 +66,7 @@
 
 def test_caller_that_never_reads_its_answers_is_cut_off(impatient, monkeypatch):
     """Guards against answers that pile up, and a connection that never ends, for one that reads nothing."""
-    monkeypatch.setattr(callers, "IDLE_MOST", 3600_000_000)  # that it reads nothing is what ends it
+    monkeypatch.setattr(http_server, "IDLE_MOST", 3600_000_000)  # that it reads nothing is what ends it
 
     async def scenario():
         async with Peer(lambda _: reply(200, b"x" * 60_000)) as peer, Running(peer) as node:
@@ -193,8 +192,8 @@
 
 def test_usual_caller_gets_in_past_many_that_say_nothing(monkeypatch):
     """Those that say nothing make room, oldest first, long before their time is up."""
-    monkeypatch.setattr(callers, "PATIENCE", 60_000_000)
-    monkeypatch.setattr(callers, "IDLE_LEAST", 60_000_000)
+    monkeypatch.setattr(http_server, "PATIENCE", 60_000_000)
+    monkeypatch.setattr(http_server, "IDLE_LEAST", 60_000_000)
 
     async def scenario():
         async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
@@ -208,7 +207,7 @@
             for caller in (late, usual):  # the kept one is there still: it has not rested for 2 s
                 caller.send()
                 assert (await caller.answer())[0] == 200
-            assert len(node.node.server._callers) <= 8 + callers.TURNED_AWAY
+            assert len(node.node.server._callers) <= 8 + http_server.TURNED_AWAY
 
     run(scenario())
 
@@ -232,8 +231,8 @@
 
 def test_connection_that_rests_is_closed_after_a_while(monkeypatch):
     """Guards against callers that ask once and keep their connection for good, also past the node's end of it."""
-    monkeypatch.setattr(callers, "IDLE_MOST", 50_000)
-    monkeypatch.setattr(callers, "PATIENCE", 200_000)
+    monkeypatch.setattr(http_server, "IDLE_MOST", 50_000)
+    monkeypatch.setattr(http_server, "PATIENCE", 200_000)
 
     async def scenario():
         async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
@@ -407,7 +406,7 @@
     async def scenario():
         async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
             node.node.server._stop()
-            socks = [raw_caller(node) for _ in range(3 * callers.ACCEPTED)]
+            socks = [raw_caller(node) for _ in range(3 * listener.ACCEPTED)]
             for i, sock in enumerate(socks):
                 sock.sendall(REQUEST % b"r-%d" % i + b"Connection: close\r\n\r\n")
             leaving = asyncio.create_task(node.node.leave())
@@ -424,8 +423,8 @@
 @pytest.mark.parametrize("first", ["", "served"])
 def test_caller_whose_request_is_not_read_yet_does_not_make_room(monkeypatch, first):
     """It has just come, or rested until now; the one that says nothing goes, though it came later."""
-    monkeypatch.setattr(callers, "IDLE_LEAST", 0)
-    monkeypatch.setattr(callers, "GRACE", 0)
+    monkeypatch.setattr(http_server, "IDLE_LEAST", 0)
+    monkeypatch.setattr(http_server, "GRACE", 0)
 
     async def scenario():
         async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -7,7 +7,7 @@
 from peers import SETTINGS, Peer, Registry, Running, endpoint, listing, reply, run, soon, until
 
 from oakbridge.node import discovery
-from oakbridge.node.downstream import parse_timeout
+from oakbridge.node.client_request import parse_timeout
 from oakbridge.node.listing import BadList, parse
 from oakbridge.node.node import parse_report
 from oakbridge.node.upstream import SETTLE
@@ -486,7 +486,7 @@
 
 def test_callers_are_bounded(monkeypatch):
     """At the bound the caller that is idle longest goes; with none idle, one more is told to go elsewhere."""
-    monkeypatch.setattr("oakbridge.node.downstream.IDLE_LEAST", 0)
+    monkeypatch.setattr("oakbridge.node.http_server.IDLE_LEAST", 0)
 
     async def scenario():
         async with Peer(lambda seen: None) as peer, Running(peer) as node:
--- a/tests/node/test_streams.py
+++ b/tests/node/test_streams.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 from peers import SETTINGS, Peer, Running, reply, run, soon, until
 
-from oakbridge.node import downstream as callers
-from oakbridge.node import streams, upstream
+from oakbridge.node import client_connection, http_server, socket_state, upstream
+from oakbridge.node.client_request import absolute
+from oakbridge.node.request_body import WINDOW, Upload
 from oakbridge.node.settings import read_settings
-from oakbridge.node.streams import WINDOW, Upload, absolute
 from oakbridge.node.upstream import SETTLE
 
 BIG = 3_000_000
@@ -199,7 +199,7 @@
 
 def test_slow_readers_hold_bounded_memory_and_the_server_is_held_back(monkeypatch):
     """Back-pressure: what a server has ready for a slow caller stays with the server."""
-    monkeypatch.setattr(callers, "PATIENCE", 200_000)
+    monkeypatch.setattr(http_server, "PATIENCE", 200_000)
 
     async def handle(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
@@ -340,7 +340,7 @@
 
 @pytest.mark.parametrize("end", ["stall", "close", "reset"])
 def test_a_body_that_does_not_come_to_its_end_never_becomes_a_request(monkeypatch, end):
-    monkeypatch.setattr(callers, "PATIENCE", 300_000)
+    monkeypatch.setattr(http_server, "PATIENCE", 300_000)
     short, begun, left = [], asyncio.Event(), asyncio.Event()
 
     async def handle(reader, writer):
@@ -402,7 +402,7 @@
 
 
 def test_a_caller_that_writes_while_the_server_does_not_read_is_held_back_and_not_given_up(monkeypatch):
-    monkeypatch.setattr(callers, "PATIENCE", 200_000)
+    monkeypatch.setattr(http_server, "PATIENCE", 200_000)
     go = asyncio.Event()
 
     async def handle(reader, writer):
@@ -424,7 +424,7 @@
             while one.upload is None or not one.upload.upload.full:
                 await asyncio.sleep(0.005)
             await asyncio.sleep(0.7)
-            assert one.upload.upload._waiting < WINDOW + upstream.CHUNK + callers.HOLD
+            assert one.upload.upload._waiting < WINDOW + upstream.CHUNK + client_connection.HOLD
             go.set()
             assert (await caller.answer())[0] == 200
 
@@ -556,7 +556,7 @@
 
 
 def test_how_far_a_caller_has_read_is_told_by_what_is_still_out():
-    assert streams.progressed(-1, 5)
-    assert streams.progressed(9, 5)
-    assert not streams.progressed(5, 5)
-    assert streams.outgoing(None) == 0
+    assert socket_state.progressed(-1, 5)
+    assert socket_state.progressed(9, 5)
+    assert not socket_state.progressed(5, 5)
+    assert socket_state.outgoing(None) == 0
