--- a/oakbridge/node/attempt.py
+++ b/oakbridge/node/attempt.py
@@ -8,7 +8,7 @@
 
 from oakbridge.node.clock import Timer
 from oakbridge.node.http_framing import Headers
-from oakbridge.node.streams import Upload
+from oakbridge.node.request_body import Upload
 from oakbridge.policy.vocabulary import Result
 
 if TYPE_CHECKING:
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -15,9 +15,10 @@
 import httptools
 
 from oakbridge.node.attempt import Attempt, Reply, Sink
+from oakbridge.node.chunks import chunk
 from oakbridge.node.clock import Timer
 from oakbridge.node.http_framing import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
-from oakbridge.node.streams import Upload, chunk
+from oakbridge.node.request_body import Upload
 from oakbridge.policy.vocabulary import Result
 
 if TYPE_CHECKING:
