--- a/oakbridge/workers/door.py
+++ b/oakbridge/workers/door.py
@@ -26,7 +26,7 @@
 from oakbridge.control.peers import PeerDirectory, handle_peer_request
 from oakbridge.control.protocol import PEER_COMMANDS, ControlCommand, Request
 from oakbridge.control.server import ControlServer
-from oakbridge.node.downstream import ACCEPTED, listen_on
+from oakbridge.node.listener import ACCEPTED, listen_on
 from oakbridge.node.listing import Address
 from oakbridge.process import supervisor as sup
 from oakbridge.workers import crew as c
