--- /dev/null
+++ b/tests/formats/test_operators.py
@@ -0,0 +1,29 @@
+"""The operators' line protocol, held by a fixture that the program wrote before its names were changed.
+
+The fixture is a conversation with a node of two servers: the line after ``> `` is sent (as a Python bytes literal,
+since some are no text), the line after ``< `` must come back.
+"""
+
+import ast
+from pathlib import Path
+
+from peers import Peer, Running, reply, run
+
+from oakbridge.operators.calls import answer
+from oakbridge.operators.desk import NodeDesk
+
+FIXTURE = Path(__file__).parent / "fixtures" / "operators" / "conversation.txt"
+
+
+def test_each_line_gets_the_same_answer():
+    lines = FIXTURE.read_text().splitlines()
+
+    async def scenario():
+        async with Peer(lambda _: reply(200)) as a, Peer(lambda _: reply(200)) as b, Running(a, b) as node:
+            starting = NodeDesk(node.node)
+            assert answer(starting, b"HEALTH") == b"NO this process does not serve yet\n"
+            desk = NodeDesk(node.node, started=True)
+            for sent, expected in zip(lines[::2], lines[1::2], strict=True):
+                assert answer(desk, ast.literal_eval(sent[2:])).decode() == expected[2:] + "\n"
+
+    run(scenario())
