--- a/oakbridge/agent/runner.py
+++ b/oakbridge/agent/runner.py
@@ -87,7 +87,7 @@
         if self.process is None:
             return
         log.info("%s: found running as process %d", self.name, self.process.pid)
-        self.supervisor.state, self.supervisor.wanted = sup.State.RUNNING, True
+        self.supervisor.adopt()
 
     # ---- the machine's side
 
@@ -133,7 +133,7 @@
         for action in actions:
             if isinstance(action, sup.Start):
                 self._start()
-            elif isinstance(action, sup.Wake):
+            elif isinstance(action, sup.SetTimer):
                 self._later(action.at, lambda: self._do(self.supervisor.tick(now_us())))
             elif self.process is not None:
                 self.process.send(signal.SIGTERM if isinstance(action, sup.Stop) else signal.SIGKILL)
@@ -221,7 +221,7 @@
             "pid": self.process.pid if self.process is not None else None,
             "runs": self.running,
             "crashes": s.total_crashes,
-            "crash_loop": s.crash_loop,
+            "crash_loop": s.is_crash_looping,
             "last_exit": s.last_exit,
             "answers": bool(told),
             "heard": self.heard,
--- a/oakbridge/operators/protocol.py
+++ b/oakbridge/operators/protocol.py
@@ -1,7 +1,8 @@
 """The operators' line protocol: a command in, a line out that begins with YES or NO.  No I/O.
 
 A command is a verb and, for two of them, the id of one server.  Verbs count in any case, the space
-around them is free, and a line may end in CR LF.  Anything else gets a NO that says what was expected.
+around them is free, and a line may end in CR LF.  Anything else gets a NO that says what was
+expected.
 """
 
 from __future__ import annotations
--- a/oakbridge/process/__init__.py
+++ b/oakbridge/process/__init__.py
@@ -1,1 +1,1 @@
-"""One process of the project's own: when to start it, when to try again, when to call it a crash loop.  Pure."""
+"""Supervision of one process of this project: starts, retries with backoff, crash loops.  No I/O."""
--- a/oakbridge/workers/crew.py
+++ b/oakbridge/workers/crew.py
@@ -16,7 +16,9 @@
 
 from oakbridge.process import supervisor as sup
 
-SERVED = sup.SECOND  # a worker that took connections for so long has not failed to start, whatever ended it
+SERVED = (
+    sup.SECOND_US
+)  # a worker that took connections for so long has not failed to start, whatever ended it
 USAGE_ERROR = 2  # the exit code of a worker that can't use its configuration
 
 
@@ -121,8 +123,10 @@
             found += self._did(worker, machine.exited(now, how)) + self.end(now)
             return found
         found += self._did(worker, machine.exited(now, how))
-        if machine.crash_loop and not self.ending:
-            found.append(Say(f"worker {worker} is in a crash loop; next try in {machine.wait() / 1e6:.0f} s"))
+        if machine.is_crash_looping and not self.ending:
+            found.append(
+                Say(f"worker {worker} is in a crash loop; next try in {machine.backoff_us() / 1e6:.0f} s")
+            )
         if self._rolling and self._rolling[0] == worker and not asked:
             self._rolling.clear()
             found.append(Say(f"the rolling restart stops: worker {worker} did not come back"))
--- a/tests/workers/test_pure.py
+++ b/tests/workers/test_pure.py
@@ -155,7 +155,7 @@
         elif isinstance(action, sup.Stop):
             assert worker in self.alive
             self.alive[worker] = "leaving"
-        elif isinstance(action, sup.Wake):
+        elif isinstance(action, sup.SetTimer):
             self.wakes.append((action.at, worker))
         elif worker in self.alive:
             self.dies(worker, "SIGKILL", None)
