--- a/oakbridge/handover/channel.py
+++ b/oakbridge/handover/channel.py
@@ -1,4 +1,4 @@
-"""A Unix socket between the two processes of one node: packets with descriptors, in order, never waited for."""
+"""The connection between the two processes of a node: messages with descriptors, in order."""
 
 from __future__ import annotations
 
@@ -8,115 +8,147 @@
 import os
 import socket
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
-from oakbridge.handover.messages import PACKET, BadMessage, Message, Reader, pack
+from oakbridge.handover.errors import HandoverMessageError
+from oakbridge.handover.messages import Message, decode, encode
+from oakbridge.handover.packets import MAX_PACKET_BYTES, PacketAssembler, split_into_packets
 
 log = logging.getLogger(__name__)
 
-MAX_DESCRIPTORS = 8  # descriptors that come with one message at most
-PACKETS_PER_TURN = 32  # packets read in one turn of the loop
-MAX_QUEUED_PACKETS = (
-    4096  # packets that wait to be written; a process that reads none of so many is taken for gone
-)
+MAX_DESCRIPTORS = 8  # that come with one packet
+MAX_PACKETS_PER_TURN = 32  # read in one turn of the loop
+MAX_QUEUED_PACKETS = 4096  # waiting to be written; a process that leaves more unread counts as gone
+
+_TRUNCATED = socket.MSG_TRUNC | socket.MSG_CTRUNC
+
+OnMessage = Callable[["Channel", Message, list[int]], None]
+OnDisconnect = Callable[["Channel"], None]
 
 
 class Channel:
-    """One connection between the two."""
+    """One connection between the two processes.  It owns its socket."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        on_message: Callable[[Channel, Message, list[int]], None],
-        on_disconnect: Callable[[Channel], None],
+        on_message: OnMessage,
+        on_disconnect: OnDisconnect,
     ) -> None:
-        """``on_message``: told of each message, with descriptors that are its own to close.
+        """Begin to read.
 
-        ``on_disconnect``: told of the end, once.
+        Args:
+            loop: The loop in which this is called, and calls back.
+            sock: A connected socket of type SOCK_SEQPACKET that does not block.
+            on_message: Called with each message and its descriptors, which the callee closes.
+            on_disconnect: Called once when the other process has closed or broken the connection.
         """
-        self.loop, self.sock, self._on_message, self._on_disconnect = loop, sock, on_message, on_disconnect
-        self._reader = Reader()
-        self._received_descriptors: list[
-            int
-        ] = []  # that came with the packets of a message that is not whole yet
-        self._queue: deque[tuple[bytes, list[int]]] = deque()
-        self._write_blocked = self.closed = False
+        self.closed = False
+        self._loop = loop
+        self._sock = sock
+        self._on_message = on_message
+        self._on_disconnect = on_disconnect
+        self._assembler = PacketAssembler()
+        self._received_descriptors: list[int] = []  # of packets whose message is not complete yet
+        self._unsent: deque[tuple[bytes, list[int]]] = deque()
+        self._write_blocked = False
         loop.add_reader(sock, self._read)
 
-    def send(self, message: Message, fds: tuple[int, ...] = ()) -> bool:
-        """Send a message; its descriptors are closed here once they are sent.  False if the connection is over."""
-        if self.closed or len(self._queue) > MAX_QUEUED_PACKETS:
+    def send(self, message: Message, descriptors: Sequence[int] = ()) -> bool:
+        """Send a message, now or once the other process has room; False if the connection is over.
+
+        The descriptors are closed here once they are sent.
+        """
+        if self.closed or len(self._unsent) > MAX_QUEUED_PACKETS:
             return False
-        packets = pack(message)
-        self._queue.extend((packet, []) for packet in packets[:-1])
-        self._queue.append((packets[-1], list(fds)))
+        *continued, last = split_into_packets(encode(message))
+        self._unsent.extend((packet, []) for packet in continued)
+        self._unsent.append((last, list(descriptors)))
         if not self._write_blocked:
             self._write()
         return not self.closed
 
     def take_unsent_descriptors(self) -> list[int]:
-        """Take back the descriptors that were never sent."""
-        fds = [fd for _, fds in self._queue for fd in fds]
-        self._queue.clear()
-        return fds
+        """Give up all that waits to be sent, and return its descriptors for the caller to close."""
+        unsent = [descriptor for _, descriptors in self._unsent for descriptor in descriptors]
+        self._unsent.clear()
+        return unsent
+
+    def close(self) -> None:
+        """Close the connection; :meth:`take_unsent_descriptors` still returns what was not sent."""
+        if self.closed:
+            return
+        self.closed = True
+        self._loop.remove_reader(self._sock)
+        if self._write_blocked:
+            self._loop.remove_writer(self._sock)
+        self._sock.close()
+        for descriptor in self._received_descriptors:
+            os.close(descriptor)
+        self._received_descriptors = []
 
     def _write(self) -> None:
-        while self._queue:
-            packet, fds = self._queue[0]
-            ancillary = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", fds))] if fds else []
+        while self._unsent:
+            packet, descriptors = self._unsent[0]
             try:
-                self.sock.sendmsg([packet], ancillary)
+                self._sock.sendmsg([packet], _as_ancillary_data(descriptors))
             except BlockingIOError:
-                if not self._write_blocked:
-                    self._write_blocked = True
-                    self.loop.add_writer(self.sock, self._write)
+                self._write_once_possible()
                 return
             except OSError:
-                return self._disconnect()
-            self._queue.popleft()
-            for fd in fds:
-                os.close(fd)
+                self._disconnect()
+                return
+            self._unsent.popleft()
+            for descriptor in descriptors:
+                os.close(descriptor)
         if self._write_blocked:
             self._write_blocked = False
-            self.loop.remove_writer(self.sock)
+            self._loop.remove_writer(self._sock)
+
+    def _write_once_possible(self) -> None:
+        if not self._write_blocked:
+            self._write_blocked = True
+            self._loop.add_writer(self._sock, self._write)
 
     def _read(self) -> None:
-        for _ in range(PACKETS_PER_TURN):
+        for _ in range(MAX_PACKETS_PER_TURN):
             if self.closed:
                 return
             try:
-                packet, fds, flags, _ = socket.recv_fds(self.sock, PACKET + 1, MAX_DESCRIPTORS)
+                received = socket.recv_fds(self._sock, MAX_PACKET_BYTES, MAX_DESCRIPTORS)
             except BlockingIOError:
                 return
             except OSError:
-                return self._disconnect()
-            self._received_descriptors += fds
-            if not packet or flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-                return self._disconnect()
-            try:
-                message = self._reader.take(packet)
-            except BadMessage as e:
-                log.warning("the other process of this node: %s", e)
-                return self._disconnect()
-            if message is not None:
-                fds, self._received_descriptors = self._received_descriptors, []
-                self._on_message(self, message, fds)
+                self._disconnect()
+                return
+            packet, descriptors, flags, _ = received
+            self._received_descriptors += descriptors
+            if not packet or flags & _TRUNCATED:
+                self._disconnect()
+                return
+            self._receive(packet)
+
+    def _receive(self, packet: bytes) -> None:
+        try:
+            text = self._assembler.add(packet)
+            message = None if text is None else decode(text)
+        except HandoverMessageError as e:
+            log.warning("unusable message from the other process of this node: %s", e)
+            self._disconnect()
+            return
+        if message is not None:
+            descriptors = self._received_descriptors
+            self._received_descriptors = []
+            self._on_message(self, message, descriptors)
 
     def _disconnect(self) -> None:
         if not self.closed:
             self.close()
             self._on_disconnect(self)
 
-    def close(self) -> None:
-        """Close it; what was not sent stays in :meth:`take_unsent_descriptors`."""
-        if self.closed:
-            return
-        self.closed = True
-        self.loop.remove_reader(self.sock)
-        if self._write_blocked:
-            self.loop.remove_writer(self.sock)
-        self.sock.close()
-        for fd in self._received_descriptors:
-            os.close(fd)
-        self._received_descriptors = []
+
+def _as_ancillary_data(descriptors: list[int]) -> list[tuple[int, int, array.array[int]]]:
+    if not descriptors:
+        return []
+    return [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", descriptors))]
--- /dev/null
+++ b/oakbridge/handover/errors.py
@@ -0,0 +1,25 @@
+"""Errors of the protocol between the two processes of a node."""
+
+from __future__ import annotations
+
+
+class HandoverMessageError(ValueError):
+    """The other process sent a packet or a message that can't be used.
+
+    Attributes:
+        expected: What was expected, in words.
+        field: Where, as ``kind.field``; empty if it is the message as a whole.
+        received: What came instead, as a shortened ``repr``; empty if it would not help.
+    """
+
+    def __init__(self, expected: str, *, field: str = "", received: str = "") -> None:
+        self.expected = expected
+        self.field = field
+        self.received = received
+        super().__init__(expected, field, received)
+
+    def __str__(self) -> str:
+        """Name the field, what was expected and what came, on one line."""
+        where = f"{self.field}: " if self.field else ""
+        instead = f", got {self.received}" if self.received else ""
+        return f"{where}expected {self.expected}{instead}"
--- a/oakbridge/handover/messages.py
+++ b/oakbridge/handover/messages.py
@@ -1,90 +1,190 @@
-"""What the two processes say to one another: one JSON object to a packet, versioned and checked.  Pure.
+"""The messages between the two processes of a node, with their encoder and decoder.  Pure.
 
-Packets keep their bounds (SOCK_SEQPACKET), so that descriptors sent along belong to one message.  A long one, such as a
-list of servers, goes in several packets and counts once the last has come.
+A message is one JSON object with the version of the protocol, the kind of message, and the fields
+of that kind.  The two processes may be of different releases: the names on the wire stand in
+``_FORMATS`` only and never change, and fields that a later release adds are ignored.
 """
 
 from __future__ import annotations
 
 import json
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Any
 
-VERSION = 1
-PACKET = 32 * 1024  # bytes of text to a packet, under what a Unix socket's buffer takes
-MOST = 16 * 1024 * 1024  # bytes of one message
+from oakbridge.handover.errors import HandoverMessageError
 
-HELLO = "hello"  # new to old: who asks; version and name
-WELCOME = "welcome"  # old to new: what the node is, with its doors
-DECLINE = "decline"  # old to new: no; why
-READY = "ready"  # new to old: can serve from now on
-OVER = "over"  # old to new: accepts nothing more; what the module learned
-CALL = "call"  # either way: an operator's call that holds in both
-STILL = "still"  # old to new: what it still has: calls out, and descriptors
-CALLER = "caller"  # old to new: a caller's connection that rests
-KINDS = frozenset({HELLO, WELCOME, DECLINE, READY, OVER, CALL, STILL, CALLER})
+PROTOCOL_VERSION = 1
 
+JsonObject = dict[str, Any]
 
-class BadMessage(ValueError):
-    """A message that can't be used; the text says what was expected."""
+
+@dataclass(frozen=True, slots=True)
+class Hello:
+    """Successor to predecessor: ask to take over the node of this name."""
+
+    node_name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
-    """One message."""
+class Welcome:
+    """Predecessor to successor: the node as it is.  The listening sockets are sent along."""
 
-    kind: str
-    says: dict[str, Any] = field(default_factory=dict)
+    configuration: JsonObject  # the object of the configuration file
+    endpoint_list: JsonObject  # all listed servers, in the form that discovery gives them
+    outages: JsonObject  # the servers that operators hold out, see Outages.saved
+    draining: bool
 
 
-def pack(message: Message) -> list[bytes]:
-    """A message's packets, in order; all but the last begin with a plus."""
-    text = json.dumps({"v": VERSION, "kind": message.kind, **message.says}).encode()
-    parts = [text[i : i + PACKET] for i in range(0, len(text), PACKET)]
-    return [*(b"+" + part for part in parts[:-1]), b"." + parts[-1]]
+@dataclass(frozen=True, slots=True)
+class Decline:
+    """Predecessor to successor: there is nothing to take over here."""
 
+    reason: str
 
-class Reader:
-    """Puts messages together again."""
 
-    def __init__(self) -> None:
-        self._parts: list[bytes] = []
-        self._size = 0
+@dataclass(frozen=True, slots=True)
+class Ready:
+    """Successor to predecessor: the node is built and can serve at once."""
+
+
+@dataclass(frozen=True, slots=True)
+class TakeOver:
+    """Predecessor to successor: serve from now on, as the predecessor accepts nothing more."""
+
+    policy_state: JsonObject  # what its policy learned, see oakbridge.policy.state
+
+
+@dataclass(frozen=True, slots=True)
+class OperatorCommand:
+    """Either way: carry out an operator's command that came in at the other process."""
+
+    verb: str
+    server_id: str  # empty if the command names no server
+
+
+@dataclass(frozen=True, slots=True)
+class RemainingLoad:
+    """Predecessor to successor: what it still has, which counts against the limits of the node."""
 
-    def take(self, packet: bytes) -> Message | None:
-        """Take a packet; the message, once it is whole.  Raises :class:`BadMessage`."""
-        mark, part = packet[:1], packet[1:]
-        if mark not in (b"+", b"."):
-            raise BadMessage("expected a packet of this protocol")
-        self._size += len(part)
-        if self._size > MOST:
-            raise BadMessage(f"expected a message of at most {MOST} bytes")
-        self._parts.append(part)
-        if mark == b"+":
-            return None
-        text, self._parts, self._size = b"".join(self._parts), [], 0
-        return parse(text)
+    attempts: int  # in flight
+    connections: int  # of clients and to servers; each is one descriptor
 
 
-def parse(text: bytes) -> Message:
-    """A whole message, checked.  Raises :class:`BadMessage`."""
+@dataclass(frozen=True, slots=True)
+class ClientConnection:
+    """Predecessor to successor: an idle connection of a client, whose descriptor is sent along."""
+
+
+SuccessorMessage = Hello | Ready | OperatorCommand
+PredecessorMessage = (
+    Welcome | Decline | TakeOver | OperatorCommand | RemainingLoad | ClientConnection
+)  # fmt: skip
+Message = SuccessorMessage | PredecessorMessage
+
+
+@dataclass(frozen=True, slots=True)
+class _Field:
+    """One field of a message: its name in the code, its name on the wire, and its JSON type."""
+
+    attribute: str
+    wire_name: str
+    json_type: type
+
+
+@dataclass(frozen=True, slots=True)
+class _Format:
+    """The form of one kind of message on the wire."""
+
+    kind: str
+    message_type: type[Message]
+    fields: tuple[_Field, ...] = ()
+
+
+_FORMATS = (
+    _Format("hello", Hello, (_Field("node_name", "name", str),)),
+    _Format(
+        "welcome",
+        Welcome,
+        (
+            _Field("configuration", "file", dict),
+            _Field("endpoint_list", "known", dict),
+            _Field("outages", "outages", dict),
+            _Field("draining", "draining", bool),
+        ),
+    ),
+    _Format("decline", Decline, (_Field("reason", "why", str),)),
+    _Format("ready", Ready),
+    _Format("over", TakeOver, (_Field("policy_state", "learned", dict),)),
+    _Format(
+        "call",
+        OperatorCommand,
+        (
+            _Field("verb", "word", str),
+            _Field("server_id", "server", str),
+        ),
+    ),
+    _Format(
+        "still",
+        RemainingLoad,
+        (
+            _Field("attempts", "out", int),
+            _Field("connections", "held", int),
+        ),
+    ),
+    _Format("caller", ClientConnection),
+)
+_FORMAT_BY_KIND = {format_.kind: format_ for format_ in _FORMATS}
+_FORMAT_BY_TYPE = {format_.message_type: format_ for format_ in _FORMATS}
+
+
+def wire_kind(message: Message) -> str:
+    """Return the name of the kind of this message on the wire."""
+    return _FORMAT_BY_TYPE[type(message)].kind
+
+
+def encode(message: Message) -> bytes:
+    """Return the JSON text of a message."""
+    wire_format = _FORMAT_BY_TYPE[type(message)]
+    fields = {field.wire_name: getattr(message, field.attribute) for field in wire_format.fields}
+    return json.dumps({"v": PROTOCOL_VERSION, "kind": wire_format.kind, **fields}).encode()
+
+
+def decode(text: bytes) -> Message:
+    """Return the message of a JSON text.
+
+    Raises:
+        HandoverMessageError: It is no message of this version; the error names the field.
+    """
+    raw = _parse_object(text)
+    version = raw.get("v")
+    if version != PROTOCOL_VERSION:
+        raise HandoverMessageError(f"version {PROTOCOL_VERSION}", received=_shortened(version))
+    kind = raw.get("kind")
+    if not isinstance(kind, str) or kind not in _FORMAT_BY_KIND:
+        raise HandoverMessageError("a kind of message that is known", received=_shortened(kind))
+    wire_format = _FORMAT_BY_KIND[kind]
+    values = {field.attribute: _decode_field(kind, field, raw) for field in wire_format.fields}
+    return wire_format.message_type(**values)
+
+
+def _parse_object(text: bytes) -> JsonObject:
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError):
-        raise BadMessage("expected JSON") from None
+        raise HandoverMessageError("JSON") from None
     if not isinstance(raw, dict):
-        raise BadMessage("expected an object")
-    version, kind = raw.pop("v", None), raw.pop("kind", None)
-    if version != VERSION:
-        raise BadMessage(f"expected version {VERSION}, got {version!r:.40}")
-    if kind not in KINDS:
-        raise BadMessage(f"expected a kind of message that is known, got {kind!r:.40}")
-    expected: dict[str, dict[str, type]] = {
-        HELLO: {"name": str}, DECLINE: {"why": str}, CALL: {"word": str, "server": str},
-        WELCOME: {"file": dict, "known": dict, "outages": dict, "draining": bool}, OVER: {"learned": dict},
-        STILL: {"out": int, "held": int},
-    }  # fmt: skip
-    for name, kind_of in expected.get(kind, {}).items():
-        if not isinstance(raw.get(name), kind_of):
-            raise BadMessage(f"{kind}.{name}: expected {kind_of.__name__}, got {raw.get(name)!r:.40}")
-    return Message(kind, raw)
+        raise HandoverMessageError("an object")
+    return raw
+
+
+def _decode_field(kind: str, field: _Field, raw: JsonObject) -> Any:
+    value = raw.get(field.wire_name)
+    if not isinstance(value, field.json_type):
+        where = f"{kind}.{field.wire_name}"
+        expected = field.json_type.__name__
+        raise HandoverMessageError(expected, field=where, received=_shortened(value))
+    return value
+
+
+def _shortened(value: object) -> str:
+    return f"{value!r:.40}"
--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -1,157 +1,186 @@
-"""The process that runs: hand the node over to the one that is started beside it."""
+"""The process that runs: it listens for a successor, and hands the node over to it."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import logging
 import os
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from pathlib import Path
 
-from oakbridge.handover import state_machine
+from oakbridge.handover.actions import (
+    ApplyCommand,
+    Disconnect,
+    DrainToSuccessor,
+    PredecessorAction,
+    ResumeServing,
+    Send,
+    SendWelcome,
+)
 from oakbridge.handover.channel import Channel
-from oakbridge.handover.messages import CALL, CALLER, OVER, STILL, WELCOME, Message
-from oakbridge.handover.unix_socket import listen
+from oakbridge.handover.messages import (
+    ClientConnection,
+    Decline,
+    Message,
+    OperatorCommand,
+    RemainingLoad,
+    TakeOver,
+    Welcome,
+)
+from oakbridge.handover.state_machine import (
+    HAS_SUCCESSOR,
+    PredecessorState,
+    PredecessorStateMachine,
+)
+from oakbridge.handover.unix_socket import UnixListener
 from oakbridge.node.discovery import Discovery
 from oakbridge.node.listing import as_raw
 from oakbridge.node.node import Node
-from oakbridge.policy import state
+from oakbridge.policy import state as policy_state
 
 log = logging.getLogger(__name__)
 
-LOAD_REPORT_INTERVAL_S = 0.02  # between two words of what the old process still has
-
-CommandHandler = Callable[[str, str], None]  # an operator's word and the id it names
+LOAD_REPORT_INTERVAL_S = 0.02
 
 
 class Predecessor:
-    """The process that runs: listens for one that is started beside it, and hands over to it."""
+    """Carries the actions of a :class:`PredecessorStateMachine` out on the node and its sockets."""
+
+    def __init__(self, node: Node, apply_command: Callable[[str, str], None], path: Path) -> None:
+        """Take charge of a node.
 
-    def __init__(self, node: Node, apply_command: CommandHandler, path: Path) -> None:
-        self.node, self.apply_command, self.path = node, apply_command, path
-        self.loop = asyncio.get_running_loop()
-        self.machine = state_machine.PredecessorStateMachine(node.config.name)
-        self.channel: Channel | None = None
-        self._sock: socket.socket | None = None
-        self._inode = 0
+        ``apply_command`` carries out an operator's command, given its verb and the server it names.
+        """
+        self._node = node
+        self._apply_command = apply_command
+        self._path = path
+        self._loop = asyncio.get_running_loop()
+        self._machine = PredecessorStateMachine(node.config.name)
+        self._listener: UnixListener | None = None
+        self._channel: Channel | None = None  # to the successor, or to a process that asks to be it
 
     def listen(self) -> None:
-        """Listen; a node that can't be found goes on all the same, as SO_REUSEPORT lets another one in."""
+        """Listen for a successor.
+
+        A node that can't listen still serves: by SO_REUSEPORT a successor can listen beside it.
+        """
         try:
-            self._sock = listen(self.path)
-            self._inode = self.path.stat().st_ino
+            self._listener = UnixListener(self._path)
         except OSError as e:
-            log.warning("can't be handed over: %s: %s", self.path, e.strerror)
+            log.warning("can't be handed over: %s: %s", self._path, e.strerror)
             return
-        self.loop.add_reader(self._sock, self._accept)
+        self._loop.add_reader(self._listener, self._accept)
+
+    def relay_command(self, verb: str, server_id: str) -> None:
+        """Have an operator's command that came in here carried out in the successor too."""
+        if self._machine.relays_commands:
+            self._send(OperatorCommand(verb, server_id))
+
+    def close(self) -> None:
+        """Listen no more, and leave the successor alone."""
+        if self._listener is not None:
+            self._loop.remove_reader(self._listener)
+            self._listener.close()
+            self._listener = None
+        if self._channel is not None:
+            self._channel.close()
 
     def _accept(self) -> None:
-        assert self._sock is not None
-        try:
-            sock, _ = self._sock.accept()
-        except OSError:
+        assert self._listener is not None
+        sock = self._listener.accept()
+        if sock is not None:
+            Channel(self._loop, sock, self._on_message, self._on_disconnect)
+
+    def _on_message(self, channel: Channel, message: Message, descriptors: list[int]) -> None:
+        for descriptor in descriptors:
+            os.close(descriptor)  # a successor sends none
+        if self._channel not in (None, channel):
+            channel.send(Decline(HAS_SUCCESSOR))
+            channel.close()
             return
-        sock.setblocking(False)
-        Channel(self.loop, sock, self._on_message, self._on_disconnect)
-
-    def _on_message(self, channel: Channel, message: Message, fds: list[int]) -> None:
-        for fd in fds:
-            os.close(fd)  # none is expected on this side
-        if self.channel not in (None, channel):
-            self._decline(channel)
+        self._channel = channel
+        self._notice_shutdown()
+        self._perform(self._machine.receive(message))
+
+    def _on_disconnect(self, channel: Channel) -> None:
+        if channel is not self._channel:
             return
-        self.channel = channel
+        for descriptor in channel.take_unsent_descriptors():
+            self._node.server.admit(socket.socket(fileno=descriptor))
         self._notice_shutdown()
-        self._perform(self.machine.receive(message))
+        self._perform(self._machine.disconnected())
 
     def _notice_shutdown(self) -> None:
-        """Whether this process was told to end meanwhile."""
-        if self.node.server.leaving:
-            self.machine.begin_shutdown()
-
-    def _decline(self, channel: Channel) -> None:
-        channel.send(Message("decline", {"why": "another process takes over"}))
-        channel.close()
-
-    def _on_disconnect(self, channel: Channel) -> None:
-        if channel is self.channel:
-            for fd in channel.take_unsent_descriptors():
-                self.node.server.admit(socket.socket(fileno=fd))
-            self._notice_shutdown()
-            self._perform(self.machine.disconnected())
+        if self._node.server.leaving:
+            self._machine.begin_shutdown()
 
-    def _perform(self, actions: list[state_machine.Action]) -> None:
+    def _perform(self, actions: Sequence[PredecessorAction]) -> None:
         for action in actions:
-            if isinstance(action, state_machine.Send):
-                if action.kind == WELCOME:
-                    self._welcome()
-                else:
-                    self._send(Message(action.kind, action.says))
-            elif isinstance(action, state_machine.DrainToSuccessor):
-                self._drain_to_successor()
-            elif isinstance(action, state_machine.ResumeServing):
-                log.warning("the process that took over is gone: serving again")
-                self.node.balancer.retired = False
-                self.node.server.take_back()
-            elif isinstance(action, state_machine.ApplyCommand):
-                self.apply_command(action.word, action.server)
-            elif isinstance(action, state_machine.Disconnect) and self.channel is not None:
-                channel, self.channel = self.channel, None
-                channel.close()
-
-    def _send(self, message: Message, fds: tuple[int, ...] = ()) -> bool:
-        return self.channel is not None and self.channel.send(message, fds)
-
-    def _welcome(self) -> None:
-        node = self.node
+            match action:
+                case Send():
+                    self._send(action.message)
+                case SendWelcome():
+                    self._send_welcome()
+                case DrainToSuccessor():
+                    self._drain_to_successor()
+                case ResumeServing():
+                    self._resume_serving()
+                case ApplyCommand():
+                    self._apply_command(action.command.verb, action.command.server_id)
+                case Disconnect():
+                    self._disconnect()
+
+    def _send(self, message: Message, descriptors: Sequence[int] = ()) -> bool:
+        return self._channel is not None and self._channel.send(message, descriptors)
+
+    def _disconnect(self) -> None:
+        if self._channel is not None:
+            self._channel.close()
+            self._channel = None
+
+    def _send_welcome(self) -> None:
+        node = self._node
         index = node.source.index if isinstance(node.source, Discovery) else None
-        says = {
-            "file": node.config.raw,
-            "known": as_raw(index or 0, node.listed_now()),
-            "outages": node.outages.saved(),
-            "draining": node.server.life.draining,
-        }
-        self._send(Message(WELCOME, says), tuple(node.server.doors()))
+        welcome = Welcome(
+            configuration=node.config.raw,
+            endpoint_list=as_raw(index or 0, node.listed_now()),
+            outages=node.outages.saved(),
+            draining=node.server.life.draining,
+        )
+        self._send(welcome, node.server.doors())
         log.info("a process that takes over was told all")
 
     def _drain_to_successor(self) -> None:
-        node = self.node
+        node = self._node
         node.server.hand_over(self._migrate_connection)
         node.pool.close_idle()
-        learned = state.save(node.balancer, node.clock.now())
-        self._send(Message(OVER, {"learned": learned}))
+        self._send(TakeOver(policy_state.save(node.balancer, node.clock.now())))
         log.info("handed over; %d callers move on as they rest", node.server.callers())
-        self._report_load(())
+        self._report_load(None)
         node.server.move_all()
 
-    def _report_load(self, before: tuple[int, ...]) -> None:
-        """Now and then say what this process still has: until it ends, the limits are for both together."""
-        if self.channel is None or self.machine.state != state_machine.PredecessorState.DRAINING:
-            return
-        still = self.node.balancer.admission.out, self.node.server.callers() + self.node.pool.count
-        if still != before:
-            self._send(Message(STILL, {"out": still[0], "held": still[1]}))
-        self.loop.call_later(LOAD_REPORT_INTERVAL_S, self._report_load, still)
-
-    def _migrate_connection(self, fd: int) -> bool:
-        """Send a caller's connection along."""
-        return self._send(Message(CALLER), (fd,))
+    def _migrate_connection(self, descriptor: int) -> bool:
+        """Send an idle client connection to the successor; False if that is gone."""
+        return self._send(ClientConnection(), [descriptor])
 
-    def relay_command(self, word: str, server: str) -> None:
-        """An operator's call that came in here holds in the other process too."""
-        if self.machine.relays_commands():
-            self._send(Message(CALL, {"word": word, "server": server}))
+    def _report_load(self, last_report: RemainingLoad | None) -> None:
+        """Report what this process still has, now and whenever it has changed, while it drains.
 
-    def close(self) -> None:
-        """Be found no more; the name may be another process's by now."""
-        if self._sock is not None:
-            self.loop.remove_reader(self._sock)
-            self._sock.close()
-            with contextlib.suppress(OSError):
-                if self.path.stat().st_ino == self._inode:
-                    self.path.unlink()
-            self._sock = None
-        if self.channel is not None:
-            self.channel.close()
+        Until this process ends, the limits of the node hold for both together.
+        """
+        if self._channel is None or self._machine.state is not PredecessorState.DRAINING:
+            return
+        node = self._node
+        load = RemainingLoad(
+            attempts=node.balancer.admission.out,
+            connections=node.server.callers() + node.pool.count,
+        )
+        if load != last_report:
+            self._send(load)
+        self._loop.call_later(LOAD_REPORT_INTERVAL_S, self._report_load, load)
+
+    def _resume_serving(self) -> None:
+        log.warning("the process that took over is gone: serving again")
+        self._node.balancer.retired = False
+        self._node.server.take_back()
--- a/oakbridge/handover/state_machine.py
+++ b/oakbridge/handover/state_machine.py
@@ -1,201 +1,174 @@
-"""Both sides of a hand-over as state machines: what came in, what is to be done.  Pure.
+"""Both sides of a hand-over as state machines: messages and events in, actions out.  Pure.
 
-The old process goes on as if nothing were until the new one says that it can serve: so a new one that fails before
-that changes nothing.  From then on the new one accepts, and the old one ends what it has.  The new one waits for the
-old one at each step for a bounded time, and goes on without it: it ends for nothing that the old one does or leaves.
+The predecessor serves unchanged until the successor is ready, so that a successor that fails
+before that changes nothing.  From then on the successor accepts clients, and the predecessor
+completes what it has.  The successor waits for the predecessor at each step for a bounded time and
+goes on without it: no failure of the predecessor ends the successor.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any
 
-from oakbridge.handover.messages import CALL, DECLINE, HELLO, OVER, READY, STILL, WELCOME, Message
-
-
-@dataclass(frozen=True, slots=True)
-class Send:
-    """Send a message; an offer and an end are filled in by who has the state."""
-
-    kind: str
-    says: dict[str, Any] = field(default_factory=dict)
-
-
-@dataclass(frozen=True, slots=True)
-class DrainToSuccessor:
-    """Accept nothing more, say so with what was learned, and send callers' connections along as they rest."""
-
-
-@dataclass(frozen=True, slots=True)
-class ResumeServing:
-    """Be the node alone again."""
-
-
-@dataclass(frozen=True, slots=True)
-class BuildNode:
-    """Make the node, from what the other process said or from nothing."""
-
-    welcome: dict[str, Any] | None
-
-
-@dataclass(frozen=True, slots=True)
-class StartServing:
-    """StartServing from now on, with what the other process learned or nothing."""
-
-    learned: dict[str, Any] | None
-
-
-@dataclass(frozen=True, slots=True)
-class ApplyCommand:
-    """Carry out an operator's call that came in at the other process."""
-
-    word: str
-    server: str
-
-
-@dataclass(frozen=True, slots=True)
-class Disconnect:
-    """Have nothing more to do with the other process."""
-
-
-@dataclass(frozen=True, slots=True)
-class ReserveForPredecessor:
-    """Leave to the other process what it still has: calls out, and descriptors."""
-
-    out: int
-    held: int
-
-
-Action = (
-    ReserveForPredecessor
-    | Send
-    | DrainToSuccessor
-    | ResumeServing
-    | BuildNode
-    | StartServing
-    | ApplyCommand
-    | Disconnect
+from oakbridge.handover.actions import (
+    ApplyCommand,
+    BuildNode,
+    Disconnect,
+    DrainToSuccessor,
+    PredecessorAction,
+    ReserveForPredecessor,
+    ResumeServing,
+    Send,
+    SendWelcome,
+    StartServing,
+    SuccessorAction,
+)
+from oakbridge.handover.messages import (
+    Decline,
+    Hello,
+    Message,
+    OperatorCommand,
+    Ready,
+    RemainingLoad,
+    TakeOver,
+    Welcome,
+    wire_kind,
 )
 
+# Reasons on the wire for which a successor is declined.
+HAS_SUCCESSOR = "another process takes over"
+SHUTTING_DOWN = "ends"
+
 
 class PredecessorState(Enum):
-    """Where the process that runs is."""
+    """The state of the process that runs."""
 
-    SERVING = "serving"
-    WELCOMED = "welcomed"
-    DRAINING = "draining"
+    SERVING = "serving"  # without a successor
+    SUCCESSOR_STARTING = "successor starting"
+    DRAINING = "draining"  # the successor serves
 
 
 class PredecessorStateMachine:
-    """The process that runs: it is asked, and hands over to one process at most."""
+    """The process that runs and hands over to one successor at most."""
 
-    def __init__(self, name: str) -> None:
-        self.name, self.state = name, PredecessorState.SERVING
+    def __init__(self, node_name: str) -> None:
+        self.node_name = node_name
+        self.state = PredecessorState.SERVING
         self.shutting_down = False
 
-    def receive(self, message: Message) -> list[Action]:
-        """A message of the one that asks, or has taken over."""
-        if message.kind == HELLO:
-            return self._welcome_or_decline(message.says)
-        if message.kind == READY and self.state == PredecessorState.WELCOMED:
-            self.state = PredecessorState.DRAINING
-            return [DrainToSuccessor()]
-        if message.kind == CALL and self.state != PredecessorState.SERVING:
-            return [ApplyCommand(message.says["word"], message.says["server"])]
-        return [Send(DECLINE, {"why": f"{message.kind} is not expected now"}), *self.disconnected()]
-
-    def _welcome_or_decline(self, says: dict[str, Any]) -> list[Action]:
-        if says["name"] != self.name:
-            return [Send(DECLINE, {"why": f"this is {self.name}"}), Disconnect()]
-        if self.shutting_down or self.state != PredecessorState.SERVING:
-            return [
-                Send(DECLINE, {"why": "ends" if self.shutting_down else "another process takes over"}),
-                Disconnect(),
-            ]
-        self.state = PredecessorState.WELCOMED
-        return [Send(WELCOME)]
-
-    def disconnected(self) -> list[Action]:
-        """The other process has gone, or can't be understood."""
-        before, self.state = self.state, PredecessorState.SERVING
-        if before == PredecessorState.DRAINING and not self.shutting_down:
+    def receive(self, message: Message) -> list[PredecessorAction]:
+        """Handle a message of the successor, or of a process that asks to become it."""
+        match message:
+            case Hello():
+                return self._welcome_or_decline(message)
+            case Ready() if self.state is PredecessorState.SUCCESSOR_STARTING:
+                self.state = PredecessorState.DRAINING
+                return [DrainToSuccessor()]
+            case OperatorCommand() if self.relays_commands:
+                return [ApplyCommand(message)]
+            case _:
+                reason = f"{wire_kind(message)} is not expected now"
+                return [Send(Decline(reason)), *self.disconnected()]
+
+    def _welcome_or_decline(self, hello: Hello) -> list[PredecessorAction]:
+        reason = self._reason_to_decline(hello)
+        if reason is not None:
+            return [Send(Decline(reason)), Disconnect()]
+        self.state = PredecessorState.SUCCESSOR_STARTING
+        return [SendWelcome()]
+
+    def _reason_to_decline(self, hello: Hello) -> str | None:
+        if hello.node_name != self.node_name:
+            return f"this is {self.node_name}"
+        if self.shutting_down:
+            return SHUTTING_DOWN
+        if self.state is not PredecessorState.SERVING:
+            return HAS_SUCCESSOR
+        return None
+
+    def disconnected(self) -> list[PredecessorAction]:
+        """Handle that the successor is gone, or breaks the protocol."""
+        was_draining = self.state is PredecessorState.DRAINING
+        self.state = PredecessorState.SERVING
+        if was_draining and not self.shutting_down:
             return [Disconnect(), ResumeServing()]
         return [Disconnect()]
 
     def begin_shutdown(self) -> None:
-        """This process ends; nothing is taken back any more."""
+        """Handle that this process was told to end: it never serves again."""
         self.shutting_down = True
 
+    @property
     def relays_commands(self) -> bool:
-        """Whether operators' calls hold in another process too."""
-        return self.state != PredecessorState.SERVING
+        """Whether operators' commands have to be carried out in the successor too."""
+        return self.state is not PredecessorState.SERVING
 
 
 class SuccessorState(Enum):
-    """Where the process that was started beside another one is."""
+    """The state of the process that was started, beside another one or alone."""
 
-    CONNECTING = "connecting"
+    CONNECTING = "connecting"  # until the predecessor's welcome
     BUILDING = "building"
-    TAKING_OVER = "taking over"
+    TAKING_OVER = "taking over"  # ready, until the predecessor lets it serve
     SERVING = "serving"
 
 
 class SuccessorStateMachine:
-    """The process that was started: it asks, and serves in any case."""
-
-    def __init__(self, name: str) -> None:
-        self.name, self.state = name, SuccessorState.CONNECTING
-        self.is_connected = True
-
-    def connected(self) -> list[Action]:
-        """The other process was found."""
-        return [Send(HELLO, {"name": self.name})]
-
-    def receive(self, message: Message) -> list[Action]:
-        """A message of the one that ran before."""
-        if message.kind == WELCOME and self.state == SuccessorState.CONNECTING:
-            self.state = SuccessorState.BUILDING
-            return [BuildNode(message.says)]
-        if message.kind == OVER and self.state == SuccessorState.TAKING_OVER:
-            self.state = SuccessorState.SERVING
-            return [StartServing(message.says["learned"])]
-        if message.kind == STILL and self.state == SuccessorState.SERVING:
-            return [ReserveForPredecessor(message.says["out"], message.says["held"])]
-        if message.kind == CALL and self.state != SuccessorState.CONNECTING:
-            return [ApplyCommand(message.says["word"], message.says["server"])]
-        return self.disconnected()
-
-    def node_built(self) -> list[Action]:
-        """The node could serve now."""
-        if self.is_connected:
+    """The process that was started: it takes over if it can, and serves in any case."""
+
+    def __init__(self, node_name: str) -> None:
+        self.node_name = node_name
+        self.state = SuccessorState.CONNECTING
+        self.has_predecessor = True  # until the contrary is known
+
+    def connected(self) -> list[SuccessorAction]:
+        """Handle that a predecessor was found."""
+        return [Send(Hello(self.node_name))]
+
+    def receive(self, message: Message) -> list[SuccessorAction]:
+        """Handle a message of the predecessor; one that declines is done without."""
+        match message:
+            case Welcome() if self.state is SuccessorState.CONNECTING:
+                self.state = SuccessorState.BUILDING
+                return [BuildNode(message)]
+            case TakeOver() if self.state is SuccessorState.TAKING_OVER:
+                self.state = SuccessorState.SERVING
+                return [StartServing(message.policy_state)]
+            case RemainingLoad() if self.state is SuccessorState.SERVING:
+                return [ReserveForPredecessor(message)]
+            case OperatorCommand() if self.state is not SuccessorState.CONNECTING:
+                return [ApplyCommand(message)]
+            case _:
+                return self.disconnected()
+
+    def node_built(self) -> list[SuccessorAction]:
+        """Handle that the node is built and can serve."""
+        if self.has_predecessor:
             self.state = SuccessorState.TAKING_OVER
-            return [Send(READY)]
+            return [Send(Ready())]
         self.state = SuccessorState.SERVING
         return [StartServing(None)]
 
-    def timed_out(self) -> list[Action]:
-        """The other process has not answered in time."""
-        return (
-            self.disconnected()
-            if self.state in (SuccessorState.CONNECTING, SuccessorState.TAKING_OVER)
-            else []
-        )
-
-    def disconnected(self) -> list[Action]:
-        """The other process is gone, declines, or can't be understood: this one goes on without it."""
-        if not self.is_connected:
+    def timed_out(self) -> list[SuccessorAction]:
+        """Handle that the predecessor has not answered in time."""
+        if self.state in (SuccessorState.CONNECTING, SuccessorState.TAKING_OVER):
+            return self.disconnected()
+        return []
+
+    def disconnected(self) -> list[SuccessorAction]:
+        """Handle that there is no predecessor, or that it declines or breaks the protocol."""
+        if not self.has_predecessor:
             return []
-        self.is_connected = False
-        before = self.state
-        if before == SuccessorState.CONNECTING:
+        self.has_predecessor = False
+        if self.state is SuccessorState.CONNECTING:
             self.state = SuccessorState.BUILDING
             return [Disconnect(), BuildNode(None)]
-        if before == SuccessorState.TAKING_OVER:
+        if self.state is SuccessorState.TAKING_OVER:
             self.state = SuccessorState.SERVING
             return [Disconnect(), StartServing(None)]
         return [Disconnect()]
 
+    @property
     def relays_commands(self) -> bool:
-        """Whether operators' calls hold in another process too."""
-        return self.is_connected and self.state != SuccessorState.CONNECTING
+        """Whether operators' commands have to be carried out in the predecessor too."""
+        return self.has_predecessor and self.state is not SuccessorState.CONNECTING
--- a/oakbridge/handover/successor.py
+++ b/oakbridge/handover/successor.py
@@ -1,4 +1,4 @@
-"""The process that was started: take the node over from the one that runs, or serve alone."""
+"""The process that was started: it takes the node over from a predecessor, or serves alone."""
 
 from __future__ import annotations
 
@@ -6,127 +6,171 @@
 import logging
 import os
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from pathlib import Path
-from typing import Any
 
-from oakbridge.handover import state_machine
+from oakbridge.handover.actions import (
+    ApplyCommand,
+    BuildNode,
+    Disconnect,
+    ReserveForPredecessor,
+    Send,
+    StartServing,
+    SuccessorAction,
+)
 from oakbridge.handover.channel import Channel
-from oakbridge.handover.messages import CALL, CALLER, WELCOME, Message
+from oakbridge.handover.messages import (
+    ClientConnection,
+    JsonObject,
+    Message,
+    OperatorCommand,
+    RemainingLoad,
+    Welcome,
+)
+from oakbridge.handover.state_machine import SuccessorState, SuccessorStateMachine
 from oakbridge.handover.unix_socket import connect
 from oakbridge.node.node import Node
-from oakbridge.policy import state
+from oakbridge.policy import state as policy_state
 from oakbridge.policy.vocabulary import Elsewhere
 
 log = logging.getLogger(__name__)
 
-REPLY_TIMEOUT_S = 1.0  # for the other process to answer: one that takes longer is frozen, and is done without
-
-CommandHandler = Callable[[str, str], None]  # an operator's word and the id it names
+REPLY_TIMEOUT_S = 1.0  # a predecessor that takes longer to answer is frozen, and is done without
 
 
 class Successor:
-    """The process that was started: looks for one that runs, and takes over from it or serves alone."""
+    """Carries the actions of a :class:`SuccessorStateMachine` out on the node and its sockets.
+
+    Attributes:
+        path: Where the predecessor listens.
+        welcome: The node as the predecessor has it; None if there is no predecessor.
+        listeners: The predecessor's listening sockets, for the node to own.
+    """
 
-    def __init__(self, name: str, path: Path) -> None:
-        self.machine = state_machine.SuccessorStateMachine(name)
-        self.loop = asyncio.get_running_loop()
+    def __init__(self, node_name: str, path: Path) -> None:
         self.path = path
-        self.channel: Channel | None = None
-        self.welcome: dict[str, Any] | None = None
+        self.welcome: Welcome | None = None
         self.listeners: list[socket.socket] = []
-        self.node: Node | None = None
-        self.apply_command: CommandHandler | None = None
-        self._progress = asyncio.Event()
-        self._early_commands: list[tuple[str, str]] = []  # calls that came before the node was there
-        self._early_connections: list[socket.socket] = []  # and callers before it served
+        self._loop = asyncio.get_running_loop()
+        self._machine = SuccessorStateMachine(node_name)
+        self._progress = asyncio.Event()  # set after each event that may have changed the state
+        self._channel: Channel | None = None
+        self._node: Node | None = None
+        self._apply_command: Callable[[str, str], None] | None = None
+        self._early_commands: list[OperatorCommand] = []  # received before the node was there
+        self._early_connections: list[socket.socket] = []  # received before it served
 
     async def connect(self) -> None:
-        """Have ``welcome`` and ``doors`` from the process that runs, or know that there is none to ask."""
+        """Receive the predecessor's welcome, or find that there is no predecessor that answers."""
         sock = connect(self.path)
         if sock is None:
-            self.machine.is_connected = False
-            self.machine.state = state_machine.SuccessorState.BUILDING
+            self._perform(self._machine.disconnected())
             return
-        self.channel = Channel(
-            self.loop, sock, self._on_message, lambda _: self._perform(self.machine.disconnected())
-        )
-        self._perform(self.machine.connected())
-        await self._wait_until(lambda: self.machine.state != state_machine.SuccessorState.CONNECTING)
+        self._channel = Channel(self._loop, sock, self._on_message, self._on_disconnect)
+        self._perform(self._machine.connected())
+        await self._wait_until(lambda: self._machine.state is not SuccessorState.CONNECTING)
+
+    def attach(self, node: Node, apply_command: Callable[[str, str], None]) -> None:
+        """Go on with the node, once it is built.
+
+        ``apply_command`` carries out an operator's command, given its verb and the server it names.
+        """
+        self._node = node
+        self._apply_command = apply_command
+        for command in self._early_commands:
+            apply_command(command.verb, command.server_id)
+        self._early_commands = []
+
+    async def take_over(self) -> None:
+        """Have the predecessor stop accepting, and serve in its place from then on."""
+        self._perform(self._machine.node_built())
+        await self._wait_until(lambda: self._machine.state is SuccessorState.SERVING)
 
-    async def _wait_until(self, done: Callable[[], bool]) -> None:
+    def relay_command(self, verb: str, server_id: str) -> None:
+        """Have an operator's command that came in here carried out in the predecessor too."""
+        if self._machine.relays_commands:
+            self._send(OperatorCommand(verb, server_id))
+
+    def close(self) -> None:
+        """Leave the predecessor alone."""
+        if self._channel is not None:
+            self._channel.close()
+
+    async def _wait_until(self, condition: Callable[[], bool]) -> None:
         try:
             async with asyncio.timeout(REPLY_TIMEOUT_S):
-                while not done():
+                while not condition():
                     self._progress.clear()
                     await self._progress.wait()
         except TimeoutError:
             log.warning("the process that runs does not answer: going on without it")
-            self._perform(self.machine.timed_out())
-
-    def attach(self, node: Node, apply_command: CommandHandler) -> None:
-        """Have the node be as it was in the other process."""
-        self.node, self.apply_command = node, apply_command
-        for word, server in self._early_commands:
-            apply_command(word, server)
-
-    async def take_over(self) -> None:
-        """The node could serve: have the other process hand over, and be the node from then on."""
-        self._perform(self.machine.node_built())
-        await self._wait_until(lambda: self.machine.state == state_machine.SuccessorState.SERVING)
-
-    def _on_message(self, channel: Channel, message: Message, fds: list[int]) -> None:
-        if message.kind == CALLER:
-            for fd in fds:
-                self._accept_connection(socket.socket(fileno=fd))
-            return
-        if message.kind == WELCOME:
-            self.listeners = [socket.socket(fileno=fd) for fd in fds]
-        else:
-            for fd in fds:
-                os.close(fd)
-        self._perform(self.machine.receive(message))
+            self._perform(self._machine.timed_out())
+
+    def _on_message(self, _channel: Channel, message: Message, descriptors: list[int]) -> None:
+        match message:
+            case ClientConnection():
+                for descriptor in descriptors:
+                    self._accept_connection(socket.socket(fileno=descriptor))
+                return
+            case Welcome():
+                self.listeners = [socket.socket(fileno=descriptor) for descriptor in descriptors]
+            case _:
+                for descriptor in descriptors:
+                    os.close(descriptor)  # none is expected
+        self._perform(self._machine.receive(message))
+
+    def _on_disconnect(self, _channel: Channel) -> None:
+        self._perform(self._machine.disconnected())
 
     def _accept_connection(self, sock: socket.socket) -> None:
-        if self.node is not None and self.machine.state == state_machine.SuccessorState.SERVING:
-            self.node.server.admit(sock)
+        if self._node is not None and self._machine.state is SuccessorState.SERVING:
+            self._node.server.admit(sock)
         else:
             self._early_connections.append(sock)
 
-    def _perform(self, actions: list[state_machine.Action]) -> None:
+    def _perform(self, actions: Sequence[SuccessorAction]) -> None:
         for action in actions:
-            if isinstance(action, state_machine.Send) and self.channel is not None:
-                self.channel.send(Message(action.kind, action.says))
-            elif isinstance(action, state_machine.BuildNode):
-                self.welcome = action.welcome
-            elif isinstance(action, state_machine.StartServing):
-                self._start_serving(action)
-            elif isinstance(action, state_machine.ReserveForPredecessor):
-                self._reserve_for_predecessor(action.out, action.held)
-            elif isinstance(action, state_machine.ApplyCommand):
-                if self.apply_command is None:
-                    self._early_commands.append((action.word, action.server))
-                else:
-                    self.apply_command(action.word, action.server)
-            elif isinstance(action, state_machine.Disconnect) and self.channel is not None:
-                channel, self.channel = self.channel, None
-                channel.close()
-                self._reserve_for_predecessor(0, 0)
+            match action:
+                case Send():
+                    self._send(action.message)
+                case BuildNode():
+                    self.welcome = action.welcome
+                case StartServing():
+                    self._start_serving(action.policy_state)
+                case ReserveForPredecessor():
+                    self._reserve_for_predecessor(action.load)
+                case ApplyCommand():
+                    self._apply(action.command)
+                case Disconnect():
+                    self._disconnect()
         self._progress.set()
 
-    def _reserve_for_predecessor(self, out: int, held: int) -> None:
-        if self.node is not None:
-            self.node.share(held)
-            self.node.post(Elsewhere(out))
+    def _send(self, message: Message) -> None:
+        if self._channel is not None:
+            self._channel.send(message)
+
+    def _disconnect(self) -> None:
+        if self._channel is not None:
+            self._channel.close()
+            self._channel = None
+            self._reserve_for_predecessor(RemainingLoad(attempts=0, connections=0))
+
+    def _reserve_for_predecessor(self, load: RemainingLoad) -> None:
+        if self._node is not None:
+            self._node.share(load.connections)
+            self._node.post(Elsewhere(load.attempts))
 
-    def _start_serving(self, action: state_machine.StartServing) -> None:
-        node = self.node
+    def _apply(self, command: OperatorCommand) -> None:
+        if self._apply_command is None:
+            self._early_commands.append(command)
+        else:
+            self._apply_command(command.verb, command.server_id)
+
+    def _start_serving(self, learned: JsonObject | None) -> None:
+        node = self._node
         assert node is not None
-        if action.learned is not None:
-            try:
-                state.restore(node.balancer, action.learned, node.clock.now())
-            except (KeyError, TypeError, ValueError) as e:
-                log.warning("what the other process learned can't be used: %s", e)
+        if learned is not None:
+            self._restore_policy_state(node, learned)
             if node.settings.must_ask:
                 node.source.watch(True)
             log.info("taken over")
@@ -134,12 +178,9 @@
             node.server.admit(sock)
         self._early_connections = []
 
-    def relay_command(self, word: str, server: str) -> None:
-        """An operator's call that came in here holds in the other process too."""
-        if self.channel is not None and self.machine.relays_commands():
-            self.channel.send(Message(CALL, {"word": word, "server": server}))
-
-    def close(self) -> None:
-        """Have nothing more to do with the other process."""
-        if self.channel is not None:
-            self.channel.close()
+    @staticmethod
+    def _restore_policy_state(node: Node, learned: JsonObject) -> None:
+        try:
+            policy_state.restore(node.balancer, learned, node.clock.now())
+        except (KeyError, TypeError, ValueError) as e:
+            log.warning("what the other process learned can't be used: %s", e)
--- a/oakbridge/handover/unix_socket.py
+++ b/oakbridge/handover/unix_socket.py
@@ -1,4 +1,4 @@
-"""The Unix socket by which the two processes of a node find one another."""
+"""The Unix socket by which the processes of a node find one another."""
 
 from __future__ import annotations
 
@@ -11,52 +11,84 @@
 
 log = logging.getLogger(__name__)
 
+MAX_ADDRESS_BYTES = 100  # a Unix address holds 107
+MAX_NAME_CHARACTERS = 64  # of the node's name in that of the socket
+BACKLOG = 4
 
-def socket_path(name: str, folder: str | None = None) -> Path:
-    """Where the processes of a node find one another."""
-    safe = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:64]
-    return Path(folder or os.environ.get("TMPDIR") or "/tmp") / f"oakbridge-{safe}.sock"
 
+def socket_path(node_name: str, folder: str | None = None) -> Path:
+    """Return where the processes of a node meet: in this folder, ``TMPDIR`` or ``/tmp``."""
+    safe_name = "".join(c if c.isalnum() or c in "-_" else "_" for c in node_name)
+    meeting_folder = folder or os.environ.get("TMPDIR") or "/tmp"
+    return Path(meeting_folder) / f"oakbridge-{safe_name[:MAX_NAME_CHARACTERS]}.sock"
 
-@contextlib.contextmanager
-def addressable(path: Path) -> Iterator[str]:
-    """A name under which a socket in a long folder can be bound: a Unix address holds 107 bytes."""
-    if len(os.fsencode(path)) <= 100:
-        yield str(path)
-        return
-    folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
-    try:
-        yield f"/proc/self/fd/{folder}/{path.name}"
-    finally:
-        os.close(folder)
 
+class UnixListener:
+    """A listening socket under a name that other processes know.  It owns both."""
 
-def listen(path: Path) -> socket.socket:
-    """A Unix socket that listens under this name, in place of whatever has it.  Raises OSError."""
-    sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
-    try:
-        with contextlib.suppress(FileNotFoundError):
-            path.unlink()
-        with addressable(path) as name:
-            sock.bind(name)
-        path.chmod(0o600)
-        sock.listen(4)
-    except OSError:
-        sock.close()
-        raise
-    return sock
+    def __init__(self, path: Path) -> None:
+        """Listen at this path, in place of whatever has the name.
+
+        Raises:
+            OSError: The name can't be taken.
+        """
+        self._path = path
+        self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
+        try:
+            path.unlink(missing_ok=True)
+            with _short_address(path) as address:
+                self._sock.bind(address)
+            path.chmod(0o600)
+            self._sock.listen(BACKLOG)
+            self._inode = path.stat().st_ino
+        except OSError:
+            self._sock.close()
+            raise
+
+    def fileno(self) -> int:
+        """Return the descriptor, for a loop to watch."""
+        return self._sock.fileno()
+
+    def accept(self) -> socket.socket | None:
+        """Return a connection that waits, set not to block, or None."""
+        try:
+            sock, _ = self._sock.accept()
+        except OSError:
+            return None
+        sock.setblocking(False)
+        return sock
+
+    def close(self) -> None:
+        """Listen no more, and remove the name unless another process has it by now."""
+        self._sock.close()
+        with contextlib.suppress(OSError):
+            if self._path.stat().st_ino == self._inode:
+                self._path.unlink()
 
 
 def connect(path: Path) -> socket.socket | None:
-    """A connection to the process that listens there; None if there is none: no file, or one that a process left."""
+    """Connect to the process that listens there; None if there is none (any more)."""
     if not path.exists():
         return None
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
     try:
-        with addressable(path) as name:
-            sock.connect(name)
+        with _short_address(path) as address:
+            sock.connect(address)
     except OSError as e:
         sock.close()
         log.info("nobody hands over at %s: %s", path.name, e.strerror)
         return None
     return sock
+
+
+@contextlib.contextmanager
+def _short_address(path: Path) -> Iterator[str]:
+    """Give an address that fits for a socket in a folder with a long name."""
+    if len(os.fsencode(path)) <= MAX_ADDRESS_BYTES:
+        yield str(path)
+        return
+    folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
+    try:
+        yield f"/proc/self/fd/{folder}/{path.name}"
+    finally:
+        os.close(folder)
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -44,9 +44,9 @@
         self.successor = Successor(name, socket_path(name, self.environment.get("TMPDIR")))
         await self.successor.connect()
         config = self._configured(config, fault)
-        welcome = self.successor.welcome or {}
         outages = Outages()
-        outages.restore(welcome.get("outages", {}))
+        if self.successor.welcome is not None:
+            outages.restore(self.successor.welcome.outages)
         return Node(config, loop, doors=self._doors(config), shared=True, outages=outages)
 
     def _configured(self, config: Config | None, fault: ConfigError | None) -> Config:
@@ -57,12 +57,12 @@
             if config is None:
                 raise fault or ConfigError("NODE_CONFIG: missing")
             return config
-        if config is None or missing_key(welcome["file"], config.raw):
+        if config is None or missing_key(welcome.configuration, config.raw):
             log.error(
                 "the configuration can't be used, the running process's is: %s", fault or "it lacks a key"
             )
-            config = made(self.environment, welcome["file"])
-        return replace(config, known=welcome["known"])
+            config = made(self.environment, welcome.configuration)
+        return replace(config, known=welcome.endpoint_list)
 
     def _doors(self, config: Config) -> list[socket.socket]:
         """The running process's listening sockets, if they are where this node listens."""
@@ -97,7 +97,7 @@
             predecessor.relay_command(word, server)
 
         desk.changed = tell
-        if successor.welcome is not None and successor.welcome["draining"]:
+        if successor.welcome is not None and successor.welcome.draining:
             node.server.drain()
         listener = Listener(asyncio.get_running_loop(), node.config.control, lambda line: answer(desk, line))
         listener.start()
--- a/tests/formats/test_handover.py
+++ b/tests/formats/test_handover.py
@@ -4,10 +4,24 @@
 """
 
 from pathlib import Path
+from typing import get_args
 
 import pytest
 
-from oakbridge.handover.messages import Message, Reader, pack
+from oakbridge.handover.messages import (
+    ClientConnection,
+    Decline,
+    Hello,
+    Message,
+    OperatorCommand,
+    Ready,
+    RemainingLoad,
+    TakeOver,
+    Welcome,
+    decode,
+    encode,
+)
+from oakbridge.handover.packets import PacketAssembler, split_into_packets
 
 FIXTURES = Path(__file__).parent / "fixtures" / "handover"
 CONFIG_FILE = {
@@ -37,9 +51,9 @@
         "since_ms": 0.0,
     },
 ]
-SERVER_RECORD = [0, "127.0.0.1:8080", -2.0, 1, 0, 1000000, 2, 3, 0.0, -1, 1.0, 4, 0.0, 0, None, True]
+SERVER_STATE = [0, "127.0.0.1:8080", -2.0, 1, 0, 1000000, 2, 3, 0.0, -1, 1.0, 4, 0.0, 0, None, True]
 POLICY_STATE = {
-    "servers": {"s-0": SERVER_RECORD},
+    "servers": {"s-0": SERVER_STATE},
     "latency": {"read": [25000.0, 3000.5, 24000.0, 160]},
     "admission": [5.0, 10.0, 6, 0.5, 0.05, 1e-05, 32, 0.9],
     "due": {"gold": 7.0},
@@ -48,46 +62,55 @@
     "slots": [[53, [20.0, 0.0], {}], [54, [5.0, 17.5], {"gold": 0.2}]],
 }
 MESSAGES = {
-    "hello": Message("hello", {"name": "n3"}),
-    "welcome": Message(
-        "welcome",
-        {
-            "file": CONFIG_FILE,
-            "known": {"index": 41, "snapshot": True, "endpoints": ENDPOINTS},
-            "outages": {"s-1": [5000000, 0, 0], "s-2": [6000000, 7000000, 7000000]},
-            "draining": True,
-        },
+    "hello": Hello(node_name="n3"),
+    "welcome": Welcome(
+        configuration=CONFIG_FILE,
+        endpoint_list={"index": 41, "snapshot": True, "endpoints": ENDPOINTS},
+        outages={"s-1": [5000000, 0, 0], "s-2": [6000000, 7000000, 7000000]},
+        draining=True,
     ),
-    "decline": Message("decline", {"why": "another process takes over"}),
-    "ready": Message("ready"),
-    "over": Message("over", {"learned": POLICY_STATE}),
-    "call": Message("call", {"word": "OFFLINE", "server": "s-1"}),
-    "still": Message("still", {"out": 2, "held": 9}),
-    "caller": Message("caller"),
+    "decline": Decline(reason="another process takes over"),
+    "ready": Ready(),
+    "over": TakeOver(policy_state=POLICY_STATE),
+    "call": OperatorCommand(verb="OFFLINE", server_id="s-1"),
+    "still": RemainingLoad(attempts=2, connections=9),
+    "caller": ClientConnection(),
 }
 
 
+def read(*packets: bytes) -> Message:
+    """Read a message from its packets, of which only the last one completes it."""
+    assembler = PacketAssembler()
+    *incomplete, text = [assembler.add(packet) for packet in packets]
+    assert incomplete == [None] * (len(packets) - 1)
+    assert text is not None
+    return decode(text)
+
+
+def written(message: Message) -> list[bytes]:
+    return split_into_packets(encode(message))
+
+
 def test_each_kind_of_message_has_a_fixture():
     assert {path.stem for path in FIXTURES.iterdir()} == set(MESSAGES)
+    assert {type(message) for message in MESSAGES.values()} == set(get_args(Message))
 
 
 @pytest.mark.parametrize("kind", MESSAGES)
 def test_a_packet_is_read_and_written_as_before(kind):
     packet = (FIXTURES / f"{kind}.packet").read_bytes()
-    assert Reader().take(packet) == MESSAGES[kind]
-    assert pack(MESSAGES[kind]) == [packet]
+    assert read(packet) == MESSAGES[kind]
+    assert written(MESSAGES[kind]) == [packet]
 
 
 def test_a_long_message_is_divided_as_before():
-    message = Message("decline", {"why": "x" * 40_000})
+    message = Decline("x" * 40_000)
     text = b'{"v": 1, "kind": "decline", "why": "' + b"x" * 40_000 + b'"}'
     packets = [b"+" + text[: 32 * 1024], b"." + text[32 * 1024 :]]
-    assert pack(message) == packets
-    reader = Reader()
-    assert [reader.take(packet) for packet in packets] == [None, message]
+    assert written(message) == packets
+    assert read(*packets) == message
 
 
 def test_fields_that_a_later_version_adds_are_passed_over():
     packet = b'.{"v": 1, "kind": "still", "out": 2, "held": 9, "waiting": 4}'
-    message = Reader().take(packet)
-    assert (message.says["out"], message.says["held"]) == (2, 9)
+    assert read(packet) == RemainingLoad(attempts=2, connections=9)
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the two processes: any that can't be used is named, and ends the connection."""
+"""Messages between the two processes: one that can't be used is named, and ends the connection."""
 
 import json
 
@@ -6,44 +6,69 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from oakbridge.handover import messages as m
-from oakbridge.handover.messages import BadMessage, Message, Reader, pack, parse
+from oakbridge.handover.errors import HandoverMessageError
+from oakbridge.handover.messages import Decline, decode, encode
+from oakbridge.handover.packets import (
+    MAX_MESSAGE_BYTES,
+    MAX_PACKET_BYTES,
+    MAX_TEXT_BYTES,
+    PacketAssembler,
+    split_into_packets,
+)
 
 
 @given(st.text(max_size=200), st.integers(1, 4))
-def test_long_messages_go_in_packets_and_come_back_whole(text, times):
-    said = Message(m.DECLINE, {"why": text * times * 400})
-    reader, packets = Reader(), pack(said)
-    assert all(len(packet) <= m.PACKET + 1 for packet in packets)
-    assert [reader.take(packet) for packet in packets] == [None] * (len(packets) - 1) + [said]
+def test_long_messages_go_in_packets_and_come_back_complete(text, times):
+    sent = Decline(text * times * 400)
+    assembler, packets = PacketAssembler(), split_into_packets(encode(sent))
+    assert all(len(packet) <= MAX_PACKET_BYTES for packet in packets)
+    *incomplete, received = [assembler.add(packet) for packet in packets]
+    assert incomplete == [None] * (len(packets) - 1)
+    assert decode(received) == sent
+
+
+WELCOME_WITH_A_LIST = {"file": {}, "known": [], "outages": {}, "draining": True}
 
 
 @pytest.mark.parametrize(
     ("text", "expected"),
     [
-        (b"{", "JSON"), (b"[]", "an object"), (b'{"kind": "hello", "name": "n"}', "version 1"),
-        (b'{"v": 2, "kind": "hello", "name": "n"}', "version 1"), (b'{"v": 1, "kind": "bye"}', "a kind"),
-        (b'{"v": 1, "kind": "hello"}', "hello.name"), (b'{"v": 1, "kind": "call", "word": 5}', "call.word"),
-        (json.dumps({"v": 1, "kind": "welcome", "file": {}, "known": [], "outages": {}, "draining": True}).encode(),
-         "welcome.known"),
+        (b"{", "JSON"),
+        (b"[]", "an object"),
+        (b'{"kind": "hello", "name": "n"}', "version 1"),
+        (b'{"v": 2, "kind": "hello", "name": "n"}', "version 1"),
+        (b'{"v": 1, "kind": "bye"}', "a kind"),
+        (b'{"v": 1, "kind": ["hello"]}', "a kind"),
+        (b'{"v": 1, "kind": "hello"}', "hello.name"),
+        (b'{"v": 1, "kind": "call", "word": 5}', "call.word"),
+        (json.dumps({"v": 1, "kind": "welcome"} | WELCOME_WITH_A_LIST).encode(), "welcome.known"),
     ],
-)  # fmt: skip
+)
 def test_what_is_no_message_is_told_what_was_expected(text, expected):
-    with pytest.raises(BadMessage, match=expected):
-        parse(text)
+    with pytest.raises(HandoverMessageError, match=expected):
+        decode(text)
+
+
+def test_the_error_has_the_field_and_what_came_instead():
+    with pytest.raises(HandoverMessageError) as caught:
+        decode(b'{"v": 1, "kind": "call", "word": 5, "server": ""}')
+    error = caught.value
+    assert (error.field, error.expected, error.received) == ("call.word", "str", "5")
+    assert str(error) == "call.word: expected str, got 5"
 
 
 @given(st.binary(max_size=60))
 def test_no_packet_brings_the_reader_down(packet):
-    reader = Reader()
     try:
-        reader.take(packet)
-    except BadMessage as e:
+        text = PacketAssembler().add(packet)
+        if text is not None:
+            decode(text)
+    except HandoverMessageError as e:
         assert "expected" in str(e)
 
 
 def test_a_message_without_end_is_given_up():
-    reader = Reader()
-    with pytest.raises(BadMessage, match="at most"):
-        for _ in range(m.MOST // m.PACKET + 2):
-            reader.take(b"+" + b" " * m.PACKET)
+    assembler = PacketAssembler()
+    with pytest.raises(HandoverMessageError, match="at most"):
+        for _ in range(MAX_MESSAGE_BYTES // MAX_TEXT_BYTES + 2):
+            assembler.add(b"+" + b" " * MAX_TEXT_BYTES)
--- a/tests/handover/test_state_machine.py
+++ b/tests/handover/test_state_machine.py
@@ -1,110 +1,136 @@
-"""Both sides together, with every message lost, late or cut off: one of them serves, always, and one at a time."""
+"""Both sides, with every message lost, late or cut off: one of them serves, one at a time."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from oakbridge.handover import state_machine
-from oakbridge.handover.messages import CALL, DECLINE, HELLO, OVER, READY, STILL, WELCOME, Message
-from oakbridge.handover.state_machine import (
+from oakbridge.handover.actions import (
     ApplyCommand,
     BuildNode,
+    Disconnect,
     DrainToSuccessor,
-    PredecessorState,
-    PredecessorStateMachine,
+    ReserveForPredecessor,
     ResumeServing,
     Send,
+    SendWelcome,
     StartServing,
+)
+from oakbridge.handover.messages import (
+    Decline,
+    Hello,
+    OperatorCommand,
+    Ready,
+    RemainingLoad,
+    TakeOver,
+    Welcome,
+)
+from oakbridge.handover.state_machine import (
+    PredecessorState,
+    PredecessorStateMachine,
     SuccessorState,
     SuccessorStateMachine,
 )
 
-WELCOMED = {"file": {}, "known": {}, "outages": {}, "draining": False}
+WELCOME = Welcome(configuration={}, endpoint_list={}, outages={}, draining=False)
 
 
 def test_ordinary_course():
     old, new = PredecessorStateMachine("n"), SuccessorStateMachine("n")
     [hello] = new.connected()
-    assert hello == Send(HELLO, {"name": "n"})
-    assert old.receive(Message(HELLO, hello.says)) == [Send(WELCOME)]
-    assert new.receive(Message(WELCOME, WELCOMED)) == [BuildNode(WELCOMED)]
-    assert new.node_built() == [Send(READY)]
-    assert old.receive(Message(READY)) == [DrainToSuccessor()]
-    assert new.receive(Message(OVER, {"learned": {"a": 1}})) == [StartServing({"a": 1})]
-    assert new.receive(Message(STILL, {"out": 2, "held": 9})) == [state_machine.ReserveForPredecessor(2, 9)]
-    call = Message(CALL, {"word": "OFFLINE", "server": "s"})
-    assert old.receive(call) == new.receive(call) == [ApplyCommand("OFFLINE", "s")]
+    assert hello == Send(Hello("n"))
+    assert old.receive(hello.message) == [SendWelcome()]
+    assert new.receive(WELCOME) == [BuildNode(WELCOME)]
+    assert new.node_built() == [Send(Ready())]
+    assert old.receive(Ready()) == [DrainToSuccessor()]
+    assert new.receive(TakeOver({"a": 1})) == [StartServing({"a": 1})]
+    load = RemainingLoad(attempts=2, connections=9)
+    assert new.receive(load) == [ReserveForPredecessor(load)]
+    command = OperatorCommand("OFFLINE", "s")
+    assert old.receive(command) == new.receive(command) == [ApplyCommand(command)]
     assert old.disconnected()[-1] == ResumeServing()  # it was not told to end: it is the node again
     assert old.state == PredecessorState.SERVING
 
 
 def test_another_name_a_third_process_and_one_that_ends_are_declined():
     old = PredecessorStateMachine("n")
-    assert old.receive(Message(HELLO, {"name": "m"}))[0].kind == DECLINE
+    assert old.receive(Hello("m")) == [Send(Decline("this is n")), Disconnect()]
     assert old.state == PredecessorState.SERVING
-    old.receive(Message(HELLO, {"name": "n"}))
-    assert old.receive(Message(HELLO, {"name": "n"}))[0].kind == DECLINE
-    shutting_down = PredecessorStateMachine("n")
-    shutting_down.begin_shutdown()
-    assert shutting_down.receive(Message(HELLO, {"name": "n"}))[0] == Send(DECLINE, {"why": "ends"})
+    old.receive(Hello("n"))
+    third = old.receive(Hello("n"))
+    assert third == [Send(Decline("another process takes over")), Disconnect()]
+    ending = PredecessorStateMachine("n")
+    ending.begin_shutdown()
+    assert ending.receive(Hello("n")) == [Send(Decline("ends")), Disconnect()]
+
+
+def test_a_message_out_of_turn_is_declined_by_its_name_on_the_wire():
+    old = PredecessorStateMachine("n")
+    assert old.receive(TakeOver({})) == [Send(Decline("over is not expected now")), Disconnect()]
 
 
 def test_a_process_that_fails_before_its_yes_changes_nothing():
     old = PredecessorStateMachine("n")
-    old.receive(Message(HELLO, {"name": "n"}))
-    assert old.disconnected() == [state_machine.Disconnect()]
-    assert old.receive(Message(HELLO, {"name": "n"})) == [Send(WELCOME)]
+    old.receive(Hello("n"))
+    assert old.disconnected() == [Disconnect()]
+    assert old.receive(Hello("n")) == [SendWelcome()]
 
 
 def test_one_that_was_told_to_end_takes_nothing_back():
     old = PredecessorStateMachine("n")
-    old.receive(Message(HELLO, {"name": "n"}))
-    old.receive(Message(READY))
+    old.receive(Hello("n"))
+    old.receive(Ready())
     old.begin_shutdown()
-    assert old.disconnected() == [state_machine.Disconnect()]
-
-
-MESSAGES = st.sampled_from([
-    Message(HELLO, {"name": "n"}), Message(WELCOME, WELCOMED), Message(READY), Message(DECLINE, {"why": ""}),
-    Message(OVER, {"learned": {}}), Message(STILL, {"out": 1, "held": 1}),
-    Message(CALL, {"word": "JOIN", "server": ""}),
-])  # fmt: skip
+    assert old.disconnected() == [Disconnect()]
+
+
+MESSAGES = st.sampled_from(
+    [
+        Hello("n"),
+        WELCOME,
+        Ready(),
+        Decline(""),
+        TakeOver({}),
+        RemainingLoad(attempts=1, connections=1),
+        OperatorCommand("JOIN", ""),
+    ]
+)
+SUCCESSOR_EVENTS = st.sampled_from(["timed_out", "disconnected", "node_built"])
+PREDECESSOR_EVENTS = st.sampled_from(["disconnected", "begin_shutdown"])
 
 
-@given(
-    st.lists(st.one_of(MESSAGES, st.sampled_from(["timed_out", "disconnected", "node_built"])), max_size=12)
-)
-def test_the_new_process_builds_once_serves_once_and_never_ends(course):
+@given(st.lists(st.one_of(MESSAGES, SUCCESSOR_EVENTS), max_size=12))
+def test_the_successor_builds_once_serves_once_and_never_ends(course):
     new, actions = SuccessorStateMachine("n"), []
     new.connected()
-    for what in course:
-        if isinstance(what, Message):
-            actions += new.receive(what) if new.is_connected else []
-        elif what == "node_built":
+    for event in course:
+        if not isinstance(event, str):
+            actions += new.receive(event) if new.has_predecessor else []
+        elif event == "node_built":
             actions += new.node_built() if new.state == SuccessorState.BUILDING else []
         else:
-            actions += getattr(new, what)()
+            actions += getattr(new, event)()
     actions += new.timed_out()
     if new.state == SuccessorState.BUILDING:
         actions += new.node_built()
     actions += new.timed_out()
     assert new.state == SuccessorState.SERVING
-    assert [type(s) for s in actions if isinstance(s, BuildNode | StartServing)] == [BuildNode, StartServing]
+    steps = [type(action) for action in actions if isinstance(action, BuildNode | StartServing)]
+    assert steps == [BuildNode, StartServing]
 
 
-@given(st.lists(st.one_of(MESSAGES, st.sampled_from(["disconnected", "end"])), max_size=12))
-def test_the_old_process_hands_over_only_to_one_that_asked_and_is_ready(course):
+@given(st.lists(st.one_of(MESSAGES, PREDECESSOR_EVENTS), max_size=12))
+def test_the_predecessor_hands_over_only_to_one_that_asked_and_is_ready(course):
     old, asked, over = PredecessorStateMachine("n"), False, False
-    for what in course:
+    for event in course:
         actions = []
-        if what == "end":
+        if event == "begin_shutdown":
             old.begin_shutdown()
-        elif what == "disconnected":
+        elif event == "disconnected":
             actions = old.disconnected()
         else:
-            actions = old.receive(what)
+            actions = old.receive(event)
         if DrainToSuccessor() in actions:
             assert asked
-            assert what.kind == READY
+            assert event == Ready()
             over = True
         if ResumeServing() in actions:
             assert over
