--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -90,6 +90,7 @@
         assert self._listener is not None
         sock = self._listener.accept()
         if sock is not None:
+            # The loop keeps it; the first message makes it the channel to the successor.
             Channel(self._loop, sock, self._on_message, self._on_disconnect)
 
     def _on_message(self, channel: Channel, message: Message, descriptors: list[int]) -> None:
