--- a/tests/handover/processes.py
+++ b/tests/handover/processes.py
@@ -7,6 +7,7 @@
 import sys
 from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
 from peers import SETTINGS, Caller, Peer, Registry, endpoint, free_ports, listing, soon, until
 
@@ -16,14 +17,14 @@
 class Site:
     """A node's configuration, and the processes that were started by it."""
 
-    def __init__(self, folder: Path, *peers: Peer, **settings) -> None:
+    def __init__(self, folder: Path, *peers: Peer, **settings: object) -> None:
         self.folder = folder
         self.peers = peers
         self.settings = SETTINGS | {"discovery": "pushed"} | settings
         self.port, *self.controls = free_ports(14)
         self.processes: list[asyncio.subprocess.Process] = []
         self.logs: list[list[bytes]] = []
-        self.readers: list[asyncio.Task] = []
+        self.readers: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> "Site":
         self.registry = await Registry().__aenter__()
@@ -31,7 +32,7 @@
         self.write()
         return self
 
-    def write(self, text: str | None = None, **changes) -> None:
+    def write(self, text: str | None = None, **changes: object) -> None:
         raw = {
             "name": "n3",
             "listen": f"127.0.0.1:{self.port}",
@@ -43,7 +44,7 @@
         }
         (self.folder / "c.json").write_text(json.dumps(raw | changes) if text is None else text)
 
-    async def __aexit__(self, *_) -> None:
+    async def __aexit__(self, *_: object) -> None:
         for process in self.processes:
             if process.returncode is None:
                 process.send_signal(signal.SIGCONT)
@@ -71,11 +72,12 @@
         )
         self.processes.append(process)
         self.logs.append([])
-        self.readers.append(asyncio.ensure_future(self._read(process, self.logs[-1])))
+        self.readers.append(asyncio.create_task(self._read(process, self.logs[-1])))
         return process
 
     @staticmethod
-    async def _read(process, lines) -> None:
+    async def _read(process: asyncio.subprocess.Process, lines: list[bytes]) -> None:
+        assert process.stderr is not None
         while line := await process.stderr.readline():
             lines.append(line)
 
@@ -116,14 +118,15 @@
 class Load:
     """Clients that keep their connections, and some that open one for each request; counts both."""
 
-    def __init__(self, site: Site, kept: int = 6, fresh: int = 2, **request) -> None:
+    def __init__(self, site: Site, kept: int = 6, fresh: int = 2, **request: Any) -> None:
         self.site, self.request = site, request
         self.counts = {"sent": 0, "answered": 0, "closed": 0}
         self.statuses: list[int] = []
         self.stop = asyncio.Event()
-        self.tasks = [asyncio.ensure_future(self._one(i < kept)) for i in range(kept + fresh)]
+        keeps = [True] * kept + [False] * fresh
+        self.tasks = [asyncio.create_task(self._one(keep=keep)) for keep in keeps]
 
-    async def _one(self, keep: bool) -> None:
+    async def _one(self, *, keep: bool) -> None:
         caller = None
         while not self.stop.is_set():
             caller = caller or await self.site.caller()
