--- a/oakbridge/config/peers.py
+++ b/oakbridge/config/peers.py
@@ -8,7 +8,7 @@
 from oakbridge.config.load import BadFile, Loaded
 from oakbridge.config.schema import resolved
 from oakbridge.peers.member import Options
-from oakbridge.peers.record import MAX_NAME
+from oakbridge.peers.messages import MAX_NAME
 from oakbridge.peers.shell import PeersOptions
 from oakbridge.sources.files import FileOptions
 from oakbridge.sources.formats import Problem
--- a/oakbridge/lab/world.py
+++ b/oakbridge/lab/world.py
@@ -17,7 +17,7 @@
 from functools import partial
 from typing import Any
 
-from oakbridge.peers.record import About
+from oakbridge.peers.messages import SiteReport
 from oakbridge.peers.stance import WHOLE, Stance
 from oakbridge.policy import vocabulary as api
 from oakbridge.policy.balancer import Balancer
@@ -134,7 +134,7 @@
             [Sites(f"n{i}", home, worth, False, seed * 1000 + i) for i, home in enumerate(self.homes)]
             if with_sites else []
         )  # fmt: skip
-        self._said: dict[int, tuple[int, About]] = {}  # of each copy, and when
+        self._said: dict[int, tuple[int, SiteReport]] = {}  # of each copy, and when
         self._rates = [Rates() for _ in self.plans]
         self._ended: Counter[tuple[int, str]] = Counter()  # by copy
         for copy in range(len(self.plans)):
--- a/oakbridge/peers/courses.py
+++ b/oakbridge/peers/courses.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from oakbridge.peers.member import Options
-from oakbridge.peers.record import ALIVE, LEFT, STATES
+from oakbridge.peers.messages import MemberState
 from oakbridge.peers.simulated import Fleet, Network
 
 S = 1_000_000
@@ -74,7 +74,7 @@
     def start(self, name: str) -> None:
         """A process of this name; its clock may tell less than the last one's."""
         self.lives[name] = max(1, self.lives[name] + self.rng.choice((-1, 0, 1, 2)))
-        self.fleet.start(name, self.names[:2], life=self.lives[name])
+        self.fleet.start(name, self.names[:2], generation=self.lives[name])
         self.left.discard(name)
         self.found.events.append(f"{self.fleet.now} start {name} in life {self.lives[name]}")
 
@@ -116,16 +116,16 @@
         self.found.steps += 1
         for who, host in self.fleet.hosts.items():
             for about, known in host.member.known.items():
-                before, key = self.keys.get((host.member.me.token, about)), known.record.key
+                before, key = self.keys.get((host.member.me.token, about)), known.record.precedence
                 if before is not None and key < before:
                     self.found.broken.append(f"{who} went back on {about}: {before} to {key}")
                 if (
                     before is not None
-                    and before[3] == LEFT
+                    and before[3] == MemberState.LEFT
                     and key[:3] == before[:3]
-                    and known.record.state != LEFT
+                    and known.record.state != MemberState.LEFT
                 ):
-                    self.found.broken.append(f"{who} calls {about} {STATES[known.record.state]}, which left")
+                    self.found.broken.append(f"{who} calls {about} {known.record.state.label}, which left")
                 self.keys[host.member.me.token, about] = key
 
     def apart(self) -> list[str]:
@@ -141,7 +141,11 @@
                 found.append(f"{who} holds {sorted(held)} for alive, and {sorted(up)} are")
             for about in sorted(up - {who}):
                 record, truth = self.fleet.record(who, about), self.fleet.hosts[about].member.me
-                if record is not None and record.state == ALIVE and record.self_key != truth.self_key:
+                if (
+                    record is not None
+                    and record.state == MemberState.ALIVE
+                    and record.process_key != truth.process_key
+                ):
                     found.append(f"{who} holds an older life of {about}")
         for name, host in self.fleet.hosts.items():
             if host.up and host.member.replaced is not None:
--- a/oakbridge/peers/framing.py
+++ b/oakbridge/peers/framing.py
@@ -5,7 +5,7 @@
 import asyncio
 import struct
 
-from oakbridge.peers.wire import MAX_STATE
+from oakbridge.peers.codec import MAX_PUSH_PULL_BYTES
 
 LENGTH = struct.Struct("!I")
 
@@ -19,6 +19,6 @@
 async def read_state(reader: asyncio.StreamReader) -> bytes:
     """Read the other side's.  Raises OSError, EOFError, or ValueError for one that is too long."""
     (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
-    if length > MAX_STATE:
-        raise ValueError(f"expected at most {MAX_STATE} bytes, got {length}")
+    if length > MAX_PUSH_PULL_BYTES:
+        raise ValueError(f"expected at most {MAX_PUSH_PULL_BYTES} bytes, got {length}")
     return await reader.readexactly(length)
--- a/oakbridge/peers/interleavings.py
+++ b/oakbridge/peers/interleavings.py
@@ -24,8 +24,7 @@
 import msgspec
 
 from oakbridge.peers.member import Action, Exchange, Member, Options, Send
-from oakbridge.peers.record import LEFT, STATES
-from oakbridge.peers.wire import Message
+from oakbridge.peers.messages import Datagram, MemberState
 
 MS = 1_000
 OPTIONS = Options(
@@ -40,7 +39,7 @@
 NAMES = ("a", "b", "c")
 ON_ITS_WAY = 4  # beyond it the oldest message is lost
 _write = msgspec.msgpack.Encoder().encode
-_read = msgspec.msgpack.Decoder(Message).decode
+_read = msgspec.msgpack.Decoder(Datagram).decode
 CALM = 30_000 * MS  # in which members that hear each other must agree
 STEP = 2 * MS  # what a message takes then
 
@@ -156,21 +155,23 @@
     """What a step may not do to what a member holds; "" if it did none of it."""
     if (
         after.me.token == before.me.token
-        and after.me.key[2:] < before.me.key[2:]
-        and after.me.life == before.me.life
+        and after.me.precedence[2:] < before.me.precedence[2:]
+        and after.me.generation == before.me.generation
     ):
-        return f"{after.me.name}'s own incarnation went back: {before.me.key} to {after.me.key}"
+        return f"{after.me.name}'s own incarnation went back: {before.me.precedence} to {after.me.precedence}"
     for name, known in before.known.items():
         now = after.known.get(name)
         if (
             now is not None
-            and known.record.state == LEFT
-            and now.record.state != LEFT
-            and now.record.key[:3] == known.record.key[:3]
+            and known.record.state == MemberState.LEFT
+            and now.record.state != MemberState.LEFT
+            and now.record.precedence[:3] == known.record.precedence[:3]
         ):
-            return f"{after.me.name} calls {name} {STATES[now.record.state]}, which left"
-        if now is not None and now.record.key < known.record.key:
-            return f"{after.me.name} went back on {name}: {known.record.key} to {now.record.key}"
+            return f"{after.me.name} calls {name} {now.record.state.label}, which left"
+        if now is not None and now.record.precedence < known.record.precedence:
+            return (
+                f"{after.me.name} went back on {name}: {known.record.precedence} to {now.record.precedence}"
+            )
     return ""
 
 
--- a/oakbridge/peers/member.py
+++ b/oakbridge/peers/member.py
@@ -26,10 +26,19 @@
 
 import msgspec
 
+from oakbridge.peers.codec import HEADER_BYTES, MAX_DATAGRAM_BYTES, NEWEST_VERSION
+from oakbridge.peers.messages import (
+    Datagram,
+    MemberRecord,
+    MemberState,
+    MessageKind,
+    NodeReport,
+    PushPullState,
+    SiteReport,
+    Tags,
+)
 from oakbridge.peers.news import News, tellings
-from oakbridge.peers.record import ALIVE, FAILED, LEFT, STATES, SUSPECT, About, Fact, Record, Tags, merged
 from oakbridge.peers.suspicion import BETA, ENOUGH, Suspicion, least
-from oakbridge.peers.wire import ACK, GOSSIP, HEAD, MAX_DATAGRAM, NACK, NEWEST, PING, PING_REQ, Message, State
 
 MOST_HEALTH = 8  # Lifeguard's S
 SILENT_HEALTH = 1  # as far as the silence of others goes; late timers, which can only be our own doing, go on
@@ -40,7 +49,9 @@
 CATCH_UP = 4_000_000  # until it asks another one, twice as long each time: after a heal many do at once
 KNOCK_EVERY = 2_000_000  # at most one full exchange that is not due in so long
 LATE_PART = 0.4  # of the probe's time-out: a timer that fires later than this tells of a starved process
-ROOM = MAX_DATAGRAM - HEAD - 180  # for news; the rest are the fields of the longest names and addresses
+ROOM = (
+    MAX_DATAGRAM_BYTES - HEADER_BYTES - 180
+)  # for news; the rest are the fields of the longest names and addresses
 
 _encode = msgspec.msgpack.Encoder().encode
 
@@ -59,7 +70,7 @@
     forget: int = 24 * 3_600_000_000  # one that failed or left is remembered
     most: int = 10_000  # members, those that failed or left included
     local_health: bool = True
-    speaks: int = NEWEST
+    speaks: int = NEWEST_VERSION
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +78,7 @@
     """Send this message."""
 
     address: str
-    message: Message
+    message: Datagram
     version: int
 
 
@@ -108,18 +119,18 @@
 class Known:
     """What is held of one other member."""
 
-    record: Record
+    record: MemberRecord
     since: int  # when it came into its state
     told: int = -(2**62)  # when it was last told what is said of it, unasked
     suspicion: Suspicion | None = None
-    fact: Fact | None = None
+    fact: NodeReport | None = None
     fact_at: int = 0
     history: tuple[Changed, ...] = ()  # thousands of members have none
 
     @property
     def there(self) -> bool:
         """Held for alive; a suspected one is, until its time is over."""
-        return self.record.state <= SUSPECT
+        return self.record.state <= MemberState.SUSPECT
 
 
 @dataclass(slots=True)
@@ -138,21 +149,23 @@
         self,
         name: str,
         address: str,
-        life: int,
+        generation: int,
         tags: Tags,
         seed: int,
         now: int,
         options: Options | None = None,
     ) -> None:
-        """``life``: above that of earlier starts as far as is known, such as the time of day; see ``record``."""
+        """``generation``: above that of earlier starts as far as is known, such as the time of day."""
         self.options = options or Options()
         self._random = random.Random(seed)
         token = self._random.getrandbits(62)
-        self.me = Record(name, address, life, token, 0, ALIVE, "", self.options.speaks, tags)
+        self.me = MemberRecord(
+            name, address, generation, token, 0, MemberState.ALIVE, "", self.options.speaks, tags
+        )
         self.known: dict[str, Known] = {}
         self.health = 0  # Lifeguard's multiplier less one: 0 is well
         self.starting = True  # until a first exchange
-        self.replaced: Record | None = None
+        self.replaced: MemberRecord | None = None
         self.left = False
         self._behind = (
             0  # held for failed, it has asked so often for the news that went past it; 0: it has them
@@ -161,9 +174,9 @@
         self.counts: Counter[str] = Counter()
         self._seeds: list[str] = []
         self._tries = 0
-        self._news: News[Record] = News(self.options.most + 1)
+        self._news: News[MemberRecord] = News(self.options.most + 1)
         self._facts: News[str] = News(self.options.most + 1)
-        self._my_fact: Fact | None = None
+        self._my_fact: NodeReport | None = None
         self._my_fact_at = 0
         self._order: list[str] = []
         self._there: list[str] = []  # names held for alive, for draws
@@ -198,19 +211,19 @@
         """When ``tick`` has to be called next."""
         return self._heap[0][0]
 
-    def state(self) -> State:
+    def state(self) -> PushPullState:
         """All that is known, for a full exchange."""
         records = (self.me, *(k.record for k in self.known.values()))
-        return State(self.me.name, self.me.life, records)
+        return PushPullState(self.me.name, self.me.generation, records)
 
-    def fact(self, name: str, now: int) -> tuple[Fact, int] | None:
+    def fact(self, name: str, now: int) -> tuple[NodeReport, int] | None:
         """What a member said of its present, and how old that is in microseconds."""
         if name == self.me.name:
             return None if self._my_fact is None else (self._my_fact, now - self._my_fact_at)
         known = self.known.get(name)
         if known is None or known.fact is None:
             return None
-        return known.fact, known.fact.age * 1000 + now - known.fact_at
+        return known.fact, known.fact.age_ms * 1000 + now - known.fact_at
 
     # ---- what happens
 
@@ -226,7 +239,7 @@
             self._join(now)
         return self._done()
 
-    def acquaint(self, now: int, records: Iterable[Record]) -> None:
+    def acquaint(self, now: int, records: Iterable[MemberRecord]) -> None:
         """Hold these for known to everybody, as after a long rest together: none of it is news."""
         for record in records:
             if record.name != self.me.name and record.name not in self.known:
@@ -240,19 +253,23 @@
         """Leave on purpose: told to some at once, and to the rest by them."""
         if self.replaced is None and not self.left:
             self.left = True
-            self.me = msgspec.structs.replace(self.me, incarnation=self.me.incarnation + 1, state=LEFT)
+            self.me = msgspec.structs.replace(
+                self.me, incarnation=self.me.incarnation + 1, state=MemberState.LEFT
+            )
             self._tell(self.me)
             for name in self._draw(4 * self.options.fanout):
-                self._send(self.known[name].record, GOSSIP, 0, now, first=self.me)
+                self._send(self.known[name].record, MessageKind.GOSSIP, 0, now, first=self.me)
         return self._done()
 
     def set_fact(
         self, now: int, load: int, copies: int, failing: tuple[str, ...],
-        about: About | None = None, weight: int = 0,
+        about: SiteReport | None = None, weight: int = 0,
     ) -> list[Action]:  # fmt: skip
         """What is so at present; told where there is room."""
-        number = self._my_fact.number + 1 if self._my_fact is not None else 1
-        self._my_fact = Fact(self.me.name, self.me.life, number, 0, load, copies, failing[:8], about, weight)
+        number = self._my_fact.sequence + 1 if self._my_fact is not None else 1
+        self._my_fact = NodeReport(
+            self.me.name, self.me.generation, number, 0, load, copies, failing[:8], about, weight
+        )
         self._my_fact_at = now
         self._facts.put(self.me.name, self.me.name, len(_encode(self._my_fact)))
         return self._done()
@@ -262,17 +279,25 @@
         if not self.left and self.replaced is None and self._my_fact is not None:
             for name in names:
                 if (known := self.known.get(name)) is not None and known.there:
-                    self._compose(known.record.address, known.record.speaks, None, GOSSIP, 0, now, own=True)
+                    self._compose(
+                        known.record.address,
+                        known.record.max_version,
+                        None,
+                        MessageKind.GOSSIP,
+                        0,
+                        now,
+                        own=True,
+                    )
         return self._done()
 
-    def exchanged(self, now: int, state: State, asked: bool) -> list[Action]:
+    def exchanged(self, now: int, state: PushPullState, asked: bool) -> list[Action]:
         """A full exchange brought this; ``asked``: this member began it."""
         if self.left or self.replaced is not None:
             return self._done()
         self._woke(now)
         for record in state.records:
             self._hear(now, record, state.sender, "full exchange")
-        for fact in state.facts:
+        for fact in state.reports:
             self._hear_fact(now, fact)
         if asked:
             self.starting, self._behind = False, 0
@@ -283,7 +308,7 @@
         self.counts["exchanges failed"] += 1
         return self._done()
 
-    def receive(self, now: int, source: str, message: Message) -> list[Action]:
+    def receive(self, now: int, source: str, message: Datagram) -> list[Action]:
         """A datagram."""
         if self.left or self.replaced is not None:
             return self._done()
@@ -292,32 +317,32 @@
             self.counts["own name"] += 1  # another of this name; records decide which one stays
             return self._done()
         known = self.known.get(message.sender)
-        if known is not None and known.record.life > message.life:
+        if known is not None and known.record.generation > message.generation:
             self.counts["of old lives"] += 1  # it has been replaced, and is told
-            self._compose(source, known.record.speaks, known.record, GOSSIP, 0, now)
+            self._compose(source, known.record.max_version, known.record, MessageKind.GOSSIP, 0, now)
             return self._done()
-        for record in message.news:
+        for record in message.records:
             self._hear(now, record, message.sender, "news")
-        for fact in message.facts:
+        for fact in message.reports:
             self._hear_fact(now, fact)
         known = self.known.get(message.sender)
-        if known is None or known.record.life < message.life:
+        if known is None or known.record.generation < message.generation:
             self._knock(now, source)
         match message.kind:
-            case 0:
+            case MessageKind.PING:
                 self._pinged(now, source, message, known)
-            case 1:
+            case MessageKind.ACK:
                 self._acked(now, message)
-            case 2:
+            case MessageKind.PING_REQ:
                 self._asked(now, source, message)
-            case 3:
-                if self._probe is not None and self._probe.seq == message.seq:
+            case MessageKind.NACK:
+                if self._probe is not None and self._probe.seq == message.sequence:
                     self._probe.nacks += 1
             case _:
                 # It does not know what is said of it; seldom, as it may hold the same of us and answer likewise.
                 if known is not None and not known.there and now - known.told >= self.options.probe_timeout:
                     known.told = now
-                    self._send(known.record, GOSSIP, 0, now)
+                    self._send(known.record, MessageKind.GOSSIP, 0, now)
         return self._done()
 
     def tick(self, now: int) -> list[Action]:
@@ -377,7 +402,7 @@
             case "relay":
                 asked = self._relays.pop(int(key), None)
                 if asked is not None and not over and (known := self.known.get(asked[0])) is not None:
-                    self._send(known.record, NACK, asked[1], now)
+                    self._send(known.record, MessageKind.NACK, asked[1], now)
             case "catch up":
                 if self._behind and key == self._failed_as and not over:
                     self._catch_up(now)
@@ -423,7 +448,7 @@
             return
         self._seq += 1
         self._probe = _Probe(target, self._seq)
-        self._send(self.known[target].record, PING, self._seq, now, target=target)
+        self._send(self.known[target].record, MessageKind.PING, self._seq, now, target=target)
         self._at(now + self.options.probe_timeout * (self.health + 1), "ask", self._seq)
 
     def _next_target(self) -> str | None:
@@ -450,43 +475,47 @@
         for name in self._draw(self.options.indirect, besides=probe.target, well=True):
             probe.helpers.append(name)
             record = self.known[name].record
-            self._send(record, PING_REQ, probe.seq, now, target=probe.target, address=target.address)
+            self._send(
+                record, MessageKind.PING_REQ, probe.seq, now, target=probe.target, address=target.address
+            )
 
-    def _asked(self, now: int, source: str, message: Message) -> None:
-        if len(self._relays) >= RELAYS or message.sender not in self.known or not message.address:
+    def _asked(self, now: int, source: str, message: Datagram) -> None:
+        if len(self._relays) >= RELAYS or message.sender not in self.known or not message.target_address:
             self.counts["relays refused"] += len(self._relays) >= RELAYS
             return
         self._seq += 1
-        self._relays[self._seq] = (message.sender, message.seq, message.target)
+        self._relays[self._seq] = (message.sender, message.sequence, message.target)
         known = self.known.get(message.target)
-        if known is not None and known.record.address == message.address:
-            self._send(known.record, PING, self._seq, now, target=message.target)
+        if known is not None and known.record.address == message.target_address:
+            self._send(known.record, MessageKind.PING, self._seq, now, target=message.target)
         else:
-            self._compose(message.address, 1, None, PING, self._seq, now, target=message.target)
+            self._compose(
+                message.target_address, 1, None, MessageKind.PING, self._seq, now, target=message.target
+            )
         self._at(now + self.options.probe_timeout * 4 // 5 * (self.health + 1), "relay", self._seq)
 
-    def _pinged(self, now: int, source: str, message: Message, known: Known | None) -> None:
+    def _pinged(self, now: int, source: str, message: Datagram, known: Known | None) -> None:
         if message.target != self.me.name:
             self.counts["not for me"] += 1  # another had this address before
             return
-        version = known.record.speaks if known is not None else 1
-        first = known.record if known is not None and known.record.state != ALIVE else None
-        self._compose(source, version, first, ACK, message.seq, now)
+        version = known.record.max_version if known is not None else 1
+        first = known.record if known is not None and known.record.state != MemberState.ALIVE else None
+        self._compose(source, version, first, MessageKind.ACK, message.sequence, now)
 
-    def _acked(self, now: int, message: Message) -> None:
-        asked = self._relays.pop(message.seq, None)
+    def _acked(self, now: int, message: Datagram) -> None:
+        asked = self._relays.pop(message.sequence, None)
         if asked is not None:
             if asked[2] == message.sender and (known := self.known.get(asked[0])) is not None:
-                self._send(known.record, ACK, asked[1], now)
+                self._send(known.record, MessageKind.ACK, asked[1], now)
             return
         probe = self._probe
-        if probe is not None and probe.seq == message.seq and not probe.acked:
+        if probe is not None and probe.seq == message.sequence and not probe.acked:
             probe.acked = True
             self._feel(-1)
 
     def _reach(self, now: int) -> None:
         """Look at one that failed: it may have been cut off, and be there again."""
-        gone = [n for n, k in self.known.items() if k.record.state == FAILED]
+        gone = [n for n, k in self.known.items() if k.record.state == MemberState.FAILED]
         # A fleet whose first members met in pairs is several fleets until the seeds have met, too.
         there = {k.record.address for k in self.known.values() if k.there}
         strangers = sorted(s for s in self._seeds if s not in there)
@@ -494,104 +523,112 @@
             return
         number = self._random.randrange(len(gone) + len(strangers))
         if number < len(gone):
-            self._send(self.known[gone[number]].record, PING, 0, now, target=gone[number])
+            self._send(self.known[gone[number]].record, MessageKind.PING, 0, now, target=gone[number])
         else:
             self._knock(now, strangers[number - len(gone)])
 
     # ---- what is heard
 
-    def _hear(self, now: int, record: Record, via: str, how: str) -> None:
+    def _hear(self, now: int, record: MemberRecord, via: str, how: str) -> None:
         if record.name == self.me.name:
             return self._about_me(now, record)
         known = self.known.get(record.name)
         if known is None:
             return self._meet(now, record, via, how)
         old = known.record
-        same = old.self_key == record.self_key
-        if same and record.key == old.key and old.state == SUSPECT:
-            return self._confirm(now, known, record.by)
-        if merged(old, record) is None:
+        same = old.process_key == record.process_key
+        if same and record.precedence == old.precedence and old.state == MemberState.SUSPECT:
+            return self._confirm(now, known, record.reported_by)
+        if not record.supersedes(old):
             return
         if same:
-            if record.state != ALIVE:  # sayings of others come without what only the member itself can change
+            if (
+                record.state != MemberState.ALIVE
+            ):  # sayings of others come without what only the member itself can change
                 record = msgspec.structs.replace(record, tags=old.tags, address=old.address)
-            if record.state == FAILED and old.state <= SUSPECT:
+            if record.state == MemberState.FAILED and old.state <= MemberState.SUSPECT:
                 return self._accused(now, known, record, via)
         cause = "a new process of this name" if not same else how
-        self._set(now, known, record, record.by or via, cause)
+        self._set(now, known, record, record.reported_by or via, cause)
 
-    def _accused(self, now: int, known: Known, record: Record, via: str) -> None:
+    def _accused(self, now: int, known: Known, record: MemberRecord, via: str) -> None:
         """Someone says that it has failed."""
         # Told while it is suspected, or told again, a verdict shortens nothing: after a heal it often comes before the
         # refutation, which has the shortest time since the suspicion began in any case.
         if known.suspicion is None:
             self._set(
-                now, known, record.said(SUSPECT, record.by), record.by or via, "called failed, not by us"
+                now,
+                known,
+                record.with_state(MemberState.SUSPECT, record.reported_by),
+                record.reported_by or via,
+                "called failed, not by us",
             )
-            self._send(known.record, PING, 0, now, target=record.name)
+            self._send(known.record, MessageKind.PING, 0, now, target=record.name)
         suspicion = known.suspicion
         if suspicion is None or suspicion.accused:
             return
         suspicion.enough, suspicion.accused = 0, True  # nothing more is needed: the shortest time
         if suspicion.ends() <= now:
-            return self._set(now, known, record, record.by or via, "heard it while suspecting it")
+            return self._set(now, known, record, record.reported_by or via, "heard it while suspecting it")
         self._at(suspicion.ends(), "suspicion", record.name)
 
-    def _meet(self, now: int, record: Record, via: str, how: str) -> None:
+    def _meet(self, now: int, record: MemberRecord, via: str, how: str) -> None:
         if len(self.known) + 1 >= self.options.most and not self._make_room(record):
             self.counts["full"] += 1
             return
         known = self.known[record.name] = Known(record, now)
-        if record.state == SUSPECT:
-            self._doubt(now, known, record.by)
+        if record.state == MemberState.SUSPECT:
+            self._doubt(now, known, record.reported_by)
         self._listed(record.name, known.there)
-        self._told(now, known, "", record.by or via, f"first heard of by {how}")
+        self._told(now, known, "", record.reported_by or via, f"first heard of by {how}")
         self._tell(record)
         self._gossip_soon(now)
 
-    def _make_room(self, record: Record) -> bool:
+    def _make_room(self, record: MemberRecord) -> bool:
         """Forget the one that has been gone longest, for one that is there."""
-        if record.state > SUSPECT:
+        if record.state > MemberState.SUSPECT:
             return False
         gone = [(k.since, n) for n, k in self.known.items() if not k.there]
         if gone:
             del self.known[min(gone)[1]]
         return bool(gone)
 
-    def _about_me(self, now: int, record: Record) -> None:
+    def _about_me(self, now: int, record: MemberRecord) -> None:
         mine = self.me
-        if record.self_key < mine.self_key:
+        if record.process_key < mine.process_key:
             return self._tell(mine)
-        if record.self_key == mine.self_key:
-            if record.state == FAILED and record.incarnation > self._failed_as:
+        if record.process_key == mine.process_key:
+            if record.state == MemberState.FAILED and record.incarnation > self._failed_as:
                 self._failed_as = record.incarnation
                 self._behind = 0
                 self._catch_up(now)
-            if record.incarnation < mine.incarnation or (record.state == ALIVE and record == mine):
+            if record.incarnation < mine.incarnation or (
+                record.state == MemberState.ALIVE and record == mine
+            ):
                 return
-            if record.state == ALIVE and record.incarnation == mine.incarnation:
+            if record.state == MemberState.ALIVE and record.incarnation == mine.incarnation:
                 return
             self.counts["refuted"] += 1
             self._feel(1)
-            self._raise(now, mine.life, record.incarnation + 1)
-        elif self.starting or record.state > SUSPECT or record.address == mine.address:
+            self._raise(now, mine.generation, record.incarnation + 1)
+        elif self.starting or record.state > MemberState.SUSPECT or record.address == mine.address:
             # Nobody lives at this address but this process: that is its own past, of which its seeds did not know.
             self.counts["lives"] += 1
-            self._raise(now, record.life + 1, 0)
+            self._raise(now, record.generation + 1, 0)
         elif self.replaced is None:
             self.replaced = record
             self._out.append(Replaced(record.address))
 
-    def _raise(self, now: int, life: int, incarnation: int) -> None:
-        self.me = msgspec.structs.replace(self.me, life=life, incarnation=incarnation)
+    def _raise(self, now: int, generation: int, incarnation: int) -> None:
+        self.me = msgspec.structs.replace(self.me, generation=generation, incarnation=incarnation)
         self._tell(self.me)
         self._gossip_soon(now)
 
-    def _hear_fact(self, now: int, fact: Fact) -> None:
+    def _hear_fact(self, now: int, fact: NodeReport) -> None:
         known = self.known.get(fact.name)
-        if known is None or fact.life != known.record.life:
+        if known is None or fact.generation != known.record.generation:
             return
-        if known.fact is None or fact.key > known.fact.key:
+        if known.fact is None or fact.precedence > known.fact.precedence:
             known.fact, known.fact_at = fact, now
             self._facts.put(fact.name, fact.name, len(_encode(fact)) + 3)
 
@@ -601,15 +638,17 @@
         known = self.known.get(name)
         if known is None or not known.there:
             return
-        if known.record.state == SUSPECT:
+        if known.record.state == MemberState.SUSPECT:
             return self._confirm(now, known, self.me.name)
-        record = known.record.said(SUSPECT, self.me.name)
+        record = known.record.with_state(MemberState.SUSPECT, self.me.name)
         self._set(now, known, record, self.me.name, "no answer to a probe, nor by others")
 
     def _confirm(self, now: int, known: Known, accuser: str) -> None:
         if known.suspicion is not None and known.suspicion.confirm(accuser):
             self._at(max(now, known.suspicion.ends()), "suspicion", known.record.name)
-            self._tell(known.record.said(SUSPECT, accuser))  # so that others can count it too
+            self._tell(
+                known.record.with_state(MemberState.SUSPECT, accuser)
+            )  # so that others can count it too
             self._gossip_soon(now)
 
     def _doubt(self, now: int, known: Known, accuser: str) -> None:
@@ -639,26 +678,26 @@
         known = self.known.get(name)
         if known is None or known.suspicion is None or known.suspicion.ends() > now:
             return
-        record = known.record.said(FAILED, self.me.name)
+        record = known.record.with_state(MemberState.FAILED, self.me.name)
         who = ", ".join(sorted(known.suspicion.accusers)[:4])
         self._set(now, known, record, self.me.name, f"suspected by {who} and not refuted in time")
 
-    def _set(self, now: int, known: Known, record: Record, by: str, cause: str) -> None:
-        before = STATES[known.record.state]
-        fresh = record.self_key != known.record.self_key
+    def _set(self, now: int, known: Known, record: MemberRecord, by: str, cause: str) -> None:
+        before = known.record.state.label
+        fresh = record.process_key != known.record.process_key
         if (
             before == "suspect"
             and not fresh
-            and record.state in (ALIVE, FAILED)
+            and record.state in (MemberState.ALIVE, MemberState.FAILED)
             and self.options.local_health
         ):
-            self._learn(now, record.state == ALIVE)
+            self._learn(now, record.state == MemberState.ALIVE)
         known.record, known.suspicion = record, None
         if fresh:
             known.fact = None
-        if record.state == SUSPECT:
-            self._doubt(now, known, record.by)
-        if before != STATES[record.state] or fresh:
+        if record.state == MemberState.SUSPECT:
+            self._doubt(now, known, record.reported_by)
+        if before != record.state.label or fresh:
             known.since = now
             self._told(now, known, before, by, cause)
         self._listed(record.name, known.there)
@@ -669,7 +708,7 @@
 
     def _told(self, now: int, known: Known, before: str, by: str, cause: str) -> None:
         record = known.record
-        change = Changed(now, record.name, before, STATES[record.state], by, cause, record.address)
+        change = Changed(now, record.name, before, record.state.label, by, cause, record.address)
         known.history = (*known.history[1 - HISTORY :], change)
         self._out.append(change)
 
@@ -693,8 +732,8 @@
 
     # ---- what is said
 
-    def _tell(self, record: Record) -> None:
-        if record.state not in (ALIVE, LEFT) and record.tags:
+    def _tell(self, record: MemberRecord) -> None:
+        if record.state not in (MemberState.ALIVE, MemberState.LEFT) and record.tags:
             record = msgspec.structs.replace(record, tags={})
         self._news.put(record.name, record, len(_encode(record)) + 3)
 
@@ -709,7 +748,7 @@
         drawn: dict[str, None] = {}
         for _ in range(4 * many if self._there else 0):
             name = self._random.choice(self._there)
-            if name != besides and not (well and self.known[name].record.state == SUSPECT):
+            if name != besides and not (well and self.known[name].record.state == MemberState.SUSPECT):
                 drawn[name] = None
             if len(drawn) == many:
                 break
@@ -726,30 +765,30 @@
         if not len(self._news) or self.replaced is not None:
             return
         for name in self._draw(self.options.fanout, well=True):
-            self._send(self.known[name].record, GOSSIP, 0, now)
+            self._send(self.known[name].record, MessageKind.GOSSIP, 0, now)
         self._gossiping = True
         self._at(now + self.options.gossip, "gossip")
 
     def _send(
         self,
-        to: Record,
-        kind: int,
+        to: MemberRecord,
+        kind: MessageKind,
         seq: int,
         now: int,
         target: str = "",
         address: str = "",
-        first: Record | None = None,
+        first: MemberRecord | None = None,
     ) -> None:
         """To a member; one that is suspected or called failed is told so before all else (Lifeguard, IV-C)."""
-        first = first or (to if to.state in (SUSPECT, FAILED) else None)
-        self._compose(to.address, to.speaks, first, kind, seq, now, target, address)
+        first = first or (to if to.state in (MemberState.SUSPECT, MemberState.FAILED) else None)
+        self._compose(to.address, to.max_version, first, kind, seq, now, target, address)
 
     def _compose(
         self,
         where: str,
         speaks: int,
-        first: Record | None,
-        kind: int,
+        first: MemberRecord | None,
+        kind: MessageKind,
         seq: int,
         now: int,
         target: str = "",
@@ -760,29 +799,29 @@
         mine = (self._aged(self.me.name, now),) if own else ()
         room -= sum(len(_encode(fact)) + 3 for fact in mine)
         if first is not None:
-            first = msgspec.structs.replace(first, tags={}) if first.state != ALIVE else first
+            first = msgspec.structs.replace(first, tags={}) if first.state != MemberState.ALIVE else first
             room -= len(_encode(first)) + 3
             news.append(first)
         news += self._news.take(room, tellings(self.count()), 63)
         room -= sum(len(_encode(r)) + 3 for r in news[1 if first is not None else 0 :])
         version = min(speaks, self.options.speaks)
-        facts: tuple[Fact, ...] = ()
+        facts: tuple[NodeReport, ...] = ()
         if version >= 2:
             facts = mine
         if version >= 2 and len(self._facts) and room > 64:
             facts += tuple(self._aged(n, now) for n in self._facts.take(room, tellings(self.count()), 16))
         me = self.me
-        message = Message(
-            kind, seq, me.name, me.life, me.incarnation, target, address, tuple(news), facts
+        message = Datagram(
+            kind, seq, me.name, me.generation, me.incarnation, target, address, tuple(news), facts
         )  # fmt: skip
         self._out.append(Send(where, message, version))
 
-    def _aged(self, name: str, now: int) -> Fact:
+    def _aged(self, name: str, now: int) -> NodeReport:
         found = self.fact(name, now)
         if found is None:  # forgotten meanwhile
-            return Fact(self.me.name, self.me.life, 0)
+            return NodeReport(self.me.name, self.me.generation, 0)
         fact, age = found
-        return msgspec.structs.replace(fact, age=min(3_600_000, age // 1000))
+        return msgspec.structs.replace(fact, age_ms=min(3_600_000, age // 1000))
 
     def _done(self) -> list[Action]:
         out, self._out = self._out, []
--- a/oakbridge/peers/shell.py
+++ b/oakbridge/peers/shell.py
@@ -24,13 +24,13 @@
 
 from oakbridge.node.listing import Address, parse_address
 from oakbridge.peers import snapshot as snap
+from oakbridge.peers.codec import Codec, PeerMessageError
 from oakbridge.peers.framing import read_state, write_state
 from oakbridge.peers.member import Action, Changed, Exchange, Member, Options, Replaced, Send
+from oakbridge.peers.messages import MemberState, PushPullState, SiteReport
 from oakbridge.peers.places import Places
-from oakbridge.peers.record import LEFT, STATES, About
 from oakbridge.peers.stance import Seen, Stance, stance
 from oakbridge.peers.voices import Doubt, doubts
-from oakbridge.peers.wire import Codec, Dropped, State
 
 log = logging.getLogger(__name__)
 
@@ -89,7 +89,7 @@
         self.counts: Counter[str] = Counter()
         self.longest_turn = 0.0  # seconds
         self._facts, self._doubted = facts, doubted
-        self.about: Callable[[], About] | None = None  # what is said of sites, if anything is
+        self.about: Callable[[], SiteReport] | None = None  # what is said of sites, if anything is
         self.direct: Callable[[], list[str]] = lambda: []  # who is told facts at once, and not by others
         self.weight: Callable[[], int] | None = None  # what is told of its requests, if anything is
         self.urgent: Callable[[], bool] = lambda: False  # whether facts are told twice as often
@@ -112,12 +112,17 @@
     async def start(self) -> None:
         """Listen and join.  Raises OSError, or :class:`BadSnapshot`."""
         kept = snap.load(self.options.snapshot) if self.options.snapshot is not None else snap.Snapshot()
-        life = max(kept.life + 1, int(time.time()))
+        generation = max(kept.generation + 1, int(time.time()))
         loop = asyncio.get_running_loop()
         self.member = Member(
-            self.options.name, self._address, life, self.options.tags, self._random.getrandbits(64), self._now(),
+            self.options.name,
+            self._address,
+            generation,
+            self.options.tags,
+            self._random.getrandbits(64),
+            self._now(),
             self.options.member,
-        )  # fmt: skip
+        )
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.options.listen)
         sock = self._transport.get_extra_info("socket")
         with suppress(OSError):
@@ -179,8 +184,8 @@
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """One datagram; what can't be taken is counted and changes nothing."""
         try:
-            message = self.codec.read(data)
-        except Dropped:
+            message = self.codec.decode(data)
+        except PeerMessageError:
             return
         began = time.perf_counter()
         self.counts["received"] += 1
@@ -196,7 +201,7 @@
         for action in actions:
             match action:
                 case Send(address, message, version):
-                    data = self.codec.write(message, version)
+                    data = self.codec.encode(message, version)
                     self.counts["sent"] += 1
                     self.counts["bytes sent"] += len(data)
                     if self._transport is not None:
@@ -221,13 +226,23 @@
         if (change.before, change.after) in (("alive", "suspect"), ("suspect", "alive")):
             level = logging.DEBUG
         fields = {
-            "member": change.name, "before": change.before, "after": change.after, "by": change.by,
-            "cause": change.cause, "at_us": time.time_ns() // 1000,
-        }  # fmt: skip
+            "member": change.name,
+            "before": change.before,
+            "after": change.after,
+            "by": change.by,
+            "cause": change.cause,
+            "at_us": time.time_ns() // 1000,
+        }
         log.log(
-            level, "member %s is %s (was %s) by the word of %s: %s", change.name, change.after,
-            change.before or "not known", change.by or "its own", change.cause, extra=fields,
-        )  # fmt: skip
+            level,
+            "member %s is %s (was %s) by the word of %s: %s",
+            change.name,
+            change.after,
+            change.before or "not known",
+            change.by or "its own",
+            change.cause,
+            extra=fields,
+        )
 
     def _arm(self) -> None:
         if self._timer is not None:
@@ -257,7 +272,7 @@
                 state = await self._read(reader)
             await self._take(state, asked=True)
             self._stale = True
-        except (OSError, EOFError, TimeoutError, ValueError, Dropped):
+        except (OSError, EOFError, TimeoutError, ValueError, PeerMessageError):
             self._carry(self.member.exchange_failed(self._now(), address))
         finally:
             self._open["out"] -= 1
@@ -275,21 +290,21 @@
                 state = await self._read(reader)
                 await self._write(writer)
             await self._take(state, asked=False)
-        except (OSError, EOFError, TimeoutError, ValueError, Dropped):
+        except (OSError, EOFError, TimeoutError, ValueError, PeerMessageError):
             self.counts["exchanges broken"] += 1
         finally:
             self._open["in"] -= 1
             writer.close()
 
     async def _write(self, writer: asyncio.StreamWriter) -> None:
-        data = self.codec.write_state(self.member.state())
+        data = self.codec.encode_state(self.member.state())
         self.counts["bytes exchanged"] += len(data)
         await write_state(writer, data)
 
-    async def _read(self, reader: asyncio.StreamReader) -> State:
-        return self.codec.read_state(await read_state(reader))
+    async def _read(self, reader: asyncio.StreamReader) -> PushPullState:
+        return self.codec.decode_state(await read_state(reader))
 
-    async def _take(self, state: State, asked: bool) -> None:
+    async def _take(self, state: PushPullState, asked: bool) -> None:
         """In pieces, so that no turn of the loop is long."""
         records = state.records
         for start in range(0, max(1, len(records)), PIECE):
@@ -350,8 +365,10 @@
             rows.append(Seen(me.name, True, 0, me.tags.get("site", "")))
         for name, known in self.member.known.items():
             record = known.record
-            if record.state != LEFT:
-                rows.append(Seen(name, known.there, known.since, record.tags.get("site", ""), record.by))
+            if record.state != MemberState.LEFT:
+                rows.append(
+                    Seen(name, known.there, known.since, record.tags.get("site", ""), record.reported_by)
+                )
         return rows
 
     async def _saving(self, path: Path) -> None:
@@ -360,7 +377,9 @@
                 self._dirty = False
                 members = tuple((n, self.member.known[n].record.address) for n in self.member.alive())
                 try:
-                    await asyncio.to_thread(snap.save, path, snap.Snapshot(self.member.me.life, members))
+                    await asyncio.to_thread(
+                        snap.save, path, snap.Snapshot(self.member.me.generation, members)
+                    )
                 except OSError as e:
                     log.warning("the snapshot was not kept: %s: %s", path, e.strerror or e)
             await asyncio.sleep(SAVE_S)
@@ -372,22 +391,34 @@
         now, me = self._now(), self.member.me
         rows = [
             {
-                "name": me.name, "site": me.tags.get("site", ""), "state": "this node", "since_s": 0.0, "by": "",
-                "incarnation": me.incarnation, "version": me.tags.get("version", ""), "address": me.address,
-                "life": me.life,
+                "name": me.name,
+                "site": me.tags.get("site", ""),
+                "state": "this node",
+                "since_s": 0.0,
+                "by": "",
+                "incarnation": me.incarnation,
+                "version": me.tags.get("version", ""),
+                "address": me.address,
+                "life": me.generation,
             }
-        ]  # fmt: skip
+        ]
         for name in sorted(self.member.known):
             known = self.member.known[name]
             record, fact = known.record, self.member.fact(name, now)
             row: dict[str, Any] = {
-                "name": name, "site": record.tags.get("site", ""), "state": STATES[record.state],
-                "since_s": round((now - known.since) / 1e6, 1), "by": record.by, "incarnation": record.incarnation,
-                "version": record.tags.get("version", ""), "address": record.address, "life": record.life,
-            }  # fmt: skip
+                "name": name,
+                "site": record.tags.get("site", ""),
+                "state": record.state.label,
+                "since_s": round((now - known.since) / 1e6, 1),
+                "by": record.reported_by,
+                "incarnation": record.incarnation,
+                "version": record.tags.get("version", ""),
+                "address": record.address,
+                "life": record.generation,
+            }
             if fact is not None:
-                row["load"], row["copies"] = fact[0].load, fact[0].copies
-                row["failing"], row["fact_age_s"] = list(fact[0].failing), round(fact[1] / 1e6, 1)
+                row["load"], row["copies"] = fact[0].in_flight, fact[0].subset_size
+                row["failing"], row["fact_age_s"] = list(fact[0].failing_servers), round(fact[1] / 1e6, 1)
             rows.append(row)
         place = self.places.now
         return {
@@ -409,7 +440,7 @@
             "counts": {
                 **self.counts,
                 **self.member.counts,
-                **{f"dropped: {k}": n for k, n in self.codec.dropped.items()},
+                **{f"dropped: {k}": n for k, n in self.codec.rejected.items()},
             },
             "longest_turn_ms": round(self.longest_turn * 1e3, 3),
         }
@@ -419,8 +450,12 @@
         now = self._now()
         return [
             {
-                "ago_s": round((now - c.at) / 1e6, 1), "before": c.before, "after": c.after, "by": c.by,
-                "cause": c.cause, "address": c.address,
+                "ago_s": round((now - c.at) / 1e6, 1),
+                "before": c.before,
+                "after": c.after,
+                "by": c.by,
+                "cause": c.cause,
+                "address": c.address,
             }
             for c in self.member.known[name].history
-        ]  # fmt: skip
+        ]
--- a/oakbridge/peers/simulated.py
+++ b/oakbridge/peers/simulated.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
+from oakbridge.peers.codec import HEADER_BYTES
 from oakbridge.peers.member import Action, Changed, Exchange, Member, Options, Replaced, Send
-from oakbridge.peers.record import STATES, Record
-from oakbridge.peers.wire import HEAD, Message
+from oakbridge.peers.messages import Datagram, MemberRecord
 
 _size = msgspec.msgpack.Encoder().encode
 
@@ -42,7 +42,7 @@
     frozen: bool = False
     starved: float = 0.0  # every time-slice is taken away for up to this many microseconds
     wakes: int = 0
-    inbox: list[tuple[str, Message]] | None = None
+    inbox: list[tuple[str, Datagram]] | None = None
 
 
 class Fleet:
@@ -73,12 +73,14 @@
         name: str,
         seeds: list[str],
         address: str | None = None,
-        life: int = 1,
+        generation: int = 1,
         tags: dict[str, str] | None = None,
     ) -> Host:
         """Start a process; of an old one of this name nothing is kept, unless it has another address."""
         address = address or name
-        member = Member(name, address, life, tags or {}, self.random.getrandbits(64), self.now, self.options)
+        member = Member(
+            name, address, generation, tags or {}, self.random.getrandbits(64), self.now, self.options
+        )
         host = self.hosts[name] = self.at[address] = Host(member, address)
         self.carry(host, member.join(self.now, seeds))
         self._wake(host)
@@ -172,7 +174,7 @@
     def _send(self, host: Host, sent: Send) -> None:
         self.counts["messages"] += 1
         if self.measure:
-            self.counts["bytes"] += HEAD + len(_size(sent.message)) + 28  # IP and UDP headers
+            self.counts["bytes"] += HEADER_BYTES + len(_size(sent.message)) + 28  # IP and UDP headers
         for copy in range(2):
             if copy and self.random.random() >= self.network.doubled:
                 break
@@ -182,7 +184,7 @@
             if to is not None:
                 self.later(self._delay(to), lambda to=to: self._arrive(to, host.address, sent.message))  # type: ignore[misc]
 
-    def _arrive(self, to: Host, source: str, message: Message) -> None:
+    def _arrive(self, to: Host, source: str, message: Datagram) -> None:
         if not to.up:
             return
         if to.frozen:
@@ -228,9 +230,9 @@
     def held(self, who: str, about: str) -> str:
         """What one holds of another."""
         known = self.hosts[who].member.known.get(about)
-        return STATES[known.record.state] if known else ""
+        return known.record.state.label if known else ""
 
-    def record(self, who: str, about: str) -> Record | None:
+    def record(self, who: str, about: str) -> MemberRecord | None:
         """The record that one holds of another."""
         known = self.hosts[who].member.known.get(about)
         return known.record if known else None
--- a/oakbridge/peers/snapshot.py
+++ b/oakbridge/peers/snapshot.py
@@ -1,4 +1,4 @@
-"""What a member keeps over a restart: its life, and where others were.  A file written whole."""
+"""What a member keeps over a restart: its generation, and where others were.  A file written whole."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from oakbridge.peers.record import MAX_NAME, MAX_TAG
+from oakbridge.peers.messages import MAX_NAME, MAX_TEXT
 from oakbridge.sources.files import write_whole
 
 MAX_BYTES = 4 * 1024 * 1024
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The last life, and addresses to join by."""
+    """The last generation, and addresses to join by."""
 
-    life: int = 0
+    generation: int = 0
     members: tuple[tuple[str, str], ...] = ()  # name, address
 
     def seeds(self) -> tuple[str, ...]:
@@ -35,12 +35,17 @@
         if path.stat().st_size > MAX_BYTES:
             raise BadSnapshot(f"{path}: expected at most {MAX_BYTES} bytes")
         found = json.loads(path.read_bytes())
-        life, rows = found["life"], found["members"]
+        generation, rows = found["life"], found["members"]
         members = tuple((name, address) for name, address in rows)
         texts = all(
-            isinstance(word, str) and 0 < len(word) <= max(MAX_NAME, MAX_TAG) for m in members for word in m
+            isinstance(word, str) and 0 < len(word) <= max(MAX_NAME, MAX_TEXT) for m in members for word in m
         )
-        if not isinstance(life, int) or isinstance(life, bool) or not 0 <= life < 2**62 or not texts:
+        if (
+            not isinstance(generation, int)
+            or isinstance(generation, bool)
+            or not 0 <= generation < 2**62
+            or not texts
+        ):
             raise ValueError
     except FileNotFoundError:
         return Snapshot()
@@ -48,9 +53,9 @@
         raise BadSnapshot(f"{path}: {e.strerror or e}") from None
     except (ValueError, KeyError, TypeError, RecursionError):
         raise BadSnapshot(f'{path}: expected {{"life": NUMBER, "members": [[NAME, ADDRESS], ...]}}') from None
-    return Snapshot(life, members)
+    return Snapshot(generation, members)
 
 
 def save(path: Path, snapshot: Snapshot) -> None:
     """Write it whole.  Raises OSError."""
-    write_whole(path, json.dumps({"life": snapshot.life, "members": snapshot.members}).encode())
+    write_whole(path, json.dumps({"life": snapshot.generation, "members": snapshot.members}).encode())
--- a/oakbridge/peers/voices.py
+++ b/oakbridge/peers/voices.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from oakbridge.peers.record import Fact
+from oakbridge.peers.messages import NodeReport
 from oakbridge.peers.stance import HEED, use
 
 FRESH = 10_000_000  # microseconds; an older word says nothing of the present
@@ -28,7 +28,7 @@
     by: tuple[str, ...] = field(default=())
 
 
-def doubts(kind: str, facts: Iterable[tuple[Fact, int]], own: str) -> dict[str, Doubt]:
+def doubts(kind: str, facts: Iterable[tuple[NodeReport, int]], own: str) -> dict[str, Doubt]:
     """Each server that others find failing.
 
     ``kind``: the stance; ``facts``: what others said of their present and its age in microseconds; ``own``: this
@@ -39,7 +39,7 @@
     said: dict[str, dict[str, float]] = {}
     for fact, age in facts:
         if fact.name != own and age <= FRESH:
-            named = dict.fromkeys(fact.failing)
+            named = dict.fromkeys(fact.failing_servers)
             for server in named:
                 said.setdefault(server, {})[fact.name] = min(1.0, NAMES / len(named))
     found = {}
--- a/oakbridge/sites/beside.py
+++ b/oakbridge/sites/beside.py
@@ -61,9 +61,9 @@
         member, now = self.peers.member, time.monotonic_ns() // 1000
         for name in member.alive():
             told = member.fact(name, now)
-            if told is not None and told[0].about is not None:
+            if told is not None and told[0].site_report is not None:
                 site = member.known[name].record.tags.get("site", "")
-                yield Heard(name, site, told[1], told[0].about)
+                yield Heard(name, site, told[1], told[0].site_report)
 
     def look(self) -> None:
         """One look: what is known in, what holds out."""
@@ -115,4 +115,4 @@
             "operators: site %s is to be %s, by %s", name, "drained" if out else "returned", by or "somebody"
         )
         self.look()
-        return {"site": name, "out": held.out, "stamp": held.stamp, "by": held.by}
+        return {"site": name, "out": held.drained, "stamp": held.stamp_ms, "by": held.operator}
--- a/oakbridge/sites/core.py
+++ b/oakbridge/sites/core.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oakbridge.peers.record import MOST_SITES, About, Held, SiteWord
+from oakbridge.peers.messages import MAX_SITES, SiteObservation, SiteOverride, SiteReport, SiteVerdict
 from oakbridge.peers.stance import ALONE, GIVE_UP, PARTED, Stance, use
 from oakbridge.policy.view import ZoneView
 from oakbridge.sites.level import Level, first, order, pressure, refused
@@ -46,7 +46,7 @@
     name: str
     site: str
     age: int
-    about: About
+    about: SiteReport
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
         self.me, self.home, self.options, self.plan = me, home, options or Options(), plan
         self.sites: dict[str, Site] = {}
         self.level = Level(order(classes, over_share))
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, SiteOverride] = {}
         self.found: dict[str, Evidence] = {}
         self.pressure = 0.0
         self.decision = Decision({}, (), {}, 0)
@@ -129,29 +129,33 @@
 
     # ---- operators
 
-    def operate(self, clock_ms: int, site: str, out: bool, by: str) -> Held:
+    def operate(self, clock_ms: int, site: str, out: bool, by: str) -> SiteOverride:
         """An operator's word: drain a site, or return it; the same again changes nothing.  Raises UnknownSite."""
         if site not in self.sites:
             names = ", ".join(sorted(self.sites)) or "none yet"
             raise UnknownSite(f"site: expected one of {names}, got {site!r:.60}")
         old = self.held.get(site)
-        if old is not None and old.out == out:
+        if old is not None and old.drained == out:
             return old
         if old is None and not out:
             raise UnknownSite(f"site: {site!r:.60} is not drained by anybody")
         others = [s for s in self.sites.values() if s.name != site and s.part() > 0 and s.state != HELD_OUT]
         if out and not others:
             raise UnknownSite(f"site: {site!r:.60} is the last one that carries anything")
-        stamp = max(clock_ms, old.stamp + 1 if old is not None else 0)
-        self.held[site] = Held(site, stamp, out, by[:48])
+        stamp = max(clock_ms, old.stamp_ms + 1 if old is not None else 0)
+        self.held[site] = SiteOverride(site, stamp, out, by[:48])
         return self.held[site]
 
-    def _hear_operators(self, clock_ms: int, words: Iterable[Held]) -> None:
+    def _hear_operators(self, clock_ms: int, words: Iterable[SiteOverride]) -> None:
         """The greater stamp counts; one that is far ahead of this clock is not believed."""
         for word in words:
             old = self.held.get(word.site)
             known = word.site in self.held or word.site in self.sites
-            if known and word.stamp <= clock_ms + MAX_SKEW and (old is None or word.key > old.key):
+            if (
+                known
+                and word.stamp_ms <= clock_ms + MAX_SKEW
+                and (old is None or word.precedence > old.precedence)
+            ):
                 self.held[word.site] = word
 
     # ---- what is told to others
@@ -168,18 +172,22 @@
         leader = first([self.me, *there])
         return list(there) if leader == self.me else [leader]
 
-    def say(self) -> About:
+    def say(self) -> SiteReport:
         """This node's words, for its next fact."""
-        gone = {name: 1 + (s.state == CUT_OFF) for name, s in self.sites.items() if s.gone}
+        gone = {
+            name: SiteVerdict.CUT_OFF if s.state == CUT_OFF else SiteVerdict.LOST
+            for name, s in self.sites.items()
+            if s.gone
+        }
         seen = sorted(self._own.zones, key=lambda z: (z.zone not in gone, -(z.mute + z.dead)))
         words = tuple(
-            SiteWord(z.zone[:48], z.good, z.mute, z.dead, gone.get(z.zone, 0))
+            SiteObservation(z.zone[:48], z.good, z.mute, z.dead, gone.get(z.zone, SiteVerdict.NONE))
             for z in seen
             if z.good + z.mute + z.dead or z.zone in gone
         )
-        held = tuple(sorted(self.held.values(), key=lambda h: -h.stamp)[:MOST_SITES])
-        return About(
-            words[:MOST_SITES], min(1_000_000, round(self._own.calls)), round(1000 * self._own.pressure),
+        held = tuple(sorted(self.held.values(), key=lambda h: -h.stamp_ms)[:MAX_SITES])
+        return SiteReport(
+            words[:MAX_SITES], min(1_000_000, round(self._own.calls)), round(1000 * self._own.pressure),
             round(1000 * self.level.now), self.level.by, held, self.plan.version if self.plan else 0,
         )  # fmt: skip
 
@@ -192,16 +200,16 @@
         """
         self._own = own
         for one in heard:
-            self._hear_operators(clock_ms, one.about.held)
+            self._hear_operators(clock_ms, one.about.overrides)
         for zone in own.zones:
             if zone.zone and zone.zone not in self.sites:
                 site = Site(zone.zone, zone.zone == self.home, self.options.warm_up, self.options.step)
                 self.sites[zone.zone] = site
-        mine = tuple(SiteWord(z.zone, z.good, z.mute, z.dead) for z in own.zones)
-        voices = [Voice(h.name, h.site, h.age, h.about.words) for h in heard]
+        mine = tuple(SiteObservation(z.zone, z.good, z.mute, z.dead) for z in own.zones)
+        voices = [Voice(h.name, h.site, h.age, h.about.observations) for h in heard]
         voices.append(Voice(self.me, self.home, 0, mine))
         # Old words are left out: a level that goes by them goes on rising long after it was enough.
-        rows = ((h.about.pressure / 1000, h.about.calls) for h in heard if h.age <= FRESH)
+        rows = ((h.about.overload_per_mille / 1000, h.about.calls_per_s) for h in heard if h.age <= FRESH)
         self.pressure = pressure([(own.pressure, own.calls), *rows])
         self._levels(now, heard)
         changes = self._states(now, stance, voices)
@@ -229,7 +237,7 @@
             troubled = any(s.gone or s.state == "doubted" for s in self.sites.values() if s is not site)
             held = self.held.get(name)
             before = site.state
-            out = held is not None and held.out
+            out = held is not None and held.drained
             site.hear(now, found, out, troubled, self.pressure > PRESSED)
             if site.state != before:
                 changes.append(site.history[-1])
@@ -289,7 +297,9 @@
         )
         if leader != self.me:
             told = next(h.about for h in heard if h.name == leader)
-            return self.level.follow(now, leader, told.level / 1000 if told.by == leader else None)
+            return self.level.follow(
+                now, leader, told.shedding_per_mille / 1000 if told.shedding_leader == leader else None
+            )
         if 0 < before < self._room and self.level.now > 0:
             self.level.opened(self._room / before, self._mix())
         self.level.set(now, self.me, self.pressure, self._mix())
@@ -307,9 +317,9 @@
                 "part": self.decision.parts.get(name, 1.0), "good": found.good, "mute": found.mute, "dead": found.dead,
                 "by": list(found.by), "flaps": site.pace.failures,
                 "again_in_s": round(max(0, site.pace.again_at - now) / 1e6, 1) if site.gone else 0.0,
-                "held_by": held.by if held is not None and held.out else "",
+                "held_by": held.operator if held is not None and held.drained else "",
             })  # fmt: skip
-        versions = {h.name: h.about.plan for h in heard}
+        versions = {h.name: h.about.plan_version for h in heard}
         mine = self.plan.version if self.plan else 0
         return {
             "home": self.home,
--- a/oakbridge/sites/words.py
+++ b/oakbridge/sites/words.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from oakbridge.peers.record import SiteWord
+from oakbridge.peers.messages import SiteObservation, SiteVerdict
 
 FRESH = 4_000_000  # microseconds; what is older says nothing about now
 VOICES = 3  # that must have met a site's servers, or as many as are in reach
@@ -23,7 +23,7 @@
     name: str
     site: str  # its own
     age: int  # microseconds
-    words: tuple[SiteWord, ...]
+    words: tuple[SiteObservation, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,14 +83,14 @@
             continue
         speakers += 1
         voice = replace(voice, words=tuple(_counted(w, verdicts) for w in voice.words if w.site == site))
-        if any(w.good + w.mute + w.dead for w in voice.words):
+        if any(w.responding + w.timed_out + w.failed for w in voice.words):
             if voice.site == home:
                 ours.append(voice)
             elif voice.site != site:
                 others.append(voice)
     heard = ours if len(ours) >= VOICES or not others else ours + others
     good, mute, dead = _sums(heard)
-    blame = [v.name for v in heard if any(w.mute + w.dead > w.good for w in v.words)]
+    blame = [v.name for v in heard if any(w.timed_out + w.failed > w.responding for w in v.words)]
     theirs = _sums(others)
     elsewhere = bool(ours) and theirs[0] > theirs[1] + theirs[2] and mute + dead > good
     return Evidence(
@@ -98,12 +98,14 @@
     )
 
 
-def _counted(word: SiteWord, verdicts: bool) -> SiteWord:
-    if not (verdicts and word.gone) or word.good + word.mute + word.dead:
+def _counted(word: SiteObservation, verdicts: bool) -> SiteObservation:
+    if not (verdicts and word.verdict) or word.responding + word.timed_out + word.failed:
         return word
-    return SiteWord(word.site, 0, int(word.gone == 2), int(word.gone == 1))
+    return SiteObservation(
+        word.site, 0, int(word.verdict == SiteVerdict.CUT_OFF), int(word.verdict == SiteVerdict.LOST)
+    )
 
 
 def _sums(voices: Iterable[Voice]) -> tuple[int, int, int]:
     words = [w for v in voices for w in v.words]
-    return sum(w.good for w in words), sum(w.mute for w in words), sum(w.dead for w in words)
+    return sum(w.responding for w in words), sum(w.timed_out for w in words), sum(w.failed for w in words)
--- a/oakbridge/spread/beside.py
+++ b/oakbridge/spread/beside.py
@@ -65,12 +65,12 @@
         site = self.peers.options.tags.get("site", "")
         found = {}
         mine = member.fact(self.peers.options.name, now)
-        found[self.peers.options.name] = Copy(site, mine[0].weight if mine is not None else 0)
+        found[self.peers.options.name] = Copy(site, mine[0].requests_per_10s if mine is not None else 0)
         for name in member.alive():
             tags = member.known[name].record.tags
             if tags.get("tier", "") == tier:
                 told = member.known[name].fact
-                found[name] = Copy(tags.get("site", ""), told.weight if told is not None else 0)
+                found[name] = Copy(tags.get("site", ""), told.requests_per_10s if told is not None else 0)
         return found
 
     async def _listed(self) -> dict[str, tuple[str, float]]:
--- a/tests/formats/test_peers.py
+++ b/tests/formats/test_peers.py
@@ -12,13 +12,13 @@
 import pytest
 
 from oakbridge.peers import snapshot
+from oakbridge.peers.codec import HEADER_BYTES, Codec
 from oakbridge.peers.framing import read_state, write_state
 from oakbridge.peers.member import Member
 from oakbridge.peers.places import Place
 from oakbridge.peers.shell import Peers, PeersOptions
 from oakbridge.peers.stance import stance
 from oakbridge.peers.visit import visit
-from oakbridge.peers.wire import HEAD, Codec
 
 FIXTURES = Path(__file__).parent / "fixtures" / "peers"
 SECRET = b"0123456789abcdef"
@@ -50,15 +50,15 @@
 def datagram_again(name: str) -> tuple[bytes, bytes]:
     row, codec = DATAGRAMS[name], Codec(SECRET)
     data = bytes.fromhex(row["datagram"])
-    assert msgspec.msgpack.decode(data[HEAD:]) == row["body"]
-    return data, codec.write(codec.read(data), row["version"])
+    assert msgspec.msgpack.decode(data[HEADER_BYTES:]) == row["body"]
+    return data, codec.encode(codec.decode(data), row["version"])
 
 
 def exchange_again(name: str) -> tuple[bytes, bytes]:
     async def again() -> bytes:
         sealed, codec, written = await read_state(stream_of(data)), Codec(SECRET), Written()
-        assert msgspec.msgpack.decode(sealed[HEAD:]) == row["body"]
-        await write_state(written, codec.write_state(codec.read_state(sealed)))
+        assert msgspec.msgpack.decode(sealed[HEADER_BYTES:]) == row["body"]
+        await write_state(written, codec.encode_state(codec.decode_state(sealed)))
         return written.data
 
     row = EXCHANGES[name]
@@ -99,7 +99,7 @@
     n2 = ["n2", "10.0.0.2:7946", 1700000002, 78, 0, 0, "", 1, {"site": "north"}]
     n4 = ["n4", "10.0.0.4:7946", 1700000004, 80, 6, 0, "", 2, {"site": "south"}]
     state = sealed(["n2", 1700000002, [n2, n4], []])
-    peers.member.exchanged(2_000_000, peers.codec.read_state(state), asked=True)
+    peers.member.exchanged(2_000_000, peers.codec.decode_state(state), asked=True)
     gone, full = DATAGRAMS["gossip"]["body"][7][1:], DATAGRAMS["gossip"]["body"][8][1]
     n5 = ["n5", "10.0.0.5:7946", 1700000005, 81, 1, 0, "", 2, {"site": "south", "version": "0.2.9"}]
     facts = [
@@ -108,10 +108,10 @@
         [*full[:2], 10, *full[3:6], ["s-1"], *full[7:]],
     ]
     gossip = sealed([4, 0, "n2", 1700000002, 0, "", "", [*gone, n5], facts])
-    peers.member.receive(3_000_000, "10.0.0.2:7946", peers.codec.read(gossip))
+    peers.member.receive(3_000_000, "10.0.0.2:7946", peers.codec.decode(gossip))
     peers.member.counts["late"] += 2
     peers.member.health = 1
-    peers.counts["received"], peers.codec.dropped["tag"], peers.longest_turn = 3, 1, 0.0012344
+    peers.counts["received"], peers.codec.rejected["tag"], peers.longest_turn = 3, 1, 0.0012344
     peers.places.now = Place(1, 3)
     now_us = 4_500_000
     peers.stance = stance("n1", peers.seen(), now_us)
@@ -125,7 +125,7 @@
 
 
 def sealed(body: list[object]) -> bytes:
-    return Codec(SECRET)._seal(2, msgspec.msgpack.encode(body))
+    return Codec(SECRET).seal(2, msgspec.msgpack.encode(body))
 
 
 def test_who_asks_one_member_for_all_gets_the_same_rows():
@@ -135,7 +135,7 @@
         requests = []
 
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            requests.append(msgspec.msgpack.decode((await read_state(reader))[HEAD:]))
+            requests.append(msgspec.msgpack.decode((await read_state(reader))[HEADER_BYTES:]))
             writer.write(bytes.fromhex(EXCHANGES["all_that_is_known"]["stream"]))
             await writer.drain()
             writer.close()
--- a/tests/members/test_fleet.py
+++ b/tests/members/test_fleet.py
@@ -8,9 +8,16 @@
 from oakbridge.peers import interleavings
 from oakbridge.peers.courses import Course
 from oakbridge.peers.member import CATCH_UP, Exchange, Known, Member, Options
-from oakbridge.peers.record import ALIVE, FAILED, SUSPECT, About, Record, SiteWord
+from oakbridge.peers.messages import (
+    Datagram,
+    MemberRecord,
+    MemberState,
+    MessageKind,
+    PushPullState,
+    SiteObservation,
+    SiteReport,
+)
 from oakbridge.peers.simulated import Fleet, Network
-from oakbridge.peers.wire import GOSSIP, Message, State
 
 S = 1_000_000
 
@@ -174,13 +181,13 @@
 def test_a_restart_with_an_older_clock_takes_its_name_back():
     made = Fleet(13)
     for i in range(6):
-        made.start(f"n{i}", ["n0", "n1"], life=1000)
+        made.start(f"n{i}", ["n0", "n1"], generation=1000)
     made.run(5 * S)
     made.kill("n4")
     made.run(20 * S)
-    made.start("n4", ["n0"], life=3)  # the clock was set back
+    made.start("n4", ["n0"], generation=3)  # the clock was set back
     made.run(30 * S)
-    assert made.record("n1", "n4").life == 1001
+    assert made.record("n1", "n4").generation == 1001
     assert made.wrong() == 0
 
 
@@ -214,7 +221,7 @@
     heard = [f for f in facts if f is not None]
     assert len(heard) >= 17
     for fact, age in heard:
-        assert (fact.load, fact.copies, fact.failing) == (17, 4, ("s-1",))
+        assert (fact.in_flight, fact.subset_size, fact.failing_servers) == (17, 4, ("s-1",))
         assert abs(age - (made.now - told)) < S // 10
 
 
@@ -245,7 +252,7 @@
 
 
 def goes_back(monkeypatch):
-    monkeypatch.setattr("oakbridge.peers.member.merged", lambda old, new: new)
+    monkeypatch.setattr(MemberRecord, "supersedes", lambda self, other: True)
 
 
 def never_refutes(monkeypatch):
@@ -253,7 +260,7 @@
 
 
 def probes_who_left(monkeypatch):
-    monkeypatch.setattr(Known, "there", property(lambda self: self.record.state != FAILED))
+    monkeypatch.setattr(Known, "there", property(lambda self: self.record.state != MemberState.FAILED))
 
 
 @pytest.mark.parametrize(
@@ -292,12 +299,12 @@
 def test_who_was_called_failed_asks_for_what_went_past_it():
     """Also where it has refuted the suspicion before it hears of the verdict; until an exchange has come about."""
     one = Member("a", "a", 1, {}, 1, 0, Options(period=1000 * S))
-    one.exchanged(0, State("b", 1, (Record("b", "b", 1, 1, 0, ALIVE),)), asked=True)
-    told = one.me.said(SUSPECT, "b")
+    one.exchanged(0, PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE),)), asked=True)
+    told = one.me.with_state(MemberState.SUSPECT, "b")
 
     def hear(record, incarnation=0):
         record = msgspec.structs.replace(record, incarnation=incarnation)
-        actions = one.receive(S, "b", Message(GOSSIP, 0, "b", 1, 0, "", "", (record,)))
+        actions = one.receive(S, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (record,)))
         return [a for a in actions if isinstance(a, Exchange)]
 
     def waits(until):
@@ -307,50 +314,58 @@
         return asked
 
     assert not hear(told) and one.me.incarnation == 1
-    assert hear(told.said(FAILED, "c")) == [Exchange("b")]
+    assert hear(told.with_state(MemberState.FAILED, "c")) == [Exchange("b")]
     one.exchange_failed(S, "b")
     assert waits(S + CATCH_UP * 3 // 2)  # another one is asked
-    one.exchanged(3 * S, State("b", 1, ()), asked=True)
-    assert not hear(told.said(FAILED, "c"))  # the same verdict again
-    assert hear(told.said(FAILED, "c"), incarnation=1) == [Exchange("b")]  # a new one
+    one.exchanged(3 * S, PushPullState("b", 1, ()), asked=True)
+    assert not hear(told.with_state(MemberState.FAILED, "c"))  # the same verdict again
+    assert hear(told.with_state(MemberState.FAILED, "c"), incarnation=1) == [Exchange("b")]  # a new one
 
 
 def test_news_that_are_read_before_the_late_timers_are_not_put_off_by_them():
     """A process that wakes reads its socket first: what it begins to suspect then is failed in the usual time."""
     one = Member("a", "a", 1, {}, 1, 0)
-    dead = Record("c", "c", 1, 1, 0, ALIVE)
-    one.exchanged(0, State("b", 1, (Record("b", "b", 1, 1, 0, ALIVE), dead)), asked=True)
+    dead = MemberRecord("c", "c", 1, 1, 0, MemberState.ALIVE)
+    one.exchanged(
+        0, PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE), dead)), asked=True
+    )
     woken = 40 * S
-    one.receive(woken, "b", Message(GOSSIP, 0, "b", 1, 0, "", "", (dead.said(FAILED, "b"),)))
+    one.receive(
+        woken,
+        "b",
+        Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (dead.with_state(MemberState.FAILED, "b"),)),
+    )
     while one.due() <= woken + 3 * S:
         one.tick(max(woken, one.due()))
-    assert one.known["c"].record.state == FAILED
+    assert one.known["c"].record.state == MemberState.FAILED
 
 
-@pytest.mark.parametrize("first", [FAILED, SUSPECT])
+@pytest.mark.parametrize("first", [MemberState.FAILED, MemberState.SUSPECT])
 def test_a_verdict_heard_while_one_is_suspected_leaves_the_time_to_refute_it(first):
     """A cut healed with 198 processes: neighbours were called failed by the other part's verdict, told once more, or
     told when a suspicion had been heard before it."""
     one = Member("a", "a", 1, {}, 1, 0, Options(period=1000 * S, local_health=False))
-    records = [Record(n, n, 1, 1, 0, ALIVE) for n in "bcdefg"]
-    one.exchanged(0, State("b", 1, tuple(records)), asked=True)
-    verdict = records[1].said(FAILED, "x")
-    one.receive(S, "b", Message(GOSSIP, 0, "b", 1, 0, "", "", (records[1].said(first, "x"),)))
+    records = [MemberRecord(n, n, 1, 1, 0, MemberState.ALIVE) for n in "bcdefg"]
+    one.exchanged(0, PushPullState("b", 1, tuple(records)), asked=True)
+    verdict = records[1].with_state(MemberState.FAILED, "x")
+    one.receive(
+        S, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (records[1].with_state(first, "x"),))
+    )
     ends = S + one.known["c"].suspicion.shortest
     for at in ((S + ends) // 2 + 1, ends - 1):
-        one.receive(at, "b", Message(GOSSIP, 0, "b", 1, 0, "", "", (verdict,)))
-        assert one.known["c"].record.state == SUSPECT and one.known["c"].suspicion.ends() == ends
+        one.receive(at, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (verdict,)))
+        assert one.known["c"].record.state == MemberState.SUSPECT and one.known["c"].suspicion.ends() == ends
     while one.due() <= ends:
         one.tick(one.due())
-    assert one.known["c"].record.state == FAILED
+    assert one.known["c"].record.state == MemberState.FAILED
 
 
 def test_one_chain_of_asking_however_often_it_is_called_failed():
     one = Member("a", "a", 1, {}, 1, 0, Options(period=1000 * S))
-    one.exchanged(0, State("b", 1, (Record("b", "b", 1, 1, 0, ALIVE),)), asked=True)
+    one.exchanged(0, PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE),)), asked=True)
     for n in range(5):
-        verdict = msgspec.structs.replace(one.me.said(FAILED, "b"), incarnation=n)
-        one.receive(S + n, "b", Message(GOSSIP, 0, "b", 1, 0, "", "", (verdict,)))
+        verdict = msgspec.structs.replace(one.me.with_state(MemberState.FAILED, "b"), incarnation=n)
+        one.receive(S + n, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (verdict,)))
     assert sum(kind == "catch up" and key == one._failed_as for _, _, kind, key in one._heap) == 1
     asked = []
     while one.due() <= S + 2 * CATCH_UP:
@@ -362,7 +377,7 @@
     """Sixty members with a fact a second each: more than their datagrams hold."""
     made = Fleet(1, measure=False)
     made.acquainted({f"n{i:02d}": {} for i in range(60)})
-    about = About(tuple(SiteWord(site, 3) for site in "abc"), 50, 100)
+    about = SiteReport(tuple(SiteObservation(site, 3) for site in "abc"), 50, 100)
 
     def tell(name: str) -> None:
         member = made.hosts[name].member
--- a/tests/members/test_parts.py
+++ b/tests/members/test_parts.py
@@ -6,62 +6,62 @@
 import msgspec
 import pytest
 
+from oakbridge.peers.codec import HEADER_BYTES, MAX_DATAGRAM_BYTES, NEWEST_VERSION, Codec, PeerMessageError
 from oakbridge.peers.member import Member
+from oakbridge.peers.messages import Datagram, MemberRecord, MemberState, MessageKind, NodeReport
 from oakbridge.peers.news import News
 from oakbridge.peers.places import Place, Places, place
-from oakbridge.peers.record import ALIVE, FAILED, LEFT, SUSPECT, Fact, Record, merged
 from oakbridge.peers.stance import USES, Seen, stance
 from oakbridge.peers.suspicion import Suspicion, least
 from oakbridge.peers.voices import FRESH, doubts
-from oakbridge.peers.wire import GOSSIP, HEAD, MAX_DATAGRAM, NEWEST, PING, Codec, Dropped, Message
 
 S = 1_000_000
-RECORD = Record("b", "127.0.0.1:1", 5, 9, 2, ALIVE, "", 2, {"site": "x"})
-MESSAGE = Message(PING, 7, "a", 5, 0, "b", "", (RECORD,), (Fact("a", 5, 1, 0, 3),))
+RECORD = MemberRecord("b", "127.0.0.1:1", 5, 9, 2, MemberState.ALIVE, "", 2, {"site": "x"})
+MESSAGE = Datagram(MessageKind.PING, 7, "a", 5, 0, "b", "", (RECORD,), (NodeReport("a", 5, 1, 0, 3),))
 
 
-def resealed(body: bytes, version: int = NEWEST) -> bytes:
-    return Codec(b"s")._seal(version, body)
+def resealed(body: bytes, version: int = NEWEST_VERSION) -> bytes:
+    return Codec(b"s").seal(version, body)
 
 
 @pytest.mark.parametrize(
     ("kind", "data"),
     [
         ("short", b""),
-        ("short", Codec(b"s").write(MESSAGE)[:HEAD]),
-        ("tag", Codec(b"other").write(MESSAGE)),
-        ("tag", Codec(b"s").write(MESSAGE)[:-1]),
-        ("tag", bytes((2,)) + Codec(b"s").write(MESSAGE)[1:]),
-        ("version", resealed(b"x", NEWEST + 1)),
-        ("long", bytes(MAX_DATAGRAM + 1)),
+        ("short", Codec(b"s").encode(MESSAGE)[:HEADER_BYTES]),
+        ("tag", Codec(b"other").encode(MESSAGE)),
+        ("tag", Codec(b"s").encode(MESSAGE)[:-1]),
+        ("tag", bytes((2,)) + Codec(b"s").encode(MESSAGE)[1:]),
+        ("version", resealed(b"x", NEWEST_VERSION + 1)),
+        ("long", bytes(MAX_DATAGRAM_BYTES + 1)),
         ("form", resealed(b"x")),
         ("form", resealed(msgspec.msgpack.encode([1, 2]))),
         ("form", resealed(msgspec.msgpack.encode([99, 7, "a", 5, 0]))),
-        ("form", resealed(msgspec.msgpack.encode([PING, -1, "a", 5, 0]))),
-        ("form", resealed(msgspec.msgpack.encode([PING, 1, "a" * 65, 5, 0]))),
+        ("form", resealed(msgspec.msgpack.encode([MessageKind.PING, -1, "a", 5, 0]))),
+        ("form", resealed(msgspec.msgpack.encode([MessageKind.PING, 1, "a" * 65, 5, 0]))),
         ("form", resealed(b"\x91" * 1000)),
     ],
 )
 def test_what_can_not_be_taken_is_counted_by_kind(kind, data):
     codec = Codec(b"s")
-    with pytest.raises(Dropped) as dropped:
-        codec.read(data)
-    assert dropped.value.kind == kind
-    assert codec.dropped == {kind: 1}
+    with pytest.raises(PeerMessageError) as dropped:
+        codec.decode(data)
+    assert dropped.value.reason == kind
+    assert codec.rejected == {kind: 1}
 
 
 def test_both_formats_are_read_and_later_fields_are_passed_over():
     codec = Codec(b"s")
-    assert codec.read(codec.write(MESSAGE, 2)) == MESSAGE
-    assert codec.read(codec.write(MESSAGE, 1)).facts == ()
+    assert codec.decode(codec.encode(MESSAGE, 2)) == MESSAGE
+    assert codec.decode(codec.encode(MESSAGE, 1)).reports == ()
     longer = [*msgspec.to_builtins(MESSAGE), "of a later version"]
-    assert codec.read(resealed(msgspec.msgpack.encode(longer))) == MESSAGE
+    assert codec.decode(resealed(msgspec.msgpack.encode(longer))) == MESSAGE
 
 
 def test_mutated_datagrams_change_nothing():
     rng, codec = random.Random(1), Codec(b"s")
     member = Member("b", "127.0.0.1:1", 5, {}, 1, 0)
-    good = codec.write(MESSAGE, 2)
+    good = codec.encode(MESSAGE, 2)
     before = member.state()
     for _ in range(20_000):
         data = bytearray(good)
@@ -70,8 +70,8 @@
         data = data[: rng.randint(0, len(data))] if rng.random() < 0.3 else data
         if bytes(data) == good:
             continue
-        with pytest.raises(Dropped):
-            codec.read(bytes(data))
+        with pytest.raises(PeerMessageError):
+            codec.decode(bytes(data))
     assert member.state() == before
 
 
@@ -89,8 +89,8 @@
         body = [rng.randrange(6), rng.randrange(9), rng.choice(names), rng.randrange(8), rng.randrange(4)]
         body += [rng.choice(names), rng.choice("abc"), [record] * rng.randrange(3), []]
         try:
-            message = codec.read(resealed(msgspec.msgpack.encode(body)))
-        except Dropped:
+            message = codec.decode(resealed(msgspec.msgpack.encode(body)))
+        except PeerMessageError:
             continue
         taken += 1
         member.receive(now * 1000, "c", message)
@@ -108,32 +108,34 @@
     for i in range(300):
         name = f"{i:03d}" + "n" * 61
         tags = {f"{k:048d}": "v" * 48 for k in range(8 if i % 50 == 0 else 1)}
-        news = Record(name, "127.255.255.254:65535", 2**62, 2**61, 2**50, ALIVE, "", 2, tags)
-        member.receive(i, "x", Message(GOSSIP, 0, name, 2**62, 0, "", "", (news,)))
+        news = MemberRecord(
+            name, "127.255.255.254:65535", 2**62, 2**61, 2**50, MemberState.ALIVE, "", 2, tags
+        )
+        member.receive(i, "x", Datagram(MessageKind.GOSSIP, 0, name, 2**62, 0, "", "", (news,)))
     now = 0
     while now < 60 * S:
         now = member.due()
         for action in member.tick(now):
             if hasattr(action, "message"):
-                longest = max(longest, len(codec.write(action.message, 2)))
-    assert MAX_DATAGRAM // 2 < longest <= MAX_DATAGRAM
+                longest = max(longest, len(codec.encode(action.message, 2)))
+    assert MAX_DATAGRAM_BYTES // 2 < longest <= MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize(
     ("older", "newer"),
     [
-        (RECORD, RECORD.said(SUSPECT, "c")),
-        (RECORD.said(SUSPECT, "c"), RECORD.said(FAILED, "c")),
-        (RECORD.said(FAILED), RECORD.said(LEFT)),
-        (RECORD.said(FAILED), msgspec.structs.replace(RECORD, incarnation=3)),
-        (RECORD.said(LEFT), msgspec.structs.replace(RECORD, life=6, incarnation=0)),
+        (RECORD, RECORD.with_state(MemberState.SUSPECT, "c")),
+        (RECORD.with_state(MemberState.SUSPECT, "c"), RECORD.with_state(MemberState.FAILED, "c")),
+        (RECORD.with_state(MemberState.FAILED), RECORD.with_state(MemberState.LEFT)),
+        (RECORD.with_state(MemberState.FAILED), msgspec.structs.replace(RECORD, incarnation=3)),
+        (RECORD.with_state(MemberState.LEFT), msgspec.structs.replace(RECORD, generation=6, incarnation=0)),
         (RECORD, msgspec.structs.replace(RECORD, token=10, incarnation=0)),
     ],
 )
 def test_which_saying_counts(older, newer):
-    assert merged(older, newer) == newer
-    assert merged(newer, older) is None
-    assert merged(newer, newer) is None
+    assert newer.supersedes(older)
+    assert not older.supersedes(newer)
+    assert not newer.supersedes(newer)
 
 
 def test_suspicion_shrinks_with_independent_accusers():
@@ -229,10 +231,10 @@
     assert places.update(65 * S, whole, names[:3]) == Place(place("n1", names[:3]).index, 3)
 
 
-def words(*said: str) -> list[tuple[Fact, int]]:
+def words(*said: str) -> list[tuple[NodeReport, int]]:
     """``"a: x y"``: member a finds x and y failing."""
     return [
-        (Fact(who, 1, 1, 0, 0, 0, tuple(servers.split())), S)
+        (NodeReport(who, 1, 1, 0, 0, 0, tuple(servers.split())), S)
         for who, _, servers in (w.partition(":") for w in said)
     ]
 
--- a/tests/members/test_sockets.py
+++ b/tests/members/test_sockets.py
@@ -14,10 +14,9 @@
 from oakbridge.config.peers import peers_options
 from oakbridge.peers import snapshot as snap
 from oakbridge.peers.member import Options
-from oakbridge.peers.record import Record
+from oakbridge.peers.messages import Datagram, MemberRecord, MemberState, MessageKind
 from oakbridge.peers.shell import Peers, PeersOptions
 from oakbridge.peers.visit import NotHeard, visit
-from oakbridge.peers.wire import GOSSIP, Message
 
 QUICK = Options(period=60_000, probe_timeout=25_000, gossip=20_000, reach=200_000)
 
@@ -56,9 +55,9 @@
         await one.start()
     await until(lambda: all(len(p.member.alive()) == 5 for p in peers))
     assert stranger.member.alive() == []
-    await until(lambda: peers[0].codec.dropped["tag"] + peers[0].counts["exchanges broken"])
+    await until(lambda: peers[0].codec.rejected["tag"] + peers[0].counts["exchanges broken"])
     await until(lambda: peers[1].member.fact("n2", 0) is not None)
-    assert peers[1].member.fact("n2", 0)[0].load == 2
+    assert peers[1].member.fact("n2", 0)[0].in_flight == 2
     await peers[5].stop()
     peers[4].close()
     await until(
@@ -79,7 +78,7 @@
     kept = snap.load(tmp_path / "4.json")
     back = member(4, port, snapshot=tmp_path / "4.json")
     await back.start()
-    assert back.member.me.life > kept.life
+    assert back.member.me.generation > kept.generation
     await until(lambda: all("n4" in p.member.alive() for p in peers[:4]))
     for one in (*peers[:4], stranger, back):
         one.close()
@@ -116,8 +115,12 @@
     one = member(0, port)
     await one.start()
     for n, address in enumerate(("localhost:1", "127.0.0.1:x", "", "127.0.0.1:70000")):
-        news = Record(f"m{n}", address, 1, 1, 0, 0)
-        one._carry(one.member.receive(0, "127.0.77.9:1", Message(GOSSIP, 0, "m9", 1, 0, "", "", (news,))))
+        news = MemberRecord(f"m{n}", address, 1, 1, 0, MemberState.ALIVE)
+        one._carry(
+            one.member.receive(
+                0, "127.0.77.9:1", Datagram(MessageKind.GOSSIP, 0, "m9", 1, 0, "", "", (news,))
+            )
+        )
     await until(lambda: one.counts["could not send"] >= 8)
     assert set(one.member.known) == {"m0", "m1", "m2", "m3"}
     one.close()
@@ -141,7 +144,7 @@
         _, writer = await asyncio.open_connection("127.0.77.1", port)
         writer.write(data)
         writer.write_eof()
-    await until(lambda: one.counts["exchanges broken"] == 3 and sum(one.codec.dropped.values()) >= 4)
+    await until(lambda: one.counts["exchanges broken"] == 3 and sum(one.codec.rejected.values()) >= 4)
     assert one.member.state() == before
     sender.close()
     one.close()
--- a/tests/sites/test_parts.py
+++ b/tests/sites/test_parts.py
@@ -8,7 +8,7 @@
 from site_text import SITES
 
 from oakbridge.config.load import BadFile
-from oakbridge.peers.record import About, Held, SiteWord
+from oakbridge.peers.messages import SiteObservation, SiteOverride, SiteReport
 from oakbridge.peers.stance import ALONE, PARTED, WHOLE, Stance
 from oakbridge.policy.view import ZoneView
 from oakbridge.sites import level, pace, planning, scheme
@@ -24,7 +24,7 @@
 
 
 def voice(name, site, good=0, mute=0, dead=0, age=0, about="x"):
-    return Voice(name, site, age, (SiteWord(about, good, mute, dead),))
+    return Voice(name, site, age, (SiteObservation(about, good, mute, dead),))
 
 
 @pytest.mark.parametrize(
@@ -265,8 +265,8 @@
 
 
 def others(names="n2 n3 n4", site="a", **words):
-    told = tuple(SiteWord(z, *seen) for z, seen in words.items())
-    return [Heard(n, site, S, About(told, 50)) for n in names.split()]
+    told = tuple(SiteObservation(z, *seen) for z, seen in words.items())
+    return [Heard(n, site, S, SiteReport(told, 50)) for n in names.split()]
 
 
 def after(sites, seconds, stance=None, heard=(), seen=WELL_SEEN, start=0, **more):
@@ -339,15 +339,15 @@
     for one in (here, there):
         after(one, 1)
     here.operate(5_000, "b", True, "kari")
-    assert here.operate(6_000, "b", True, "ola").by == "kari"  # said twice it changes nothing
+    assert here.operate(6_000, "b", True, "ola").operator == "kari"  # said twice it changes nothing
     decision = after(there, 30, heard=[Heard("n1", "a", 0, here.say())])
     assert decision.parts == {"b": 0.0} and there.describe(0)["sites"][1]["held_by"] == "kari"
     there.operate(1_000, "b", False, "ola")  # by a clock that is behind
     after(here, 1, heard=[Heard("n2", "a", 0, there.say())])
-    assert not here.held["b"].out
-    far = About(held=(Held("b", 10**15, True, "x"),))
+    assert not here.held["b"].drained
+    far = SiteReport(overrides=(SiteOverride("b", 10**15, True, "x"),))
     after(here, 1, heard=[Heard("n9", "a", 0, far)])
-    assert not here.held["b"].out
+    assert not here.held["b"].drained
     with pytest.raises(UnknownSite, match="expected one of a, b, c"):
         here.operate(0, "d", True, "")
     for site in "bc":
@@ -387,7 +387,7 @@
 
 def test_old_words_do_not_move_the_level():
     sites = node()
-    old = [Heard(f"m{n}", "a", FRESH + 1, About((), 50, 900)) for n in range(9)]
+    old = [Heard(f"m{n}", "a", FRESH + 1, SiteReport((), 50, 900)) for n in range(9)]
     after(sites, 30, heard=old)
     assert sites.pressure == 0 and sites.level.now == 0
 
