--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -23,7 +23,7 @@
 from oakbridge.lab.load import Answer
 from oakbridge.lab.plan import ServersTable
 from oakbridge.lab.servers import Helper
-from oakbridge.peers.shell import Peers, PeersOptions
+from oakbridge.peers.service import MembershipService, ServiceOptions
 
 ROOT = Path(__file__).resolve().parents[1]
 SECRET = b"0123456789abcdef"
@@ -37,10 +37,11 @@
     """So many members, until the pipe closes."""
     logging.disable(logging.WARNING)
     seeds = tuple((host(NODE_NET, n), base + MEMBER) for n in range(1, 4))
-    held = [
-        Peers(PeersOptions(f"m{n:03d}", (host(NODE_NET, n), base + MEMBER), SECRET, seeds=seeds, tags={"site": "a"}))
-        for n in range(1, many)
-    ]  # fmt: skip
+    held = []
+    for n in range(1, many):
+        listen = (host(NODE_NET, n), base + MEMBER)
+        options = ServiceOptions(f"m{n:03d}", listen, SECRET, seeds=seeds, tags={"site": "a"})
+        held.append(MembershipService(options))
     for one in held:
         await one.start()
         await asyncio.sleep(0.05)
--- a/benchmarks/members_search.py
+++ b/benchmarks/members_search.py
@@ -13,21 +13,21 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from oakbridge.peers import interleavings
-from oakbridge.peers.courses import Course
+from oakbridge.peers.random_scenarios import RandomScenario
 
 APART = 2  # steps after which the search goes on in several processes
 
 
-def part(item: tuple[str, interleavings.State, int]) -> tuple[str, interleavings.Report]:
+def part(item: tuple[str, interleavings.SystemState, int]) -> tuple[str, interleavings.ExplorationReport]:
     """One process's part."""
     name, state, depth = item
-    return name, interleavings.search(state, depth, every=500)
+    return name, interleavings.explore(state, depth, convergence_sample=500)
 
 
 def course(item: tuple[int, int]) -> tuple[int, list[str]]:
     """One random course."""
-    found = Course(item[0], members=item[1]).play()
-    return found.steps, [f"seed {found.seed}: {word}" for word in found.broken]
+    result = RandomScenario(item[0], members=item[1]).play()
+    return result.checks, [f"seed {result.seed}: {violation}" for violation in result.violations]
 
 
 def main() -> int:
@@ -43,17 +43,18 @@
     began = time.monotonic()
     with ProcessPoolExecutor(args.processes) as pool:
         if args.depth > APART:
-            reports: dict[str, interleavings.Report] = {}
-            work = [(name, state, args.depth - APART) for name, state in interleavings.parts(APART)]
+            reports: dict[str, interleavings.ExplorationReport] = {}
+            work = [(name, state, args.depth - APART) for name, state in interleavings.starting_points(APART)]
             for name, report in pool.map(part, work):
-                reports.setdefault(name, interleavings.Report()).add(report)
+                reports.setdefault(name, interleavings.ExplorationReport()).add(report)
             for name, report in reports.items():
                 print(
-                    f"{name}: {len(report.states)} states, {report.steps} steps to depth {args.depth}, calm played "
-                    f"from {report.settled}, {len(report.broken)} broken, {time.monotonic() - began:.0f} s",
+                    f"{name}: {len(report.states)} states, {report.transitions} steps to depth {args.depth}, "
+                    f"calm played from {report.converged}, {len(report.violations)} broken, "
+                    f"{time.monotonic() - began:.0f} s",
                     flush=True,
                 )
-                broken += report.broken
+                broken += report.violations
         steps = done = 0
         seeds = [(seed, args.members) for seed in range(args.first, args.first + args.courses)]
         for moments, words in pool.map(course, seeds, chunksize=20):
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -21,9 +21,9 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.peers.member import Options
-from oakbridge.peers.simulated import Fleet, Network
-from oakbridge.peers.suspicion import least
+from oakbridge.peers.protocol_options import ProtocolOptions
+from oakbridge.peers.simulation import SimulatedCluster, SimulatedNetwork
+from oakbridge.peers.suspicion import min_timeout_us
 
 S = 1_000_000
 MEET, REST, AFTER = 15, 30, 25
@@ -32,19 +32,21 @@
 def course(members: int, loss: float, seed: int, health: bool, meet: int = MEET) -> dict[str, Any]:
     """Play one; returns its figures."""
     began = time.perf_counter()
-    fleet = Fleet(seed, Network(loss=loss), Options(local_health=health, most=2 * members + 10))
+    fleet = SimulatedCluster(
+        seed, SimulatedNetwork(loss=loss), ProtocolOptions(local_health=health, max_members=2 * members + 10)
+    )
     names = [f"n{i:04d}" for i in range(members)]
     tags = {n: {"site": "abc"[i % 3], "tier": "front", "version": "0.3.0"} for i, n in enumerate(names)}
     if not meet:
-        fleet.acquainted(tags)
+        fleet.start_introduced(tags)
         gc.freeze()  # millions of records that stay to the end
     for name in names if meet else ():
-        fleet.later(fleet.random.randrange(S), lambda n=name: fleet.start(n, names[:3], tags=tags[n]))
-    fleet.run(meet * S)
-    unmet = fleet.wrong()
+        fleet.call_later(fleet.random.randrange(S), lambda n=name: fleet.start(n, names[:3], tags=tags[n]))
+    fleet.run_until(meet * S)
+    unmet = fleet.wrong_pairs()
     fleet.changes.clear()
     before = fleet.counts.copy()
-    fleet.run((meet + REST) * S)
+    fleet.run_until((meet + REST) * S)
     spent = {
         key: (fleet.counts[key] - before[key]) / members / REST
         for key in ("messages", "bytes", "exchange bytes")
@@ -54,11 +56,11 @@
     dead = set(names[3::10])
     for name in dead:
         fleet.kill(name)
-    fleet.run((meet + REST + AFTER) * S)
+    fleet.run_until((meet + REST + AFTER) * S)
     learned: dict[str, list[float]] = {name: [] for name in dead}
     for who, change in fleet.changes:
         if change.after == "failed" and change.name in dead and who not in dead:
-            learned[change.name].append((change.at - (meet + REST) * S) / S)
+            learned[change.name].append((change.at_us - (meet + REST) * S) / S)
     first = [min(times) for times in learned.values() if times]
     last = [max(times) for times in learned.values() if len(times) >= members - len(dead)]
     return {
@@ -71,15 +73,15 @@
         "first learns, median s": round(statistics.median(first), 2) if first else None,
         "first learns, longest s": round(max(first), 2) if first else None,
         "last learns, longest s": round(max(last), 2) if len(last) == len(dead) else None,
-        "wrong pairs in the end": fleet.wrong(),
+        "wrong pairs in the end": fleet.wrong_pairs(),
         "real s": round(time.perf_counter() - began, 1),
     }  # fmt: skip
 
 
 def expected(members: int) -> float:
     """SWIM's first detection and the shortest suspicion, seconds."""
-    period = Options().period
-    return (period / (1 - math.exp(-1)) + least(members, period)) / S
+    interval_us = ProtocolOptions().probe_interval_us
+    return (interval_us / (1 - math.exp(-1)) + min_timeout_us(members, interval_us)) / S
 
 
 def chart(rows: list[dict[str, Any]], path: Path) -> None:
--- a/oakbridge/cli/fleet.py
+++ b/oakbridge/cli/fleet.py
@@ -48,17 +48,17 @@
     from oakbridge.config.load import BadFile
     from oakbridge.config.peers import read_secret
     from oakbridge.node.listing import ConfigError, parse_address
-    from oakbridge.peers.visit import NotHeard, visit
+    from oakbridge.peers.member_query import MemberQueryError, query_members
 
     if secret_file is None:
         raise BadInput("--via: expected --secret-file with it")
     try:
-        return await visit(parse_address(via), read_secret(secret_file), within)
+        return await query_members(parse_address(via), read_secret(secret_file), within)
     except BadFile as e:
         raise BadInput(str(e)) from None
     except ConfigError as e:
         raise BadInput(f"--via: {e}") from None
-    except NotHeard as e:
+    except MemberQueryError as e:
         raise Failed(str(e)) from None
 
 
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -34,7 +34,7 @@
 from oakbridge.workers.share import BadShare, share
 
 if TYPE_CHECKING:
-    from oakbridge.peers.shell import Peers
+    from oakbridge.peers.service import MembershipService
     from oakbridge.sites.beside import SitesBeside
     from oakbridge.spread.beside import SpreadBeside
 
@@ -159,26 +159,28 @@
 
 
 @asynccontextmanager
-async def members(loaded: Loaded, node: Node | None, on: bool = True) -> AsyncIterator[Peers | None]:
+async def members(
+    loaded: Loaded, node: Node | None, on: bool = True
+) -> AsyncIterator[MembershipService | None]:
     """This node as a member among others, where the file asks for it; of workers the supervisor is it."""
     if loaded.file.peers is None or not on:
         yield None
         return
     from oakbridge.config.peers import peers_options, seeds_file
-    from oakbridge.peers.beside import Seeds, doubted, facts
-    from oakbridge.peers.shell import Peers
-    from oakbridge.peers.snapshot import BadSnapshot
+    from oakbridge.peers.node_adapter import SeedFile, failure_report_sink, load_source
+    from oakbridge.peers.service import MembershipService
+    from oakbridge.peers.snapshot import SnapshotError
 
     try:
         options = peers_options(loaded)
         assert options is not None
-        ties = () if node is None else (facts(node), doubted(node))
-        held = Peers(options, *ties)
+        ties = () if node is None else (load_source(node), failure_report_sink(node))
+        held = MembershipService(options, *ties)
         await held.start()
-    except (BadFile, BadSnapshot) as e:
+    except (BadFile, SnapshotError) as e:
         raise ConfigError(str(e)) from None
     watched = seeds_file(loaded)
-    seeds = Seeds(watched, held) if watched is not None else None
+    seeds = SeedFile(watched, held) if watched is not None else None
     try:
         yield held
     finally:
@@ -188,7 +190,9 @@
 
 
 @asynccontextmanager
-async def sites(loaded: Loaded, node: Node, held: Peers | None) -> AsyncIterator[SitesBeside | None]:
+async def sites(
+    loaded: Loaded, node: Node, held: MembershipService | None
+) -> AsyncIterator[SitesBeside | None]:
     """The plan for lost sites, where the file asks for it."""
     if loaded.file.sites is None or held is None:
         yield None
@@ -206,7 +210,9 @@
 
 
 @asynccontextmanager
-async def spread(loaded: Loaded, node: Node, held: Peers | None) -> AsyncIterator[SpreadBeside | None]:
+async def spread(
+    loaded: Loaded, node: Node, held: MembershipService | None
+) -> AsyncIterator[SpreadBeside | None]:
     """The servers divided among the nodes of a tier, where the file asks for it."""
     if loaded.file.spread is None or held is None:
         yield None
@@ -246,7 +252,11 @@
 
 @asynccontextmanager
 async def control(
-    loaded: Loaded, node: Node, held: Peers | None, plan: SitesBeside | None, divided: SpreadBeside | None
+    loaded: Loaded,
+    node: Node,
+    held: MembershipService | None,
+    plan: SitesBeside | None,
+    divided: SpreadBeside | None,
 ) -> AsyncIterator[None]:
     """The node's control socket, for as long as it runs."""
     if loaded.control is None:
--- a/oakbridge/lab/world.py
+++ b/oakbridge/lab/world.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from oakbridge.peers.messages import SiteReport
-from oakbridge.peers.stance import WHOLE, Stance
+from oakbridge.peers.view_state import ClusterView, ViewState
 from oakbridge.policy import vocabulary as api
 from oakbridge.policy.balancer import Balancer
 from oakbridge.policy.view import listed, zones
@@ -375,7 +375,7 @@
         served, refused, failed = (self._ended[copy, how] for how in ("served", "refuse", "fail"))
         counts = Counts(now, served, refused, failed, module.turned, came)
         own = self._rates[copy].now(counts, zones(module, now, WINDOW))
-        everyone = Stance(WHOLE, len(self.copies), 0)
+        everyone = ClusterView(ViewState.COMPLETE, known=len(self.copies), unreachable=0)
         decision = plan.look(now, now // 1000, everyone, heard, own)
         if copy not in self._said or now - self._said[copy][0] >= TELL_EVERY // (1 + plan.urgent):
             self._said[copy] = now, plan.say()
@@ -386,9 +386,8 @@
     def divide(self, copy: int, copies: dict[str, Copy] | None = None) -> None:
         """Have one copy look at how the servers are divided, by what it holds of the others."""
         held = copies or self.others
-        found = self.divided[copy].look(
-            self.now, Stance(WHOLE, len(held), 0), held, listed(self.copies[copy])
-        )
+        everyone = ClusterView(ViewState.COMPLETE, known=len(held), unreachable=0)
+        found = self.divided[copy].look(self.now, everyone, held, listed(self.copies[copy]))
         if found is not None:
             self.feed(copy, api.Cut(found))
 
--- a/oakbridge/peers/__init__.py
+++ b/oakbridge/peers/__init__.py
@@ -1,5 +1,6 @@
-"""Nodes that know each other: who is there, who has failed, and how sure one is of it.
+"""Membership: which nodes are there, which have failed, and how complete a node's view is.
 
-The core (``record``, ``news``, ``suspicion``, ``member``, ``stance``, ``places``, ``voices``) is pure: messages and the
-time in, messages and changes out.  ``shell`` gives it sockets; ``simulated`` a network by seed.
+SWIM with Lifeguard's corrections.  The protocol is pure, messages and the time in, actions out:
+``member`` is its face, ``failure_detector``, ``membership``, ``dissemination``, ``push_pull`` and
+``join`` its parts.  ``service`` gives it sockets; ``simulation`` a network by seed.
 """
--- /dev/null
+++ b/oakbridge/peers/addresses.py
@@ -0,0 +1,20 @@
+"""Members' addresses as they are written in records: ``IPv4:port``."""
+
+from __future__ import annotations
+
+import functools
+
+from oakbridge.node.listing import Address, parse_address
+
+CACHED_ADDRESSES = 4096
+
+
+def format_address(address: Address) -> str:
+    """Return the written form."""
+    return f"{address[0]}:{address[1]}"
+
+
+@functools.lru_cache(CACHED_ADDRESSES)
+def parse_member_address(text: str) -> Address:
+    """Return the address.  Raises ValueError, also for a host name, which is never looked up."""
+    return parse_address(text)
--- /dev/null
+++ b/oakbridge/peers/member_query.py
@@ -0,0 +1,62 @@
+"""Ask one member for all that it knows, by a push-pull exchange that tells it nothing."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from contextlib import AsyncExitStack
+from typing import Any
+
+from oakbridge.node.listing import Address
+from oakbridge.peers.codec import Codec, PeerMessageError
+from oakbridge.peers.framing import STREAM_LIMIT_BYTES, read_frame, write_frame
+from oakbridge.peers.messages import MemberRecord, PushPullState
+
+SENDER = "visitor"  # no member: nothing is kept of what it sends
+
+
+class MemberQueryError(Exception):
+    """The member could not be asked; the text names its address and the cause."""
+
+
+async def query_members(address: Address, secret: bytes, timeout_s: float = 5.0) -> list[dict[str, Any]]:
+    """Return a row for each member that the one at this address knows, itself included.
+
+    Raises MemberQueryError.
+    """
+    where = f"{address[0]}:{address[1]}"
+    try:
+        async with asyncio.timeout(timeout_s):
+            state = await _exchange(address, Codec(secret))
+    except TimeoutError:
+        raise MemberQueryError(f"{where}: no answer within {timeout_s:g} s") from None
+    except EOFError:
+        raise MemberQueryError(f"{where}: hung up; is the secret the members' own?") from None
+    except PeerMessageError as e:
+        raise MemberQueryError(f"{where}: its answer can't be read: {e.reason}") from None
+    except (OSError, ValueError) as e:
+        raise MemberQueryError(f"{where}: {e}") from None
+    return [_row(record) for record in sorted(state.records, key=lambda r: r.name)]
+
+
+async def _exchange(address: Address, codec: Codec) -> PushPullState:
+    async with AsyncExitStack() as stack:
+        reader, writer = await asyncio.open_connection(*address, limit=STREAM_LIMIT_BYTES)
+        stack.callback(writer.close)
+        request = PushPullState(SENDER, generation=int(time.time()), records=())
+        await write_frame(writer, codec.encode_state(request))
+        return codec.decode_state(await read_frame(reader))
+
+
+def _row(record: MemberRecord) -> dict[str, Any]:
+    """Return a member's row in the JSON of ``fleet status --via``."""
+    return {
+        "name": record.name,
+        "address": record.address,
+        "state": record.state.label,
+        "by": record.reported_by,
+        "incarnation": record.incarnation,
+        "site": record.tags.get("site", ""),
+        "tier": record.tags.get("tier", ""),
+        "version": record.tags.get("version", ""),
+    }
--- /dev/null
+++ b/oakbridge/peers/node_adapter.py
@@ -0,0 +1,55 @@
+"""Ties a member to the node beside it: load out, failure reports in; and a file of seeds."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+
+from oakbridge.node.listing import Entry, Listing
+from oakbridge.node.node import Node
+from oakbridge.peers.node_reports import LocalLoad
+from oakbridge.peers.service import MembershipService, monotonic_us
+from oakbridge.policy import vocabulary as api
+from oakbridge.policy.view import brief
+from oakbridge.sources.files import FileOptions, FileSource
+
+
+def load_source(node: Node) -> Callable[[], LocalLoad]:
+    """Return what tells the load of a node."""
+
+    def load() -> LocalLoad:
+        in_flight, subset_size, failing_servers = brief(node.balancer, node.clock.now())
+        return LocalLoad(in_flight, subset_size, failing_servers)
+
+    return load
+
+
+def failure_report_sink(node: Node) -> Callable[[dict[str, float]], None]:
+    """Return what passes others' reports of failing servers to a node's outlier detection."""
+    return lambda weights: node.post(api.Doubted(weights))
+
+
+class SeedFile:
+    """Seeds from a watched server file; the names in it count for nothing."""
+
+    def __init__(self, options: FileOptions, service: MembershipService) -> None:
+        """Begin to watch."""
+        self._service = service
+        self._entries: dict[str, Entry] = {}
+        self._source = FileSource(options, monotonic_us)
+        self._source.tell(self)
+        self._source.start()
+
+    def stop(self) -> None:
+        """Watch no more."""
+        self._source.stop()
+
+    def prepare(self, entries: Iterable[Entry]) -> None:
+        """Nothing is needed before a listing holds."""
+
+    def listed(self, listing: Listing, saved: bool = False) -> None:  # noqa: ARG002  # a source's
+        """Join by these from now on."""
+        listing.put_into(self._entries)
+        self._service.set_seeds([entry.address for entry in self._entries.values()])
+
+    def lost_watch(self, waited: int = 0, stale: int = 0) -> None:
+        """Go on with what is known while the file can't be read."""
--- /dev/null
+++ b/oakbridge/peers/random_scenarios.py
@@ -0,0 +1,218 @@
+"""Random scenarios of a few members, by seed, and the invariants that must hold in each.
+
+In one view nobody's record ever goes back; whoever has heard that a member left on purpose never
+holds it for failed; once all is quiet no two live members disagree.  Each invariant is shown to
+fail on a planted fault (tests/members).
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from oakbridge.peers.member import Member
+from oakbridge.peers.messages import MemberState
+from oakbridge.peers.protocol_options import ProtocolOptions
+from oakbridge.peers.simulation import (
+    SimulatedCluster,
+    SimulatedNetwork,
+    SimulatedProcess,
+    nothing_blocked,
+)
+
+SECOND_US = 1_000_000
+MAX_FAULT_INTERVAL_US = 800_000
+MIN_FAULT_INTERVAL_US = 50_000
+QUIET_S = 40  # in which views must become the truth
+AGREED_CHECKS = 6  # half seconds for which they have to stay it
+SEED_MEMBERS = 2
+OPTIONS = ProtocolOptions(
+    probe_interval_us=200_000,
+    probe_timeout_us=80_000,
+    gossip_interval_us=60_000,
+    reconnect_interval_us=800_000,
+    push_pull_interval_us=4_000_000,
+)
+FAULTS = ("kill", "freeze", "thaw", "leave", "cut", "heal", "", "")
+
+Precedence = tuple[int, int, int, int]
+
+
+@dataclass(slots=True)
+class ScenarioResult:
+    """What one scenario came to."""
+
+    seed: int
+    events: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
+    checks: int = 0
+
+
+class RandomScenario:
+    """Members start, die, freeze, leave, come back and are cut off, on a random network."""
+
+    def __init__(self, seed: int, members: int = 4, seconds: int = 20) -> None:
+        self.result = ScenarioResult(seed)
+        self.cluster = SimulatedCluster(seed, options=OPTIONS, measure=False)
+        self.random = self.cluster.random
+        self.names = [f"m{i}" for i in range(members)]
+        self.generations = dict.fromkeys(self.names, 0)
+        self.seconds = seconds
+        self.seen: dict[tuple[int, str], Precedence] = {}  # by holder's token, and name
+        self.network = SimulatedNetwork(
+            loss=self.random.choice((0, 0.1, 0.3)),
+            duplication=self.random.choice((0, 0.2)),
+            max_delay_us=self.random.choice((2_000, 300_000)),
+        )
+
+    def play(self) -> ScenarioResult:
+        """Play it to its end."""
+        cluster = self.cluster
+        cluster.network = self.network
+        for name in self.names:
+            cluster.call_later(self.random.randrange(SECOND_US), lambda n=name: self.start(n))  # type: ignore[misc]
+        while cluster.now_us < self.seconds * SECOND_US:
+            interval_us = self.random.randrange(MIN_FAULT_INTERVAL_US, MAX_FAULT_INTERVAL_US)
+            cluster.run_until(cluster.now_us + interval_us)
+            self.inject_fault()
+            self.check_invariants()
+        self._end_faults()
+        self._wait_for_agreement()
+        self.result.violations += self.disagreements()
+        return self.result
+
+    def start(self, name: str) -> None:
+        """Start a process of this name; its clock may tell less than the last one's."""
+        drift = self.random.choice((-1, 0, 1, 2))
+        generation = self.generations[name] = max(1, self.generations[name] + drift)
+        self.cluster.start(name, self._seeds(), generation=generation)
+        self._log(f"start {name} in life {generation}")
+
+    def _seeds(self) -> list[str]:
+        return self.names[:SEED_MEMBERS]
+
+    def _log(self, event: str) -> None:
+        self.result.events.append(f"{self.cluster.now_us} {event}")
+
+    # ---- faults
+
+    def inject_fault(self) -> None:
+        """Have something happen to one member, or nothing."""
+        name = self.random.choice(self.names)
+        process = self.cluster.processes.get(name)
+        fault = self.random.choice(FAULTS)
+        if process is None:
+            return
+        if not process.is_up:
+            self.start(name)
+            return
+        self._inject(fault, name, process)
+        if fault:
+            self._log(f"{fault} {name}")
+
+    def _inject(self, fault: str, name: str, process: SimulatedProcess) -> None:
+        cluster = self.cluster
+        match fault:
+            case "kill":
+                cluster.kill(name)
+            case "freeze" if not process.is_frozen:
+                cluster.freeze(name)
+            case "thaw" if process.is_frozen:
+                cluster.thaw(name)
+            case "leave" if not process.is_frozen:
+                member = process.member
+                cluster.perform(process, member.leave(cluster.now_us))
+                cluster.call_later(SECOND_US, lambda: self._end_process(name, member))
+            case "cut":
+                self._cut_off(self.random.choice(self.names), both_ways=self.random.random() < 0.5)
+            case "heal":
+                cluster.is_blocked = nothing_blocked
+
+    def _cut_off(self, address: str, *, both_ways: bool) -> None:
+        self.cluster.is_blocked = lambda source, destination: (
+            source == address or (both_ways and destination == address)
+        )
+
+    def _end_process(self, name: str, member: Member) -> None:
+        """End a process that has left, unless another one has its name by now."""
+        if self.cluster.processes[name].member is member:
+            self.cluster.kill(name)
+
+    def _end_faults(self) -> None:
+        cluster = self.cluster
+        cluster.is_blocked = nothing_blocked
+        cluster.network = SimulatedNetwork()
+        for name in self.names:
+            if name in cluster.processes and cluster.processes[name].is_frozen:
+                cluster.thaw(name)
+        for name in self._seeds():  # without them and a snapshot nobody can find anybody
+            process = cluster.processes.get(name)
+            if process is None or not process.is_up or process.member.has_left:
+                self.start(name)
+
+    def _wait_for_agreement(self) -> None:
+        agreed_checks = 0
+        for _ in range(QUIET_S * 2):
+            self.cluster.run_until(self.cluster.now_us + SECOND_US // 2)
+            self.check_invariants()
+            agreed_checks = 0 if self.disagreements() else agreed_checks + 1
+            if agreed_checks == AGREED_CHECKS:
+                break
+
+    # ---- invariants
+
+    def check_invariants(self) -> None:
+        """Check what must hold at every moment."""
+        self.result.checks += 1
+        for holder, process in self.cluster.processes.items():
+            token = process.member.record.token
+            for about, known in process.member.members.items():
+                now = known.record.precedence
+                before = self.seen.get((token, about))
+                if before is not None:
+                    self._check_change(holder, about, before, now)
+                self.seen[token, about] = now
+
+    def _check_change(self, holder: str, about: str, before: Precedence, now: Precedence) -> None:
+        if now < before:
+            self.result.violations.append(f"{holder} went back on {about}: {before} to {now}")
+        *incarnation_before, state_before = before
+        *incarnation_now, state_now = now
+        has_returned = state_before == MemberState.LEFT and state_now != MemberState.LEFT
+        if has_returned and incarnation_now == incarnation_before:
+            label = MemberState(state_now).label
+            self.result.violations.append(f"{holder} calls {about} {label}, which left")
+
+    def disagreements(self) -> list[str]:
+        """Return where views are not the truth, which they must be once all has been quiet."""
+        found: list[str] = []
+        processes = self.cluster.processes
+        up = {name for name, process in processes.items() if _is_member(process)}
+        for holder in sorted(up):
+            held = {*processes[holder].member.live_names(), holder}
+            if held != up:
+                found.append(f"{holder} holds {sorted(held)} for alive, and {sorted(up)} are")
+            found += [
+                f"{holder} holds an older life of {about}"
+                for about in sorted(up - {holder})
+                if self._holds_older_process(holder, about)
+            ]
+        found += [
+            f"{name} gave its name up, and nobody else has it"
+            for name, process in processes.items()
+            if process.is_up and process.member.replaced_by is not None
+        ]
+        return found
+
+    def _holds_older_process(self, holder: str, about: str) -> bool:
+        record = self.cluster.record_held(holder, about)
+        truth = self.cluster.processes[about].member.record
+        return (
+            record is not None
+            and record.state == MemberState.ALIVE
+            and record.process_key != truth.process_key
+        )
+
+
+def _is_member(process: SimulatedProcess) -> bool:
+    member = process.member
+    return process.is_up and not member.has_left and member.replaced_by is None
--- /dev/null
+++ b/oakbridge/peers/service_counter.py
@@ -0,0 +1,19 @@
+"""What the member's sockets count."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class ServiceCounter(StrEnum):
+    """The values stand in the JSON of ``oakbridge peers``."""
+
+    RECEIVED = "received"
+    RECEIVED_BYTES = "bytes received"
+    SENT = "sent"
+    SENT_BYTES = "bytes sent"
+    SEND_FAILED = "could not send"
+    ICMP_REFUSED = "refused"
+    PUSH_PULL_BYTES = "bytes exchanged"
+    PUSH_PULLS_REFUSED = "exchanges refused"
+    PUSH_PULLS_BROKEN = "exchanges broken"
--- a/oakbridge/peers/snapshot.py
+++ b/oakbridge/peers/snapshot.py
@@ -1,16 +1,21 @@
-"""What a member keeps over a restart: its generation, and where others were.  A file written whole."""
+"""What a member keeps over a restart: its generation, and where others were.
+
+A JSON file that is replaced atomically; :func:`encode` and :func:`decode` are its format.
+"""
 
 from __future__ import annotations
 
 import json
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 from oakbridge.peers.messages import MAX_NAME, MAX_TEXT
 from oakbridge.sources.files import write_whole
 
-MAX_BYTES = 4 * 1024 * 1024
-MOST_SEEDS = 64
+MAX_SNAPSHOT_BYTES = 4 * 1024 * 1024
+MAX_SEEDS = 64
+MAX_GENERATION = 2**62 - 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,41 +26,57 @@
     members: tuple[tuple[str, str], ...] = ()  # name, address
 
     def seeds(self) -> tuple[str, ...]:
-        """Addresses to try, besides those that are configured."""
-        return tuple(address for _, address in self.members[:MOST_SEEDS])
+        """Return addresses to try besides those that are configured."""
+        return tuple(address for _, address in self.members[:MAX_SEEDS])
+
+
+class SnapshotError(ValueError):
+    """A file that is no snapshot; the text names it and what was expected."""
+
+
+def encode(snapshot: Snapshot) -> bytes:
+    """Return the stored form."""
+    return json.dumps({"life": snapshot.generation, "members": snapshot.members}).encode()
+
+
+def decode(data: bytes) -> Snapshot:
+    """Return the snapshot of a stored form.  Raises ValueError, KeyError or TypeError."""
+    stored = json.loads(data)
+    members = tuple((name, address) for name, address in stored["members"])
+    if not _is_generation(stored["life"]) or not all(map(_is_text, _flatten(members))):
+        raise ValueError
+    return Snapshot(stored["life"], members)
+
+
+def _is_generation(value: Any) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value <= MAX_GENERATION
+
+
+def _is_text(value: Any) -> bool:
+    return isinstance(value, str) and 0 < len(value) <= max(MAX_NAME, MAX_TEXT)
 
 
-class BadSnapshot(ValueError):
-    """A file that is no snapshot; the text names it and says what was expected."""
+def _flatten(members: tuple[tuple[Any, Any], ...]) -> list[Any]:
+    return [value for member in members for value in member]
 
 
 def load(path: Path) -> Snapshot:
-    """The snapshot; an empty one where there is no file.  Raises :class:`BadSnapshot`."""
+    """Return the snapshot, an empty one where there is no file.  Raises SnapshotError."""
     try:
-        if path.stat().st_size > MAX_BYTES:
-            raise BadSnapshot(f"{path}: expected at most {MAX_BYTES} bytes")
-        found = json.loads(path.read_bytes())
-        generation, rows = found["life"], found["members"]
-        members = tuple((name, address) for name, address in rows)
-        texts = all(
-            isinstance(word, str) and 0 < len(word) <= max(MAX_NAME, MAX_TEXT) for m in members for word in m
-        )
-        if (
-            not isinstance(generation, int)
-            or isinstance(generation, bool)
-            or not 0 <= generation < 2**62
-            or not texts
-        ):
-            raise ValueError
+        if path.stat().st_size > MAX_SNAPSHOT_BYTES:
+            raise SnapshotError(f"{path}: expected at most {MAX_SNAPSHOT_BYTES} bytes")
+        return decode(path.read_bytes())
+    except SnapshotError:
+        raise
     except FileNotFoundError:
         return Snapshot()
     except OSError as e:
-        raise BadSnapshot(f"{path}: {e.strerror or e}") from None
+        raise SnapshotError(f"{path}: {e.strerror or e}") from None
     except (ValueError, KeyError, TypeError, RecursionError):
-        raise BadSnapshot(f'{path}: expected {{"life": NUMBER, "members": [[NAME, ADDRESS], ...]}}') from None
-    return Snapshot(generation, members)
+        expected = '{"life": NUMBER, "members": [[NAME, ADDRESS], ...]}'
+        raise SnapshotError(f"{path}: expected {expected}") from None
 
 
 def save(path: Path, snapshot: Snapshot) -> None:
-    """Write it whole.  Raises OSError."""
-    write_whole(path, json.dumps({"life": snapshot.generation, "members": snapshot.members}).encode())
+    """Replace the file.  Raises OSError."""
+    write_whole(path, encode(snapshot))
--- a/oakbridge/peers/suspicion.py
+++ b/oakbridge/peers/suspicion.py
@@ -1,8 +1,9 @@
-"""How long a suspected member has to refute it.
+"""How long a suspected member has to refute the suspicion.
 
-Lifeguard's rule: long at first, so that one accuser who is himself slow does no harm, and shorter with each further
-member that says the same on its own, down to SWIM's time.  Source: A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local
-Health Awareness for More Accurate Failure Detection", 2017, section IV-B.
+Lifeguard's rule: long at first, so that one accuser that is itself slow does no harm, and shorter
+with each further member that suspects it independently, down to SWIM's time-out.  Source:
+A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
+Detection", 2017, section IV-B.
 """
 
 from __future__ import annotations
@@ -10,37 +11,49 @@
 import math
 from dataclasses import dataclass, field
 
-ALPHA, BETA = 4.0, 6.0  # the least time is alpha log10(n) periods, the longest beta times that
-ENOUGH = 3  # independent accusers, after whom the least time holds
+ALPHA = 4.0  # the shortest time-out is alpha log10(n) probe intervals
+BETA = 6.0  # the longest one is beta times the shortest
+MAX_CONFIRMATIONS = 3  # independent accusers after whom the shortest time-out holds
 
 
-def least(members: int, period: int) -> int:
-    """SWIM's time-out, microseconds: long enough for the news to reach all and the refutation to come back."""
-    return round(ALPHA * max(1.0, math.log10(max(1, members))) * period)
+def min_timeout_us(members: int, probe_interval_us: int) -> int:
+    """Return SWIM's time-out: a suspicion reaches all, and a refutation comes back."""
+    return round(ALPHA * max(1.0, math.log10(max(1, members))) * probe_interval_us)
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """One member's, from when it was first suspected."""
+    """The suspicion of one member."""
 
-    began: int  # microseconds
-    shortest: int
-    longest: int
+    started_us: int
+    min_us: int
+    max_us: int
     accusers: set[str] = field(default_factory=set)
-    enough: int = ENOUGH
-    accused: bool = False  # somebody's verdict was heard, which it has the shortest time to refute
+    confirmations_needed: int = MAX_CONFIRMATIONS
+    failure_reported: bool = False  # another member declared it failed: the shortest time-out holds
+
+    @property
+    def is_confirmed(self) -> bool:
+        """Return whether as many members suspect it as count."""
+        return len(self.accusers) > self.confirmations_needed
 
     def confirm(self, accuser: str) -> bool:
-        """Whether this accuser is a new one that counts; no more than enough are kept."""
-        if accuser in self.accusers or len(self.accusers) > self.enough:
+        """Return whether this accuser is a new one that counts."""
+        if accuser in self.accusers or self.is_confirmed:
             return False
         self.accusers.add(accuser)
         return True
 
-    def ends(self) -> int:
-        """When it is over, by the accusers so far."""
-        confirmed = max(0, len(self.accusers) - 1)
-        if self.enough <= 0 or confirmed >= self.enough:
-            return self.began + self.shortest
-        part = math.log(confirmed + 1) / math.log(self.enough + 1)
-        return self.began + max(self.shortest, round(self.longest - (self.longest - self.shortest) * part))
+    def report_failure(self) -> None:
+        """Shorten the time-out to the least: another member has declared the target failed."""
+        self.confirmations_needed = 0
+        self.failure_reported = True
+
+    def deadline_us(self) -> int:
+        """Return when the time to refute is over, by the accusers so far."""
+        confirmations = max(0, len(self.accusers) - 1)
+        if self.confirmations_needed <= 0 or confirmations >= self.confirmations_needed:
+            return self.started_us + self.min_us
+        elapsed_part = math.log(confirmations + 1) / math.log(self.confirmations_needed + 1)
+        timeout_us = round(self.max_us - (self.max_us - self.min_us) * elapsed_part)
+        return self.started_us + max(self.min_us, timeout_us)
--- a/oakbridge/sites/beside.py
+++ b/oakbridge/sites/beside.py
@@ -14,7 +14,7 @@
 
 from oakbridge.control.protocol import Refusal
 from oakbridge.node.node import Node
-from oakbridge.peers.shell import Peers
+from oakbridge.peers.service import MembershipService
 from oakbridge.policy import vocabulary as api
 from oakbridge.policy.view import zones
 from oakbridge.sites.core import WINDOW, Counts, Decision, Heard, Rates, Sites, UnknownSite
@@ -27,7 +27,7 @@
 class SitesBeside:
     """One node's sites."""
 
-    def __init__(self, node: Node, peers: Peers, sites: Sites) -> None:
+    def __init__(self, node: Node, peers: MembershipService, sites: Sites) -> None:
         self.node, self.peers, self.sites = node, peers, sites
         self._rates = Rates()
         self._said: Decision | None = None
@@ -35,14 +35,17 @@
 
     async def __aenter__(self) -> SitesBeside:
         """Begin."""
-        self.peers.about, self.peers.urgent = self.sites.say, lambda: self.sites.urgent
-        self.peers.direct = lambda: self.sites.tell_to(self.peers.member.alive())
+        self.peers.site_report = self.sites.say
+        self.peers.is_urgent = lambda: self.sites.urgent
+        self.peers.direct_recipients = lambda: self.sites.tell_to(self.peers.member.live_names())
         self._task = asyncio.get_running_loop().create_task(self._looking())
         return self
 
     async def __aexit__(self, *_: object) -> None:
         """End; zones are used again as without it."""
-        self.peers.about, self.peers.urgent, self.peers.direct = None, lambda: False, lambda: []
+        self.peers.site_report = None
+        self.peers.is_urgent = lambda: False
+        self.peers.direct_recipients = list
         if self._task is not None:
             self._task.cancel()
             with suppress(asyncio.CancelledError):
@@ -59,24 +62,22 @@
     def heard(self) -> Iterator[Heard]:
         """What each member in reach said last of sites."""
         member, now = self.peers.member, time.monotonic_ns() // 1000
-        for name in member.alive():
-            told = member.fact(name, now)
-            if told is not None and told[0].site_report is not None:
-                site = member.known[name].record.tags.get("site", "")
-                yield Heard(name, site, told[1], told[0].site_report)
+        for name in member.live_names():
+            told = member.report(name, now)
+            if told is not None and told.report.site_report is not None:
+                site = member.members[name].record.tags.get("site", "")
+                yield Heard(name, site, told.age_us, told.report.site_report)
 
     def look(self) -> None:
         """One look: what is known in, what holds out."""
-        if self.peers.stance is None:
+        if self.peers.view is None:
             return
         node, now = self.node, self.node.clock.now()
         module = node.balancer
         came = {name: seen.came for name, seen in module.latency.items()}
         counts = Counts(now, node.served, node.refused, node.failed, module.turned, came)
         own = self._rates.now(counts, zones(module, now, WINDOW))
-        decision = self.sites.look(
-            now, time.time_ns() // 1_000_000, self.peers.stance, list(self.heard()), own
-        )
+        decision = self.sites.look(now, time.time_ns() // 1_000_000, self.peers.view, list(self.heard()), own)
         for change in decision.changes:
             log.log(
                 logging.INFO if change.after in ("well", "warming") else logging.WARNING,
--- a/oakbridge/sites/core.py
+++ b/oakbridge/sites/core.py
@@ -14,7 +14,13 @@
 from typing import Any
 
 from oakbridge.peers.messages import MAX_SITES, SiteObservation, SiteOverride, SiteReport, SiteVerdict
-from oakbridge.peers.stance import ALONE, GIVE_UP, PARTED, Stance, use
+from oakbridge.peers.view_state import (
+    SITE_VERDICT_LARGER_PART,
+    SITE_VERDICT_SMALLER_PART,
+    ClusterView,
+    Reaction,
+    ViewState,
+)
 from oakbridge.policy.view import ZoneView
 from oakbridge.sites.level import Level, first, order, pressure, refused
 from oakbridge.sites.machine import CUT_OFF, DOUBTED, HELD_OUT, WELL, Change, Site
@@ -193,7 +199,7 @@
 
     # ---- a look
 
-    def look(self, now: int, clock_ms: int, stance: Stance, heard: Sequence[Heard], own: Own) -> Decision:
+    def look(self, now: int, clock_ms: int, view: ClusterView, heard: Sequence[Heard], own: Own) -> Decision:
         """Go on by what is known; to be called twice a second or so.
 
         ``heard``: of members in reach; ``clock_ms``: the clock by which operators' words are ordered.
@@ -212,15 +218,15 @@
         rows = ((h.about.overload_per_mille / 1000, h.about.calls_per_s) for h in heard if h.age <= FRESH)
         self.pressure = pressure([(own.pressure, own.calls), *rows])
         self._levels(now, heard)
-        changes = self._states(now, stance, voices)
-        parts = self._parts(stance)
+        changes = self._states(now, view, voices)
+        parts = self._parts(view)
         away = refused(self.level.rows, self.level.now)
         salt = clock_ms // ROTATE_MS
         self.decision = Decision(parts, self._looks(parts, len(heard) + 1), away, salt, changes)
         return self.decision
 
-    def _states(self, now: int, stance: Stance, voices: Sequence[Voice]) -> tuple[Change, ...]:
-        doubts_itself = self._alone(stance)
+    def _states(self, now: int, view: ClusterView, voices: Sequence[Voice]) -> tuple[Change, ...]:
+        doubts_itself = self._alone(view)
         changes = []
         listed = {z.zone: z.listed for z in self._own.zones}
         for name, site in self.sites.items():
@@ -228,7 +234,7 @@
                 name,
                 self.home,
                 voices,
-                name in stance.sites,
+                name in view.unreachable_sites,
                 listed.get(name, 0),
                 site.state in (WELL, DOUBTED),
             )
@@ -247,15 +253,15 @@
         self._gone = gone
         return tuple(changes)
 
-    def _alone(self, stance: Stance) -> bool:
+    def _alone(self, view: ClusterView) -> bool:
         """Whether this node's verdict on other sites counts for nothing."""
-        part = "larger part" if stance.larger else "smaller part"
-        does = use(f"a verdict on another site ({part})").does(stance.kind)
-        return does == GIVE_UP and stance.kind in (PARTED, ALONE)
+        verdict = SITE_VERDICT_LARGER_PART if view.is_larger_part else SITE_VERDICT_SMALLER_PART
+        cut_off = view.state in (ViewState.PARTITIONED, ViewState.ISOLATED)
+        return cut_off and verdict.reaction(view.state) == Reaction.GIVE_UP
 
-    def _parts(self, stance: Stance) -> dict[str, float]:
+    def _parts(self, view: ClusterView) -> dict[str, float]:
         own = self.sites.get(self.home)
-        if self._alone(stance) and own is not None and own.part() > 0 and stance.lost:
+        if self._alone(view) and own is not None and own.part() > 0 and view.unreachable:
             return {name: 0.0 for name in self.sites if name != self.home}
         parts = {name: site.part() for name, site in self.sites.items()}
         if not any(parts.values()):
--- a/oakbridge/spread/beside.py
+++ b/oakbridge/spread/beside.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from oakbridge.node.node import Node
-from oakbridge.peers.shell import Peers
+from oakbridge.peers.service import MembershipService
 from oakbridge.policy import vocabulary as api
 from oakbridge.policy.view import listed
 from oakbridge.spread.core import Copy, Rate, Spread
@@ -24,7 +24,7 @@
 class SpreadBeside:
     """One node's part."""
 
-    def __init__(self, node: Node, peers: Peers, rings: int) -> None:
+    def __init__(self, node: Node, peers: MembershipService, rings: int) -> None:
         self.node, self.peers = node, peers
         self.spread = Spread(peers.options.name, node.balancer.home, rings)
         self._rate = Rate()
@@ -33,13 +33,13 @@
 
     async def __aenter__(self) -> SpreadBeside:
         """Begin."""
-        self.peers.weight = self.weight
+        self.peers.request_rate = self.weight
         self._task = asyncio.get_running_loop().create_task(self._looking())
         return self
 
     async def __aexit__(self, *_: object) -> None:
         """End; servers are drawn again as without it."""
-        self.peers.weight = None
+        self.peers.request_rate = None
         if self._task is not None:
             self._task.cancel()
             with suppress(asyncio.CancelledError):
@@ -64,12 +64,12 @@
         tier = self.peers.options.tags.get("tier", "")
         site = self.peers.options.tags.get("site", "")
         found = {}
-        mine = member.fact(self.peers.options.name, now)
-        found[self.peers.options.name] = Copy(site, mine[0].requests_per_10s if mine is not None else 0)
-        for name in member.alive():
-            tags = member.known[name].record.tags
+        mine = member.report(self.peers.options.name, now)
+        found[self.peers.options.name] = Copy(site, mine.report.requests_per_10s if mine is not None else 0)
+        for name in member.live_names():
+            tags = member.members[name].record.tags
             if tags.get("tier", "") == tier:
-                told = member.known[name].fact
+                told = member.members[name].report
                 found[name] = Copy(tags.get("site", ""), told.requests_per_10s if told is not None else 0)
         return found
 
@@ -87,10 +87,10 @@
 
     async def look(self) -> None:
         """One look."""
-        if self.peers.stance is None or self.peers.member.replaced is not None:
+        if self.peers.view is None or self.peers.member.replaced_by is not None:
             return
         servers = await self._listed()
-        given = (self.node.clock.now(), self.peers.stance, self.copies(), servers)
+        given = (self.node.clock.now(), self.peers.view, self.copies(), servers)
         if len(servers) > IN_A_THREAD:
             found = await asyncio.to_thread(self.spread.look, *given)
         else:
--- a/oakbridge/spread/core.py
+++ b/oakbridge/spread/core.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oakbridge.peers.stance import KEEP, MOVE, PARTED, Stance, use
+from oakbridge.peers.view_state import REPLICA_INDEX, ClusterView, Reaction, ViewState
 from oakbridge.spread.ring import cut, tiles
 
 PARTED_FOR = 30_000_000  # microseconds, until those in reach divide all servers
@@ -83,24 +83,32 @@
     _parted_at: int = -1
 
     def look(
-        self, now: int, stance: Stance, copies: Mapping[str, Copy], servers: Mapping[str, tuple[str, float]]
+        self,
+        now: int,
+        view: ClusterView,
+        copies: Mapping[str, Copy],
+        servers: Mapping[str, tuple[str, float]],
     ) -> dict[str, float] | None:
         """The parts from now on where they have changed, None where they have not; empty: as without members.
 
         ``copies``: of its tier, in reach, itself included; ``servers``: zone and size of all that are listed.
         """
-        does = use("this node's place among its tier").does(stance.kind)
-        if stance.kind != PARTED:
+        does = REPLICA_INDEX.reaction(view.state)
+        if view.state != ViewState.PARTITIONED:
             self._parted_at = -1
         elif self._parted_at < 0:
             self._parted_at = now
         elif now - self._parted_at >= PARTED_FOR:
-            does = MOVE
-        if does == MOVE and len(copies) < 2:
+            does = Reaction.MOVE
+        if does == Reaction.MOVE and len(copies) < 2:
             return self._become({})
-        if does == MOVE and copies != self._copies and (not self._copies or now - self._at >= SETTLE):
+        if (
+            does == Reaction.MOVE
+            and copies != self._copies
+            and (not self._copies or now - self._at >= SETTLE)
+        ):
             self._copies, self._at = dict(copies), now
-        elif does not in (MOVE, KEEP) or not self._copies or servers == self._servers:
+        elif does not in (Reaction.MOVE, Reaction.KEEP) or not self._copies or servers == self._servers:
             return None
         self._servers = dict(servers)
         return self._become(self._cut())
--- a/tests/formats/test_peers.py
+++ b/tests/formats/test_peers.py
@@ -13,12 +13,11 @@
 
 from oakbridge.peers import snapshot
 from oakbridge.peers.codec import HEADER_BYTES, Codec
-from oakbridge.peers.framing import read_state, write_state
+from oakbridge.peers.framing import read_frame, write_frame
 from oakbridge.peers.member import Member
-from oakbridge.peers.places import Place
-from oakbridge.peers.shell import Peers, PeersOptions
-from oakbridge.peers.stance import stance
-from oakbridge.peers.visit import visit
+from oakbridge.peers.member_query import query_members
+from oakbridge.peers.replica_index import ReplicaIndex
+from oakbridge.peers.service import MembershipService, ServiceOptions
 
 FIXTURES = Path(__file__).parent / "fixtures" / "peers"
 SECRET = b"0123456789abcdef"
@@ -56,9 +55,9 @@
 
 def exchange_again(name: str) -> tuple[bytes, bytes]:
     async def again() -> bytes:
-        sealed, codec, written = await read_state(stream_of(data)), Codec(SECRET), Written()
+        sealed, codec, written = await read_frame(stream_of(data)), Codec(SECRET), Written()
         assert msgspec.msgpack.decode(sealed[HEADER_BYTES:]) == row["body"]
-        await write_state(written, codec.encode_state(codec.decode_state(sealed)))
+        await write_frame(written, codec.encode_state(codec.decode_state(sealed)))
         return written.data
 
     row = EXCHANGES[name]
@@ -92,14 +91,14 @@
 def test_what_operators_are_told_keeps_its_names_and_form(monkeypatch):
     """Built from the datagrams and the exchange of the fixtures; compared as text, so with the order of the keys."""
     now_us = 60_000_000
-    monkeypatch.setattr(Peers, "_now", staticmethod(lambda: now_us))
     tags = {"site": "north", "version": "0.3.0"}
-    peers = Peers(PeersOptions("n1", ("10.0.0.1", 7946), SECRET, tags=tags))
+    options = ServiceOptions("n1", ("10.0.0.1", 7946), SECRET, tags=tags)
+    peers = MembershipService(options, clock=lambda: now_us)
     peers.member = Member("n1", "10.0.0.1:7946", 1700000001, tags, 5, 1_000_000)
     n2 = ["n2", "10.0.0.2:7946", 1700000002, 78, 0, 0, "", 1, {"site": "north"}]
     n4 = ["n4", "10.0.0.4:7946", 1700000004, 80, 6, 0, "", 2, {"site": "south"}]
     state = sealed(["n2", 1700000002, [n2, n4], []])
-    peers.member.exchanged(2_000_000, peers.codec.decode_state(state), asked=True)
+    peers.member.push_pull_completed(2_000_000, peers.codec.decode_state(state), initiated=True)
     gone, full = DATAGRAMS["gossip"]["body"][7][1:], DATAGRAMS["gossip"]["body"][8][1]
     n5 = ["n5", "10.0.0.5:7946", 1700000005, 81, 1, 0, "", 2, {"site": "south", "version": "0.2.9"}]
     facts = [
@@ -110,12 +109,12 @@
     gossip = sealed([4, 0, "n2", 1700000002, 0, "", "", [*gone, n5], facts])
     peers.member.receive(3_000_000, "10.0.0.2:7946", peers.codec.decode(gossip))
     peers.member.counts["late"] += 2
-    peers.member.health = 1
-    peers.counts["received"], peers.codec.rejected["tag"], peers.longest_turn = 3, 1, 0.0012344
-    peers.places.now = Place(1, 3)
+    monkeypatch.setattr(Member, "health_score", 1)
+    peers.counts["received"], peers.codec.rejected["tag"], peers.longest_turn_s = 3, 1, 0.0012344
+    peers.views.replica_index.current = ReplicaIndex(1, 3)
     now_us = 4_500_000
-    peers.stance = stance("n1", peers.seen(), now_us)
-    peers._listen()
+    peers.views.current = peers.views.assess(now_us, peers.member)
+    peers.weigh_failure_reports()
     told = {
         "peers": peers.describe(),
         "peers.why n2": peers.why("n2"),
@@ -135,13 +134,13 @@
         requests = []
 
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            requests.append(msgspec.msgpack.decode((await read_state(reader))[HEADER_BYTES:]))
+            requests.append(msgspec.msgpack.decode((await read_frame(reader))[HEADER_BYTES:]))
             writer.write(bytes.fromhex(EXCHANGES["all_that_is_known"]["stream"]))
             await writer.drain()
             writer.close()
 
         async with await asyncio.start_server(answer, "127.0.0.1", 0) as server:
-            rows = await visit(server.sockets[0].getsockname()[:2], SECRET)
+            rows = await query_members(server.sockets[0].getsockname()[:2], SECRET)
         return rows, requests
 
     rows, [request] = asyncio.run(asked())
--- a/tests/members/test_parts.py
+++ b/tests/members/test_parts.py
@@ -7,13 +7,13 @@
 import pytest
 
 from oakbridge.peers.codec import HEADER_BYTES, MAX_DATAGRAM_BYTES, NEWEST_VERSION, Codec, PeerMessageError
+from oakbridge.peers.failure_reports import MAX_AGE_US, weigh_failure_reports
+from oakbridge.peers.gossip_queue import GossipQueue
 from oakbridge.peers.member import Member
 from oakbridge.peers.messages import Datagram, MemberRecord, MemberState, MessageKind, NodeReport
-from oakbridge.peers.news import News
-from oakbridge.peers.places import Place, Places, place
-from oakbridge.peers.stance import USES, Seen, stance
-from oakbridge.peers.suspicion import Suspicion, least
-from oakbridge.peers.voices import FRESH, doubts
+from oakbridge.peers.replica_index import ReplicaIndex, ReplicaIndexTracker, replica_index
+from oakbridge.peers.suspicion import Suspicion, min_timeout_us
+from oakbridge.peers.view_state import CALLERS_REQUESTS, VIEW_USES, MemberView, ViewState, assess
 
 S = 1_000_000
 RECORD = MemberRecord("b", "127.0.0.1:1", 5, 9, 2, MemberState.ALIVE, "", 2, {"site": "x"})
@@ -62,7 +62,7 @@
     rng, codec = random.Random(1), Codec(b"s")
     member = Member("b", "127.0.0.1:1", 5, {}, 1, 0)
     good = codec.encode(MESSAGE, 2)
-    before = member.state()
+    before = member.push_pull_state()
     for _ in range(20_000):
         data = bytearray(good)
         for _ in range(rng.randint(1, 4)):
@@ -72,7 +72,7 @@
             continue
         with pytest.raises(PeerMessageError):
             codec.decode(bytes(data))
-    assert member.state() == before
+    assert member.push_pull_state() == before
 
 
 def test_sealed_nonsense_raises_nothing():
@@ -94,12 +94,12 @@
             continue
         taken += 1
         member.receive(now * 1000, "c", message)
-        if member.due() <= now * 1000:
+        if member.next_due_us() <= now * 1000:
             member.tick(now * 1000)
-        if member.replaced is not None:
+        if member.replaced_by is not None:
             member = Member("b", "b", 5, {}, 1, now * 1000)
     assert taken > 1000
-    assert set(member.known) <= {"a", "c"}
+    assert set(member.members) <= {"a", "c"}
 
 
 def test_a_datagram_is_never_longer_than_it_may_be():
@@ -114,7 +114,7 @@
         member.receive(i, "x", Datagram(MessageKind.GOSSIP, 0, name, 2**62, 0, "", "", (news,)))
     now = 0
     while now < 60 * S:
-        now = member.due()
+        now = member.next_due_us()
         for action in member.tick(now):
             if hasattr(action, "message"):
                 longest = max(longest, len(codec.encode(action.message, 2)))
@@ -140,12 +140,12 @@
 
 def test_suspicion_shrinks_with_independent_accusers():
     period = 500_000
-    assert least(10, period) < least(100, period) < least(1000, period)
+    assert min_timeout_us(10, period) < min_timeout_us(100, period) < min_timeout_us(1000, period)
     suspicion = Suspicion(0, 2 * S, 12 * S, {"a"})
-    ends = [suspicion.ends()]
+    ends = [suspicion.deadline_us()]
     for accuser in ("a", "b", "b", "c", "d", "e", "f"):
         suspicion.confirm(accuser)
-        ends.append(suspicion.ends())
+        ends.append(suspicion.deadline_us())
     assert ends == sorted(ends, reverse=True)
     assert ends[0] == ends[1] == 12 * S
     assert ends[-1] == 2 * S
@@ -153,7 +153,7 @@
 
 
 def test_news_is_bounded_told_in_turn_and_ends():
-    news: News[int] = News(50)
+    news: GossipQueue[int] = GossipQueue(50)
     for i in range(80):
         news.put(str(i), i, 10)
     assert len(news) == 50
@@ -166,10 +166,10 @@
     assert news.take(100, 1) == [2]
 
 
-def seen(there: str, lost: str = "", since: int = 0) -> list[Seen]:
+def seen(there: str, lost: str = "", since: int = 0) -> list[MemberView]:
     """Members by site: ``aabb`` are two of site a and two of b."""
     return [
-        Seen(f"{n:02d}{site}", up, since, site, "x")
+        MemberView(f"{n:02d}{site}", up, since, site, "x")
         for n, (site, up) in enumerate([*((s, True) for s in there), *((s, False) for s in lost)])
     ]
 
@@ -190,45 +190,45 @@
     ],
 )
 def test_stance(members, now, kind, sites, larger):
-    found = stance(members[0].name, members, now)
-    assert (found.kind, found.sites, found.larger) == (kind, sites, larger)
+    found = assess(members[0].name, members, now)
+    assert (found.state, found.unreachable_sites, found.is_larger_part) == (kind, sites, larger)
     if kind == "parted":
-        assert "out of reach" in str(found) and found.by == ("x",)
+        assert "out of reach" in str(found) and found.reporters == ("x",)
 
 
 def test_halves_never_both_take_themselves_for_the_larger():
     for there, lost in (("aab", "bcc"), ("aaa", "bbb")):
         members = seen(there, lost)
-        other = [Seen(m.name, not m.there, m.since, m.site, m.by) for m in members]
-        assert stance("", members, 0).larger != stance("", other, 0).larger
+        other = [MemberView(m.name, not m.is_reachable, m.since_us, m.site, m.reported_by) for m in members]
+        assert assess("", members, 0).is_larger_part != assess("", other, 0).is_larger_part
 
 
 def test_calls_are_served_in_every_stance():
-    row = USES[0]
-    assert {row.does(kind) for kind in ("starting", "whole", "parted", "alone")} == {"serve"}
-    assert stance("a", seen("a"), 0, starting=True).kind == "starting"
-    assert stance("a", seen("aa"), 0, replaced=True).kind == "alone"
+    assert VIEW_USES[0] is CALLERS_REQUESTS
+    assert {CALLERS_REQUESTS.reaction(state) for state in ViewState} == {"serve"}
+    assert assess("a", seen("a"), 0, starting=True).state == "starting"
+    assert assess("a", seen("aa"), 0, replaced=True).state == "alone"
 
 
 def test_the_operators_page_tells_the_same_table():
     page = (Path(__file__).parents[2] / "docs" / "peers.md").read_text()
-    for row in USES:
-        cells = " | ".join((row.name, row.starting, row.whole, row.parted, row.alone))
+    for row in VIEW_USES:
+        cells = " | ".join((row.name, row.starting, row.complete, row.partitioned, row.isolated))
         assert f"| {cells} |" in page
 
 
 def test_places_agree_and_move_only_while_all_are_there():
     names = [f"n{i}" for i in range(7)]
-    assert sorted(place(n, names).index for n in names) == list(range(7))
-    whole, parted = stance("n1", seen("aaa"), 0), stance("n1", seen("aa", "bb"), 0)
-    places = Places("n1", settle=3 * S)
+    assert sorted(replica_index(n, names).index for n in names) == list(range(7))
+    whole, parted = assess("n1", seen("aaa"), 0), assess("n1", seen("aa", "bb"), 0)
+    places = ReplicaIndexTracker("n1", settle_us=3 * S)
     assert places.update(0, whole, names) is None
-    assert places.update(4 * S, whole, names) == place("n1", names)
+    assert places.update(4 * S, whole, names) == replica_index("n1", names)
     assert places.update(8 * S, parted, names[:3]) is None
     assert places.update(60 * S, parted, names[:3]) is None
-    assert places.now == place("n1", names)
+    assert places.current == replica_index("n1", names)
     places.update(61 * S, whole, names[:3])
-    assert places.update(65 * S, whole, names[:3]) == Place(place("n1", names[:3]).index, 3)
+    assert places.update(65 * S, whole, names[:3]) == ReplicaIndex(replica_index("n1", names[:3]).index, 3)
 
 
 def words(*said: str) -> list[tuple[NodeReport, int]]:
@@ -253,7 +253,11 @@
     ],
 )
 def test_what_words_on_a_failing_server_weigh(said, weight):
-    assert doubts("whole", words(*said), "me")["x"].weight == weight
-    assert doubts("parted", words(*said), "me")["x"].weight == weight
-    assert not doubts("alone", words(*said), "me") and not doubts("starting", words(*said), "me")
-    assert not doubts("whole", [(fact, FRESH + 1) for fact, _ in words(*said)], "me")
+    assert weigh_failure_reports(ViewState.COMPLETE, words(*said), "me")["x"].weight == weight
+    assert weigh_failure_reports(ViewState.PARTITIONED, words(*said), "me")["x"].weight == weight
+    assert not weigh_failure_reports(ViewState.ISOLATED, words(*said), "me") and not weigh_failure_reports(
+        ViewState.STARTING, words(*said), "me"
+    )
+    assert not weigh_failure_reports(
+        ViewState.COMPLETE, [(fact, MAX_AGE_US + 1) for fact, _ in words(*said)], "me"
+    )
--- a/tests/members/test_sockets.py
+++ b/tests/members/test_service.py
@@ -13,28 +13,34 @@
 from oakbridge.config.load import BadFile, load
 from oakbridge.config.peers import peers_options
 from oakbridge.peers import snapshot as snap
-from oakbridge.peers.member import Options
+from oakbridge.peers.member_query import MemberQueryError, query_members
 from oakbridge.peers.messages import Datagram, MemberRecord, MemberState, MessageKind
-from oakbridge.peers.shell import Peers, PeersOptions
-from oakbridge.peers.visit import NotHeard, visit
-
-QUICK = Options(period=60_000, probe_timeout=25_000, gossip=20_000, reach=200_000)
+from oakbridge.peers.node_reports import LocalLoad
+from oakbridge.peers.protocol_options import ProtocolOptions
+from oakbridge.peers.service import MembershipService, ServiceOptions
+
+QUICK = ProtocolOptions(
+    probe_interval_us=60_000,
+    probe_timeout_us=25_000,
+    gossip_interval_us=20_000,
+    reconnect_interval_us=200_000,
+)
 
 
-def member(n: int, port: int, secret: bytes = b"s" * 16, **more) -> Peers:
-    options = PeersOptions(
-        f"n{n}", (f"127.0.77.{n + 1}", port), secret, seeds=(("127.0.77.1", port),), member=QUICK,
+def member(n: int, port: int, secret: bytes = b"s" * 16, **more) -> MembershipService:
+    options = ServiceOptions(
+        f"n{n}", (f"127.0.77.{n + 1}", port), secret, seeds=(("127.0.77.1", port),), protocol=QUICK,
         tags={"site": "a"}, **more,
     )  # fmt: skip
-    return Peers(options, lambda: (n, 1, ("s-9",)))
+    return MembershipService(options, lambda: LocalLoad(n, 1, ("s-9",)))
 
 
 async def _visited(port: int, states: dict[str, str], tmp_path) -> None:
     """One of them tells a stranger who has the secret of all, and nobody comes to know the stranger."""
-    told = await visit(("127.0.77.1", port), b"s" * 16)
+    told = await query_members(("127.0.77.1", port), b"s" * 16)
     assert {row["name"]: row["state"] for row in told} == states | {"n0": "alive"}
-    with pytest.raises(NotHeard, match="hung up"):
-        await visit(("127.0.77.1", port), b"t" * 16)
+    with pytest.raises(MemberQueryError, match="hung up"):
+        await query_members(("127.0.77.1", port), b"t" * 16)
     (tmp_path / "secret").write_text("s" * 16)
     words = ["fleet", "status", "--via", f"127.0.77.1:{port}", "--secret-file", str(tmp_path / "secret")]
     shown = await asyncio.to_thread(CliRunner().invoke, cli, words)
@@ -49,24 +55,24 @@
 
 
 async def _meets(port: int, tmp_path) -> None:
-    peers = [member(n, port, snapshot=tmp_path / f"{n}.json") for n in range(6)]
+    peers = [member(n, port, snapshot_path=tmp_path / f"{n}.json") for n in range(6)]
     stranger = member(9, port, b"t" * 16)
     for one in (*peers, stranger):
         await one.start()
-    await until(lambda: all(len(p.member.alive()) == 5 for p in peers))
-    assert stranger.member.alive() == []
+    await until(lambda: all(len(p.member.live_names()) == 5 for p in peers))
+    assert stranger.member.live_names() == []
     await until(lambda: peers[0].codec.rejected["tag"] + peers[0].counts["exchanges broken"])
-    await until(lambda: peers[1].member.fact("n2", 0) is not None)
-    assert peers[1].member.fact("n2", 0)[0].in_flight == 2
+    await until(lambda: peers[1].member.report("n2", 0) is not None)
+    assert peers[1].member.report("n2", 0).report.in_flight == 2
     await peers[5].stop()
     peers[4].close()
     await until(
         lambda: all(
-            set(p.member.alive()) == {f"n{i}" for i in range(4)} - {p.options.name} for p in peers[:4]
+            set(p.member.live_names()) == {f"n{i}" for i in range(4)} - {p.options.name} for p in peers[:4]
         )
     )
     heard: list[dict[str, float]] = []
-    peers[0]._doubted = heard.append
+    peers[0].on_failure_reports = heard.append
     await until(lambda: heard)  # n1, n2 and n3 find it failing, which is all that voices can do
     assert heard[0] == {"s-9": 1.0}
     assert peers[0].describe()["doubted"][0]["by"] == ["n1", "n2", "n3"]
@@ -76,10 +82,10 @@
     assert [c["after"] for c in peers[0].why("n4")] == ["alive", "suspect", "failed"]
     await until(lambda: (tmp_path / "4.json").exists())
     kept = snap.load(tmp_path / "4.json")
-    back = member(4, port, snapshot=tmp_path / "4.json")
+    back = member(4, port, snapshot_path=tmp_path / "4.json")
     await back.start()
-    assert back.member.me.generation > kept.generation
-    await until(lambda: all("n4" in p.member.alive() for p in peers[:4]))
+    assert back.member.record.generation > kept.generation
+    await until(lambda: all("n4" in p.member.live_names() for p in peers[:4]))
     for one in (*peers[:4], stranger, back):
         one.close()
 
@@ -90,19 +96,19 @@
 
 async def _told_of_seeds(port: int) -> None:
     first, late = member(0, port), member(1, port)
-    late.options = replace(late.options, seeds=(), more_seeds=True)
+    late.options = replace(late.options, seeds=(), expects_more_seeds=True)
     await first.start()
     await late.start()
-    assert late.member.starting  # whether there is anybody is not known yet
-    late.seed([("127.0.77.1", port)])
-    await until(lambda: late.member.alive() == ["n0"] and first.member.alive() == ["n1"])
-    late.seed([])
-    assert not late.member.starting and late.member.alive() == ["n0"]
+    assert late.member.is_joining  # whether there is anybody is not known yet
+    late.set_seeds([("127.0.77.1", port)])
+    await until(lambda: late.member.live_names() == ["n0"] and first.member.live_names() == ["n1"])
+    late.set_seeds([])
+    assert not late.member.is_joining and late.member.live_names() == ["n0"]
     alone = member(2, port)
-    alone.options = replace(alone.options, seeds=(), more_seeds=True)
+    alone.options = replace(alone.options, seeds=(), expects_more_seeds=True)
     await alone.start()
-    alone.seed([])
-    assert not alone.member.starting
+    alone.set_seeds([])
+    assert not alone.member.is_joining
     for one in (first, late, alone):
         one.close()
 
@@ -116,13 +122,13 @@
     await one.start()
     for n, address in enumerate(("localhost:1", "127.0.0.1:x", "", "127.0.0.1:70000")):
         news = MemberRecord(f"m{n}", address, 1, 1, 0, MemberState.ALIVE)
-        one._carry(
+        one.perform(
             one.member.receive(
                 0, "127.0.77.9:1", Datagram(MessageKind.GOSSIP, 0, "m9", 1, 0, "", "", (news,))
             )
         )
     await until(lambda: one.counts["could not send"] >= 8)
-    assert set(one.member.known) == {"m0", "m1", "m2", "m3"}
+    assert set(one.member.members) == {"m0", "m1", "m2", "m3"}
     one.close()
 
 
@@ -133,7 +139,7 @@
 async def _nonsense(port: int) -> None:
     one = member(0, port)
     await one.start()
-    before = one.member.state()
+    before = one.member.push_pull_state()
     loop = asyncio.get_running_loop()
     sender, _ = await loop.create_datagram_endpoint(
         asyncio.DatagramProtocol, remote_addr=("127.0.77.1", port)
@@ -145,7 +151,7 @@
         writer.write(data)
         writer.write_eof()
     await until(lambda: one.counts["exchanges broken"] == 3 and sum(one.codec.rejected.values()) >= 4)
-    assert one.member.state() == before
+    assert one.member.push_pull_state() == before
     sender.close()
     one.close()
 
@@ -168,7 +174,7 @@
 def test_a_broken_snapshot_is_named(tmp_path, text):
     path = tmp_path / "kept"
     path.write_text(text)
-    with pytest.raises(snap.BadSnapshot, match="kept: expected"):
+    with pytest.raises(snap.SnapshotError, match="kept: expected"):
         snap.load(path)
 
 
--- a/tests/sites/test_parts.py
+++ b/tests/sites/test_parts.py
@@ -9,7 +9,7 @@
 
 from oakbridge.config.load import BadFile
 from oakbridge.peers.messages import SiteObservation, SiteOverride, SiteReport
-from oakbridge.peers.stance import ALONE, PARTED, WHOLE, Stance
+from oakbridge.peers.view_state import ClusterView, ViewState
 from oakbridge.policy.view import ZoneView
 from oakbridge.sites import level, pace, planning, scheme
 from oakbridge.sites.core import Heard, Own, Sites, UnknownSite
@@ -248,7 +248,7 @@
 
 
 def whole(**more):
-    return Stance(**{"kind": WHOLE, "known": 9, "lost": 0, **more})
+    return ClusterView(**{"state": ViewState.COMPLETE, "known": 9, "unreachable": 0, **more})
 
 
 def own(pressure=0.0, **zones):
@@ -287,9 +287,17 @@
 @pytest.mark.parametrize(
     ("stance", "parts"),
     [
-        (whole(kind=PARTED, lost=3, larger=True, sites=("c",)), {"b": 0.0, "c": 0.0}),
-        (whole(kind=PARTED, lost=6, larger=False, sites=("b", "c")), {"b": 0.0, "c": 0.0}),
-        (whole(kind=ALONE, lost=8, larger=False), {"b": 0.0, "c": 0.0}),
+        (
+            whole(state=ViewState.PARTITIONED, unreachable=3, is_larger_part=True, unreachable_sites=("c",)),
+            {"b": 0.0, "c": 0.0},
+        ),
+        (
+            whole(
+                state=ViewState.PARTITIONED, unreachable=6, is_larger_part=False, unreachable_sites=("b", "c")
+            ),
+            {"b": 0.0, "c": 0.0},
+        ),
+        (whole(state=ViewState.ISOLATED, unreachable=8, is_larger_part=False), {"b": 0.0, "c": 0.0}),
     ],
 )
 def test_who_is_in_the_smaller_part_keeps_to_its_own_site(stance, parts):
@@ -297,7 +305,7 @@
     after(sites, 1)
     decision = after(sites, 4, stance, seen={"a": (3, 0, 0), "b": (0, 3, 0), "c": (0, 3, 0)})
     assert decision.parts == parts
-    if not stance.larger:  # it has judged nobody
+    if not stance.is_larger_part:  # it has judged nobody
         assert {s.state for s in sites.sites.values()} == {WELL}
         assert after(sites, 1).parts == {}
 
--- a/tests/spread/test_parts.py
+++ b/tests/spread/test_parts.py
@@ -10,7 +10,7 @@
 
 from oakbridge.cli.main import cli
 from oakbridge.lab.world import SECOND, Fleet
-from oakbridge.peers.stance import ALONE, PARTED, STARTING, WHOLE, Stance
+from oakbridge.peers.view_state import ClusterView, ViewState
 from oakbridge.policy import vocabulary as api
 from oakbridge.policy.balancer import Balancer
 from oakbridge.policy.view import listed
@@ -87,8 +87,8 @@
     assert 2.5 < told[-1] / told[599] < 6 and min(told) >= 1
 
 
-def whole(kind=WHOLE, **more):
-    return Stance(kind, 4, 0, **more)
+def whole(state=ViewState.COMPLETE, **more):
+    return ClusterView(state, 4, 0, **more)
 
 
 COPIES = {f"n{i}": Copy("a" if i % 2 else "b", 10) for i in range(4)}
@@ -97,16 +97,24 @@
 
 def test_what_a_node_does_in_each_stance():
     spread = Spread("n1", "", 2)
-    assert spread.look(0, whole(STARTING), COPIES, SERVERS) is None
+    assert spread.look(0, whole(ViewState.STARTING), COPIES, SERVERS) is None
     first = spread.look(SECOND, whole(), COPIES, SERVERS)
     assert first and set(first) < set(SERVERS)
     fewer = {n: c for n, c in COPIES.items() if n != "n2"}
     assert spread.look(2 * SECOND, whole(), fewer, SERVERS) is None  # not yet: they come and go in groups
-    assert spread.look(9 * SECOND, whole(PARTED), fewer, SERVERS) is None  # who is cut off still has its part
+    assert (
+        spread.look(9 * SECOND, whole(ViewState.PARTITIONED), fewer, SERVERS) is None
+    )  # who is cut off still has its part
     new = {**SERVERS, "s99": ("a", 9.0)}
-    assert spread.look(9 * SECOND, whole(PARTED), fewer, new)  # but servers count as they are listed
-    assert spread.look(10 * SECOND + PARTED_FOR, whole(PARTED), fewer, SERVERS)  # it lasts: by those in reach
-    assert spread.look(60 * SECOND, whole(ALONE), {"n1": COPIES["n1"]}, SERVERS) is None  # it may be cut off
+    assert spread.look(
+        9 * SECOND, whole(ViewState.PARTITIONED), fewer, new
+    )  # but servers count as they are listed
+    assert spread.look(
+        10 * SECOND + PARTED_FOR, whole(ViewState.PARTITIONED), fewer, SERVERS
+    )  # it lasts: by those in reach
+    assert (
+        spread.look(60 * SECOND, whole(ViewState.ISOLATED), {"n1": COPIES["n1"]}, SERVERS) is None
+    )  # it may be cut off
     assert spread.look(90 * SECOND, whole(), {"n1": COPIES["n1"]}, SERVERS) == {} and spread.moves
 
 
