--- a/benchmarks/members_search.py
+++ b/benchmarks/members_search.py
@@ -12,16 +12,17 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from oakbridge.peers import interleavings
+from oakbridge.peers.interleavings import ExplorationReport, explore, starting_points
 from oakbridge.peers.random_scenarios import RandomScenario
+from oakbridge.peers.system_state import SystemState
 
 APART = 2  # steps after which the search goes on in several processes
 
 
-def part(item: tuple[str, interleavings.SystemState, int]) -> tuple[str, interleavings.ExplorationReport]:
+def part(item: tuple[str, SystemState, int]) -> tuple[str, ExplorationReport]:
     """One process's part."""
     name, state, depth = item
-    return name, interleavings.explore(state, depth, convergence_sample=500)
+    return name, explore(state, depth, convergence_sample=500)
 
 
 def course(item: tuple[int, int]) -> tuple[int, list[str]]:
@@ -43,10 +44,10 @@
     began = time.monotonic()
     with ProcessPoolExecutor(args.processes) as pool:
         if args.depth > APART:
-            reports: dict[str, interleavings.ExplorationReport] = {}
-            work = [(name, state, args.depth - APART) for name, state in interleavings.starting_points(APART)]
+            reports: dict[str, ExplorationReport] = {}
+            work = [(name, state, args.depth - APART) for name, state in starting_points(APART)]
             for name, report in pool.map(part, work):
-                reports.setdefault(name, interleavings.ExplorationReport()).add(report)
+                reports.setdefault(name, ExplorationReport()).add(report)
             for name, report in reports.items():
                 print(
                     f"{name}: {len(report.states)} states, {report.transitions} steps to depth {args.depth}, "
--- a/tests/members/test_cluster.py
+++ b/tests/members/test_cluster.py
@@ -5,8 +5,9 @@
 import msgspec
 import pytest
 
-from oakbridge.peers import interleavings
 from oakbridge.peers.actions import StartPushPull
+from oakbridge.peers.initial_states import initial_states
+from oakbridge.peers.interleavings import explore
 from oakbridge.peers.member import Member
 from oakbridge.peers.member_table import KnownMember
 from oakbridge.peers.messages import (
@@ -282,9 +283,9 @@
     assert any(told in line for line in broken)
 
 
-@pytest.mark.parametrize("scene", sorted(interleavings.initial_states()))
+@pytest.mark.parametrize("scene", sorted(initial_states()))
 def test_what_holds_in_every_order_of_three_members(scene):
-    report = interleavings.explore(interleavings.initial_states()[scene], 3, convergence_sample=20)
+    report = explore(initial_states()[scene], 3, convergence_sample=20)
     assert report.violations == [] and len(report.states) > 50 and report.converged > 0
 
 
@@ -298,10 +299,10 @@
 )
 def test_a_planted_fault_breaks_an_order(monkeypatch, fault, scene, told):
     every = 20 if told == "of calm" else 10**9
-    begins = [interleavings.initial_states()[scene]]
+    begins = [initial_states()[scene]]
     fault(monkeypatch)
-    begins.append(interleavings.initial_states()[scene])  # a fault may show in what leads there
-    broken = [line for state in begins for line in interleavings.explore(state, 4, every).violations]
+    begins.append(initial_states()[scene])  # a fault may show in what leads there
+    broken = [line for state in begins for line in explore(state, 4, every).violations]
     assert any(told in line for line in broken)
 
 
