--- a/tests/sites/test_parts.py
+++ b/tests/sites/test_parts.py
@@ -8,8 +8,8 @@
 from site_text import SITES
 
 from oakbridge.config.load import BadFile
-from oakbridge.peers.record import About, Held, SiteWord
-from oakbridge.peers.stance import ALONE, PARTED, WHOLE, Stance
+from oakbridge.peers.messages import SiteObservation, SiteOverride, SiteReport
+from oakbridge.peers.view_state import ClusterView, ViewState
 from oakbridge.policy.view import ZoneView
 from oakbridge.sites import level, pace, planning, scheme
 from oakbridge.sites.core import Heard, Own, Sites, UnknownSite
@@ -24,7 +24,7 @@
 
 
 def voice(name, site, good=0, mute=0, dead=0, age=0, about="x"):
-    return Voice(name, site, age, (SiteWord(about, good, mute, dead),))
+    return Voice(name, site, age, (SiteObservation(about, good, mute, dead),))
 
 
 @pytest.mark.parametrize(
@@ -248,7 +248,7 @@
 
 
 def whole(**more):
-    return Stance(**{"kind": WHOLE, "known": 9, "lost": 0, **more})
+    return ClusterView(**{"state": ViewState.COMPLETE, "known": 9, "unreachable": 0, **more})
 
 
 def own(pressure=0.0, **zones):
@@ -265,8 +265,8 @@
 
 
 def others(names="n2 n3 n4", site="a", **words):
-    told = tuple(SiteWord(z, *seen) for z, seen in words.items())
-    return [Heard(n, site, S, About(told, 50)) for n in names.split()]
+    told = tuple(SiteObservation(z, *seen) for z, seen in words.items())
+    return [Heard(n, site, S, SiteReport(told, 50)) for n in names.split()]
 
 
 def after(sites, seconds, stance=None, heard=(), seen=WELL_SEEN, start=0, **more):
@@ -287,9 +287,17 @@
 @pytest.mark.parametrize(
     ("stance", "parts"),
     [
-        (whole(kind=PARTED, lost=3, larger=True, sites=("c",)), {"b": 0.0, "c": 0.0}),
-        (whole(kind=PARTED, lost=6, larger=False, sites=("b", "c")), {"b": 0.0, "c": 0.0}),
-        (whole(kind=ALONE, lost=8, larger=False), {"b": 0.0, "c": 0.0}),
+        (
+            whole(state=ViewState.PARTITIONED, unreachable=3, is_larger_part=True, unreachable_sites=("c",)),
+            {"b": 0.0, "c": 0.0},
+        ),
+        (
+            whole(
+                state=ViewState.PARTITIONED, unreachable=6, is_larger_part=False, unreachable_sites=("b", "c")
+            ),
+            {"b": 0.0, "c": 0.0},
+        ),
+        (whole(state=ViewState.ISOLATED, unreachable=8, is_larger_part=False), {"b": 0.0, "c": 0.0}),
     ],
 )
 def test_who_is_in_the_smaller_part_keeps_to_its_own_site(stance, parts):
@@ -297,7 +305,7 @@
     after(sites, 1)
     decision = after(sites, 4, stance, seen={"a": (3, 0, 0), "b": (0, 3, 0), "c": (0, 3, 0)})
     assert decision.parts == parts
-    if not stance.larger:  # it has judged nobody
+    if not stance.is_larger_part:  # it has judged nobody
         assert {s.state for s in sites.sites.values()} == {WELL}
         assert after(sites, 1).parts == {}
 
@@ -339,15 +347,15 @@
     for one in (here, there):
         after(one, 1)
     here.operate(5_000, "b", True, "kari")
-    assert here.operate(6_000, "b", True, "ola").by == "kari"  # said twice it changes nothing
+    assert here.operate(6_000, "b", True, "ola").operator == "kari"  # said twice it changes nothing
     decision = after(there, 30, heard=[Heard("n1", "a", 0, here.say())])
     assert decision.parts == {"b": 0.0} and there.describe(0)["sites"][1]["held_by"] == "kari"
     there.operate(1_000, "b", False, "ola")  # by a clock that is behind
     after(here, 1, heard=[Heard("n2", "a", 0, there.say())])
-    assert not here.held["b"].out
-    far = About(held=(Held("b", 10**15, True, "x"),))
+    assert not here.held["b"].drained
+    far = SiteReport(overrides=(SiteOverride("b", 10**15, True, "x"),))
     after(here, 1, heard=[Heard("n9", "a", 0, far)])
-    assert not here.held["b"].out
+    assert not here.held["b"].drained
     with pytest.raises(UnknownSite, match="expected one of a, b, c"):
         here.operate(0, "d", True, "")
     for site in "bc":
@@ -387,7 +395,7 @@
 
 def test_old_words_do_not_move_the_level():
     sites = node()
-    old = [Heard(f"m{n}", "a", FRESH + 1, About((), 50, 900)) for n in range(9)]
+    old = [Heard(f"m{n}", "a", FRESH + 1, SiteReport((), 50, 900)) for n in range(9)]
     after(sites, 30, heard=old)
     assert sites.pressure == 0 and sites.level.now == 0
 
