--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -28,8 +28,8 @@
 from oakbridge.rollout.change import ReplaceFiles, SetValues
 from oakbridge.rollout.coordinator import Coordinator, RolloutOptions
 from oakbridge.rollout.journal import Journal, JournalEntry
-from oakbridge.rollout.machine import RolloutRecord
 from oakbridge.rollout.plan import Target, WaveOptions, plan_waves
+from oakbridge.rollout.record import RolloutRecord
 from oakbridge.standin.host import PlayedHost
 
 CONFIG = (
@@ -82,10 +82,11 @@
         Target(h.agent, row["name"], "", row["generation"])
         for h in heard if h.status == 200 for row in h.answer["instances"]
     ]  # fmt: skip
-    waves = plan_waves(targets, WaveOptions(unavailable=unavailable))
-    record = RolloutRecord(tuple(map(tuple, waves)), unavailable, False)
-    journal.add(JournalEntry(held.token, "bench", time.time(), time.time(), "", change, record))
-    coordinator = Coordinator(operator, journal, held.token, change, record, held, options)
+    waves = plan_waves(targets, WaveOptions(max_unavailable=unavailable))
+    record = RolloutRecord(waves, unavailable, False)
+    entry = JournalEntry(held.token, "bench", time.time(), time.time(), "", change, record)
+    journal.add(entry)
+    coordinator = Coordinator(operator, journal, entry, held, options)
     stage = await coordinator.run()
     await operator.release(coordinator.held)
     fates = Counter(row.outcome.value for row in coordinator.machine.statuses().values())
@@ -104,7 +105,7 @@
         heard = await operator.ask_all(wire.Status())
         assert all(h.status == 200 for h in heard)
         print(f"  status of {len(heard)}, {turn}: {time.monotonic() - began:.2f} s")
-    options = RolloutOptions(watch=1.0, window=2.0, silent=5.0)
+    options = RolloutOptions(watch_s=1.0, window_s=2.0, silence_timeout_s=5.0)
     waves = max(1, len(addresses) // 2)
     await roll(folder, operator, ReplaceFiles({"oakbridge.toml": CONFIG}), options, waves)
     await roll(folder, operator, SetValues({"class.look.aim": "2s"}), options, waves)
--- /dev/null
+++ b/oakbridge/cli/rollout/doctor_command.py
@@ -0,0 +1,83 @@
+"""``oakbridge fleet doctor``."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from pathlib import Path
+from typing import Any
+
+import click
+
+from oakbridge.cli.common import BadInput, say_json
+from oakbridge.cli.fleet import (
+    command,
+    folder_option,
+    members_by,
+    operator_of,
+    operator_option,
+    via_options,
+)
+from oakbridge.cli.rollout.session import CALL_TIMEOUT_S, open_journal
+from oakbridge.fleet import pki, wire
+from oakbridge.rollout.doctor import Finding, Severity, diagnose
+from oakbridge.rollout.journal import JournalError
+
+
+@command.command("doctor")
+@folder_option
+@operator_option
+@via_options
+@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+def doctor(folder: Path, operator: str, via: str | None, secret_file: Path | None, as_json: bool) -> None:
+    """Say what is wrong with the fleet and what to do about it; exit code 1 if anything is.
+
+    With --via also where the inventory and what the members know of each other differ.
+    """
+    members = None if via is None else asyncio.run(members_by(via, secret_file))
+    client = operator_of(folder, operator, CALL_TIMEOUT_S)
+    journal = open_journal(folder)
+    responses = asyncio.run(client.ask_all(wire.Status()))
+    answers: dict[str, dict[str, Any] | str] = {
+        response.agent: response.answer
+        if response.status == 200
+        else response.error or str(response.answer.get("error", ""))
+        for response in responses
+    }
+    try:
+        entries = journal.entries()
+    except JournalError as error:
+        raise BadInput(str(error)) from None
+    findings = diagnose(answers, entries, time.time(), _days_left(folder), members)
+    bad_count = sum(1 for finding in findings if finding.severity is Severity.BAD)
+    if as_json:
+        say_json([_finding_json(finding) for finding in findings])
+    else:
+        for finding in findings:
+            click.echo(f"{finding.severity.value:4}  {finding.subject}: {finding.problem}")
+            click.echo(f"      -> {finding.remedy}")
+        click.echo(f"{bad_count} bad, {len(findings)} in all; {len(answers)} agents asked")
+    if bad_count:
+        raise click.exceptions.Exit(1)
+
+
+def _days_left(folder: Path) -> dict[str, float]:
+    """Return how many days each certificate of the fleet's folder is still valid for, by its path."""
+    paths = (folder / "ca.crt", *folder.glob("agents/*.crt"), *folder.glob("operators/*.crt"))
+    days_by_name: dict[str, float] = {}
+    for path in paths:
+        try:
+            days = pki.days_left(path)
+        except (pki.PkiError, OSError, ValueError):
+            days = 0.0
+        days_by_name[str(path.relative_to(folder))] = days
+    return days_by_name
+
+
+def _finding_json(finding: Finding) -> dict[str, str]:
+    return {
+        "weight": finding.severity.value,
+        "where": finding.subject,
+        "what": finding.problem,
+        "do": finding.remedy,
+    }
--- /dev/null
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -0,0 +1,125 @@
+"""``oakbridge fleet history | rebuild``."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections import Counter
+from pathlib import Path
+from typing import Any
+
+import click
+from rich import box
+from rich.console import Console
+from rich.table import Table
+
+from oakbridge.cli.common import BadInput, say_json
+from oakbridge.cli.fleet import command, folder_option, operator_of, operator_option
+from oakbridge.cli.rollout.session import CALL_TIMEOUT_S, open_journal
+from oakbridge.fleet import wire
+from oakbridge.fleet.ask import Operator
+from oakbridge.rollout.change import ReplaceFiles
+from oakbridge.rollout.journal import Journal, JournalEntry, JournalError
+from oakbridge.rollout.rebuild import RebuiltRollout, rebuild
+
+ALL_ENTRIES = 1_000_000
+
+
+@command.command("history")
+@folder_option
+@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+def history(folder: Path, as_json: bool) -> None:
+    """Show past rollouts, and those that stand still."""
+    try:
+        entries = open_journal(folder).entries()
+    except JournalError as error:
+        raise BadInput(str(error)) from None
+    if as_json:
+        say_json([_entry_json(entry) for entry in entries])
+    else:
+        Console().print(_history_table(entries))
+
+
+def _entry_json(entry: JournalEntry) -> dict[str, Any]:
+    return {
+        "rollout": entry.id,
+        "operator": entry.operator,
+        "began": entry.began_unix_s,
+        "why": entry.why,
+        "change": entry.change.kind.value,
+        "stage": entry.record.phase.value,
+        "reason": entry.record.reason,
+        "instances": {name: status.outcome.value for name, status in entry.record.statuses},
+    }
+
+
+def _history_table(entries: list[JournalEntry]) -> Table:
+    table = Table(box=box.SIMPLE_HEAD, pad_edge=False)
+    for column in ("rollout", "began, by", "stage", "instances", "why, and why it stands"):
+        table.add_column(column)
+    for entry in entries:
+        outcomes = Counter(status.outcome.value for _, status in entry.record.statuses)
+        began = time.strftime("%m-%d %H:%M", time.localtime(entry.began_unix_s))
+        table.add_row(
+            str(entry.id),
+            f"{began} {entry.operator}",
+            entry.record.phase.value,
+            ", ".join(f"{count} {outcome}" for outcome, count in outcomes.most_common()),
+            "; ".join(filter(None, (entry.why, entry.record.reason))),
+        )
+    return table
+
+
+@command.command("rebuild")
+@folder_option
+@operator_option
+@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+def rebuild_journal(folder: Path, operator: str, as_json: bool) -> None:
+    """Make a journal that was lost again, from what the agents remember; rollouts it has stay as they are."""
+    client = operator_of(folder, operator, CALL_TIMEOUT_S)
+    journal = open_journal(folder)
+    entries, silent = asyncio.run(_missing_entries(client, journal))
+    for entry in entries:
+        journal.add(entry)
+    if as_json:
+        say_json({"rebuilt": [entry.id for entry in entries], "silent": silent})
+        return
+    numbers = ", ".join(str(entry.id) for entry in entries)
+    click.echo(f"rebuilt: {numbers or 'nothing that the journal does not have'}")
+    for agent in silent:
+        click.echo(f"{agent} did not answer: what it alone remembers is not there")
+
+
+async def _missing_entries(operator: Operator, journal: Journal) -> tuple[list[JournalEntry], list[str]]:
+    """Return the rollouts that agents remember and the journal lacks, and the agents without an answer."""
+    responses = await operator.ask_all(wire.Status())
+    silent = [response.agent for response in responses if response.status != 200]
+    reports = {
+        response.agent: response.answer["instances"] for response in responses if response.status == 200
+    }
+    known = {entry.id for entry in journal.entries(ALL_ENTRIES)}
+    entries = [
+        await _rebuilt_entry(operator, rollout)
+        for rollout in rebuild(reports, silent)
+        if rollout.id not in known
+    ]
+    operator.close()
+    return entries, silent
+
+
+async def _rebuilt_entry(operator: Operator, rollout: RebuiltRollout) -> JournalEntry:
+    files: dict[str, str] = {}
+    if rollout.files_holder is not None:
+        holder = rollout.files_holder
+        response = await operator.ask(holder.agent, wire.Fetch(holder.instance, rollout.id))
+        files = response.answer.get("files", {})
+    now_unix_s = time.time()
+    return JournalEntry(
+        id=rollout.id,
+        operator="unknown",
+        began_unix_s=now_unix_s,
+        changed_unix_s=now_unix_s,
+        why="(rebuilt)",
+        change=ReplaceFiles(files),
+        record=rollout.record,
+    )
--- /dev/null
+++ b/oakbridge/cli/rollout/session.py
@@ -0,0 +1,264 @@
+"""Carries out one command that changes a fleet: takes the lease, runs the rollout, prints its report."""
+
+from __future__ import annotations
+
+import asyncio
+import getpass
+import time
+from collections.abc import Awaitable, Callable, Mapping
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+import click
+from rich.console import Console
+from rich.live import Live
+
+from oakbridge.cli.common import BadInput, Failed, say_json
+from oakbridge.cli.fleet import operator_of
+from oakbridge.cli.rollout.options import WaveArguments
+from oakbridge.cli.rollout.view import render
+from oakbridge.fleet import wire
+from oakbridge.fleet.ask import Held, Operator
+from oakbridge.rollout.change import Change, RollBackRollout
+from oakbridge.rollout.coordinator import Coordinator, RolloutOptions
+from oakbridge.rollout.journal import Journal, JournalEntry, JournalError
+from oakbridge.rollout.lease_keeper import LEASE_S
+from oakbridge.rollout.plan import Target
+from oakbridge.rollout.record import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
+
+EXIT_PARTIAL = 3  # done but for some instances that are unknown
+EXIT_HALTED = 4  # halted or rolled back
+REFRESH_S = 0.25  # the least time between two pictures of the live view
+CALL_TIMEOUT_S = 5.0  # of one call to an agent
+
+
+@dataclass(frozen=True, slots=True)
+class RolloutResult:
+    """A rollout that has ended, and the agents without an answer when it began."""
+
+    coordinator: Coordinator
+    unseen: list[str]
+
+
+@dataclass(frozen=True, slots=True)
+class RolloutSession:
+    """One call of a command that changes the fleet."""
+
+    folder: Path
+    operator_name: str
+    options: RolloutOptions
+    as_json: bool
+
+    def roll_out(
+        self,
+        change: Change,
+        waves: WaveArguments,
+        *,
+        auto_rollback: bool,
+        why: str,
+        sources: Mapping[str, int] | None = None,
+    ) -> None:
+        """Roll a change out, and end the command with its exit code."""
+
+        async def run(operator: Operator, journal: Journal, held: Held) -> RolloutResult:
+            targets, unseen = await find_targets(operator, waves.only)
+            if sources is not None:
+                targets = [target for target in targets if target.name in sources]
+            record = RolloutRecord(waves.plan(targets), waves.unavailable, auto_rollback)
+            now_unix_s = time.time()
+            entry = JournalEntry(
+                id=held.token,
+                operator=f"{self.operator_name} ({getpass.getuser()})",
+                began_unix_s=now_unix_s,
+                changed_unix_s=now_unix_s,
+                why=why or change.describe(),
+                change=change,
+                record=record,
+            )
+            journal.add(entry)
+            return RolloutResult(await self._coordinate(operator, journal, entry, held, sources), unseen)
+
+        self._report(self._run_with_lease(run))
+
+    def resume(self, rollout: int) -> None:
+        """Resume a rollout, and end the command with its exit code."""
+
+        async def run(operator: Operator, journal: Journal, held: Held) -> RolloutResult:
+            entry = journal.entry(rollout)
+            sources = rollback_sources(journal, entry.change)
+            return RolloutResult(await self._coordinate(operator, journal, entry, held, sources), [])
+
+        self._report(self._run_with_lease(run))
+
+    def _run_with_lease(
+        self, run: Callable[[Operator, Journal, Held], Awaitable[RolloutResult]]
+    ) -> RolloutResult:
+        """Run under the lease, which is released however the run ends."""
+        operator = operator_of(self.folder, self.operator_name, CALL_TIMEOUT_S)
+        journal = open_journal(self.folder)
+
+        async def run_and_release() -> RolloutResult:
+            held = await acquire_lease(operator)
+            result: RolloutResult | None = None
+            try:
+                result = await run(operator, journal, held)
+                return result
+            finally:
+                await operator.release(held if result is None else result.coordinator.held)
+                operator.close()
+
+        try:
+            return asyncio.run(run_and_release())
+        except JournalError as error:
+            raise BadInput(str(error)) from None
+
+    async def _coordinate(
+        self,
+        operator: Operator,
+        journal: Journal,
+        entry: JournalEntry,
+        held: Held,
+        sources: Mapping[str, int] | None,
+    ) -> Coordinator:
+        """Carry the rollout out, with a live view on a terminal."""
+        console = Console()
+        if self.as_json or not console.is_terminal:
+            coordinator = Coordinator(operator, journal, entry, held, self.options, sources=sources)
+            await coordinator.run()
+            return coordinator
+        with Live(console=console, auto_refresh=False) as live:
+            coordinator = Coordinator(
+                operator,
+                journal,
+                entry,
+                held,
+                self.options,
+                on_update=_live_view_updater(live),
+                sources=sources,
+            )
+            await coordinator.run()
+            live.update(render(coordinator), refresh=True)
+        return coordinator
+
+    def _report(self, result: RolloutResult) -> None:
+        machine = result.coordinator.machine
+        if self.as_json:
+            say_json(_report_json(result))
+        else:
+            console = Console()
+            if not console.is_terminal:
+                console.print(render(result.coordinator))
+            for text in result.unseen:
+                click.echo(f"not seen at the start, and so in no wave: {text}")
+        if machine.record.phase is not Phase.DONE:
+            raise click.exceptions.Exit(EXIT_HALTED)
+        if result.unseen or not machine.is_complete():
+            raise click.exceptions.Exit(EXIT_PARTIAL)
+
+
+def _live_view_updater(live: Live) -> Callable[[Coordinator], None]:
+    last_s = 0.0
+
+    def update(coordinator: Coordinator) -> None:
+        nonlocal last_s
+        if time.monotonic() - last_s > REFRESH_S:
+            last_s = time.monotonic()
+            live.update(render(coordinator), refresh=True)
+
+    return update
+
+
+def _report_json(result: RolloutResult) -> dict[str, Any]:
+    machine = result.coordinator.machine
+    return {
+        "rollout": result.coordinator.rollout,
+        "stage": machine.record.phase.value,
+        "reason": machine.record.reason,
+        "complete": machine.is_complete() and not result.unseen,
+        "unseen": result.unseen,
+        "instances": [_status_json(name, status) for name, status in machine.statuses().items()],
+    }
+
+
+def _status_json(name: str, status: InstanceStatus) -> dict[str, Any]:
+    return {
+        "instance": name,
+        "fate": status.outcome.value,
+        "reason": status.reason,
+        "last_heard": status.last_response_unix_s or None,
+    }
+
+
+async def find_targets(operator: Operator, only: tuple[str, ...]) -> tuple[list[Target], list[str]]:
+    """Return the instances that answer now, or those of ``only``, and the agents that do not answer.
+
+    Raise BadInput if one of ``only`` is missing.
+    """
+    responses = await operator.ask_all(wire.Status())
+    targets = [
+        Target(
+            agent=response.agent,
+            instance=report["name"],
+            zone=response.answer.get("zone", ""),
+            base=report["generation"],
+            drained=report.get("drained", False),
+        )
+        for response in responses
+        if response.status == 200
+        for report in response.answer["instances"]
+    ]
+    unseen = [
+        f"{response.agent}: {response.error or response.answer.get('error', '')}"
+        for response in responses
+        if response.status != 200
+    ]
+    if missing := set(only) - {target.name for target in targets}:
+        names = ", ".join(sorted(missing))
+        raise BadInput(f"--only: there is no instance {names} that can be seen")
+    return [target for target in targets if not only or target.name in only], unseen
+
+
+def rollback_sources(journal: Journal, change: Change) -> dict[str, int] | None:
+    """Return the generation that each instance ran before the rollout that ``change`` takes back.
+
+    None for another kind of change.  Raise JournalError if that rollout is not in the journal.
+    """
+    if not isinstance(change, RollBackRollout):
+        return None
+    record = journal.entry(change.rollout).record
+    statuses = dict(record.statuses)
+    return {
+        target.name: target.base
+        for wave in record.waves
+        for target in wave
+        if target.base
+        and target.name in statuses
+        and statuses[target.name].outcome is InstanceOutcome.APPLIED
+    }
+
+
+def open_journal(folder: Path) -> Journal:
+    """Return the fleet's journal.  Raise BadInput if it cannot be used."""
+    try:
+        return Journal(folder)
+    except JournalError as error:
+        raise BadInput(str(error)) from None
+
+
+async def acquire_lease(operator: Operator) -> Held:
+    """Return the lease.  Raise Failed, with who has it, if a majority of agents does not grant it."""
+    held = await operator.acquire(LEASE_S)
+    agent_count = len(operator.inventory.agents)
+    if held.won(agent_count):
+        return held
+    for response in held.refused:
+        if holder := response.answer.get("holder"):
+            since = time.strftime("%H:%M:%S", time.localtime(response.answer["since"]))
+            ends_in_s = response.answer.get("ends_in_s")
+            ends = f", ends in {ends_in_s:.0f} s" if ends_in_s else ""
+            raise Failed(f"{holder} has the lease since {since}{ends} (agent {response.agent})")
+    if held.refused:
+        response = held.refused[0]
+        raise Failed(f"agent {response.agent} refuses: {response.answer.get('error')}")
+    raise Failed(f"{len(held.agents)} of {agent_count} agents answer; a majority is needed for a change")
--- a/oakbridge/rollout/agent_watcher.py
+++ b/oakbridge/rollout/agent_watcher.py
@@ -1,4 +1,4 @@
-"""Listens to the agents of a rollout: each is asked again and again on its own, so a silent one holds up nobody."""
+"""Polls the agents of a rollout, each in a task of its own, so that a silent one delays nobody."""
 
 from __future__ import annotations
 
@@ -8,83 +8,96 @@
 
 from oakbridge.fleet import wire
 from oakbridge.fleet.ask import Heard, Operator
+from oakbridge.rollout.step_report import Report
 
-STEP_S = 0.25  # the shortest pace
-LOOK_WITHIN_S = 1.5  # an agent that takes longer is asked again
-MISSES = 3  # an agent that did not answer so many times in a row is silent: one lost answer halts no rollout
+POLL_STEP_S = 0.25  # the shortest poll interval
+RESPONSE_TIMEOUT_S = 1.5  # an agent that takes longer is polled again
+MAX_MISSES = 3  # polls in a row without an answer until an agent is silent: one lost answer halts nothing
 
 
 class AgentWatcher:
-    """What each agent said last; :attr:`news` is set with each answer."""
-
-    def __init__(self, operator: Operator, agents: tuple[str, ...], pace: Callable[[str], float]) -> None:
-        """``pace``: how many seconds to wait between two looks at this agent; asked anew all the time."""
-        self._operator, self._pace = operator, pace
-        self.agents = agents
-        self.heard: dict[str, Heard] = {}  # of those that answered when they were asked last
-        self.last_heard: dict[str, float] = {}  # Unix time
-        self._misses: dict[str, int] = {}  # asks in a row without an answer
-        self.news = asyncio.Event()
-        self._wake = {agent: asyncio.Event() for agent in agents}
+    """The last response of each agent; :attr:`updated` is set with each new one."""
+
+    def __init__(
+        self, operator: Operator, agents: tuple[str, ...], poll_interval_s: Callable[[str], float]
+    ) -> None:
+        """Watch these agents; ``poll_interval_s`` is called anew for each wait."""
+        self._operator = operator
+        self._poll_interval_s = poll_interval_s
+        self._agents = agents
+        self._responses: dict[str, Heard] = {}  # of the agents that are not silent
+        self._last_response_unix_s: dict[str, float] = {}
+        self._misses: dict[str, int] = {}
+        self._poll_requested = {agent: asyncio.Event() for agent in agents}
         self._tasks: list[asyncio.Task[None]] = []
+        self.updated = asyncio.Event()
 
     def start(self) -> None:
-        """Begin."""
-        self._tasks = [asyncio.create_task(self._follow(agent)) for agent in self.agents]
+        """Start to poll."""
+        self._tasks = [asyncio.create_task(self._watch(agent)) for agent in self._agents]
 
     async def close(self) -> None:
-        """Listen no more."""
+        """Stop to poll."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def look(self, agent: str) -> None:
-        """Ask this one now."""
-        self._wake[agent].set()
-
-    async def look_at_all(self) -> None:
-        """Ask once, and wait for what they say, all but those that did not answer when they were asked last."""
-        asked = [agent for agent in self.agents if agent in self.heard or not self._tasks]
-        await asyncio.gather(*(self._look(agent) for agent in asked))
-
-    def row(self, agent: str, instance: str) -> wire.Raw | None:
-        """What is known of an instance; None where its agent did not answer."""
-        heard = self.heard.get(agent)
-        rows = heard.answer["instances"] if heard is not None else []
-        return next((row for row in rows if row["name"] == instance), None)
-
-    def promised(self, agent: str) -> int:
-        """The highest token that the agent has promised, as far as is known."""
-        heard = self.heard.get(agent)
-        return int(heard.answer["lease"]["token"]) if heard is not None else 0
-
-    async def _look(self, agent: str) -> None:
-        """Ask until it has answered, or is silent."""
-        while not await self._ask(agent) and agent in self.heard:
+    def request_poll(self, agent: str) -> None:
+        """Have an agent polled without waiting for its interval."""
+        self._poll_requested[agent].set()
+
+    async def poll_all(self) -> None:
+        """Poll every agent that is not silent, and wait for the responses."""
+        polled = [agent for agent in self._agents if agent in self._responses or not self._tasks]
+        await asyncio.gather(*(self._poll_until_answered(agent) for agent in polled))
+
+    def is_silent(self, agent: str) -> bool:
+        """Return whether an agent has not answered lately."""
+        return agent not in self._responses
+
+    def last_response_unix_s(self, agent: str) -> float:
+        """Return when an agent answered last, or 0 if it never did."""
+        return self._last_response_unix_s.get(agent, 0.0)
+
+    def report(self, agent: str, instance: str) -> Report | None:
+        """Return the agent's last report on an instance; None if the agent is silent or has none."""
+        response = self._responses.get(agent)
+        reports = response.answer["instances"] if response is not None else []
+        return next((report for report in reports if report["name"] == instance), None)
+
+    def promised_token(self, agent: str) -> int:
+        """Return the highest fencing token that the agent is known to have promised."""
+        response = self._responses.get(agent)
+        return int(response.answer["lease"]["token"]) if response is not None else 0
+
+    async def _poll_until_answered(self, agent: str) -> None:
+        """Poll until the agent has answered, or is silent."""
+        while not await self._poll(agent) and not self.is_silent(agent):
             pass
 
-    async def _ask(self, agent: str) -> bool:
-        heard = await self._operator.ask(agent, wire.Status(), LOOK_WITHIN_S)
-        answers = heard.status == 200
-        self._misses[agent] = 0 if answers else self._misses.get(agent, 0) + 1
-        if answers:
-            self.heard[agent] = heard
-            self.last_heard[agent] = time.time()
-        elif self._misses[agent] >= MISSES:
-            self.heard.pop(agent, None)
-        self.news.set()
-        return answers
-
-    async def _follow(self, agent: str) -> None:
-        wake, waited = self._wake[agent], 0.0
+    async def _poll(self, agent: str) -> bool:
+        response = await self._operator.ask(agent, wire.Status(), RESPONSE_TIMEOUT_S)
+        answered = response.status == 200
+        self._misses[agent] = 0 if answered else self._misses.get(agent, 0) + 1
+        if answered:
+            self._responses[agent] = response
+            self._last_response_unix_s[agent] = time.time()
+        elif self._misses[agent] >= MAX_MISSES:
+            self._responses.pop(agent, None)
+        self.updated.set()
+        return answered
+
+    async def _watch(self, agent: str) -> None:
+        poll_requested, waited_s = self._poll_requested[agent], 0.0
         while True:
             try:
-                async with asyncio.timeout(STEP_S):  # wait_for may swallow a cancellation (Python 3.11)
-                    await wake.wait()
+                # asyncio.wait_for may swallow a cancellation (Python 3.11).
+                async with asyncio.timeout(POLL_STEP_S):
+                    await poll_requested.wait()
             except TimeoutError:
-                waited += STEP_S
-                if waited < self._pace(agent):
+                waited_s += POLL_STEP_S
+                if waited_s < self._poll_interval_s(agent):
                     continue
-            wake.clear()
-            waited = 0.0
-            await self._ask(agent)
+            poll_requested.clear()
+            waited_s = 0.0
+            await self._poll(agent)
--- a/oakbridge/rollout/coordinator.py
+++ b/oakbridge/rollout/coordinator.py
@@ -1,365 +1,291 @@
-"""The shell of a rollout: sends steps, listens to the agents, keeps the lease and the journal.  It decides nothing."""
+"""The coordinator of a rollout: feeds the state machine with reports and carries out its actions.
+
+It makes no decisions: those are the state machine's and the gate's.  Sending is the ``StepSender``'s, polling the
+``AgentWatcher``'s, and the lease the ``LeaseKeeper``'s part.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import time
-from collections import deque
-from collections.abc import Callable, Coroutine
+from collections import defaultdict, deque
+from collections.abc import Callable, Coroutine, Mapping
 from dataclasses import dataclass
 from typing import Any
 
-from oakbridge.fleet import wire
-from oakbridge.fleet.ask import Heard, Held, Operator
-from oakbridge.fleet.health import unwell_because
-from oakbridge.rollout import machine as m
-from oakbridge.rollout import step_report
+from oakbridge.fleet.ask import Held, Operator
+from oakbridge.rollout import actions, step_report
 from oakbridge.rollout.agent_watcher import AgentWatcher
-from oakbridge.rollout.change import Change, ChangeError, Drain, Files, ReplaceFiles
-from oakbridge.rollout.gate import GateResult, GateRules, ResponseCounts, Verdict, evaluate
-from oakbridge.rollout.journal import Journal
+from oakbridge.rollout.gate import GateResult, GateRules, ResponseCounts, Verdict
+from oakbridge.rollout.gate_window import FleetView, GateWindow
+from oakbridge.rollout.journal import Journal, JournalEntry
+from oakbridge.rollout.lease_keeper import LeaseKeeper
+from oakbridge.rollout.machine import RolloutMachine
 from oakbridge.rollout.plan import Target
+from oakbridge.rollout.record import InstanceOutcome, Phase
 from oakbridge.rollout.silence_timeout import SilenceTimeout
+from oakbridge.rollout.step_sender import StepRefusedError, StepSender
 
-TICK_S = 0.25  # the longest wait between two looks at what has run out
-LOOK_S, GATE_LOOK_S, IDLE_S = 0.25, 1.0, 5.0  # how often an agent is asked: awaited, in a gate, otherwise
-JUDGE_S = 0.5  # the least time between two judgements of one gate
-AGAIN_S = 0.5  # before a step without an answer is sent again
-LEASE_S = 60.0
-RENEW_S = 15.0
+TICK_S = 0.25  # the longest wait between two checks of what has expired
+# The intervals at which an agent is polled: while it is awaited, during a gate, and otherwise.
+AWAITED_POLL_S = 0.25
+GATE_POLL_S = 1.0
+IDLE_POLL_S = 5.0
+GATE_POLLS_PER_S = 500  # the most polls in a second during a gate, over all agents
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutOptions:
-    """How patient a rollout is; times in seconds."""
-
-    watch: float = 5.0  # an instance is watched for so long by its agent
-    window: float = 10.0  # a gate looks for so long
-    silent: float = 30.0  # beyond the watch, without news, an instance is unknown
-    rules: GateRules = GateRules()
-
+    """The times of a rollout, and the rules of its gates."""
 
-@dataclass(slots=True)
-class Gate:
-    """A gate that is open."""
-
-    changed: tuple[Target, ...]
-    before: dict[str, ResponseCounts]
-    looked: float
-    over: bool = False
+    watch_s: float = 5.0  # how long an agent watches an instance after its step
+    window_s: float = 10.0  # how long a gate compares
+    silence_timeout_s: float = 30.0  # beyond the watch, until an instance without a report is unknown
+    gate_rules: GateRules = GateRules()
 
 
 class Coordinator:
     """Carries out one rollout."""
 
     def __init__(
-        self, operator: Operator, journal: Journal, rollout: int, change: Change, record: m.RolloutRecord,
-        held: Held, options: RolloutOptions, show: Callable[[Coordinator], None] = lambda _: None,
-        sources: dict[str, int] | None = None,
-    ) -> None:  # fmt: skip
-        """``sources``: the generation that an instance's files are made from, where it is not what it runs."""
-        self.operator, self.journal, self.rollout, self.change = operator, journal, rollout, change
-        self.machine, self.held, self.options, self._show = m.RolloutMachine(record), held, options, show
-        self.targets = {t.name: t for wave in record.waves for t in wave}
-        self._sources = sources or {}
-        self._granted = set(held.agents)
-        self._of_agent: dict[str, list[str]] = {}
-        for name, target in self.targets.items():
-            self._of_agent.setdefault(target.agent, []).append(name)
-        self.watcher = AgentWatcher(operator, tuple(self._of_agent), self._pace)
+        self,
+        operator: Operator,
+        journal: Journal,
+        entry: JournalEntry,
+        held: Held,
+        options: RolloutOptions,
+        *,
+        on_update: Callable[[Coordinator], None] = lambda _: None,
+        sources: Mapping[str, int] | None = None,
+    ) -> None:
+        """Take up a rollout that is in the journal.
+
+        ``sources`` is the generation that an instance's files are made from, where it is not the one that it runs;
+        ``on_update`` is called after each round of events.
+        """
+        self.operator = operator
+        self.rollout = entry.id
+        self.change = entry.change
+        self.machine = RolloutMachine(entry.record)
         self.gate_result: GateResult | None = None
-        self._steps = SilenceTimeout(options.watch + options.silent)
-        self._backs = SilenceTimeout(options.watch + options.silent)
-        self._settling: set[str] = set()
-        self._gate: Gate | None = None
-        self._first: dict[str, ResponseCounts] = {}
-        self._queue: deque[m.Action] = deque()
+        self._journal = journal
+        self._options = options
+        self._on_update = on_update
+        self._targets = {target.name: target for wave in entry.record.waves for target in wave}
+        self._names_by_agent: dict[str, list[str]] = defaultdict(list)
+        for name, target in self._targets.items():
+            self._names_by_agent[target.agent].append(name)
+        self._watcher = AgentWatcher(operator, tuple(self._names_by_agent), self._poll_interval_s)
+        self._lease = LeaseKeeper(operator, held, on_granted=self._watcher.request_poll, on_lost=self._stop)
+        self._sender = StepSender(
+            operator,
+            self._lease,
+            self._watcher,
+            entry.id,
+            entry.change,
+            sources=sources or {},
+            watch_s=options.watch_s,
+        )
+        timeout_s = options.watch_s + options.silence_timeout_s
+        self._steps = SilenceTimeout(timeout_s)
+        self._rollbacks = SilenceTimeout(timeout_s)
+        self._resolving: set[str] = set()  # instances whose step is not sent any more
+        self._gate: GateWindow | None = None
+        self._counts_before_rollout: dict[str, ResponseCounts] = {}
+        self._queue: deque[actions.Action] = deque()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._raising = asyncio.Lock()  # one at a time asks for a higher token
-        self._finished: m.Phase | None = None
-
-    async def run(self) -> m.Phase:
-        """Carry it through to its end, or to where it stands still."""
-        await self.watcher.look_at_all()
-        self._first = self._all_counts()
-        self._do(self.machine.start())
-        self.watcher.start()
-        self._spawn(self._keep_lease())
+        self._finished: Phase | None = None
+
+    @property
+    def held(self) -> Held:
+        """The lease as it is now: its token may have been raised."""
+        return self._lease.held
+
+    async def run(self) -> Phase:
+        """Carry the rollout through, and return the phase in which it ended or was halted."""
+        await self._watcher.poll_all()
+        self._counts_before_rollout = self._view().counts()
+        self._enqueue(self.machine.start())
+        self._watcher.start()
+        self._spawn(self._lease.renew_until_lost())
         try:
             while True:
-                self._work()
-                self._show(self)
+                self._carry_out_queue()
+                self._on_update(self)
                 if self._finished is not None and not self._queue:
                     return self._finished
-                await self._next()
-                self._news()
+                await self._wait_for_update()
+                self._take_reports()
+                self._expire_silent()
+                self._evaluate_gate()
         finally:
-            for task in self._tasks:
-                task.cancel()
-            await asyncio.gather(*self._tasks, return_exceptions=True)
-            await self.watcher.close()
+            await self._close()
 
-    async def _next(self) -> None:
-        """Wait for news, or for the time of the next look."""
-        with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(TICK_S):
-                await self.watcher.news.wait()
-        self.watcher.news.clear()
+    async def _close(self) -> None:
+        for task in self._tasks:
+            task.cancel()
+        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self._watcher.close()
 
-    def _pace(self, agent: str) -> float:
-        """How often this agent is asked, in seconds: often while something is awaited of it."""
-        if any(self._steps.awaited(n) or self._backs.awaited(n) for n in self._of_agent[agent]):
-            return LOOK_S
-        return max(GATE_LOOK_S, len(self._of_agent) / 500) if self._gate is not None else IDLE_S
+    # ---- tasks and actions
 
-    def _do(self, actions: list[m.Action]) -> None:
-        self._queue.extend(actions)
-        self.watcher.news.set()
+    def _enqueue(self, new_actions: list[actions.Action]) -> None:
+        self._queue.extend(new_actions)
+        self._watcher.updated.set()
 
-    def _spawn(self, what: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(what)
+    def _stop(self, reason: str) -> None:
+        self._enqueue(self.machine.stop(reason))
+
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
-        if not task.cancelled() and (problem := task.exception()) is not None:
-            self._do(self.machine.stop(f"the tool failed: {problem}"))
-
-    def _work(self) -> None:
-        """Carry out what is asked, in order; whatever waits for an agent does so on its own."""
-        kept = [action.record for action in self._queue if isinstance(action, m.Persist)]
-        if kept:  # the last one speaks of all that is in the queue, and is on disk before any of it
-            self.journal.keep(self.rollout, kept[-1])
+        if not task.cancelled() and (error := task.exception()) is not None:
+            self._stop(f"the tool failed: {error}")
+
+    def _carry_out_queue(self) -> None:
+        """Carry out the queued actions in order; what waits for an agent does so in a task of its own."""
+        records = [a.record for a in self._queue if isinstance(a, actions.Persist)]
+        if records:  # the last one covers all of the queue, and is on disk before any of it is carried out
+            self._journal.update(self.rollout, records[-1])
         while self._queue:
-            action = self._queue.popleft()
-            if isinstance(action, m.SendStep):
-                self._steps.await_(action.target.name, time.monotonic())
-                self._spawn(self._send(action.target))
-            elif isinstance(action, m.RollBack):
-                self._backs.await_(action.target.name, time.monotonic())
-                self._spawn(self._take_back(action.target))
-            elif isinstance(action, m.ResolveStep):
-                self._steps.await_(action.target.name, time.monotonic())
-                self._settling.add(action.target.name)
-                self._spawn(self._settle(action.target))
-            elif isinstance(action, m.EvaluateGate):
-                self._spawn(self._open_gate(action.changed))
-            elif isinstance(action, m.Finish):
-                self._finished = action.phase
-
-    # ---- the lease
-
-    async def _keep_lease(self) -> None:
-        """Renew it; without a majority nothing more may be sent."""
-        while True:
-            await asyncio.sleep(RENEW_S)
-            heard = await self.operator.ask_all(wire.Acquire(self.held.token, int(LEASE_S * 1e6), renew=True))
-            if sum(1 for h in heard if h.status == 200) * 2 <= len(heard):
-                taken = next((h for h in heard if h.status == 409 and h.answer.get("holder")), None)
-                why = f"{taken.answer['holder']} has the lease" if taken else "too few agents answer"
-                return self._do(self.machine.stop(f"the lease is lost: {why}"))
-
-    async def _admit(self, agent: str) -> bool:
-        """Whether our token is promised by an agent that did not grant it when we asked all; asked for here."""
-        if agent in self._granted:
-            return True
-        heard = await self.operator.ask(agent, wire.Acquire(self.held.token, int(LEASE_S * 1e6)))
-        if heard.status == 200:
-            self._granted.add(agent)
-            self.watcher.look(agent)
-            return True
-        # One that lost to us may have a part of the fleet for a moment, or have left a higher token there.  A higher
-        # one of our own name is another tool of ours, which has taken over: that is never outbid.
-        ended = heard.status == 409 and not heard.answer.get("ends_in_s")
-        if ended and heard.answer.get("holder") != self.operator.name:
-            await self._above(int(heard.answer["token"]))
-        return False
-
-    async def _above(self, number: int) -> int:
-        """A token of ours above a number: the next one, if ours is not."""
-        async with self._raising:
-            if self.held.token <= number:
-                self.held = await self.operator.higher(self.held, LEASE_S, number)
-                self._granted = set(self.held.agents)
-                if not self.held.won(len(self.operator.inventory.agents)):
-                    self._do(self.machine.stop("the lease is lost: a higher token was not granted"))
-            return self.held.token
-
-    # ---- steps
-
-    async def _files(self, target: Target) -> Files | str | None:
-        """What the instance should run by, or why that can't be told; None without an answer."""
-        number = self._sources.get(target.name, target.base)
-        before: Files = {}
-        if number and (target.drained or not isinstance(self.change, ReplaceFiles)):
-            heard = await self.operator.ask(target.agent, wire.Fetch(target.instance, number))
-            if heard.status != 200:
-                return _refusal(heard)
-            before = heard.answer["files"]
+            self._carry_out(self._queue.popleft())
+
+    def _carry_out(self, action: actions.Action) -> None:
+        match action:
+            case actions.Persist():
+                pass  # written before
+            case actions.SendStep(target):
+                self._steps.start(target.name, time.monotonic())
+                self._spawn(self._send_step(target))
+            case actions.RollBack(target):
+                self._rollbacks.start(target.name, time.monotonic())
+                self._spawn(self._roll_back(target))
+            case actions.ResolveStep(target):
+                self._steps.start(target.name, time.monotonic())
+                self._resolving.add(target.name)
+                self._spawn(self._sender.resolve(target, lambda: self._steps.is_pending(target.name)))
+            case actions.EvaluateGate(changed):
+                self._spawn(self._run_gate(changed))
+            case actions.Finish(phase):
+                self._finished = phase
+
+    async def _send_step(self, target: Target) -> None:
         try:
-            return self.change.apply(before)
-        except ChangeError as e:
-            return str(e)
-
-    async def _order(self, target: Target, order: wire.StepOrder) -> Heard:
-        heard = await self.operator.ask(target.agent, order)
-        self.watcher.look(target.agent)
-        if heard.status == 409:
-            async with self._raising:  # an agent may have the new token before we know that it is granted
-                raised = self.held.token != order.token
-            if raised:  # sent again under the new one
-                return Heard(target.agent, error="our token has been raised meanwhile")
-        return heard
-
-    async def _send(self, target: Target) -> None:
-        """Send the step until the agent has answered, or it is waited for no longer."""
-        while self._steps.awaited(target.name):
-            why = await self._try(target)
-            if why is not None:
-                if why:
-                    self._steps.heard(target.name)
-                    self._do(self.machine.on_step_ended(target.name, m.InstanceOutcome.NOT_APPLIED, why))
-                return
-            await asyncio.sleep(AGAIN_S)
-
-    async def _try(self, target: Target) -> str | None:
-        """Send the step once: "" if the agent has it, why it will not have it, or None without an answer."""
-        if not await self._admit(target.agent):
-            return None
-        files = await self._files(target)
-        if files is None or isinstance(files, str):
-            return files
-        order = wire.StepOrder(
-            self.held.token, step_report.step_id(self.rollout, target.instance), target.instance, self.rollout,
-            target.base, int(self.options.watch * 1e6), files,
-        )  # fmt: skip
-        return _refusal(await self._order(target, order))
-
-    async def _settle(self, target: Target) -> None:
-        """Have the agent promise our token, so that what it has not begun by then it never will."""
-        while self._steps.awaited(target.name):
-            await self._admit(target.agent)
-            await asyncio.sleep(AGAIN_S)
-
-    async def _take_back(self, target: Target) -> None:
-        """A step like any other, with the files of the generation before, under a number of its own."""
-        while self._backs.awaited(target.name):
-            why = await self._try_back(target)
-            if why is not None:
-                if why:
-                    self._backs.heard(target.name)
-                    self._do(
-                        self.machine.on_silence(target.name, f"it was not taken back: {why}", time.time())
-                    )
-                return
-            await asyncio.sleep(AGAIN_S)
-
-    async def _try_back(self, target: Target) -> str | None:
-        base = target.base
-        heard = await self.operator.ask(target.agent, wire.Fetch(target.instance, base or self.rollout))
-        if heard.status != 200:
-            return _refusal(heard)
-        files: Files = heard.answer["files"]
-        if not base:
-            files = Drain("it ran nothing before").apply(files)
-        token = await self._above(self.rollout)
-        if not await self._admit(target.agent):
-            return None
-        order = wire.StepOrder(
-            token, step_report.rollback_step_id(self.rollout, target.instance), target.instance, token, self.rollout,
-            int(self.options.watch * 1e6), files,
-        )  # fmt: skip
-        return _refusal(await self._order(target, order))
+            await self._sender.send(target, lambda: self._steps.is_pending(target.name))
+        except StepRefusedError as refusal:
+            self._steps.cancel(target.name)
+            self._enqueue(
+                self.machine.on_step_ended(target.name, InstanceOutcome.NOT_APPLIED, refusal.reason)
+            )
 
-    # ---- the gate
+    async def _roll_back(self, target: Target) -> None:
+        try:
+            await self._sender.roll_back(target, lambda: self._rollbacks.is_pending(target.name))
+        except StepRefusedError as refusal:
+            self._rollbacks.cancel(target.name)
+            self._fail_rollback(target.name, refusal.reason)
+
+    def _fail_rollback(self, name: str, reason: str) -> None:
+        reason = f"it was not taken back: {reason}"
+        self._enqueue(self.machine.on_silence(name, reason, time.time()))
+
+    # ---- reports of the agents
+
+    def _poll_interval_s(self, agent: str) -> float:
+        """Return how often an agent is polled: often while something is awaited of it."""
+        for name in self._names_by_agent[agent]:
+            if self._steps.is_pending(name) or self._rollbacks.is_pending(name):
+                return AWAITED_POLL_S
+        if self._gate is None:
+            return IDLE_POLL_S
+        return max(GATE_POLL_S, len(self._names_by_agent) / GATE_POLLS_PER_S)
+
+    async def _wait_for_update(self) -> None:
+        """Wait for a report, or until it is time to check what has expired."""
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(TICK_S):
+                await self._watcher.updated.wait()
+        self._watcher.updated.clear()
 
-    async def _open_gate(self, changed: tuple[Target, ...]) -> None:
-        """Look at all for a window; its first and last look are at everybody, so that nothing old counts."""
-        await self.watcher.look_at_all()
-        gate = self._gate = Gate(changed, self._all_counts(), time.monotonic())
-        await asyncio.sleep(self.options.window)
-        if self._gate is gate:
-            await self.watcher.look_at_all()
-            gate.over = True
-
-    # ---- news
-
-    def _row(self, target: Target) -> wire.Raw | None:
-        return self.watcher.row(target.agent, target.instance)
-
-    def _all_counts(self) -> dict[str, ResponseCounts]:
-        return {name: self._counts(target) for name, target in self.targets.items()}
-
-    def _counts(self, target: Target) -> ResponseCounts:
-        row = self._row(target)
-        told = row["node"].get("answers", {}) if row else {}
-        return ResponseCounts(told.get("served", 0), told.get("refused", 0), told.get("failed", 0))
-
-    def _news(self) -> None:
-        """Tell the machine what has ended, what has gone silent, and what the gate says."""
-        for name, target in self.targets.items():
-            if self._steps.awaited(name):
-                self._step_news(name, target, self._row(target))
-            if self._backs.awaited(name):
-                self._back_news(name, target, self._row(target))
-        now = time.monotonic()
-        for name in {*self._steps.run_out(now), *self._backs.run_out(now)}:
-            self._settling.discard(name)
-            agent = self.targets[name].agent
-            reason = "its step has no end" if agent in self.watcher.heard else "its agent does not answer"
-            self._do(self.machine.on_silence(name, reason, self.watcher.last_heard.get(agent, 0.0)))
-        self._judge()
-
-    def _step_news(self, name: str, target: Target, row: wire.Raw | None) -> None:
+    def _view(self) -> FleetView:
+        reports = {
+            name: self._watcher.report(target.agent, target.instance)
+            for name, target in self._targets.items()
+        }
+        return FleetView(reports, self.machine.statuses())
+
+    def _take_reports(self) -> None:
+        """Pass on which steps and rollbacks have ended by the agents' reports."""
+        for name, target in self._targets.items():
+            if not self._steps.is_pending(name) and not self._rollbacks.is_pending(name):
+                continue
+            report = self._watcher.report(target.agent, target.instance)
+            if self._steps.is_pending(name):
+                self._take_step_report(target, report)
+            if self._rollbacks.is_pending(name):
+                self._take_rollback_report(target, report)
+
+    def _take_step_report(self, target: Target, report: step_report.Report | None) -> None:
         step = step_report.step_id(self.rollout, target.instance)
-        if name in self._settling:
-            ended = step_report.resolved_result(
-                row, step, self.watcher.promised(target.agent), self.held.token
+        if target.name in self._resolving:
+            result = step_report.resolved_result(
+                report,
+                step,
+                promised_token=self._watcher.promised_token(target.agent),
+                own_token=self.held.token,
             )
         else:
-            ended = step_report.step_result(row, step)
-        if ended is not None:
-            self._steps.heard(name)
-            self._settling.discard(name)
-            self._do(self.machine.on_step_ended(name, *ended))
-
-    def _back_news(self, name: str, target: Target, row: wire.Raw | None) -> None:
-        ended = step_report.step_result(row, step_report.rollback_step_id(self.rollout, target.instance))
-        if ended is None:
+            result = step_report.step_result(report, step)
+        if result is not None:
+            self._steps.cancel(target.name)
+            self._resolving.discard(target.name)
+            self._enqueue(self.machine.on_step_ended(target.name, result.outcome, result.reason))
+
+    def _take_rollback_report(self, target: Target, report: step_report.Report | None) -> None:
+        step = step_report.rollback_step_id(self.rollout, target.instance)
+        result = step_report.step_result(report, step)
+        if result is None:
             return
-        self._backs.heard(name)
-        if ended[0] is m.InstanceOutcome.APPLIED:
-            self._do(self.machine.on_rolled_back(name))
+        self._rollbacks.cancel(target.name)
+        if result.outcome is InstanceOutcome.APPLIED:
+            self._enqueue(self.machine.on_rolled_back(target.name))
         else:
-            self._do(self.machine.on_silence(name, f"it was not taken back: {ended[1]}", time.time()))
+            self._fail_rollback(target.name, result.reason)
+
+    def _expire_silent(self) -> None:
+        """Give up on instances whose step or rollback has no known end in time."""
+        now_s = time.monotonic()
+        for name in {*self._steps.pop_expired(now_s), *self._rollbacks.pop_expired(now_s)}:
+            self._resolving.discard(name)
+            agent = self._targets[name].agent
+            silent = self._watcher.is_silent(agent)
+            reason = "its agent does not answer" if silent else "its step has no end"
+            last_response_unix_s = self._watcher.last_response_unix_s(agent)
+            self._enqueue(self.machine.on_silence(name, reason, last_response_unix_s))
 
-    def _judge(self) -> None:
-        gate = self._gate
-        if gate is None or (not gate.over and time.monotonic() - gate.looked < JUDGE_S):
-            return
-        gate.looked = time.monotonic()
-        names = {t.name for t in gate.changed}
-        now = {name: counts.since(gate.before[name]) for name, counts in self._all_counts().items()}
-        mine = {name: counts for name, counts in now.items() if name in names}
-        rows = self.machine.statuses()
-        others = {
-            n: c
-            for n, c in now.items()
-            if n not in names and rows[n].outcome is m.InstanceOutcome.NOT_REACHED
-        }
-        if not others:  # nobody is unchanged any more: what they answered before
-            others = self._first
-        unwell = {t.name: why for t in gate.changed if (why := unwell_because(self._row(t), self.rollout))}
-        self.gate_result = evaluate(mine, others, unwell, self.options.rules, gate.over)
-        if self.gate_result.word is not Verdict.PENDING:
-            self._gate = None
-            self._do(self.machine.on_gate_result(self.gate_result))
+    # ---- the gate
 
+    async def _run_gate(self, changed: tuple[Target, ...]) -> None:
+        """Keep a gate open for its window; it begins and ends with a poll of all agents, so that no report is old."""
+        await self._watcher.poll_all()
+        gate = self._gate = GateWindow(
+            self.rollout, changed, self._view(), self._options.gate_rules, time.monotonic()
+        )
+        await asyncio.sleep(self._options.window_s)
+        if self._gate is gate:
+            await self._watcher.poll_all()
+            gate.ended = True
 
-def _refusal(heard: Heard) -> str | None:
-    """Why an agent will not do what was asked; "" if it will, None without an answer."""
-    if not heard.status or heard.status >= 500:
-        return None
-    return str(heard.answer.get("error", heard.status)) if heard.status >= 400 else ""
+    def _evaluate_gate(self) -> None:
+        gate, now_s = self._gate, time.monotonic()
+        if gate is None or not gate.is_due(now_s):
+            return
+        self.gate_result = gate.evaluate(self._view(), self._counts_before_rollout, now_s)
+        if self.gate_result.verdict is not Verdict.PENDING:
+            self._gate = None
+            self._enqueue(self.machine.on_gate_result(self.gate_result))
--- a/oakbridge/rollout/doctor.py
+++ b/oakbridge/rollout/doctor.py
@@ -1,164 +1,218 @@
-"""What is wrong with a fleet, and what to do about it.  Pure."""
+"""Diagnoses a fleet: what is wrong with it, and what to do about it.  Pure."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
+from enum import Enum
 from typing import Any
 
 from oakbridge.fleet.health import DRAINED, health, in_order
 from oakbridge.rollout.journal import JournalEntry
-from oakbridge.rollout.machine import InstanceOutcome, Phase
+from oakbridge.rollout.record import InstanceOutcome, Phase
+from oakbridge.rollout.step_report import Report
 
-CLOCK_OFF_S = 5.0
-CERTIFICATE_DAYS = 30.0
-BAD, NOTE = "bad", "note"
-OPEN = frozenset({Phase.RUNNING, Phase.GATING, Phase.ROLLING_BACK})
+MAX_CLOCK_OFFSET_S = 5.0
+MIN_CERTIFICATE_DAYS = 30.0
+MAX_NAMES = 3  # names that a finding lists before it counts the rest
+IN_PROGRESS_PHASES = frozenset({Phase.RUNNING, Phase.GATING, Phase.ROLLING_BACK})
+ABSENT_STATES = frozenset({"failed", "left"})  # of a member, in other members' words
+
+REMEDIES = {
+    "silent": "the node runs and says nothing: frozen, or starved",
+    "crash loop": "look at its last words and node.log; roll back what changed last",
+    "watching": "a change is being watched; wait",
+}
+DEFAULT_REMEDY = "look at node.log in the agent's state folder"
+
+AgentAnswers = Mapping[str, Mapping[str, Any] | str]  # by agent: its answer, or why there is none
+
+
+class Severity(Enum):
+    """How severe a finding is; the values are shown to operators."""
+
+    BAD = "bad"  # something does not serve, or nobody knows whether it does
+    NOTE = "note"  # operators should know
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
     """One thing that somebody should look at."""
 
-    weight: str  # bad: something does not serve, or nobody knows; note: it should be known
-    where: str
-    what: str
-    do: str
+    severity: Severity
+    subject: str
+    problem: str
+    remedy: str
 
 
 def diagnose(
-    agents: Mapping[str, Mapping[str, Any] | str], entries: Sequence[JournalEntry], now: float,
-    certificates: Mapping[str, float] | None = None, members: Sequence[Mapping[str, Any]] | None = None,
-) -> list[Finding]:  # fmt: skip
-    """All findings, the bad ones first.
+    agents: AgentAnswers,
+    entries: Sequence[JournalEntry],
+    now_unix_s: float,
+    certificates: Mapping[str, float] | None = None,
+    members: Sequence[Mapping[str, Any]] | None = None,
+) -> list[Finding]:
+    """Return all findings, the bad ones first.
 
-    ``agents``: what each answered, or why there is no answer; ``entries``: the journal, newest first;
-    ``certificates``: days that each certificate at hand is still good for; ``members``: whom a node knows.
+    ``entries`` is the journal, newest first; ``certificates`` the days that each certificate at hand is still valid
+    for; ``members`` the members that a node knows.
     """
-    found: list[Finding] = []
-    for name, told in agents.items():
-        found += _agent(name, told, now)
-    rows = {
-        f"{agent}/{row['name']}": row
-        for agent, told in agents.items() if not isinstance(told, str) for row in told["instances"]
-    }  # fmt: skip
-    for name, row in rows.items():
-        found += _instance(name, row)
-    found += _rollouts(entries, rows) + _versions(agents) + _leases(agents)
+    answers = {name: answer for name, answer in agents.items() if not isinstance(answer, str)}
+    reports: dict[str, Report] = {
+        f"{agent}/{report['name']}": report
+        for agent, answer in answers.items()
+        for report in answer["instances"]
+    }
+    findings = _agent_findings(agents, now_unix_s)
+    for name, report in reports.items():
+        findings += _instance_findings(name, report)
+    findings += _rollout_findings(entries, reports)
+    findings += _version_findings(answers)
+    findings += _lease_findings(answers)
     if members is not None:
-        found += _drift(agents, rows, members)
-    for name, days in (certificates or {}).items():
-        if days < CERTIFICATE_DAYS:
-            word = f"is good for {days:.0f} more days" if days > 0 else "has run out"
-            found.append(
-                Finding(NOTE if days > 0 else BAD, name, f"its certificate {word}", "issue a new one")
-            )
-    return sorted(found, key=lambda f: f.weight != BAD)
-
-
-def _agent(name: str, told: Mapping[str, Any] | str, now: float) -> list[Finding]:
-    if isinstance(told, str):
-        return [
-            Finding(BAD, name, f"no answer: {told}", "look at the host, the agent's process, its certificate")
-        ]
-    off = told["time"] - now
-    if abs(off) > CLOCK_OFF_S:
-        return [
-            Finding(NOTE, name, f"its clock is off by {off:+.0f} s", "set it: times in reports come from it")
-        ]
-    return []
+        findings += _membership_findings(agents, reports, members)
+    findings += _certificate_findings(certificates or {})
+    return sorted(findings, key=lambda finding: finding.severity is not Severity.BAD)
 
 
-def _instance(name: str, row: Mapping[str, Any]) -> list[Finding]:
-    word = health(row)
-    if word == DRAINED:
-        return [Finding(NOTE, name, "drained", f"`fleet undrain --only {name}` when it should serve again")]
-    if in_order(word):
+def _agent_findings(agents: AgentAnswers, now_unix_s: float) -> list[Finding]:
+    findings = []
+    for name, answer in agents.items():
+        if isinstance(answer, str):
+            remedy = "look at the host, the agent's process, its certificate"
+            findings.append(Finding(Severity.BAD, name, f"no answer: {answer}", remedy))
+            continue
+        offset_s = answer["time"] - now_unix_s
+        if abs(offset_s) > MAX_CLOCK_OFFSET_S:
+            problem = f"its clock is off by {offset_s:+.0f} s"
+            remedy = "set it: times in reports come from it"
+            findings.append(Finding(Severity.NOTE, name, problem, remedy))
+    return findings
+
+
+def _instance_findings(name: str, report: Report) -> list[Finding]:
+    state = health(report)
+    if state == DRAINED:
+        remedy = f"`fleet undrain --only {name}` when it should serve again"
+        return [Finding(Severity.NOTE, name, "drained", remedy)]
+    if in_order(state):
         return []
-    does = {
-        "silent": "the node runs and says nothing: frozen, or starved",
-        "crash loop": "look at its last words and node.log; roll back what changed last",
-        "watching": "a change is being watched; wait",
-    }
-    last = f" ({row['last_exit']})" if row["last_exit"] else ""
-    return [Finding(BAD, name, word + last, does.get(word, "look at node.log in the agent's state folder"))]
-
-
-def _rollouts(entries: Sequence[JournalEntry], rows: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
-    found = []
-    for entry in entries:
-        record = entry.record
-        unknown = [name for name, row in record.statuses if row.outcome is InstanceOutcome.UNKNOWN]
-        where, go_on = f"rollout {entry.id}", f"`fleet resume {entry.id}`"
-        if record.phase in OPEN:
-            found.append(
-                Finding(BAD, where, f"it stands at {record.phase.value}", f"{go_on}, if no tool has it")
-            )
-        elif unknown and all(row["generation"] <= entry.id for n, row in rows.items() if n in unknown):
-            told = ", ".join(unknown[:3]) + (f" and {len(unknown) - 3} more" if len(unknown) > 3 else "")
-            found.append(Finding(BAD, where, f"unknown still: {told}", f"{go_on} takes them along"))
-    newest = next((e for e in entries if e.record.phase is Phase.DONE), None)
-    if newest is not None:
-        behind = [n for n, row in rows.items() if 0 < row["generation"] < newest.id and _reached(newest, n)]
-        if behind and not any(f.where == f"rollout {newest.id}" for f in found):
-            told = ", ".join(behind[:3]) + (f" and {len(behind) - 3} more" if len(behind) > 3 else "")
-            found.append(Finding(BAD, f"rollout {newest.id}", f"behind it: {told}", "roll it out to them"))
-    return found
-
-
-def _reached(entry: JournalEntry, name: str) -> bool:
-    return any(n == name and row.outcome is InstanceOutcome.APPLIED for n, row in entry.record.statuses)
-
-
-def _versions(agents: Mapping[str, Mapping[str, Any] | str]) -> list[Finding]:
-    versions = Counter(str(told.get("version", "")) for told in agents.values() if not isinstance(told, str))
+    last_exit = f" ({report['last_exit']})" if report["last_exit"] else ""
+    remedy = REMEDIES.get(state, DEFAULT_REMEDY)
+    return [Finding(Severity.BAD, name, f"{state}{last_exit}", remedy)]
+
+
+def _rollout_findings(entries: Sequence[JournalEntry], reports: Mapping[str, Report]) -> list[Finding]:
+    findings = [finding for entry in entries if (finding := _unfinished_finding(entry, reports)) is not None]
+    newest = next((entry for entry in entries if entry.record.phase is Phase.DONE), None)
+    if newest is None or any(f.subject == _rollout_name(newest) for f in findings):
+        return findings
+    applied = {name for name, status in newest.record.statuses if status.outcome is InstanceOutcome.APPLIED}
+    behind = [
+        name for name, report in reports.items() if 0 < report["generation"] < newest.id and name in applied
+    ]
+    if behind:
+        problem = f"behind it: {_list_names(behind)}"
+        findings.append(Finding(Severity.BAD, _rollout_name(newest), problem, "roll it out to them"))
+    return findings
+
+
+def _unfinished_finding(entry: JournalEntry, reports: Mapping[str, Report]) -> Finding | None:
+    """Return the finding of a rollout that is in progress, or ended with unknown instances."""
+    resume = f"`fleet resume {entry.id}`"
+    if entry.record.phase in IN_PROGRESS_PHASES:
+        problem = f"it stands at {entry.record.phase.value}"
+        remedy = f"{resume}, if no tool has it"
+        return Finding(Severity.BAD, _rollout_name(entry), problem, remedy)
+    unknown = [name for name, status in entry.record.statuses if status.outcome is InstanceOutcome.UNKNOWN]
+    superseded = any(reports[name]["generation"] > entry.id for name in unknown if name in reports)
+    if not unknown or superseded:
+        return None
+    problem = f"unknown still: {_list_names(unknown)}"
+    return Finding(Severity.BAD, _rollout_name(entry), problem, f"{resume} takes them along")
+
+
+def _rollout_name(entry: JournalEntry) -> str:
+    return f"rollout {entry.id}"
+
+
+def _list_names(names: Sequence[str]) -> str:
+    more = f" and {len(names) - MAX_NAMES} more" if len(names) > MAX_NAMES else ""
+    return ", ".join(names[:MAX_NAMES]) + more
+
+
+def _version_findings(answers: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
+    versions = Counter(str(answer.get("version", "")) for answer in answers.values())
     if len(versions) < 2:
         return []
-    told = ", ".join(f"{n} of {version or 'an older one'}" for version, n in versions.most_common())
-    return [Finding(NOTE, "agents", f"they are of several versions: {told}", "bring them to one")]
+    counts = ", ".join(f"{count} of {version or 'an older one'}" for version, count in versions.most_common())
+    problem = f"they are of several versions: {counts}"
+    return [Finding(Severity.NOTE, "agents", problem, "bring them to one")]
 
 
-def _leases(agents: Mapping[str, Mapping[str, Any] | str]) -> list[Finding]:
-    held = Counter(
-        str(told["lease"]["holder"])
-        for told in agents.values() if not isinstance(told, str) and told["lease"]["alive"]
-    )  # fmt: skip
+def _lease_findings(answers: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
+    leases = [answer["lease"] for answer in answers.values()]
+    holders = Counter(str(lease["holder"]) for lease in leases if lease["alive"])
+    remedy = "a rollout is under way, or its tool has died"
     return [
-        Finding(
-            NOTE, "lease", f"{holder} has it at {n} agents", "a rollout is under way, or its tool has died"
-        )
-        for holder, n in held.items()
+        Finding(Severity.NOTE, "lease", f"{holder} has it at {count} agents", remedy)
+        for holder, count in holders.items()
     ]
 
 
-def _drift(
-    agents: Mapping[str, Mapping[str, Any] | str],
-    rows: Mapping[str, Mapping[str, Any]],
-    members: Sequence[Mapping[str, Any]],
+def _membership_findings(
+    agents: AgentAnswers, reports: Mapping[str, Report], members: Sequence[Mapping[str, Any]]
 ) -> list[Finding]:
-    """Where the inventory and the members' own view differ."""
-    found, held = [], {str(m["name"]): m for m in members}
-    for name, row in rows.items():
-        if not row.get("member"):
-            continue
-        told = held.get(name)
-        if told is None or told["state"] in ("failed", "left"):
-            how = "do not know it" if told is None else f"call it {told['state']}"
-            by = f" by the word of {told['by']}" if told is not None and told["by"] else ""
-            if in_order(health(row)):
-                do = f"`oakbridge peers why {name}` at two sites; look whether UDP and TCP reach {row['member']}"
-                found.append(Finding(BAD, name, f"its agent finds it well, and the members {how}{by}", do))
-        elif told["address"] != row["member"]:
-            what = f"members know it at {told['address']}, its agent has it at {row['member']}"
-            found.append(Finding(NOTE, name, what, "restart it, or look who else has its name"))
-    for name, told in sorted(held.items()):
-        if told["state"] in ("failed", "left") or name in rows:
+    """Return where the inventory and the members' own view differ."""
+    findings = []
+    by_name = {str(member["name"]): member for member in members}
+    for name, report in reports.items():
+        if report.get("member"):
+            findings += _reported_member_findings(name, report, by_name.get(name))
+    for name, member in sorted(by_name.items()):
+        if member["state"] in ABSENT_STATES or name in reports:
             continue
         if isinstance(agents.get(name.partition("/")[0]), str):
-            what = "its agent does not answer, and the members find it there"
-            found.append(Finding(NOTE, name, what, "the node serves; look at the agent"))
+            problem = "its agent does not answer, and the members find it there"
+            remedy = "the node serves; look at the agent"
         else:
-            what = f"a member at {told['address']} that no agent of the inventory runs"
-            found.append(Finding(NOTE, name, what, "add its agent to the inventory, or end it"))
-    return found
+            problem = f"a member at {member['address']} that no agent of the inventory runs"
+            remedy = "add its agent to the inventory, or end it"
+        findings.append(Finding(Severity.NOTE, name, problem, remedy))
+    return findings
+
+
+def _reported_member_findings(name: str, report: Report, member: Mapping[str, Any] | None) -> list[Finding]:
+    """Return where an agent's report on its instance and the members' view of it differ."""
+    if member is None or member["state"] in ABSENT_STATES:
+        if not in_order(health(report)):
+            return []
+        problem = f"its agent finds it well, and the members {_members_view(member)}"
+        remedy = (
+            f"`oakbridge peers why {name}` at two sites; look whether UDP and TCP reach {report['member']}"
+        )
+        return [Finding(Severity.BAD, name, problem, remedy)]
+    if member["address"] != report["member"]:
+        problem = f"members know it at {member['address']}, its agent has it at {report['member']}"
+        remedy = "restart it, or look who else has its name"
+        return [Finding(Severity.NOTE, name, problem, remedy)]
+    return []
+
+
+def _members_view(member: Mapping[str, Any] | None) -> str:
+    if member is None:
+        return "do not know it"
+    reporter = f" by the word of {member['by']}" if member["by"] else ""
+    return f"call it {member['state']}{reporter}"
+
+
+def _certificate_findings(certificates: Mapping[str, float]) -> list[Finding]:
+    findings = []
+    for name, days in certificates.items():
+        if days >= MIN_CERTIFICATE_DAYS:
+            continue
+        severity = Severity.NOTE if days > 0 else Severity.BAD
+        state = f"is good for {days:.0f} more days" if days > 0 else "has run out"
+        findings.append(Finding(severity, name, f"its certificate {state}", "issue a new one"))
+    return findings
--- a/oakbridge/rollout/gate.py
+++ b/oakbridge/rollout/gate.py
@@ -1,15 +1,16 @@
-"""Whether changed instances serve as well as unchanged ones: a stated test, not somebody's eye.  Pure.
+"""Whether changed instances serve as well as unchanged ones: a stated test, not somebody's judgement.  Pure.
 
 The test is a one-sided comparison of two shares (served of answered) with a margin: the change fails if its share is
-lower than the others' by more than ``margin``, at the level ``alpha``.  Shares are taken with one success and one
-failure added to each side (Agresti and Caffo), so that 0 and 1 have a spread too.  Requests of one instance are not
-independent of each other; ``least`` and the margin keep the test from seeing a fault in a single bad second.
+lower than the baseline's by more than ``margin``, at the significance level ``alpha``.  Shares are taken with one
+success and one failure added to each side (Agresti and Caffo), so that 0 and 1 have a variance too.  Requests of one
+instance are not independent of each other; ``min_responses`` and the margin keep the test from finding a fault in a
+single bad second.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from enum import Enum
 from statistics import NormalDist
@@ -17,23 +18,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseCounts:
-    """Answers of one instance, as it counts them since its start."""
+    """Responses of one instance, counted since its start."""
 
     served: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
 
     @property
-    def answered(self) -> int:
-        """All of them."""
-        return self.served + self.refused + self.failed
+    def total(self) -> int:
+        """The number of all responses."""
+        return self.served + self.rejected + self.failed
 
-    def since(self, before: ResponseCounts) -> ResponseCounts:
-        """What has come since; an instance that has started anew meanwhile counts from its start."""
-        if self.answered < before.answered or self.served < before.served:
+    def since(self, earlier: ResponseCounts) -> ResponseCounts:
+        """Return what was counted since ``earlier``; after a restart, all since the restart."""
+        if self.total < earlier.total or self.served < earlier.served:
             return self
         return ResponseCounts(
-            self.served - before.served, self.refused - before.refused, self.failed - before.failed
+            self.served - earlier.served,
+            self.rejected - earlier.rejected,
+            self.failed - earlier.failed,
         )
 
 
@@ -41,14 +44,14 @@
 class GateRules:
     """How strict the gate is."""
 
-    alpha: float = 0.01  # how often a change that does no harm may be halted
-    margin: float = 0.005  # a share that is lower by no more than this is as good
-    least: int = 200  # answers on either side before anything is said
-    need_traffic: bool = False  # whether too few answers halt, or let health alone decide
+    alpha: float = 0.01  # the probability with which a change that does no harm may be halted
+    margin: float = 0.005  # a share that is lower by no more than this counts as equal
+    min_responses: int = 200  # on either side, before the shares are compared
+    require_traffic: bool = False  # whether too few responses fail the gate
 
 
 class Verdict(Enum):
-    """What the gate says."""
+    """The verdict of a gate."""
 
     PASS = "pass"
     FAIL = "fail"
@@ -57,61 +60,84 @@
 
 @dataclass(frozen=True, slots=True)
 class GateResult:
-    """The gate's word, and the figures that it rests on."""
+    """The verdict of a gate, and the figures that it rests on."""
 
-    word: Verdict
+    verdict: Verdict
     reason: str
-    changed: float = math.nan  # share served
-    others: float = math.nan
+    changed_share: float = math.nan  # served of all responses
+    baseline_share: float = math.nan
     p_value: float = math.nan
 
 
-def total(counts: Mapping[str, ResponseCounts]) -> ResponseCounts:
-    """All of them together."""
-    rows = counts.values()
+def sum_counts(counts: Iterable[ResponseCounts]) -> ResponseCounts:
+    """Return the counts of several instances together."""
+    rows = tuple(counts)
     return ResponseCounts(
-        sum(c.served for c in rows), sum(c.refused for c in rows), sum(c.failed for c in rows)
+        sum(row.served for row in rows),
+        sum(row.rejected for row in rows),
+        sum(row.failed for row in rows),
     )
 
 
 def evaluate(
     changed: Mapping[str, ResponseCounts],
-    others: Mapping[str, ResponseCounts],
-    unwell: Mapping[str, str],
+    baseline: Mapping[str, ResponseCounts],
+    unhealthy: Mapping[str, str],
     rules: GateRules,
-    over: bool,
+    *,
+    window_ended: bool,
 ) -> GateResult:
-    """EvaluateGate one window.
+    """Evaluate one window.
 
-    ``changed`` and ``others`` are what came in the window; where nobody is unchanged any more, ``others`` is what the
-    changed ones answered before their change.  ``unwell`` says of a changed instance what is wrong with it; ``over``
-    that the window has ended.
+    ``changed`` and ``baseline`` are the responses of changed and of unchanged instances in the window; where no
+    instance is unchanged any more, ``baseline`` is what the changed ones answered before their change.  ``unhealthy``
+    has the reason for each changed instance that is not in order.
     """
-    if unwell:
-        name, why = min(unwell.items())
-        more = f" (and {len(unwell) - 1} more)" if len(unwell) > 1 else ""
-        return GateResult(Verdict.FAIL, f"{name}: {why}{more}")
-    mine, theirs = total(changed), total(others)
-    if min(mine.answered, theirs.answered) < rules.least:
-        if not over:
-            return GateResult(
-                Verdict.PENDING, f"{mine.answered} and {theirs.answered} answers, {rules.least} are needed"
-            )
-        word = Verdict.FAIL if rules.need_traffic else Verdict.PASS
-        return GateResult(
-            word, f"too few answers to compare ({mine.answered} and {theirs.answered}); all are well"
-        )
-    p, a, b = compare(mine, theirs, rules.margin)
-    figures = f"{a:.2%} of {mine.answered} served, {b:.2%} of {theirs.answered} by the others (p = {p:.2g})"
-    if p < rules.alpha:
-        return GateResult(Verdict.FAIL, f"it serves less: {figures}", a, b, p)
-    return GateResult(Verdict.PASS if over else Verdict.PENDING, figures, a, b, p)
-
-
-def compare(mine: ResponseCounts, theirs: ResponseCounts, margin: float) -> tuple[float, float, float]:
-    """The p-value of "no lower by more than the margin", and both shares as they are."""
-    a, n = (mine.served + 1) / (mine.answered + 2), mine.answered + 2
-    b, m = (theirs.served + 1) / (theirs.answered + 2), theirs.answered + 2
-    spread = math.sqrt(a * (1 - a) / n + b * (1 - b) / m)
-    p = 1 - NormalDist().cdf((b - a - margin) / spread)
-    return p, mine.served / max(1, mine.answered), theirs.served / max(1, theirs.answered)
+    if unhealthy:
+        return GateResult(Verdict.FAIL, _first_reason(unhealthy))
+    ours, theirs = sum_counts(changed.values()), sum_counts(baseline.values())
+    if min(ours.total, theirs.total) < rules.min_responses:
+        return _without_comparison(ours, theirs, rules, window_ended)
+    p_value = non_inferiority_p_value(ours, theirs, rules.margin)
+    ours_share, theirs_share = _share(ours), _share(theirs)
+    figures = (
+        f"{ours_share:.2%} of {ours.total} served, "
+        f"{theirs_share:.2%} of {theirs.total} by the others (p = {p_value:.2g})"
+    )
+    if p_value < rules.alpha:
+        verdict, reason = Verdict.FAIL, f"it serves less: {figures}"
+    else:
+        verdict, reason = Verdict.PASS if window_ended else Verdict.PENDING, figures
+    return GateResult(verdict, reason, ours_share, theirs_share, p_value)
+
+
+def non_inferiority_p_value(ours: ResponseCounts, theirs: ResponseCounts, margin: float) -> float:
+    """Return the p-value of the hypothesis that our share is lower by no more than ``margin``."""
+    our_share, our_total = (ours.served + 1) / (ours.total + 2), ours.total + 2
+    their_share, their_total = (theirs.served + 1) / (theirs.total + 2), theirs.total + 2
+    our_variance = our_share * (1 - our_share) / our_total
+    their_variance = their_share * (1 - their_share) / their_total
+    z = (their_share - our_share - margin) / math.sqrt(our_variance + their_variance)
+    return 1 - NormalDist().cdf(z)
+
+
+def _first_reason(unhealthy: Mapping[str, str]) -> str:
+    name, reason = min(unhealthy.items())
+    more = f" (and {len(unhealthy) - 1} more)" if len(unhealthy) > 1 else ""
+    return f"{name}: {reason}{more}"
+
+
+def _without_comparison(
+    ours: ResponseCounts, theirs: ResponseCounts, rules: GateRules, window_ended: bool
+) -> GateResult:
+    """Return the result where the responses are too few to compare."""
+    if not window_ended:
+        reason = f"{ours.total} and {theirs.total} answers, {rules.min_responses} are needed"
+        return GateResult(Verdict.PENDING, reason)
+    verdict = Verdict.FAIL if rules.require_traffic else Verdict.PASS
+    counts = f"{ours.total} and {theirs.total}"
+    return GateResult(verdict, f"too few answers to compare ({counts}); all are well")
+
+
+def _share(counts: ResponseCounts) -> float:
+    return counts.served / max(1, counts.total)
--- /dev/null
+++ b/oakbridge/rollout/lease_keeper.py
@@ -0,0 +1,82 @@
+"""Keeps the lease over the fleet while a rollout lasts: renewal, single agents, and higher fencing tokens."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from oakbridge.fleet import wire
+from oakbridge.fleet.ask import Heard, Held, Operator
+
+LEASE_S = 60.0
+RENEW_S = 15.0
+_LEASE_US = int(LEASE_S * 1e6)
+
+
+class LeaseKeeper:
+    """The lease of one tool; ``on_lost`` is called with the reason once a majority has not renewed it."""
+
+    def __init__(
+        self,
+        operator: Operator,
+        held: Held,
+        *,
+        on_granted: Callable[[str], None],
+        on_lost: Callable[[str], None],
+    ) -> None:
+        """Keep a lease that was acquired; ``on_granted`` is called with each agent that joins in later."""
+        self.held = held
+        self._operator = operator
+        self._on_granted = on_granted
+        self._on_lost = on_lost
+        self._granted = set(held.agents)
+        self._raising = asyncio.Lock()  # one task at a time asks for a higher token
+
+    async def renew_until_lost(self) -> None:
+        """Renew the lease; return when it is lost, as nothing more may be sent then."""
+        while True:
+            await asyncio.sleep(RENEW_S)
+            renewal = wire.Acquire(self.held.token, _LEASE_US, renew=True)
+            responses = await self._operator.ask_all(renewal)
+            granted = sum(1 for response in responses if response.status == 200)
+            if granted * 2 <= len(responses):
+                self._on_lost(f"the lease is lost: {_loss_reason(responses)}")
+                return
+
+    async def admit(self, agent: str) -> bool:
+        """Return whether an agent has promised our token; one that has not is asked for it."""
+        if agent in self._granted:
+            return True
+        response = await self._operator.ask(agent, wire.Acquire(self.held.token, _LEASE_US))
+        if response.status == 200:
+            self._granted.add(agent)
+            self._on_granted(agent)
+            return True
+        # A tool that lost to us may hold a part of the fleet for a moment, or have left a higher token there.  A
+        # higher token of our own name is another tool of ours, which has taken over: it is never outbid.
+        expired = response.status == 409 and not response.answer.get("ends_in_s")
+        if expired and response.answer.get("holder") != self._operator.name:
+            await self.raise_above(int(response.answer["token"]))
+        return False
+
+    async def raise_above(self, token: int) -> int:
+        """Return a fencing token of ours above ``token``, acquiring one if ours is not higher."""
+        async with self._raising:
+            if self.held.token <= token:
+                self.held = await self._operator.higher(self.held, LEASE_S, token)
+                self._granted = set(self.held.agents)
+                if not self.held.won(len(self._operator.inventory.agents)):
+                    self._on_lost("the lease is lost: a higher token was not granted")
+            return self.held.token
+
+    async def has_been_raised(self, token: int) -> bool:
+        """Return whether our token is another one by now, after a raise in progress has ended."""
+        async with self._raising:
+            return self.held.token != token
+
+
+def _loss_reason(responses: list[Heard]) -> str:
+    for response in responses:
+        if response.status == 409 and response.answer.get("holder"):
+            return f"{response.answer['holder']} has the lease"
+    return "too few agents answer"
--- a/oakbridge/rollout/machine.py
+++ b/oakbridge/rollout/machine.py
@@ -1,310 +1,214 @@
-"""A rollout from its first step to its report: what is sent when, when to halt, what to undo.  Pure.
+"""The state machine of a rollout: when to send which step, when to halt, what to roll back.  Pure.
 
     running -> gating -> running ... -> done
        |          |
        v          v
-    halted  (or undoing -> undone, where that was asked for)
+    halted  (or rolling back -> rolled back, where that was asked for)
 
-A rollout that is over and left instances unknown may begin again (``resume``): in one that was done they get their
-step again; in one that was halted nothing more is changed, and they are only asked how their step ended.
+A rollout that is over and left instances unknown may be resumed: in one that was done they get their step again; in
+one that was halted nothing more is changed, and the agents are only asked how the step ended.
 
-:class:`Persist` comes before what it speaks of, so that a tool that is killed goes on from its journal: a step that may
-have been sent is sent again, under the same id, and the agent answers as it did.  An instance of which nothing is
-heard is *unknown*, never counted as changed or as unchanged; it takes up one of the places of those that may be
-unavailable, until it is heard of again.
+:class:`Persist` precedes the actions that depend on it, so that a tool that is killed resumes from its journal: a step
+that may have been sent is sent again under the same id, and the agent answers as it did before.  An instance without
+an answer is *unknown*, never counted as changed or as unchanged; it counts as unavailable until it is heard of again.
 """
 
 from __future__ import annotations
 
 import dataclasses
-from dataclasses import dataclass
-from enum import Enum
-
+from collections.abc import Sequence
+
+from oakbridge.rollout.actions import (
+    Action,
+    EvaluateGate,
+    Finish,
+    Persist,
+    ResolveStep,
+    RollBack,
+    SendStep,
+)
 from oakbridge.rollout.gate import GateResult, Verdict
 from oakbridge.rollout.plan import Target
-
-SECOND = 1_000_000
-
-
-class Phase(Enum):
-    """Where the rollout stands."""
-
-    RUNNING = "running"
-    GATING = "gating"
-    HALTED = "halted"
-    ROLLING_BACK = "undoing"
-    ROLLED_BACK = "undone"
-    DONE = "done"
-
-
-class InstanceOutcome(Enum):
-    """What became of one instance."""
-
-    NOT_REACHED = "not reached"
-    IN_PROGRESS = "under way"
-    APPLIED = "took it"
-    NOT_APPLIED = "did not"
-    ROLLED_BACK = "undone"
-    UNKNOWN = "unknown"
-
-
-FINAL_OUTCOMES = frozenset(
-    {InstanceOutcome.APPLIED, InstanceOutcome.NOT_APPLIED, InstanceOutcome.ROLLED_BACK}
+from oakbridge.rollout.record import (
+    FINAL_OUTCOMES,
+    UNAVAILABLE_OUTCOMES,
+    InstanceOutcome,
+    InstanceStatus,
+    Phase,
+    RolloutRecord,
 )
 
-
-@dataclass(frozen=True, slots=True)
-class InstanceStatus:
-    """One instance's line of the report."""
-
-    outcome: InstanceOutcome = InstanceOutcome.NOT_REACHED
-    reason: str = ""
-    last_response_unix_s: float = 0.0  # Unix time, of an unknown one: since when nothing is heard
-
-
-@dataclass(frozen=True, slots=True)
-class RolloutRecord:
-    """What must outlive the tool."""
-
-    waves: tuple[tuple[Target, ...], ...]
-    max_unavailable: int
-    auto_rollback: bool  # whether a halt undoes what was changed
-    phase: Phase = Phase.RUNNING
-    wave_index: int = 0
-    statuses: tuple[tuple[str, InstanceStatus], ...] = ()
-    reason: str = ""
-
-
-# ---- actions
-
-
-@dataclass(frozen=True, slots=True)
-class Persist:
-    """Have this on disk before anything that follows."""
-
-    record: RolloutRecord
-
-
-@dataclass(frozen=True, slots=True)
-class SendStep:
-    """Send the step to this instance (again); then ``ended`` or ``silent``."""
-
-    target: Target
-
-
-@dataclass(frozen=True, slots=True)
-class RollBack:
-    """Have this instance run what it ran before; then ``taken_back`` or ``silent``."""
-
-    target: Target
-
-
-@dataclass(frozen=True, slots=True)
-class ResolveStep:
-    """Find out how the step of this instance ended, and send it no more; then ``ended`` or ``silent``."""
-
-    target: Target
-
-
-@dataclass(frozen=True, slots=True)
-class EvaluateGate:
-    """Compare these with those that are unchanged, over a window; then ``judged``."""
-
-    changed: tuple[Target, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class Finish:
-    """The rollout is over, or stands still."""
-
-    phase: Phase
-
-
-Action = Persist | SendStep | RollBack | ResolveStep | EvaluateGate | Finish
+IN_PROGRESS_PHASES = frozenset({Phase.RUNNING, Phase.GATING})
+ROLLBACK_PHASES = frozenset({Phase.ROLLING_BACK, Phase.ROLLED_BACK})
 
 
 class RolloutMachine:
-    """The machine."""
+    """Turn events of a rollout into actions; :attr:`record` is its whole state between two events."""
 
     def __init__(self, record: RolloutRecord) -> None:
+        """Take up a record, new or from the journal; :meth:`start` returns the first actions."""
         self.record = record
-        self._statuses: dict[str, InstanceStatus] = {
-            t.name: InstanceStatus() for wave in record.waves for t in wave
-        } | dict(record.statuses)
-        self._targets = {t.name: t for wave in record.waves for t in wave}
-        self._order = [t.name for wave in record.waves for t in wave]
-
-    # ---- beginning, and beginning again
+        self._targets = {target.name: target for wave in record.waves for target in wave}
+        self._statuses = dict.fromkeys(self._targets, InstanceStatus()) | dict(record.statuses)
 
     def start(self) -> list[Action]:
-        """Begin, or go on from the record: whatever may have been sent is sent again."""
+        """Begin, or resume from the record: whatever may have been sent is sent again."""
         phase = self.record.phase
-        if phase is Phase.DONE and self._missing():
-            self._set(phase=Phase.RUNNING)
-            phase = Phase.RUNNING
-        if phase is Phase.RUNNING:
-            again = [SendStep(t) for t in self._wake()]
-            return self._kept([*again, *self._more()])
+        if phase is Phase.RUNNING or (phase is Phase.DONE and self._unknown_count()):
+            return self._start_running()
         if phase is Phase.GATING:
             return [EvaluateGate(self._changed())]
-        if phase in (Phase.ROLLING_BACK, Phase.ROLLED_BACK) and (
-            self._missing() or phase is Phase.ROLLING_BACK
-        ):
-            self._set(phase=Phase.ROLLING_BACK)
-            asked = [ResolveStep(t) for t in self._wake()]
-            return self._kept([*asked, *[RollBack(t) for t in self._changed()]] or self._go_on())
+        if phase is Phase.ROLLING_BACK or (phase is Phase.ROLLED_BACK and self._unknown_count()):
+            return self._start_rolling_back()
         if phase is Phase.HALTED:
-            return self._kept([ResolveStep(t) for t in self._wake()] or [Finish(phase)])
+            return self._persisted(self._resolve_open_steps() or [Finish(phase)])
         return [Finish(phase)]
 
-    # ---- what happened
-
     def on_step_ended(self, name: str, outcome: InstanceOutcome, reason: str = "") -> list[Action]:
-        """An agent says how a step ended.  News of one that was unknown is news like any other."""
-        row = self._statuses.get(name)
-        if (
-            row is None
-            or outcome not in FINAL_OUTCOMES
-            or row.outcome in FINAL_OUTCOMES
-            or row.outcome is InstanceOutcome.NOT_REACHED
-        ):
+        """Take an agent's report of how a step ended, also where the instance was unknown until now."""
+        status = self._statuses.get(name)
+        if status is None or outcome not in FINAL_OUTCOMES:
+            return []
+        if status.outcome not in UNAVAILABLE_OUTCOMES:
             return []
         self._statuses[name] = InstanceStatus(outcome, reason)
-        if outcome is not InstanceOutcome.APPLIED and self.record.phase in (Phase.RUNNING, Phase.GATING):
+        if outcome is not InstanceOutcome.APPLIED and self.record.phase in IN_PROGRESS_PHASES:
             return self._halt(f"{name} {outcome.value}: {reason}")
-        if outcome is InstanceOutcome.APPLIED and self.record.phase in (
-            Phase.ROLLING_BACK,
-            Phase.ROLLED_BACK,
-        ):
-            self._set(phase=Phase.ROLLING_BACK)  # it has woken up with it: it is taken back like the others
-            return self._kept([RollBack(self._targets[name])])
-        return self._kept(self._go_on())
+        if outcome is InstanceOutcome.APPLIED and self.record.phase in ROLLBACK_PHASES:
+            self._set(phase=Phase.ROLLING_BACK)  # late news: it is rolled back like the others
+            return self._persisted([RollBack(self._targets[name])])
+        return self._persisted(self._continue())
 
     def on_silence(self, name: str, reason: str, last_response_unix_s: float) -> list[Action]:
-        """Nothing is heard of an instance that was sent a step (or is to be taken back)."""
-        row = self._statuses.get(name)
-        if row is None or row.outcome not in (InstanceOutcome.IN_PROGRESS, InstanceOutcome.APPLIED):
+        """Give up waiting for an instance that was sent a step or is to be rolled back."""
+        status = self._statuses.get(name)
+        if status is None:
+            return []
+        rolling_back = status.outcome is InstanceOutcome.APPLIED and self.record.phase is Phase.ROLLING_BACK
+        # Outside a rollback, an instance that reported that it took the step did take it.
+        if status.outcome is not InstanceOutcome.IN_PROGRESS and not rolling_back:
             return []
-        if row.outcome is InstanceOutcome.APPLIED and self.record.phase is not Phase.ROLLING_BACK:
-            return []  # it has said that it took it: that stays true
         self._statuses[name] = InstanceStatus(InstanceOutcome.UNKNOWN, reason, last_response_unix_s)
         if self.record.phase is not Phase.RUNNING:
-            return self._kept(self._go_on())
-        return self._halt_if_stuck() or self._kept(self._go_on())
+            return self._persisted(self._continue())
+        return self._halt_if_stuck() or self._persisted(self._continue())
 
-    def on_gate_result(self, gate_result: GateResult) -> list[Action]:
-        """The gate has spoken."""
-        if self.record.phase is not Phase.GATING or gate_result.word is Verdict.PENDING:
+    def on_gate_result(self, result: GateResult) -> list[Action]:
+        """Take the result of the gate after the present wave."""
+        if self.record.phase is not Phase.GATING or result.verdict is Verdict.PENDING:
             return []
-        if gate_result.word is Verdict.FAIL:
-            return self._halt(f"the gate after wave {self.record.wave_index + 1}: {gate_result.reason}")
+        if result.verdict is Verdict.FAIL:
+            return self._halt(f"the gate after wave {self.record.wave_index + 1}: {result.reason}")
         if self.record.wave_index + 1 == len(self.record.waves):
-            return self._kept(self._finish(Phase.DONE))
+            return self._persisted(self._finish(Phase.DONE))
         self._set(phase=Phase.RUNNING, wave_index=self.record.wave_index + 1)
-        return self._halt_if_stuck() or self._kept(self._go_on())
-
-    def stop(self, reason: str) -> list[Action]:
-        """The lease is lost, or somebody wants it to stop: nothing more is sent, and nothing is undone."""
-        if self.record.phase in (Phase.RUNNING, Phase.GATING, Phase.ROLLING_BACK):
-            self._set(reason=reason, phase=Phase.HALTED)
-            return self._kept(self._go_on())
-        return []
+        return self._halt_if_stuck() or self._persisted(self._continue())
 
     def on_rolled_back(self, name: str, reason: str = "") -> list[Action]:
-        """An instance runs again what it ran before."""
-        row = self._statuses.get(name)
-        if (
-            self.record.phase not in (Phase.ROLLING_BACK, Phase.ROLLED_BACK)
-            or row is None
-            or row.outcome not in (InstanceOutcome.APPLIED, InstanceOutcome.UNKNOWN)
-        ):
+        """Take an agent's report that an instance runs again what it ran before."""
+        status = self._statuses.get(name)
+        if status is None or self.record.phase not in ROLLBACK_PHASES:
+            return []
+        if status.outcome not in (InstanceOutcome.APPLIED, InstanceOutcome.UNKNOWN):
             return []
         self._statuses[name] = InstanceStatus(InstanceOutcome.ROLLED_BACK, reason or self.record.reason)
-        return self._kept(self._go_on())
+        return self._persisted(self._continue())
 
-    # ---- the report
+    def stop(self, reason: str) -> list[Action]:
+        """Halt without a rollback, as when the lease is lost: nothing more is sent."""
+        if self.record.phase in IN_PROGRESS_PHASES or self.record.phase is Phase.ROLLING_BACK:
+            self._set(reason=reason, phase=Phase.HALTED)
+            return self._persisted(self._continue())
+        return []
 
     def statuses(self) -> dict[str, InstanceStatus]:
-        """What became of each instance, in the order of the waves."""
-        return {name: self._statuses[name] for name in self._order}
+        """Return the status of each instance, in the order of the waves."""
+        return {name: self._statuses[name] for name in self._targets}
 
     def is_complete(self) -> bool:
-        """Whether every instance took it."""
-        return all(row.outcome is InstanceOutcome.APPLIED for row in self._statuses.values())
+        """Return whether every instance took the change."""
+        return all(s.outcome is InstanceOutcome.APPLIED for s in self._statuses.values())
+
+    def _start_running(self) -> list[Action]:
+        self._set(phase=Phase.RUNNING)
+        resent = [SendStep(target) for target in self._reopen_steps()]
+        return self._persisted([*resent, *self._next_steps()])
+
+    def _start_rolling_back(self) -> list[Action]:
+        self._set(phase=Phase.ROLLING_BACK)
+        resolved = self._resolve_open_steps()
+        return self._persisted([*resolved, *self._roll_back_changed()] or self._continue())
+
+    def _resolve_open_steps(self) -> list[Action]:
+        return [ResolveStep(target) for target in self._reopen_steps()]
+
+    def _reopen_steps(self) -> list[Target]:
+        """Mark every sent step without a known end as in progress again, and return their targets."""
+        reopened = self._targets_with(UNAVAILABLE_OUTCOMES)
+        for target in reopened:
+            self._statuses[target.name] = InstanceStatus(InstanceOutcome.IN_PROGRESS)
+        return reopened
 
-    # ---- parts
+    def _roll_back_changed(self) -> list[Action]:
+        return [RollBack(target) for target in self._changed()]
 
     def _changed(self) -> tuple[Target, ...]:
-        return tuple(
-            self._targets[n] for n in self._order if self._statuses[n].outcome is InstanceOutcome.APPLIED
-        )
-
-    def _wake(self) -> list[Target]:
-        """What was sent and has no end that is known, also what was given up as unknown: it is under way again."""
-        found = [
-            n
-            for n in self._order
-            if self._statuses[n].outcome in (InstanceOutcome.IN_PROGRESS, InstanceOutcome.UNKNOWN)
-        ]
-        for name in found:
-            self._statuses[name] = InstanceStatus(InstanceOutcome.IN_PROGRESS)
-        return [self._targets[n] for n in found]
+        return tuple(self._targets_with({InstanceOutcome.APPLIED}))
+
+    def _targets_with(self, outcomes: frozenset[InstanceOutcome] | set[InstanceOutcome]) -> list[Target]:
+        return [target for name, target in self._targets.items() if self._statuses[name].outcome in outcomes]
+
+    def _unknown_count(self) -> int:
+        return len(self._targets_with({InstanceOutcome.UNKNOWN}))
 
-    def _missing(self) -> int:
-        return sum(1 for row in self._statuses.values() if row.outcome is InstanceOutcome.UNKNOWN)
+    def _present_wave(self) -> Sequence[Target]:
+        return self.record.waves[self.record.wave_index]
 
     def _unsent(self) -> list[Target]:
-        """Of the waves up to this one, those that nothing was sent to yet."""
-        now = self.record.waves[self.record.wave_index]
-        return [t for t in now if self._statuses[t.name].outcome is InstanceOutcome.NOT_REACHED]
+        """Return the targets of the present wave to which no step has been sent."""
+        return [
+            target
+            for target in self._present_wave()
+            if self._statuses[target.name].outcome is InstanceOutcome.NOT_REACHED
+        ]
 
     def _halt_if_stuck(self) -> list[Action]:
-        """Those that are not heard of have all the places there are: no step could go out any more."""
-        missing, most = self._missing(), self.record.max_unavailable
-        if missing < most or not self._unsent():
+        """Halt if unknown instances use up the whole limit, so that no further step could be sent."""
+        unknown, limit = self._unknown_count(), self.record.max_unavailable
+        if unknown < limit or not self._unsent():
             return []
-        return self._halt(f"{missing} instances are not heard of, and {most} may be missing")
-
-    def _more(self) -> list[Action]:
-        """As many steps as may be under way; then the gate."""
-        sent: list[Action] = []
-        under_way = sum(
-            1
-            for row in self._statuses.values()
-            if row.outcome in (InstanceOutcome.IN_PROGRESS, InstanceOutcome.UNKNOWN)
-        )
-        for target in self._unsent():
-            if under_way >= self.record.max_unavailable:
-                break
+        return self._halt(f"{unknown} instances are not heard of, and {limit} may be missing")
+
+    def _next_steps(self) -> list[Action]:
+        """Send as many steps as the limit allows; evaluate the gate once the wave has ended."""
+        free = self.record.max_unavailable - len(self._targets_with(UNAVAILABLE_OUTCOMES))
+        next_targets = self._unsent()[: max(0, free)]
+        for target in next_targets:
             self._statuses[target.name] = InstanceStatus(InstanceOutcome.IN_PROGRESS)
-            sent.append(SendStep(target))
-            under_way += 1
-        now = self.record.waves[self.record.wave_index]
-        if not sent and all(
-            self._statuses[t.name].outcome in FINAL_OUTCOMES | {InstanceOutcome.UNKNOWN} for t in now
-        ):
+        if not next_targets and self._wave_has_ended():
             self._set(phase=Phase.GATING)
             return [EvaluateGate(self._changed())]
-        return sent
+        return [SendStep(target) for target in next_targets]
+
+    def _wave_has_ended(self) -> bool:
+        ended = FINAL_OUTCOMES | {InstanceOutcome.UNKNOWN}
+        return all(self._statuses[t.name].outcome in ended for t in self._present_wave())
 
-    def _go_on(self) -> list[Action]:
+    def _continue(self) -> list[Action]:
         if self.record.phase is Phase.RUNNING:
-            return self._more()
-        if any(row.outcome is InstanceOutcome.IN_PROGRESS for row in self._statuses.values()):
-            return []  # what is under way has its end first
+            return self._next_steps()
+        if self._targets_with({InstanceOutcome.IN_PROGRESS}):
+            return []  # steps in progress end before the rollout does
         if self.record.phase is Phase.ROLLING_BACK and not self._changed():
             return self._finish(Phase.ROLLED_BACK)
         return [Finish(Phase.HALTED)] if self.record.phase is Phase.HALTED else []
 
     def _halt(self, reason: str) -> list[Action]:
-        undo = self.record.auto_rollback and any(
-            r.outcome in (InstanceOutcome.APPLIED, InstanceOutcome.IN_PROGRESS, InstanceOutcome.UNKNOWN)
-            for r in self._statuses.values()
-        )
-        self._set(reason=reason, phase=Phase.ROLLING_BACK if undo else Phase.HALTED)
-        return self._kept(
-            [RollBack(t) for t in self._changed()] if undo and self._changed() else self._go_on()
-        )
+        may_be_changed = UNAVAILABLE_OUTCOMES | {InstanceOutcome.APPLIED}
+        roll_back = self.record.auto_rollback and bool(self._targets_with(may_be_changed))
+        self._set(reason=reason, phase=Phase.ROLLING_BACK if roll_back else Phase.HALTED)
+        rollbacks = self._roll_back_changed() if roll_back else []
+        return self._persisted(rollbacks or self._continue())
 
     def _finish(self, phase: Phase) -> list[Action]:
         self._set(phase=phase)
@@ -313,6 +217,7 @@
     def _set(self, **changes: object) -> None:
         self.record = dataclasses.replace(self.record, **changes)  # type: ignore[arg-type]
 
-    def _kept(self, actions: list[Action]) -> list[Action]:
-        self._set(statuses=tuple((name, self._statuses[name]) for name in self._order))
+    def _persisted(self, actions: list[Action]) -> list[Action]:
+        """Put the statuses into the record, and have it written before the actions are carried out."""
+        self._set(statuses=tuple(self.statuses().items()))
         return [Persist(self.record), *actions]
--- a/oakbridge/rollout/rebuild.py
+++ b/oakbridge/rollout/rebuild.py
@@ -1,89 +1,113 @@
-"""A journal that was lost, made again from what the agents remember.  Pure.
+"""Rebuilds a journal that was lost from what the agents remember.  Pure.
 
-Agents keep the ends of their last steps under the steps' ids, which name the rollout, and the generation that each
-instance runs.  What is not there any more (waves, who began it, why) is said to be unknown rather than guessed;
-instances that a rollout never reached left no trace, so a rollout that is rebuilt may have been larger.
+Agents keep the results of their last steps under the steps' ids, which name the rollout, and the generation that each
+instance runs.  What they do not know (waves, who began it, why) is reported as unknown rather than guessed; instances
+that a rollout never reached left no trace, so the rollout may have been larger.
 """
 
 from __future__ import annotations
 
-import re
+from collections import defaultdict
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
 
-from oakbridge.rollout.machine import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
 from oakbridge.rollout.plan import Target
-from oakbridge.rollout.step_report import OUTCOMES
-
-_STEP = re.compile(r"r(\d+)-(back-)?(.+)")
+from oakbridge.rollout.record import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
+from oakbridge.rollout.step_report import OUTCOME_OF_VERDICT, Report, step_origin
 
 
 @dataclass(frozen=True, slots=True)
 class RebuiltRollout:
-    """One rollout as the agents remember it, and an instance that has its files (None: none has)."""
+    """One rollout as the agents remember it, and an instance that has its files, if any has."""
 
     id: int
     record: RolloutRecord
-    held_by: Target | None
+    files_holder: Target | None
 
 
 def rebuild(
-    agents: Mapping[str, Sequence[Mapping[str, Any]]], silent: Sequence[str] = ()
+    reports_by_agent: Mapping[str, Sequence[Report]], silent: Sequence[str] = ()
 ) -> list[RebuiltRollout]:
-    """All rollouts that any agent remembers, oldest first; ``agents``: the instances' rows by agent."""
-    rows: dict[int, dict[str, InstanceStatus]] = {}
-    targets: dict[int, dict[str, Target]] = {}
-    holders: dict[int, Target] = {}
-    for agent, instances in sorted(agents.items()):
-        for told in instances:
-            _read(agent, told, rows, targets)
-            here = Target(agent, told["name"], "", told["generation"])
-            holders.setdefault(told["generation"], here)
-            holders.setdefault(told["previous"], here)
-    found = []
-    for number in sorted(rows):
+    """Return all rollouts that any agent remembers, oldest first; ``silent`` agents did not answer."""
+    rebuilder = _Rebuilder()
+    for agent, reports in sorted(reports_by_agent.items()):
+        for report in reports:
+            rebuilder.add(agent, report)
+    return rebuilder.rollouts(silent_count=len(silent))
+
+
+class _Rebuilder:
+    """What is known of each rollout so far, by its number and by the name of the instance."""
+
+    def __init__(self) -> None:
+        self._statuses: dict[int, dict[str, InstanceStatus]] = defaultdict(dict)
+        self._targets: dict[int, dict[str, Target]] = defaultdict(dict)
+        self._files_holders: dict[int, Target] = {}
+
+    def add(self, agent: str, report: Report) -> None:
+        """Add one instance; of several steps of a rollout, the later one counts."""
+        self._add_ended_steps(agent, report)
+        self._add_step_in_progress(agent, report)
+        holder = Target(agent, report["name"], "", report["generation"])
+        self._files_holders.setdefault(report["generation"], holder)
+        self._files_holders.setdefault(report["previous"], holder)
+
+    def rollouts(self, *, silent_count: int) -> list[RebuiltRollout]:
+        """Return the rollouts, oldest first."""
         reason = "rebuilt from the agents"
-        if silent:
-            reason += f"; {len(silent)} of them did not answer"
-        fates = {row.outcome for row in rows[number].values()}
-        done = fates == {InstanceOutcome.APPLIED} and not silent
-        stage = (
-            Phase.DONE
-            if done
-            else Phase.ROLLED_BACK
-            if InstanceOutcome.APPLIED not in fates
-            else Phase.HALTED
+        if silent_count:
+            reason += f"; {silent_count} of them did not answer"
+        return [
+            RebuiltRollout(
+                rollout,
+                self._record(rollout, reason, any_silent=silent_count > 0),
+                self._files_holders.get(rollout),
+            )
+            for rollout in sorted(self._statuses)
+        ]
+
+    def _record(self, rollout: int, reason: str, *, any_silent: bool) -> RolloutRecord:
+        statuses, targets = self._statuses[rollout], self._targets[rollout]
+        wave = tuple(targets[name] for name in sorted(targets))
+        outcomes = {status.outcome for status in statuses.values()}
+        return RolloutRecord(
+            waves=(wave,),
+            max_unavailable=len(wave),
+            auto_rollback=False,
+            phase=_phase(outcomes, any_silent=any_silent),
+            statuses=tuple((name, statuses[name]) for name in sorted(statuses)),
+            reason=reason,
         )
-        wave = tuple(targets[number][name] for name in sorted(targets[number]))
-        named = tuple((name, rows[number][name]) for name in sorted(rows[number]))
-        record = RolloutRecord((wave,), len(wave), False, stage, 0, named, reason)
-        found.append(RebuiltRollout(number, record, holders.get(number)))
-    return found
-
-
-def _read(
-    agent: str,
-    told: Mapping[str, Any],
-    rows: dict[int, dict[str, InstanceStatus]],
-    targets: dict[int, dict[str, Target]],
-) -> None:
-    """One instance's steps, oldest first: a later word on the same rollout goes before an earlier one."""
-    for step, verdict, reason in told["outcomes"]:
-        if (found := _STEP.fullmatch(step)) is None:
-            continue
-        number, back, name = int(found[1]), bool(found[2]), f"{agent}/{told['name']}"
-        fate = OUTCOMES[verdict]
-        if back:
-            if fate is not InstanceOutcome.APPLIED:
+
+    def _add_ended_steps(self, agent: str, report: Report) -> None:
+        for step, verdict, reason in report["outcomes"]:
+            origin = step_origin(step)
+            if origin is None:
                 continue
-            fate, reason = InstanceOutcome.ROLLED_BACK, "taken back"
-        base = told["previous"] if told["generation"] == number else 0
-        targets.setdefault(number, {})[name] = Target(agent, told["name"], "", base)
-        rows.setdefault(number, {})[name] = InstanceStatus(fate, reason)
-    if (step := told["step"]) is not None and (found := _STEP.fullmatch(step["id"])) and not found[2]:
-        name = f"{agent}/{told['name']}"
-        targets.setdefault(int(found[1]), {})[name] = Target(agent, told["name"], "", told["generation"])
-        rows.setdefault(int(found[1]), {})[name] = InstanceStatus(
-            InstanceOutcome.UNKNOWN, "its step is under way"
-        )
+            status = InstanceStatus(OUTCOME_OF_VERDICT[verdict], reason)
+            if origin.is_rollback:
+                if status.outcome is not InstanceOutcome.APPLIED:
+                    continue
+                status = InstanceStatus(InstanceOutcome.ROLLED_BACK, "taken back")
+            base = report["previous"] if report["generation"] == origin.rollout else 0
+            self._put(origin.rollout, Target(agent, report["name"], "", base), status)
+
+    def _add_step_in_progress(self, agent: str, report: Report) -> None:
+        step = report["step"]
+        origin = step_origin(step["id"]) if step is not None else None
+        if origin is not None and not origin.is_rollback:
+            target = Target(agent, report["name"], "", report["generation"])
+            status = InstanceStatus(InstanceOutcome.UNKNOWN, "its step is under way")
+            self._put(origin.rollout, target, status)
+
+    def _put(self, rollout: int, target: Target, status: InstanceStatus) -> None:
+        self._targets[rollout][target.name] = target
+        self._statuses[rollout][target.name] = status
+
+
+def _phase(outcomes: set[InstanceOutcome], *, any_silent: bool) -> Phase:
+    if outcomes == {InstanceOutcome.APPLIED} and not any_silent:
+        return Phase.DONE
+    if InstanceOutcome.APPLIED not in outcomes:
+        return Phase.ROLLED_BACK
+    return Phase.HALTED
--- a/oakbridge/rollout/silence_timeout.py
+++ b/oakbridge/rollout/silence_timeout.py
@@ -1,4 +1,4 @@
-"""How long silence lasts before an instance is unknown.  Pure; times are seconds of a clock that never jumps."""
+"""How long a rollout waits for the end of a step before the instance is unknown.  Pure."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 @dataclass(slots=True)
 class SilenceTimeout:
-    """What news is awaited of, and since when."""
+    """Which instances are awaited, and since when; times are seconds of a monotonic clock."""
 
-    limit: float  # seconds without news after which an instance is unknown
-    _since: dict[str, float] = field(default_factory=dict)
+    timeout_s: float
+    _started_s: dict[str, float] = field(default_factory=dict)
 
-    def await_(self, name: str, now: float) -> None:
-        """A step went out to it; one that goes out again is not waited for longer."""
-        self._since.setdefault(name, now)
+    def start(self, name: str, now_s: float) -> None:
+        """Wait for this instance; a wait that has begun is not extended."""
+        self._started_s.setdefault(name, now_s)
 
-    def heard(self, name: str) -> None:
-        """Its step has ended."""
-        self._since.pop(name, None)
+    def cancel(self, name: str) -> None:
+        """Stop waiting for this instance."""
+        self._started_s.pop(name, None)
 
-    def awaited(self, name: str) -> bool:
-        """Whether news of it is awaited."""
-        return name in self._since
+    def is_pending(self, name: str) -> bool:
+        """Return whether this instance is awaited."""
+        return name in self._started_s
 
-    def run_out(self, now: float) -> list[str]:
-        """Those whose time is up, in the order of their steps; they are awaited no more."""
-        late = [name for name, since in self._since.items() if now - since >= self.limit]
-        for name in late:
-            del self._since[name]
-        return late
+    def pop_expired(self, now_s: float) -> list[str]:
+        """Return the instances whose time is up, oldest wait first, and stop waiting for them."""
+        expired = [name for name, started_s in self._started_s.items() if now_s - started_s >= self.timeout_s]
+        for name in expired:
+            del self._started_s[name]
+        return expired
--- a/oakbridge/rollout/step_report.py
+++ b/oakbridge/rollout/step_report.py
@@ -1,48 +1,81 @@
-"""What an agent's account of an instance says of a rollout's steps.  Pure."""
+"""What an agent's report on an instance says about the steps of a rollout.  Pure.
+
+The words of the verdicts and the ids of the steps are part of the protocol, and agents store them.
+"""
 
 from __future__ import annotations
 
+import re
 from collections.abc import Mapping
+from dataclasses import dataclass
 from typing import Any
 
-from oakbridge.rollout.machine import InstanceOutcome
+from oakbridge.rollout.record import InstanceOutcome
+
+Report = Mapping[str, Any]  # one instance in the answer of its agent
 
-OUTCOMES = {
+OUTCOME_OF_VERDICT = {
     "took it": InstanceOutcome.APPLIED,
     "did not": InstanceOutcome.NOT_APPLIED,
     "undone": InstanceOutcome.ROLLED_BACK,
 }
+_STEP_ID = re.compile(r"r(\d+)-(back-)?(.+)")
+
+
+@dataclass(frozen=True, slots=True)
+class StepResult:
+    """How a step ended."""
+
+    outcome: InstanceOutcome
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class StepOrigin:
+    """The rollout to which a step belongs, and whether the step takes it back."""
+
+    rollout: int
+    is_rollback: bool
 
 
 def step_id(rollout: int, instance: str) -> str:
-    """The same at every sending: an agent knows a step by it."""
+    """Return the id of a rollout's step, the same each time it is sent: an agent knows the step by it."""
     return f"r{rollout}-{instance}"
 
 
 def rollback_step_id(rollout: int, instance: str) -> str:
-    """Of the step that takes a rollout back."""
+    """Return the id of the step that rolls an instance back to before a rollout."""
     return f"r{rollout}-back-{instance}"
 
 
-def step_result(row: Mapping[str, Any] | None, step: str) -> tuple[InstanceOutcome, str] | None:
-    """How a step ended, if the agent says so."""
-    for name, verdict, reason in row["outcomes"] if row is not None else ():
-        if name == step:
-            return OUTCOMES[verdict], reason
+def step_origin(step: str) -> StepOrigin | None:
+    """Return the rollout of a step id, or None for an id of another form."""
+    found = _STEP_ID.fullmatch(step)
+    return None if found is None else StepOrigin(int(found[1]), bool(found[2]))
+
+
+def step_result(report: Report | None, step: str) -> StepResult | None:
+    """Return how a step ended, or None if the agent does not say so."""
+    for ended_step, verdict, reason in report["outcomes"] if report is not None else ():
+        if ended_step == step:
+            return StepResult(OUTCOME_OF_VERDICT[verdict], reason)
     return None
 
 
 def resolved_result(
-    row: Mapping[str, Any] | None, step: str, promised: int, token: int
-) -> tuple[InstanceOutcome, str] | None:
-    """How a step ended that is sent no more; None while that is open.
+    report: Report | None, step: str, *, promised_token: int, own_token: int
+) -> StepResult | None:
+    """Return how a step ended that is not sent any more, or None while that is open.
 
-    ``promised`` is the highest token that the agent has promised and ``token`` ours: once ours is promised, a step of
-    an earlier token that has not begun never will.
+    ``promised_token`` is the highest fencing token that the agent has promised.  Once it is at least our own, a step
+    of an earlier token that has not begun never will.
     """
-    if row is None or (known := step_result(row, step)) is not None:
-        return None if row is None else known
-    under_way = row["step"] is not None and row["step"]["id"] == step
-    if under_way or promised < token:
+    if report is None:
+        return None
+    if (result := step_result(report, step)) is not None:
+        return result
+    in_progress = report["step"] is not None and report["step"]["id"] == step
+    if in_progress or promised_token < own_token:
         return None
-    return InstanceOutcome.NOT_APPLIED, "its step had not come, and is refused from now on"
+    reason = "its step had not come, and is refused from now on"
+    return StepResult(InstanceOutcome.NOT_APPLIED, reason)
--- a/tests/formats/test_rollout.py
+++ b/tests/formats/test_rollout.py
@@ -14,33 +14,22 @@
 from click.testing import CliRunner
 
 from oakbridge.cli.rollout import command
-from oakbridge.rollout import change as changes
-from oakbridge.rollout import journal as journals
 from oakbridge.rollout import step_report
+from oakbridge.rollout.actions import EvaluateGate, Finish, Persist, ResolveStep, RollBack, SendStep
 from oakbridge.rollout.change import (
-    ChangeError,
     Drain,
     ReplaceFiles,
     ReplaceServerFile,
     RollBackRollout,
     SetValues,
     Undrain,
+    decode_change,
 )
+from oakbridge.rollout.change_error import ChangeError
 from oakbridge.rollout.journal import Journal, JournalError
-from oakbridge.rollout.machine import (
-    EvaluateGate,
-    Finish,
-    InstanceOutcome,
-    InstanceStatus,
-    Persist,
-    Phase,
-    ResolveStep,
-    RollBack,
-    RolloutMachine,
-    RolloutRecord,
-    SendStep,
-)
+from oakbridge.rollout.machine import RolloutMachine
 from oakbridge.rollout.plan import Target
+from oakbridge.rollout.record import InstanceOutcome, InstanceStatus, Phase, RolloutRecord, encode_record
 
 FIXTURES = Path(__file__).parent / "fixtures" / "rollout"
 ROWS = {row["id"]: row for row in json.loads((FIXTURES / "rows.json").read_text("utf-8"))}
@@ -183,7 +172,7 @@
 def test_a_stored_rollout_is_read(folder, rollout):
     entry, row = Journal(folder).entry(rollout), ROWS[rollout]
     assert entry.change == CHANGES[rollout] and entry.record == RECORDS[rollout]
-    told = entry.id, entry.operator, entry.began, entry.changed, entry.why
+    told = entry.id, entry.operator, entry.began_unix_s, entry.changed_unix_s, entry.why
     assert told == tuple(row[name] for name in ("id", "operator", "began", "changed", "why"))
 
 
@@ -209,11 +198,11 @@
     actions = RolloutMachine(journal.entry(rollout).record).start()
     assert [act(a) for a in actions if not isinstance(a, Persist)] == RESUMED[rollout]["actions"]
     kept = [a.record for a in actions if isinstance(a, Persist)]
-    assert [json.loads(journals.encode_record(r)) for r in kept] == (
+    assert [json.loads(encode_record(r)) for r in kept] == (
         [RESUMED[rollout]["kept"]] if RESUMED[rollout]["kept"] else []
     )
     for record in kept:
-        journal.keep(rollout, record)
+        journal.update(rollout, record)
     written = stored(folder)[rollout]
     assert written["record"] == (json.dumps(RESUMED[rollout]["kept"]) if kept else ROWS[rollout]["record"])
     unchanged = ("id", "operator", "began", "why", "files")
@@ -241,7 +230,7 @@
 )
 def test_a_change_of_no_known_kind_is_refused(folder, raw, says):
     with pytest.raises(ChangeError) as refused:
-        changes.decode_change(raw)
+        decode_change(raw)
     assert str(refused.value) == says
     with sqlite3.connect(folder / "journal.db") as db:
         db.execute("UPDATE rollouts SET files = ? WHERE id = 5", (json.dumps(raw),))
--- a/tests/rollout/killed_tool.py
+++ b/tests/rollout/killed_tool.py
@@ -10,15 +10,15 @@
 import sys
 from pathlib import Path
 
-from played import QUICK, config, fates
+from simulated_fleet import QUICK, config, fates
 
 from oakbridge.cli.fleet import operator_of
-from oakbridge.cli.rollout import find_targets
+from oakbridge.cli.rollout.session import find_targets
 from oakbridge.rollout.change import ReplaceFiles
 from oakbridge.rollout.coordinator import Coordinator
 from oakbridge.rollout.journal import Journal, JournalEntry
-from oakbridge.rollout.machine import RolloutRecord
 from oakbridge.rollout.plan import WaveOptions, plan_waves
+from oakbridge.rollout.record import RolloutRecord
 
 
 class Deadly(Journal):
@@ -37,8 +37,8 @@
     def add(self, entry):
         self._write(lambda: super(Deadly, self).add(entry))
 
-    def keep(self, rollout, record):
-        self._write(lambda: super(Deadly, self).keep(rollout, record))
+    def update(self, rollout, record):
+        self._write(lambda: super(Deadly, self).update(rollout, record))
 
 
 async def main(folder: Path, word: str, rollout: int, write: int, side: str) -> None:
@@ -48,15 +48,14 @@
     assert held.won(len(operator.inventory.agents))
     if rollout:
         entry = journal.entry(rollout)
-        change, record = entry.change, entry.record
     else:
         targets, unseen = await find_targets(operator, ())
         assert not unseen
-        rollout, change = held.token, ReplaceFiles(config(word))
-        waves = plan_waves(targets, WaveOptions(1, (1.0,), False, 2))
-        record = RolloutRecord(tuple(map(tuple, waves)), 2, False)
-        journal.add(JournalEntry(rollout, "admin", 0.0, 0.0, "", change, record))
-    coordinator = Coordinator(operator, journal, rollout, change, record, held, QUICK)
+        waves = plan_waves(targets, WaveOptions(canary=1, shares=(1.0,), max_unavailable=2))
+        record = RolloutRecord(waves, max_unavailable=2, auto_rollback=False)
+        entry = JournalEntry(held.token, "admin", 0.0, 0.0, "", ReplaceFiles(config(word)), record)
+        journal.add(entry)
+    coordinator = Coordinator(operator, journal, entry, held, QUICK)
     await coordinator.run()
     print(json.dumps(fates(coordinator)))
     await operator.release(coordinator.held)
--- a/tests/rollout/played.py
+++ b/tests/rollout/simulated_fleet.py
@@ -12,15 +12,14 @@
 from oakbridge.fleet.inventory import Inventory
 from oakbridge.rollout.change import ReplaceFiles
 from oakbridge.rollout.coordinator import Coordinator, RolloutOptions
-from oakbridge.rollout.gate import GateRules
 from oakbridge.rollout.journal import Journal, JournalEntry
-from oakbridge.rollout.machine import RolloutRecord
 from oakbridge.rollout.plan import Target, WaveOptions, plan_waves
+from oakbridge.rollout.record import RolloutRecord
 from oakbridge.standin.host import PlayedHost
 
-QUICK = RolloutOptions(watch=0.05, window=0.05, silent=20.0, rules=GateRules())
+QUICK = RolloutOptions(watch_s=0.05, window_s=0.05, silence_timeout_s=20.0)
 
-WAVES = WaveOptions(canary=1, unavailable=99)
+WAVES = WaveOptions(canary=1, max_unavailable=99)
 
 
 def config(word: str, plays: str = "") -> dict[str, str]:
@@ -62,7 +61,7 @@
 class Direct(Operator):
     """An operator whose calls go by such a network; a call that nobody waits for any more still arrives."""
 
-    def __init__(self, fleet: "PlayedFleet", name: str, within_s: float) -> None:
+    def __init__(self, fleet: "SimulatedFleet", name: str, within_s: float) -> None:
         super().__init__(Inventory("f", dict.fromkeys(fleet.agents, ("", 0))), None, within_s, name)
         self.fleet, self.who = fleet, wire.Identity("f", "operator", name, wire.WRITE)
 
@@ -79,7 +78,7 @@
         return Heard(agent, status, answer)
 
 
-class PlayedFleet:
+class SimulatedFleet:
     """So many hosts with so many instances each; ``async with`` runs their agents."""
 
     def __init__(
@@ -91,7 +90,7 @@
         self.hosts = {n: PlayedHost(weak=n in weak, **play) for n in names}
         self.agents: dict[str, Agent] = {}
 
-    async def __aenter__(self) -> "PlayedFleet":
+    async def __aenter__(self) -> "SimulatedFleet":
         for name in self.hosts:
             self.start(name)
         return self
@@ -132,11 +131,10 @@
         if not held.won(len(self.agents)):
             return None
         targets = [t for t in await self.targets(operator) if sources is None or t.name in sources]
-        record = RolloutRecord(tuple(map(tuple, plan_waves(targets, waves))), waves.unavailable, undo)
-        journal.add(JournalEntry(held.token, operator.name, 0.0, 0.0, "", change, record))
-        coordinator = Coordinator(
-            operator, journal, held.token, change, record, held, options, sources=sources
-        )
+        record = RolloutRecord(plan_waves(targets, waves), waves.max_unavailable, undo)
+        entry = JournalEntry(held.token, operator.name, 0.0, 0.0, "", change, record)
+        journal.add(entry)
+        coordinator = Coordinator(operator, journal, entry, held, options, sources=sources)
         return await self._run(coordinator, during)
 
     async def resume(self, rollout: int, operator=None, journal=None, options=QUICK):
@@ -144,9 +142,7 @@
         while not (held := await operator.acquire(60.0)).won(len(self.agents)):
             pass  # some calls were lost
         entry = journal.entry(rollout)
-        return await self._run(
-            Coordinator(operator, journal, rollout, entry.change, entry.record, held, options)
-        )
+        return await self._run(Coordinator(operator, journal, entry, held, options))
 
     @staticmethod
     async def _run(coordinator: Coordinator, during=None) -> Coordinator:
@@ -159,7 +155,7 @@
 
     async def first(self, word: str = "1s") -> Coordinator:
         done = await self.roll(
-            ReplaceFiles(config(word)), waves=WaveOptions(canary=0, shares=(1.0,), unavailable=999)
+            ReplaceFiles(config(word)), waves=WaveOptions(canary=0, shares=(1.0,), max_unavailable=999)
         )
         assert done.machine.is_complete(), done.machine.statuses()
         return done
--- a/tests/rollout/test_doctor.py
+++ b/tests/rollout/test_doctor.py
@@ -3,7 +3,7 @@
 import pytest
 
 from oakbridge.agent.file import BadAgentFile, read
-from oakbridge.rollout.doctor import BAD, NOTE, diagnose
+from oakbridge.rollout.doctor import Severity, diagnose
 
 WELL = {
     "process": "running", "crash_loop": False, "change": "settled", "drained": False, "answers": True,
@@ -32,13 +32,13 @@
 
 
 @pytest.mark.parametrize(
-    ("instance", "members", "agents", "weight", "says"),
+    ("instance", "members", "agents", "severity", "says"),
     [
-        ({}, [], None, BAD, "do not know it"),
-        ({}, [member("h/n", "failed", by="x")], None, BAD, "call it failed by the word of x"),
-        ({}, [member("h/n", address="10.0.0.2:1")], None, NOTE, "members know it at 10.0.0.2:1"),
-        ({}, [member("h/n"), member("stray")], None, NOTE, "no agent of the inventory"),
-        ({}, [member("h/n"), member("g/n")], {"g": "no route"}, NOTE, "its agent does not answer"),
+        ({}, [], None, Severity.BAD, "do not know it"),
+        ({}, [member("h/n", "failed", by="x")], None, Severity.BAD, "call it failed by the word of x"),
+        ({}, [member("h/n", address="10.0.0.2:1")], None, Severity.NOTE, "members know it at 10.0.0.2:1"),
+        ({}, [member("h/n"), member("stray")], None, Severity.NOTE, "no agent of the inventory"),
+        ({}, [member("h/n"), member("g/n")], {"g": "no route"}, Severity.NOTE, "its agent does not answer"),
         ({}, [member("h/n")], None, "", ""),
         ({}, [member("h/n"), member("old", "left")], None, "", ""),
         ({"member": ""}, [member("h/n", "failed")], None, "", ""),
@@ -51,10 +51,10 @@
         ),  # both say that it is not there
     ],
 )
-def test_where_inventory_and_members_differ(instance, members, agents, weight, says):
+def test_where_inventory_and_members_differ(instance, members, agents, severity, says):
     found = drift(instance, members, agents)
-    assert [f.weight for f in found] == ([weight] if weight else [])
-    assert all(says in f.what and f.do for f in found)
+    assert [f.severity for f in found] == ([severity] if severity else [])
+    assert all(says in f.problem and f.remedy for f in found)
 
 
 def test_an_instance_has_an_address_among_members(tmp_path):
--- a/tests/rollout/test_kills.py
+++ b/tests/rollout/test_killed_tool.py
@@ -10,7 +10,7 @@
 
 import pytest
 from peers import LIMIT, run
-from played import PlayedFleet
+from simulated_fleet import SimulatedFleet
 
 from oakbridge.fleet import pki, wire
 from oakbridge.fleet.http import Server
@@ -34,7 +34,7 @@
     side = ("before", "after")[part % 2]
 
     async def test():
-        fleet = PlayedFleet(tmp_path, 3)
+        fleet = SimulatedFleet(tmp_path, 3)
         folder = tmp_path / "fleet"
         pki.make_authority(folder, "f")
         pki.issue(folder, wire.Identity("f", "operator", "admin", wire.WRITE), folder / "operators" / "admin")
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -4,20 +4,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from oakbridge.rollout.actions import EvaluateGate, Finish, Persist, ResolveStep, RollBack, SendStep
 from oakbridge.rollout.gate import GateResult, Verdict
-from oakbridge.rollout.machine import (
-    EvaluateGate,
-    Finish,
-    InstanceOutcome,
-    Persist,
-    Phase,
-    ResolveStep,
-    RollBack,
-    RolloutMachine,
-    RolloutRecord,
-    SendStep,
-)
+from oakbridge.rollout.machine import RolloutMachine
 from oakbridge.rollout.plan import Target
+from oakbridge.rollout.record import InstanceOutcome, Phase, RolloutRecord
 
 PASS, FAIL = GateResult(Verdict.PASS, "as good"), GateResult(Verdict.FAIL, "it serves less")
 
--- a/tests/rollout/test_protocol.py
+++ b/tests/rollout/test_protocol.py
@@ -12,19 +12,11 @@
 from oakbridge.agent.lease import Granted, Lease, Promise
 from oakbridge.fleet.quorum import majority
 from oakbridge.rollout import step_report
+from oakbridge.rollout.actions import EvaluateGate, Persist, ResolveStep, RollBack, SendStep
 from oakbridge.rollout.gate import GateResult, Verdict
-from oakbridge.rollout.machine import (
-    EvaluateGate,
-    InstanceOutcome,
-    Persist,
-    Phase,
-    ResolveStep,
-    RollBack,
-    RolloutMachine,
-    RolloutRecord,
-    SendStep,
-)
+from oakbridge.rollout.machine import RolloutMachine
 from oakbridge.rollout.plan import Target
+from oakbridge.rollout.record import InstanceOutcome, Phase, RolloutRecord
 
 S = 1_000_000
 HOSTS = ("a", "b", "c", "d")
@@ -304,21 +296,27 @@
         tool, name = self.tools[who], f"{host}/n"
         step = step_report.step_id(tool.rollout, f"{host}-n")
         if name in tool.settling:
-            end = step_report.resolved_result(row, step, promised, tool.token) if self.holds(who) else None
+            end = (
+                step_report.resolved_result(row, step, promised_token=promised, own_token=tool.token)
+                if self.holds(who)
+                else None
+            )
         else:
             end = step_report.step_result(row, step) if name in tool.awaited else None
         if end is not None:
             tool.settling.discard(name)
             tool.awaited.discard(name)
-            self.do(who, tool.machine.on_step_ended(name, *end))
+            self.do(who, tool.machine.on_step_ended(name, end.outcome, end.reason))
         target = next((t for t in tool.backs if t.name == name), None)
         back = step_report.step_result(row, step_report.rollback_step_id(tool.rollout, f"{host}-n"))
         if target and back:
             tool.backs.discard(target)
-            taken = back[0] is InstanceOutcome.APPLIED
+            taken = back.outcome is InstanceOutcome.APPLIED
             self.do(
                 who,
-                tool.machine.on_rolled_back(name) if taken else tool.machine.on_silence(name, back[1], 1.0),
+                tool.machine.on_rolled_back(name)
+                if taken
+                else tool.machine.on_silence(name, back.reason, 1.0),
             )
 
     # ---- agents
--- a/tests/rollout/test_played.py
+++ b/tests/rollout/test_simulated_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 from peers import LIMIT, run, until
-from played import QUICK, Network, PlayedFleet, config, fates
+from simulated_fleet import QUICK, Network, SimulatedFleet, config, fates
 
 from oakbridge.fleet import wire
 from oakbridge.rollout.change import (
@@ -18,16 +18,15 @@
     Undrain,
 )
 from oakbridge.rollout.coordinator import RolloutOptions
-from oakbridge.rollout.gate import GateRules
 from oakbridge.rollout.journal import Journal
-from oakbridge.rollout.machine import Phase
 from oakbridge.rollout.plan import PlanError, WaveOptions
 from oakbridge.rollout.rebuild import rebuild
+from oakbridge.rollout.record import Phase
 
 
 def test_each_kind_of_change_and_the_way_back(tmp_path):
     async def test():
-        async with PlayedFleet(tmp_path, 3) as fleet:
+        async with SimulatedFleet(tmp_path, 3) as fleet:
             first = await fleet.first()
             assert (
                 await fleet.roll(SetValues({"class.look.aim": "2s", "limits.max_open": 77}))
@@ -76,12 +75,12 @@
     """At the canary, or at half where only some hosts suffer; by a crash in the watch, or by the share served."""
 
     async def test():
-        async with PlayedFleet(tmp_path, 6, **setup) as fleet:
+        async with SimulatedFleet(tmp_path, 6, **setup) as fleet:
             await fleet.first()
             if plays == "mute":  # the only one that has to run out of this time; the others must not
                 monkeypatch.setattr("oakbridge.agent.instance.READY_WITHIN", 2_000_000)
-            options = RolloutOptions(watch=0.3, window=0.6, silent=20.0, rules=GateRules())
-            waves = WaveOptions(canary=1, shares=(0.5, 1.0), unavailable=1)
+            options = RolloutOptions(watch_s=0.3, window_s=0.6, silence_timeout_s=20.0)
+            waves = WaveOptions(canary=1, shares=(0.5, 1.0), max_unavailable=1)
             done = await fleet.roll(
                 ReplaceFiles(config("2s", plays)), waves=waves, undo=True, options=options
             )
@@ -98,7 +97,7 @@
 
     async def test():
         draw = random.Random(seed)
-        async with PlayedFleet(tmp_path, 10, 2, Network(seed, delay_s=0.01)) as fleet:
+        async with SimulatedFleet(tmp_path, 10, 2, Network(seed, delay_s=0.01)) as fleet:
             await fleet.first()
             chosen = draw.sample(sorted(fleet.agents), 3)
 
@@ -107,8 +106,8 @@
                 for name in chosen:
                     fleet.network.freeze(name)
 
-            options = RolloutOptions(watch=0.05, window=0.05, silent=6.0, rules=GateRules())
-            waves = WaveOptions(canary=2, shares=(0.5, 1.0), unavailable=20)
+            options = RolloutOptions(watch_s=0.05, window_s=0.05, silence_timeout_s=6.0)
+            waves = WaveOptions(canary=2, shares=(0.5, 1.0), max_unavailable=20)
             done = await fleet.roll(ReplaceFiles(config("2s")), waves=waves, options=options, during=freeze)
             truth = fleet.truth()
             for name, fate in fates(done).items():
@@ -130,8 +129,11 @@
 def test_a_network_that_loses_doubles_and_delays_changes_nothing_of_the_end(tmp_path):
     async def test(seed):
         network = Network(seed, lose=0.1, double=0.2, delay_s=0.02)
-        async with PlayedFleet(tmp_path / str(seed), 4, 2, network) as fleet:
-            operator, options = fleet.operator(within_s=0.3), RolloutOptions(0.05, 0.05, 3.0)
+        async with SimulatedFleet(tmp_path / str(seed), 4, 2, network) as fleet:
+            operator, options = (
+                fleet.operator(within_s=0.3),
+                RolloutOptions(watch_s=0.05, window_s=0.05, silence_timeout_s=3.0),
+            )
             for number in itertools.count():
                 try:
                     held = await fleet.roll(
@@ -165,7 +167,7 @@
 
     async def race(seed):
         draw = random.Random(seed)
-        fleet = PlayedFleet(tmp_path / str(seed), 4, 1, Network(seed, delay_s=0.01))
+        fleet = SimulatedFleet(tmp_path / str(seed), 4, 1, Network(seed, delay_s=0.01))
         async with fleet:
 
             async def one(name, word):
@@ -173,7 +175,10 @@
                 (fleet.folder / name).mkdir()
                 operator, journal = fleet.operator(name), Journal(fleet.folder / name)
                 done = await fleet.roll(
-                    ReplaceFiles(config(word)), operator, journal, WaveOptions(0, (1.0,), False, 9)
+                    ReplaceFiles(config(word)),
+                    operator,
+                    journal,
+                    WaveOptions(canary=0, shares=(1.0,), max_unavailable=9),
                 )
                 journal.close()
                 return done
@@ -203,7 +208,7 @@
 
 def test_a_journal_that_is_lost_is_rebuilt_from_the_agents(tmp_path):
     async def test():
-        async with PlayedFleet(tmp_path, 3) as fleet:
+        async with SimulatedFleet(tmp_path, 3) as fleet:
             await fleet.first()
             second = await fleet.roll(ReplaceFiles(config("2s")))
             third = await fleet.roll(ReplaceFiles(config("3s", "dies 0.01")))
@@ -217,7 +222,9 @@
             assert told[1] == told[second.rollout] == (Phase.DONE, ["took it"] * 3)
             assert told[third.rollout] == (Phase.ROLLED_BACK, ["did not"])
             by_id = {r.id: r for r in found}
-            assert by_id[second.rollout].held_by is not None and by_id[third.rollout].held_by is None
+            assert (
+                by_id[second.rollout].files_holder is not None and by_id[third.rollout].files_holder is None
+            )
             assert {t.base for t in by_id[second.rollout].record.waves[0]} == {1}
 
     run(test())
@@ -227,7 +234,7 @@
     """One that was removed did not take it; one that came later is in no wave, and in the next rollout."""
 
     async def test():
-        async with PlayedFleet(tmp_path, 3) as fleet:
+        async with SimulatedFleet(tmp_path, 3) as fleet:
             await fleet.first()
 
             async def change(coordinator):
@@ -236,7 +243,9 @@
                 fleet.agents["h0"].managed.update(fleet.agents["h0"].spawn("n9"))
 
             done = await fleet.roll(
-                ReplaceFiles(config("2s")), waves=WaveOptions(0, (0.4, 1.0), False, 1), during=change
+                ReplaceFiles(config("2s")),
+                waves=WaveOptions(canary=0, shares=(0.4, 1.0), max_unavailable=1),
+                during=change,
             )
             assert fates(done)["h2/n0"] == "did not" and "there is no n0 here" in done.machine.record.reason
             assert "h0/n9" not in fates(done)
@@ -247,10 +256,10 @@
 
 
 def test_a_lease_is_lost_when_another_tool_takes_it_and_nothing_more_is_sent(tmp_path, monkeypatch):
-    monkeypatch.setattr("oakbridge.rollout.coordinator.RENEW_S", 0.05)
+    monkeypatch.setattr("oakbridge.rollout.lease_keeper.RENEW_S", 0.05)
 
     async def test():
-        async with PlayedFleet(tmp_path, 3) as fleet:
+        async with SimulatedFleet(tmp_path, 3) as fleet:
             await fleet.first()
 
             async def take(coordinator):
@@ -258,10 +267,12 @@
                 await fleet.operator("kari").acquire(60.0)  # the same holder, from another tool
 
             done = await fleet.roll(
-                ReplaceFiles(config("2s")), options=RolloutOptions(0.3, 0.3, 5.0), during=take
+                ReplaceFiles(config("2s")),
+                options=RolloutOptions(watch_s=0.3, window_s=0.3, silence_timeout_s=5.0),
+                during=take,
             )
             assert done.machine.record.phase is Phase.HALTED and "lease" in done.machine.record.reason
             assert "not reached" in fates(done).values()
-            assert QUICK.watch == 0.05
+            assert QUICK.watch_s == 0.05
 
     run(test())
