--- a/oakbridge/cli/rollout/__init__.py
+++ b/oakbridge/cli/rollout/__init__.py
@@ -1,7 +1,8 @@
 """The commands of ``oakbridge fleet`` that change a fleet, or look at its changes.
 
-``commands`` (``plan``, ``apply``, ``drain``, ``undrain``, ``rollback``, ``resume``), ``journal_commands`` (``history``,
-``rebuild``) and ``doctor_command`` register themselves with :data:`command` when they are imported.
+``commands`` (``plan``, ``apply``, ``drain``, ``undrain``, ``rollback``, ``resume``),
+``journal_commands`` (``history``, ``rebuild``) and ``doctor_command`` register themselves with
+:data:`command` when they are imported.
 """
 
 from oakbridge.cli.fleet import command
--- a/oakbridge/cli/rollout/commands.py
+++ b/oakbridge/cli/rollout/commands.py
@@ -80,15 +80,18 @@
 ) -> None:
     """Roll a change out in waves, each with a gate; the report says what became of each instance.
 
-    Exit code 0: every instance took it; 3: all but some that are unknown; 4: halted or undone; 1: somebody else has
-    the lease.
+    Exit code 0: every instance took it; 3: all but some that are unknown; 4: halted or undone; 1:
+    somebody else has the lease.
     """
     change = read_change(files, servers, values)
     session = RolloutSession(folder, operator, options, as_json)
     session.roll_out(change, waves, auto_rollback=undo, why=why)
 
 
-@command.command("drain")
+@command.command(
+    "drain",
+    help="Have the nodes of --only end what they have and take nothing new, " + "until they are undrained.",
+)
 @folder_option
 @operator_option
 @wave_options
@@ -102,7 +105,7 @@
     options: RolloutOptions,
     as_json: bool,
 ) -> None:
-    """Have the nodes of --only end what they have and take nothing new, until they are undrained."""
+    """Roll out the drain marker."""
     if not waves.only:
         raise BadInput("drain: expected --only AGENT/INSTANCE: a whole fleet is not drained by accident")
     session = RolloutSession(folder, operator, options, as_json)
@@ -134,7 +137,11 @@
     session.roll_out(Undrain(), only_drained, auto_rollback=False, why=why)
 
 
-@command.command("rollback")
+@command.command(
+    "rollback",
+    help="Bring the instances that took a rollout back to what each ran before it; "
+    + "a rollout like any other.",
+)
 @folder_option
 @operator_option
 @wave_options
@@ -152,7 +159,7 @@
     options: RolloutOptions,
     as_json: bool,
 ) -> None:
-    """Bring the instances that took a rollout back to what each ran before it; a rollout like any other."""
+    """Roll out what each instance ran before a rollout that it took."""
     change = RollBackRollout(rollout)
     try:
         sources = rollback_sources(open_journal(folder), change)
@@ -164,13 +171,16 @@
     session.roll_out(change, waves, auto_rollback=undo, why=why, sources=sources)
 
 
-@command.command("resume")
+@command.command(
+    "resume",
+    help="Go on with a rollout whose tool was killed, " + "or take along those that were unknown at its end.",
+)
 @folder_option
 @operator_option
 @click.argument("rollout", type=int)
 @timing_options
 def resume(folder: Path, operator: str, rollout: int, options: RolloutOptions, as_json: bool) -> None:
-    """Go on with a rollout whose tool was killed, or take along those that were unknown at its end."""
+    """Resume a rollout from the journal."""
     try:
         open_journal(folder).entry(rollout)
     except JournalError as error:
--- a/oakbridge/cli/rollout/doctor_command.py
+++ b/oakbridge/cli/rollout/doctor_command.py
@@ -62,7 +62,7 @@
 
 
 def _days_left(folder: Path) -> dict[str, float]:
-    """Return how many days each certificate of the fleet's folder is still valid for, by its path."""
+    """Return the days that each certificate of the folder is still valid for, by path."""
     paths = (folder / "ca.crt", *folder.glob("agents/*.crt"), *folder.glob("operators/*.crt"))
     days_by_name: dict[str, float] = {}
     for path in paths:
--- a/oakbridge/cli/rollout/journal_commands.py
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -70,12 +70,16 @@
     return table
 
 
-@command.command("rebuild")
+@command.command(
+    "rebuild",
+    help="Make a journal that was lost again, from what the agents remember; "
+    "rollouts it has stay as they are.",
+)
 @folder_option
 @operator_option
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def rebuild_journal(folder: Path, operator: str, as_json: bool) -> None:
-    """Make a journal that was lost again, from what the agents remember; rollouts it has stay as they are."""
+    """Add the rollouts that the journal lacks and agents remember."""
     client = operator_of(folder, operator, CALL_TIMEOUT_S)
     journal = open_journal(folder)
     entries, silent = asyncio.run(_missing_entries(client, journal))
@@ -91,7 +95,7 @@
 
 
 async def _missing_entries(operator: Operator, journal: Journal) -> tuple[list[JournalEntry], list[str]]:
-    """Return the rollouts that agents remember and the journal lacks, and the agents without an answer."""
+    """Return the rollouts that only agents remember, and the agents without an answer."""
     responses = await operator.ask_all(wire.Status())
     silent = [response.agent for response in responses if response.status != 200]
     reports = {
--- a/oakbridge/cli/rollout/options.py
+++ b/oakbridge/cli/rollout/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share: how a fleet is divided into waves, and the times of a rollout."""
+"""Options that several commands share: waves, and the times of a rollout."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
 
 
 def timing_options(command: Command) -> Command:
-    """Add the options of times, and ``--json``; the command gets ``options``, a :class:`RolloutOptions`."""
+    """Add the options of times, and ``--json``; the command gets ``options``."""
 
     @functools.wraps(command)
     def with_options(watch: float, window: float, silent: float, **others: Any) -> Any:
--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -1,4 +1,4 @@
-"""Carries out one command that changes a fleet: takes the lease, runs the rollout, prints its report."""
+"""Carries out one command that changes a fleet, from the lease to the report."""
 
 from __future__ import annotations
 
@@ -191,7 +191,7 @@
 
 
 async def find_targets(operator: Operator, only: tuple[str, ...]) -> tuple[list[Target], list[str]]:
-    """Return the instances that answer now, or those of ``only``, and the agents that do not answer.
+    """Return the instances that answer, or those of ``only``, and the silent agents.
 
     Raise BadInput if one of ``only`` is missing.
     """
@@ -247,7 +247,7 @@
 
 
 async def acquire_lease(operator: Operator) -> Held:
-    """Return the lease.  Raise Failed, with who has it, if a majority of agents does not grant it."""
+    """Return the lease.  Raise Failed, with who has it, without a majority of the agents."""
     held = await operator.acquire(LEASE_S)
     agent_count = len(operator.inventory.agents)
     if held.won(agent_count):
--- a/oakbridge/cli/rollout/view.py
+++ b/oakbridge/cli/rollout/view.py
@@ -1,4 +1,4 @@
-"""The live view of a rollout: a row for each wave, then one for each instance that needs attention."""
+"""The live view of a rollout: its waves, and the instances that need attention."""
 
 from __future__ import annotations
 
--- a/oakbridge/rollout/actions.py
+++ b/oakbridge/rollout/actions.py
@@ -17,28 +17,40 @@
 
 @dataclass(frozen=True, slots=True)
 class SendStep:
-    """Send the step to this instance, again if need be; ``on_step_ended`` or ``on_silence`` follows."""
+    """Send the step to this instance, perhaps again.
+
+    ``on_step_ended`` or ``on_silence`` follows.
+    """
 
     target: Target
 
 
 @dataclass(frozen=True, slots=True)
 class RollBack:
-    """Have this instance run what it ran before; ``on_rolled_back`` or ``on_silence`` follows."""
+    """Have this instance run what it ran before.
+
+    ``on_rolled_back`` or ``on_silence`` follows.
+    """
 
     target: Target
 
 
 @dataclass(frozen=True, slots=True)
 class ResolveStep:
-    """Find out how the step of this instance ended, without sending it; events as for :class:`SendStep`."""
+    """Find out how the step of this instance ended, without sending it.
+
+    ``on_step_ended`` or ``on_silence`` follows.
+    """
 
     target: Target
 
 
 @dataclass(frozen=True, slots=True)
 class EvaluateGate:
-    """Compare the changed instances with the unchanged ones over a window; ``on_gate_result`` follows."""
+    """Compare the changed instances with the unchanged ones over a window.
+
+    ``on_gate_result`` follows.
+    """
 
     changed: tuple[Target, ...]
 
--- a/oakbridge/rollout/agent_watcher.py
+++ b/oakbridge/rollout/agent_watcher.py
@@ -12,7 +12,7 @@
 
 POLL_STEP_S = 0.25  # the shortest poll interval
 RESPONSE_TIMEOUT_S = 1.5  # an agent that takes longer is polled again
-MAX_MISSES = 3  # polls in a row without an answer until an agent is silent: one lost answer halts nothing
+MAX_MISSES = 3  # polls in a row without an answer until an agent is silent
 
 
 class AgentWatcher:
@@ -60,7 +60,7 @@
         return self._last_response_unix_s.get(agent, 0.0)
 
     def report(self, agent: str, instance: str) -> Report | None:
-        """Return the agent's last report on an instance; None if the agent is silent or has none."""
+        """Return the last report on an instance; None if the agent is silent or has none."""
         response = self._responses.get(agent)
         reports = response.answer["instances"] if response is not None else []
         return next((report for report in reports if report["name"] == instance), None)
--- a/oakbridge/rollout/change.py
+++ b/oakbridge/rollout/change.py
@@ -1,10 +1,12 @@
-"""What a rollout changes: a function from the files that an instance runs by to those that it should run by.  Pure.
+"""What a rollout changes: from the files that an instance runs by to others.  Pure.
 
-The files of an instance are its whole configuration; the marker file ``drained`` among them says that its node should
-not run.  Every kind of change is a function of the files before it, so that one change fits instances that run
-different files, and so that a step that is sent again after a crash of the tool has the same files and digest.
+The files of an instance are its whole configuration; the marker file ``drained`` among them says
+that its node should not run.  Every kind of change is a function of the files before it, so that
+one change fits instances that run different files, and so that a step that is sent again after a
+crash of the tool has the same files and digest.
 
-The operator's journal stores a change as a JSON object: :func:`encode_change` and :func:`decode_change` map it.
+The operator's journal stores a change as a JSON object: :func:`encode_change` and
+:func:`decode_change` map it.
 """
 
 from __future__ import annotations
@@ -88,7 +90,7 @@
     values: Mapping[str, Any]
 
     def apply(self, before: Files) -> Files:
-        """Return the files after the change, comments and order kept.  Raise :class:`ChangeError`."""
+        """Return the files after the change, comments kept.  Raise :class:`ChangeError`."""
         try:
             document = tomlkit.parse(before.get(CONFIG_FILE, ""))
         except TOMLKitError as error:
@@ -135,7 +137,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RollBackRollout:
-    """Return each instance to the files that it ran before a rollout; the sender passes those as ``before``."""
+    """Return each instance to the files that it ran before a rollout.
+
+    The sender passes those files as ``before``.
+    """
 
     kind: ClassVar[ChangeKind] = ChangeKind.ROLLBACK
     rollout: int
--- a/oakbridge/rollout/change_error.py
+++ b/oakbridge/rollout/change_error.py
@@ -4,7 +4,7 @@
 
 
 class ChangeError(ValueError):
-    """A change cannot be made.  ``place`` is the file, setting or option at fault, where there is one."""
+    """A change cannot be made; ``place`` is the file, setting or option at fault, or ""."""
 
     def __init__(self, problem: str, place: str = "") -> None:
         super().__init__(f"{place}: {problem}" if place else problem)
--- a/oakbridge/rollout/coordinator.py
+++ b/oakbridge/rollout/coordinator.py
@@ -1,7 +1,7 @@
 """The coordinator of a rollout: feeds the state machine with reports and carries out its actions.
 
-It makes no decisions: those are the state machine's and the gate's.  Sending is the ``StepSender``'s, polling the
-``AgentWatcher``'s, and the lease the ``LeaseKeeper``'s part.
+It makes no decisions: those are the state machine's and the gate's.  Sending is the
+``StepSender``'s, polling the ``AgentWatcher``'s, and the lease the ``LeaseKeeper``'s part.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import time
 from collections import defaultdict, deque
 from collections.abc import Callable, Coroutine, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Any
 
 from oakbridge.fleet.ask import Held, Operator
@@ -41,8 +41,8 @@
 
     watch_s: float = 5.0  # how long an agent watches an instance after its step
     window_s: float = 10.0  # how long a gate compares
-    silence_timeout_s: float = 30.0  # beyond the watch, until an instance without a report is unknown
-    gate_rules: GateRules = GateRules()
+    silence_timeout_s: float = 30.0  # beyond the watch, until a silent instance is unknown
+    gate_rules: GateRules = field(default_factory=GateRules)
 
 
 class Coordinator:
@@ -61,8 +61,8 @@
     ) -> None:
         """Take up a rollout that is in the journal.
 
-        ``sources`` is the generation that an instance's files are made from, where it is not the one that it runs;
-        ``on_update`` is called after each round of events.
+        ``sources`` is the generation that an instance's files are made from, where it is not the
+        one that it runs; ``on_update`` is called after each round of events.
         """
         self.operator = operator
         self.rollout = entry.id
@@ -73,9 +73,7 @@
         self._options = options
         self._on_update = on_update
         self._targets = {target.name: target for wave in entry.record.waves for target in wave}
-        self._names_by_agent: dict[str, list[str]] = defaultdict(list)
-        for name, target in self._targets.items():
-            self._names_by_agent[target.agent].append(name)
+        self._names_by_agent = _names_by_agent(self._targets)
         self._watcher = AgentWatcher(operator, tuple(self._names_by_agent), self._poll_interval_s)
         self._lease = LeaseKeeper(operator, held, on_granted=self._watcher.request_poll, on_lost=self._stop)
         self._sender = StepSender(
@@ -148,9 +146,9 @@
             self._stop(f"the tool failed: {error}")
 
     def _carry_out_queue(self) -> None:
-        """Carry out the queued actions in order; what waits for an agent does so in a task of its own."""
+        """Carry out the queued actions in order, those that wait for agents in tasks."""
         records = [a.record for a in self._queue if isinstance(a, actions.Persist)]
-        if records:  # the last one covers all of the queue, and is on disk before any of it is carried out
+        if records:  # the last one covers the whole queue, and is written before any of it is done
             self._journal.update(self.rollout, records[-1])
         while self._queue:
             self._carry_out(self._queue.popleft())
@@ -168,7 +166,7 @@
             case actions.ResolveStep(target):
                 self._steps.start(target.name, time.monotonic())
                 self._resolving.add(target.name)
-                self._spawn(self._sender.resolve(target, lambda: self._steps.is_pending(target.name)))
+                self._spawn(self._resolve_step(target))
             case actions.EvaluateGate(changed):
                 self._spawn(self._run_gate(changed))
             case actions.Finish(phase):
@@ -183,6 +181,9 @@
                 self.machine.on_step_ended(target.name, InstanceOutcome.NOT_APPLIED, refusal.reason)
             )
 
+    async def _resolve_step(self, target: Target) -> None:
+        await self._sender.resolve(target, lambda: self._steps.is_pending(target.name))
+
     async def _roll_back(self, target: Target) -> None:
         try:
             await self._sender.roll_back(target, lambda: self._rollbacks.is_pending(target.name))
@@ -271,7 +272,10 @@
     # ---- the gate
 
     async def _run_gate(self, changed: tuple[Target, ...]) -> None:
-        """Keep a gate open for its window; it begins and ends with a poll of all agents, so that no report is old."""
+        """Keep a gate open for its window.
+
+        It begins and ends with a poll of all agents, so that no report is old.
+        """
         await self._watcher.poll_all()
         gate = self._gate = GateWindow(
             self.rollout, changed, self._view(), self._options.gate_rules, time.monotonic()
@@ -289,3 +293,10 @@
         if self.gate_result.verdict is not Verdict.PENDING:
             self._gate = None
             self._enqueue(self.machine.on_gate_result(self.gate_result))
+
+
+def _names_by_agent(targets: Mapping[str, Target]) -> dict[str, list[str]]:
+    names: dict[str, list[str]] = defaultdict(list)
+    for name, target in targets.items():
+        names[target.agent].append(name)
+    return names
--- a/oakbridge/rollout/doctor.py
+++ b/oakbridge/rollout/doctor.py
@@ -55,8 +55,8 @@
 ) -> list[Finding]:
     """Return all findings, the bad ones first.
 
-    ``entries`` is the journal, newest first; ``certificates`` the days that each certificate at hand is still valid
-    for; ``members`` the members that a node knows.
+    ``entries`` is the journal, newest first; ``certificates`` the days that each certificate at
+    hand is still valid for; ``members`` the members that a node knows.
     """
     answers = {name: answer for name, answer in agents.items() if not isinstance(answer, str)}
     reports: dict[str, Report] = {
@@ -189,9 +189,8 @@
         if not in_order(health(report)):
             return []
         problem = f"its agent finds it well, and the members {_members_view(member)}"
-        remedy = (
-            f"`oakbridge peers why {name}` at two sites; look whether UDP and TCP reach {report['member']}"
-        )
+        address = report["member"]
+        remedy = f"`oakbridge peers why {name}` at two sites; look whether UDP and TCP reach {address}"
         return [Finding(Severity.BAD, name, problem, remedy)]
     if member["address"] != report["member"]:
         problem = f"members know it at {member['address']}, its agent has it at {report['member']}"
--- a/oakbridge/rollout/gate.py
+++ b/oakbridge/rollout/gate.py
@@ -1,10 +1,10 @@
-"""Whether changed instances serve as well as unchanged ones: a stated test, not somebody's judgement.  Pure.
+"""Whether changed instances serve as well as unchanged ones: by a stated test.  Pure.
 
-The test is a one-sided comparison of two shares (served of answered) with a margin: the change fails if its share is
-lower than the baseline's by more than ``margin``, at the significance level ``alpha``.  Shares are taken with one
-success and one failure added to each side (Agresti and Caffo), so that 0 and 1 have a variance too.  Requests of one
-instance are not independent of each other; ``min_responses`` and the margin keep the test from finding a fault in a
-single bad second.
+The test is a one-sided comparison of two shares (served of answered) with a margin: the change
+fails if its share is lower than the baseline's by more than ``margin``, at the significance level
+``alpha``.  Shares are taken with one success and one failure added to each side (Agresti and
+Caffo), so that 0 and 1 have a variance too.  Requests of one instance are not independent of each
+other; ``min_responses`` and the margin keep the test from finding a fault in a single bad second.
 """
 
 from __future__ import annotations
@@ -89,9 +89,10 @@
 ) -> GateResult:
     """Evaluate one window.
 
-    ``changed`` and ``baseline`` are the responses of changed and of unchanged instances in the window; where no
-    instance is unchanged any more, ``baseline`` is what the changed ones answered before their change.  ``unhealthy``
-    has the reason for each changed instance that is not in order.
+    ``changed`` and ``baseline`` are the responses of changed and of unchanged instances in the
+    window; where no instance is unchanged any more, ``baseline`` is what the changed ones answered
+    before their change.  ``unhealthy`` has the reason for each changed instance that is not in
+    order.
     """
     if unhealthy:
         return GateResult(Verdict.FAIL, _first_reason(unhealthy))
--- a/oakbridge/rollout/gate_window.py
+++ b/oakbridge/rollout/gate_window.py
@@ -32,7 +32,7 @@
     def __init__(
         self, rollout: int, changed: tuple[Target, ...], view: FleetView, rules: GateRules, now_s: float
     ) -> None:
-        """Open the window; the counts of ``view`` are those from which its responses are counted."""
+        """Open the window; its responses are those beyond the counts of ``view``."""
         self.ended = False
         self._rollout = rollout
         self._changed = {target.name for target in changed}
@@ -49,7 +49,8 @@
     ) -> GateResult:
         """Evaluate the window.
 
-        Instances that the rollout has not reached are the baseline; without any, ``counts_before_rollout`` are.
+        Instances that the rollout has not reached are the baseline; without any,
+        ``counts_before_rollout`` are.
         """
         self._evaluated_s = now_s
         counts = {name: now.since(self._counts_at_start[name]) for name, now in view.counts().items()}
--- a/oakbridge/rollout/journal.py
+++ b/oakbridge/rollout/journal.py
@@ -1,9 +1,11 @@
-"""The operator's journal of rollouts: SQLite, one transaction a step, from which a killed tool resumes.
+"""The operator's journal of rollouts, in SQLite: a killed tool resumes from it.
 
-It is a record and not the truth: that is what the agents report.  A journal that is lost costs its rollouts their
-history, and one in progress its ``resume``; a new rollout begins from what the agents run.
+It is a record and not the truth: that is what the agents report.  A journal that is lost costs its
+rollouts their history, and one in progress its ``resume``; a new rollout begins from what the
+agents run.
 
-Columns and JSON keep the names that they were first given: column ``files`` holds the change, whatever its kind.
+Columns and JSON keep the names that they were first given: column ``files`` holds the change,
+whatever its kind.
 """
 
 from __future__ import annotations
@@ -56,7 +58,7 @@
     """The file ``journal.db`` of a fleet's folder."""
 
     def __init__(self, folder: Path) -> None:
-        """Open it, or create it.  Raise :class:`JournalError` if it is not a journal of this format."""
+        """Open it, or create it.  Raise :class:`JournalError` if it has another format."""
         path = folder / "journal.db"
         try:
             self._db = sqlite3.connect(path, isolation_level=None, timeout=BUSY_TIMEOUT_S)
@@ -93,7 +95,7 @@
         self._db.execute("UPDATE rollouts SET record = ?, changed = ? WHERE id = ?", row)
 
     def entries(self, limit: int = 20) -> list[JournalEntry]:
-        """Return the newest rollouts, newest first.  Raise :class:`JournalError` if one is not valid."""
+        """Return the newest rollouts, newest first.  Raise :class:`JournalError`."""
         rows = self._db.execute("SELECT * FROM rollouts ORDER BY id DESC LIMIT ?", (limit,))
         return [_entry(row) for row in rows]
 
--- a/oakbridge/rollout/lease_keeper.py
+++ b/oakbridge/rollout/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the lease over the fleet while a rollout lasts: renewal, single agents, and higher fencing tokens."""
+"""Keeps the lease over the fleet while a rollout lasts, and raises its fencing token."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LeaseKeeper:
-    """The lease of one tool; ``on_lost`` is called with the reason once a majority has not renewed it."""
+    """The lease of one tool; ``on_lost`` is called with the reason once it is lost."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         on_granted: Callable[[str], None],
         on_lost: Callable[[str], None],
     ) -> None:
-        """Keep a lease that was acquired; ``on_granted`` is called with each agent that joins in later."""
+        """Keep an acquired lease; ``on_granted`` is called with each agent that joins later."""
         self.held = held
         self._operator = operator
         self._on_granted = on_granted
@@ -52,8 +52,9 @@
             self._granted.add(agent)
             self._on_granted(agent)
             return True
-        # A tool that lost to us may hold a part of the fleet for a moment, or have left a higher token there.  A
-        # higher token of our own name is another tool of ours, which has taken over: it is never outbid.
+        # A tool that lost to us may hold a part of the fleet for a moment, or have left a higher
+        # token there.  A higher token of our own name is another tool of ours, which has taken
+        # over: it is never outbid.
         expired = response.status == 409 and not response.answer.get("ends_in_s")
         if expired and response.answer.get("holder") != self._operator.name:
             await self.raise_above(int(response.answer["token"]))
--- a/oakbridge/rollout/machine.py
+++ b/oakbridge/rollout/machine.py
@@ -5,18 +5,20 @@
        v          v
     halted  (or rolling back -> rolled back, where that was asked for)
 
-A rollout that is over and left instances unknown may be resumed: in one that was done they get their step again; in
-one that was halted nothing more is changed, and the agents are only asked how the step ended.
-
-:class:`Persist` precedes the actions that depend on it, so that a tool that is killed resumes from its journal: a step
-that may have been sent is sent again under the same id, and the agent answers as it did before.  An instance without
-an answer is *unknown*, never counted as changed or as unchanged; it counts as unavailable until it is heard of again.
+A rollout that is over and left instances unknown may be resumed: in one that was done they get
+their step again; in one that was halted nothing more is changed, and the agents are only asked how
+the step ended.
+
+:class:`Persist` precedes the actions that depend on it, so that a tool that is killed resumes from
+its journal: a step that may have been sent is sent again under the same id, and the agent answers
+as it did before.  An instance without an answer is *unknown*, never counted as changed or as
+unchanged; it counts as unavailable until it is heard of again.
 """
 
 from __future__ import annotations
 
 import dataclasses
-from collections.abc import Sequence
+from collections.abc import Sequence, Set
 
 from oakbridge.rollout.actions import (
     Action,
@@ -43,7 +45,7 @@
 
 
 class RolloutMachine:
-    """Turn events of a rollout into actions; :attr:`record` is its whole state between two events."""
+    """Turns events of a rollout into actions; :attr:`record` is the state between events."""
 
     def __init__(self, record: RolloutRecord) -> None:
         """Take up a record, new or from the journal; :meth:`start` returns the first actions."""
@@ -65,7 +67,7 @@
         return [Finish(phase)]
 
     def on_step_ended(self, name: str, outcome: InstanceOutcome, reason: str = "") -> list[Action]:
-        """Take an agent's report of how a step ended, also where the instance was unknown until now."""
+        """Take an agent's report of how a step ended, also of an instance that was unknown."""
         status = self._statuses.get(name)
         if status is None or outcome not in FINAL_OUTCOMES:
             return []
@@ -143,7 +145,7 @@
         return [ResolveStep(target) for target in self._reopen_steps()]
 
     def _reopen_steps(self) -> list[Target]:
-        """Mark every sent step without a known end as in progress again, and return their targets."""
+        """Mark sent steps without a known end as in progress again; return their targets."""
         reopened = self._targets_with(UNAVAILABLE_OUTCOMES)
         for target in reopened:
             self._statuses[target.name] = InstanceStatus(InstanceOutcome.IN_PROGRESS)
@@ -155,7 +157,7 @@
     def _changed(self) -> tuple[Target, ...]:
         return tuple(self._targets_with({InstanceOutcome.APPLIED}))
 
-    def _targets_with(self, outcomes: frozenset[InstanceOutcome] | set[InstanceOutcome]) -> list[Target]:
+    def _targets_with(self, outcomes: Set[InstanceOutcome]) -> list[Target]:
         return [target for name, target in self._targets.items() if self._statuses[name].outcome in outcomes]
 
     def _unknown_count(self) -> int:
@@ -173,7 +175,7 @@
         ]
 
     def _halt_if_stuck(self) -> list[Action]:
-        """Halt if unknown instances use up the whole limit, so that no further step could be sent."""
+        """Halt if unknown instances use up the limit, so that no step could be sent."""
         unknown, limit = self._unknown_count(), self.record.max_unavailable
         if unknown < limit or not self._unsent():
             return []
@@ -218,6 +220,6 @@
         self.record = dataclasses.replace(self.record, **changes)  # type: ignore[arg-type]
 
     def _persisted(self, actions: list[Action]) -> list[Action]:
-        """Put the statuses into the record, and have it written before the actions are carried out."""
+        """Put the statuses into the record, and have it written before the actions."""
         self._set(statuses=tuple(self.statuses().items()))
         return [Persist(self.record), *actions]
--- a/oakbridge/rollout/plan.py
+++ b/oakbridge/rollout/plan.py
@@ -1,4 +1,4 @@
-"""Which instances change in which wave: a canary first, then growing shares, spread over zones.  Pure."""
+"""Which instances change in which wave: a canary, then growing shares over all zones.  Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PlanError(ValueError):
-    """The waves cannot be planned.  ``field`` is the option at fault, or "" for the list of targets."""
+    """The waves cannot be planned; ``field`` is the option at fault, or "" for the targets."""
 
     def __init__(self, problem: str, field: str = "") -> None:
         super().__init__(f"{field}: {problem}" if field else problem)
--- a/oakbridge/rollout/rebuild.py
+++ b/oakbridge/rollout/rebuild.py
@@ -1,8 +1,9 @@
 """Rebuilds a journal that was lost from what the agents remember.  Pure.
 
-Agents keep the results of their last steps under the steps' ids, which name the rollout, and the generation that each
-instance runs.  What they do not know (waves, who began it, why) is reported as unknown rather than guessed; instances
-that a rollout never reached left no trace, so the rollout may have been larger.
+Agents keep the results of their last steps under the steps' ids, which name the rollout, and the
+generation that each instance runs.  What they do not know (waves, who began it, why) is reported as
+unknown rather than guessed; instances that a rollout never reached left no trace, so the rollout
+may have been larger.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 def rebuild(
     reports_by_agent: Mapping[str, Sequence[Report]], silent: Sequence[str] = ()
 ) -> list[RebuiltRollout]:
-    """Return all rollouts that any agent remembers, oldest first; ``silent`` agents did not answer."""
+    """Return all rollouts that agents remember, oldest first; ``silent`` did not answer."""
     rebuilder = _Rebuilder()
     for agent, reports in sorted(reports_by_agent.items()):
         for report in reports:
--- a/oakbridge/rollout/record.py
+++ b/oakbridge/rollout/record.py
@@ -1,7 +1,7 @@
 """The record of one rollout, which outlives the tool that carries it out.
 
-The operator's journal stores it as JSON.  The stored names and values are older than the names in this module:
-:func:`encode_record` and :func:`decode_record` are the one place that maps them.
+The operator's journal stores it as JSON.  The stored names and values are older than the names in
+this module: :func:`encode_record` and :func:`decode_record` are the one place that maps them.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Any
 
-from oakbridge.rollout.plan import Target
+from oakbridge.rollout.plan import Target, Wave
 
 
 class RecordError(ValueError):
@@ -69,7 +69,7 @@
 class RolloutRecord:
     """The state of a rollout from which a killed tool resumes it."""
 
-    waves: tuple[tuple[Target, ...], ...]
+    waves: tuple[Wave, ...]
     max_unavailable: int
     auto_rollback: bool  # whether a halt rolls back the instances that were changed
     phase: Phase = Phase.RUNNING
--- a/oakbridge/rollout/setting_path.py
+++ b/oakbridge/rollout/setting_path.py
@@ -1,4 +1,4 @@
-"""Single settings by their path, such as ``limits.max_open`` or, for a class by name, ``class.car-nearby.aim``."""
+"""Single settings by path: ``limits.max_open`` or, of a class by name, ``class.car-nearby.aim``."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 def put_setting(document: Any, path: str, value: Any) -> None:
     """Put a value at its path into a TOML document, with the tables that it needs.
 
-    In an array of tables the next word of the path is the ``name`` of one of them.  Raise :class:`ChangeError` if
-    the path leads to no table.
+    In an array of tables the next word of the path is the ``name`` of one of them.  Raise
+    :class:`ChangeError` if the path leads to no table.
     """
     place, words = document, path.split(".")
     for depth, word in enumerate(words[:-1], 1):
--- a/oakbridge/rollout/step_report.py
+++ b/oakbridge/rollout/step_report.py
@@ -39,7 +39,7 @@
 
 
 def step_id(rollout: int, instance: str) -> str:
-    """Return the id of a rollout's step, the same each time it is sent: an agent knows the step by it."""
+    """Return the id of a rollout's step, by which an agent knows it when it is sent again."""
     return f"r{rollout}-{instance}"
 
 
@@ -67,8 +67,8 @@
 ) -> StepResult | None:
     """Return how a step ended that is not sent any more, or None while that is open.
 
-    ``promised_token`` is the highest fencing token that the agent has promised.  Once it is at least our own, a step
-    of an earlier token that has not begun never will.
+    ``promised_token`` is the highest fencing token that the agent has promised.  Once it is at
+    least our own, a step of an earlier token that has not begun never will.
     """
     if report is None:
         return None
--- a/oakbridge/rollout/step_sender.py
+++ b/oakbridge/rollout/step_sender.py
@@ -41,8 +41,8 @@
     ) -> None:
         """Prepare to send.
 
-        ``sources`` is the generation that an instance's files are made from, where it is not the one that it runs;
-        ``watch_s`` is how long an agent watches an instance after the step.
+        ``sources`` is the generation that an instance's files are made from, where it is not the
+        one that it runs; ``watch_s`` is how long an agent watches an instance after the step.
         """
         self._operator = operator
         self._lease = lease
@@ -60,14 +60,14 @@
         await _retry(lambda: self._send_once(target), is_awaited)
 
     async def roll_back(self, target: Target, is_awaited: Callable[[], bool]) -> None:
-        """Send a step with the files of the generation before, under a generation number of its own.
+        """Send a step with the files of the generation before, under a new generation number.
 
         Raise :class:`StepRefusedError`.
         """
         await _retry(lambda: self._roll_back_once(target), is_awaited)
 
     async def resolve(self, target: Target, is_awaited: Callable[[], bool]) -> None:
-        """Have the agent promise our token, so that a step that it has not begun by then never will."""
+        """Have the agent promise our token: a step that has not begun by then never will."""
         while is_awaited():
             await self._lease.admit(target.agent)
             await asyncio.sleep(RETRY_S)
@@ -133,7 +133,8 @@
     async def _order(self, target: Target, order: wire.StepOrder) -> bool:
         response = await self._operator.ask(target.agent, order)
         self._watcher.request_poll(target.agent)
-        # The agent may have our new token before we know that it is granted: the step is sent again under that.
+        # The agent may have our new token before we know that it is granted: the step is sent again
+        # under that.
         if response.status == 409 and await self._lease.has_been_raised(order.token):
             return False
         if not _is_answer(response):
--- a/tests/rollout/killed_tool.py
+++ b/tests/rollout/killed_tool.py
@@ -1,6 +1,7 @@
 """A tool that kills itself by SIGKILL at a write of its journal: `FLEET WORD ROLLOUT WRITE before|after`; see the test.
 
-With ROLLOUT 0 it begins a change to WORD, otherwise it resumes; WRITE 0 is never reached.  Prints its report.
+With ROLLOUT 0 it begins a change to WORD, otherwise it resumes; WRITE 0 is never reached.  Prints
+its report.
 """
 
 import asyncio
--- a/tests/rollout/test_frozen_hosts.py
+++ b/tests/rollout/test_frozen_hosts.py
@@ -1,6 +1,7 @@
 """Node processes under load on many hosts, some frozen in mid-change: the report and the truth of each process.
 
-Twenty nodes on five hosts; with ``OAKBRIDGE_WHOLE=1`` it is fifty on ten, which takes a machine a minute.
+Twenty nodes on five hosts; with ``OAKBRIDGE_WHOLE=1`` it is fifty on ten, which takes a machine a
+minute.
 """
 
 import asyncio
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -155,7 +155,8 @@
 
 LETTERS = "abcdefg"
 
-# What hypothesis derived from the text of the explorer as it was first written: a rename keeps its courses.
+# What hypothesis derived from the text of the explorer as it was first written: a rename keeps its
+# courses.
 SEED = int(
     "4ab6c3468167918936fe5b2d2845b38d8be2094009bef188d165be60c1fd4d52cdc2236a17ba79b26833af90f98a4767", 16
 )
@@ -247,8 +248,8 @@
     @invariant()
     def no_more_are_under_way_than_may_be(self):
         rows = self.machine.statuses().items()
-        # One that took its step is not under way, also if it falls silent while it is to be taken back: a rollout that
-        # undoes itself asks all of them at once, as each runs what is to go.
+        # One that took its step is not under way, also if it falls silent while it is to be taken
+        # back: a rollout that undoes itself asks all of them at once, as each runs what is to go.
         self.took |= {name for name, row in rows if row.outcome is InstanceOutcome.APPLIED}
         # Resumed, it asks them once more for an end that it has heard before.
         under_way = [
--- a/tests/rollout/test_protocol.py
+++ b/tests/rollout/test_protocol.py
@@ -1,6 +1,7 @@
 """The whole protocol as a state machine: leases, instances and rollouts of two tools, over a lossy network.
 
-Messages are lost, doubled, late and reordered; agents and tools are killed at any time and go on from their disks."""
+Messages are lost, doubled, late and reordered; agents and tools are killed at any time and go on
+from their disks."""
 
 from dataclasses import dataclass, field
 
@@ -25,7 +26,8 @@
 PASS, FAIL = GateResult(Verdict.PASS, "as good"), GateResult(Verdict.FAIL, "it serves less")
 
 
-# What hypothesis derived from the text of the explorer as it was first written: a rename keeps its courses.
+# What hypothesis derived from the text of the explorer as it was first written: a rename keeps its
+# courses.
 SEED = int(
     "d291868e174e41a2a2cb46953f4d81f04d1bc05677e096f4b70f4c229f3bb26110835ef9b58d12838cab432fb4b78aae", 16
 )
--- a/tests/rollout/test_simulated_fleet.py
+++ b/tests/rollout/test_simulated_fleet.py
@@ -190,7 +190,8 @@
             winners = [name for name, coordinator in done.items() if coordinator is not None]
             rollouts = [coordinator.rollout for coordinator in done.values() if coordinator is not None]
             assert winners and len(set(rollouts)) == len(rollouts)
-            # Where both won, the second asked after the first was done: both stand whole, one after the other.
+            # Where both won, the second asked after the first was done: both stand whole, one after
+            # the other.
             reasons = [c.machine.record.reason for c in done.values() if c is not None]
             assert all(c is None or c.machine.is_complete() for c in done.values()), (seed, reasons)
             last = max((c for c in done.values() if c is not None), key=lambda c: c.rollout)
