--- /dev/null
+++ b/oakbridge/node/response_parser.py
@@ -0,0 +1,168 @@
+"""Parses a server's responses: bytes in, status, headers and body out, within bounds."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import httptools
+
+from oakbridge.node.attempt import Reply, Sink
+from oakbridge.node.http_framing import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
+from oakbridge.policy.vocabulary import Result
+
+# A response up to this size is buffered whole, so that one that breaks off can still be retried.
+MAX_BUFFERED_BYTES = 64 * 1024
+
+
+class ResponseError(ValueError):
+    """The bytes are no response that can be used; the connection that they came on can't be either."""
+
+
+class ResponseParser:
+    """Parses the response to one request at a time; httptools calls the ``on_`` methods.
+
+    A short body is buffered; a long one is passed on as it comes, to the sink that ``open_sink`` returns.
+    """
+
+    __slots__ = (
+        "status",
+        "headers",
+        "content_length",
+        "started",
+        "complete",
+        "reusable",
+        "sink",
+        "_open_sink",
+        "_parser",
+        "_body",
+        "_body_bytes",
+        "_bytes_read",
+        "_headers_complete",
+        "_ends_at_close",
+        "_unusable",
+    )
+
+    def __init__(self, open_sink: Callable[[], Sink | None]) -> None:
+        """``open_sink``: returns where the rest of a long body goes; None if nobody wants it."""
+        self._open_sink = open_sink
+        self.reset()
+
+    def reset(self) -> None:
+        """Expect the response to a further request."""
+        self._parser: Any = httptools.HttpResponseParser(self)
+        self.status = 0
+        self.headers: Headers = []
+        self.content_length: int | None = None
+        self.started = False
+        self.complete = False
+        self.reusable = False  # the connection, once the response is complete
+        self.sink: Sink | None = None
+        self._body: list[bytes] = []
+        self._body_bytes = 0
+        self._bytes_read = 0
+        self._headers_complete = False
+        self._ends_at_close = False
+        self._unusable = False
+
+    def feed(self, data: bytes) -> None:
+        """Parse what has come; raise ResponseError where it is no response, or none that can be used."""
+        self._bytes_read += len(data)
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as e:  # no upgrade was requested
+            if not self.complete:
+                raise ResponseError(f"expected an HTTP/1.1 response: {e}") from None
+            self.reusable = False
+        framing_bytes = self._bytes_read - self._body_bytes
+        if self._unusable or framing_bytes > 2 * MAX_HEAD + FRAMING * self._body_bytes:
+            raise ResponseError("expected a response of bounded size with one clear end")
+
+    def finish_at_close(self) -> bool:
+        """Complete a response that ends with its connection (RFC 9112, 6.3, 8); False if this one doesn't."""
+        if not self._ends_at_close or not self.status:
+            return False
+        self.complete = True
+        self.reusable = False
+        return True
+
+    def result(self) -> Result:
+        """Classify the response by the protocol's table."""
+        if self.status == 200:
+            return Result.OK
+        if self.status in (503, 504) and (b"x-not-processed", b"1") in self.headers:
+            return Result.FULL
+        return Result.ERROR
+
+    def take(self, result: Result) -> Reply:
+        """Return the complete response, and keep nothing of it: its connection may be idle for long."""
+        reply = Reply(result, self.headers, b"".join(self._body), self.status)
+        self.headers = []
+        self._body = []
+        return reply
+
+    def detach_sink(self) -> Sink | None:
+        """Return the sink, if there is one, and pass nothing more on to it."""
+        sink, self.sink = self.sink, None
+        return sink
+
+    # ---- httptools' callbacks
+
+    def on_message_begin(self) -> None:
+        """Note that a response starts, or that bytes follow a complete one."""
+        if self.complete:
+            self.reusable = False
+        self.started = True
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Take one header; trailers, and what follows the response, are none of it."""
+        if not self.complete and not self._headers_complete:
+            self.headers.append((name.lower(), value.strip(b" \t")))
+
+    def on_headers_complete(self) -> None:
+        """Take the status and the framing; a body whose end is open to question can't be used."""
+        if self.complete:
+            return
+        self._headers_complete = True
+        self.status = self._parser.get_status_code()
+        fault, self.content_length, chunked = framing(self.headers)
+        self._unusable = fault != 0
+        has_body = self.status >= 200 and self.status not in (204, 304)
+        self._ends_at_close = has_body and self.content_length is None and not chunked
+
+    def on_body(self, data: bytes) -> None:
+        """Buffer a part of the body, or pass it on if the body is too long for that."""
+        if self.complete or self._unusable:
+            return
+        self._body_bytes += len(data)
+        if self.sink is not None:
+            if self._body_bytes > MOST_BODY:
+                self._unusable = True
+            else:
+                self.sink.pass_on(data)
+            return
+        self._body.append(data)
+        if max(self._body_bytes, self.content_length or 0) > MAX_BUFFERED_BYTES:
+            self._start_streaming()
+
+    def _start_streaming(self) -> None:
+        """Pass on what has come and all that follows."""
+        self.sink = self._open_sink()
+        if self.sink is None:
+            self._unusable = True
+            return
+        parts, self._body = self._body, []
+        for part in parts:
+            self.sink.pass_on(part)
+
+    def on_message_complete(self) -> None:
+        """Take the end of the response; a provisional one (1xx) is followed by another."""
+        if self.complete:
+            self.reusable = False  # bytes that nobody requested
+        elif self.status < 200 and self.status != 101:
+            self.headers = []
+            self.started = False
+            self._headers_complete = False
+        else:
+            self.complete = True
+            self.reusable = bool(self._parser.should_keep_alive())
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -10,15 +10,13 @@
 import logging
 import socket
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
-
-import httptools
+from typing import TYPE_CHECKING
 
 from oakbridge.node.attempt import Attempt, Reply, Sink
 from oakbridge.node.chunks import chunk
 from oakbridge.node.clock import Timer
-from oakbridge.node.http_framing import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
 from oakbridge.node.request_body import Upload
+from oakbridge.node.response_parser import ResponseError, ResponseParser
 from oakbridge.policy.vocabulary import Result
 
 if TYPE_CHECKING:
@@ -26,8 +24,6 @@
 
 log = logging.getLogger(__name__)
 
-# An answer up to this size is taken whole first, so that a spoilt one can still be tried again.
-WHOLE = 64 * 1024
 CHUNK = 64 * 1024
 STALL = 1_000_000  # a server that has begun a short answer and says no more for so long won't
 STALL_STREAM = 10_000_000  # and one whose answer is passed on already: nothing can be tried again
@@ -48,20 +44,8 @@
         self.upload: Upload | None = None
         self.timer: Timer | None = None
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        self._new_reply()
-
-    def _new_reply(self) -> None:
-        self.unsent: memoryview | None = (
-            None  # what the socket has not taken of the request; None: nothing has begun
-        )
-        self.parser: Any = httptools.HttpResponseParser(self)
-        self.headers: Headers = []
-        self.body: list[bytes] = []
-        self.size = self.status = self.fed = 0
-        self.complete = self.reusable = self.spoilt = self.begun = self.in_body = False
-        self.until_close = False  # the answer ends with the connection
-        self.length: int | None = None
-        self.sink: Sink | None = None  # where it goes, once it is too long to be taken whole
+        self.response = ResponseParser(self._open_sink)
+        self.unsent: memoryview | None = None  # what the socket has not taken yet; None: nothing has begun
         self.paused = False
 
     # ---- opening and writing
@@ -163,7 +147,9 @@
 
     def use(self, attempt: Attempt) -> None:
         """Write an attempt to this idle connection."""
-        self._new_reply()
+        self.response.reset()
+        self.unsent = None
+        self.paused = False
         self.attempt, attempt.connection = attempt, self
         self._begin_writing(attempt)
 
@@ -207,34 +193,32 @@
         except OSError:
             self._lost()
             return
+        if not data and self.attempt is not None and self.response.finish_at_close():
+            self._answered()
+            return
         if not data or self.attempt is None:
-            if not data and self.until_close and self.attempt is not None and self.status:
-                return self._ended_by_close()
             self._lost()
             return
-        self.fed += len(data)
         try:
-            self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade):  # nobody asked for an upgrade
-            if not self.complete:
-                self._lost()
-                return
-            self.reusable = False
+            self.response.feed(data)
+        except ResponseError:
+            self._lost()
+            return
         if self.closed:
             return
-        if self.spoilt or self.fed - self.size > 2 * MAX_HEAD + FRAMING * self.size:
-            self._lost()
-        elif self.complete:
+        if self.response.complete:
             self._answered()
-        elif self.begun and not self.paused and not self.closed:
-            # Guards against half an answer: its server says no more, and the request would wait to its end.
-            self._stop_timer()
-            self._limit(STALL if self.sink is None else STALL_STREAM)
+        elif not self.paused:
+            self._await_more()
+
+    def _await_more(self) -> None:
+        """Guards against half an answer: its server says no more, and the request would wait to its end.
 
-    def _ended_by_close(self) -> None:
-        """The answer had no length of its own: it is whole (RFC 9112, 6.3, 8)."""
-        self.complete, self.reusable = True, False
-        self._answered()
+        An answer of which nothing has come yet, or that follows a provisional one, may take its time.
+        """
+        self._stop_timer()
+        if self.response.started:
+            self._limit(STALL if self.response.sink is None else STALL_STREAM)
 
     def pause(self) -> None:
         """Read nothing more for now: what it was passed on to has enough."""
@@ -250,82 +234,30 @@
             self._limit(STALL_STREAM)
             self.pool.loop.add_reader(self.sock, self._guarded, self._readable)
 
-    def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header of the answer; what follows it is none of it, and neither are trailers."""
-        if not self.complete and not self.in_body:
-            self.headers.append((name.lower(), value.strip(b" \t")))
-
-    def on_headers_complete(self) -> None:
-        """Take the status; an answer that is too long, or whose end is open to question, is spoilt."""
-        if self.complete:
-            return
-        self.in_body, self.status = True, self.parser.get_status_code()
-        fault, self.length, chunked = framing(self.headers)
-        self.spoilt = fault != 0
-        bodied = self.status >= 200 and self.status not in (204, 304)
-        self.until_close = bodied and self.length is None and not chunked
-
-    def on_body(self, data: bytes) -> None:
-        """Take a part of the body, or pass it on if there is too much of it to be kept."""
-        if self.complete or self.spoilt:
-            return
-        self.size += len(data)
-        if self.sink is not None:
-            if self.size > MOST_BODY:
-                self.spoilt = True
-            else:
-                self.sink.pass_on(data)
-            return
-        self.body.append(data)
-        if self.size > WHOLE or (self.length or 0) > WHOLE:
-            self._pass_on()
-
-    def _pass_on(self) -> None:
-        """Begin to pass on what has come; from here on there is no second attempt."""
-        attempt, result = self.attempt, outcome(self.status, self.headers)
+    def _open_sink(self) -> Sink | None:
+        """Begin to pass on a long answer; from here on there is no second attempt."""
+        attempt, response = self.attempt, self.response
+        result = response.result()
         if attempt is None or attempt.on_begin is None or result != Result.OK or not self.written():
-            self.spoilt = True  # nobody wants the rest of it
-            return
+            return None  # nobody wants the rest of it
         if attempt.timer is not None:
             attempt.timer.cancel()  # an answer that has begun is in time
-        self.sink = attempt.on_begin(Reply(result, self.headers, status=self.status), self.length, self)
-        if self.sink is None:
-            self.spoilt = True
-            return
-        parts, self.body = self.body, []
-        for part in parts:
-            self.sink.pass_on(part)
-
-    def on_message_complete(self) -> None:
-        """Take the end of the answer; a provisional one (1xx) is none."""
-        if self.complete:
-            self.reusable = False  # bytes that nobody asked for
-        elif self.status < 200 and self.status != 101:
-            self.headers, self.begun, self.in_body = [], False, False
-            self._stop_timer()  # the answer itself may take its time
-        else:
-            self.complete = True
-            self.reusable = bool(self.parser.should_keep_alive())
-
-    def on_message_begin(self) -> None:
-        """See that an answer begins, or bytes that follow a whole one."""
-        if self.complete:
-            self.reusable = False
-        self.begun = True
+        reply = Reply(result, response.headers, status=response.status)
+        return attempt.on_begin(reply, response.content_length, self)
 
     def _answered(self) -> None:
-        result = outcome(self.status, self.headers)
+        response = self.response
+        result = response.result()
         if not self.written() and result != Result.FULL:
             return self._lost()  # no answer to this request: its last byte was never written
         self._stop_timer()
         attempt, self.attempt = self.attempt, None
-        sink, self.sink = self.sink, None
+        sink = response.detach_sink()
         if sink is not None:
             sink.finish()
-        reply = Reply(result, self.headers, b"".join(self.body), self.status)
+        reply = response.take(result)
         self.served = self.served or result != Result.FULL
-        if self.reusable and self.keep and self.written() and self.served and not self.closed:
-            self.headers, self.body = [], []
+        if response.reusable and self.keep and self.written() and self.served and not self.closed:
             self.pool.rest(self)
         else:
             self.close()
@@ -340,7 +272,7 @@
             return
         attempt, self.attempt = self.attempt, None
         written = self.written()
-        sink, self.sink = self.sink, None
+        sink = self.response.detach_sink()
         self.close()
         if sink is not None:
             sink.cut()
@@ -350,7 +282,8 @@
     def give_up(self) -> bool:
         """Close under an attempt, at once; returns whether the attempt's last byte had been written."""
         written = self.written()
-        self.attempt = self.sink = None
+        self.attempt = None
+        self.response.detach_sink()
         self.close()
         return written
 
@@ -364,12 +297,3 @@
         self._stop_waiting()
         self.sock.close()
         self.pool.forget(self)
-
-
-def outcome(status: int, headers: Headers) -> Result:
-    """An answer's outcome, by the protocol's table."""
-    if status == 200:
-        return Result.OK
-    if status in (503, 504) and (b"x-not-processed", b"1") in headers:
-        return Result.FULL
-    return Result.ERROR
