--- a/oakbridge/control/state.py
+++ b/oakbridge/control/state.py
@@ -149,7 +149,7 @@
             "ready": node.serving() and not node.server.leaving,
             "leaving": node.server.leaving,
             "callers": node.server.callers(),
-            "connections": node.pool.count,
+            "connections": node.pool.connection_count,
             "answers": {"served": node.served, "refused": node.refused, "failed": node.failed},
             **believed,
             "source": source,
--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -130,7 +130,7 @@
         """Now and then say what this process still has: until it ends, the limits are for both together."""
         if self.channel is None or self.machine.state != state_machine.PredecessorState.DRAINING:
             return
-        still = self.node.balancer.admission.out, self.node.server.callers() + self.node.pool.count
+        still = self.node.balancer.admission.out, self.node.server.callers() + self.node.pool.connection_count
         if still != before:
             self._send(Message(STILL, {"out": still[0], "held": still[1]}))
         self.loop.call_later(LOAD_REPORT_INTERVAL_S, self._report_load, still)
--- a/oakbridge/node/attempt.py
+++ b/oakbridge/node/attempt.py
@@ -12,68 +12,62 @@
 from oakbridge.policy.vocabulary import Result
 
 if TYPE_CHECKING:
-    from oakbridge.node.server_connection import Connection
+    from oakbridge.node.server_connection import ServerConnection
 
 
-class Sink(Protocol):
-    """Where an answer goes that is passed on as it comes: a caller."""
+class ResponseSink(Protocol):
+    """Where a response goes that is passed on as it comes: a client's connection."""
 
     def pass_on(self, data: bytes) -> None:
-        """Take a part; it says :meth:`Connection.pause` when it has enough for now."""
+        """Take a part of the body; call :meth:`ServerConnection.pause` when that is enough for now."""
 
     def finish(self) -> None:
-        """The answer is whole."""
+        """Take the end of a complete response."""
 
     def cut(self) -> None:
-        """The answer ends here and is not whole; the caller must be able to tell."""
+        """Take the end of a response that broke off; the client must be able to tell."""
 
 
 @dataclass(slots=True)
-class Reply:
-    """How an attempt ended, and what the server said."""
+class AttemptOutcome:
+    """How an attempt ended, and what the server responded."""
 
     result: Result
     headers: Headers = field(default_factory=list)
     body: bytes = b""
-    status: int = 0  # 0: there was no answer
+    status: int = 0  # 0: there was no response
 
 
+@dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt: what to write, how long to wait, and whom to tell of its end, once."""
-
-    __slots__ = ("server", "data", "due", "on_end", "number", "connection", "timer", "ended", "on_begin", "upload",
-                 "on_sent", "begin_by")  # fmt: skip
-
-    def __init__(
-        self,
-        server: str,
-        data: Callable[[int], bytes],
-        due: int,
-        on_end: Callable[[Reply], None],
-        number: int = 0,
-        on_begin: Callable[[Reply, int | None, Connection], Sink | None] | None = None,
-        upload: Upload | None = None,
-        on_sent: Callable[[], None] | None = None,
-        begin_by: int | None = None,
-    ) -> None:
-        """``data``: the bytes to write, made once they can be: told what time is left then.
-
-        ``on_begin``: told of a long answer's head and length, says where it goes; ``upload``: what follows ``data``;
-        ``on_sent``: told when the last of it is written; ``begin_by``: nothing is written later.
-        """
-        self.begin_by = begin_by
-        self.on_begin, self.upload, self.on_sent = on_begin, upload, on_sent
-        self.server, self.data, self.due, self.on_end, self.number = server, data, due, on_end, number
-        self.connection: Connection | None = None
-        self.timer: Timer | None = None
-        self.ended = False
-
-    def end(self, reply: Reply) -> None:
-        """Tell the end; whatever comes later is not told."""
+    """One attempt: what to write, how long to wait, and whom to call at its end, once.
+
+    Times are the node's clock's, in microseconds.
+    """
+
+    server: str
+    # Returns the bytes of the request, made once they can be written: it is given the microseconds that are left then.
+    render: Callable[[int], bytes]
+    deadline: int
+    on_end: Callable[[AttemptOutcome], None]
+    number: int = 0
+    # Given a long response's status and headers, its length if known, and the connection; returns where it goes.
+    on_response_start: (
+        Callable[[AttemptOutcome, int | None, ServerConnection], ResponseSink | None] | None
+    ) = None
+    upload: Upload | None = None  # the rest of a body that is still coming
+    on_request_sent: Callable[[], None] | None = None  # called once the last of ``upload`` is written
+    start_by: int | None = None  # the request may not start to be written later
+    connection: ServerConnection | None = field(default=None, init=False)
+    timer: Timer | None = field(default=None, init=False)  # fires at the deadline
+    ended: bool = field(default=False, init=False)
+
+    def finish(self, outcome: AttemptOutcome) -> None:
+        """End the attempt; only the first call counts."""
         if self.ended:
             return
         self.ended = True
         self.connection = None
         if self.timer is not None:
             self.timer.cancel()
-        self.on_end(reply)
+        self.on_end(outcome)
--- a/oakbridge/node/client_connection.py
+++ b/oakbridge/node/client_connection.py
@@ -12,7 +12,13 @@
 
 from oakbridge.node.chunks import chunk
 from oakbridge.node.client_request import ONCE, Request, Source, absolute
-from oakbridge.node.http_framing import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
+from oakbridge.node.http_framing import (
+    MAX_BODY_BYTES,
+    MAX_FRAMING_PER_BODY_BYTE,
+    MAX_HEAD_BYTES,
+    Headers,
+    read_framing,
+)
 from oakbridge.node.request_body import Upload
 from oakbridge.node.response_writer import render, render_head
 from oakbridge.node.socket_state import outgoing, progressed
@@ -115,8 +121,8 @@
             self.fed = 0
             if not self.blocked:
                 self.server.awaited.remove(self)
-        elif self.fed > MAX_HEAD and (
-            self.in_head or self.fed - self.size > 2 * MAX_HEAD + FRAMING * self.size
+        elif self.fed > MAX_HEAD_BYTES and (
+            self.in_head or self.fed - self.size > 2 * MAX_HEAD_BYTES + MAX_FRAMING_PER_BODY_BYTE * self.size
         ):
             self._break(431)
         if self.broken and self.upload is not None:
@@ -175,9 +181,9 @@
     def on_headers_complete(self) -> None:
         """Refuse at the head what is too much or can be understood in two ways."""
         self.in_head = False
-        if len(self.url) + self.head_size > MAX_HEAD:
+        if len(self.url) + self.head_size > MAX_HEAD_BYTES:
             return self._break(431)
-        fault, self.length, _ = framing(self.headers)
+        fault, self.length, _ = read_framing(self.headers)
         if self.twice or fault:
             return self._break(400 if self.twice else fault)
         if b"expect" in self.once:
@@ -202,7 +208,7 @@
         if self.broken:
             return
         self.size += len(data)
-        if self.size > MOST_BODY:
+        if self.size > MAX_BODY_BYTES:
             return self._break(413)
         if self.upload is not None and self.upload.upload is not None:
             self.upload.upload.feed(data)
--- a/oakbridge/node/connection_pool.py
+++ b/oakbridge/node/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all servers: which are kept, which is used next, and how many there may be."""
+"""Keeps connections to all servers: which are idle, which is used next, and how many there may be."""
 
 from __future__ import annotations
 
@@ -6,213 +6,244 @@
 import logging
 from bisect import bisect_right
 
-from oakbridge.node.attempt import Attempt, Reply
+from oakbridge.node.attempt import Attempt, AttemptOutcome
 from oakbridge.node.clock import Clock, Timer
 from oakbridge.node.listing import Address, Listing
-from oakbridge.node.server_connection import Connection
+from oakbridge.node.server_connection import ServerConnection
 from oakbridge.policy.vocabulary import UP, Result
 
 log = logging.getLogger(__name__)
 
-SETTLE = (
-    5_000  # a connection rests so long before it is used again: what comes behind an answer shows by then
-)
-IDLE_PART = 10  # an idle connection is closed this part of the server's limit before the limit
+# A connection is idle for so long before it is used again: what comes behind a response shows by then.
+MIN_IDLE_US = 5_000
+# An idle connection is closed before the server would: by this part of the server's own timeout.
+IDLE_MARGIN_DIVISOR = 10
 
 
-class Target:
-    """A server that may be sent to, as discovery last told it, and the connections to it."""
+class PooledServer:
+    """A server that may be sent to, as discovery last listed it, and the connections to it."""
 
     __slots__ = ("address", "started", "idle", "busy")
 
     def __init__(self, address: Address, started: int) -> None:
-        self.address, self.started = address, started
-        self.idle: list[Connection] = []  # used last comes last
-        self.busy: set[Connection] = set()
+        """``started``: when the server's process started; its connections last no longer."""
+        self.address = address
+        self.started = started
+        self.idle: list[ServerConnection] = []  # the most recently used comes last
+        self.busy: set[ServerConnection] = set()
+
+    def close_idle(self) -> None:
+        """Close the idle connections."""
+        for connection in list(self.idle):
+            connection.close()
 
 
-def _idle_since(connection: Connection) -> int:
+def _idle_since(connection: ServerConnection) -> int:
     return connection.idle_since
 
 
-class Pool:
-    """The connections to all servers, within a bound."""
+class ConnectionPool:
+    """The connections to all servers, within a bound.  Times are in microseconds."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, clock: Clock, connect_timeout: int, idle: int, most: int
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Clock,
+        connect_timeout: int,
+        idle_timeout: int,
+        max_connections: int,
     ) -> None:
-        self.loop, self.clock, self.connect_timeout, self.most = loop, clock, connect_timeout, most
-        self.idle_for = idle - idle // IDLE_PART
-        self.listed: dict[str, tuple[Address, int]] = {}  # where servers listen, and since when
-        self.targets: dict[str, Target] = {}  # those of them that something was sent to
-        self.count = 0
-        self._sweep: Timer | None = None
-
-    def retune(self, connect_timeout: int, idle: int) -> None:
-        """Go by other settings from now on."""
-        self.connect_timeout, self.idle_for = connect_timeout, idle - idle // IDLE_PART
-
-    def take(self, listing: Listing) -> None:
-        """Take the servers that may be sent to; connections to any other, or to an earlier start, go."""
+        """``connect_timeout``: 0 for none; ``idle_timeout``: after which servers close idle connections."""
+        self.loop = loop
+        self.clock = clock
+        self.max_connections = max_connections
+        self.connection_count = 0
+        self.endpoints: dict[str, tuple[Address, int]] = {}  # where servers listen, and since when
+        self.servers: dict[str, PooledServer] = {}  # those of them that something was sent to
+        self._expiry_timer: Timer | None = None
+        self.configure(connect_timeout, idle_timeout)
+
+    def configure(self, connect_timeout: int, idle_timeout: int) -> None:
+        """Use other timeouts from now on."""
+        self.connect_timeout = connect_timeout
+        self._max_idle = idle_timeout - idle_timeout // IDLE_MARGIN_DIVISOR
+
+    # ---- servers
+
+    def update_endpoints(self, listing: Listing) -> None:
+        """Take the servers that may be sent to; retire connections to any other, or to an earlier start."""
         if listing.whole:
-            self.listed = {}
+            self.endpoints = {}
         for entry in listing.entries:
             server = entry.server
             if server.state == UP:
-                self.listed[server.id] = entry.address, server.started
+                self.endpoints[server.id] = entry.address, server.started
             else:
-                self.listed.pop(server.id, None)
-        named = self.targets if listing.whole else [e.server.id for e in listing.entries]
-        for name in list(named):
-            target = self.targets.get(name)
-            if target is not None and self.listed.get(name) != (target.address, target.started):
-                self._retire(self.targets.pop(name))
-
-    def _target(self, server: str) -> Target | None:
-        """What is kept for a server, from the first attempt on; None if it may not be sent to."""
-        target = self.targets.get(server)
-        if target is None and server in self.listed:
-            target = self.targets[server] = Target(*self.listed[server])
-        return target
-
-    def _retire(self, target: Target) -> None:
-        """Give idle connections back; what is out may end, and what has not begun ends unsent.
+                self.endpoints.pop(server.id, None)
+        changed = self.servers if listing.whole else [entry.server.id for entry in listing.entries]
+        for name in list(changed):
+            pooled = self.servers.get(name)
+            if pooled is not None and self.endpoints.get(name) != (pooled.address, pooled.started):
+                self._retire(self.servers.pop(name))
+
+    def _server(self, name: str) -> PooledServer | None:
+        """Return what is kept for a server, from the first attempt on; None if it may not be sent to."""
+        server = self.servers.get(name)
+        if server is None and name in self.endpoints:
+            server = self.servers[name] = PooledServer(*self.endpoints[name])
+        return server
+
+    def _retire(self, server: PooledServer) -> None:
+        """Close idle connections; attempts that were written may end, and those that were not fail.
 
         Guards drains: an attempt that still connects would put its first byte on the wire after the drain.
         """
-        self._close_idle(target)
-        for connection in list(target.busy):
-            connection.keep = False
+        server.close_idle()
+        for connection in list(server.busy):
+            connection.may_be_reused = False
             attempt = connection.attempt
             if not connection.connected and attempt is not None:
-                self.not_begun(attempt)
+                self.fail_unsent(attempt)
 
     def close_idle(self) -> None:
-        """Give back all connections that rest."""
-        for target in self.targets.values():
-            self._close_idle(target)
+        """Close all idle connections."""
+        for server in self.servers.values():
+            server.close_idle()
 
-    @staticmethod
-    def _close_idle(target: Target) -> None:
-        for connection in list(target.idle):
-            connection.close()
+    def close_idle_to(self, name: str) -> None:
+        """Close the idle connections to one server."""
+        if name in self.servers:
+            self.servers[name].close_idle()
 
-    def release(self, server: str) -> None:
-        """Give back the idle connections to a server."""
-        if server in self.targets:
-            self._close_idle(self.targets[server])
+    # ---- attempts
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt; its end is told later, never from in here."""
-        attempt.timer = self.clock.call_at(attempt.due, lambda: self._timed_out(attempt))
-        target = self._target(attempt.server)
-        if target is None:
-            self.loop.call_soon(attempt.end, Reply(Result.CONNECT_FAILED))
+        """Start an attempt; it never ends before this returns."""
+        self._set_timer(attempt, attempt.deadline)
+        server = self._server(attempt.server)
+        if server is None:
+            self._fail_soon(attempt)
             return
-        connection = self._rested(target, SETTLE)
-        if connection is None and self.count >= self.most:
-            connection = self._rested(target, 0)
+        connection = self._checkout_idle(server, MIN_IDLE_US)
+        if connection is None and self.connection_count >= self.max_connections:
+            connection = self._checkout_idle(server, 0)
         if connection is not None:
-            target.busy.add(connection)
-            return connection.use(attempt)
-        if self.count >= self.most and not self._make_room():
-            self.loop.call_soon(attempt.end, Reply(Result.CONNECT_FAILED))
+            server.busy.add(connection)
+            connection.send(attempt)
             return
-        self._open(target, attempt)
+        if self.connection_count >= self.max_connections and not self._evict_oldest_idle():
+            self._fail_soon(attempt)
+            return
+        self._open(server, attempt)
 
-    def _rested(self, target: Target, least: int) -> Connection | None:
-        """Take the connection that was used last of those that have rested for long enough and are still good.
+    def _fail_soon(self, attempt: Attempt) -> None:
+        """Fail an attempt for which there is no connection, in the loop's next round."""
+        self.loop.call_soon(attempt.finish, AttemptOutcome(Result.CONNECT_FAILED))
 
-        Guards against a second copy of an answer, or noise behind it, that is read as the next one's answer.
-        """
-        idle = target.idle
-        place = bisect_right(idle, self.clock.now() - least, key=_idle_since)
-        while place > 0:
-            place -= 1
-            connection = idle.pop(place)
-            if not connection.stale():
-                return connection
-            connection.close()
-        return None
-
-    def _open(self, target: Target, attempt: Attempt) -> None:
+    def _open(self, server: PooledServer, attempt: Attempt) -> None:
         try:
-            connection = Connection(self, target)
+            connection = ServerConnection(self, server)
         except OSError as e:  # no descriptor is left: nothing was sent
             log.error("no socket for a connection: %s", e)
-            self.loop.call_soon(attempt.end, Reply(Result.CONNECT_FAILED))
+            self._fail_soon(attempt)
             return
-        self.count += 1
-        target.busy.add(connection)
-        connection.open(attempt)
+        self.connection_count += 1
+        server.busy.add(connection)
+        connection.connect(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Call an attempt off: its connection is closed before this returns."""
-        if not attempt.ended:
-            if attempt.connection is not None:
-                attempt.connection.give_up()
-            attempt.end(Reply(Result.CANCELLED))
+        """Cancel an attempt: its connection is closed before this returns."""
+        self._abort(attempt, Result.CANCELLED)
 
-    def not_begun(self, attempt: Attempt) -> None:
-        """End an attempt of which nothing may be written any more."""
-        if not attempt.ended:
-            if attempt.connection is not None:
-                attempt.connection.give_up()
-            attempt.end(Reply(Result.CONNECT_FAILED))
+    def fail_unsent(self, attempt: Attempt) -> None:
+        """Fail an attempt of which nothing was written, and nothing may be any more."""
+        self._abort(attempt, Result.CONNECT_FAILED)
+
+    @staticmethod
+    def _abort(attempt: Attempt, result: Result) -> None:
+        if attempt.ended:
+            return
+        if attempt.connection is not None:
+            attempt.connection.abort()
+        attempt.finish(AttemptOutcome(result))
 
-    def postpone(self, attempt: Attempt, due: int) -> None:
-        """Wait for an attempt's answer until then."""
+    def set_deadline(self, attempt: Attempt, deadline: int) -> None:
+        """Wait for an attempt's response until another time."""
         if not attempt.ended and attempt.timer is not None:
             attempt.timer.cancel()
-            attempt.timer = self.clock.call_at(due, lambda: self._timed_out(attempt))
+            self._set_timer(attempt, deadline)
 
-    def _timed_out(self, attempt: Attempt) -> None:
+    def _set_timer(self, attempt: Attempt, deadline: int) -> None:
+        attempt.timer = self.clock.call_at(deadline, lambda: self._on_deadline(attempt))
+
+    @staticmethod
+    def _on_deadline(attempt: Attempt) -> None:
         """Stop waiting; a request whose last byte was never written has not run."""
         if not attempt.ended:
-            written = attempt.connection is not None and attempt.connection.give_up()
-            attempt.end(Reply(Result.TIMEOUT if written else Result.CONNECT_FAILED))
+            written = attempt.connection is not None and attempt.connection.abort()
+            attempt.finish(AttemptOutcome(Result.TIMEOUT if written else Result.CONNECT_FAILED))
 
-    def _make_room(self) -> bool:
-        """Close the connection that has been idle longest, of any server."""
-        oldest = min((t.idle[0] for t in self.targets.values() if t.idle), default=None,
-                     key=lambda c: c.idle_since)  # fmt: skip
-        if oldest is not None:
-            oldest.close()
-        return oldest is not None
+    # ---- idle connections
 
-    def rest(self, connection: Connection) -> None:
+    def _checkout_idle(self, server: PooledServer, min_idle: int) -> ServerConnection | None:
+        """Take the most recently used connection that was idle for long enough and is still good.
+
+        Guards against a second copy of a response, or noise behind it, that is read as the next one's response.
+        """
+        idle = server.idle
+        place = bisect_right(idle, self.clock.now() - min_idle, key=_idle_since)
+        while place > 0:
+            place -= 1
+            connection = idle.pop(place)
+            if not connection.is_stale():
+                return connection
+            connection.close()
+        return None
+
+    def put_idle(self, connection: ServerConnection) -> None:
         """Keep a connection for the next attempt, until shortly before the server would close it."""
-        connection.target.busy.discard(connection)
-        connection.target.idle.append(connection)
+        connection.server.busy.discard(connection)
+        connection.server.idle.append(connection)
         connection.idle_since = self.clock.now()
-        if self._sweep is None and self.idle_for > 0:
-            self._sweep = self.clock.call_at(connection.idle_since + self.idle_for, self._close_expired)
+        if self._expiry_timer is None and self._max_idle > 0:
+            self._expiry_timer = self.clock.call_at(
+                connection.idle_since + self._max_idle, self._close_expired
+            )
 
     def _close_expired(self) -> None:
-        """Close what has been idle for long enough; look again when the next one is due."""
-        self._sweep = None
+        """Close what was idle for long enough; look again when the next one is due."""
+        self._expiry_timer = None
         now = self.clock.now()
-        first = now
-        for target in self.targets.values():
-            while target.idle and target.idle[0].idle_since + self.idle_for <= now:
-                target.idle[0].close()
-            if target.idle:
-                first = min(first, target.idle[0].idle_since)
-        if first < now:
-            self._sweep = self.clock.call_at(first + self.idle_for, self._close_expired)
-
-    def forget(self, connection: Connection) -> None:
-        """A connection has been closed."""
-        self.count -= 1
-        target = connection.target
-        target.busy.discard(connection)
-        if connection in target.idle:
-            target.idle.remove(connection)
+        oldest = now
+        for server in self.servers.values():
+            while server.idle and server.idle[0].idle_since + self._max_idle <= now:
+                server.idle[0].close()
+            if server.idle:
+                oldest = min(oldest, server.idle[0].idle_since)
+        if oldest < now:
+            self._expiry_timer = self.clock.call_at(oldest + self._max_idle, self._close_expired)
+
+    def _evict_oldest_idle(self) -> bool:
+        """Close the connection that was idle for longest, to any server; return whether there was one."""
+        oldest = min((s.idle[0] for s in self.servers.values() if s.idle), default=None, key=_idle_since)
+        if oldest is not None:
+            oldest.close()
+        return oldest is not None
+
+    # ---- ends
+
+    def remove(self, connection: ServerConnection) -> None:
+        """Forget a connection that was closed."""
+        self.connection_count -= 1
+        server = connection.server
+        server.busy.discard(connection)
+        if connection in server.idle:
+            server.idle.remove(connection)
 
     def close(self) -> None:
         """Close all connections, at the node's end."""
-        for target in self.targets.values():
-            for connection in [*target.idle, *target.busy]:
-                connection.give_up()
-        if self._sweep is not None:
-            self._sweep.cancel()
+        for server in self.servers.values():
+            for connection in [*server.idle, *server.busy]:
+                connection.abort()
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -13,16 +13,16 @@
 from itertools import islice
 from typing import Protocol
 
-from oakbridge.node.attempt import Attempt, Reply, Sink
+from oakbridge.node.attempt import Attempt, AttemptOutcome, ResponseSink
 from oakbridge.node.client_request import HOP, Request
 from oakbridge.node.clock import Clock
 from oakbridge.node.config import Config
-from oakbridge.node.connection_pool import Pool
+from oakbridge.node.connection_pool import ConnectionPool
 from oakbridge.node.discovery import Discovery
 from oakbridge.node.http_server import HELD_PART, Server
 from oakbridge.node.listing import BadList, ConfigError, Entry, Listing, Source, parse, pieces
 from oakbridge.node.outages import Outages
-from oakbridge.node.server_connection import Connection
+from oakbridge.node.server_connection import ServerConnection
 from oakbridge.node.settings import in_place
 from oakbridge.policy import vocabulary as api
 from oakbridge.policy.balancer import Balancer
@@ -87,7 +87,7 @@
 class Passing:
     """A server's connection as the caller sees it whose answer it passes on."""
 
-    def __init__(self, node: Node, request: Request, source: Connection) -> None:
+    def __init__(self, node: Node, request: Request, source: ServerConnection) -> None:
         self.node, self.request = node, request
         self.pause, self.resume = source.pause, source.resume
 
@@ -134,7 +134,7 @@
         self.outages = outages or Outages()  # and those that operators hold out
         self._pieces: deque[Listing] = deque()  # of a long list, that are still to be taken
         upstream = int((config.sockets - RESERVE) * UPSTREAM_PART)
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             loop, self.clock, settings.connect_timeout, settings.connection_idle or NEVER_CLOSE_IDLE, upstream
         )
         self.source: Source
@@ -169,8 +169,8 @@
     def share(self, held: int) -> None:
         """Leave so many descriptors to the node's other process."""
         free = self.config.sockets - RESERVE - held
-        self.pool.most = int(free * UPSTREAM_PART)
-        self.server.most = max(1, free - self.pool.most)
+        self.pool.max_connections = int(free * UPSTREAM_PART)
+        self.server.most = max(1, free - self.pool.max_connections)
 
     def listed_now(self) -> list[Entry]:
         """All servers that are listed, as they are listed."""
@@ -213,7 +213,7 @@
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         self.tenants = {t.name for t in settings.tenants}
-        self.pool.retune(settings.connect_timeout, settings.connection_idle or NEVER_CLOSE_IDLE)
+        self.pool.configure(settings.connect_timeout, settings.connection_idle or NEVER_CLOSE_IDLE)
         self.post(api.SettingsChanged(settings))
 
     async def leave(self) -> None:
@@ -264,7 +264,7 @@
 
     def serving(self) -> bool:
         """Ready once a server is known that may be sent to."""
-        return bool(self.pool.listed or self._pieces)
+        return bool(self.pool.endpoints or self._pieces)
 
     def knows(self, klass: str) -> bool:
         """Whether there is such a class."""
@@ -284,7 +284,7 @@
         due = request.taken + request.time_left
         if request.due_by is not None:
             due = min(due, request.due_by - ENDING_MARGIN)
-        if not self.pool.listed and self.outages.out():  # nobody is left to wait for
+        if not self.pool.endpoints and self.outages.out():  # nobody is left to wait for
             soon = [(b"retry-after", b"1")] if self.settings.max_retry_after else []
             return request.caller.answer(request, 503, soon, b"")
         if self.settings.max_open and len(self.requests) >= self.settings.max_open:
@@ -388,7 +388,7 @@
         self._events.append(event)
         handling, self._handling = self._handling, True
         try:
-            self.pool.take(piece)
+            self.pool.update_endpoints(piece)
         finally:
             self._handling = handling
         if not handling:
@@ -424,7 +424,7 @@
         elif isinstance(action, api.FetchList):
             self.source.fetch()
         elif isinstance(action, api.Release):
-            self.pool.release(action.server)
+            self.pool.close_idle_to(action.server)
         elif isinstance(action, api.Log):
             log.info("%s", action.text)
         else:  # probes and peers: the module uses neither
@@ -488,14 +488,14 @@
             return
         now, left = self.clock.now(), request.time_left or 0
         request.sent = now
-        self.pool.postpone(request.attempt, now + left)
+        self.pool.set_deadline(request.attempt, now + left)
         request.overdue = self.clock.call_at(now + left, lambda: self._overdue(request))
         self.post(api.BodySent(request.id, number, left))
 
     def _begin(
-        self, request: Request, number: int, server: str, sent: int, reply: Reply, length: int | None,
-        source: Connection,
-    ) -> Sink | None:  # fmt: skip
+        self, request: Request, number: int, server: str, sent: int, reply: AttemptOutcome, length: int | None,
+        source: ServerConnection,
+    ) -> ResponseSink | None:  # fmt: skip
         """A long answer begins: it goes to the caller as it comes, and for the module the attempt has ended well."""
         headers = [(name, value) for name, value in reply.headers if name not in HOP]
         if not request.caller.begin(request, reply.status, headers, length, Passing(self, request, source)):
@@ -509,13 +509,13 @@
         self.post(api.AttemptEnded(request.id, number, server, api.Result.OK, latency, True, report))
         return request.caller
 
-    def _report(self, reply: Reply) -> dict[str, float] | None:
+    def _report(self, reply: AttemptOutcome) -> dict[str, float] | None:
         if self.settings.report_source != api.ANSWERS:
             return None
         text = dict(reply.headers).get(b"x-server-load")
         return parse_report(text.decode("latin-1")) if text else None
 
-    def _ended(self, request: Request, number: int, server: str, sent: int, reply: Reply) -> None:
+    def _ended(self, request: Request, number: int, server: str, sent: int, reply: AttemptOutcome) -> None:
         """An attempt has ended: what a server answered goes to the caller first, then the module hears."""
         request.attempt = None
         if request.streams:  # it was answered when its answer began; what went wrong since is news
--- a/oakbridge/node/response_parser.py
+++ b/oakbridge/node/response_parser.py
@@ -7,8 +7,14 @@
 
 import httptools
 
-from oakbridge.node.attempt import Reply, Sink
-from oakbridge.node.http_framing import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
+from oakbridge.node.attempt import AttemptOutcome, ResponseSink
+from oakbridge.node.http_framing import (
+    MAX_BODY_BYTES,
+    MAX_FRAMING_PER_BODY_BYTE,
+    MAX_HEAD_BYTES,
+    Headers,
+    read_framing,
+)
 from oakbridge.policy.vocabulary import Result
 
 # A response up to this size is buffered whole, so that one that breaks off can still be retried.
@@ -43,7 +49,7 @@
         "_unusable",
     )
 
-    def __init__(self, open_sink: Callable[[], Sink | None]) -> None:
+    def __init__(self, open_sink: Callable[[], ResponseSink | None]) -> None:
         """``open_sink``: returns where the rest of a long body goes; None if nobody wants it."""
         self._open_sink = open_sink
         self.reset()
@@ -57,7 +63,7 @@
         self.started = False
         self.complete = False
         self.reusable = False  # the connection, once the response is complete
-        self.sink: Sink | None = None
+        self.sink: ResponseSink | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._bytes_read = 0
@@ -74,8 +80,8 @@
             if not self.complete:
                 raise ResponseError(f"expected an HTTP/1.1 response: {e}") from None
             self.reusable = False
-        framing_bytes = self._bytes_read - self._body_bytes
-        if self._unusable or framing_bytes > 2 * MAX_HEAD + FRAMING * self._body_bytes:
+        max_framing = 2 * MAX_HEAD_BYTES + MAX_FRAMING_PER_BODY_BYTE * self._body_bytes
+        if self._unusable or self._bytes_read - self._body_bytes > max_framing:
             raise ResponseError("expected a response of bounded size with one clear end")
 
     def finish_at_close(self) -> bool:
@@ -94,14 +100,14 @@
             return Result.FULL
         return Result.ERROR
 
-    def take(self, result: Result) -> Reply:
+    def take(self, result: Result) -> AttemptOutcome:
         """Return the complete response, and keep nothing of it: its connection may be idle for long."""
-        reply = Reply(result, self.headers, b"".join(self._body), self.status)
+        outcome = AttemptOutcome(result, self.headers, b"".join(self._body), self.status)
         self.headers = []
         self._body = []
-        return reply
+        return outcome
 
-    def detach_sink(self) -> Sink | None:
+    def detach_sink(self) -> ResponseSink | None:
         """Return the sink, if there is one, and pass nothing more on to it."""
         sink, self.sink = self.sink, None
         return sink
@@ -125,8 +131,8 @@
             return
         self._headers_complete = True
         self.status = self._parser.get_status_code()
-        fault, self.content_length, chunked = framing(self.headers)
-        self._unusable = fault != 0
+        error_status, self.content_length, chunked = read_framing(self.headers)
+        self._unusable = error_status != 0
         has_body = self.status >= 200 and self.status not in (204, 304)
         self._ends_at_close = has_body and self.content_length is None and not chunked
 
@@ -136,7 +142,7 @@
             return
         self._body_bytes += len(data)
         if self.sink is not None:
-            if self._body_bytes > MOST_BODY:
+            if self._body_bytes > MAX_BODY_BYTES:
                 self._unusable = True
             else:
                 self.sink.pass_on(data)
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -1,6 +1,6 @@
-"""A connection to a server: it carries one request at a time, and tells what came back as an outcome.
+"""A connection to a server: carries one attempt at a time, and ends it with its outcome.
 
-Sockets are driven by hand, not by a stream or transport: the rules hang on whether a request's last byte was
+The socket is driven by hand, not by a stream or transport: the rules depend on whether a request's last byte was
 *written to the socket*, and on a connection being closed before anything else happens, which buffers hide.
 """
 
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from oakbridge.node.attempt import Attempt, Reply, Sink
+from oakbridge.node.attempt import Attempt, AttemptOutcome, ResponseSink
 from oakbridge.node.chunks import chunk
 from oakbridge.node.clock import Timer
 from oakbridge.node.request_body import Upload
@@ -20,270 +20,317 @@
 from oakbridge.policy.vocabulary import Result
 
 if TYPE_CHECKING:
-    from oakbridge.node.connection_pool import Pool, Target
+    from oakbridge.node.connection_pool import ConnectionPool, PooledServer
 
 log = logging.getLogger(__name__)
 
-CHUNK = 64 * 1024
-STALL = 1_000_000  # a server that has begun a short answer and says no more for so long won't
-STALL_STREAM = 10_000_000  # and one whose answer is passed on already: nothing can be tried again
-
-
-class Connection:
-    """One connection; it carries at most one attempt at a time."""
-
-    def __init__(self, pool: Pool, target: Target) -> None:
-        self.pool, self.target = pool, target
+READ_BYTES = 64 * 1024
+# A server that has started a short response and is silent for so long won't go on.
+STALL_TIMEOUT_US = 1_000_000
+# One whose response is passed on already has longer: nothing can be retried.
+STREAM_STALL_TIMEOUT_US = 10_000_000
+
+
+class ServerConnection:
+    """One connection to a server, from its dial to its close.
+
+    The pool owns it: it returns itself to the pool when it is idle, and removes itself when it is closed.
+    """
+
+    __slots__ = (
+        "server",
+        "attempt",
+        "may_be_reused",
+        "connected",
+        "closed",
+        "idle_since",
+        "_pool",
+        "_sock",
+        "_timer",
+        "_response",
+        "_unsent",
+        "_body",
+        "_awaits_writable",
+        "paused",
+        "_has_served",
+    )
+
+    def __init__(self, pool: ConnectionPool, server: PooledServer) -> None:
+        """Make the socket; raise OSError if no descriptor is left."""
+        self._pool = pool
+        self.server = server
         self.attempt: Attempt | None = None
-        self.keep = True  # may be used again
-        # Guards against a connection that a server takes above its limit and turns away for as long as it lasts: kept
-        # and used last, it would be used first, and never serve.
-        self.served = False
-        self.connected = self.closed = self.waits = False  # waits: for the socket to take more
+        self.may_be_reused = True
+        # Guards against a connection that a server takes above its limit and rejects for as long as it lasts: kept and
+        # used last, it would be used first, and never serve.
+        self._has_served = False
+        self.connected = False
+        self.closed = False
         self.idle_since = 0
-        self.upload: Upload | None = None
-        self.timer: Timer | None = None
-        self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        self.response = ResponseParser(self._open_sink)
-        self.unsent: memoryview | None = None  # what the socket has not taken yet; None: nothing has begun
+        self._awaits_writable = False
+        self._unsent: memoryview | None = None  # what the socket has not taken yet; None: nothing was written
+        self._body: Upload | None = None  # what follows it
         self.paused = False
+        self._timer: Timer | None = None  # limits the dial, then each pause within a response
+        self._response = ResponseParser(self._open_sink)
+        self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
-    # ---- opening and writing
+    # ---- dialling
 
-    def open(self, attempt: Attempt) -> None:
+    def connect(self, attempt: Attempt) -> None:
         """Connect, then write the attempt."""
-        self.attempt, attempt.connection = attempt, self
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        code = self.sock.connect_ex(self.target.address)
+        self.attempt = attempt
+        attempt.connection = self
+        self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        code = self._sock.connect_ex(self.server.address)
         if code == 0:
-            self._established()
+            self._on_established()
         elif code == errno.EINPROGRESS:
-            if self.pool.connect_timeout:
-                self._limit(self.pool.connect_timeout)
-            self._wait_to_write(self._connect_done)
+            if self._pool.connect_timeout:
+                self._fail_after(self._pool.connect_timeout)
+            self._await_writable(self._on_connect_done)
         else:
-            # Told in the loop's next round: the caller still holds the attempt as being started.
-            self.pool.loop.call_soon(self._lost)
+            # In the loop's next round: the node still holds the attempt as being started.
+            self._pool.loop.call_soon(self._fail)
 
-    def _wait_to_write(self, what: Callable[[], None]) -> None:
-        self.waits = True
-        self.pool.loop.add_writer(self.sock, self._guarded, what)
-
-    def _stop_waiting(self) -> None:
-        """Asked for only where it waits: nearly every request goes out in one write."""
-        if self.waits:
-            self.waits = False
-            self.pool.loop.remove_writer(self.sock)
-
-    def _connect_done(self) -> None:
-        self._stop_waiting()
+    def _on_connect_done(self) -> None:
+        self._stop_awaiting_writable()
         self._stop_timer()
-        if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self._lost()
+        if self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+            self._fail()
         else:
-            self._established()
-
-    def _limit(self, wait: int) -> None:
-        """Take the connection for lost if what it does now takes longer."""
-        self.timer = self.pool.clock.call_at(self.pool.clock.now() + wait, self._lost)
+            self._on_established()
 
-    def _stop_timer(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-
-    def _established(self) -> None:
+    def _on_established(self) -> None:
         self.connected = True
-        self.pool.loop.add_reader(self.sock, self._guarded, self._readable)
+        self._pool.loop.add_reader(self._sock, self._run_guarded, self._on_readable)
         if self.attempt is not None:
-            self._begin_writing(self.attempt)
+            self._start_request(self.attempt)
+
+    # ---- writing the request
 
-    def _begin_writing(self, attempt: Attempt) -> None:
-        now = self.pool.clock.now()
-        if attempt.begin_by is not None and now > attempt.begin_by:
-            # Guards repeats: the dial took so long that servers may have forgotten the first attempt.
-            self.pool.loop.call_soon(self.pool.not_begun, attempt)
+    def send(self, attempt: Attempt) -> None:
+        """Write an attempt to this idle connection."""
+        self._response.reset()
+        self._unsent = None
+        self.paused = False
+        self.attempt = attempt
+        attempt.connection = self
+        self._start_request(attempt)
+
+    def _start_request(self, attempt: Attempt) -> None:
+        now = self._pool.clock.now()
+        if attempt.start_by is not None and now > attempt.start_by:
+            # Guards retries: the dial took so long that servers may have forgotten the first attempt.
+            self._pool.loop.call_soon(self._pool.fail_unsent, attempt)
             return
-        self.unsent, self.upload = memoryview(attempt.data(max(1, attempt.due - now))), attempt.upload
-        if self.upload is not None:
-            self.upload.attach(self._more)
+        self._unsent = memoryview(attempt.render(max(1, attempt.deadline - now)))
+        self._body = attempt.upload
+        if self._body is not None:
+            self._body.attach(self._on_body_available)
         self._write()
 
-    def _more(self) -> None:
-        """More of the body has come, or its end."""
-        if not self.closed and not self.waits and self.connected:
-            self._guarded(self._write)
+    def _on_body_available(self) -> None:
+        """Write more of the body, or its end."""
+        if self.connected and not self.closed and not self._awaits_writable:
+            self._run_guarded(self._write)
 
-    def _next_part(self) -> bytes:
-        """What is to be written next of a body that goes on as it comes; empty if nothing is, or all was."""
-        upload = self.upload
-        if upload is None:
+    def _next_body_part(self) -> bytes:
+        """Return what to write next of a body that is still coming; empty if nothing is there, or all was."""
+        body = self._body
+        if body is None:
             return b""
-        data = upload.take()
-        if data:
-            return data if upload.length is not None else chunk(data)
-        if upload.complete:
-            self.upload = None
-            return chunk(b"") if upload.length is None else b""
+        chunked = body.length is None
+        if data := body.take():
+            return chunk(data) if chunked else data
+        if body.complete:
+            self._body = None
+            return chunk(b"") if chunked else b""
         return b""
 
-    def written(self) -> bool:
-        """Whether the request's last byte is in the socket's hands."""
-        return self.unsent is not None and not self.unsent and self.upload is None
-
-    def stale(self) -> bool:
-        """Whether the server has closed this idle connection, though the loop has not come to read it.
-
-        Guards against writing a request to a connection that is already closed: it would end as a reset,
-        after which a request that must not run twice can't be sent again.
-        """
-        try:
-            self.sock.recv(1, socket.MSG_PEEK)
-        except BlockingIOError:
-            return False
-        except OSError:
-            return True
-        return True  # the end, or bytes that nobody asked for
-
-    def use(self, attempt: Attempt) -> None:
-        """Write an attempt to this idle connection."""
-        self.response.reset()
-        self.unsent = None
-        self.paused = False
-        self.attempt, attempt.connection = attempt, self
-        self._begin_writing(attempt)
+    def request_written(self) -> bool:
+        """Return whether the socket has taken the request's last byte: the request may run from then on."""
+        return self._unsent is not None and not self._unsent and self._body is None
 
     def _write(self) -> None:
-        """Write what the socket takes; ``unsent`` is empty once the last byte is in its hands."""
-        streams = self.upload is not None
+        """Write what the socket takes; ``_unsent`` is empty once it has taken the last byte."""
+        had_body = self._body is not None
         try:
             while True:
-                while self.unsent:
-                    self.unsent = self.unsent[self.sock.send(self.unsent) :]
-                if self.upload is None:
+                while self._unsent:
+                    self._unsent = self._unsent[self._sock.send(self._unsent) :]
+                if self._body is None:
                     break
-                if not (part := self._next_part()):
+                if not (part := self._next_body_part()):
                     break
-                self.unsent = memoryview(part)
+                self._unsent = memoryview(part)
         except BlockingIOError:
-            return self._wait_to_write(self._write)
+            self._await_writable(self._write)
+            return
         except OSError:
-            # In the next round, as in open(); what arrived before the break is no answer to half a request.
-            self.pool.loop.call_soon(self._lost)
+            # In the next round, as in connect(); what arrived before is no response to half a request.
+            self._pool.loop.call_soon(self._fail)
             return
-        self._stop_waiting()
-        if streams and self.upload is None and self.attempt is not None and self.attempt.on_sent is not None:
-            self.attempt.on_sent()
+        self._stop_awaiting_writable()
+        body_sent = had_body and self._body is None
+        if body_sent and self.attempt is not None and self.attempt.on_request_sent is not None:
+            self.attempt.on_request_sent()
 
-    def _guarded(self, what: Callable[[], None]) -> None:
-        """Guards the loop and the node: a fault in one connection ends that connection alone."""
-        try:
-            what()
-        except Exception:
-            log.exception("a connection to %s:%d failed", *self.target.address)
-            self._lost()
+    def _await_writable(self, callback: Callable[[], None]) -> None:
+        self._awaits_writable = True
+        self._pool.loop.add_writer(self._sock, self._run_guarded, callback)
 
-    # ---- reading
+    def _stop_awaiting_writable(self) -> None:
+        """Ask the loop only where it waits: nearly every request goes out in one write."""
+        if self._awaits_writable:
+            self._awaits_writable = False
+            self._pool.loop.remove_writer(self._sock)
 
-    def _readable(self) -> None:
+    # ---- reading the response
+
+    def _on_readable(self) -> None:
         try:
-            data = self.sock.recv(CHUNK)
+            data = self._sock.recv(READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
-            self._lost()
+            self._fail()
             return
-        if not data and self.attempt is not None and self.response.finish_at_close():
-            self._answered()
+        if not data and self.attempt is not None and self._response.finish_at_close():
+            self._on_response_complete()
             return
         if not data or self.attempt is None:
-            self._lost()
+            self._fail()
             return
         try:
-            self.response.feed(data)
+            self._response.feed(data)
         except ResponseError:
-            self._lost()
+            self._fail()
             return
         if self.closed:
             return
-        if self.response.complete:
-            self._answered()
+        if self._response.complete:
+            self._on_response_complete()
         elif not self.paused:
-            self._await_more()
+            self._restart_stall_timer()
 
-    def _await_more(self) -> None:
-        """Guards against half an answer: its server says no more, and the request would wait to its end.
+    def _restart_stall_timer(self) -> None:
+        """Guards against half a response: its server is silent, and the request would wait to its deadline.
 
-        An answer of which nothing has come yet, or that follows a provisional one, may take its time.
+        A response that has not started, or that follows a provisional one, may take its time.
         """
         self._stop_timer()
-        if self.response.started:
-            self._limit(STALL if self.response.sink is None else STALL_STREAM)
+        if self._response.started:
+            streaming = self._response.sink is not None
+            self._fail_after(STREAM_STALL_TIMEOUT_US if streaming else STALL_TIMEOUT_US)
 
     def pause(self) -> None:
-        """Read nothing more for now: what it was passed on to has enough."""
+        """Stop reading: what the response is passed on to has enough."""
         if not self.paused and not self.closed:
             self.paused = True
             self._stop_timer()
-            self.pool.loop.remove_reader(self.sock)
+            self._pool.loop.remove_reader(self._sock)
 
     def resume(self) -> None:
-        """Go on."""
+        """Read on."""
         if self.paused and not self.closed:
             self.paused = False
-            self._limit(STALL_STREAM)
-            self.pool.loop.add_reader(self.sock, self._guarded, self._readable)
-
-    def _open_sink(self) -> Sink | None:
-        """Begin to pass on a long answer; from here on there is no second attempt."""
-        attempt, response = self.attempt, self.response
+            self._fail_after(STREAM_STALL_TIMEOUT_US)
+            self._pool.loop.add_reader(self._sock, self._run_guarded, self._on_readable)
+
+    def _open_sink(self) -> ResponseSink | None:
+        """Start to pass on a long response; there is no retry from here on."""
+        attempt, response = self.attempt, self._response
+        if attempt is None or attempt.on_response_start is None:
+            return None
         result = response.result()
-        if attempt is None or attempt.on_begin is None or result != Result.OK or not self.written():
-            return None  # nobody wants the rest of it
+        if result != Result.OK or not self.request_written():
+            return None
         if attempt.timer is not None:
-            attempt.timer.cancel()  # an answer that has begun is in time
-        reply = Reply(result, response.headers, status=response.status)
-        return attempt.on_begin(reply, response.content_length, self)
+            attempt.timer.cancel()  # a response that has started is in time
+        outcome = AttemptOutcome(result, response.headers, status=response.status)
+        return attempt.on_response_start(outcome, response.content_length, self)
 
-    def _answered(self) -> None:
-        response = self.response
+    def _on_response_complete(self) -> None:
+        response = self._response
         result = response.result()
-        if not self.written() and result != Result.FULL:
-            return self._lost()  # no answer to this request: its last byte was never written
+        if not self.request_written() and result != Result.FULL:
+            self._fail()  # no response to this request: its last byte was never written
+            return
         self._stop_timer()
         attempt, self.attempt = self.attempt, None
         sink = response.detach_sink()
         if sink is not None:
             sink.finish()
-        reply = response.take(result)
-        self.served = self.served or result != Result.FULL
-        if response.reusable and self.keep and self.written() and self.served and not self.closed:
-            self.pool.rest(self)
+        outcome = response.take(result)
+        self._has_served = self._has_served or result != Result.FULL
+        if self._can_be_kept():
+            self._pool.put_idle(self)
         else:
             self.close()
         if attempt is not None:
-            attempt.end(reply)
+            attempt.finish(outcome)
+
+    def _can_be_kept(self) -> bool:
+        return (
+            self._response.reusable
+            and self.may_be_reused
+            and self.request_written()
+            and self._has_served
+            and not self.closed
+        )
 
     # ---- ends
 
-    def _lost(self) -> None:
-        """The connection broke or ended: whether the request may have run hangs on its last byte."""
+    def is_stale(self) -> bool:
+        """Return whether the server has closed this idle connection, though the loop has not come to read it.
+
+        Guards against writing a request to a connection that is already closed: it would end as a reset,
+        after which a request that must not run twice can't be retried.
+        """
+        try:
+            self._sock.recv(1, socket.MSG_PEEK)
+        except BlockingIOError:
+            return False
+        except OSError:
+            return True
+        return True  # the end, or bytes that nobody requested
+
+    def _fail_after(self, timeout_us: int) -> None:
+        """Fail unless the timer is stopped before."""
+        self._timer = self._pool.clock.call_at(self._pool.clock.now() + timeout_us, self._fail)
+
+    def _stop_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def _run_guarded(self, callback: Callable[[], None]) -> None:
+        """Guards the loop and the node: a fault in one connection ends that connection alone."""
+        try:
+            callback()
+        except Exception:
+            log.exception("a connection to %s:%d failed", *self.server.address)
+            self._fail()
+
+    def _fail(self) -> None:
+        """Close a broken connection; whether its request may have run depends on its last byte."""
         if self.closed:
             return
         attempt, self.attempt = self.attempt, None
-        written = self.written()
-        sink = self.response.detach_sink()
+        written = self.request_written()
+        sink = self._response.detach_sink()
         self.close()
         if sink is not None:
             sink.cut()
         if attempt is not None:
-            attempt.end(Reply(Result.RESET if written else Result.CONNECT_FAILED))
+            attempt.finish(AttemptOutcome(Result.RESET if written else Result.CONNECT_FAILED))
 
-    def give_up(self) -> bool:
-        """Close under an attempt, at once; returns whether the attempt's last byte had been written."""
-        written = self.written()
+    def abort(self) -> bool:
+        """Close at once and leave the attempt to the caller; return whether its last byte was written."""
+        written = self.request_written()
         self.attempt = None
-        self.response.detach_sink()
+        self._response.detach_sink()
         self.close()
         return written
 
@@ -293,7 +340,7 @@
             return
         self.closed = True
         self._stop_timer()
-        self.pool.loop.remove_reader(self.sock)
-        self._stop_waiting()
-        self.sock.close()
-        self.pool.forget(self)
+        self._pool.loop.remove_reader(self._sock)
+        self._stop_awaiting_writable()
+        self._sock.close()
+        self._pool.remove(self)
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 from oakbridge.node.attempt import Attempt
-from oakbridge.node.connection_pool import Target
+from oakbridge.node.connection_pool import PooledServer
 from oakbridge.node.discovery import Discovery
 from oakbridge.node.listing import Listing
 from oakbridge.node.node import Node
-from oakbridge.node.server_connection import Connection
+from oakbridge.node.server_connection import ServerConnection
 from oakbridge.policy import vocabulary as api
 
 log = logging.getLogger(__name__)
@@ -88,18 +88,18 @@
         pool = self.node.pool
         opened, counts = pool._open, self.counts
 
-        def open_one(target: Target, attempt: Attempt) -> None:
+        def open_one(server: PooledServer, attempt: Attempt) -> None:
             counts["opened"] += 1
-            opened(target, attempt)
+            opened(server, attempt)
 
         pool._open = open_one  # type: ignore[method-assign]
-        done = Connection._connect_done
+        done = ServerConnection._on_connect_done
 
-        def connect_done(connection: Connection) -> None:
+        def connect_done(connection: ServerConnection) -> None:
             done(connection)
             counts["refused_connections"] += connection.closed and not connection.connected
 
-        Connection._connect_done = connect_done  # type: ignore[assignment, method-assign]
+        ServerConnection._on_connect_done = connect_done  # type: ignore[assignment, method-assign]
 
     def _wrap_discovery(self, source: Discovery) -> None:
         ask, counts = source._ask, self.counts
@@ -133,7 +133,7 @@
             "list_age": round((now - self.listed_at) / 1e6, 2),
             "retries_left": round(balancer.budget.left(now), 2), "slower": round(admission.slower, 2),
             "rate": round(balancer.health.rate, 3), "processor": round(processor, 4),
-            "known": len(balancer.known), "connections": node.pool.count,
-            "idle": {name: len(t.idle) for name, t in node.pool.targets.items() if t.idle},
+            "known": len(balancer.known), "connections": node.pool.connection_count,
+            "idle": {name: len(t.idle) for name, t in node.pool.servers.items() if t.idle},
             "outs": {s.id: len(s.out) for s in balancer.known.values() if s.out}, "ends": self.ends,
         }  # fmt: skip
--- a/oakbridge/operators/desk.py
+++ b/oakbridge/operators/desk.py
@@ -29,7 +29,7 @@
             raise Refused("no server is known yet")
         out = node.outages.out()
         held = f", {len(out)} held out" if out else ""
-        return f"{node.server.life.phase.value}, {len(node.pool.listed)} servers in use{held}"
+        return f"{node.server.life.phase.value}, {len(node.pool.endpoints)} servers in use{held}"
 
     def offline(self, server: str) -> str:
         """Take a server out, from now on and whatever lists say."""
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -110,7 +110,7 @@
         server=SimpleNamespace(
             addresses=[("127.0.0.1", 8080), ("127.0.0.1", 8081)], leaving=not ready, callers=lambda: 5
         ),
-        pool=SimpleNamespace(count=9),
+        pool=SimpleNamespace(connection_count=9),
         served=1000,
         refused=20,
         failed=3,
--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -7,9 +7,9 @@
 import pytest
 from peers import Peer, reply, run, silent_listener, soon, until
 
-from oakbridge.node.attempt import Attempt, Reply
+from oakbridge.node.attempt import Attempt, AttemptOutcome
 from oakbridge.node.clock import Clock
-from oakbridge.node.connection_pool import SETTLE, Pool
+from oakbridge.node.connection_pool import MIN_IDLE_US, ConnectionPool
 from oakbridge.node.listing import Entry, Listing
 from oakbridge.policy.vocabulary import ListedServer, Result
 
@@ -23,17 +23,19 @@
     def __init__(self, port: int, connect_timeout: int = LONG, idle: int = LONG, most: int = 8) -> None:
         self.loop = asyncio.get_running_loop()
         self.clock = Clock(self.loop)
-        self.pool = Pool(self.loop, self.clock, connect_timeout, idle, most)
+        self.pool = ConnectionPool(self.loop, self.clock, connect_timeout, idle, most)
         self.port = port
         self.list("s")
 
     def list(self, *names: str, started: int = 0) -> None:
         address = "127.0.0.1", self.port
         entries = [Entry(ListedServer(name, started=started), address) for name in names]
-        self.pool.take(Listing(1, True, entries))
+        self.pool.update_endpoints(Listing(1, True, entries))
 
-    def send(self, data: bytes = GET, timeout: int = LONG) -> tuple[Attempt, "asyncio.Future[Reply]"]:
-        end: asyncio.Future[Reply] = self.loop.create_future()
+    def send(
+        self, data: bytes = GET, timeout: int = LONG
+    ) -> tuple[Attempt, "asyncio.Future[AttemptOutcome]"]:
+        end: asyncio.Future[AttemptOutcome] = self.loop.create_future()
         attempt = Attempt("s", lambda _: data, self.clock.now() + timeout, end.set_result)
         self.pool.send(attempt)
         return attempt, end
@@ -132,7 +134,7 @@
         listener, fillers = silent_listener()
         bench = Bench(listener.getsockname()[1], connect_timeout)
         assert await bench.result(timeout=timeout) == Result.CONNECT_FAILED
-        assert bench.pool.count == 0
+        assert bench.pool.connection_count == 0
         for sock in [listener, *fillers]:
             sock.close()
 
@@ -161,7 +163,7 @@
             bench = Bench(peer.port)
             for _ in range(3):
                 assert await bench.result() == Result.OK
-                await asyncio.sleep(2 * SETTLE / 1e6)
+                await asyncio.sleep(2 * MIN_IDLE_US / 1e6)
             assert peer.connections == 1
 
     run(scenario())
@@ -180,7 +182,7 @@
 
 def test_kept_connection_that_the_server_has_just_closed_is_no_reset(monkeypatch):
     """The loop has not read the end yet, but nothing may be written to that connection."""
-    monkeypatch.setattr("oakbridge.node.connection_pool.SETTLE", 0)
+    monkeypatch.setattr("oakbridge.node.connection_pool.MIN_IDLE_US", 0)
 
     async def scenario():
         with listening() as listener:
@@ -277,7 +279,7 @@
             bench = Bench(peer.port, idle=100_000)
             assert await bench.result() == Result.OK
             assert await soon(peer.left.get()) == 1
-            assert bench.pool.count == 0
+            assert bench.pool.connection_count == 0
 
     run(scenario())
 
@@ -340,7 +342,7 @@
 
 def test_second_copy_right_behind_an_answer_serves_nobody(monkeypatch):
     """Guards against a connection that is used again before what comes behind its answer could show."""
-    monkeypatch.setattr("oakbridge.node.connection_pool.SETTLE", LONG)
+    monkeypatch.setattr("oakbridge.node.connection_pool.MIN_IDLE_US", LONG)
 
     async def scenario():
         with listening() as listener:
@@ -371,10 +373,10 @@
             results = []
             for _ in range(5):
                 results.append(await bench.result())
-                await asyncio.sleep(2 * SETTLE / 1e6)
+                await asyncio.sleep(2 * MIN_IDLE_US / 1e6)
             assert results == [Result.FULL, Result.FULL, Result.OK, Result.FULL, Result.FULL]
             assert server.connections == 3
-            assert bench.pool.count == 1  # the one that has served, and turned two away since
+            assert bench.pool.connection_count == 1  # the one that has served, and turned two away since
             bench.pool.close()
 
     run(main())
@@ -427,12 +429,12 @@
             told, end = [], bench.loop.create_future()
             now = bench.clock.now()
             attempt = Attempt(
-                "s", lambda left: told.append(left) or GET, now + LONG, end.set_result, begin_by=now + 50_000
+                "s", lambda left: told.append(left) or GET, now + LONG, end.set_result, start_by=now + 50_000
             )
             bench.pool.send(attempt)
             await asyncio.sleep(0.1)
             take()
             assert (await soon(end)).result == Result.CONNECT_FAILED
-            assert not told and bench.pool.count == 0
+            assert not told and bench.pool.connection_count == 0
 
     run(scenario())
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -8,7 +8,7 @@
 
 from oakbridge.node import discovery
 from oakbridge.node.client_request import parse_timeout
-from oakbridge.node.connection_pool import SETTLE
+from oakbridge.node.connection_pool import MIN_IDLE_US
 from oakbridge.node.listing import BadList, parse
 from oakbridge.node.node import parse_report
 from oakbridge.policy import vocabulary as api
@@ -47,7 +47,7 @@
             for _ in range(3):
                 caller.send()
                 assert (await caller.answer())[0] == 200
-                await asyncio.sleep(2 * SETTLE / 1e6)
+                await asyncio.sleep(2 * MIN_IDLE_US / 1e6)
             assert peer.connections == 1
 
     run(scenario())
--- a/tests/node/test_streams.py
+++ b/tests/node/test_streams.py
@@ -11,7 +11,7 @@
 
 from oakbridge.node import client_connection, http_server, server_connection, socket_state
 from oakbridge.node.client_request import absolute
-from oakbridge.node.connection_pool import SETTLE
+from oakbridge.node.connection_pool import MIN_IDLE_US
 from oakbridge.node.request_body import WINDOW, Upload
 from oakbridge.node.settings import read_settings
 
@@ -112,7 +112,9 @@
                 await until(
                     lambda: not node.node.balancer.admission.out
                 )  # the node has read the server's end, too
-                await asyncio.sleep(2 * SETTLE / 1e6)  # a connection rests so long before it is used again
+                await asyncio.sleep(
+                    2 * MIN_IDLE_US / 1e6
+                )  # a connection rests so long before it is used again
                 before = server.connections  # two where the first was slow to come up
                 caller.send()
                 assert (await caller.answer())[0] == 200
@@ -191,7 +193,7 @@
             await soon(caller.reader.readuntil(b"\r\n\r\n"))
             caller.close()
             await soon(left.wait())
-            while node.node.requests or node.node.pool.count:
+            while node.node.requests or node.node.pool.connection_count:
                 await asyncio.sleep(0.005)
 
     run(scenario())
@@ -218,9 +220,9 @@
             [one] = node.node.server._callers
             while not one.blocked:
                 await asyncio.sleep(0.005)
-            [[connection]] = [target.busy for target in node.node.pool.targets.values()]
+            [[connection]] = [server.busy for server in node.node.pool.servers.values()]
             assert connection.paused  # what the server still writes stays with it
-            assert one.transport.get_write_buffer_size() < 2 * server_connection.CHUNK + 65536
+            assert one.transport.get_write_buffer_size() < 2 * server_connection.READ_BYTES + 65536
             caller.writer.transport.resume_reading()
             got = 0
             # Slowly, but it goes on: the caller is kept beyond its patience.
@@ -228,7 +230,7 @@
                 got += len(await soon(caller.reader.read(65536)))
                 await asyncio.sleep(0.01)
             assert node.node.server._callers == {one}
-            assert one.transport.get_write_buffer_size() < 2 * server_connection.CHUNK + 65536
+            assert one.transport.get_write_buffer_size() < 2 * server_connection.READ_BYTES + 65536
             caller.writer.transport.pause_reading()  # and one that reads nothing more is cut off
             while node.node.server._callers:
                 await asyncio.sleep(0.01)
@@ -424,7 +426,7 @@
             while one.upload is None or not one.upload.upload.full:
                 await asyncio.sleep(0.005)
             await asyncio.sleep(0.7)
-            assert one.upload.upload._waiting < WINDOW + server_connection.CHUNK + client_connection.HOLD
+            assert one.upload.upload._waiting < WINDOW + server_connection.READ_BYTES + client_connection.HOLD
             go.set()
             assert (await caller.answer())[0] == 200
 
