--- /dev/null
+++ b/tests/pool_bench.py
@@ -0,0 +1,79 @@
+"""A connection pool with one server on loopback, and servers that tests drive byte by byte."""
+
+import asyncio
+import contextlib
+import socket
+
+from peers import silent_listener, soon
+
+from oakbridge.node.attempt import Attempt, AttemptOutcome
+from oakbridge.node.clock import Clock
+from oakbridge.node.connection_pool import ConnectionPool
+from oakbridge.node.listing import Entry, Listing
+from oakbridge.policy.vocabulary import ListedServer, Result
+
+LONG = 60_000_000
+GET = b"GET /api HTTP/1.1\r\nx-request-id: 1\r\n\r\n"
+
+
+class PoolBench:
+    """A pool with one server, and attempts whose ends can be awaited."""
+
+    def __init__(self, port: int, connect_timeout: int = LONG, idle: int = LONG, most: int = 8) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.clock = Clock(self.loop)
+        self.pool = ConnectionPool(self.loop, self.clock, connect_timeout, idle, most)
+        self.port = port
+        self.list("s")
+
+    def list(self, *names: str, started: int = 0) -> None:
+        address = "127.0.0.1", self.port
+        entries = [Entry(ListedServer(name, started=started), address) for name in names]
+        self.pool.update_endpoints(Listing(1, True, entries))
+
+    def send(
+        self, data: bytes = GET, timeout: int = LONG
+    ) -> tuple[Attempt, "asyncio.Future[AttemptOutcome]"]:
+        end: asyncio.Future[AttemptOutcome] = self.loop.create_future()
+        attempt = Attempt("s", lambda _: data, self.clock.now() + timeout, end.set_result)
+        self.pool.send(attempt)
+        return attempt, end
+
+    async def result(self, *args, **named) -> Result:
+        return (await soon(self.send(*args, **named)[1])).result
+
+
+@contextlib.contextmanager
+def listening():
+    """A server by hand, driven without the loop."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(16)
+        listener.settimeout(20)
+        yield listener
+
+
+async def accept(listener: socket.socket) -> socket.socket:
+    sock, _ = await asyncio.get_running_loop().run_in_executor(None, listener.accept)
+    sock.settimeout(20)
+    return sock
+
+
+@contextlib.asynccontextmanager
+async def late_listener():
+    """A port at which connections come up only once they are taken, which the second value begins to do."""
+    listener, fillers = silent_listener()
+    listener.setblocking(False)
+    held, tasks = [listener, *fillers], []
+
+    async def take():
+        while True:
+            held.append((await asyncio.get_running_loop().sock_accept(listener))[0])
+
+    try:
+        yield listener.getsockname()[1], lambda: tasks.append(asyncio.create_task(take()))
+    finally:
+        for task in tasks:
+            task.cancel()
+        for sock in held:
+            sock.close()
