--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.node.trace import MARK
+from oakbridge.node.trace_format import MARK
 
 COLUMNS = (
     "nodes", "taken", "served", "refuse", "fail", "sent", "again", "cold", "ok", "error", "full", "timeout",
--- a/oakbridge/__main__.py
+++ b/oakbridge/__main__.py
@@ -29,7 +29,7 @@
     if os.environ.get("OAKBRIDGE_TRACE"):
         from oakbridge.node.trace import Trace
 
-        Trace(node)
+        node.observe(Trace(node))
     return node
 
 
--- a/oakbridge/node/connection_pool.py
+++ b/oakbridge/node/connection_pool.py
@@ -9,6 +9,7 @@
 from oakbridge.node.attempt import Attempt, AttemptOutcome
 from oakbridge.node.clock import Clock, Timer
 from oakbridge.node.listing import Address, Listing
+from oakbridge.node.observer import NodeObserver
 from oakbridge.node.server_connection import ServerConnection
 from oakbridge.policy.vocabulary import UP, Result
 
@@ -60,6 +61,7 @@
         self.connection_count = 0
         self.endpoints: dict[str, tuple[Address, int]] = {}  # where servers listen, and since when
         self.servers: dict[str, PooledServer] = {}  # those of them that something was sent to
+        self.observer: NodeObserver | None = None
         self._expiry_timer: Timer | None = None
         self.configure(connect_timeout, idle_timeout)
 
@@ -141,6 +143,8 @@
         self.loop.call_soon(attempt.finish, AttemptOutcome(Result.CONNECT_FAILED))
 
     def _open(self, server: PooledServer, attempt: Attempt) -> None:
+        if self.observer is not None:
+            self.observer.on_connection_opened()
         try:
             connection = ServerConnection(self, server)
         except OSError as e:  # no descriptor is left: nothing was sent
--- a/oakbridge/node/discovery.py
+++ b/oakbridge/node/discovery.py
@@ -12,6 +12,7 @@
 import httptools
 
 from oakbridge.node.listing import Address, BadList, Listener, Listing, parse
+from oakbridge.node.observer import NodeObserver
 from oakbridge.policy.balancer import AT_ONCE
 
 log = logging.getLogger(__name__)
@@ -64,6 +65,7 @@
         self._on = False  # whether a watch is on, so that the list is up to date
         self._fresh = 0.0  # when it was last known to be, in the loop's time
         self._watch: asyncio.Task[None] | None = None
+        self.observer: NodeObserver | None = None
         self._fetches: set[asyncio.Task[None]] = set()
 
     def tell(self, listener: Listener) -> None:
@@ -176,6 +178,8 @@
 
         Guards against a kept connection that discovery has just closed, which looks like a lost watch.
         """
+        if self.observer is not None:
+            self.observer.on_poll(whole_list="?" not in path)
         async with asyncio.timeout(wait):
             reader, writer = await asyncio.open_connection(*self._address)
             try:
@@ -189,9 +193,12 @@
         if answer.status != 200:
             raise BadList(f"discovery answered {answer.status}")
         try:
-            return parse(json.loads(bytes(answer.body)))
+            listing = parse(json.loads(bytes(answer.body)))
         except (ValueError, RecursionError) as e:
             raise BadList(str(e) or "not JSON") from None
+        if self.observer is not None:
+            self.observer.on_endpoint_list(len(listing.entries))
+        return listing
 
     @staticmethod
     async def _read(reader: asyncio.StreamReader) -> _Answer:
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -21,6 +21,7 @@
 from oakbridge.node.discovery import Discovery
 from oakbridge.node.http_server import HELD_PART, Server
 from oakbridge.node.listing import BadList, ConfigError, Entry, Listing, Source, parse, pieces
+from oakbridge.node.observer import NodeObserver
 from oakbridge.node.outages import Outages
 from oakbridge.node.server_connection import ServerConnection
 from oakbridge.node.settings import in_place
@@ -127,6 +128,7 @@
         self.served = self.refused = self.failed = 0  # answers since the start
         self._events: deque[api.Event] = deque()
         self._handling = False
+        self.observer: NodeObserver | None = None
         self._loop = loop
         self._listed: dict[
             str, Entry
@@ -229,6 +231,12 @@
         self.server.close()
         self.pool.close()
 
+    def observe(self, observer: NodeObserver) -> None:
+        """Have an observer called from now on, by all parts of the node."""
+        self.observer = self.pool.observer = observer
+        if isinstance(self.source, Discovery):
+            self.source.observer = observer
+
     # ---- events in
 
     def post(self, event: api.Event) -> None:
@@ -247,8 +255,13 @@
 
     def _handle(self, event: api.Event) -> None:
         """One event, and its actions in order; a fault is contained to the request that it is about."""
+        now = self.clock.now()
         try:
-            actions = self.balancer.handle(self.clock.now(), event)
+            if self.observer is not None:
+                self.observer.on_event(now, event)
+            actions = self.balancer.handle(now, event)
+            if self.observer is not None:
+                self.observer.on_actions(now, actions)
         except Exception:
             log.exception("the module failed on %s", type(event).__name__)
             if isinstance(event, api.Request):
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -98,6 +98,8 @@
         self._stop_timer()
         if self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self._fail()
+            if self._pool.observer is not None:
+                self._pool.observer.on_connection_refused()
         else:
             self._on_established()
 
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -1,7 +1,7 @@
 """What one node did in each second, as one line of its log: for counting across a whole fleet.
 
-A node loads this only where ``OAKBRIDGE_TRACE`` is set.  It puts itself round the node's own parts, so that where it
-is off nothing is counted and nothing is asked.  ``benchmarks/fleet_day.py`` adds the lines of all nodes up.
+A node loads this only where ``OAKBRIDGE_TRACE`` is set, as its observer.  ``benchmarks/fleet_day.py`` adds the lines
+of all nodes up.
 """
 
 from __future__ import annotations
@@ -10,65 +10,73 @@
 import logging
 import time
 from collections import Counter
-from dataclasses import asdict
+from collections.abc import Sequence
 from typing import Any
 
-from oakbridge.node.attempt import Attempt
-from oakbridge.node.connection_pool import PooledServer
-from oakbridge.node.discovery import Discovery
-from oakbridge.node.listing import Listing
 from oakbridge.node.node import Node
-from oakbridge.node.server_connection import ServerConnection
+from oakbridge.node.trace_format import MARK, RESULT_NAMES, action_name, encode_settings
 from oakbridge.policy import vocabulary as api
 
 log = logging.getLogger(__name__)
 
-EVERY = 1_000_000  # microseconds between two lines
-MARK = "trace "  # what a line begins with
+INTERVAL_US = 1_000_000  # between two lines
 
 
 class Trace:
-    """Counts what passes between the module and the sockets, and writes it down once a second."""
+    """Counts what passes between the balancer and the sockets, and writes it down once a second."""
 
     def __init__(self, node: Node) -> None:
+        """Write the first lines; the caller makes this the node's observer."""
         self.node = node
         self.counts: Counter[str] = Counter()  # since the last line
         self.ends: dict[str, Counter[str]] = {}  # attempts by server, then by result
         self.listed_at = node.clock.now()
-        self._processor = time.process_time()
-        self._wrap_module()
-        self._wrap_pool()
-        if isinstance(node.source, Discovery):
-            self._wrap_discovery(node.source)
-        self._write({"start": node.config.name, "at": node.clock.now(), **asdict(node.settings)})
-        self._again()
-
-    @staticmethod
-    def _write(line: dict[str, Any]) -> None:
-        log.info("%s%s", MARK, json.dumps(line, separators=(",", ":")))
-
-    def _wrap_module(self) -> None:
-        handle, counts = self.node.balancer.handle, self.counts
-
-        def counted(now: int, event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request):
-                counts["taken"] += 1
-            elif isinstance(event, api.AttemptEnded):
-                counts["served"] += event.finished and event.result == api.Result.OK
-                self.ends.setdefault(event.server, Counter())[event.result.name.lower()] += 1
-            elif isinstance(event, api.ServerList):
-                self._listed(now, event)
-            actions = handle(now, event)
-            for action in actions:
-                if isinstance(action, api.Send):
-                    self._sent(action, now)
-                else:
-                    counts[type(action).__name__.lower()] += 1
-            return actions
-
-        self.node.balancer.handle = counted  # type: ignore[method-assign]
-
-    def _sent(self, action: api.Send, now: int) -> None:
+        self._cpu_s = time.process_time()
+        now = node.clock.now()
+        self._write({"start": node.config.name, "at": now, **encode_settings(node.settings)})
+        self._write_second()
+
+    # ---- what the node tells
+
+    def on_event(self, now: int, event: api.Event) -> None:
+        """Count requests, the ends of attempts, and lists."""
+        match event:
+            case api.Request():
+                self.counts["taken"] += 1
+            case api.AttemptEnded():
+                self.counts["served"] += event.finished and event.result == api.Result.OK
+                self._count_end(event.server, RESULT_NAMES[event.result])
+            case api.ServerList():
+                self.counts["lists_lost"] += event.lost
+                if not event.lost and not event.saved:
+                    self.counts["lists"] += 1
+                    self.listed_at = now
+
+    def on_actions(self, now: int, actions: Sequence[api.Action]) -> None:
+        """Count attempts, and all other actions by kind."""
+        for action in actions:
+            if isinstance(action, api.Send):
+                self._count_attempt(action, now)
+            else:
+                self.counts[action_name(action)] += 1
+
+    def on_connection_opened(self) -> None:
+        """Count a dial."""
+        self.counts["opened"] += 1
+
+    def on_connection_refused(self) -> None:
+        """Count a dial that failed."""
+        self.counts["refused_connections"] += 1
+
+    def on_poll(self, *, whole_list: bool) -> None:
+        """Count a call to discovery."""
+        self.counts["asked_whole" if whole_list else "asked_changes"] += 1
+
+    def on_endpoint_list(self, entry_count: int) -> None:
+        """Count the entries that discovery answered with."""
+        self.counts["list_lines"] += entry_count
+
+    def _count_attempt(self, action: api.Send, now: int) -> None:
         """The call may be over, or the server gone, by the same event: counting must not depend on either."""
         balancer = self.node.balancer
         call, server = balancer.calls.get(action.request), balancer.known.get(action.server)
@@ -76,64 +84,52 @@
         self.counts["again"] += call is not None and len(call.attempts) > 1
         if server is not None and balancer.warmth(server, now) < 1:
             self.counts["cold"] += 1
-            self.ends.setdefault(server.id, Counter())["cold"] += 1
-
-    def _listed(self, now: int, event: api.ServerList) -> None:
-        self.counts["lists_lost"] += event.lost
-        if not event.lost and not event.saved:
-            self.counts["lists"] += 1
-            self.listed_at = now
-
-    def _wrap_pool(self) -> None:
-        pool = self.node.pool
-        opened, counts = pool._open, self.counts
+            self._count_end(server.id, "cold")
 
-        def open_one(server: PooledServer, attempt: Attempt) -> None:
-            counts["opened"] += 1
-            opened(server, attempt)
+    def _count_end(self, server: str, name: str) -> None:
+        self.ends.setdefault(server, Counter())[name] += 1
 
-        pool._open = open_one  # type: ignore[method-assign]
-        done = ServerConnection._on_connect_done
+    # ---- the lines
 
-        def connect_done(connection: ServerConnection) -> None:
-            done(connection)
-            counts["refused_connections"] += connection.closed and not connection.connected
-
-        ServerConnection._on_connect_done = connect_done  # type: ignore[assignment, method-assign]
-
-    def _wrap_discovery(self, source: Discovery) -> None:
-        ask, counts = source._ask, self.counts
-
-        async def asked(path: str, wait: float) -> Listing:
-            counts["asked_changes" if "?" in path else "asked_whole"] += 1
-            listing = await ask(path, wait)
-            counts["list_lines"] += len(listing.entries)
-            return listing
-
-        source._ask = asked  # type: ignore[method-assign]
+    @staticmethod
+    def _write(line: dict[str, Any]) -> None:
+        log.info("%s%s", MARK, json.dumps(line, separators=(",", ":")))
 
-    def _again(self) -> None:
-        now, spent = self.node.clock.now(), time.process_time()
-        self._write(self._line(now, spent - self._processor))
+    def _write_second(self) -> None:
+        """Write what was counted, and start again."""
+        now, cpu_s = self.node.clock.now(), time.process_time()
+        self._write(self._line(now, cpu_s - self._cpu_s))
         self.counts.clear()
         self.ends.clear()
-        self._processor = spent
-        self.node.clock.call_at(now + EVERY, self._again)
+        self._cpu_s = cpu_s
+        self.node.clock.call_at(now + INTERVAL_US, self._write_second)
 
-    def _line(self, now: int, processor: float) -> dict[str, Any]:
+    def _line(self, now: int, cpu_s: float) -> dict[str, Any]:
         node, balancer = self.node, self.node.balancer
         admission = balancer.admission
         return {
-            "node": node.config.name, "tier": node.settings.tier, "at": now,
+            "node": node.config.name,
+            "tier": node.settings.tier,
+            "at": now,
             **{name: count for name, count in self.counts.items() if count},
-            "limit": round(admission.limit, 2), "flow": round(admission.flow, 2), "out": admission.out,
-            "waiting": admission.waiting, "credit": round(admission.credit, 2), "open": len(balancer.calls),
-            "servers": len(balancer.servers), "subset": len(balancer.subset), "version": balancer.version,
+            "limit": round(admission.limit, 2),
+            "flow": round(admission.flow, 2),
+            "out": admission.out,
+            "waiting": admission.waiting,
+            "credit": round(admission.credit, 2),
+            "open": len(balancer.calls),
+            "servers": len(balancer.servers),
+            "subset": len(balancer.subset),
+            "version": balancer.version,
             "ejected": [s.id for s in balancer.servers.values() if s.ejected_until > now],
             "list_age": round((now - self.listed_at) / 1e6, 2),
-            "retries_left": round(balancer.budget.left(now), 2), "slower": round(admission.slower, 2),
-            "rate": round(balancer.health.rate, 3), "processor": round(processor, 4),
-            "known": len(balancer.known), "connections": node.pool.connection_count,
-            "idle": {name: len(t.idle) for name, t in node.pool.servers.items() if t.idle},
-            "outs": {s.id: len(s.out) for s in balancer.known.values() if s.out}, "ends": self.ends,
-        }  # fmt: skip
+            "retries_left": round(balancer.budget.left(now), 2),
+            "slower": round(admission.slower, 2),
+            "rate": round(balancer.health.rate, 3),
+            "processor": round(cpu_s, 4),
+            "known": len(balancer.known),
+            "connections": node.pool.connection_count,
+            "idle": {name: len(s.idle) for name, s in node.pool.servers.items() if s.idle},
+            "outs": {s.id: len(s.out) for s in balancer.known.values() if s.out},
+            "ends": self.ends,
+        }
--- a/tests/formats/test_node_trace.py
+++ b/tests/formats/test_node_trace.py
@@ -10,10 +10,15 @@
 import signal
 import sys
 from collections import Counter
+from dataclasses import fields
 from pathlib import Path
 
 from peers import SETTINGS, Caller, Peer, Registry, endpoint, free_ports, listing, reply, run, soon
 
+from oakbridge.node.settings import read_settings
+from oakbridge.node.trace_format import RESULT_NAMES, encode_settings
+from oakbridge.policy.vocabulary import Result
+
 ROOT = Path(__file__).parents[2]
 FIXTURE = Path(__file__).parent / "fixtures" / "node" / "trace.log"
 MARK = " trace {"
@@ -125,3 +130,14 @@
     assert {name: sums[name] for name in ("nodes", "taken", "served", "ok")} == {
         "nodes": 1, "taken": 4, "served": 2, "ok": 2,
     }  # fmt: skip
+
+
+def test_each_setting_and_each_result_has_a_name():
+    """A setting that is added later has to be given its place in the first line."""
+    settings = read_settings(SETTINGS)
+    encoded = encode_settings(settings)
+    assert len(encoded) == len(fields(settings))
+    assert len(encoded["classes"][0]) == len(fields(settings.classes[0]))
+    assert len(encoded["goal"]) == len(fields(settings.goal))
+    assert len(encoded["prices"]) == len(fields(settings.prices))
+    assert set(RESULT_NAMES) == set(Result)
