--- a/oakbridge/__main__.py
+++ b/oakbridge/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m oakbridge``: the platform's node, told all by its environment; with arguments, the command line."""
+"""``python -m oakbridge``: a node that is configured by its environment; with arguments, the command line."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 import signal
 import sys
 
-from oakbridge.node.config import called, load
+from oakbridge.node.config import has_control_address, load_config
 from oakbridge.node.listing import ConfigError
 from oakbridge.node.node import Node
 from oakbridge.node.run import serve
 
 
 def reload(node: Node) -> None:
-    """Read the configuration anew; one that can't be used raises, and the old one stays."""
-    node.reload(load(os.environ, node.config))
+    """Read the configuration anew; raise ConfigError if it can't be used, and leave the old one."""
+    node.reload(load_config(os.environ, node.config))
 
 
 async def build(loop: asyncio.AbstractEventLoop) -> Node:
-    """The node that the environment tells of."""
-    return traced(Node(load(os.environ), loop))
+    """Build the node that the environment configures."""
+    return with_trace(Node(load_config(os.environ), loop))
 
 
-def traced(node: Node) -> Node:
-    """The node, with its counts where they are asked for."""
+def with_trace(node: Node) -> Node:
+    """Return the node, with a trace as its observer where OAKBRIDGE_TRACE is set."""
     if os.environ.get("OAKBRIDGE_TRACE"):
         from oakbridge.node.trace import Trace
 
@@ -34,26 +34,27 @@
 
 
 async def run() -> None:
-    """Serve until told to end, with operators' calls where there is an address for them; else none is imported."""
-    if not called(os.environ):
-        return await serve(build, reload)
+    """Serve until told to end; operators' commands are imported only where there is an address for them."""
+    if not has_control_address(os.environ):
+        await serve(build, reload)
+        return
     from oakbridge.operators.service import Service
 
     service = Service(os.environ)
 
-    async def built(loop: asyncio.AbstractEventLoop) -> Node:
-        return traced(await service.build(loop))
+    async def build_with_service(loop: asyncio.AbstractEventLoop) -> Node:
+        return with_trace(await service.build(loop))
 
-    await serve(built, reload, service.beside)
+    await serve(build_with_service, reload, service.beside)
 
 
 def start_log(level: int = logging.INFO) -> None:
-    """The log, on standard error."""
+    """Log to standard error."""
     logging.basicConfig(level=level, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s")
 
 
 def main() -> int:
-    """Run a node; returns the exit code."""
+    """Run a node; return the exit code."""
     if not os.environ.get("NODE_CONFIG"):
         print("oakbridge: NODE_CONFIG: missing, expected the path of the configuration"
               " (without the platform: `oakbridge --help`, `oakbridge demo`)", file=sys.stderr)  # fmt: skip
--- a/oakbridge/node/config.py
+++ b/oakbridge/node/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: the environment and one JSON file, checked before anything listens."""
+"""Reads a node's configuration at its start: the environment and one JSON file, checked before anything listens."""
 
 from __future__ import annotations
 
@@ -14,11 +14,13 @@
 from oakbridge.policy import vocabulary as api
 
 DEFAULT_SOCKETS = 1024
+MIN_SOCKETS = 128
+MAX_MEMORY_MB = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a node is told."""
+    """A node's configuration."""
 
     name: str
     listen: Address
@@ -28,18 +30,58 @@
     known: Raw | None  # the list of servers as this node last had it, in discovery's form
     settings: api.Settings
     also_listen: tuple[Address, ...] = ()  # where the deployment allows it
-    control: Address | None = None  # where operators call; none: they can't
+    control: Address | None = None  # where operators' commands come in; None: nowhere
     memory_mb: int = 0  # what the node may use; 0: not told
     raw: Raw = field(default_factory=dict, compare=False)  # the file as it was read, but for the list
 
 
-def _object(value: Any, what: str) -> Raw:
-    if not isinstance(value, dict):
-        raise ConfigError(f"{what}: expected an object, got {value!r:.80}")
-    return value
+def load_config(environment: Mapping[str, str], before: Config | None = None) -> Config:
+    """Read the node's configuration; variables go before the file's own values.  Raise ConfigError.
 
+    Read again, the file is newer than the variables, which a running process can't be told anew: then the address of
+    discovery in it goes first.  A file that lacks a key which the one ``before`` had was cut or is half edited, and is
+    not used: a setting that is missing would silently become its default.
+    """
+    path = environment.get("NODE_CONFIG")
+    if not path:
+        raise ConfigError("NODE_CONFIG: missing, expected the path of the configuration")
+    raw = _read_file(path)
+    if before is not None and (lost := missing_key(before.raw, raw)):
+        raise ConfigError(f"NODE_CONFIG: {path}: {lost}: missing, expected it as in the file before")
+    return parse_config(environment, raw, reloading=before is not None)
 
-def _read(path: str) -> Raw:
+
+def parse_config(environment: Mapping[str, str], raw: Raw, *, reloading: bool = False) -> Config:
+    """Check a file's object; ``reloading``: it was read while the process runs.  Raise ConfigError."""
+    try:
+        settings = read_settings(raw.get("settings"))
+    except api.SettingsError as e:
+        raise ConfigError(str(e)) from None
+    known = raw.get("known")
+    file_goes_first = reloading and raw.get("discovery")
+    return Config(
+        name=str(environment.get("NODE_NAME") or raw.get("name") or "node"),
+        listen=_address(environment, raw, "listen"),
+        discovery=_address({} if file_goes_first else environment, raw, "discovery"),
+        seed=_seed(raw.get("seed", "0")),
+        sockets=_max_sockets(raw),
+        known=None if known is None else _object(known, "known"),
+        settings=settings,
+        control=_address(environment, raw, "control") if _has_control(environment, raw) else None,
+        memory_mb=_memory_mb(raw),
+        raw={name: value for name, value in raw.items() if name != "known"},
+    )
+
+
+def has_control_address(environment: Mapping[str, str]) -> bool:
+    """Return whether operators have an address; also where the file can't be read, if the variable says so."""
+    try:
+        return _has_control(environment, _read_file(environment.get("NODE_CONFIG", "")))
+    except ConfigError:
+        return bool(environment.get("NODE_CONTROL"))
+
+
+def _read_file(path: str) -> Raw:
     try:
         return _object(json.loads(Path(path).read_text("utf-8")), path)
     except OSError as e:
@@ -48,6 +90,12 @@
         raise ConfigError(f"NODE_CONFIG: {path}: {str(e) or 'not JSON'}") from None
 
 
+def _object(value: Any, what: str) -> Raw:
+    if not isinstance(value, dict):
+        raise ConfigError(f"{what}: expected an object, got {value!r:.80}")
+    return value
+
+
 def _seed(value: object) -> int:
     try:
         return int(str(value), 16)
@@ -66,65 +114,27 @@
         raise ConfigError(f"{variable}: {e}") from None
 
 
-def _control(environment: Mapping[str, str], raw: Raw) -> bool:
+def _has_control(environment: Mapping[str, str], raw: Raw) -> bool:
     return bool(environment.get("NODE_CONTROL") or raw.get("control"))
 
 
-def _sockets(raw: Raw) -> int:
-    limit = _object(raw.get("limits") or {}, "limits").get("sockets", DEFAULT_SOCKETS)
-    if isinstance(limit, bool) or not isinstance(limit, int) or limit < 128:
-        raise ConfigError(f"limits.sockets: expected a whole number of 128 or more, got {limit!r:.80}")
+def _limit(raw: Raw, name: str, default: int) -> Any:
+    return _object(raw.get("limits") or {}, "limits").get(name, default)
+
+
+def _max_sockets(raw: Raw) -> int:
+    """Return how many descriptors the node may hold: what it was given, and what the system allows."""
+    limit = _limit(raw, "sockets", DEFAULT_SOCKETS)
+    if isinstance(limit, bool) or not isinstance(limit, int) or limit < MIN_SOCKETS:
+        raise ConfigError(
+            f"limits.sockets: expected a whole number of {MIN_SOCKETS} or more, got {limit!r:.80}"
+        )
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return limit if soft == resource.RLIM_INFINITY else min(limit, soft)
 
 
-def _memory(raw: Raw) -> int:
-    limit = _object(raw.get("limits") or {}, "limits").get("memory_mb", 0)
-    if isinstance(limit, bool) or not isinstance(limit, int | float) or not 0 <= limit < 1e9:
+def _memory_mb(raw: Raw) -> int:
+    limit = _limit(raw, "memory_mb", 0)
+    if isinstance(limit, bool) or not isinstance(limit, int | float) or not 0 <= limit < MAX_MEMORY_MB:
         raise ConfigError(f"limits.memory_mb: expected a number of megabytes, got {limit!r:.80}")
     return int(limit)
-
-
-def load(environment: Mapping[str, str], before: Config | None = None) -> Config:
-    """The node's configuration; variables go before the file's own values.
-
-    Read again, the file is newer than the variables, which a running process can't be told anew: then the address of
-    discovery in it goes first.  A file that lacks a key which the one ``before`` had was cut or is half edited, and is
-    not used: a setting that is missing would silently become its default.
-    """
-    path = environment.get("NODE_CONFIG")
-    if not path:
-        raise ConfigError("NODE_CONFIG: missing, expected the path of the configuration")
-    raw = _read(path)
-    if before is not None and (lost := missing_key(before.raw, raw)):
-        raise ConfigError(f"NODE_CONFIG: {path}: {lost}: missing, expected it as in the file before")
-    return made(environment, raw, before is not None)
-
-
-def called(environment: Mapping[str, str]) -> bool:
-    """Whether operators have an address to call; also where the file can't be read, if the variable says so."""
-    try:
-        return _control(environment, _read(environment.get("NODE_CONFIG", "")))
-    except ConfigError:
-        return bool(environment.get("NODE_CONTROL"))
-
-
-def made(environment: Mapping[str, str], raw: Raw, again: bool = False) -> Config:
-    """The configuration that a file's object makes; ``again``: read while the process runs."""
-    try:
-        settings = read_settings(raw.get("settings"))
-    except api.SettingsError as e:
-        raise ConfigError(str(e)) from None
-    known = raw.get("known")
-    return Config(
-        name=str(environment.get("NODE_NAME") or raw.get("name") or "node"),
-        listen=_address(environment, raw, "listen"),
-        discovery=_address({} if again and raw.get("discovery") else environment, raw, "discovery"),
-        seed=_seed(raw.get("seed", "0")),
-        sockets=_sockets(raw),
-        known=None if known is None else _object(known, "known"),
-        settings=settings,
-        control=_address(environment, raw, "control") if _control(environment, raw) else None,
-        memory_mb=_memory(raw),
-        raw={name: value for name, value in raw.items() if name != "known"},
-    )
--- a/oakbridge/node/run.py
+++ b/oakbridge/node/run.py
@@ -1,4 +1,4 @@
-"""Runs a node until it is told to end: signals, and a reload for all that came meanwhile."""
+"""Runs a node until it is told to end: signals, and one reload for all that came meanwhile."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 log = logging.getLogger(__name__)
 
-Build = Callable[[asyncio.AbstractEventLoop], Awaitable[Node]]
+BuildNode = Callable[[asyncio.AbstractEventLoop], Awaitable[Node]]
 Reload = Callable[[Node], None]
-Beside = Callable[[Node], AbstractAsyncContextManager[Any]]
+Lifespan = Callable[[Node], AbstractAsyncContextManager[Any]]
 
 
-async def serve(build: Build, reload: Reload, beside: Beside = lambda _: nullcontext()) -> None:
-    """Serve until SIGTERM or SIGINT, then end in order; SIGHUP reloads.
+async def serve(build: BuildNode, reload: Reload, lifespan: Lifespan = lambda _: nullcontext()) -> None:
+    """Serve until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads.
 
-    ``beside`` is what lives as long as the node does, such as its control socket.
+    ``lifespan`` is entered before the node listens and left after it has ended: its control socket, for example.
     """
     loop = asyncio.get_running_loop()
     stop, hangup = asyncio.Event(), asyncio.Event()
@@ -31,12 +31,12 @@
         loop.add_signal_handler(number, stop.set)
     node = await build(loop)
     try:
-        async with beside(node):
+        async with lifespan(node):
             node.start()
-            name = node.config.name
-            where = ", ".join(f"{h}:{p}" for h, p in node.server.addresses)
-            log.info("%s listens on %s", name, where or "what its supervisor hands it")
-            reloading = loop.create_task(_reloading(node, hangup, reload))
+            name = node.config.name  # a reload may bring another, which counts from the next start
+            addresses = ", ".join(f"{host}:{port}" for host, port in node.server.addresses)
+            log.info("%s listens on %s", name, addresses or "what its supervisor hands it")
+            reloading = loop.create_task(_reload_on_hangup(node, hangup, reload))
             await stop.wait()
             log.info("%s ends", name)
             await node.leave()
@@ -46,7 +46,7 @@
         raise
 
 
-async def _reloading(node: Node, hangup: asyncio.Event, reload: Reload) -> None:
+async def _reload_on_hangup(node: Node, hangup: asyncio.Event, reload: Reload) -> None:
     """Reload once for all signals that came meanwhile: the file as it is now is all that counts."""
     while await hangup.wait():
         hangup.clear()
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -12,7 +12,7 @@
 from oakbridge.handover.predecessor import Predecessor
 from oakbridge.handover.successor import Successor
 from oakbridge.handover.unix_socket import socket_path
-from oakbridge.node.config import Config, load, made
+from oakbridge.node.config import Config, load_config, parse_config
 from oakbridge.node.listing import ConfigError
 from oakbridge.node.node import Node
 from oakbridge.node.outages import Outages
@@ -35,7 +35,7 @@
         """The node, as it was in the process that runs, if there is one.  Raises ConfigError, OSError."""
         config, fault = None, None
         try:
-            config = load(self.environment)
+            config = load_config(self.environment)
         except ConfigError as e:
             fault = e
         name = config.name if config is not None else self.environment.get("NODE_NAME")
@@ -61,7 +61,7 @@
             log.error(
                 "the configuration can't be used, the running process's is: %s", fault or "it lacks a key"
             )
-            config = made(self.environment, welcome["file"])
+            config = parse_config(self.environment, welcome["file"])
         return replace(config, known=welcome["known"])
 
     def _doors(self, config: Config) -> list[socket.socket]:
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -12,7 +12,7 @@
 from peers import LIMIT, SETTINGS, Caller, Peer, Registry, endpoint, free_ports, listing, reply, run, soon
 
 from oakbridge.node.clock import Clock
-from oakbridge.node.config import load
+from oakbridge.node.config import load_config
 from oakbridge.node.listing import ConfigError
 
 ROOT = Path(__file__).parents[2]
@@ -38,7 +38,7 @@
 
 def test_configuration_is_read_and_variables_go_first(tmp_path):
     given = written(tmp_path / "c.json", raw_config()) | {"NODE_LISTEN": "127.0.0.2:80", "NODE_NAME": "n9"}
-    got = load(given)
+    got = load_config(given)
     assert (got.name, got.listen, got.discovery) == ("n9", ("127.0.0.2", 80), ("127.0.0.1", 9))
     assert (got.seed, got.settings.max_attempts) == (0x8C1F30D27A5BE964, 4)
     assert got.sockets <= 1024
@@ -60,7 +60,7 @@
 )
 def test_bad_configuration_is_named(tmp_path, raw, word):
     with pytest.raises(ConfigError, match=word):
-        load(written(tmp_path / "c.json", raw))
+        load_config(written(tmp_path / "c.json", raw))
 
 
 @pytest.mark.parametrize(
--- a/tests/operators/test_site.py
+++ b/tests/operators/test_site.py
@@ -8,7 +8,7 @@
 from peers import SETTINGS, Peer, Running, endpoint, listing, reply, run, soon
 
 from oakbridge.node import lifecycle
-from oakbridge.node.config import load
+from oakbridge.node.config import load_config
 from oakbridge.node.listing import ConfigError, parse
 from oakbridge.operators import listener as listening
 from oakbridge.operators.calls import answer
@@ -166,17 +166,17 @@
 
     async def scenario():
         async with Peer(lambda _: reply(200)) as a, Running(a) as node:
-            node.node.config = load(given)
+            node.node.config = load_config(given)
             caller = await node.caller()
             assert await asked(caller, klass="look") == 200
             path.write_text(broken)
             with pytest.raises(ConfigError) as e:
-                node.node.reload(load(given, node.node.config))
+                node.node.reload(load_config(given, node.node.config))
             assert "\n" not in str(e.value)
             assert await asked(caller, klass="look") == 200
             changed = SETTINGS | {"classes": [new_class]}
             path.write_text(json.dumps(base | {"settings": changed}))
-            node.node.reload(load(given, node.node.config))
+            node.node.reload(load_config(given, node.node.config))
             assert await asked(caller, klass="fresh") == 200
             assert await asked(caller, klass="look") == 400
 
