--- a/oakbridge/handover/keeper.py
+++ b/oakbridge/handover/keeper.py
@@ -76,7 +76,7 @@
 
     def _look(self) -> None:
         """Whether this process was told to end meanwhile."""
-        if self.node.server.leaving:
+        if self.node.server.shutting_down:
             self.machine.told_to_end()
 
     def _decline(self, channel: Channel) -> None:
@@ -119,9 +119,9 @@
             "file": node.config.raw,
             "known": as_raw(index or 0, node.listed_now()),
             "outages": node.outages.saved(),
-            "draining": node.server.life.draining,
+            "draining": node.server.lifecycle.draining,
         }
-        self._say(Message(WELCOME, says), tuple(node.server.doors()))
+        self._say(Message(WELCOME, says), tuple(node.server.listener.duplicate_descriptors()))
         log.info("a process that takes over was told all")
 
     def _hand_over(self) -> None:
@@ -130,15 +130,15 @@
         node.pool.close_idle()
         learned = state.save(node.balancer, node.clock.now())
         self._say(Message(OVER, {"learned": learned}))
-        log.info("handed over; %d callers move on as they rest", node.server.callers())
+        log.info("handed over; %d callers move on as they rest", node.server.connection_count())
         self._report(())
-        node.server.move_all()
+        node.server.hand_over_idle_connections()
 
     def _report(self, before: tuple[int, ...]) -> None:
         """Now and then say what this process still has: until it ends, the limits are for both together."""
         if self.channel is None or self.machine.state != machine.Old.OVER:
             return
-        still = self.node.balancer.admission.out, self.node.server.callers() + self.node.pool.count
+        still = self.node.balancer.admission.out, self.node.server.connection_count() + self.node.pool.count
         if still != before:
             self._say(Message(STILL, {"out": still[0], "held": still[1]}))
         self.loop.call_later(REPORT_S, self._report, still)
--- a/oakbridge/node/client_connection.py
+++ b/oakbridge/node/client_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection."""
+"""A client's connection: requests are dispatched one at a time, and each gets exactly one response."""
 
 from __future__ import annotations
 
@@ -6,482 +6,440 @@
 import os
 import socket
 from collections import deque
-from typing import TYPE_CHECKING, Any, cast
+from typing import TYPE_CHECKING, Protocol, cast
+
+from oakbridge.node.chunked_encoding import LAST_CHUNK, encode_chunk
+from oakbridge.node.client_request import ClientRequest
+from oakbridge.node.read_deadlines import MIN_BODY_BYTES_PER_CHECK, ClientProgress
+from oakbridge.node.request_parser import RequestParser, RequestPhase
+from oakbridge.node.response_writer import (
+    CHUNKED_HEADER,
+    CONTINUE,
+    content_length_header,
+    encode_response,
+    encode_response_head,
+)
+from oakbridge.node.socket_state import has_unread_bytes, peer_has_closed
+from oakbridge.node.upstream import Headers
 
-import httptools
+if TYPE_CHECKING:
+    from oakbridge.node.http_server import HttpServer
 
-from oakbridge.node.chunks import chunk
-from oakbridge.node.client_request import ONCE, Request, Source, absolute
-from oakbridge.node.request_body import Upload
-from oakbridge.node.response_writer import render, render_head
-from oakbridge.node.socket_state import outgoing, progressed
-from oakbridge.node.upstream import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
+PAUSE_READING_AT = 16  # requests that wait on one connection
+MAX_PIPELINED = 64  # and those that are taken of what one read has brought
+HAND_OVER_RETRY_S = (
+    0.01  # a connection that is still being written to is looked at again before it is handed over
+)
+TOO_MANY_REQUESTS = 429
 
-if TYPE_CHECKING:
-    from oakbridge.node.http_server import Server
 
-PIPELINED = 16  # requests that may wait on one connection before reading stops
-PIPELINED_MOST = 64  # and those that are taken of what one read has brought
-BODY_LEAST = 64 * 1024  # bytes of a body that have to come in that time: a slow caller writes 64 kB a second
-LINGER = 2  # such times in which a caller that was told to go may still write
-# A body up to this size is taken whole first: it can be tried again, and holds no server up meanwhile.
-HOLD = 512 * 1024
-HOLD_LEAST = 64 * 1024  # and up to this where many bodies are held
-MOVE_AGAIN_S = 0.01  # a caller that is still being written to is looked at again before it moves on
-ESTABLISHED = b"\x01"  # a connection's state in the kernel's TCP_INFO while neither side has ended
+class ResponseSource(Protocol):
+    """What a response is forwarded from while it is received: a server's connection."""
+
+    def pause(self) -> None:
+        """Send nothing more for now."""
 
+    def resume(self) -> None:
+        """Go on."""
 
-class Caller(asyncio.BufferedProtocol):
-    """One caller's connection: one request at a time, further ones wait their turn.
+    def cancel(self) -> None:
+        """Give the rest up: the client is gone."""
 
-    It is always in one of four states: awaited (with a first byte, the rest of a request, or the reading of
-    answers), busy with a request, idle, or ending, when nothing more is said; all but the second have limits.
-    """
 
-    __slots__ = ("server", "sock", "excess", "transport", "current", "pending", "fed", "begun", "in_head", "broken",
-                 "ending", "blocked", "paused", "parser", "url", "headers", "body", "size",
-                 "head_size", "once", "twice", "whole", "came", "seen", "unread", "looks", "upload", "source",
-                 "length", "chunked", "last", "expects")  # fmt: skip
+class ClientConnection(asyncio.BufferedProtocol):
+    """One client's connection.
 
-    def __init__(self, server: Server, sock: socket.socket, excess: bool) -> None:
-        self.server, self.sock, self.excess = server, sock, excess
+    The parser's phase says what is being received.  Beside it, reading
+    or writing may be paused for back-pressure.  Wherever the client has to act next, a deadline runs
+    (``limits.awaiting_client``), and so it does while the connection is idle (``limits.idle``).
+    """
+
+    __slots__ = (
+        "_has_ended",
+        "_server",
+        "_sock",
+        "in_flight",
+        "over_limit",
+        "parser",
+        "pending",
+        "progress",
+        "reading_paused",
+        "response_chunked",
+        "response_closes",
+        "response_source",
+        "transport",
+        "write_blocked",
+    )
+
+    def __init__(self, server: HttpServer, sock: socket.socket, *, over_limit: bool) -> None:
+        """``over_limit``: beyond the limit of connections, so that its requests are rejected."""
+        self._server = server
+        self._sock = sock
+        self.over_limit = over_limit
         self.transport: asyncio.Transport | None = None
-        self.current: Request | None = None
-        self.pending: deque[Request] = deque()
-        self.fed = 0  # bytes of a request that is not whole yet
-        self.begun = False
-        self.in_head = True
-        self.broken = 0  # the status that ends this connection once all that was taken is answered
-        self.ending = self.blocked = self.paused = False
-        self.whole = self.came = 0  # requests that came whole, and bytes
-        self.seen, self.unread, self.looks = 0, -1, 0  # see _goes_on
-        self.upload: Request | None = None  # whose body goes on as it comes, while it does
-        self.source: Source | None = None  # what passes an answer on, while one is
-        self.chunked = self.last = False  # how that is framed, and whether it is the last
-        self.expects = False  # the caller waits for a word before it writes the body
-        self.parser: Any = httptools.HttpRequestParser(self)
-        self._begin()
-
-    def _begin(self) -> None:
-        self.url = b""
-        self.headers: Headers = []
-        self.body: list[bytes] = []
-        self.length: int | None = None
-        self.size = self.head_size = 0  # bytes of the body, and of the headers' names and values
-        self.once: list[bytes] = []  # what may be said once only, and was
-        self.twice = False
-
-    # ---- asyncio's calls
+        self._has_ended = False
+        self.parser = RequestParser(self, server.body_buffers)
+        self.progress = ClientProgress()
+        self.in_flight: ClientRequest | None = None
+        self.pending: deque[ClientRequest] = deque()  # received, and not dispatched yet
+        self.reading_paused = False  # because enough requests are pending
+        self.write_blocked = False  # the client does not read what was written
+        self.response_source: ResponseSource | None = None  # of the response that is streamed
+        self.response_chunked = False  # how that is framed
+        self.response_closes = False  # whether it is the last
+
+    # ---- asyncio's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, unless it has had to make room already."""
+        """Take the connection, unless it has been evicted already."""
         self.transport = cast(asyncio.Transport, transport)  # other loops have classes of their own
-        if self.ending:
+        if self.has_ended():
             self.transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        """Tell that the caller is gone, if it was still owed an answer."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
+        """Cancel what was in flight, and notify the handler if a response was owed."""
         self.transport = None
-        self.ending = True
+        self._has_ended = True
         self.pending.clear()
-        request, self.current = self.current, None
-        self._let_go()
-        source, self.source = self.source, None
-        self.server.lost(self)
+        request, self.in_flight = self.in_flight, None
+        self.parser.release_body()
+        self._cancel_streamed_request()
+        source, self.response_source = self.response_source, None
+        self._server.on_connection_lost(self)
         if source is not None:
-            source.stop()
-        if request is not None and not request.answered:
-            request.answered = True
-            self.server.taker.left(request)
+            source.cancel()
+        self._abandon(request)
 
-    def get_buffer(self, sizehint: int) -> memoryview:
-        """One buffer for all: what was read is looked at before anything else is, and megabytes cost none."""
-        return self.server.buffer
+    def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002 - asyncio's signature
+        """Return the one buffer of all connections: what was read is parsed before anything else is read."""
+        return self._server.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Read requests; what can't be read ends the connection once earlier ones are answered."""
-        self.came += nbytes
-        if self.broken or self.ending:
-            return  # read and dropped: see _write
-        if not self.fed and not self.blocked:
-            # A request begins: it has its own time, whenever the caller came.
-            self.server.awaited.remove(self)
-        whole, self.fed = self.whole, self.fed + nbytes
-        try:
-            self.parser.feed_data(self.server.buffer[:nbytes])
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade):  # upgrades are not served
-            self._break(400)
-        if self.whole > whole:
-            self.fed = 0
-            if not self.blocked:
-                self.server.awaited.remove(self)
-        elif self.fed > MAX_HEAD and (
-            self.in_head or self.fed - self.size > 2 * MAX_HEAD + FRAMING * self.size
-        ):
-            self._break(431)
-        if self.broken and self.upload is not None:
-            self._call_off()
-        if self.unfinished() and not self.broken:
-            self.server.idle.remove(self)
-            self.server.awaited.add(self)
-        self._proceed()
-        if len(self.pending) >= PIPELINED and not self.paused:
-            self.paused = True
-            self.read_on()
-
-    def read_on(self) -> None:
-        """Read, unless enough waits here already."""
-        if self.transport is not None and not self.ending:
-            held = self.upload is not None and self.upload.upload is not None and self.upload.upload.full
-            (self.transport.pause_reading if self.paused or held else self.transport.resume_reading)()
+        """Parse requests; what is malformed ends the connection once earlier requests are answered."""
+        self.progress.bytes_received += nbytes
+        if self.parser.error_status or self.has_ended():
+            return  # discarded: see _end_sending
+        limits = self._server.limits
+        if not self.parser.request_bytes and not self.write_blocked:
+            # A request begins: it has its own time, whenever the client connected.
+            limits.awaiting_client.remove(self)
+        if self.parser.feed(self._server.read_buffer[:nbytes]) and not self.write_blocked:
+            limits.awaiting_client.remove(self)
+        if self.parser.error_status:
+            self._cancel_streamed_request()
+        elif self.parser.in_progress():
+            limits.idle.remove(self)
+            limits.awaiting_client.add(self)
+        self._dispatch_pending()
+        if len(self.pending) >= PAUSE_READING_AT and not self.reading_paused:
+            self.reading_paused = True
+            self.update_reading()
 
     def pause_writing(self) -> None:
-        """Start nothing more for a caller that does not read its answers; it is awaited."""
-        self.blocked = True
-        self.server.awaited.add(self)
-        if self.source is not None:
-            self.source.pause()
+        """Dispatch nothing more for a client that does not read its responses; it has a deadline to do so."""
+        self.write_blocked = True
+        self._server.limits.awaiting_client.add(self)
+        if self.response_source is not None:
+            self.response_source.pause()
 
     def resume_writing(self) -> None:
-        """Go on."""
-        self.blocked, self.unread = False, -1
-        if not self.ending:
-            if not self.unfinished():
-                self.server.awaited.remove(self)
-            if self.source is not None:
-                self.source.resume()
-            self._proceed()
-
-    # ---- the parser's calls
-
-    def on_message_begin(self) -> None:
-        """See that a request has begun."""
-        self.begun = True
-
-    def on_url(self, url: bytes) -> None:
-        """Take a part of the request's target."""
-        self.url += url
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header; a trailer behind the body is none, or it could change what has been looked at."""
-        if self.in_head:
-            name = name.lower()
-            if name in ONCE:
-                self.twice = self.twice or name in self.once
-                self.once.append(name)
-            self.head_size += len(name) + len(value)
-            self.headers.append((name, value.strip(b" \t")))  # the space is none of it (RFC 9112, 5.1)
-
-    def on_headers_complete(self) -> None:
-        """Refuse at the head what is too much or can be understood in two ways."""
-        self.in_head = False
-        if len(self.url) + self.head_size > MAX_HEAD:
-            return self._break(431)
-        fault, self.length, _ = framing(self.headers)
-        if self.twice or fault:
-            return self._break(400 if self.twice else fault)
-        if b"expect" in self.once:
-            new = self.parser.get_http_version() != "1.0"
-            self.expects = new and dict(self.headers)[b"expect"].lower() == b"100-continue"
-            if not self.expects:
-                return self._break(417)  # RFC 9110, 10.1.1
-        if not self.blocked:  # the body has a time of its own; one that reads nothing is awaited all the same
-            self.server.awaited.remove(self)
-        self.seen = self.came
-        if self.expects and self.current is None and not self.pending:
-            self._go_ahead()
-
-    def _go_ahead(self) -> None:
-        """Say that the body may come (RFC 9110, 10.1.1)."""
-        self.expects = False
-        if self.transport is not None and not self.ending:
-            self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-
-    def on_body(self, data: bytes) -> None:
-        """Take a part of the body: keep it, or have it go on if there is too much of it to be kept."""
-        if self.broken:
-            return
-        self.size += len(data)
-        if self.size > MOST_BODY:
-            return self._break(413)
-        if self.upload is not None and self.upload.upload is not None:
-            self.upload.upload.feed(data)
+        """Go on: the client has read enough."""
+        self.write_blocked = False
+        self.progress.writing_resumed()
+        if self.has_ended():
             return
-        self.body.append(data)
-        if self.size > HOLD_LEAST:
-            self.server.held += len(data) if self.size - len(data) > HOLD_LEAST else self.size
-            if self.size > HOLD or self.server.held > self.server.held_most:
-                self._stream()
-
-    def _stream(self) -> None:
-        """Take the request before its body is whole: the rest goes on as it comes."""
-        request = self._request(b"")
-        request.upload = Upload(self.length, self.read_on)
-        for part in self.body:
-            request.upload.feed(part)
-        self._unhold()
-        self.body, self.upload = [], request
+        if not self.parser.in_progress():
+            self._server.limits.awaiting_client.remove(self)
+        if self.response_source is not None:
+            self.response_source.resume()
+        self._dispatch_pending()
+
+    # ---- the parser's callbacks
+
+    def now(self) -> int:
+        """Return the time in microseconds."""
+        return self._server.clock.now()
+
+    def on_head(self) -> None:
+        """Give the body a time of its own, and ask for it if the client waits for that."""
+        if not self.write_blocked:  # a client that does not read keeps its deadline all the same
+            self._server.limits.awaiting_client.remove(self)
+        self.progress.body_started()
+        if self.parser.expects_continue and self.in_flight is None and not self.pending:
+            self._send_continue()
+
+    def on_request(self, request: ClientRequest) -> None:
+        """Queue a complete request."""
+        if len(self.pending) >= MAX_PIPELINED:
+            self.parser.fail(503)
+        else:
+            self.pending.append(request)
+
+    def on_streamed_request(self, request: ClientRequest) -> None:
+        """Queue a request whose body is forwarded while it is received."""
         self.pending.append(request)
-        self.read_on()
-
-    def _unhold(self) -> None:
-        """The body that was kept is kept no more, or by the request."""
-        if self.body and self.size > HOLD_LEAST:
-            self.server.held -= self.size
-
-    def _request(self, body: bytes) -> Request:
-        request = Request(self, self.parser.get_method(), absolute(self.url), self.headers, body)
-        request.keep_alive = bool(self.parser.should_keep_alive())
-        request.old = self.parser.get_http_version() == "1.0"
-        request.taken = self.server.clock.now()
-        return request
-
-    def on_message_complete(self) -> None:
-        """Take a whole request; its time counts from here."""
-        self.whole += 1
-        self._unhold()
-        if self.upload is not None and self.upload.upload is not None:
-            request, self.upload = self.upload, None
-            request.taken = self.server.clock.now()
-            assert request.upload is not None
-            request.upload.end()
+        self.update_reading()
+
+    def update_reading(self) -> None:
+        """Read, unless enough requests or enough of a streamed body waits here already."""
+        if self.transport is None or self.has_ended():
+            return
+        if self.reading_paused or self.parser.body_is_held_back():
+            self.transport.pause_reading()
         else:
-            if len(self.pending) >= PIPELINED_MOST:
-                self._break(503)
-            if not self.broken:
-                self.pending.append(self._request(b"".join(self.body)))
-        self._begin()
-        self.begun, self.in_head, self.expects = False, True, False
-
-    def _call_off(self) -> None:
-        """The request whose body was to go on never becomes whole: nothing is owed for it."""
-        request, self.upload = self.upload, None
+            self.transport.resume_reading()
+
+    # ---- dispatch
+
+    def has_ended(self) -> bool:
+        """Return whether nothing more is written on this connection."""
+        return self._has_ended
+
+    def _dispatch_pending(self) -> None:
+        """Dispatch the next request, or end the connection after an error, if no request is in flight."""
+        while self.in_flight is None and not self.has_ended() and not self.write_blocked and self.pending:
+            request = self.in_flight = self.pending.popleft()
+            self._server.limits.idle.remove(self)
+            self._server.dispatch(request)
+        error = self.parser.error_status
+        if self.in_flight is None and not self.has_ended() and not self.pending and error:
+            self._write_response(error, [], b"", close=True)
+        if self.parser.expects_continue and self.in_flight is None and not error:
+            self._send_continue()
+        if self.reading_paused and not self.pending and self.transport is not None:
+            self.reading_paused = False
+            self.update_reading()
+
+    def _send_continue(self) -> None:
+        """Ask for the body (RFC 9110, 10.1.1)."""
+        self.parser.expects_continue = False
+        if self.transport is not None and not self.has_ended():
+            self.transport.write(CONTINUE)
+
+    def _cancel_streamed_request(self) -> None:
+        """Give up the request whose body never becomes complete: no response is owed for it."""
+        request, self.parser.streamed_request = self.parser.streamed_request, None
         if request is None:
             return
-        if request.upload is not None:
-            request.upload.drop()
-        if request is self.current:
-            self.current = None
+        if request.streamed_body is not None:
+            request.streamed_body.discard()
+        if request is self.in_flight:
+            self.in_flight = None
         elif request in self.pending:
             self.pending.remove(request)
-        if not request.answered:
+        self._abandon(request)
+        self.update_reading()
+
+    def _abandon(self, request: ClientRequest | None) -> None:
+        """Notify the handler that nobody waits for the response to a request any more, if one was owed."""
+        if request is not None and not request.answered:
             request.answered = True
-            self.server.taker.left(request)
-        self.read_on()
-
-    def _let_go(self) -> None:
-        """The connection is over: what was kept of a body is kept no more."""
-        self._unhold()
-        self.body = []
-        self._call_off()
-
-    # ---- answers
-
-    def _break(self, status: int) -> None:
-        """Read nothing more; the first reason is the one that is told."""
-        self.broken = self.broken or status
-
-    def _proceed(self) -> None:
-        """Start the next request, or end the connection, if nothing is out."""
-        while self.current is None and not self.blocked and self.pending and not self.ending:
-            self.current = self.pending.popleft()
-            self.server.idle.remove(self)
-            self.server.handle(self.current)
-        if self.current is None and not self.pending and not self.ending and self.broken:
-            self._write(self.broken, [], b"", close=True)
-        if self.expects and self.current is None and not self.broken:
-            self._go_ahead()
-        if self.paused and not self.pending and self.transport is not None:
-            self.paused = False
-            self.read_on()
-
-    def answer(self, request: Request, status: int, headers: Headers, body: bytes) -> None:
-        """Give a request its one answer."""
-        if request.answered or request is not self.current:
-            return
-        request.answered = True
-        self.current = None
-        early = request is self.upload  # the body is still coming: it is read and dropped
-        if early and request.upload is not None:
-            request.upload.drop()
-        close = early or self._is_last(request, 400 <= status < 500 and status != 429)
-        self._write(status, headers, body, close, request.old)
-        if early:
-            self.upload = None
-            self.read_on()
-        self._next()
-
-    def _is_last(self, request: Request, refused: bool = False) -> bool:
-        """Whether the connection ends with the answer to this request."""
-        last = (
-            refused
-            or self.excess
-            or not request.keep_alive
-            or self.server.clearing()
-            or self.server.crowded()
-        )
-        return last and not (self.pending and request.keep_alive)
+            self._server.handler.on_client_gone(request)
+
+    # ---- responses
 
-    def _next(self) -> None:
-        """Go on behind an answer."""
-        if self.ending:
+    def respond(self, request: ClientRequest, status: int, headers: Headers, body: bytes) -> None:
+        """Write a request's one response, unless none is owed any more."""
+        if request.answered or request is not self.in_flight:
             return
-        if self.pending or self.expects:
-            self.server.soon(self._proceed)  # not from in here: a long pipeline would nest as deep
-        elif self.broken:
-            self._proceed()
-        elif not self.unfinished():
-            self.server.idle.add(self)
-            if self.server.send_on is not None:
-                self.server.soon(self.move)
-
-    # ---- answers that are passed on as they come
-
-    def begin(
-        self, request: Request, status: int, headers: Headers, length: int | None, source: Source
+        request.answered = True
+        self.in_flight = None
+        is_early = request is self.parser.streamed_request  # the rest of the body is read and discarded
+        if is_early and request.streamed_body is not None:
+            request.streamed_body.discard()
+        rejected = 400 <= status < 500 and status != TOO_MANY_REQUESTS
+        close = is_early or self._closes_after(request, rejected=rejected)
+        self._write_response(status, headers, body, close=close, http10=request.http10)
+        if is_early:
+            self.parser.streamed_request = None
+            self.update_reading()
+        self._after_response()
+
+    def start_response(
+        self,
+        request: ClientRequest,
+        status: int,
+        headers: Headers,
+        length: int | None,
+        source: ResponseSource,
     ) -> bool:
-        """Begin a request's one answer; what follows comes by :meth:`pass_on`.  False if it is owed none any more."""
-        if request.answered or request is not self.current or self.transport is None or self.ending:
+        """Write the head of a request's one response, whose body comes by :meth:`write_body`.
+
+        ``length``: of the body, if it is known.  Returns False if no response is owed any more.
+        """
+        if request.answered or request is not self.in_flight or self.transport is None or self.has_ended():
             return False
-        request.answered = request.streams = True
-        self.source, self.chunked = source, length is None and not request.old
-        self.last = self._is_last(request) or (length is None and request.old)
-        framing = b"transfer-encoding: chunked" if self.chunked else b""
+        request.answered = True
+        request.response_streamed = True
+        self.response_source = source
+        self.response_chunked = length is None and not request.http10
+        ends_with_connection = length is None and request.http10
+        self.response_closes = self._closes_after(request) or ends_with_connection
+        framing = CHUNKED_HEADER if self.response_chunked else b""
         if length is not None:
-            framing = b"content-length: %d" % length
-        self.transport.write(render_head(status, headers, framing, self.last, request.old))
+            framing = content_length_header(length)
+        head = encode_response_head(
+            status, headers, framing, close=self.response_closes, http10=request.http10
+        )
+        self.transport.write(head)
         return True
 
-    def pass_on(self, data: bytes) -> None:
-        """Pass a part on."""
+    def write_body(self, data: bytes) -> None:
+        """Write a part of a streamed response."""
         if self.transport is not None and data:
-            self.transport.write(chunk(data) if self.chunked else data)
+            self.transport.write(encode_chunk(data) if self.response_chunked else data)
 
-    def finish(self) -> None:
-        """The answer that was passed on is whole."""
-        self.source = self.current = None
-        if self.transport is None or self.ending:
+    def end_response(self) -> None:
+        """End a streamed response that is complete."""
+        self._forget_streamed_response()
+        if self.transport is None or self.has_ended():
             return
-        if self.chunked:
-            self.transport.write(chunk(b""))
-        if self.last and not self.pending:
-            self._end()
-        self._next()
-
-    def cut(self) -> None:
-        """The answer that was passed on ends short: the caller sees a connection that breaks."""
-        self.source = self.current = None
+        if self.response_chunked:
+            self.transport.write(LAST_CHUNK)
+        if self.response_closes and not self.pending:
+            self._end_sending()
+        self._after_response()
+
+    def abort_response(self) -> None:
+        """Break a streamed response off: the client sees that it is incomplete as the connection breaks."""
+        self._forget_streamed_response()
         self.abort()
 
-    def _write(self, status: int, headers: Headers, body: bytes, close: bool, old: bool = False) -> None:
-        if self.transport is None or self.ending:
+    def _forget_streamed_response(self) -> None:
+        self.response_source = None
+        self.in_flight = None
+
+    def _closes_after(self, request: ClientRequest, *, rejected: bool = False) -> bool:
+        """Return whether the connection ends with the response to this request."""
+        if self.pending and request.keep_alive:
+            return False
+        return (
+            rejected
+            or self.over_limit
+            or not request.keep_alive
+            or self._server.closes_connections()
+            or self._server.limits.is_nearly_full()
+        )
+
+    def _write_response(
+        self, status: int, headers: Headers, body: bytes, *, close: bool, http10: bool = False
+    ) -> None:
+        if self.transport is None or self.has_ended():
             return
-        self.transport.write(render(status, headers, body, close, old))
+        self.transport.write(encode_response(status, headers, body, close=close, http10=http10))
         if close:
-            self._end()
+            self._end_sending()
 
-    def _end(self) -> None:
-        """Say nothing more; what the caller still writes is read and dropped for a while.
-
-        Guards the last answer: to close on bytes that were not read resets the connection, and takes along what the
-        caller has not got yet.  One that neither reads nor ends is awaited, and then closed all the same.
+    def _after_response(self) -> None:
+        """Go on with the next request, or become idle."""
+        if self.has_ended():
+            return
+        if self.pending or self.parser.expects_continue:
+            # Not from in here: a long pipeline would nest as deep.
+            self._server.loop.call_soon(self._dispatch_pending)
+        elif self.parser.error_status:
+            self._dispatch_pending()
+        elif not self.parser.in_progress():
+            self._server.limits.idle.add(self)
+            if self._server.is_handing_over():
+                self._server.loop.call_soon(self.hand_over)
+
+    def _end_sending(self) -> None:
+        """Write nothing more; what the client still sends is read and discarded for a while.
+
+        Guards the last response: to close on bytes that were not read resets the connection, and the client loses what
+        it has not read yet.  One that neither reads nor ends has a deadline, and is then cut off all the same.
         """
-        self.ending = True
+        self._has_ended = True
         self.pending.clear()
-        self.server.idle.remove(self)
-        self.server.awaited.remove(self)
-        self.server.awaited.add(self)
+        limits = self._server.limits
+        limits.idle.remove(self)
+        limits.awaiting_client.remove(self)
+        limits.awaiting_client.add(self)
         if self.transport is None:
             return
-        if self.server.crowded() and not self.unread_bytes():
+        if limits.is_nearly_full() and not self.has_unread_bytes():
             self.transport.close()  # its place is needed at once
         else:
             self.transport.write_eof()
             self.transport.resume_reading()
 
-    def move(self) -> None:
-        """Send this connection on to the process that took over, if it rests and all that was written is out.
+    # ---- hand-over, deadlines and the end
 
-        What the caller has sent meanwhile is unread, and goes along.
+    def hand_over(self) -> None:
+        """Hand this connection over to the process that takes over, if it is idle and all that was written is out.
+
+        What the client has sent meanwhile is unread, and goes along.
         """
-        transport, send_on = self.transport, self.server.send_on
-        if send_on is None or transport is None or self.ending or not self.resting():
+        transport = self.transport
+        if not self._server.is_handing_over() or transport is None or self.has_ended() or not self.is_idle():
             return
         if transport.get_write_buffer_size():
-            self.server.loop.call_later(MOVE_AGAIN_S, self.move)
+            self._server.loop.call_later(HAND_OVER_RETRY_S, self.hand_over)
             return
         transport.pause_reading()
-        fd = os.dup(transport.get_extra_info("socket").fileno())
-        if send_on(fd):
+        descriptor = os.dup(transport.get_extra_info("socket").fileno())
+        if self._server.hand_over_connection(descriptor):
             self.abort()  # this process's own descriptor: the connection goes on
         else:
-            os.close(fd)
+            os.close(descriptor)
             transport.resume_reading()
 
-    def unfinished(self) -> bool:
-        """Whether a request has begun and is not whole."""
-        return self.begun or self.fed > 0
-
-    def resting(self) -> bool:
-        """Whether nothing is owed and nothing has begun on this connection."""
-        return self.current is None and not self.pending and not self.unfinished()
-
-    def owed(self) -> bool:
-        """Whether a request was taken that has no answer yet."""
-        return self.current is not None or bool(self.pending)
-
-    def _goes_on(self) -> bool:
-        """Whether a caller that was awaited has done its part since the last look: read, or written enough."""
-        came, self.seen = self.came - self.seen, self.came
-        if self.blocked or self.ending:
-            before, self.unread = self.unread, outgoing(self.transport)
-            self.looks += self.ending
-            reads = progressed(before, self.unread)
-            return reads if not self.ending else self.looks < LINGER and (reads or came > 0)
-        if self.in_head or not self.unfinished():
+    def is_idle(self) -> bool:
+        """Return whether nothing is owed and nothing has begun on this connection."""
+        return not self.has_requests() and not self.parser.in_progress()
+
+    def has_requests(self) -> bool:
+        """Return whether a request was received that has no response yet."""
+        return self.in_flight is not None or bool(self.pending)
+
+    def has_unread_bytes(self) -> bool:
+        """Return whether something has arrived that the loop has not read yet."""
+        return has_unread_bytes(self._sock)
+
+    def client_has_closed(self) -> bool:
+        """Return whether the client has ended its side, also behind bytes that were not read."""
+        closed = peer_has_closed(self._sock)
+        return self.transport is None if closed is None else closed
+
+    def _made_progress(self) -> bool:
+        """Return whether the client has done its part since the last check: has read, or sent enough."""
+        received = self.progress.take_received()
+        if self.has_ended():
+            return self.progress.may_linger(self.transport, received)
+        if self.write_blocked:
+            return self.progress.has_read(self.transport)
+        if self.parser.phase is not RequestPhase.BODY:
             return False
-        held = self.upload is not None and self.upload.upload is not None and self.upload.upload.full
-        return held or came >= BODY_LEAST
-
-    def expire(self) -> None:
-        """Give up on a caller that was awaited for long enough."""
-        if self._goes_on():
-            self.server.awaited.add(self)
-        elif self.ending or self.blocked:
+        return self.parser.body_is_held_back() or received >= MIN_BODY_BYTES_PER_CHECK
+
+    def on_deadline(self) -> None:
+        """Give up on a client that did not do its part in time."""
+        if self._made_progress():
+            self._server.limits.awaiting_client.add(self)
+        elif self.has_ended() or self.write_blocked:
             self.abort()
-        elif self.upload is not None:
-            self._call_off()
-            self._break(408)
-            self._proceed()
-        elif self.owed():
-            self._break(408)  # told behind the answers that are owed
-        elif self.unfinished():
-            self._break(408)
-            self._proceed()
+        elif self.parser.streamed_request is not None:
+            self._cancel_streamed_request()
+            self.parser.fail(408)
+            self._dispatch_pending()
+        elif self.has_requests():
+            self.parser.fail(408)  # written behind the responses that are owed
+        elif self.parser.in_progress():
+            self.parser.fail(408)
+            self._dispatch_pending()
         else:
             self.close()
 
     def close(self) -> None:
-        """Close between requests, unless one has come that is not read yet: it is served first."""
-        if not self.ending and (self.paused or self.blocked or not self.unread_bytes()):
-            self._end()
-
-    def unread_bytes(self) -> bool:
-        """Whether something has come that the loop has not read yet."""
-        try:
-            return bool(self.sock.recv(1, socket.MSG_PEEK))
-        except OSError:  # nothing has, or the connection broke
-            return False
-
-    def gone(self) -> bool:
-        """Whether the caller has closed its side, also if that lies behind bytes that were not read."""
-        try:
-            return self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) != ESTABLISHED
-        except OSError:  # no socket any more, or none that can tell
-            return self.transport is None
+        """Close between requests, unless bytes have arrived that are not read yet: they are served first."""
+        if self.has_ended():
+            return
+        if self.reading_paused or self.write_blocked or not self.has_unread_bytes():
+            self._end_sending()
 
     def abort(self) -> None:
-        """Close now, whatever is still unread or unsent."""
-        self.ending = True
+        """Close now, whatever is unread or unsent."""
+        self._has_ended = True
         if self.transport is not None:
             self.transport.abort()
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -13,13 +13,14 @@
 from itertools import islice
 from typing import Protocol
 
-from oakbridge.node.client_request import HOP, Request
+from oakbridge.node.client_request import HOP_BY_HOP_HEADERS, ClientRequest
 from oakbridge.node.clock import Clock
 from oakbridge.node.config import Config
 from oakbridge.node.discovery import Discovery
-from oakbridge.node.http_server import HELD_PART, Server
+from oakbridge.node.http_server import HttpServer
 from oakbridge.node.listing import BadList, ConfigError, Entry, Listing, Source, parse, pieces
 from oakbridge.node.outages import Outages
+from oakbridge.node.request_body import BODY_BUFFERS_PART
 from oakbridge.node.settings import in_place
 from oakbridge.node.upstream import Attempt, Connection, Pool, Reply, Sink
 from oakbridge.policy import vocabulary as api
@@ -55,14 +56,14 @@
     return report
 
 
-def head(request: Request, timeout: int) -> bytes:
+def head(request: ClientRequest, timeout: int) -> bytes:
     """The bytes of an attempt, but for a body that is still coming: what goes on, and how long this may take."""
     given = b"%du" % timeout if timeout <= RUN_OUT_DIGITS else b"%dm" % (timeout // 1000)
-    lines = [request.method + b" " + request.url + b" HTTP/1.1"]
-    lines += [name + b": " + value for name, value in request.headers if name not in HOP]
+    lines = [request.method + b" " + request.target + b" HTTP/1.1"]
+    lines += [name + b": " + value for name, value in request.headers if name not in HOP_BY_HOP_HEADERS]
     lines.append(b"x-timeout: " + given)
-    if request.upload is not None:
-        length = request.upload.length
+    if request.streamed_body is not None:
+        length = request.streamed_body.length
         lines.append(b"transfer-encoding: chunked" if length is None else b"content-length: %d" % length)
     elif request.body or request.method not in (b"GET", b"DELETE", b"OPTIONS"):
         lines.append(b"content-length: %d" % len(request.body))
@@ -85,11 +86,11 @@
 class Passing:
     """A server's connection as the caller sees it whose answer it passes on."""
 
-    def __init__(self, node: Node, request: Request, source: Connection) -> None:
+    def __init__(self, node: Node, request: ClientRequest, source: Connection) -> None:
         self.node, self.request = node, request
         self.pause, self.resume = source.pause, source.resume
 
-    def stop(self) -> None:
+    def cancel(self) -> None:
         """The caller is gone: the attempt is called off at once."""
         if self.request.attempt is not None:
             self.node.pool.cancel(self.request.attempt)
@@ -118,7 +119,7 @@
         self.balancer = Balancer(settings, config.seed)
         self.classes = {c.name: c for c in settings.classes}
         self.tenants = {t.name for t in settings.tenants}
-        self.requests: dict[int, Request] = {}
+        self.requests: dict[int, ClientRequest] = {}
         self.open: set[bytes] = set()  # their ids
         self.ids = itertools.count(1)  # the module's numbers of requests, for all fronts
         self.fronts: list[Front] = []  # beside HTTP
@@ -144,9 +145,9 @@
             raise ConfigError("discovery: missing, and there is no other source of servers")
         addresses = (config.listen, *config.also_listen) if door else ()
         callers = config.sockets - RESERVE - upstream
-        self.server = Server(loop, self.clock, self, addresses, callers, doors, shared)
+        self.server = HttpServer(loop, self.clock, self, addresses, callers, doors, reuse_port=shared)
         if config.memory_mb:
-            self.server.held_most = config.memory_mb * 1024 * 1024 // HELD_PART
+            self.server.body_buffers.limit = config.memory_mb * 1024 * 1024 // BODY_BUFFERS_PART
         self.source.tell(self)
         if source is None:
             self._start_from(config)
@@ -168,7 +169,7 @@
         """Leave so many descriptors to the node's other process."""
         free = self.config.sockets - RESERVE - held
         self.pool.most = int(free * UPSTREAM_PART)
-        self.server.most = max(1, free - self.pool.most)
+        self.server.limits.max_connections = max(1, free - self.pool.most)
 
     def listed_now(self) -> list[Entry]:
         """All servers that are listed, as they are listed."""
@@ -216,7 +217,7 @@
 
     async def leave(self) -> None:
         """End as a planned restart asks for: answer what was taken, take nothing after the changeover."""
-        await self.server.leave(max(c.deadline for c in self.settings.classes))
+        await self.server.shut_down(max(c.deadline for c in self.settings.classes))
         for request in list(self.requests.values()):  # nobody is left to wait for: better failed than lost
             self._abandon(request.id)
         self.close()
@@ -264,7 +265,7 @@
         """Ready once a server is known that may be sent to."""
         return bool(self.pool.listed or self._pieces)
 
-    def knows(self, klass: str) -> bool:
+    def knows_class(self, klass: str) -> bool:
         """Whether there is such a class."""
         return klass in self.classes
 
@@ -272,58 +273,58 @@
         """Whether a request with this id is open: owed an answer, or with an attempt out."""
         return name in self.open
 
-    def take(self, request: Request) -> None:
+    def handle_request(self, request: ClientRequest) -> None:
         """A request was taken: it is the module's until its one answer."""
-        klass = request.text(b"x-priority-class")
+        klass = request.header_text(b"x-priority-class")
         now = self.clock.now()
         deadline = self.classes[klass].deadline
-        if request.time_left is None:
-            request.time_left = deadline
-        due = request.taken + request.time_left
-        if request.due_by is not None:
-            due = min(due, request.due_by - ENDING_MARGIN)
+        if request.timeout is None:
+            request.timeout = deadline
+        due = request.received_at + request.timeout
+        if request.answer_by is not None:
+            due = min(due, request.answer_by - ENDING_MARGIN)
         if not self.pool.listed and self.outages.out():  # nobody is left to wait for
             soon = [(b"retry-after", b"1")] if self.settings.max_retry_after else []
-            return request.caller.answer(request, 503, soon, b"")
+            return request.client.respond(request, 503, soon, b"")
         if self.settings.max_open and len(self.requests) >= self.settings.max_open:
-            return request.caller.answer(request, 503, [], b"")  # as on the simulator: the module sees none
+            return request.client.respond(request, 503, [], b"")  # as on the simulator: the module sees none
         request.id = next(self.ids)
         self.requests[request.id] = request
-        self.open.add(request.named[b"x-request-id"])
-        streamed = request.upload is not None and not request.upload.complete
+        self.open.add(request.header_values[b"x-request-id"])
+        streamed = request.streamed_body is not None and not request.streamed_body.complete
         if not streamed:
             # The module ends each request before this; it guards against one that it has forgotten.
-            request.overdue = self.clock.call_at(max(due, now + 1), lambda: self._overdue(request))
+            request.overdue_timer = self.clock.call_at(max(due, now + 1), lambda: self._overdue(request))
         self.post(
             api.Request(
                 request.id,
                 klass,
                 max(0, due - now),
                 self._tenant(request),
-                request.named.get(b"x-retried") == b"1",
-                request.text(b"x-route-key"),
+                request.header_values.get(b"x-retried") == b"1",
+                request.header_text(b"x-route-key"),
                 self._work(request),
-                streamed=request.upload is not None,
+                streamed=request.streamed_body is not None,
             )
         )
 
-    def _tenant(self, request: Request) -> str:
+    def _tenant(self, request: ClientRequest) -> str:
         """The tenant, if the settings know it: what is kept by tenant must not grow with each name."""
-        name = request.text(b"x-tenant-id")
+        name = request.header_text(b"x-tenant-id")
         return name if name in self.tenants else ""
 
     @staticmethod
-    def _work(request: Request) -> int:
-        cost = request.text(b"x-cost")
+    def _work(request: ClientRequest) -> int:
+        cost = request.header_text(b"x-cost")
         return int(cost) if cost.isascii() and cost.isdigit() and len(cost) < 16 else 0
 
-    def left(self, request: Request) -> None:
+    def on_client_gone(self, request: ClientRequest) -> None:
         """The caller is gone: nothing is owed."""
         self._forget(request)
         if request.id:
             self.post(api.ClientGone(request.id))
 
-    def _overdue(self, request: Request) -> None:
+    def _overdue(self, request: ClientRequest) -> None:
         if not request.answered:
             log.warning("request %d was left unanswered", request.id)
             self._abandon(request.id)
@@ -448,12 +449,12 @@
             # Guards two rules: nothing is sent for what is over, and no two attempts are out at once.
             log.error("not sent: request %d is over or has an attempt out", action.request)
             return self._not_sent(request, action)
-        if request.caller.gone():
+        if request.client.client_has_closed():
             # It waited for its turn or a retry, and the end of its connection lies unread: nothing begins for it.
             request.answered = True
             self._not_sent(request, action)
             self._forget(request)
-            return request.caller.abort()
+            return request.client.abort()
         number, now = request.attempts, self.clock.now()
         request.attempts = number + 1
         attempt = Attempt(
@@ -465,14 +466,14 @@
             lambda reply, length, source: self._begin(
                 request, number, action.server, now, reply, length, source
             ),
-            request.upload,
-            None if request.upload is None else lambda: self._body_sent(request, number),
+            request.streamed_body,
+            None if request.streamed_body is None else lambda: self._body_sent(request, number),
             now + action.begin_within if action.begin_within else None,
         )
         request.attempt = attempt
         self.pool.send(attempt)
 
-    def _not_sent(self, request: Request | None, action: api.Send) -> None:
+    def _not_sent(self, request: ClientRequest | None, action: api.Send) -> None:
         """Every attempt has its one outcome, also one that was never made."""
         number, over = 0, True
         if request is not None:
@@ -480,32 +481,34 @@
             request.attempts += 1
         self.post(api.AttemptEnded(action.request, number, action.server, api.Result.NOT_SENT, 0, over))
 
-    def _body_sent(self, request: Request, number: int) -> None:
+    def _body_sent(self, request: ClientRequest, number: int) -> None:
         """The last of a body that went on as it came is written: the request's time counts from now."""
         if request.answered or request.attempt is None:
             return
-        now, left = self.clock.now(), request.time_left or 0
-        request.sent = now
+        now, left = self.clock.now(), request.timeout or 0
+        request.body_sent_at = now
         self.pool.postpone(request.attempt, now + left)
-        request.overdue = self.clock.call_at(now + left, lambda: self._overdue(request))
+        request.overdue_timer = self.clock.call_at(now + left, lambda: self._overdue(request))
         self.post(api.BodySent(request.id, number, left))
 
     def _begin(
-        self, request: Request, number: int, server: str, sent: int, reply: Reply, length: int | None,
+        self, request: ClientRequest, number: int, server: str, sent: int, reply: Reply, length: int | None,
         source: Connection,
     ) -> Sink | None:  # fmt: skip
         """A long answer begins: it goes to the caller as it comes, and for the module the attempt has ended well."""
-        headers = [(name, value) for name, value in reply.headers if name not in HOP]
-        if not request.caller.begin(request, reply.status, headers, length, Passing(self, request, source)):
+        headers = [(name, value) for name, value in reply.headers if name not in HOP_BY_HOP_HEADERS]
+        if not request.client.start_response(
+            request, reply.status, headers, length, Passing(self, request, source)
+        ):
             return None
         self.served += 1
-        if request.overdue is not None:
-            request.overdue.cancel()
-            request.overdue = None
-        latency = self.clock.now() - (request.sent or sent)
+        if request.overdue_timer is not None:
+            request.overdue_timer.cancel()
+            request.overdue_timer = None
+        latency = self.clock.now() - (request.body_sent_at or sent)
         report = self._report(reply)
         self.post(api.AttemptEnded(request.id, number, server, api.Result.OK, latency, True, report))
-        return request.caller
+        return request.client
 
     def _report(self, reply: Reply) -> dict[str, float] | None:
         if self.settings.report_source != api.ANSWERS:
@@ -513,27 +516,27 @@
         text = dict(reply.headers).get(b"x-server-load")
         return parse_report(text.decode("latin-1")) if text else None
 
-    def _ended(self, request: Request, number: int, server: str, sent: int, reply: Reply) -> None:
+    def _ended(self, request: ClientRequest, number: int, server: str, sent: int, reply: Reply) -> None:
         """An attempt has ended: what a server answered goes to the caller first, then the module hears."""
         request.attempt = None
-        if request.streams:  # it was answered when its answer began; what went wrong since is news
+        if request.response_streamed:  # it was answered when its answer began; what went wrong since is news
             self._forget(request)
             if reply.result == api.Result.RESET:
                 self.post(api.AttemptEnded(request.id, number, server, reply.result, 0, True))
             return
         if reply.result == api.Result.OK and not request.answered:
-            headers = [(name, value) for name, value in reply.headers if name not in HOP]
-            request.caller.answer(request, 200, headers, reply.body)
+            headers = [(name, value) for name, value in reply.headers if name not in HOP_BY_HOP_HEADERS]
+            request.client.respond(request, 200, headers, reply.body)
             self.served += 1
         result = reply.result
         if result == api.Result.ERROR and 400 <= reply.status < 500 and reply.status not in NOT_FINAL:
             # The server has no use for this request; no other will have, and it is no fault of the server.
-            request.caller.answer(request, reply.status, [], b"")
+            request.client.respond(request, reply.status, [], b"")
             result = api.Result.NOT_SENT
         if request.answered:
             self._forget(request)
         report = self._report(reply)
-        latency = self.clock.now() - (request.sent or sent)
+        latency = self.clock.now() - (request.body_sent_at or sent)
         self.post(api.AttemptEnded(request.id, number, server, result, latency, request.answered, report))
 
     def _finish(self, number: int, status: int, retry_after: int = 0) -> None:
@@ -542,7 +545,7 @@
         if request is None:
             return
         headers = [(b"retry-after", b"%.3f" % (retry_after / 1e6))] if retry_after else []
-        request.caller.answer(request, status, headers, b"")
+        request.client.respond(request, status, headers, b"")
         if status == 503:
             self.refused += 1
         else:
@@ -556,13 +559,13 @@
         if request is not None and request.attempt is not None:
             self.pool.cancel(request.attempt)
 
-    def _forget(self, request: Request) -> None:
+    def _forget(self, request: ClientRequest) -> None:
         """Nothing is owed any more; while an attempt is out the module may still call it off."""
-        if request.overdue is not None:
-            request.overdue.cancel()
-            request.overdue = None
+        if request.overdue_timer is not None:
+            request.overdue_timer.cancel()
+            request.overdue_timer = None
         if request.attempt is None and self.requests.pop(request.id, None) is not None:
-            self.open.discard(request.named[b"x-request-id"])
+            self.open.discard(request.header_values[b"x-request-id"])
 
     def _cancel(self, action: api.Cancel) -> None:
         request = self.requests.get(action.request)
--- a/oakbridge/node/read_deadlines.py
+++ b/oakbridge/node/read_deadlines.py
@@ -1,63 +1,125 @@
-"""Callers by how long they have been in one state."""
+"""Deadlines for what clients have to do, and whether a client that reached one has gone on meanwhile."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+import asyncio
+from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
 
 from oakbridge.node.clock import Clock, Timer
+from oakbridge.node.socket_state import unacknowledged_bytes
 
 if TYPE_CHECKING:
-    from oakbridge.node.client_connection import Caller
+    from oakbridge.node.client_connection import ClientConnection
 
+# Of a body, in the time between two checks: a slow client sends 64 kB a second.
+MIN_BODY_BYTES_PER_CHECK = 64 * 1024
+MAX_LINGER_CHECKS = 2  # after which a client that was told to go is cut off, even if it still sends
 
-class Ages:
-    """Callers by how long they have been in one state, oldest first, with one timer for all of them.
 
-    All in here have the same limit, so that the order in which they came is the order in which they are due.
+class DeadlineQueue:
+    """Connections by how long they have been in one state, oldest first, with one timer for all of them.
+
+    All have the same limit, so that the order in which they came is the order in which they are due.
     """
 
-    def __init__(self, clock: Clock, limit: int, expire: Callable[[Caller], None]) -> None:
-        self.clock, self.limit, self.expire = clock, limit, expire
-        self.since: dict[Caller, int] = {}
-        self.timer: Timer | None = None
+    def __init__(self, clock: Clock, limit_us: int, on_expired: Callable[[ClientConnection], None]) -> None:
+        self._clock = clock
+        self._limit_us = limit_us
+        self._on_expired = on_expired
+        self._since: dict[ClientConnection, int] = {}
+        self._timer: Timer | None = None
+
+    def __len__(self) -> int:
+        """Return how many connections are here."""
+        return len(self._since)
 
-    def add(self, caller: Caller) -> None:
-        """Count from now; one that is in here already goes on counting from then."""
-        self.since.setdefault(caller, self.clock.now())
-        if self.timer is None:
+    def __iter__(self) -> Iterator[ClientConnection]:
+        """Iterate over the connections, the oldest first."""
+        return iter(self._since)
+
+    def add(self, connection: ClientConnection) -> None:
+        """Start to count for a connection; for one that is here already the count goes on."""
+        self._since.setdefault(connection, self._clock.now())
+        if self._timer is None:
             self._arm()
 
-    def remove(self, caller: Caller) -> None:
-        """Forget one, if it is in here."""
-        self.since.pop(caller, None)
+    def remove(self, connection: ClientConnection) -> None:
+        """Forget a connection, if it is here."""
+        self._since.pop(connection, None)
 
-    def oldest(self, age: int) -> Caller | None:
-        """The one that is owed nothing and has been in here longest, if that is as long."""
-        now = self.clock.now()
-        for caller, since in self.since.items():
-            if since + age > now:
+    def oldest_evictable(self, min_age_us: int) -> ClientConnection | None:
+        """Return the connection that has been here longest and is owed nothing, if that is as long."""
+        now = self._clock.now()
+        for connection, since in self._since.items():
+            if since + min_age_us > now:
                 return None
-            if not caller.owed() and not caller.unread_bytes():  # a request that is not read yet is owed, too
-                return caller
+            # A request that is not read yet is owed a response, too.
+            if not connection.has_requests() and not connection.has_unread_bytes():
+                return connection
         return None
 
     def _arm(self) -> None:
-        first = next(iter(self.since.values()), None)
+        first = next(iter(self._since.values()), None)
         if first is not None:
-            self.timer = self.clock.call_at(first + self.limit, self._due)
-
-    def _due(self) -> None:
-        self.timer = None
-        now = self.clock.now()
-        while (caller := next(iter(self.since), None)) is not None and self.since[caller] + self.limit <= now:
-            del self.since[caller]
-            self.expire(caller)
-        if self.timer is None:
+            self._timer = self._clock.call_at(first + self._limit_us, self._expire_due)
+
+    def _expire_due(self) -> None:
+        self._timer = None
+        now = self._clock.now()
+        while (connection := next(iter(self._since), None)) is not None:
+            if self._since[connection] + self._limit_us > now:
+                break
+            del self._since[connection]
+            self._on_expired(connection)
+        if self._timer is None:
             self._arm()
 
     def stop(self) -> None:
-        """Let nothing come due any more."""
-        self.since.clear()
-        if self.timer is not None:
-            self.timer.cancel()
+        """Let nothing expire any more."""
+        self._since.clear()
+        if self._timer is not None:
+            self._timer.cancel()
+
+
+class ClientProgress:
+    """What a client has sent and read, from one check of its deadline to the next."""
+
+    __slots__ = ("_linger_checks", "_received_at_check", "_unacknowledged_at_check", "bytes_received")
+
+    def __init__(self) -> None:
+        self.bytes_received = 0
+        self._received_at_check = 0
+        self._unacknowledged_at_check: int | None = None  # None: not looked at
+        self._linger_checks = 0
+
+    def body_started(self) -> None:
+        """Count what is received from now on: the body has a time of its own."""
+        self._received_at_check = self.bytes_received
+
+    def writing_resumed(self) -> None:
+        """Forget how much was unread: the client has read enough."""
+        self._unacknowledged_at_check = None
+
+    def take_received(self) -> int:
+        """Return how many bytes were received since the last check, and begin the next."""
+        received = self.bytes_received - self._received_at_check
+        self._received_at_check = self.bytes_received
+        return received
+
+    def has_read(self, transport: asyncio.Transport | None) -> bool:
+        """Return whether the client has read responses since the last check."""
+        before = self._unacknowledged_at_check
+        self._unacknowledged_at_check = unacknowledged_bytes(transport)
+        return has_decreased(before, self._unacknowledged_at_check)
+
+    def may_linger(self, transport: asyncio.Transport | None, received: int) -> bool:
+        """Return whether a client whose last response was written goes on sending or reading, and still may."""
+        self._linger_checks += 1
+        has_read = self.has_read(transport)
+        return self._linger_checks < MAX_LINGER_CHECKS and (has_read or received > 0)
+
+
+def has_decreased(before: int | None, now: int) -> bool:
+    """Return whether fewer bytes are unread than at the last check, or this is the first (``before`` is None)."""
+    return before is None or now < before
--- a/oakbridge/node/request_body.py
+++ b/oakbridge/node/request_body.py
@@ -1,64 +1,89 @@
-"""Request bodies that go on to a server as they come, with back-pressure."""
+"""Request bodies: those forwarded while they are received, and the memory that buffered ones may take."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
 
-WINDOW = 128 * 1024  # bytes of a body that wait to be written before reading stops
+STREAM_WINDOW_BYTES = 128 * 1024  # of a streamed body that wait to be written before reading pauses
+BODY_BUFFERS_PART = 8  # of the memory of the node, that buffered bodies may take
+DEFAULT_BUFFER_LIMIT_BYTES = 16 * 1024 * 1024
 
 
-class Upload:
-    """A body that goes on to a server as it comes, with back-pressure: at most a window and a read wait here."""
+@dataclass(slots=True)
+class BodyBuffers:
+    """Bytes of bodies that are buffered over all connections, and how many may be."""
 
-    __slots__ = ("length", "complete", "full", "dropped", "_parts", "_waiting", "_changed", "_more")
+    used: int = 0
+    limit: int = DEFAULT_BUFFER_LIMIT_BYTES
 
-    def __init__(self, length: int | None, changed: Callable[[], None]) -> None:
-        """``length``: as announced; ``changed``: told when it becomes full, or has room again."""
-        self.length, self._changed = length, changed
-        self.complete = self.full = self.dropped = False
-        self._parts: deque[bytes] = deque()
-        self._waiting = 0
-        self._more: Callable[[], None] | None = None
+
+class StreamedBody:
+    """A body that is forwarded while it is received, with back-pressure: at most a window and a read wait here."""
+
+    __slots__ = (
+        "_chunks",
+        "_on_data",
+        "_on_full_changed",
+        "buffered_bytes",
+        "complete",
+        "discarded",
+        "full",
+        "length",
+    )
+
+    def __init__(self, length: int | None, on_full_changed: Callable[[], None]) -> None:
+        """``length``: as announced; ``on_full_changed``: called when the window is full, or has space again."""
+        self.length = length
+        self.complete = False
+        self.full = False
+        self.discarded = False
+        self.buffered_bytes = 0
+        self._chunks: deque[bytes] = deque()
+        self._on_full_changed = on_full_changed
+        self._on_data: Callable[[], None] | None = None
 
     def feed(self, data: bytes) -> None:
-        """Take what has come."""
-        if self.dropped:
+        """Append received bytes."""
+        if self.discarded:
             return
-        self._parts.append(data)
-        self._waiting += len(data)
-        self._look()
-        if self._more is not None:
-            self._more()
-
-    def end(self) -> None:
-        """Nothing more comes."""
+        self._chunks.append(data)
+        self.buffered_bytes += len(data)
+        self._update_full()
+        if self._on_data is not None:
+            self._on_data()
+
+    def finish(self) -> None:
+        """Mark the body complete."""
         self.complete = True
-        if self._more is not None and not self.dropped:
-            self._more()
+        if self._on_data is not None and not self.discarded:
+            self._on_data()
 
-    def attach(self, more: Callable[[], None]) -> None:
-        """Name who takes it."""
-        self._more = more
+    def attach(self, on_data: Callable[[], None]) -> None:
+        """Have the reader called whenever there is more to take, or the body is complete."""
+        self._on_data = on_data
 
     def take(self) -> bytes:
-        """What has come and was not taken."""
-        if not self._parts:
+        """Remove and return the oldest received bytes; empty if there are none."""
+        if not self._chunks:
             return b""
-        data = self._parts.popleft()
-        self._waiting -= len(data)
-        self._look()
+        data = self._chunks.popleft()
+        self.buffered_bytes -= len(data)
+        self._update_full()
         return data
 
-    def drop(self) -> None:
-        """Nobody takes it any more: what waits here goes, and so does all that comes."""
-        self.dropped, self._more = True, None
-        self._parts.clear()
-        self._waiting = 0
-        self._look()
+    def discard(self) -> None:
+        """Drop what is buffered and all that is still to come: nobody reads it any more."""
+        self.discarded = True
+        self._on_data = None
+        self._chunks.clear()
+        self.buffered_bytes = 0
+        self._update_full()
 
-    def _look(self) -> None:
-        full = self._waiting > (WINDOW // 2 if self.full else WINDOW)
+    def _update_full(self) -> None:
+        threshold = STREAM_WINDOW_BYTES // 2 if self.full else STREAM_WINDOW_BYTES
+        full = self.buffered_bytes > threshold
         if full != self.full:
             self.full = full
-            self._changed()
+            self._on_full_changed()
--- /dev/null
+++ b/oakbridge/node/request_parser.py
@@ -0,0 +1,235 @@
+"""Parsing of a client's requests: httptools' callbacks, the limits of heads and bodies, and strict framing."""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import TYPE_CHECKING, Any
+
+import httptools
+
+from oakbridge.node.client_request import ClientRequest
+from oakbridge.node.request_body import BodyBuffers, StreamedBody
+from oakbridge.node.upstream import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
+
+if TYPE_CHECKING:
+    from oakbridge.node.client_connection import ClientConnection
+
+# A body up to this size is buffered: it can be sent again, and occupies no server meanwhile.
+MAX_BUFFERED_BODY_BYTES = 512 * 1024
+# Up to this size it is buffered however many others are, and not counted.
+UNCOUNTED_BODY_BYTES = 64 * 1024
+
+# What requests are identified and decided by: given twice, two readers could each take another one for it.
+SINGLE_VALUE_HEADERS = frozenset({
+    b"host", b"content-length", b"transfer-encoding", b"x-request-id", b"x-priority-class", b"x-tenant-id",
+    b"x-route-key", b"x-timeout", b"x-retried", b"x-cost", b"idempotency-key", b"expect",
+})  # fmt: skip
+
+
+class RequestPhase(Enum):
+    """Which part of a request is being received."""
+
+    IDLE = "idle"  # none has begun
+    HEAD = "head"
+    BODY = "body"
+
+
+class RequestParser:
+    """Parses the requests of one connection, and tells the connection of each.
+
+    The first error is kept as the status that the client is owed; what follows it must not be fed.
+    """
+
+    __slots__ = (
+        "_body",
+        "_body_size",
+        "_buffers",
+        "_completed",
+        "_connection",
+        "_content_length",
+        "_has_duplicate",
+        "_head_size",
+        "_headers",
+        "_parser",
+        "_single_values",
+        "_target",
+        "error_status",
+        "expects_continue",
+        "phase",
+        "request_bytes",
+        "streamed_request",
+    )
+
+    def __init__(self, connection: ClientConnection, buffers: BodyBuffers) -> None:
+        self._connection = connection
+        self._buffers = buffers
+        self._parser: Any = httptools.HttpRequestParser(self)
+        self.phase = RequestPhase.IDLE
+        self.error_status = 0
+        self.expects_continue = False  # the client waits for 100 before it sends the body
+        self.streamed_request: ClientRequest | None = None  # whose body is forwarded while it is received
+        self.request_bytes = 0  # received since the last read that completed a request
+        self._completed = 0  # requests
+        self._reset_message()
+
+    def _reset_message(self) -> None:
+        self._target = b""
+        self._headers: Headers = []
+        self._head_size = 0  # bytes of the headers' names and values
+        self._single_values: list[bytes] = []  # those that were given
+        self._has_duplicate = False
+        self._content_length: int | None = None
+        self._body: list[bytes] = []
+        self._body_size = 0
+
+    def feed(self, data: memoryview) -> bool:
+        """Parse received bytes; return whether a request became complete with them."""
+        completed = self._completed
+        self.request_bytes += len(data)
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):  # upgrades are not served
+            self.fail(400)
+        if self._completed > completed:
+            self.request_bytes = 0
+            return True
+        if self.request_bytes > MAX_HEAD and self._is_mostly_framing():
+            self.fail(431)
+        return False
+
+    def _is_mostly_framing(self) -> bool:
+        """Return whether too much has been received that is no body."""
+        if self.phase is not RequestPhase.BODY:
+            return True
+        return self.request_bytes - self._body_size > 2 * MAX_HEAD + FRAMING * self._body_size
+
+    def fail(self, status: int) -> None:
+        """Parse nothing more; the first error is the one that the client is told."""
+        self.error_status = self.error_status or status
+
+    def in_progress(self) -> bool:
+        """Return whether a request has begun and is not complete."""
+        return self.phase is not RequestPhase.IDLE or self.request_bytes > 0
+
+    def body_is_held_back(self) -> bool:
+        """Return whether a streamed body has filled its window."""
+        request = self.streamed_request
+        return request is not None and request.streamed_body is not None and request.streamed_body.full
+
+    def release_body(self) -> None:
+        """Give the buffered part of a body up, as its connection is over."""
+        self._release_buffers()
+        self._body = []
+
+    # ---- httptools' callbacks
+
+    def on_message_begin(self) -> None:
+        """Note that a request begins."""
+        self.phase = RequestPhase.HEAD
+
+    def on_url(self, url: bytes) -> None:
+        """Take a part of the request's target."""
+        self._target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Take one header; trailers are ignored, or they could change what the head has decided."""
+        if self.phase is RequestPhase.BODY:
+            return
+        name = name.lower()
+        if name in SINGLE_VALUE_HEADERS:
+            self._has_duplicate = self._has_duplicate or name in self._single_values
+            self._single_values.append(name)
+        self._head_size += len(name) + len(value)
+        self._headers.append((name, value.strip(b" \t")))  # the space is none of it (RFC 9112, 5.1)
+
+    def on_headers_complete(self) -> None:
+        """Reject at the head what is too long or can be understood in two ways."""
+        self.phase = RequestPhase.BODY
+        if len(self._target) + self._head_size > MAX_HEAD:
+            return self.fail(431)
+        fault, self._content_length, _ = framing(self._headers)
+        if self._has_duplicate or fault:
+            return self.fail(400 if self._has_duplicate else fault)
+        if b"expect" in self._single_values:
+            expected = dict(self._headers)[b"expect"].lower()
+            self.expects_continue = not self._is_http10() and expected == b"100-continue"
+            if not self.expects_continue:
+                return self.fail(417)  # RFC 9110, 10.1.1
+        return self._connection.on_head()
+
+    def on_body(self, data: bytes) -> None:
+        """Take a part of the body: buffer it, or forward it if there is too much to be buffered."""
+        if self.error_status:
+            return
+        self._body_size += len(data)
+        if self._body_size > MOST_BODY:
+            self.fail(413)
+        elif self.streamed_request is not None and self.streamed_request.streamed_body is not None:
+            self.streamed_request.streamed_body.feed(data)
+        else:
+            self._buffer(data)
+
+    def on_message_complete(self) -> None:
+        """Pass a complete request on; its time counts from here."""
+        self._completed += 1
+        self._release_buffers()
+        request = self.streamed_request
+        if request is not None and request.streamed_body is not None:
+            self.streamed_request = None
+            request.received_at = self._connection.now()
+            request.streamed_body.finish()
+        elif not self.error_status:
+            self._connection.on_request(self._build_request(b"".join(self._body)))
+        self._reset_message()
+        self.phase = RequestPhase.IDLE
+        self.expects_continue = False
+
+    # ---- requests and their bodies
+
+    def _is_http10(self) -> bool:
+        return bool(self._parser.get_http_version() == "1.0")
+
+    def _build_request(self, body: bytes) -> ClientRequest:
+        request = ClientRequest(
+            self._connection, self._parser.get_method(), origin_form(self._target), self._headers, body
+        )
+        request.keep_alive = bool(self._parser.should_keep_alive())
+        request.http10 = self._is_http10()
+        request.received_at = self._connection.now()
+        return request
+
+    def _buffer(self, data: bytes) -> None:
+        self._body.append(data)
+        if self._body_size <= UNCOUNTED_BODY_BYTES:
+            return
+        was_counted = self._body_size - len(data) > UNCOUNTED_BODY_BYTES
+        self._buffers.used += len(data) if was_counted else self._body_size
+        if self._body_size > MAX_BUFFERED_BODY_BYTES or self._buffers.used > self._buffers.limit:
+            self._start_streaming()
+
+    def _release_buffers(self) -> None:
+        """Count the buffered body no more: it is dropped, or the request's."""
+        if self._body and self._body_size > UNCOUNTED_BODY_BYTES:
+            self._buffers.used -= self._body_size
+
+    def _start_streaming(self) -> None:
+        """Pass the request on before its body is complete: the rest is forwarded while it is received."""
+        request = self._build_request(b"")
+        body = StreamedBody(self._content_length, self._connection.update_reading)
+        request.streamed_body = body
+        for part in self._body:
+            body.feed(part)
+        self.release_body()
+        self.streamed_request = request
+        self._connection.on_streamed_request(request)
+
+
+def origin_form(target: bytes) -> bytes:
+    """Return a target's path and query, without the scheme and host of the absolute form (RFC 9112, 3.2.2)."""
+    if target[:1] == b"/" or b"://" not in target:
+        return target
+    rest = target.split(b"://", 1)[1]
+    for i, char in enumerate(rest):
+        if char in b"/?":
+            return rest[i:] if char == ord("/") else b"/" + rest[i:]
+    return b"/"
--- a/oakbridge/node/socket_state.py
+++ b/oakbridge/node/socket_state.py
@@ -1,25 +1,40 @@
-"""What the kernel knows of a connection: how far its peer has read."""
+"""What the kernel knows of a connection and the event loop does not: unread bytes, unsent bytes, the peer's end."""
 
 from __future__ import annotations
 
 import asyncio
 import fcntl
+import socket
 import struct
 import termios
 
+_TCP_ESTABLISHED = b"\x01"  # the state in TCP_INFO while neither side has ended
 
-def outgoing(transport: asyncio.Transport | None) -> int:
-    """Bytes that were written to a caller and that it has not taken: here and in the kernel (SIOCOUTQ)."""
+
+def has_unread_bytes(sock: socket.socket) -> bool:
+    """Return whether bytes have arrived that the event loop has not read yet."""
+    try:
+        return bool(sock.recv(1, socket.MSG_PEEK))
+    except OSError:  # nothing has arrived, or the connection broke
+        return False
+
+
+def peer_has_closed(sock: socket.socket) -> bool | None:
+    """Return whether the peer has ended its side, also behind unread bytes; None if the socket can't tell."""
+    try:
+        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) != _TCP_ESTABLISHED
+    except OSError:
+        return None
+
+
+def unacknowledged_bytes(transport: asyncio.Transport | None) -> int:
+    """Return how many written bytes the peer has not taken: in the transport and in the kernel (SIOCOUTQ)."""
     if transport is None:
         return 0
-    waiting = transport.get_write_buffer_size()
+    buffered = transport.get_write_buffer_size()
     try:
         sock = transport.get_extra_info("socket")
-        return waiting + int(struct.unpack("i", fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4))[0])
+        in_kernel = fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4)
     except (OSError, ValueError, AttributeError):  # a socket that can't tell
-        return waiting
-
-
-def progressed(before: int, now: int) -> bool:
-    """Whether a caller has read since the last look, or this is the first (``before`` is below 0)."""
-    return before < 0 or now < before
+        return buffered
+    return buffered + int(struct.unpack("i", in_kernel)[0])
--- a/oakbridge/node/upstream.py
+++ b/oakbridge/node/upstream.py
@@ -17,10 +17,10 @@
 
 import httptools
 
-from oakbridge.node.chunks import chunk
+from oakbridge.node.chunked_encoding import encode_chunk
 from oakbridge.node.clock import Clock, Timer
 from oakbridge.node.listing import Address, Listing
-from oakbridge.node.request_body import Upload
+from oakbridge.node.request_body import StreamedBody
 from oakbridge.policy.vocabulary import UP, Result
 
 log = logging.getLogger(__name__)
@@ -44,13 +44,13 @@
 class Sink(Protocol):
     """Where an answer goes that is passed on as it comes: a caller."""
 
-    def pass_on(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Take a part; it says :meth:`Connection.pause` when it has enough for now."""
 
-    def finish(self) -> None:
+    def end_response(self) -> None:
         """The answer is whole."""
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """The answer ends here and is not whole; the caller must be able to tell."""
 
 
@@ -78,7 +78,7 @@
         on_end: Callable[[Reply], None],
         number: int = 0,
         on_begin: Callable[[Reply, int | None, Connection], Sink | None] | None = None,
-        upload: Upload | None = None,
+        upload: StreamedBody | None = None,
         on_sent: Callable[[], None] | None = None,
         begin_by: int | None = None,
     ) -> None:
@@ -128,7 +128,7 @@
         self.served = False
         self.connected = self.closed = self.waits = False  # waits: for the socket to take more
         self.idle_since = 0
-        self.upload: Upload | None = None
+        self.upload: StreamedBody | None = None
         self.timer: Timer | None = None
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self._new_reply()
@@ -220,10 +220,10 @@
             return b""
         data = upload.take()
         if data:
-            return data if upload.length is not None else chunk(data)
+            return data if upload.length is not None else encode_chunk(data)
         if upload.complete:
             self.upload = None
-            return chunk(b"") if upload.length is None else b""
+            return encode_chunk(b"") if upload.length is None else b""
         return b""
 
     def written(self) -> bool:
@@ -357,7 +357,7 @@
             if self.size > MOST_BODY:
                 self.spoilt = True
             else:
-                self.sink.pass_on(data)
+                self.sink.write_body(data)
             return
         self.body.append(data)
         if self.size > WHOLE or (self.length or 0) > WHOLE:
@@ -377,7 +377,7 @@
             return
         parts, self.body = self.body, []
         for part in parts:
-            self.sink.pass_on(part)
+            self.sink.write_body(part)
 
     def on_message_complete(self) -> None:
         """Take the end of the answer; a provisional one (1xx) is none."""
@@ -404,7 +404,7 @@
         attempt, self.attempt = self.attempt, None
         sink, self.sink = self.sink, None
         if sink is not None:
-            sink.finish()
+            sink.end_response()
         reply = Reply(result, self.headers, b"".join(self.body), self.status)
         self.served = self.served or result != Result.FULL
         if self.reusable and self.keep and self.written() and self.served and not self.closed:
@@ -426,7 +426,7 @@
         sink, self.sink = self.sink, None
         self.close()
         if sink is not None:
-            sink.cut()
+            sink.abort_response()
         if attempt is not None:
             attempt.end(Reply(Result.RESET if written else Result.CONNECT_FAILED))
 
--- a/oakbridge/operators/desk.py
+++ b/oakbridge/operators/desk.py
@@ -29,7 +29,7 @@
             raise Refused("no server is known yet")
         out = node.outages.out()
         held = f", {len(out)} held out" if out else ""
-        return f"{node.server.life.phase.value}, {len(node.pool.listed)} servers in use{held}"
+        return f"{node.server.lifecycle.phase.value}, {len(node.pool.listed)} servers in use{held}"
 
     def offline(self, server: str) -> str:
         """Take a server out, from now on and whatever lists say."""
@@ -57,6 +57,6 @@
 
     def join(self) -> str:
         """End the drain."""
-        changed = self.node.server.join()
+        changed = self.node.server.undrain()
         self._tell("JOIN")
         return "the node takes callers again" if changed else "the node was not emptied"
--- a/oakbridge/operators/listener.py
+++ b/oakbridge/operators/listener.py
@@ -11,7 +11,7 @@
 import socket
 from collections.abc import Callable
 
-from oakbridge.node.listener import listen_on
+from oakbridge.node.listener import open_listener
 from oakbridge.node.listing import Address
 from oakbridge.operators import calls
 
@@ -88,7 +88,7 @@
         self.loop, self._handle = loop, answer
         self._calls: dict[_Call, None] = {}  # oldest first
         self._attaching: set[asyncio.Task[None]] = set()
-        self.sock: socket.socket = listen_on(address)
+        self.sock: socket.socket = open_listener(address)
         self.address: Address = self.sock.getsockname()
 
     def start(self) -> None:
--- a/oakbridge/workers/door.py
+++ b/oakbridge/workers/door.py
@@ -24,7 +24,7 @@
 from oakbridge.control.place import worker_socket
 from oakbridge.control.server import ControlServer
 from oakbridge.control.state import Members, about_members
-from oakbridge.node.listener import ACCEPTED, listen_on
+from oakbridge.node.listener import ACCEPT_BATCH, open_listener
 from oakbridge.node.listing import Address
 from oakbridge.process import supervisor as sup
 from oakbridge.workers import crew as c
@@ -71,7 +71,7 @@
         self.started = time.time()
         try:
             for address in addresses:
-                self._socks.append(listen_on(address))
+                self._socks.append(open_listener(address))
         except OSError:
             self._close_door()
             raise
@@ -252,7 +252,7 @@
                 self._loop.remove_reader(sock)
 
     def _accept(self, door: socket.socket) -> None:
-        for _ in range(ACCEPTED):
+        for _ in range(ACCEPT_BATCH):
             if not self.spread.room():
                 return self._accept_on(False)
             try:
--- a/oakbridge/workers/inside.py
+++ b/oakbridge/workers/inside.py
@@ -34,9 +34,9 @@
     def attached(self, node: Node) -> Iterator[None]:
         """Hand what comes to this node, for a while."""
         self._node = node
-        node.server.changed = self._changed
+        node.server.limits.on_change = self._changed
         self._loop.add_reader(self._channel, self._readable)
-        self._loop.call_soon(self._tell, wire.Ready(node.server.most))
+        self._loop.call_soon(self._tell, wire.Ready(node.server.limits.max_connections))
         try:
             yield
         finally:
@@ -70,7 +70,7 @@
         """Account first, then read: what was not accounted for the supervisor hands on if this process dies."""
         assert self._node is not None
         account = wire.Account(
-            self._node.server.callers() + len(self._handed), self._seen + len(self._handed)
+            self._node.server.connection_count() + len(self._handed), self._seen + len(self._handed)
         )
         try:
             self._channel.send(wire.encode(account))
@@ -90,7 +90,7 @@
     def _account(self) -> None:
         self._telling = None
         if self._node is not None:
-            self._tell(wire.Account(self._node.server.callers(), self._seen))
+            self._tell(wire.Account(self._node.server.connection_count(), self._seen))
 
     def _tell(self, message: wire.Ready | wire.Account) -> None:
         try:
--- a/tests/node/test_downstream.py
+++ b/tests/node/test_client_connection.py
@@ -6,7 +6,7 @@
 import pytest
 from peers import Peer, Running, reply, run, soon, until
 
-from oakbridge.node import http_server, lifecycle, listener
+from oakbridge.node import connection_limits, lifecycle, listener
 from oakbridge.node.clock import Clock
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: a\r\nX-Request-ID: rude\r\nX-Priority-Class: look\r\n"
@@ -15,7 +15,7 @@
 @pytest.fixture
 def impatient(monkeypatch):
     """Limits that a test need not wait for."""
-    monkeypatch.setattr(http_server, "PATIENCE", 400_000)
+    monkeypatch.setattr(connection_limits, "CLIENT_TIMEOUT_US", 400_000)
 
 
 @pytest.mark.parametrize(
@@ -54,8 +54,8 @@
             caller.send()
             caller.writer.write(b"GET /half")
             await soon(peer.seen.get())
-            [one] = node.node.server._callers
-            while not one.broken:
+            [one] = node.node.server.limits.connections
+            while not one.parser.error_status:
                 await asyncio.sleep(0.01)
             peer.release.set()
             assert (await caller.answer())[2] == b"car"
@@ -66,14 +66,16 @@
 
 def test_caller_that_never_reads_its_answers_is_cut_off(impatient, monkeypatch):
     """Guards against answers that pile up, and a connection that never ends, for one that reads nothing."""
-    monkeypatch.setattr(http_server, "IDLE_MOST", 3600_000_000)  # that it reads nothing is what ends it
+    monkeypatch.setattr(
+        connection_limits, "IDLE_TIMEOUT_US", 3600_000_000
+    )  # that it reads nothing is what ends it
 
     async def scenario():
         async with Peer(lambda _: reply(200, b"x" * 60_000)) as peer, Running(peer) as node:
             caller = await node.caller()
             caller.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             caller.writer.transport.pause_reading()
-            while node.node.server._callers or not peer.seen.qsize():
+            while node.node.server.limits.connections or not peer.seen.qsize():
                 if not caller.writer.transport.is_closing() and peer.seen.qsize() < 300:
                     caller.send()
                 await asyncio.sleep(0.005)
@@ -192,12 +194,12 @@
 
 def test_usual_caller_gets_in_past_many_that_say_nothing(monkeypatch):
     """Those that say nothing make room, oldest first, long before their time is up."""
-    monkeypatch.setattr(http_server, "PATIENCE", 60_000_000)
-    monkeypatch.setattr(http_server, "IDLE_LEAST", 60_000_000)
+    monkeypatch.setattr(connection_limits, "CLIENT_TIMEOUT_US", 60_000_000)
+    monkeypatch.setattr(connection_limits, "MIN_IDLE_US", 60_000_000)
 
     async def scenario():
         async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
-            node.node.server.most = 8
+            node.node.server.limits.max_connections = 8
             usual = await node.caller()
             usual.send()
             assert (await usual.answer())[0] == 200
@@ -207,7 +209,7 @@
             for caller in (late, usual):  # the kept one is there still: it has not rested for 2 s
                 caller.send()
                 assert (await caller.answer())[0] == 200
-            assert len(node.node.server._callers) <= 8 + http_server.TURNED_AWAY
+            assert len(node.node.server.limits.connections) <= 8 + connection_limits.MAX_EXCESS_CONNECTIONS
 
     run(scenario())
 
@@ -217,22 +219,22 @@
 
     async def scenario():
         async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
-            node.node.server.most = 8
+            node.node.server.limits.max_connections = 8
             for _ in range(60):
                 caller = await node.caller()
                 caller.send()
                 status, headers, body = await caller.answer()
                 assert (status, body) == (200, b"car")
             assert headers["connection"] == "close"
-            assert len(node.node.server._callers) <= 8
+            assert len(node.node.server.limits.connections) <= 8
 
     run(scenario())
 
 
 def test_connection_that_rests_is_closed_after_a_while(monkeypatch):
     """Guards against callers that ask once and keep their connection for good, also past the node's end of it."""
-    monkeypatch.setattr(http_server, "IDLE_MOST", 50_000)
-    monkeypatch.setattr(http_server, "PATIENCE", 200_000)
+    monkeypatch.setattr(connection_limits, "IDLE_TIMEOUT_US", 50_000)
+    monkeypatch.setattr(connection_limits, "CLIENT_TIMEOUT_US", 200_000)
 
     async def scenario():
         async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
@@ -240,8 +242,8 @@
             caller.send()
             assert (await caller.answer())[0] == 200
             assert await caller.ended() == b""  # the caller's own side stays open
-            assert not node.node.server.idle.since
-            await until(lambda: not node.node.server._callers)
+            assert not len(node.node.server.limits.idle)
+            await until(lambda: not node.node.server.limits.connections)
 
     run(scenario())
 
@@ -294,8 +296,8 @@
     """Have one request answered on it; returns the node's end of that connection, which rests."""
     sock.sendall(REQUEST % b"first" + b"\r\n")
     assert (await soon(asyncio.to_thread(sock.recv, 65536))).startswith(b"HTTP/1.1 200 ")
-    [found] = node.node.server._callers
-    await until(found.resting)
+    [found] = node.node.server.limits.connections
+    await until(found.is_idle)
     return found
 
 
@@ -324,7 +326,7 @@
             sock.sendall(REQUEST % b"second" + b"\r\n")
             assert await received(sock) == b""
             sock.close()
-            await until(lambda: not node.node.server._callers)
+            await until(lambda: not node.node.server.limits.connections)
             assert peer.seen.qsize() == 1
 
     run(scenario())
@@ -342,15 +344,15 @@
             sock = raw_caller(node)
             sock.sendall(REQUEST % b"first" + b"Connection: close\r\n\r\n")
             await soon(peer.seen.get())
-            [mine] = node.node.server._callers
+            [mine] = node.node.server.limits.connections
             mine.transport.pause_reading()
             sock.sendall(REQUEST % b"second" + b"\r\n")  # lies unread when the last answer is written
             peer.release.set()
-            await until(lambda: mine.ending)
+            await until(mine.has_ended)
             got = await received(sock)
             assert got.endswith(b"\r\n\r\n" + said) and got.count(b"HTTP/1.1") == 1
             sock.close()
-            await until(lambda: not node.node.server._callers)
+            await until(lambda: not node.node.server.limits.connections)
             assert peer.seen.empty()
 
     run(scenario())
@@ -362,7 +364,7 @@
             sock = raw_caller(node)
             sock.sendall(REQUEST % b"first" + b"\r\n")
             sock.close()
-            await until(lambda: not node.node.server._callers)
+            await until(lambda: not node.node.server.limits.connections)
             assert await node_is_empty(node) and peer.seen.empty()
 
     run(scenario())
@@ -380,13 +382,13 @@
             sock = raw_caller(node)
             sock.sendall(REQUEST % b"first" + b"\r\n" + REQUEST % b"second" + b"\r\n")
             await soon(peer.seen.get())
-            [mine] = node.node.server._callers
+            [mine] = node.node.server.limits.connections
             await until(lambda: len(mine.pending) == 1)
             mine.transport.pause_reading()
             sock.sendall(REQUEST % b"third" + b"\r\n")
             sock.shutdown(socket.SHUT_WR)
             peer.release.set()
-            await until(lambda: not node.node.server._callers)
+            await until(lambda: not node.node.server.limits.connections)
             assert await node_is_empty(node) and peer.seen.empty()
             sock.close()
 
@@ -401,12 +403,12 @@
 
 def test_all_that_wait_outside_when_the_listener_closes_are_let_in(monkeypatch):
     """What is still in the kernel's queue when a listener closes is reset, with the requests in it."""
-    monkeypatch.setattr(lifecycle, "CHANGEOVER", 0)
+    monkeypatch.setattr(lifecycle, "DRAIN_NOTICE_US", 0)
 
     async def scenario():
         async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
-            node.node.server._stop()
-            socks = [raw_caller(node) for _ in range(3 * listener.ACCEPTED)]
+            node.node.server.listener.stop()
+            socks = [raw_caller(node) for _ in range(3 * listener.ACCEPT_BATCH)]
             for i, sock in enumerate(socks):
                 sock.sendall(REQUEST % b"r-%d" % i + b"Connection: close\r\n\r\n")
             leaving = asyncio.create_task(node.node.leave())
@@ -423,20 +425,20 @@
 @pytest.mark.parametrize("first", ["", "served"])
 def test_caller_whose_request_is_not_read_yet_does_not_make_room(monkeypatch, first):
     """It has just come, or rested until now; the one that says nothing goes, though it came later."""
-    monkeypatch.setattr(http_server, "IDLE_LEAST", 0)
-    monkeypatch.setattr(http_server, "GRACE", 0)
+    monkeypatch.setattr(connection_limits, "MIN_IDLE_US", 0)
+    monkeypatch.setattr(connection_limits, "MIN_SILENCE_US", 0)
 
     async def scenario():
         async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
             sock = raw_caller(node)
             if first:
                 await served_once(node, sock)
-            await until(lambda: len(node.node.server._callers) == 1)
+            await until(lambda: len(node.node.server.limits.connections) == 1)
             quiet = raw_caller(node)
-            await until(lambda: len(node.node.server._callers) == 2)
+            await until(lambda: len(node.node.server.limits.connections) == 2)
             sock.sendall(REQUEST % b"second" + b"Connection: close\r\n\r\n")
-            assert node.node.server._make_room()
-            assert not node.node.server._make_room()
+            assert node.node.server.limits.evict()
+            assert not node.node.server.limits.evict()
             assert (await received(sock)).endswith(b"car")
             assert await received(quiet) == b""
             quiet.close()
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from oakbridge.node.clock import COMPACT, Clock
+from oakbridge.node.clock import COMPACT_MIN_CANCELLED, Clock
 
 
 class PlayedLoop:
@@ -88,6 +88,6 @@
 def test_what_was_called_off_is_not_kept():
     clock = PlayedClock(PlayedLoop(1))
     kept = clock.call_at(clock.now() + 10**9, lambda: None)
-    for _ in range(50 * COMPACT):
+    for _ in range(50 * COMPACT_MIN_CANCELLED):
         clock.call_at(clock.now() + 10**9, lambda: None).cancel()
-    assert len(clock._heap) <= COMPACT + 2 and kept in [timer for *_, timer in clock._heap]
+    assert len(clock._heap) <= COMPACT_MIN_CANCELLED + 2 and kept in [timer for *_, timer in clock._heap]
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -486,11 +486,11 @@
 
 def test_callers_are_bounded(monkeypatch):
     """At the bound the caller that is idle longest goes; with none idle, one more is told to go elsewhere."""
-    monkeypatch.setattr("oakbridge.node.http_server.IDLE_LEAST", 0)
+    monkeypatch.setattr("oakbridge.node.connection_limits.MIN_IDLE_US", 0)
 
     async def scenario():
         async with Peer(lambda seen: None) as peer, Running(peer) as node:
-            node.node.server.most = 2
+            node.node.server.limits.max_connections = 2
             idle, busy = await node.caller(), await node.caller()
             for caller in (idle, busy):
                 caller.writer.write(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -546,8 +546,8 @@
 
 def test_end_fails_what_is_still_out_and_closes_late_silent_callers(monkeypatch):
     """Guards against SIGKILL finding a request unanswered, and against waiting for silent callers."""
-    monkeypatch.setattr("oakbridge.node.lifecycle.LONGEST", 500_000)
-    monkeypatch.setattr("oakbridge.node.lifecycle.CHANGEOVER", 100_000)
+    monkeypatch.setattr("oakbridge.node.lifecycle.MAX_DEADLINE_US", 500_000)
+    monkeypatch.setattr("oakbridge.node.lifecycle.DRAIN_NOTICE_US", 100_000)
 
     async def scenario():
         async with Peer(lambda _: None) as peer, Running(peer) as node:
--- a/tests/node/test_streams.py
+++ b/tests/node/test_streaming.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 from peers import SETTINGS, Peer, Running, reply, run, soon, until
 
-from oakbridge.node import client_connection, http_server, socket_state, upstream
-from oakbridge.node.client_request import absolute
-from oakbridge.node.request_body import WINDOW, Upload
+from oakbridge.node import connection_limits, read_deadlines, request_parser, socket_state, upstream
+from oakbridge.node.request_body import STREAM_WINDOW_BYTES, StreamedBody
+from oakbridge.node.request_parser import origin_form
 from oakbridge.node.settings import read_settings
 from oakbridge.node.upstream import SETTLE
 
@@ -199,7 +199,7 @@
 
 def test_slow_readers_hold_bounded_memory_and_the_server_is_held_back(monkeypatch):
     """Back-pressure: what a server has ready for a slow caller stays with the server."""
-    monkeypatch.setattr(http_server, "PATIENCE", 200_000)
+    monkeypatch.setattr(connection_limits, "CLIENT_TIMEOUT_US", 200_000)
 
     async def handle(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
@@ -215,8 +215,8 @@
             caller.send()
             await soon(caller.reader.readuntil(b"\r\n\r\n"))
             caller.writer.transport.pause_reading()
-            [one] = node.node.server._callers
-            while not one.blocked:
+            [one] = node.node.server.limits.connections
+            while not one.write_blocked:
                 await asyncio.sleep(0.005)
             [[connection]] = [target.busy for target in node.node.pool.targets.values()]
             assert connection.paused  # what the server still writes stays with it
@@ -227,10 +227,10 @@
             for _ in range(60):
                 got += len(await soon(caller.reader.read(65536)))
                 await asyncio.sleep(0.01)
-            assert node.node.server._callers == {one}
+            assert node.node.server.limits.connections == {one}
             assert one.transport.get_write_buffer_size() < 2 * upstream.CHUNK + 65536
             caller.writer.transport.pause_reading()  # and one that reads nothing more is cut off
-            while node.node.server._callers:
+            while node.node.server.limits.connections:
                 await asyncio.sleep(0.01)
 
     run(scenario())
@@ -304,7 +304,7 @@
                 first, seen = await soon(got.get())
                 assert seen == body
                 assert b"x-trailer" not in first
-            assert node.node.server.held == 0
+            assert node.node.server.body_buffers.used == 0
 
     run(scenario())
 
@@ -340,7 +340,7 @@
 
 @pytest.mark.parametrize("end", ["stall", "close", "reset"])
 def test_a_body_that_does_not_come_to_its_end_never_becomes_a_request(monkeypatch, end):
-    monkeypatch.setattr(http_server, "PATIENCE", 300_000)
+    monkeypatch.setattr(connection_limits, "CLIENT_TIMEOUT_US", 300_000)
     short, begun, left = [], asyncio.Event(), asyncio.Event()
 
     async def handle(reader, writer):
@@ -366,7 +366,7 @@
             assert len(short) == 1
             if end == "stall":
                 assert (await soon(caller.reader.read())).startswith(b"HTTP/1.1 408 ")
-            while node.node.requests or node.node.server._callers:
+            while node.node.requests or node.node.server.limits.connections:
                 await asyncio.sleep(0.005)
 
     run(scenario())
@@ -402,7 +402,7 @@
 
 
 def test_a_caller_that_writes_while_the_server_does_not_read_is_held_back_and_not_given_up(monkeypatch):
-    monkeypatch.setattr(http_server, "PATIENCE", 200_000)
+    monkeypatch.setattr(connection_limits, "CLIENT_TIMEOUT_US", 200_000)
     go = asyncio.Event()
 
     async def handle(reader, writer):
@@ -418,13 +418,16 @@
             caller = await node.caller()
             caller.writer.write(head("POST", "/api", "Content-Length: 20000000"))
             caller.writer.write(b"x" * 20_000_000)
-            while not node.node.server._callers:
+            while not node.node.server.limits.connections:
                 await asyncio.sleep(0.005)
-            [one] = node.node.server._callers
-            while one.upload is None or not one.upload.upload.full:
+            [one] = node.node.server.limits.connections
+            while not one.parser.body_is_held_back():
                 await asyncio.sleep(0.005)
             await asyncio.sleep(0.7)
-            assert one.upload.upload._waiting < WINDOW + upstream.CHUNK + client_connection.HOLD
+            assert (
+                one.parser.streamed_request.streamed_body.buffered_bytes
+                < STREAM_WINDOW_BYTES + upstream.CHUNK + request_parser.MAX_BUFFERED_BODY_BYTES
+            )
             go.set()
             assert (await caller.answer())[0] == 200
 
@@ -434,18 +437,18 @@
 def test_many_bodies_are_held_within_a_bound_then_go_on_as_they_come():
     async def scenario():
         async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
-            node.node.server.held_most = 300_000
+            node.node.server.body_buffers.limit = 300_000
             all_ = [await node.caller() for _ in range(8)]
             for i, caller in enumerate(all_):
                 caller.writer.write(head("POST", "/api", "Content-Length: 200000", ident=f"h-{i}"))
                 caller.writer.write(b"x" * 199_999)
-            while node.node.server.held < 150_000 or len(node.node.requests) < 5:
+            while node.node.server.body_buffers.used < 150_000 or len(node.node.requests) < 5:
                 await asyncio.sleep(0.005)
-            assert node.node.server.held <= 500_000
+            assert node.node.server.body_buffers.used <= 500_000
             for caller in all_:
                 caller.writer.write(b"x")
                 assert (await caller.answer())[0] == 200
-            assert node.node.server.held == 0
+            assert node.node.server.body_buffers.used == 0
 
     run(scenario())
 
@@ -529,13 +532,13 @@
     ],
 )  # fmt: skip
 def test_a_target_in_absolute_form_is_its_path_and_query(url, target):
-    assert absolute(url) == target
+    assert origin_form(url) == target
 
 
 @given(st.lists(st.one_of(st.binary(min_size=1, max_size=90_000), st.just(None)), max_size=40))
 def test_an_upload_gives_what_it_took_in_order_and_says_when_it_is_full(course):
     changes, given_, taken = [], b"", b""
-    upload = Upload(None, lambda: changes.append(upload.full))
+    upload = StreamedBody(None, lambda: changes.append(upload.full))
     for data in course:
         if data is None:
             taken += upload.take()
@@ -543,20 +546,20 @@
             given_ += data
             upload.feed(data)
         waiting = len(given_) - len(taken)
-        assert upload.full <= (waiting > WINDOW // 2)
-        assert (waiting > WINDOW) <= upload.full
+        assert upload.full <= (waiting > STREAM_WINDOW_BYTES // 2)
+        assert (waiting > STREAM_WINDOW_BYTES) <= upload.full
     while data := upload.take():
         taken += data
     assert taken == given_
     assert not upload.full
     assert all(a != b for a, b in zip(changes, changes[1:], strict=False))
-    upload.drop()
+    upload.discard()
     upload.feed(b"x")
     assert upload.take() == b""
 
 
 def test_how_far_a_caller_has_read_is_told_by_what_is_still_out():
-    assert socket_state.progressed(-1, 5)
-    assert socket_state.progressed(9, 5)
-    assert not socket_state.progressed(5, 5)
-    assert socket_state.outgoing(None) == 0
+    assert read_deadlines.has_decreased(None, 5)
+    assert read_deadlines.has_decreased(9, 5)
+    assert not read_deadlines.has_decreased(5, 5)
+    assert socket_state.unacknowledged_bytes(None) == 0
--- a/tests/operators/test_site.py
+++ b/tests/operators/test_site.py
@@ -88,7 +88,7 @@
 
 
 def test_drained_node_serves_who_comes_closes_after_answers_and_joins_again(monkeypatch):
-    monkeypatch.setattr(lifecycle, "CHANGEOVER", 150_000)
+    monkeypatch.setattr(lifecycle, "DRAIN_NOTICE_US", 150_000)
 
     async def scenario():
         async def held():
