--- a/oakbridge/node/client_connection.py
+++ b/oakbridge/node/client_connection.py
@@ -10,6 +10,7 @@
 
 from oakbridge.node.chunked_encoding import LAST_CHUNK, encode_chunk
 from oakbridge.node.client_request import ClientRequest
+from oakbridge.node.connection_state import ENDED_STATES, ConnectionEvent, ConnectionState, next_state
 from oakbridge.node.read_deadlines import MIN_BODY_BYTES_PER_CHECK, ClientProgress
 from oakbridge.node.request_parser import RequestParser, RequestPhase
 from oakbridge.node.response_writer import (
@@ -49,13 +50,12 @@
 class ClientConnection(asyncio.BufferedProtocol):
     """One client's connection.
 
-    The parser's phase says what is being received.  Beside it, reading
+    Its state says what is being done about responses, the parser's phase what is being received.  Beside both, reading
     or writing may be paused for back-pressure.  Wherever the client has to act next, a deadline runs
     (``limits.awaiting_client``), and so it does while the connection is idle (``limits.idle``).
     """
 
     __slots__ = (
-        "_has_ended",
         "_server",
         "_sock",
         "in_flight",
@@ -67,6 +67,7 @@
         "response_chunked",
         "response_closes",
         "response_source",
+        "state",
         "transport",
         "write_blocked",
     )
@@ -77,7 +78,7 @@
         self._sock = sock
         self.over_limit = over_limit
         self.transport: asyncio.Transport | None = None
-        self._has_ended = False
+        self.state = ConnectionState.IDLE
         self.parser = RequestParser(self, server.body_buffers)
         self.progress = ClientProgress()
         self.in_flight: ClientRequest | None = None
@@ -99,7 +100,7 @@
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
         """Cancel what was in flight, and notify the handler if a response was owed."""
         self.transport = None
-        self._has_ended = True
+        self._change_state(ConnectionEvent.CONNECTION_CLOSED)
         self.pending.clear()
         request, self.in_flight = self.in_flight, None
         self.parser.release_body()
@@ -191,18 +192,22 @@
 
     # ---- dispatch
 
+    def _change_state(self, event: ConnectionEvent) -> None:
+        self.state = next_state(self.state, event)
+
     def has_ended(self) -> bool:
         """Return whether nothing more is written on this connection."""
-        return self._has_ended
+        return self.state in ENDED_STATES
 
     def _dispatch_pending(self) -> None:
         """Dispatch the next request, or end the connection after an error, if no request is in flight."""
-        while self.in_flight is None and not self.has_ended() and not self.write_blocked and self.pending:
+        while self.state is ConnectionState.IDLE and not self.write_blocked and self.pending:
             request = self.in_flight = self.pending.popleft()
+            self._change_state(ConnectionEvent.REQUEST_DISPATCHED)
             self._server.limits.idle.remove(self)
             self._server.dispatch(request)
         error = self.parser.error_status
-        if self.in_flight is None and not self.has_ended() and not self.pending and error:
+        if self.state is ConnectionState.IDLE and not self.pending and error:
             self._write_response(error, [], b"", close=True)
         if self.parser.expects_continue and self.in_flight is None and not error:
             self._send_continue()
@@ -225,6 +230,7 @@
             request.streamed_body.discard()
         if request is self.in_flight:
             self.in_flight = None
+            self._change_state(ConnectionEvent.REQUEST_CANCELLED)
         elif request in self.pending:
             self.pending.remove(request)
         self._abandon(request)
@@ -244,6 +250,7 @@
             return
         request.answered = True
         self.in_flight = None
+        self._change_state(ConnectionEvent.RESPONSE_COMPLETE)
         is_early = request is self.parser.streamed_request  # the rest of the body is read and discarded
         if is_early and request.streamed_body is not None:
             request.streamed_body.discard()
@@ -271,6 +278,7 @@
             return False
         request.answered = True
         request.response_streamed = True
+        self._change_state(ConnectionEvent.RESPONSE_STARTED)
         self.response_source = source
         self.response_chunked = length is None and not request.http10
         ends_with_connection = length is None and request.http10
@@ -308,6 +316,7 @@
     def _forget_streamed_response(self) -> None:
         self.response_source = None
         self.in_flight = None
+        self._change_state(ConnectionEvent.RESPONSE_COMPLETE)
 
     def _closes_after(self, request: ClientRequest, *, rejected: bool = False) -> bool:
         """Return whether the connection ends with the response to this request."""
@@ -350,7 +359,7 @@
         Guards the last response: to close on bytes that were not read resets the connection, and the client loses what
         it has not read yet.  One that neither reads nor ends has a deadline, and is then cut off all the same.
         """
-        self._has_ended = True
+        self._change_state(ConnectionEvent.SENDING_ENDED)
         self.pending.clear()
         limits = self._server.limits
         limits.idle.remove(self)
@@ -440,6 +449,6 @@
 
     def abort(self) -> None:
         """Close now, whatever is unread or unsent."""
-        self._has_ended = True
+        self._change_state(ConnectionEvent.CONNECTION_CLOSED)
         if self.transport is not None:
             self.transport.abort()
