--- a/oakbridge/node/client_connection.py
+++ b/oakbridge/node/client_connection.py
@@ -1,24 +1,29 @@
-"""A client's connection: requests are dispatched one at a time, and each gets exactly one response."""
+"""A client's connection: one request is in flight at a time, each gets exactly one response."""
 
 from __future__ import annotations
 
 import asyncio
-import os
 import socket
 from collections import deque
-from typing import TYPE_CHECKING, Protocol, cast
+from typing import TYPE_CHECKING, cast
 
-from oakbridge.node.chunked_encoding import LAST_CHUNK, encode_chunk
 from oakbridge.node.client_request import ClientRequest
-from oakbridge.node.connection_state import ENDED_STATES, ConnectionEvent, ConnectionState, next_state
+from oakbridge.node.connection_state import (
+    ENDED_STATES,
+    ConnectionEvent,
+    ConnectionState,
+    next_state,
+)
 from oakbridge.node.read_deadlines import MIN_BODY_BYTES_PER_CHECK, ClientProgress
 from oakbridge.node.request_parser import RequestParser, RequestPhase
 from oakbridge.node.response_writer import (
     CHUNKED_HEADER,
     CONTINUE,
-    content_length_header,
+    ResponseSource,
+    ResponseStream,
     encode_response,
     encode_response_head,
+    stream_framing,
 )
 from oakbridge.node.socket_state import has_unread_bytes, peer_has_closed
 from oakbridge.node.upstream import Headers
@@ -28,31 +33,16 @@
 
 PAUSE_READING_AT = 16  # requests that wait on one connection
 MAX_PIPELINED = 64  # and those that are taken of what one read has brought
-HAND_OVER_RETRY_S = (
-    0.01  # a connection that is still being written to is looked at again before it is handed over
-)
 TOO_MANY_REQUESTS = 429
 
 
-class ResponseSource(Protocol):
-    """What a response is forwarded from while it is received: a server's connection."""
-
-    def pause(self) -> None:
-        """Send nothing more for now."""
-
-    def resume(self) -> None:
-        """Go on."""
-
-    def cancel(self) -> None:
-        """Give the rest up: the client is gone."""
-
-
 class ClientConnection(asyncio.BufferedProtocol):
     """One client's connection.
 
-    Its state says what is being done about responses, the parser's phase what is being received.  Beside both, reading
-    or writing may be paused for back-pressure.  Wherever the client has to act next, a deadline runs
-    (``limits.awaiting_client``), and so it does while the connection is idle (``limits.idle``).
+    Its state says what is being done about responses, the parser's phase what is being
+    received.  Beside both, reading or writing may be paused for back-pressure.  Wherever the client
+    has to act next, a deadline runs (``limits.awaiting_client``), and so it does while the
+    connection is idle (``limits.idle``).
     """
 
     __slots__ = (
@@ -64,9 +54,7 @@
         "pending",
         "progress",
         "reading_paused",
-        "response_chunked",
-        "response_closes",
-        "response_source",
+        "response_stream",
         "state",
         "transport",
         "write_blocked",
@@ -85,9 +73,7 @@
         self.pending: deque[ClientRequest] = deque()  # received, and not dispatched yet
         self.reading_paused = False  # because enough requests are pending
         self.write_blocked = False  # the client does not read what was written
-        self.response_source: ResponseSource | None = None  # of the response that is streamed
-        self.response_chunked = False  # how that is framed
-        self.response_closes = False  # whether it is the last
+        self.response_stream: ResponseStream | None = None  # the response that is being streamed
 
     # ---- asyncio's callbacks
 
@@ -105,18 +91,18 @@
         request, self.in_flight = self.in_flight, None
         self.parser.release_body()
         self._cancel_streamed_request()
-        source, self.response_source = self.response_source, None
+        stream, self.response_stream = self.response_stream, None
         self._server.on_connection_lost(self)
-        if source is not None:
-            source.cancel()
+        if stream is not None:
+            stream.source.cancel()
         self._abandon(request)
 
     def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002 - asyncio's signature
-        """Return the one buffer of all connections: what was read is parsed before anything else is read."""
+        """Return the buffer of all connections: it is parsed before anything else is read."""
         return self._server.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Parse requests; what is malformed ends the connection once earlier requests are answered."""
+        """Parse requests; a malformed one ends the connection once earlier ones are answered."""
         self.progress.bytes_received += nbytes
         if self.parser.error_status or self.has_ended():
             return  # discarded: see _end_sending
@@ -137,11 +123,11 @@
             self.update_reading()
 
     def pause_writing(self) -> None:
-        """Dispatch nothing more for a client that does not read its responses; it has a deadline to do so."""
+        """Dispatch nothing more until the client reads, for which it has a deadline."""
         self.write_blocked = True
         self._server.limits.awaiting_client.add(self)
-        if self.response_source is not None:
-            self.response_source.pause()
+        if self.response_stream is not None:
+            self.response_stream.source.pause()
 
     def resume_writing(self) -> None:
         """Go on: the client has read enough."""
@@ -151,8 +137,8 @@
             return
         if not self.parser.in_progress():
             self._server.limits.awaiting_client.remove(self)
-        if self.response_source is not None:
-            self.response_source.resume()
+        if self.response_stream is not None:
+            self.response_stream.source.resume()
         self._dispatch_pending()
 
     # ---- the parser's callbacks
@@ -200,7 +186,7 @@
         return self.state in ENDED_STATES
 
     def _dispatch_pending(self) -> None:
-        """Dispatch the next request, or end the connection after an error, if no request is in flight."""
+        """Dispatch the next request, or end the connection after an error, if none is in flight."""
         while self.state is ConnectionState.IDLE and not self.write_blocked and self.pending:
             request = self.in_flight = self.pending.popleft()
             self._change_state(ConnectionEvent.REQUEST_DISPATCHED)
@@ -237,7 +223,7 @@
         self.update_reading()
 
     def _abandon(self, request: ClientRequest | None) -> None:
-        """Notify the handler that nobody waits for the response to a request any more, if one was owed."""
+        """Notify the handler that nobody waits any more for the response to a request."""
         if request is not None and not request.answered:
             request.answered = True
             self._server.handler.on_client_gone(request)
@@ -251,7 +237,8 @@
         request.answered = True
         self.in_flight = None
         self._change_state(ConnectionEvent.RESPONSE_COMPLETE)
-        is_early = request is self.parser.streamed_request  # the rest of the body is read and discarded
+        # The rest of a streamed body is read and discarded.
+        is_early = request is self.parser.streamed_request
         if is_early and request.streamed_body is not None:
             request.streamed_body.discard()
         rejected = 400 <= status < 500 and status != TOO_MANY_REQUESTS
@@ -274,49 +261,51 @@
 
         ``length``: of the body, if it is known.  Returns False if no response is owed any more.
         """
-        if request.answered or request is not self.in_flight or self.transport is None or self.has_ended():
+        if request.answered or request is not self.in_flight:
+            return False
+        if self.transport is None or self.has_ended():
             return False
         request.answered = True
         request.response_streamed = True
         self._change_state(ConnectionEvent.RESPONSE_STARTED)
-        self.response_source = source
-        self.response_chunked = length is None and not request.http10
-        ends_with_connection = length is None and request.http10
-        self.response_closes = self._closes_after(request) or ends_with_connection
-        framing = CHUNKED_HEADER if self.response_chunked else b""
-        if length is not None:
-            framing = content_length_header(length)
-        head = encode_response_head(
-            status, headers, framing, close=self.response_closes, http10=request.http10
+        framing = stream_framing(length, http10=request.http10)
+        is_last = not framing or self._closes_after(request)
+        chunked = framing == CHUNKED_HEADER
+        self.response_stream = ResponseStream(
+            self.transport,
+            source,
+            chunked=chunked,
+            is_last=is_last,
         )
+        head = encode_response_head(status, headers, framing, close=is_last, http10=request.http10)
         self.transport.write(head)
         return True
 
     def write_body(self, data: bytes) -> None:
         """Write a part of a streamed response."""
-        if self.transport is not None and data:
-            self.transport.write(encode_chunk(data) if self.response_chunked else data)
+        if self.response_stream is not None:
+            self.response_stream.write(data)
 
     def end_response(self) -> None:
         """End a streamed response that is complete."""
-        self._forget_streamed_response()
-        if self.transport is None or self.has_ended():
+        stream = self._forget_stream()
+        if stream is None or self.has_ended():
             return
-        if self.response_chunked:
-            self.transport.write(LAST_CHUNK)
-        if self.response_closes and not self.pending:
+        stream.end()
+        if stream.is_last and not self.pending:
             self._end_sending()
         self._after_response()
 
     def abort_response(self) -> None:
-        """Break a streamed response off: the client sees that it is incomplete as the connection breaks."""
-        self._forget_streamed_response()
+        """Break a streamed response off: the client sees its connection break."""
+        self._forget_stream()
         self.abort()
 
-    def _forget_streamed_response(self) -> None:
-        self.response_source = None
+    def _forget_stream(self) -> ResponseStream | None:
+        stream, self.response_stream = self.response_stream, None
         self.in_flight = None
         self._change_state(ConnectionEvent.RESPONSE_COMPLETE)
+        return stream
 
     def _closes_after(self, request: ClientRequest, *, rejected: bool = False) -> bool:
         """Return whether the connection ends with the response to this request."""
@@ -351,13 +340,14 @@
         elif not self.parser.in_progress():
             self._server.limits.idle.add(self)
             if self._server.is_handing_over():
-                self._server.loop.call_soon(self.hand_over)
+                self._server.loop.call_soon(self._server.hand_over_if_idle, self)
 
     def _end_sending(self) -> None:
         """Write nothing more; what the client still sends is read and discarded for a while.
 
-        Guards the last response: to close on bytes that were not read resets the connection, and the client loses what
-        it has not read yet.  One that neither reads nor ends has a deadline, and is then cut off all the same.
+        Guards the last response: to close on bytes that were not read resets the connection, and
+        the client loses what it has not read yet.  One that neither reads nor ends has a deadline,
+        and is then cut off all the same.
         """
         self._change_state(ConnectionEvent.SENDING_ENDED)
         self.pending.clear()
@@ -373,26 +363,7 @@
             self.transport.write_eof()
             self.transport.resume_reading()
 
-    # ---- hand-over, deadlines and the end
-
-    def hand_over(self) -> None:
-        """Hand this connection over to the process that takes over, if it is idle and all that was written is out.
-
-        What the client has sent meanwhile is unread, and goes along.
-        """
-        transport = self.transport
-        if not self._server.is_handing_over() or transport is None or self.has_ended() or not self.is_idle():
-            return
-        if transport.get_write_buffer_size():
-            self._server.loop.call_later(HAND_OVER_RETRY_S, self.hand_over)
-            return
-        transport.pause_reading()
-        descriptor = os.dup(transport.get_extra_info("socket").fileno())
-        if self._server.hand_over_connection(descriptor):
-            self.abort()  # this process's own descriptor: the connection goes on
-        else:
-            os.close(descriptor)
-            transport.resume_reading()
+    # ---- deadlines and the end
 
     def is_idle(self) -> bool:
         """Return whether nothing is owed and nothing has begun on this connection."""
@@ -412,7 +383,7 @@
         return self.transport is None if closed is None else closed
 
     def _made_progress(self) -> bool:
-        """Return whether the client has done its part since the last check: has read, or sent enough."""
+        """Return whether the client has read, or sent enough, since the last check."""
         received = self.progress.take_received()
         if self.has_ended():
             return self.progress.may_linger(self.transport, received)
@@ -441,7 +412,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close between requests, unless bytes have arrived that are not read yet: they are served first."""
+        """Close between requests; unread bytes are served first."""
         if self.has_ended():
             return
         if self.reading_paused or self.write_blocked or not self.has_unread_bytes():
--- a/oakbridge/node/client_request.py
+++ b/oakbridge/node/client_request.py
@@ -1,4 +1,4 @@
-"""One request of a client: what it says, its deadlines, and the connection that waits for its response."""
+"""One request of a client: its head and body, its deadlines, and its connection."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ClientRequest:
-    """A request that was received: what it says, and whom its response is for.  Times are in microseconds."""
+    """A request that was received, and the client that waits.  Times are in microseconds."""
 
     __slots__ = (
         "answer_by",
@@ -56,7 +56,8 @@
         self.headers = headers
         self.header_values = dict(headers)
         self.body = body
-        self.streamed_body: StreamedBody | None = None  # the body, if it is forwarded while it is received
+        # The body, if it is forwarded while it is received.
+        self.streamed_body: StreamedBody | None = None
         self.http10 = False  # an HTTP/1.0 client knows no chunks
         self.keep_alive = True
         self.id = 0  # the balancer's number; 0: it has not seen this request
--- a/oakbridge/node/clock.py
+++ b/oakbridge/node/clock.py
@@ -15,7 +15,7 @@
 
 
 class Timer:
-    """Calls a function once, at a time; a cancelled one never does, also if the loop woke up too early."""
+    """Calls a function once, at a time; never once cancelled, even if the loop woke up early."""
 
     __slots__ = ("_clock", "callback")
 
@@ -33,17 +33,20 @@
 class Clock:
     """Starts at the system's wall clock and goes on by the monotonic one.
 
-    Discovery tells when a server started in Unix time; on this clock that needs no conversion that could drift, and
-    one start is always the same number, so that the balancer sees a restart only where there is one.
+    Discovery tells when a server started in Unix time; on this clock that needs no conversion that
+    could drift, and one start is always the same number, so that the balancer sees a restart only
+    where there is one.
 
-    All timers are in one heap, with one timer of the loop for the earliest: a request sets several and cancels nearly
-    all of them, and each of the loop's own would cost a handle, its context and a place in the loop's heap.
+    All timers are in one heap, with one timer of the loop for the earliest: a request sets several
+    and cancels nearly all of them, and each of the loop's own would cost a handle, its context and
+    a place in the loop's heap.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._offset = time.time_ns() // _NS_PER_US - time.monotonic_ns() // _NS_PER_US
-        self._heap: list[tuple[int, int, Timer]] = []  # due, number (equals fire in the order they were set)
+        # Due time, number (equals fire in the order they were set), timer.
+        self._heap: list[tuple[int, int, Timer]] = []
         self._count = 0
         self._cancelled = 0  # timers in the heap that were cancelled
         self._armed: asyncio.TimerHandle | None = None
@@ -63,7 +66,7 @@
         return timer
 
     def on_cancelled(self) -> None:
-        """Count a cancelled timer; once these are most of the heap, remove them, so that few are ever kept."""
+        """Count a cancelled timer; remove them once they are most of the heap."""
         self._cancelled += 1
         if self._cancelled > COMPACT_MIN_CANCELLED and 2 * self._cancelled > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].callback is not None]
@@ -88,7 +91,8 @@
                 self._cancelled -= 1
             else:
                 due.append(timer)
-        if self._heap:  # also guards against a loop that rounds timers: one that fires early is set again
+        # Also guards against a loop that rounds timers: one that fires early is set again.
+        if self._heap:
             self._arm(self._heap[0][0])
         for timer in due:
             callback, timer.callback = timer.callback, None
--- a/oakbridge/node/connection_limits.py
+++ b/oakbridge/node/connection_limits.py
@@ -1,4 +1,4 @@
-"""How many connections clients may have, for how long, and which one is evicted where places run short."""
+"""How many connections clients may have, for how long, and which is evicted first."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 from oakbridge.node.clock import Clock
 from oakbridge.node.read_deadlines import DeadlineQueue
 
-# How long a client has for its first request, for a head that has begun, for the next part of a body, for reading its
-# responses, and for ending what it still sends after the last of them.  A head may take 2 s.
+# How long a client has for its first request, for a head that has begun, for the next part of a
+# body, for reading its responses, and for ending what it still sends after the last of them.
+# A head may take 2 s.
 CLIENT_TIMEOUT_US = 2_500_000
 IDLE_TIMEOUT_US = 15_000_000  # between requests, while there is space
 MIN_IDLE_US = 2_100_000  # before an idle connection may be evicted; it may not be closed before 2 s
@@ -60,18 +61,20 @@
     def is_nearly_full(self) -> bool:
         """Return whether places run short: then each response is the last on its connection.
 
-        Guards against hundreds that ask once and stay: none may be evicted before it has been idle for 2 s.
+        Guards against hundreds that ask once and stay: none may be evicted before it has been idle
+        for 2 s.
         """
         return len(self.connections) > self.max_connections * NEARLY_FULL
 
     def may_evict_later(self) -> bool:
-        """Return whether any connection waits for its client or is idle, and so could be evicted in time."""
+        """Return whether any connection waits for its client or is idle."""
         return bool(self.awaiting_client) or bool(self.idle)
 
     def evict(self) -> bool:
-        """Abort a connection that is owed nothing, first of those that wait for their client, then of the idle.
+        """Abort a connection that is owed nothing; one that waits for its client first.
 
-        Its place is free at once; until the loop has closed it, its descriptor is one of the reserve.
+        Its place is free at once; until the loop has closed it, its descriptor is one of the
+        reserve.
         """
         connection = self.awaiting_client.oldest_evictable(MIN_SILENCE_US)
         connection = connection or self.idle.oldest_evictable(MIN_IDLE_US)
--- a/oakbridge/node/connection_state.py
+++ b/oakbridge/node/connection_state.py
@@ -1,7 +1,7 @@
-"""The states of a client's connection as to its responses, and the one table of the transitions between them.
+"""The states of a client's connection as to its responses, and the table of transitions.
 
-What is *received* has a state of its own (:class:`oakbridge.node.request_parser.RequestPhase`): a client may send its
-next request while the response to an earlier one is still being written.
+What is *received* has a state of its own (:class:`oakbridge.node.request_parser.RequestPhase`): a
+client may send its next request while the response to an earlier one is still being written.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
     CONNECTION_CLOSED = "connection closed"  # by either side
 
 
-# A response can still become complete, or its request be cancelled, after the connection has ended: nothing is
-# written then, and the state stays.
+# A response can still become complete, or its request be cancelled, after the connection has ended:
+# nothing is written then, and the state stays.
 _TRANSITIONS = {
     ConnectionState.IDLE: {
         ConnectionEvent.REQUEST_DISPATCHED: ConnectionState.IN_FLIGHT,
@@ -76,7 +76,7 @@
 
 
 def next_state(state: ConnectionState, event: ConnectionEvent) -> ConnectionState:
-    """Return the state after an event.  Raises :class:`InvalidTransitionError` if it can't happen in this state."""
+    """Return the state after an event; raise :class:`InvalidTransitionError` if it can't happen."""
     try:
         return _TRANSITIONS[state][event]
     except KeyError:
--- a/oakbridge/node/http_server.py
+++ b/oakbridge/node/http_server.py
@@ -1,9 +1,10 @@
-"""The HTTP server for clients: admits connections, validates requests, drains, hands over and shuts down."""
+"""The HTTP server for clients: admission, validation, draining, hand-over, shut-down."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
+import os
 import socket
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -21,6 +22,7 @@
 
 READINESS_PATH = b"/-/ready"
 READ_BUFFER_BYTES = 64 * 1024
+HAND_OVER_RETRY_S = 0.01  # while a connection is still being written to
 
 
 class RequestHandler(Protocol):
@@ -58,7 +60,8 @@
     ) -> None:
         """``addresses``: where to listen; none if connections are handed in (:meth:`admit`).
 
-        ``inherited``: sockets that listen there already, from another process; ``reuse_port``: others may listen too.
+        ``inherited``: sockets that listen there already, from another process; ``reuse_port``:
+        others may listen too.
         """
         self.loop = loop
         self.clock = clock
@@ -68,7 +71,7 @@
         self.body_buffers = BodyBuffers()
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.listener = Listener(loop, clock, self.lifecycle, self.limits, self.admit)
-        # Set while another process takes over: hands a connection's descriptor to it; False if that process is gone.
+        # Set while another process takes over: hands it a descriptor, or returns False.
         self._send_descriptor: Callable[[int], bool] | None = None
         self._attach_tasks: set[asyncio.Task[None]] = set()
         self._step_timer: Timer | None = None  # the next step of the lifecycle
@@ -131,11 +134,12 @@
     # ---- requests
 
     def dispatch(self, request: ClientRequest) -> None:
-        """Answer the readiness check and what is rejected; hand the rest on, with the time that is left."""
+        """Answer the readiness check and what is rejected; hand the rest to the handler."""
         client = request.client
         if request.target.split(b"?", 1)[0] == READINESS_PATH:
             ready = self.handler.serving() and self.lifecycle.ready
-            return client.respond(request, 200 if ready else 503, [], b"ready\n" if ready else b"not ready\n")
+            status, body = (200, b"ready\n") if ready else (503, b"not ready\n")
+            return client.respond(request, status, [], body)
         timeout = request.header_values.get(b"x-timeout")
         request.timeout = None if timeout is None else parse_timeout(timeout)
         rejection = self._rejection(request)
@@ -160,7 +164,7 @@
         if not self.handler.knows_class(request.header_text(b"x-priority-class")):
             return 400, b"unknown X-Priority-Class\n"
         if self.handler.has_open(request_id):
-            # Guards against a duplicate: it would be in flight beside the first one, for whoever sent it.
+            # Guards against a duplicate: it would be in flight beside the first one.
             return 409, b"a request with this X-Request-ID is open\n"
         if request.client.over_limit:
             return 503, b""
@@ -204,14 +208,31 @@
         """Return whether connections go to another process as they become idle."""
         return self._send_descriptor is not None
 
-    def hand_over_connection(self, descriptor: int) -> bool:
-        """Hand one connection to the process that takes over; return False if there is none."""
-        return self._send_descriptor is not None and self._send_descriptor(descriptor)
+    def hand_over_if_idle(self, connection: ClientConnection) -> None:
+        """Hand one connection to the process that takes over, if it is idle and all is written.
+
+        What the client has sent meanwhile is unread, and goes along.
+        """
+        transport, send_descriptor = connection.transport, self._send_descriptor
+        if send_descriptor is None or transport is None:
+            return
+        if connection.has_ended() or not connection.is_idle():
+            return
+        if transport.get_write_buffer_size():
+            self.loop.call_later(HAND_OVER_RETRY_S, self.hand_over_if_idle, connection)
+            return
+        transport.pause_reading()
+        descriptor = os.dup(transport.get_extra_info("socket").fileno())
+        if send_descriptor(descriptor):
+            connection.abort()  # this process's own descriptor: the connection goes on
+        else:
+            os.close(descriptor)
+            transport.resume_reading()
 
     def hand_over_idle_connections(self) -> None:
         """Hand all idle connections over; the others follow once they are idle."""
         for connection in list(self.limits.connections):
-            connection.hand_over()
+            self.hand_over_if_idle(connection)
 
     def take_back(self) -> None:
         """Accept again: the process that took over is gone."""
@@ -220,7 +241,7 @@
         self.listener.start()
 
     async def shut_down(self, max_deadline_us: int) -> None:
-        """Accept until clients have noticed, serve for a while, and return when all requests are answered.
+        """Accept until clients have noticed, then serve until all requests are answered.
 
         ``max_deadline_us``: the longest that a request may take.
         """
@@ -235,7 +256,8 @@
             self._step_timer.cancel()
             self._step_timer = None
         now = self.clock.now()
-        if self.shutting_down and self.listener.is_open and not self.lifecycle.accepts_connections(now):
+        accepts = self.lifecycle.accepts_connections(now)
+        if self.shutting_down and self.listener.is_open and not accepts:
             self.listener.accept_all()  # what is left in the kernel's queue would be reset
             self.listener.close()
         if self.lifecycle.closes_connections(now):
@@ -250,7 +272,7 @@
             self._step_timer = self.clock.call_at(step, self._apply_lifecycle)
 
     def _finish_if_empty(self) -> None:
-        if self._shut_down is not None and not self.listener.is_open and not self.limits.connections:
+        if not self.listener.is_open and not self.limits.connections:
             self._finish()
 
     def _finish(self) -> None:
--- a/oakbridge/node/lifecycle.py
+++ b/oakbridge/node/lifecycle.py
@@ -1,9 +1,13 @@
-"""The node's phases as one state machine: serving, draining, handed over, shutting down.  Pure; times in microseconds.
+"""The node's phases as one state machine: serving, draining, handed over, shutting down.
 
-A draining node reports that it is not ready.  While clients and the front notice, it goes on as before; from then on
-it closes connections: each response is the last on its connection, and idle connections are closed.  A drain can be
-taken back, a shut-down can't.  A node that has handed over is as ready as before, as the process that took over is the
-same node; it accepts nothing, and its idle connections are handed over.
+Pure; times are in microseconds.
+
+A draining node reports that it is not ready.  While clients and the front notice, it goes on as
+before; from then on it closes connections: each response is the last on its connection, and idle
+connections are closed.  A drain can be taken back, a shut-down can't.
+
+A node that has handed over is as ready as before, as the process that took over is the same node;
+it accepts nothing, and its idle connections are handed over.
 """
 
 from __future__ import annotations
@@ -12,8 +16,8 @@
 
 # New connections go on coming for 0.2 to 0.4 s after a node reports that it is not ready.
 DRAIN_NOTICE_US = 500_000
-# A node that shuts down keeps its connections for all but so much of the time until its end, and serves them: its
-# clients would have nowhere to go while another node is restarted as well.
+# A node that shuts down keeps its connections for all but so much of the time until its end, and
+# serves them: its clients would have nowhere to go while another node is restarted as well.
 CONNECTION_CLOSE_WINDOW_US = 600_000
 # SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
 MAX_DEADLINE_US = 3_000_000
@@ -33,7 +37,8 @@
 
     def __init__(self) -> None:
         self.phase = Phase.SERVING
-        self.draining = False  # operators want the node empty; goes along to the process that takes over
+        # Operators want the node empty; goes along to the process that takes over.
+        self.draining = False
         self.handed_over = False
         self.connections_close_at: int | None = None
         self.listener_closes_at: int | None = None
--- a/oakbridge/node/listener.py
+++ b/oakbridge/node/listener.py
@@ -16,7 +16,8 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024
-ACCEPT_BATCH = 16  # connections accepted in one turn of the loop, so that what they send is read in between
+# Connections accepted in one turn of the loop, so that what they send is read in between.
+ACCEPT_BATCH = 16
 
 
 def open_listener(address: Address, *, reuse_port: bool = False) -> socket.socket:
@@ -64,7 +65,7 @@
     def open(
         self, addresses: Sequence[Address], inherited: Sequence[socket.socket], *, reuse_port: bool
     ) -> None:
-        """Listen on inherited sockets, or else on these addresses.  Raises OSError, with nothing left open."""
+        """Listen on inherited sockets, or else on these addresses; raise OSError."""
         self._sockets = [*inherited]
         try:
             for address in () if inherited else addresses:
@@ -122,8 +123,8 @@
     def _accept_batch(self, listening: socket.socket) -> bool:
         """Accept a few connections; return whether more may wait.
 
-        Beyond the limit others are evicted; where none can be yet, a few more are accepted all the same, and rejected
-        if all others are owed a response.  The rest wait in the kernel's queue.
+        Beyond the limit others are evicted; where none can be yet, a few more are accepted all the
+        same, and rejected if all others are owed a response.  The rest wait in the kernel's queue.
         """
         for _ in range(ACCEPT_BATCH):
             if self._limits.is_excess_full() and not self._limits.evict():
@@ -149,7 +150,8 @@
             return False
         self.stop()
         if self._resume_timer is None:
-            self._resume_timer = self._clock.call_at(self._clock.now() + MIN_SILENCE_US, self._resume)
+            resume_at = self._clock.now() + MIN_SILENCE_US
+            self._resume_timer = self._clock.call_at(resume_at, self._resume)
         return True
 
     def _resume(self) -> None:
--- a/oakbridge/node/read_deadlines.py
+++ b/oakbridge/node/read_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines for what clients have to do, and whether a client that reached one has gone on meanwhile."""
+"""Deadlines for what clients have to do, and what they did from one check to the next."""
 
 from __future__ import annotations
 
@@ -18,12 +18,18 @@
 
 
 class DeadlineQueue:
-    """Connections by how long they have been in one state, oldest first, with one timer for all of them.
+    """Connections by how long they have been in one state, oldest first, with one timer for all.
 
-    All have the same limit, so that the order in which they came is the order in which they are due.
+    All have the same limit, so that the order in which they came is the order in which they are
+    due.
     """
 
-    def __init__(self, clock: Clock, limit_us: int, on_expired: Callable[[ClientConnection], None]) -> None:
+    def __init__(
+        self,
+        clock: Clock,
+        limit_us: int,
+        on_expired: Callable[[ClientConnection], None],
+    ) -> None:
         self._clock = clock
         self._limit_us = limit_us
         self._on_expired = on_expired
@@ -49,7 +55,7 @@
         self._since.pop(connection, None)
 
     def oldest_evictable(self, min_age_us: int) -> ClientConnection | None:
-        """Return the connection that has been here longest and is owed nothing, if that is as long."""
+        """Return the oldest connection that is owed nothing, if it is old enough."""
         now = self._clock.now()
         for connection, since in self._since.items():
             if since + min_age_us > now:
@@ -85,7 +91,12 @@
 class ClientProgress:
     """What a client has sent and read, from one check of its deadline to the next."""
 
-    __slots__ = ("_linger_checks", "_received_at_check", "_unacknowledged_at_check", "bytes_received")
+    __slots__ = (
+        "_linger_checks",
+        "_received_at_check",
+        "_unacknowledged_at_check",
+        "bytes_received",
+    )
 
     def __init__(self) -> None:
         self.bytes_received = 0
@@ -114,12 +125,12 @@
         return has_decreased(before, self._unacknowledged_at_check)
 
     def may_linger(self, transport: asyncio.Transport | None, received: int) -> bool:
-        """Return whether a client whose last response was written goes on sending or reading, and still may."""
+        """Return whether a client whose last response was written still reads or sends, and may."""
         self._linger_checks += 1
         has_read = self.has_read(transport)
         return self._linger_checks < MAX_LINGER_CHECKS and (has_read or received > 0)
 
 
 def has_decreased(before: int | None, now: int) -> bool:
-    """Return whether fewer bytes are unread than at the last check, or this is the first (``before`` is None)."""
+    """Return whether fewer bytes are unread than at the last check, or there was none (None)."""
     return before is None or now < before
--- a/oakbridge/node/request_body.py
+++ b/oakbridge/node/request_body.py
@@ -1,4 +1,4 @@
-"""Request bodies: those forwarded while they are received, and the memory that buffered ones may take."""
+"""Request bodies: streamed ones, and the memory that buffered ones may take."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StreamedBody:
-    """A body that is forwarded while it is received, with back-pressure: at most a window and a read wait here."""
+    """A body that is forwarded while it is received; at most a window and a read wait here."""
 
     __slots__ = (
         "_chunks",
@@ -34,7 +34,7 @@
     )
 
     def __init__(self, length: int | None, on_full_changed: Callable[[], None]) -> None:
-        """``length``: as announced; ``on_full_changed``: called when the window is full, or has space again."""
+        """``length``: as announced; ``on_full_changed``: called when ``full`` changes."""
         self.length = length
         self.complete = False
         self.full = False
--- a/oakbridge/node/request_parser.py
+++ b/oakbridge/node/request_parser.py
@@ -1,4 +1,4 @@
-"""Parsing of a client's requests: httptools' callbacks, the limits of heads and bodies, and strict framing."""
+"""Parsing of requests: httptools' callbacks, limits of heads and bodies, strict framing."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 # Up to this size it is buffered however many others are, and not counted.
 UNCOUNTED_BODY_BYTES = 64 * 1024
 
-# What requests are identified and decided by: given twice, two readers could each take another one for it.
+# What requests are identified and decided by: given twice, two readers could each take another one
+# for it.
 SINGLE_VALUE_HEADERS = frozenset({
     b"host", b"content-length", b"transfer-encoding", b"x-request-id", b"x-priority-class", b"x-tenant-id",
     b"x-route-key", b"x-timeout", b"x-retried", b"x-cost", b"idempotency-key", b"expect",
@@ -67,7 +68,8 @@
         self.phase = RequestPhase.IDLE
         self.error_status = 0
         self.expects_continue = False  # the client waits for 100 before it sends the body
-        self.streamed_request: ClientRequest | None = None  # whose body is forwarded while it is received
+        # The request whose body is forwarded while it is received.
+        self.streamed_request: ClientRequest | None = None
         self.request_bytes = 0  # received since the last read that completed a request
         self._completed = 0  # requests
         self._reset_message()
@@ -114,7 +116,8 @@
     def body_is_held_back(self) -> bool:
         """Return whether a streamed body has filled its window."""
         request = self.streamed_request
-        return request is not None and request.streamed_body is not None and request.streamed_body.full
+        body = None if request is None else request.streamed_body
+        return body is not None and body.full
 
     def release_body(self) -> None:
         """Give the buffered part of a body up, as its connection is over."""
@@ -213,7 +216,7 @@
             self._buffers.used -= self._body_size
 
     def _start_streaming(self) -> None:
-        """Pass the request on before its body is complete: the rest is forwarded while it is received."""
+        """Pass the request on before its body is complete."""
         request = self._build_request(b"")
         body = StreamedBody(self._content_length, self._connection.update_reading)
         request.streamed_body = body
@@ -225,7 +228,7 @@
 
 
 def origin_form(target: bytes) -> bytes:
-    """Return a target's path and query, without the scheme and host of the absolute form (RFC 9112, 3.2.2)."""
+    """Return a target's path and query, without the scheme and host (RFC 9112, 3.2.2)."""
     if target[:1] == b"/" or b"://" not in target:
         return target
     rest = target.split(b"://", 1)[1]
--- a/oakbridge/node/response_writer.py
+++ b/oakbridge/node/response_writer.py
@@ -1,7 +1,11 @@
-"""The bytes of the responses that clients get."""
+"""Responses to clients: their bytes, and those that are streamed from a server."""
 
 from __future__ import annotations
 
+import asyncio
+from typing import Protocol
+
+from oakbridge.node.chunked_encoding import LAST_CHUNK, encode_chunk
 from oakbridge.node.upstream import Headers
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"  # RFC 9110, 10.1.1
@@ -31,10 +35,8 @@
     status: int, headers: Headers, body: bytes, *, close: bool, http10: bool = False
 ) -> bytes:
     """Return a complete response; the arguments are those of :func:`encode_response_head`."""
-    return (
-        encode_response_head(status, headers, content_length_header(len(body)), close=close, http10=http10)
-        + body
-    )
+    framing = content_length_header(len(body))
+    return encode_response_head(status, headers, framing, close=close, http10=http10) + body
 
 
 def encode_response_head(
@@ -55,3 +57,51 @@
     elif http10:
         lines.append(b"connection: keep-alive")
     return b"\r\n".join(lines) + b"\r\n\r\n"
+
+
+def stream_framing(length: int | None, *, http10: bool) -> bytes:
+    """Return the header that frames a streamed response; empty if it ends with the connection.
+
+    ``length``: of the body; None if it is not known yet.
+    """
+    if length is not None:
+        return content_length_header(length)
+    return b"" if http10 else CHUNKED_HEADER
+
+
+class ResponseSource(Protocol):
+    """What a response is streamed from: a server's connection."""
+
+    def pause(self) -> None:
+        """Send nothing more for now."""
+
+    def resume(self) -> None:
+        """Go on."""
+
+    def cancel(self) -> None:
+        """Give the rest up: the client is gone."""
+
+
+class ResponseStream:
+    """The body of a response that is forwarded while it is received."""
+
+    __slots__ = ("_chunked", "_transport", "is_last", "source")
+
+    def __init__(
+        self, transport: asyncio.Transport, source: ResponseSource, *, chunked: bool, is_last: bool
+    ) -> None:
+        """``is_last``: the head has told the client that the connection ends with this response."""
+        self._transport = transport
+        self._chunked = chunked
+        self.source = source
+        self.is_last = is_last
+
+    def write(self, data: bytes) -> None:
+        """Write a part."""
+        if data:
+            self._transport.write(encode_chunk(data) if self._chunked else data)
+
+    def end(self) -> None:
+        """Write what ends the body."""
+        if self._chunked:
+            self._transport.write(LAST_CHUNK)
--- a/oakbridge/node/socket_state.py
+++ b/oakbridge/node/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a connection and the event loop does not: unread bytes, unsent bytes, the peer's end."""
+"""What the kernel knows of a connection and the event loop does not."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool | None:
-    """Return whether the peer has ended its side, also behind unread bytes; None if the socket can't tell."""
+    """Return whether the peer has ended its side, also behind unread bytes; None if unknown."""
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) != _TCP_ESTABLISHED
     except OSError:
@@ -28,7 +28,7 @@
 
 
 def unacknowledged_bytes(transport: asyncio.Transport | None) -> int:
-    """Return how many written bytes the peer has not taken: in the transport and in the kernel (SIOCOUTQ)."""
+    """Return how many written bytes the peer has not taken, here and in the kernel (SIOCOUTQ)."""
     if transport is None:
         return 0
     buffered = transport.get_write_buffer_size()
