--- a/oakbridge/node/client_connection.py
+++ b/oakbridge/node/client_connection.py
@@ -14,6 +14,7 @@
     ConnectionState,
     next_state,
 )
+from oakbridge.node.http_framing import Headers
 from oakbridge.node.read_deadlines import MIN_BODY_BYTES_PER_CHECK, ClientProgress
 from oakbridge.node.request_parser import RequestParser, RequestPhase
 from oakbridge.node.response_writer import (
@@ -26,7 +27,6 @@
     stream_framing,
 )
 from oakbridge.node.socket_state import has_unread_bytes, peer_has_closed
-from oakbridge.node.upstream import Headers
 
 if TYPE_CHECKING:
     from oakbridge.node.http_server import HttpServer
--- a/oakbridge/node/client_request.py
+++ b/oakbridge/node/client_request.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, Any
 
 from oakbridge.node.clock import Timer
+from oakbridge.node.http_framing import Headers
 from oakbridge.node.request_body import StreamedBody
-from oakbridge.node.upstream import Headers
 
 if TYPE_CHECKING:
     from oakbridge.node.client_connection import ClientConnection
--- a/oakbridge/node/request_parser.py
+++ b/oakbridge/node/request_parser.py
@@ -8,8 +8,8 @@
 import httptools
 
 from oakbridge.node.client_request import ClientRequest
+from oakbridge.node.http_framing import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
 from oakbridge.node.request_body import BodyBuffers, StreamedBody
-from oakbridge.node.upstream import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
 
 if TYPE_CHECKING:
     from oakbridge.node.client_connection import ClientConnection
--- a/oakbridge/node/response_writer.py
+++ b/oakbridge/node/response_writer.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from oakbridge.node.chunked_encoding import LAST_CHUNK, encode_chunk
-from oakbridge.node.upstream import Headers
+from oakbridge.node.http_framing import Headers
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"  # RFC 9110, 10.1.1
 CHUNKED_HEADER = b"transfer-encoding: chunked"
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -8,9 +8,9 @@
 
 from oakbridge.node import discovery
 from oakbridge.node.client_request import parse_timeout
+from oakbridge.node.connection_pool import SETTLE
 from oakbridge.node.listing import BadList, parse
 from oakbridge.node.node import parse_report
-from oakbridge.node.upstream import SETTLE
 from oakbridge.policy import vocabulary as api
 from oakbridge.policy.balancer import AT_ONCE
 
--- a/tests/node/test_streaming.py
+++ b/tests/node/test_streaming.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 from peers import SETTINGS, Peer, Running, reply, run, soon, until
 
-from oakbridge.node import connection_limits, read_deadlines, request_parser, socket_state, upstream
+from oakbridge.node import connection_limits, read_deadlines, request_parser, server_connection, socket_state
+from oakbridge.node.connection_pool import SETTLE
 from oakbridge.node.request_body import STREAM_WINDOW_BYTES, StreamedBody
 from oakbridge.node.request_parser import origin_form
 from oakbridge.node.settings import read_settings
-from oakbridge.node.upstream import SETTLE
 
 BIG = 3_000_000
 PART = bytes(range(256)) * 256
@@ -220,7 +220,7 @@
                 await asyncio.sleep(0.005)
             [[connection]] = [target.busy for target in node.node.pool.targets.values()]
             assert connection.paused  # what the server still writes stays with it
-            assert one.transport.get_write_buffer_size() < 2 * upstream.CHUNK + 65536
+            assert one.transport.get_write_buffer_size() < 2 * server_connection.CHUNK + 65536
             caller.writer.transport.resume_reading()
             got = 0
             # Slowly, but it goes on: the caller is kept beyond its patience.
@@ -228,7 +228,7 @@
                 got += len(await soon(caller.reader.read(65536)))
                 await asyncio.sleep(0.01)
             assert node.node.server.limits.connections == {one}
-            assert one.transport.get_write_buffer_size() < 2 * upstream.CHUNK + 65536
+            assert one.transport.get_write_buffer_size() < 2 * server_connection.CHUNK + 65536
             caller.writer.transport.pause_reading()  # and one that reads nothing more is cut off
             while node.node.server.limits.connections:
                 await asyncio.sleep(0.01)
@@ -426,7 +426,7 @@
             await asyncio.sleep(0.7)
             assert (
                 one.parser.streamed_request.streamed_body.buffered_bytes
-                < STREAM_WINDOW_BYTES + upstream.CHUNK + request_parser.MAX_BUFFERED_BODY_BYTES
+                < STREAM_WINDOW_BYTES + server_connection.CHUNK + request_parser.MAX_BUFFERED_BODY_BYTES
             )
             go.set()
             assert (await caller.answer())[0] == 200
