--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -68,7 +68,7 @@
 
     def _notice_shutdown(self) -> None:
         """Whether this process was told to end meanwhile."""
-        if self.node.server.leaving:
+        if self.node.server.shutting_down:
             self.machine.begin_shutdown()
 
     def _decline(self, channel: Channel) -> None:
@@ -111,9 +111,9 @@
             "file": node.config.raw,
             "known": as_raw(index or 0, node.listed_now()),
             "outages": node.outages.saved(),
-            "draining": node.server.life.draining,
+            "draining": node.server.lifecycle.draining,
         }
-        self._send(Message(WELCOME, says), tuple(node.server.doors()))
+        self._send(Message(WELCOME, says), tuple(node.server.listener.duplicate_descriptors()))
         log.info("a process that takes over was told all")
 
     def _drain_to_successor(self) -> None:
@@ -122,15 +122,18 @@
         node.pool.close_idle()
         learned = state.save(node.balancer, node.clock.now())
         self._send(Message(OVER, {"learned": learned}))
-        log.info("handed over; %d callers move on as they rest", node.server.callers())
+        log.info("handed over; %d callers move on as they rest", node.server.connection_count())
         self._report_load(())
-        node.server.move_all()
+        node.server.hand_over_idle_connections()
 
     def _report_load(self, before: tuple[int, ...]) -> None:
         """Now and then say what this process still has: until it ends, the limits are for both together."""
         if self.channel is None or self.machine.state != state_machine.PredecessorState.DRAINING:
             return
-        still = self.node.balancer.admission.out, self.node.server.callers() + self.node.pool.connection_count
+        still = (
+            self.node.balancer.admission.out,
+            self.node.server.connection_count() + self.node.pool.connection_count,
+        )
         if still != before:
             self._send(Message(STILL, {"out": still[0], "held": still[1]}))
         self.loop.call_later(LOAD_REPORT_INTERVAL_S, self._report_load, still)
--- a/oakbridge/node/attempt.py
+++ b/oakbridge/node/attempt.py
@@ -8,7 +8,7 @@
 
 from oakbridge.node.clock import Timer
 from oakbridge.node.http_framing import Headers
-from oakbridge.node.request_body import Upload
+from oakbridge.node.request_body import StreamedBody
 from oakbridge.policy.vocabulary import Result
 
 if TYPE_CHECKING:
@@ -18,13 +18,13 @@
 class ResponseSink(Protocol):
     """Where a response goes that is passed on as it comes: a client's connection."""
 
-    def pass_on(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Take a part of the body; call :meth:`ServerConnection.pause` when that is enough for now."""
 
-    def finish(self) -> None:
+    def end_response(self) -> None:
         """Take the end of a complete response."""
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """Take the end of a response that broke off; the client must be able to tell."""
 
 
@@ -55,7 +55,7 @@
     on_response_start: (
         Callable[[AttemptOutcome, int | None, ServerConnection], ResponseSink | None] | None
     ) = None
-    upload: Upload | None = None  # the rest of a body that is still coming
+    upload: StreamedBody | None = None  # the rest of a body that is still coming
     on_request_sent: Callable[[], None] | None = None  # called once the last of ``upload`` is written
     start_by: int | None = None  # the request may not start to be written later
     connection: ServerConnection | None = field(default=None, init=False)
--- a/oakbridge/node/response_parser.py
+++ b/oakbridge/node/response_parser.py
@@ -145,7 +145,7 @@
             if self._body_bytes > MAX_BODY_BYTES:
                 self._unusable = True
             else:
-                self.sink.pass_on(data)
+                self.sink.write_body(data)
             return
         self._body.append(data)
         if max(self._body_bytes, self.content_length or 0) > MAX_BUFFERED_BYTES:
@@ -159,7 +159,7 @@
             return
         parts, self._body = self._body, []
         for part in parts:
-            self.sink.pass_on(part)
+            self.sink.write_body(part)
 
     def on_message_complete(self) -> None:
         """Take the end of the response; a provisional one (1xx) is followed by another."""
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -13,9 +13,9 @@
 from typing import TYPE_CHECKING
 
 from oakbridge.node.attempt import Attempt, AttemptOutcome, ResponseSink
-from oakbridge.node.chunks import chunk
+from oakbridge.node.chunked_encoding import encode_chunk
 from oakbridge.node.clock import Timer
-from oakbridge.node.request_body import Upload
+from oakbridge.node.request_body import StreamedBody
 from oakbridge.node.response_parser import ResponseError, ResponseParser
 from oakbridge.policy.vocabulary import Result
 
@@ -69,7 +69,7 @@
         self.idle_since = 0
         self._awaits_writable = False
         self._unsent: memoryview | None = None  # what the socket has not taken yet; None: nothing was written
-        self._body: Upload | None = None  # what follows it
+        self._body: StreamedBody | None = None  # what follows it
         self.paused = False
         self._timer: Timer | None = None  # limits the dial, then each pause within a response
         self._response = ResponseParser(self._open_sink)
@@ -144,10 +144,10 @@
             return b""
         chunked = body.length is None
         if data := body.take():
-            return chunk(data) if chunked else data
+            return encode_chunk(data) if chunked else data
         if body.complete:
             self._body = None
-            return chunk(b"") if chunked else b""
+            return encode_chunk(b"") if chunked else b""
         return b""
 
     def request_written(self) -> bool:
@@ -263,7 +263,7 @@
         attempt, self.attempt = self.attempt, None
         sink = response.detach_sink()
         if sink is not None:
-            sink.finish()
+            sink.end_response()
         outcome = response.take(result)
         self._has_served = self._has_served or result != Result.FULL
         if self._can_be_kept():
@@ -324,7 +324,7 @@
         sink = self._response.detach_sink()
         self.close()
         if sink is not None:
-            sink.cut()
+            sink.abort_response()
         if attempt is not None:
             attempt.finish(AttemptOutcome(Result.RESET if written else Result.CONNECT_FAILED))
 
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -108,7 +108,9 @@
         source=source,
         config=SimpleNamespace(name="edge-1"),
         server=SimpleNamespace(
-            addresses=[("127.0.0.1", 8080), ("127.0.0.1", 8081)], leaving=not ready, callers=lambda: 5
+            addresses=[("127.0.0.1", 8080), ("127.0.0.1", 8081)],
+            shutting_down=not ready,
+            connection_count=lambda: 5,
         ),
         pool=SimpleNamespace(connection_count=9),
         served=1000,
