--- a/oakbridge/node/client_connection.py
+++ b/oakbridge/node/client_connection.py
@@ -36,6 +36,9 @@
 TOO_MANY_REQUESTS = 429
 
 
+_IDLE = ConnectionState.IDLE  # looked up for each request
+
+
 class ClientConnection(asyncio.BufferedProtocol):
     """One client's connection.
 
@@ -187,13 +190,13 @@
 
     def _dispatch_pending(self) -> None:
         """Dispatch the next request, or end the connection after an error, if none is in flight."""
-        while self.state is ConnectionState.IDLE and not self.write_blocked and self.pending:
+        while self.state is _IDLE and not self.write_blocked and self.pending:
             request = self.in_flight = self.pending.popleft()
             self._change_state(ConnectionEvent.REQUEST_DISPATCHED)
             self._server.limits.idle.remove(self)
             self._server.dispatch(request)
         error = self.parser.error_status
-        if self.state is ConnectionState.IDLE and not self.pending and error:
+        if self.state is _IDLE and not self.pending and error:
             self._write_response(error, [], b"", close=True)
         if self.parser.expects_continue and self.in_flight is None and not error:
             self._send_continue()
--- a/oakbridge/node/connection_state.py
+++ b/oakbridge/node/connection_state.py
@@ -12,6 +12,8 @@
 class ConnectionState(Enum):
     """What is being done about responses on one connection."""
 
+    __hash__ = object.__hash__  # members are singletons; the hash of Enum is slow
+
     IDLE = "idle"  # no request is in flight
     IN_FLIGHT = "in flight"  # one is; nothing of its response has been written
     STREAMING = "streaming"  # its response is being forwarded while it is received
@@ -22,6 +24,8 @@
 class ConnectionEvent(Enum):
     """What moves a connection from one state to another."""
 
+    __hash__ = object.__hash__  # members are singletons; the hash of Enum is slow
+
     REQUEST_DISPATCHED = "request dispatched"
     REQUEST_CANCELLED = "request cancelled"  # its body never became complete
     RESPONSE_STARTED = "response started"
--- a/oakbridge/node/request_parser.py
+++ b/oakbridge/node/request_parser.py
@@ -35,6 +35,12 @@
     BODY = "body"
 
 
+# For each header of each request: before Python 3.12 the look-up of an Enum's member is slow.
+_IDLE = RequestPhase.IDLE
+_HEAD = RequestPhase.HEAD
+_BODY = RequestPhase.BODY
+
+
 class RequestParser:
     """Parses the requests of one connection, and tells the connection of each.
 
@@ -65,7 +71,7 @@
         self._connection = connection
         self._buffers = buffers
         self._parser: Any = httptools.HttpRequestParser(self)
-        self.phase = RequestPhase.IDLE
+        self.phase = _IDLE
         self.error_status = 0
         self.expects_continue = False  # the client waits for 100 before it sends the body
         # The request whose body is forwarded while it is received.
@@ -101,7 +107,7 @@
 
     def _is_mostly_framing(self) -> bool:
         """Return whether too much has been received that is no body."""
-        if self.phase is not RequestPhase.BODY:
+        if self.phase is not _BODY:
             return True
         return self.request_bytes - self._body_size > 2 * MAX_HEAD + FRAMING * self._body_size
 
@@ -111,7 +117,7 @@
 
     def in_progress(self) -> bool:
         """Return whether a request has begun and is not complete."""
-        return self.phase is not RequestPhase.IDLE or self.request_bytes > 0
+        return self.phase is not _IDLE or self.request_bytes > 0
 
     def body_is_held_back(self) -> bool:
         """Return whether a streamed body has filled its window."""
@@ -128,7 +134,7 @@
 
     def on_message_begin(self) -> None:
         """Note that a request begins."""
-        self.phase = RequestPhase.HEAD
+        self.phase = _HEAD
 
     def on_url(self, url: bytes) -> None:
         """Take a part of the request's target."""
@@ -136,7 +142,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take one header; trailers are ignored, or they could change what the head has decided."""
-        if self.phase is RequestPhase.BODY:
+        if self.phase is _BODY:
             return
         name = name.lower()
         if name in SINGLE_VALUE_HEADERS:
@@ -147,7 +153,7 @@
 
     def on_headers_complete(self) -> None:
         """Reject at the head what is too long or can be understood in two ways."""
-        self.phase = RequestPhase.BODY
+        self.phase = _BODY
         if len(self._target) + self._head_size > MAX_HEAD:
             return self.fail(431)
         fault, self._content_length, _ = framing(self._headers)
@@ -184,7 +190,7 @@
         elif not self.error_status:
             self._connection.on_request(self._build_request(b"".join(self._body)))
         self._reset_message()
-        self.phase = RequestPhase.IDLE
+        self.phase = _IDLE
         self.expects_continue = False
 
     # ---- requests and their bodies
