--- a/tests/formats/test_peers.py
+++ b/tests/formats/test_peers.py
@@ -1,11 +1,13 @@
-"""Members' datagrams, full exchanges, snapshots and operators' JSON: bytes of 0.3.0, read and written again.
+"""Members' datagrams, exchanges, snapshots and operators' JSON: bytes of 0.3.0, read and written.
 
-The fixtures were written by the program before its names were changed, with the secret below.  They never change.
+The fixtures were written by the program before its names were changed, with the secret below.  They
+never change.
 """
 
 import asyncio
 import json
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
 
 import msgspec
@@ -46,14 +48,14 @@
     return reader
 
 
-def datagram_again(name: str) -> tuple[bytes, bytes]:
+def datagram_again(name: str, _folder: Path) -> tuple[bytes, bytes]:
     row, codec = DATAGRAMS[name], Codec(SECRET)
     data = bytes.fromhex(row["datagram"])
     assert msgspec.msgpack.decode(data[HEADER_BYTES:]) == row["body"]
     return data, codec.encode(codec.decode(data), row["version"])
 
 
-def exchange_again(name: str) -> tuple[bytes, bytes]:
+def exchange_again(name: str, _folder: Path) -> tuple[bytes, bytes]:
     async def again() -> bytes:
         sealed, codec, written = await read_frame(stream_of(data)), Codec(SECRET), Written()
         assert msgspec.msgpack.decode(sealed[HEADER_BYTES:]) == row["body"]
@@ -72,14 +74,14 @@
 
 
 FORMATS: list[tuple[str, Callable[[Path], tuple[bytes, bytes]]]] = [
-    *((f"datagram {name}", lambda _, name=name: datagram_again(name)) for name in DATAGRAMS),
-    *((f"exchange {name}", lambda _, name=name: exchange_again(name)) for name in EXCHANGES),
-    ("snapshot", lambda folder: snapshot_again("snapshot.json", folder)),
+    *((f"datagram {name}", partial(datagram_again, name)) for name in DATAGRAMS),
+    *((f"exchange {name}", partial(exchange_again, name)) for name in EXCHANGES),
+    ("snapshot", partial(snapshot_again, "snapshot.json")),
 ]
 
 
-@pytest.mark.parametrize(("name", "again"), FORMATS, ids=[name for name, _ in FORMATS])
-def test_what_was_written_is_read_and_written_the_same(tmp_path, name, again):
+@pytest.mark.parametrize("again", [pytest.param(again, id=name) for name, again in FORMATS])
+def test_what_was_written_is_read_and_written_the_same(tmp_path, again):
     before, after = again(tmp_path)
     assert after == before
 
@@ -89,7 +91,7 @@
 
 
 def test_what_operators_are_told_keeps_its_names_and_form(monkeypatch):
-    """Built from the datagrams and the exchange of the fixtures; compared as text, so with the order of the keys."""
+    """Built from the fixtures' datagrams; compared as text, so with the order of the keys."""
     now_us = 60_000_000
     tags = {"site": "north", "version": "0.3.0"}
     options = ServiceOptions("n1", ("10.0.0.1", 7946), SECRET, tags=tags)
--- a/tests/members/test_service.py
+++ b/tests/members/test_service.py
@@ -1,7 +1,6 @@
-"""Members on real sockets within one loop: they meet, are told apart, exchange in pieces, and keep a snapshot."""
+"""Members on real sockets within one loop: they meet, are told apart, and exchange in pieces."""
 
 import asyncio
-import json
 from dataclasses import replace
 
 import pytest
@@ -9,9 +8,6 @@
 from peers import until
 
 from oakbridge.cli.main import cli
-from oakbridge.cli.serve import Given
-from oakbridge.config.load import BadFile, load
-from oakbridge.config.peers import peers_options
 from oakbridge.peers import snapshot as snap
 from oakbridge.peers.member_query import MemberQueryError, query_members
 from oakbridge.peers.messages import Datagram, MemberRecord, MemberState, MessageKind
@@ -35,8 +31,8 @@
     return MembershipService(options, lambda: LocalLoad(n, 1, ("s-9",)))
 
 
-async def _visited(port: int, states: dict[str, str], tmp_path) -> None:
-    """One of them tells a stranger who has the secret of all, and nobody comes to know the stranger."""
+async def _query(port: int, states: dict[str, str], tmp_path) -> None:
+    """One of them tells a stranger with the secret of all, and nobody comes to know the stranger."""
     told = await query_members(("127.0.77.1", port), b"s" * 16)
     assert {row["name"]: row["state"] for row in told} == states | {"n0": "alive"}
     with pytest.raises(MemberQueryError, match="hung up"):
@@ -44,17 +40,20 @@
     (tmp_path / "secret").write_text("s" * 16)
     words = ["fleet", "status", "--via", f"127.0.77.1:{port}", "--secret-file", str(tmp_path / "secret")]
     shown = await asyncio.to_thread(CliRunner().invoke, cli, words)
-    assert shown.exit_code == 1 and "4 alive, 1 failed, 1 left" in shown.output
+    assert shown.exit_code == 1
+    assert "4 alive, 1 failed, 1 left" in shown.output
     for wrong, code, text in (
         (words[:4], 2, "expected --secret-file"),
         ([*words[:3], "nowhere", *words[4:]], 2, "--via: expected"),
         ([*words[:3], "127.0.77.1:9", *words[4:]], 1, "127.0.77.1:9"),
     ):
         shown = await asyncio.to_thread(CliRunner().invoke, cli, wrong)
-        assert shown.exit_code == code and text in shown.output and "Traceback" not in shown.output
+        assert shown.exit_code == code
+        assert text in shown.output
+        assert "Traceback" not in shown.output
 
 
-async def _meets(port: int, tmp_path) -> None:
+async def _meet(port: int, tmp_path) -> None:
     peers = [member(n, port, snapshot_path=tmp_path / f"{n}.json") for n in range(6)]
     stranger = member(9, port, b"t" * 16)
     for one in (*peers, stranger):
@@ -77,7 +76,7 @@
     assert heard[0] == {"s-9": 1.0}
     assert peers[0].describe()["doubted"][0]["by"] == ["n1", "n2", "n3"]
     states = {row["name"]: row["state"] for row in peers[0].describe()["members"]}
-    await _visited(port, states, tmp_path)
+    await _query(port, states, tmp_path)
     assert (states["n5"], states["n4"]) == ("left", "failed")
     assert [c["after"] for c in peers[0].why("n4")] == ["alive", "suspect", "failed"]
     await until(lambda: (tmp_path / "4.json").exists())
@@ -91,10 +90,10 @@
 
 
 def test_they_meet_leave_fail_and_come_back(tmp_path):
-    asyncio.run(_meets(17_901, tmp_path))
+    asyncio.run(_meet(17_901, tmp_path))
 
 
-async def _told_of_seeds(port: int) -> None:
+async def _set_seeds_later(port: int) -> None:
     first, late = member(0, port), member(1, port)
     late.options = replace(late.options, seeds=(), expects_more_seeds=True)
     await first.start()
@@ -103,7 +102,8 @@
     late.set_seeds([("127.0.77.1", port)])
     await until(lambda: late.member.live_names() == ["n0"] and first.member.live_names() == ["n1"])
     late.set_seeds([])
-    assert not late.member.is_joining and late.member.live_names() == ["n0"]
+    assert not late.member.is_joining
+    assert late.member.live_names() == ["n0"]
     alone = member(2, port)
     alone.options = replace(alone.options, seeds=(), expects_more_seeds=True)
     await alone.start()
@@ -113,8 +113,8 @@
         one.close()
 
 
-def test_members_to_join_by_may_be_told_later():
-    asyncio.run(_told_of_seeds(17_903))
+def test_seeds_may_be_set_later():
+    asyncio.run(_set_seeds_later(17_903))
 
 
 async def _made_up_addresses(port: int) -> None:
@@ -158,85 +158,3 @@
 
 def test_nonsense_on_its_sockets_is_counted():
     asyncio.run(_nonsense(17_902))
-
-
-@pytest.mark.parametrize(
-    "text",
-    [
-        "",
-        "{",
-        "[]",
-        '{"life": -1, "members": []}',
-        '{"life": 1, "members": [[1, 2]]}',
-        '{"life": true, "members": []}',
-    ],
-)
-def test_a_broken_snapshot_is_named(tmp_path, text):
-    path = tmp_path / "kept"
-    path.write_text(text)
-    with pytest.raises(snap.SnapshotError, match="kept: expected"):
-        snap.load(path)
-
-
-def test_a_snapshot_is_kept_whole(tmp_path):
-    path = tmp_path / "kept"
-    assert snap.load(path) == snap.Snapshot()
-    kept = snap.Snapshot(7, (("a", "127.0.0.1:1"),))
-    snap.save(path, kept)
-    assert snap.load(path) == kept
-    assert [p.name for p in tmp_path.iterdir()] == ["kept"]
-    assert json.loads(path.read_text())["life"] == 7
-
-
-BASE = """[node]
-zone = "z"
-[servers]
-inline = [{name = "s", address = "127.0.0.1:1"}]
-[[class]]
-name = "c"
-aim = "1s"
-deadline = "1s"
-[peers]
-listen = "127.0.0.1:2"
-secret_file = "secret"
-"""
-
-
-@pytest.mark.parametrize(
-    ("more", "secret", "told"),
-    [
-        ("", "short", "expected a secret of 16 to 4096 bytes, got 5"),
-        ("", None, "expected the members' secret: No such file"),
-        ('seeds = ["here"]\n', "s" * 16, "peers.seeds"),
-        ('period = "300ms"\n', "s" * 16, "probe_timeout: expected at most half of the period"),
-        ("most = 1\n", "s" * 16, "expected a number of at least 2"),
-    ],
-)
-def test_mistakes_are_named(tmp_path, more, secret, told):
-    if secret is not None:
-        (tmp_path / "secret").write_text(secret)
-    (tmp_path / "o.toml").write_text(BASE + more)
-    with pytest.raises(BadFile, match=told.replace("(", r"\(")):
-        peers_options(load(tmp_path / "o.toml"))
-
-
-def test_site_is_the_zone_unless_told(tmp_path):
-    (tmp_path / "secret").write_text("s" * 16 + "\n")
-    (tmp_path / "o.toml").write_text(BASE + "capacity = 40.0\n")
-    options = peers_options(load(tmp_path / "o.toml"))
-    assert options.secret == b"s" * 16
-    assert (options.tags["site"], options.tags["capacity"]) == ("z", "40")
-    assert "s" * 16 not in repr(options)
-
-
-def test_one_file_serves_many_members(tmp_path):
-    (tmp_path / "s").write_text("0123456789abcdef")
-    (tmp_path / "o.toml").write_text(
-        '[servers]\nfile = "s.toml"\n[[class]]\nname = "a"\naim = "1s"\ndeadline = "2s"\n'
-        '[peers]\nlisten = "127.0.0.1:7946"\nsecret_file = "s"\n'
-    )
-    given = Given(tmp_path / "o.toml", "n", (), None, member=("h1/n", "127.0.0.9:7946"))
-    options = peers_options(given.load())
-    assert (options.name, options.listen) == ("h1/n", ("127.0.0.9", 7946))
-    with pytest.raises(BadFile, match="1 to 64 characters"):
-        peers_options(replace(given, member=("h" * 65, "127.0.0.9:7946")).load())
--- /dev/null
+++ b/tests/members/test_settings.py
@@ -0,0 +1,62 @@
+"""What ``[peers]`` means for a member, and how mistakes are named."""
+
+from dataclasses import replace
+
+import pytest
+
+from oakbridge.cli.serve import Given
+from oakbridge.config.load import BadFile, load
+from oakbridge.config.peers import peers_options
+
+BASE = """[node]
+zone = "z"
+[servers]
+inline = [{name = "s", address = "127.0.0.1:1"}]
+[[class]]
+name = "c"
+aim = "1s"
+deadline = "1s"
+[peers]
+listen = "127.0.0.1:2"
+secret_file = "secret"
+"""
+
+
+@pytest.mark.parametrize(
+    ("more", "secret", "told"),
+    [
+        ("", "short", "expected a secret of 16 to 4096 bytes, got 5"),
+        ("", None, "expected the members' secret: No such file"),
+        ('seeds = ["here"]\n', "s" * 16, "peers.seeds"),
+        ('period = "300ms"\n', "s" * 16, "probe_timeout: expected at most half of the period"),
+        ("most = 1\n", "s" * 16, "expected a number of at least 2"),
+    ],
+)
+def test_mistakes_in_the_settings_are_named(tmp_path, more, secret, told):
+    if secret is not None:
+        (tmp_path / "secret").write_text(secret)
+    (tmp_path / "o.toml").write_text(BASE + more)
+    with pytest.raises(BadFile, match=told.replace("(", r"\(")):
+        peers_options(load(tmp_path / "o.toml"))
+
+
+def test_site_is_the_zone_unless_told(tmp_path):
+    (tmp_path / "secret").write_text("s" * 16 + "\n")
+    (tmp_path / "o.toml").write_text(BASE + "capacity = 40.0\n")
+    options = peers_options(load(tmp_path / "o.toml"))
+    assert options.secret == b"s" * 16
+    assert (options.tags["site"], options.tags["capacity"]) == ("z", "40")
+    assert "s" * 16 not in repr(options)
+
+
+def test_one_file_serves_many_members(tmp_path):
+    (tmp_path / "s").write_text("0123456789abcdef")
+    (tmp_path / "o.toml").write_text(
+        '[servers]\nfile = "s.toml"\n[[class]]\nname = "a"\naim = "1s"\ndeadline = "2s"\n'
+        '[peers]\nlisten = "127.0.0.1:7946"\nsecret_file = "s"\n'
+    )
+    given = Given(tmp_path / "o.toml", "n", (), None, member=("h1/n", "127.0.0.9:7946"))
+    options = peers_options(given.load())
+    assert (options.name, options.listen) == ("h1/n", ("127.0.0.9", 7946))
+    with pytest.raises(BadFile, match="1 to 64 characters"):
+        peers_options(replace(given, member=("h" * 65, "127.0.0.9:7946")).load())
