--- a/oakbridge/peers/member_query.py
+++ b/oakbridge/peers/member_query.py
@@ -4,10 +4,11 @@
 
 import asyncio
 import time
-from contextlib import AsyncExitStack
+from contextlib import closing
 from typing import Any
 
 from oakbridge.node.listing import Address
+from oakbridge.peers.addresses import format_address
 from oakbridge.peers.codec import Codec, PeerMessageError
 from oakbridge.peers.framing import STREAM_LIMIT_BYTES, read_frame, write_frame
 from oakbridge.peers.messages import MemberRecord, PushPullState
@@ -16,7 +17,12 @@
 
 
 class MemberQueryError(Exception):
-    """The member could not be asked; the text names its address and the cause."""
+    """The member could not be asked."""
+
+    def __init__(self, address: Address, cause: str) -> None:
+        super().__init__(f"{format_address(address)}: {cause}")
+        self.address = address
+        self.cause = cause
 
 
 async def query_members(address: Address, secret: bytes, timeout_s: float = 5.0) -> list[dict[str, Any]]:
@@ -24,25 +30,23 @@
 
     Raises MemberQueryError.
     """
-    where = f"{address[0]}:{address[1]}"
     try:
         async with asyncio.timeout(timeout_s):
             state = await _exchange(address, Codec(secret))
     except TimeoutError:
-        raise MemberQueryError(f"{where}: no answer within {timeout_s:g} s") from None
+        raise MemberQueryError(address, f"no answer within {timeout_s:g} s") from None
     except EOFError:
-        raise MemberQueryError(f"{where}: hung up; is the secret the members' own?") from None
+        raise MemberQueryError(address, "hung up; is the secret the members' own?") from None
     except PeerMessageError as e:
-        raise MemberQueryError(f"{where}: its answer can't be read: {e.reason}") from None
+        raise MemberQueryError(address, f"its answer can't be read: {e.reason}") from None
     except (OSError, ValueError) as e:
-        raise MemberQueryError(f"{where}: {e}") from None
+        raise MemberQueryError(address, str(e)) from None
     return [_row(record) for record in sorted(state.records, key=lambda r: r.name)]
 
 
 async def _exchange(address: Address, codec: Codec) -> PushPullState:
-    async with AsyncExitStack() as stack:
-        reader, writer = await asyncio.open_connection(*address, limit=STREAM_LIMIT_BYTES)
-        stack.callback(writer.close)
+    reader, writer = await asyncio.open_connection(*address, limit=STREAM_LIMIT_BYTES)
+    with closing(writer):
         request = PushPullState(SENDER, generation=int(time.time()), records=())
         await write_frame(writer, codec.encode_state(request))
         return codec.decode_state(await read_frame(reader))
--- a/oakbridge/peers/push_pull_transport.py
+++ b/oakbridge/peers/push_pull_transport.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections import Counter
+from contextlib import closing
 from typing import Protocol
 
 from oakbridge.peers.addresses import parse_member_address
@@ -15,6 +16,7 @@
 MAX_CONCURRENT = 16  # each way
 TIMEOUT_S = 3.0  # of one exchange
 ANY_PORT = 0
+EXCHANGE_ERRORS = (OSError, EOFError, TimeoutError, ValueError, PeerMessageError)
 
 
 class PushPullHandler(Protocol):
@@ -55,23 +57,24 @@
     async def initiate(self, address: str) -> None:
         """Exchange states with the member at this address."""
         self._outgoing += 1
-        writer: asyncio.StreamWriter | None = None
         try:
             async with asyncio.timeout(TIMEOUT_S):
-                reader, writer = await asyncio.open_connection(
-                    *parse_member_address(address),
-                    local_addr=(self._local_host, ANY_PORT),
-                    limit=STREAM_LIMIT_BYTES,
-                )
-                await self._write(writer)
-                state = await self._read(reader)
+                state = await self._exchange(address)
             await self._handler.push_pull_completed(state, initiated=True)
-        except (OSError, EOFError, TimeoutError, ValueError, PeerMessageError):
+        except EXCHANGE_ERRORS:
             self._handler.push_pull_failed()
         finally:
             self._outgoing -= 1
-            if writer is not None:
-                writer.close()
+
+    async def _exchange(self, address: str) -> PushPullState:
+        reader, writer = await asyncio.open_connection(
+            *parse_member_address(address),
+            local_addr=(self._local_host, ANY_PORT),
+            limit=STREAM_LIMIT_BYTES,
+        )
+        with closing(writer):
+            await self._write(writer)
+            return await self._read(reader)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Exchange states with whoever has connected."""
@@ -85,7 +88,7 @@
                 state = await self._read(reader)
                 await self._write(writer)
             await self._handler.push_pull_completed(state, initiated=False)
-        except (OSError, EOFError, TimeoutError, ValueError, PeerMessageError):
+        except EXCHANGE_ERRORS:
             self._counts[ServiceCounter.PUSH_PULLS_BROKEN] += 1
         finally:
             self._incoming -= 1
--- a/oakbridge/peers/snapshot.py
+++ b/oakbridge/peers/snapshot.py
@@ -16,6 +16,7 @@
 MAX_SNAPSHOT_BYTES = 4 * 1024 * 1024
 MAX_SEEDS = 64
 MAX_GENERATION = 2**62 - 1
+EXPECTED_FORM = '{"life": NUMBER, "members": [[NAME, ADDRESS], ...]}'
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +32,12 @@
 
 
 class SnapshotError(ValueError):
-    """A file that is no snapshot; the text names it and what was expected."""
+    """A file that is no snapshot."""
+
+    def __init__(self, path: Path, problem: str) -> None:
+        super().__init__(f"{path}: {problem}")
+        self.path = path
+        self.problem = problem
 
 
 def encode(snapshot: Snapshot) -> bytes:
@@ -64,17 +70,16 @@
     """Return the snapshot, an empty one where there is no file.  Raises SnapshotError."""
     try:
         if path.stat().st_size > MAX_SNAPSHOT_BYTES:
-            raise SnapshotError(f"{path}: expected at most {MAX_SNAPSHOT_BYTES} bytes")
+            raise SnapshotError(path, f"expected at most {MAX_SNAPSHOT_BYTES} bytes")
         return decode(path.read_bytes())
     except SnapshotError:
         raise
     except FileNotFoundError:
         return Snapshot()
     except OSError as e:
-        raise SnapshotError(f"{path}: {e.strerror or e}") from None
+        raise SnapshotError(path, e.strerror or str(e)) from None
     except (ValueError, KeyError, TypeError, RecursionError):
-        expected = '{"life": NUMBER, "members": [[NAME, ADDRESS], ...]}'
-        raise SnapshotError(f"{path}: expected {expected}") from None
+        raise SnapshotError(path, f"expected {EXPECTED_FORM}") from None
 
 
 def save(path: Path, snapshot: Snapshot) -> None:
