--- a/oakbridge/peers/dissemination.py
+++ b/oakbridge/peers/dissemination.py
@@ -58,7 +58,7 @@
         self._broadcasts: GossipQueue[MemberRecord] = GossipQueue(local.options.max_members + 1)
         self._is_gossiping = False
 
-    # ---- what is told
+    # ---- broadcasts
 
     def broadcast(self, record: MemberRecord) -> None:
         """Tell other members of this record."""
--- a/oakbridge/peers/member.py
+++ b/oakbridge/peers/member.py
@@ -9,7 +9,7 @@
   (:mod:`~oakbridge.peers.membership`).
 - How suspicions ended lately tells how long the next one lasts
   (:mod:`~oakbridge.peers.suspicion_monitor`).
-- Whoever was held for failed was told nothing meanwhile, and asks for all that there is
+- Whoever was held for failed missed all gossip meanwhile, and asks for all that there is
   (:mod:`~oakbridge.peers.push_pull`).
 - Members that failed are tried again now and then (:mod:`~oakbridge.peers.join`).
 - A name that is taken by a later start is given up (:mod:`~oakbridge.peers.refutation`).
--- a/oakbridge/peers/member_table.py
+++ b/oakbridge/peers/member_table.py
@@ -20,7 +20,7 @@
 
     record: MemberRecord
     since_us: int  # when it came into its state
-    last_corrected_us: int = NEVER_US  # when it was last told, unasked, what is claimed about it
+    last_corrected_us: int = NEVER_US  # when it was last sent, unasked, what is claimed of it
     suspicion: Suspicion | None = None
     report: NodeReport | None = None
     report_at_us: int = 0
--- a/oakbridge/peers/membership.py
+++ b/oakbridge/peers/membership.py
@@ -84,7 +84,7 @@
     def _accuse(self, now_us: int, known: KnownMember, claim: MemberRecord, sender: str) -> None:
         """Take another member's verdict that a live one has failed.
 
-        Told while the member is suspected, or told again, a verdict shortens nothing: after a heal
+        A verdict that is heard during a suspicion, or again, shortens nothing: after a cut heals
         it often comes before the refutation, which has the shortest time since the suspicion began
         in any case.
         """
--- a/oakbridge/peers/random_scenarios.py
+++ b/oakbridge/peers/random_scenarios.py
@@ -81,11 +81,11 @@
         return self.result
 
     def start(self, name: str) -> None:
-        """Start a process of this name; its clock may tell less than the last one's."""
+        """Start a process of this name; its clock may be behind the last one's."""
         drift = self.random.choice((-1, 0, 1, 2))
         generation = self.generations[name] = max(1, self.generations[name] + drift)
         self.cluster.start(name, self._seeds(), generation=generation)
-        self._log(f"start {name} in life {generation}")
+        self._log(f"start {name} in generation {generation}")
 
     def _seeds(self) -> list[str]:
         return self.names[:SEED_MEMBERS]
@@ -192,7 +192,7 @@
             if held != up:
                 found.append(f"{holder} holds {sorted(held)} for alive, and {sorted(up)} are")
             found += [
-                f"{holder} holds an older life of {about}"
+                f"{holder} holds an older process of {about}"
                 for about in sorted(up - {holder})
                 if self._holds_older_process(holder, about)
             ]
--- a/tests/members/test_cluster.py
+++ b/tests/members/test_cluster.py
@@ -157,7 +157,7 @@
         before.is_up = False
     elif old == "frozen":
         cluster.freeze(names[5])
-    cluster.start(names[5], names[:2], address="elsewhere")  # the same life: it has nothing from before
+    cluster.start(names[5], names[:2], address="elsewhere")  # the same generation: it has nothing from before
     cluster.run_until(cluster.now_us + 20 * S)
     assert all(cluster.record_held(n, names[5]).address == "elsewhere" for n in names if n != names[5])
     assert cluster.replaced == (["n005"] if old == "alive" else [])
@@ -210,11 +210,11 @@
     cluster.perform(host, host.member.set_load(cluster.now_us, LocalLoad(17, 4, ("s-1",))))
     told = cluster.now_us
     cluster.run_until(cluster.now_us + 10 * S)
-    facts = [cluster.processes[n].member.report(names[3], cluster.now_us) for n in names if n != names[3]]
-    heard = [f for f in facts if f is not None]
+    reports = [cluster.processes[n].member.report(names[3], cluster.now_us) for n in names if n != names[3]]
+    heard = [r for r in reports if r is not None]
     assert len(heard) >= 17
-    for fact, age in heard:
-        assert (fact.in_flight, fact.subset_size, fact.failing_servers) == (17, 4, ("s-1",))
+    for report, age in heard:
+        assert (report.in_flight, report.subset_size, report.failing_servers) == (17, 4, ("s-1",))
         assert abs(age - (cluster.now_us - told)) < S // 10
 
 
@@ -239,7 +239,7 @@
 
 
 def test_a_report_that_is_sent_directly_is_fresh_where_piggybacked_ones_are_old():
-    """Sixty members with a fact a second each: more than their datagrams hold."""
+    """Sixty members with a report a second each: more than their datagrams hold."""
     cluster = SimulatedCluster(1, measure=False)
     cluster.start_introduced({f"n{i:02d}": {} for i in range(60)})
     about = SiteReport(tuple(SiteObservation(site, 3) for site in "abc"), 50, 100)
--- a/tests/members/test_failure_reports.py
+++ b/tests/members/test_failure_reports.py
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(
     ("said", "weight"),
     [
-        (("a: x",), 0.0),  # a lone voice, be it a liar's or an ill member's
+        (("a: x",), 0.0),  # a lone vote, be it a liar's or an ill member's
         (("a: x", "a: x"), 0.0),  # which is one, however often it speaks
         (("a: x", "b: x"), 0.5),
         (("a: x", "b: x", "c: x", "d: x"), 1.0),
@@ -36,5 +36,5 @@
     assert not weigh_failure_reports(ViewState.ISOLATED, reports_of(*said), "me")
     assert not weigh_failure_reports(ViewState.STARTING, reports_of(*said), "me")
     assert not weigh_failure_reports(
-        ViewState.COMPLETE, [(fact, MAX_AGE_US + 1) for fact, _ in reports_of(*said)], "me"
+        ViewState.COMPLETE, [(report, MAX_AGE_US + 1) for report, _ in reports_of(*said)], "me"
     )
--- a/tests/members/test_service.py
+++ b/tests/members/test_service.py
@@ -72,7 +72,7 @@
     )
     heard: list[dict[str, float]] = []
     peers[0].on_failure_reports = heard.append
-    await until(lambda: heard)  # n1, n2 and n3 find it failing, which is all that voices can do
+    await until(lambda: heard)  # n1, n2 and n3 find it failing, which is all that votes can do
     assert heard[0] == {"s-9": 1.0}
     assert peers[0].describe()["doubted"][0]["by"] == ["n1", "n2", "n3"]
     states = {row["name"]: row["state"] for row in peers[0].describe()["members"]}
