--- a/oakbridge/cli/peers.py
+++ b/oakbridge/cli/peers.py
@@ -16,16 +16,7 @@
 from oakbridge.control.client import Unreachable
 from oakbridge.control.protocol import Refusal
 
-OWN_STATE = "this node"
-STYLE = {
-    "alive": "green",
-    OWN_STATE: "bold",
-    "suspect": "yellow",
-    "failed": "red",
-    "left": "dim",
-}
-COLUMNS = ("member", "site", "state", "since", "by", "incarnation", "version")
-RIGHT_COLUMNS = ("since", "incarnation")
+STYLE = {"alive": "green", "this node": "bold", "suspect": "yellow", "failed": "red", "left": "dim"}
 
 
 @click.group("peers", invoke_without_command=True)
@@ -55,13 +46,12 @@
     """Tell how this node came to hold what it holds of one member, oldest first."""
     with connect(*where) as client:
         try:
-            answer = client.ask("peers.why", name=name)
+            told = client.ask("peers.why", name=name)
         except (Unreachable, Refusal) as e:
             raise Failed(str(e)) from None
     if as_json:
-        say_json(answer)
-        return
-    for change in answer["history"]:
+        return say_json(told)
+    for change in told["history"]:
         before = change["before"] or "not known"
         click.echo(
             f"{change['ago_s']:>9.1f} s ago  {before} -> {change['after']} at {change['address']}, "
@@ -69,46 +59,27 @@
         )
 
 
-def picture(answer: dict[str, Any]) -> Group:
-    """Return a node's view of the others as tables."""
-    return Group(_summary(answer), _member_table(answer["members"]))
-
-
-def _summary(answer: dict[str, Any]) -> Table:
-    place = "none yet" if answer["place"] is None else "{} of {}".format(*answer["place"])
-    health = "well"
-    if answer["health"]:
-        health = f"slow itself: times {answer['health'] + 1}"
-    summary = Table.grid(padding=(0, 2))
+def picture(told: dict[str, Any]) -> Group:
+    """A node's view of the others as a table."""
+    head = Table.grid(padding=(0, 2))
+    place = "none yet" if told["place"] is None else "{} of {}".format(*told["place"])
     for name, value in (
-        ("node", answer["name"]),
-        ("stance", answer["stance"] or "not known yet"),
+        ("node", told["name"]),
+        ("stance", told["stance"] or "not known yet"),
         ("place", place),
-        ("health", health),
+        ("health", "well" if not told["health"] else f"slow itself: times {told['health'] + 1}"),
     ):
-        summary.add_row(Text(name, style="bold"), value)
-    for failing in answer["doubted"]:
-        weight = "one voice counts for nothing"
-        if failing["weight"]:
-            weight = f"weight {failing['weight']}"
-        value = f"{failing['server']} by {', '.join(failing['by'])}: {weight}"
-        summary.add_row(Text("doubted", style="bold"), value)
-    return summary
-
-
-def _member_table(members: list[dict[str, Any]]) -> Table:
+        head.add_row(Text(name, style="bold"), value)
     table = Table(box=box.SIMPLE_HEAD)
-    for column in COLUMNS:
-        table.add_column(column, justify="right" if column in RIGHT_COLUMNS else "left")
-    for member in members:
-        is_own = member["state"] == OWN_STATE
+    for column in ("member", "site", "state", "since", "by", "incarnation", "version"):
+        table.add_column(column, justify="right" if column in ("since", "incarnation") else "left")
+    for row in told["members"]:
+        state = Text(row["state"], style=STYLE.get(row["state"], ""))
+        since = "" if row["state"] == "this node" else f"{row['since_s']:.0f} s"
         table.add_row(
-            member["name"],
-            member["site"],
-            Text(member["state"], style=STYLE.get(member["state"], "")),
-            "" if is_own else f"{member['since_s']:.0f} s",
-            member["by"],
-            str(member["incarnation"]),
-            member["version"],
+            row["name"], row["site"], state, since, row["by"], str(row["incarnation"]), row["version"]
         )
-    return table
+    for row in told["doubted"]:
+        worth = f"weight {row['weight']}" if row["weight"] else "one voice counts for nothing"
+        head.add_row(Text("doubted", style="bold"), f"{row['server']} by {', '.join(row['by'])}: {worth}")
+    return Group(head, table)
