--- a/oakbridge/operators/listener.py
+++ b/oakbridge/operators/listener.py
@@ -114,12 +114,14 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Wait for a line, for a limited time."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._listener.connection_opened(self)
         self._close_after(LINE_TIMEOUT_S)
 
     def data_received(self, data: bytes) -> None:
+        """Answer once the line is complete, or too long."""
         if self._is_answered:
             return
         self._received += data
@@ -141,6 +143,7 @@
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Release what belongs to the connection."""
         if self._timer is not None:
             self._timer.cancel()
         self._listener.connection_closed(self)
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -83,8 +83,8 @@
         assert address is not None
         assert successor is not None
 
-        def apply(word: str, server_id: str) -> None:
-            _apply_relayed_command(node, word, server_id)
+        def apply(verb: str, server_id: str) -> None:
+            _apply_relayed_command(node, verb, server_id)
 
         def relay(command: OperatorCommand) -> None:
             successor.relay_command(command.verb.value, command.server_id)
@@ -123,14 +123,14 @@
     return []
 
 
-def _apply_relayed_command(node: Node, word: str, server_id: str) -> None:
+def _apply_relayed_command(node: Node, verb: str, server_id: str) -> None:
     """Carry out a command that was given to the node's other process, and was answered there."""
     try:
-        command = OperatorCommand(Verb(word), server_id)
+        command = OperatorCommand(Verb(verb), server_id)
     except ValueError:
-        log.warning("a call at the node's other process is not known: %s %s", word, server_id)
+        log.warning("a call at the node's other process is not known: %s %s", verb, server_id)
         return
     try:
         NodeCommandExecutor(node, is_started=True).execute(command)
     except CommandRejectedError as e:
-        log.warning("a call at the node's other process: %s %s: %s", word, server_id, e)
+        log.warning("a call at the node's other process: %s %s: %s", verb, server_id, e)
