--- a/oakbridge/operators/executor.py
+++ b/oakbridge/operators/executor.py
@@ -59,7 +59,7 @@
         if not node.serving() and not taken_out:
             raise CommandRejectedError("no server is known yet")
         suffix = f", {len(taken_out)} held out" if taken_out else ""
-        return f"{node.server.life.phase.value}, {len(node.pool.listed)} servers in use{suffix}"
+        return f"{node.server.lifecycle.phase.value}, {len(node.pool.endpoints)} servers in use{suffix}"
 
     def _take_out(self, server_id: str) -> str:
         """Take a server out, from now on and whatever lists of servers say."""
@@ -83,5 +83,5 @@
         return "the node empties" if has_changed else "the node was emptied already"
 
     def _end_drain(self) -> str:
-        has_changed = self._node.server.join()
+        has_changed = self._node.server.undrain()
         return "the node takes callers again" if has_changed else "the node was not emptied"
--- a/oakbridge/operators/listener.py
+++ b/oakbridge/operators/listener.py
@@ -11,7 +11,7 @@
 import socket
 from collections.abc import Callable
 
-from oakbridge.node.listener import listen_on
+from oakbridge.node.listener import open_listener
 from oakbridge.node.listing import Address
 from oakbridge.operators.protocol import (
     MAX_LINE_BYTES,
@@ -39,7 +39,7 @@
         self._respond = respond
         self._connections: dict[_Connection, None] = {}  # oldest first
         self._attaching: set[asyncio.Task[None]] = set()
-        self._socket = listen_on(address)
+        self._socket = open_listener(address)
         self.address: Address = self._socket.getsockname()
 
     @property
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -12,12 +12,12 @@
 from collections.abc import AsyncIterator, Mapping
 from contextlib import ExitStack, asynccontextmanager
 from dataclasses import replace
-from typing import Any
 
+from oakbridge.handover.messages import Welcome
 from oakbridge.handover.predecessor import Predecessor
 from oakbridge.handover.successor import Successor
 from oakbridge.handover.unix_socket import socket_path
-from oakbridge.node.config import Config, load, made
+from oakbridge.node.config import Config, load_config, parse_config
 from oakbridge.node.listing import Address, ConfigError
 from oakbridge.node.node import Node
 from oakbridge.node.outages import Outages
@@ -43,7 +43,7 @@
         """
         config, config_error = None, None
         try:
-            config = load(self._environment)
+            config = load_config(self._environment)
         except ConfigError as e:
             config_error = e
         name = config.name if config is not None else self._environment.get("NODE_NAME")
@@ -58,23 +58,24 @@
         elif config is None:
             raise config_error or ConfigError("NODE_CONFIG: missing")
         outages = Outages()
-        outages.restore((inherited or {}).get("outages", {}))
+        if inherited is not None:
+            outages.restore(inherited.outages)
         listeners, successor.listeners = successor.listeners, []
         doors = _inherit_listeners(listeners, config.listen)
         return Node(config, loop, doors=doors, shared=True, outages=outages)
 
     def _inherit_config(
-        self, config: Config | None, config_error: ConfigError | None, inherited: dict[str, Any]
+        self, config: Config | None, config_error: ConfigError | None, inherited: Welcome
     ) -> Config:
         """Return the configuration with the list of servers of the process that runs.
 
         Where the file can't be used now, its configuration is that process's, too.
         """
-        if config is None or missing_key(inherited["file"], config.raw):
+        if config is None or missing_key(inherited.configuration, config.raw):
             reason = config_error or "it lacks a key"
             log.error("the configuration can't be used, the running process's is: %s", reason)
-            config = made(self._environment, inherited["file"])
-        return replace(config, known=inherited["known"])
+            config = parse_config(self._environment, inherited.configuration)
+        return replace(config, known=inherited.endpoint_list)
 
     @asynccontextmanager
     async def lifespan(self, node: Node) -> AsyncIterator[None]:
@@ -92,7 +93,7 @@
 
         predecessor = Predecessor(node, apply, successor.path)
         executor = NodeCommandExecutor(node, on_executed=relay)
-        if successor.welcome is not None and successor.welcome["draining"]:
+        if successor.welcome is not None and successor.welcome.draining:
             node.server.drain()
         with ExitStack() as stack:
             stack.callback(successor.close)
