--- a/oakbridge/node/request_parser.py
+++ b/oakbridge/node/request_parser.py
@@ -8,7 +8,13 @@
 import httptools
 
 from oakbridge.node.client_request import ClientRequest
-from oakbridge.node.http_framing import FRAMING, MAX_HEAD, MOST_BODY, Headers, framing
+from oakbridge.node.http_framing import (
+    MAX_BODY_BYTES,
+    MAX_FRAMING_PER_BODY_BYTE,
+    MAX_HEAD_BYTES,
+    Headers,
+    read_framing,
+)
 from oakbridge.node.request_body import BodyBuffers, StreamedBody
 
 if TYPE_CHECKING:
@@ -101,7 +107,7 @@
         if self._completed > completed:
             self.request_bytes = 0
             return True
-        if self.request_bytes > MAX_HEAD and self._is_mostly_framing():
+        if self.request_bytes > MAX_HEAD_BYTES and self._is_mostly_framing():
             self.fail(431)
         return False
 
@@ -109,7 +115,10 @@
         """Return whether too much has been received that is no body."""
         if self.phase is not _BODY:
             return True
-        return self.request_bytes - self._body_size > 2 * MAX_HEAD + FRAMING * self._body_size
+        return (
+            self.request_bytes - self._body_size
+            > 2 * MAX_HEAD_BYTES + MAX_FRAMING_PER_BODY_BYTE * self._body_size
+        )
 
     def fail(self, status: int) -> None:
         """Parse nothing more; the first error is the one that the client is told."""
@@ -154,9 +163,9 @@
     def on_headers_complete(self) -> None:
         """Reject at the head what is too long or can be understood in two ways."""
         self.phase = _BODY
-        if len(self._target) + self._head_size > MAX_HEAD:
+        if len(self._target) + self._head_size > MAX_HEAD_BYTES:
             return self.fail(431)
-        fault, self._content_length, _ = framing(self._headers)
+        fault, self._content_length, _ = read_framing(self._headers)
         if self._has_duplicate or fault:
             return self.fail(400 if self._has_duplicate else fault)
         if b"expect" in self._single_values:
@@ -171,7 +180,7 @@
         if self.error_status:
             return
         self._body_size += len(data)
-        if self._body_size > MOST_BODY:
+        if self._body_size > MAX_BODY_BYTES:
             self.fail(413)
         elif self.streamed_request is not None and self.streamed_request.streamed_body is not None:
             self.streamed_request.streamed_body.feed(data)
--- a/tests/node/test_streaming.py
+++ b/tests/node/test_streaming.py
@@ -8,7 +8,7 @@
 from peers import SETTINGS, Peer, Running, reply, run, soon, until
 
 from oakbridge.node import connection_limits, request_parser, server_connection
-from oakbridge.node.connection_pool import SETTLE
+from oakbridge.node.connection_pool import MIN_IDLE_US
 from oakbridge.node.request_body import STREAM_WINDOW_BYTES
 from oakbridge.node.settings import read_settings
 
@@ -110,7 +110,7 @@
                     lambda: not node.node.balancer.admission.out
                 )  # the node has read the server's end, too
                 # A connection is idle for so long before it is used again.
-                await asyncio.sleep(2 * SETTLE / 1e6)
+                await asyncio.sleep(2 * MIN_IDLE_US / 1e6)
                 before = server.connections  # two where the first was slow to come up
                 caller.send()
                 assert (await caller.answer())[0] == 200
@@ -189,7 +189,7 @@
             await soon(caller.reader.readuntil(b"\r\n\r\n"))
             caller.close()
             await soon(left.wait())
-            await until(lambda: not (node.node.requests or node.node.pool.count))
+            await until(lambda: not (node.node.requests or node.node.pool.connection_count))
 
     run(scenario())
 
@@ -214,9 +214,9 @@
             caller.writer.transport.pause_reading()
             [one] = node.node.server.limits.connections
             await until(lambda: one.write_blocked)
-            [[connection]] = [target.busy for target in node.node.pool.targets.values()]
+            [[connection]] = [server.busy for server in node.node.pool.servers.values()]
             assert connection.paused  # what the server still writes stays with it
-            assert one.transport.get_write_buffer_size() < 2 * server_connection.CHUNK + 65536
+            assert one.transport.get_write_buffer_size() < 2 * server_connection.READ_BYTES + 65536
             caller.writer.transport.resume_reading()
             got = 0
             # Slowly, but it goes on: the client is kept beyond its patience.
@@ -224,7 +224,7 @@
                 got += len(await soon(caller.reader.read(65536)))
                 await asyncio.sleep(0.01)
             assert node.node.server.limits.connections == {one}
-            assert one.transport.get_write_buffer_size() < 2 * server_connection.CHUNK + 65536
+            assert one.transport.get_write_buffer_size() < 2 * server_connection.READ_BYTES + 65536
             caller.writer.transport.pause_reading()  # and one that reads nothing more is cut off
             await until(lambda: not node.node.server.limits.connections)
 
@@ -420,7 +420,7 @@
             await asyncio.sleep(0.7)
             assert (
                 one.parser.streamed_request.streamed_body.buffered_bytes
-                < STREAM_WINDOW_BYTES + server_connection.CHUNK + request_parser.MAX_BUFFERED_BODY_BYTES
+                < STREAM_WINDOW_BYTES + server_connection.READ_BYTES + request_parser.MAX_BUFFERED_BODY_BYTES
             )
             go.set()
             assert (await caller.answer())[0] == 200
--- a/tests/rollout/test_fifty.py
+++ b/tests/rollout/test_frozen_hosts.py
@@ -1,6 +1,7 @@
 """Node processes under load on many hosts, some frozen in mid-change: the report and the truth of each process.
 
-Twenty nodes on five hosts; with ``OAKBRIDGE_WHOLE=1`` it is fifty on ten, which takes a machine a minute.
+Twenty nodes on five hosts; with ``OAKBRIDGE_WHOLE=1`` it is fifty on ten, which takes a machine a
+minute.
 """
 
 import asyncio
@@ -18,7 +19,9 @@
 from peers import LIMIT, free_ports
 
 from oakbridge.agent.process import listener_pid
-from oakbridge.control.client import ControlClient, NodeUnreachableError
+from oakbridge.control.client import ControlClient
+from oakbridge.control.errors import NodeUnreachableError
+from oakbridge.control.protocol import ControlCommand
 from oakbridge.fleet import pki, wire
 from oakbridge.fleet.inventory import Inventory, write
 from oakbridge.standin.behaviour import Behaviour
@@ -153,10 +156,10 @@
         return self.folder / name.split("/")[0] / f"{name.split('/')[1]}.sock"
 
     def runs(self, name: str) -> str:
-        """What a node's own process says that it runs."""
+        """Return what a node's own process says that it runs."""
         try:
             with ControlClient(self.socket(name)) as client:
-                return self.digests[client.ask("status", rows=0)["config_digest"]]
+                return self.digests[client.request(ControlCommand.STATUS, rows=0)["config_digest"]]
         except NodeUnreachableError:
             return "silent"
 
@@ -202,7 +205,7 @@
         await asyncio.sleep(draw.random())
         for name in frozen:
             fleet.send(name, signal.SIGSTOP)
-        stopped = {n for n in (*whole, *single)}
+        stopped = {*whole, *single}
         code, told = await rolling
         assert code in (3, 4), told
         fates = {row["instance"]: row["fate"] for row in told["instances"]}
--- a/tests/rollout/test_played.py
+++ b/tests/rollout/test_simulated_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 from peers import LIMIT, run, until
-from played import QUICK, Network, PlayedFleet, config, fates
+from simulated_fleet import QUICK, Network, SimulatedFleet, config, fates
 
 from oakbridge.fleet import wire
 from oakbridge.rollout.change import (
@@ -18,44 +18,44 @@
     Undrain,
 )
 from oakbridge.rollout.coordinator import RolloutOptions
-from oakbridge.rollout.gate import GateRules
 from oakbridge.rollout.journal import Journal
-from oakbridge.rollout.machine import Phase
 from oakbridge.rollout.plan import PlanError, WaveOptions
 from oakbridge.rollout.rebuild import rebuild
+from oakbridge.rollout.record import Phase
 
 
 def test_each_kind_of_change_and_the_way_back(tmp_path):
     async def test():
-        async with PlayedFleet(tmp_path, 3) as fleet:
+        async with SimulatedFleet(tmp_path, 3) as fleet:
             first = await fleet.first()
             assert (
                 await fleet.roll(SetValues({"class.look.aim": "2s", "limits.max_open": 77}))
             ).machine.is_complete()
             text = fleet.files("h1/n0")["oakbridge.toml"]
-            assert (
-                set(fleet.truth().values()) == {"2s"} and "max_open = 77" in text and 'name = "look"' in text
-            )
+            assert set(fleet.truth().values()) == {"2s"}
+            assert "max_open = 77" in text
+            assert 'name = "look"' in text
             assert (await fleet.roll(ReplaceServerFile('[[server]]\nname = "b"\n'))).machine.is_complete()
-            assert '"b"' in fleet.files("h0/n0")["s.toml"] and set(fleet.truth().values()) == {"2s"}
+            assert '"b"' in fleet.files("h0/n0")["s.toml"]
+            assert set(fleet.truth().values()) == {"2s"}
             # One host drains; a change meanwhile leaves it drained, and brings it along.
             drained = await fleet.roll(Drain("a new disk"), sources={"h1/n0": 0} | {"h1/n0": 3})
-            assert fates(drained) == {"h1/n0": "took it"} and fleet.truth()["h1/n0"] == "-"
+            assert fates(drained) == {"h1/n0": "took it"}
+            assert fleet.truth()["h1/n0"] == "-"
             third = await fleet.roll(ReplaceFiles(config("3s")))
-            assert third.machine.is_complete() and list(fleet.truth().values()) == ["3s", "-", "3s"]
-            assert (await fleet.roll(Undrain())).machine.is_complete() and set(fleet.truth().values()) == {
-                "3s"
-            }
+            assert third.machine.is_complete()
+            assert list(fleet.truth().values()) == ["3s", "-", "3s"]
+            assert (await fleet.roll(Undrain())).machine.is_complete()
+            assert set(fleet.truth().values()) == {"3s"}
             # Back to before the third: each to what it ran then, also the one that was drained.
             journal = Journal(fleet.folder)
             before = {t.name: t.base for w in journal.entry(third.rollout).record.waves for t in w}
             back = await fleet.roll(RollBackRollout(third.rollout), sources=before)
-            assert back.machine.is_complete() and list(fleet.truth().values()) == ["2s", "-", "2s"]
+            assert back.machine.is_complete()
+            assert list(fleet.truth().values()) == ["2s", "-", "2s"]
             bad = await fleet.roll(SetValues({"class.lok.aim": "2s"}))
-            assert (
-                bad.machine.record.phase is Phase.HALTED
-                and "there is none of that name" in bad.machine.record.reason
-            )
+            assert bad.machine.record.phase is Phase.HALTED
+            assert "there is none of that name" in bad.machine.record.reason
             assert first.rollout == 1
 
     run(test())
@@ -76,17 +76,18 @@
     """At the canary, or at half where only some hosts suffer; by a crash in the watch, or by the share served."""
 
     async def test():
-        async with PlayedFleet(tmp_path, 6, **setup) as fleet:
+        async with SimulatedFleet(tmp_path, 6, **setup) as fleet:
             await fleet.first()
             if plays == "mute":  # the only one that has to run out of this time; the others must not
                 monkeypatch.setattr("oakbridge.agent.instance.READY_WITHIN", 2_000_000)
-            options = RolloutOptions(watch=0.3, window=0.6, silent=20.0, rules=GateRules())
-            waves = WaveOptions(canary=1, shares=(0.5, 1.0), unavailable=1)
+            options = RolloutOptions(watch_s=0.3, window_s=0.6, silence_timeout_s=20.0)
+            waves = WaveOptions(canary=1, shares=(0.5, 1.0), max_unavailable=1)
             done = await fleet.roll(
                 ReplaceFiles(config("2s", plays)), waves=waves, undo=True, options=options
             )
             told = list(fates(done).values())
-            assert {word: told.count(word) for word in told} == ends and says in done.machine.record.reason
+            assert {word: told.count(word) for word in told} == ends
+            assert says in done.machine.record.reason
             await until(lambda: set(fleet.truth().values()) == ({"2s"} if "took it" in ends else {"1s"}))
 
     run(test())
@@ -98,17 +99,17 @@
 
     async def test():
         draw = random.Random(seed)
-        async with PlayedFleet(tmp_path, 10, 2, Network(seed, delay_s=0.01)) as fleet:
+        async with SimulatedFleet(tmp_path, 10, 2, Network(seed, delay_s=0.01)) as fleet:
             await fleet.first()
             chosen = draw.sample(sorted(fleet.agents), 3)
 
-            async def freeze(coordinator):
+            async def freeze(_coordinator):
                 await asyncio.sleep(draw.random() * 0.6)
                 for name in chosen:
                     fleet.network.freeze(name)
 
-            options = RolloutOptions(watch=0.05, window=0.05, silent=6.0, rules=GateRules())
-            waves = WaveOptions(canary=2, shares=(0.5, 1.0), unavailable=20)
+            options = RolloutOptions(watch_s=0.05, window_s=0.05, silence_timeout_s=6.0)
+            waves = WaveOptions(canary=2, shares=(0.5, 1.0), max_unavailable=20)
             done = await fleet.roll(ReplaceFiles(config("2s")), waves=waves, options=options, during=freeze)
             truth = fleet.truth()
             for name, fate in fates(done).items():
@@ -120,9 +121,11 @@
             if done.machine.record.phase is Phase.HALTED:  # it only asks: nothing more is changed
                 assert "unknown" not in fates(again).values()
             else:
-                assert again.machine.is_complete() and set(fleet.truth().values()) == {"2s"}
+                assert again.machine.is_complete()
+                assert set(fleet.truth().values()) == {"2s"}
             last = await fleet.roll(ReplaceFiles(config("3s")))
-            assert last.machine.is_complete() and set(fleet.truth().values()) == {"3s"}
+            assert last.machine.is_complete()
+            assert set(fleet.truth().values()) == {"3s"}
 
     run(test(), 4 * LIMIT)
 
@@ -130,8 +133,11 @@
 def test_a_network_that_loses_doubles_and_delays_changes_nothing_of_the_end(tmp_path):
     async def test(seed):
         network = Network(seed, lose=0.1, double=0.2, delay_s=0.02)
-        async with PlayedFleet(tmp_path / str(seed), 4, 2, network) as fleet:
-            operator, options = fleet.operator(within_s=0.3), RolloutOptions(0.05, 0.05, 3.0)
+        async with SimulatedFleet(tmp_path / str(seed), 4, 2, network) as fleet:
+            operator, options = (
+                fleet.operator(within_s=0.3),
+                RolloutOptions(watch_s=0.05, window_s=0.05, silence_timeout_s=3.0),
+            )
             for number in itertools.count():
                 try:
                     held = await fleet.roll(
@@ -165,7 +171,7 @@
 
     async def race(seed):
         draw = random.Random(seed)
-        fleet = PlayedFleet(tmp_path / str(seed), 4, 1, Network(seed, delay_s=0.01))
+        fleet = SimulatedFleet(tmp_path / str(seed), 4, 1, Network(seed, delay_s=0.01))
         async with fleet:
 
             async def one(name, word):
@@ -173,7 +179,10 @@
                 (fleet.folder / name).mkdir()
                 operator, journal = fleet.operator(name), Journal(fleet.folder / name)
                 done = await fleet.roll(
-                    ReplaceFiles(config(word)), operator, journal, WaveOptions(0, (1.0,), False, 9)
+                    ReplaceFiles(config(word)),
+                    operator,
+                    journal,
+                    WaveOptions(canary=0, shares=(1.0,), max_unavailable=9),
                 )
                 journal.close()
                 return done
@@ -184,8 +193,10 @@
             )
             winners = [name for name, coordinator in done.items() if coordinator is not None]
             rollouts = [coordinator.rollout for coordinator in done.values() if coordinator is not None]
-            assert winners and len(set(rollouts)) == len(rollouts)
-            # Where both won, the second asked after the first was done: both stand whole, one after the other.
+            assert winners
+            assert len(set(rollouts)) == len(rollouts)
+            # Where both won, the second asked after the first was done: both stand whole, one after
+            # the other.
             reasons = [c.machine.record.reason for c in done.values() if c is not None]
             assert all(c is None or c.machine.is_complete() for c in done.values()), (seed, reasons)
             last = max((c for c in done.values() if c is not None), key=lambda c: c.rollout)
@@ -203,7 +214,7 @@
 
 def test_a_journal_that_is_lost_is_rebuilt_from_the_agents(tmp_path):
     async def test():
-        async with PlayedFleet(tmp_path, 3) as fleet:
+        async with SimulatedFleet(tmp_path, 3) as fleet:
             await fleet.first()
             second = await fleet.roll(ReplaceFiles(config("2s")))
             third = await fleet.roll(ReplaceFiles(config("3s", "dies 0.01")))
@@ -217,7 +228,8 @@
             assert told[1] == told[second.rollout] == (Phase.DONE, ["took it"] * 3)
             assert told[third.rollout] == (Phase.ROLLED_BACK, ["did not"])
             by_id = {r.id: r for r in found}
-            assert by_id[second.rollout].held_by is not None and by_id[third.rollout].held_by is None
+            assert by_id[second.rollout].files_holder is not None
+            assert by_id[third.rollout].files_holder is None
             assert {t.base for t in by_id[second.rollout].record.waves[0]} == {1}
 
     run(test())
@@ -227,18 +239,21 @@
     """One that was removed did not take it; one that came later is in no wave, and in the next rollout."""
 
     async def test():
-        async with PlayedFleet(tmp_path, 3) as fleet:
+        async with SimulatedFleet(tmp_path, 3) as fleet:
             await fleet.first()
 
-            async def change(coordinator):
+            async def change(_coordinator):
                 fleet.agents["h2"].managed.pop("n0").end()
                 fleet.agents["h0"].add("n9", ["127.0.0.1:1"], fleet.folder / "h0" / "n9.sock")
                 fleet.agents["h0"].managed.update(fleet.agents["h0"].spawn("n9"))
 
             done = await fleet.roll(
-                ReplaceFiles(config("2s")), waves=WaveOptions(0, (0.4, 1.0), False, 1), during=change
+                ReplaceFiles(config("2s")),
+                waves=WaveOptions(canary=0, shares=(0.4, 1.0), max_unavailable=1),
+                during=change,
             )
-            assert fates(done)["h2/n0"] == "did not" and "there is no n0 here" in done.machine.record.reason
+            assert fates(done)["h2/n0"] == "did not"
+            assert "there is no n0 here" in done.machine.record.reason
             assert "h0/n9" not in fates(done)
             last = await fleet.roll(ReplaceFiles(config("3s")))
             assert fates(last)["h0/n9"] == "took it"
@@ -247,21 +262,24 @@
 
 
 def test_a_lease_is_lost_when_another_tool_takes_it_and_nothing_more_is_sent(tmp_path, monkeypatch):
-    monkeypatch.setattr("oakbridge.rollout.coordinator.RENEW_S", 0.05)
+    monkeypatch.setattr("oakbridge.rollout.lease_keeper.RENEW_S", 0.05)
 
     async def test():
-        async with PlayedFleet(tmp_path, 3) as fleet:
+        async with SimulatedFleet(tmp_path, 3) as fleet:
             await fleet.first()
 
-            async def take(coordinator):
+            async def take(_coordinator):
                 await asyncio.sleep(0.1)
                 await fleet.operator("kari").acquire(60.0)  # the same holder, from another tool
 
             done = await fleet.roll(
-                ReplaceFiles(config("2s")), options=RolloutOptions(0.3, 0.3, 5.0), during=take
+                ReplaceFiles(config("2s")),
+                options=RolloutOptions(watch_s=0.3, window_s=0.3, silence_timeout_s=5.0),
+                during=take,
             )
-            assert done.machine.record.phase is Phase.HALTED and "lease" in done.machine.record.reason
+            assert done.machine.record.phase is Phase.HALTED
+            assert "lease" in done.machine.record.reason
             assert "not reached" in fates(done).values()
-            assert QUICK.watch == 0.05
+            assert QUICK.watch_s == 0.05
 
     run(test())
