--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,10 +25,11 @@
 from oakbridge.agent.process import listener_pid
 from oakbridge.agent.runner import Agent
 from oakbridge.agent.store import Store
-from oakbridge.fleet import pki, wire
-from oakbridge.fleet.ask import Operator
-from oakbridge.fleet.http import Server
+from oakbridge.fleet import messages, pki
+from oakbridge.fleet.client import FleetClient
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
 from oakbridge.fleet.inventory import Inventory
+from oakbridge.fleet.server import AgentServer
 
 CONFIG = {
     "oakbridge.toml": '[servers]\ninline = [{name = "a", address = "127.0.0.1:9"}]\n\n'
@@ -38,9 +39,9 @@
 
 def authority(folder: Path) -> None:
     """A fleet with an operator and one certificate for agents of the name ``h``."""
-    pki.make_authority(folder, "f")
-    pki.issue(folder, wire.Identity("f", "operator", "admin", wire.WRITE), folder / "admin")
-    pki.issue(folder, wire.Identity("f", "agent", "h", wire.READ), folder / "h")
+    pki.create_authority(folder, "f")
+    pki.issue_certificate(folder, Identity("f", IdentityKind.OPERATOR, "admin", Role.WRITE), folder / "admin")
+    pki.issue_certificate(folder, Identity("f", IdentityKind.AGENT, "h", Role.READ), folder / "h")
 
 
 def ports(count: int) -> list[int]:
@@ -60,14 +61,14 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"), resident
 
 
-async def changed(operator: Operator, names: list[str]) -> None:
+async def changed(operator: FleetClient, names: list[str]) -> None:
     """Give every instance its first generation, and wait until all have taken it."""
-    await operator.ask("h", wire.Acquire(1, 300_000_000))
+    await operator.call("h", messages.LeaseRequest(1, 300_000_000))
     for name in names:
-        await operator.ask("h", wire.StepOrder(1, f"s-{name}", name, 1, 0, 1_000_000, CONFIG))
+        await operator.call("h", messages.StepRequest(1, f"s-{name}", name, 1, 0, 1_000_000, CONFIG))
     while True:
-        heard = await operator.ask("h", wire.Status())
-        rows = heard.answer.get("instances", [])
+        heard = await operator.call("h", messages.StatusRequest())
+        rows = heard.body.get("instances", [])
         if rows and all(row["outcomes"] and row["answers"] for row in rows):
             return
         await asyncio.sleep(0.5)
@@ -90,8 +91,8 @@
         stderr=subprocess.DEVNULL,
     )  # fmt: skip
     try:
-        tls = pki.context(folder / "ca.crt", folder / "admin", server=False)
-        operator = Operator(Inventory("f", {"h": ("127.0.0.1", own)}), tls, 20)
+        tls = pki.tls_context(folder / "ca.crt", folder / "admin", server=False)
+        operator = FleetClient(Inventory("f", {"h": ("127.0.0.1", own)}), tls, 20)
         time.sleep(1)
         asyncio.run(changed(operator, names))
         before, _ = cpu_and_memory(process.pid)
@@ -112,11 +113,11 @@
     """Another process: all agents."""
 
     async def serve() -> None:
-        tls = pki.context(folder / "ca.crt", folder / "h", server=True)
+        tls = pki.tls_context(folder / "ca.crt", folder / "h", server=True)
         for i, port in enumerate(listen):
             agent = Agent(Store(folder / f"s{i}"), "h", "f")
             agent.add("n", ["127.0.0.1:1"], folder / "none.sock")
-            await Server(tls, "f", agent.answer).start(("127.0.0.1", port))
+            await AgentServer(tls, "f", agent.answer).start(("127.0.0.1", port))
         ready.send(True)
         await asyncio.sleep(600)
 
@@ -133,18 +134,18 @@
     process.start()
     try:
         here.recv()
-        tls = pki.context(folder / "ca.crt", folder / "admin", server=False)
+        tls = pki.tls_context(folder / "ca.crt", folder / "admin", server=False)
         took = []
         for _ in range(3):
             # All have one certificate here, and so one name: they are asked one by one by their addresses.
-            operators = [Operator(Inventory("f", {"h": ("127.0.0.1", port)}), tls, 20) for port in listen]
+            operators = [FleetClient(Inventory("f", {"h": ("127.0.0.1", port)}), tls, 20) for port in listen]
             places = asyncio.Semaphore(64)
 
-            async def ask(operator: Operator, places: asyncio.Semaphore = places) -> int:
+            async def ask(operator: FleetClient, places: asyncio.Semaphore = places) -> int:
                 async with places:
-                    return (await operator.ask("h", wire.Status())).status
+                    return (await operator.call("h", messages.StatusRequest())).status
 
-            async def ask_all(operators: list[Operator] = operators, ask: Any = ask) -> list[int]:
+            async def ask_all(operators: list[FleetClient] = operators, ask: Any = ask) -> list[int]:
                 return list(await asyncio.gather(*(ask(o) for o in operators)))
 
             begin = time.monotonic()
--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -21,10 +21,11 @@
 
 from oakbridge.agent.runner import Agent
 from oakbridge.agent.store import Store
-from oakbridge.fleet import pki, wire
-from oakbridge.fleet.ask import Operator
-from oakbridge.fleet.http import Server
+from oakbridge.fleet import messages, pki
+from oakbridge.fleet.client import FleetClient
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
 from oakbridge.fleet.inventory import Inventory
+from oakbridge.fleet.server import AgentServer
 from oakbridge.rollout.change import Values, Whole
 from oakbridge.rollout.conduct import Conductor, Options
 from oakbridge.rollout.journal import Entry, Journal
@@ -41,23 +42,23 @@
     """A process with many agents; tells their ports, and freezes those that it is told to."""
 
     async def serve() -> None:
-        servers: dict[str, Server] = {}
+        servers: dict[str, AgentServer] = {}
         for name in names:
-            tls = pki.context(folder / "ca.crt", folder / name, server=True)
+            tls = pki.tls_context(folder / "ca.crt", folder / name, server=True)
             agent = Agent(Store(folder / f"s-{name}"), name, "f", host=PlayedHost(rate=50.0))
             agent.add("n", ["127.0.0.1:1"], folder / f"s-{name}" / "n.sock")
             agent.begin()
             frozen = asyncio.Event()
 
             async def answer(
-                who: wire.Identity, method: str, path: str, body: bytes, agent: Agent = agent,
+                who: Identity, method: str, path: str, body: bytes, agent: Agent = agent,
                 frozen: asyncio.Event = frozen,
-            ) -> tuple[int, wire.Raw]:  # fmt: skip
+            ) -> messages.Response:  # fmt: skip
                 if frozen.is_set():
                     await asyncio.sleep(3600)
                 return await agent.answer(who, method, path, body)
 
-            servers[name] = Server(tls, "f", answer)
+            servers[name] = AgentServer(tls, "f", answer)
             servers[name].frozen = frozen  # type: ignore[attr-defined]
             await servers[name].start(("127.0.0.1", 0))
         talk.send({name: server.address for name, server in servers.items()})
@@ -70,22 +71,22 @@
     asyncio.run(serve())
 
 
-async def roll(folder: Path, operator: Operator, change: Any, options: Options, unavailable: int) -> None:
+async def roll(folder: Path, operator: FleetClient, change: Any, options: Options, unavailable: int) -> None:
     """One rollout; prints what it came to."""
     journal, began = Journal(folder), time.monotonic()
-    held = await operator.acquire(60.0)
-    heard = await operator.ask_all(wire.Status())
+    held = await operator.acquire_lease(60.0)
+    heard = await operator.call_all(messages.StatusRequest())
     leased = time.monotonic() - began
     targets = [
         Target(h.agent, row["name"], "", row["generation"])
-        for h in heard if h.status == 200 for row in h.answer["instances"]
+        for h in heard if h.status == 200 for row in h.body["instances"]
     ]  # fmt: skip
     waves = plan(targets, Waves(unavailable=unavailable))
     record = Record(tuple(map(tuple, waves)), unavailable, False)
     journal.add(Entry(held.token, "bench", time.time(), time.time(), "", change, record))
     conductor = Conductor(operator, journal, held.token, change, record, held, options)
     stage = await conductor.run()
-    await operator.release(conductor.held)
+    await operator.release_lease(conductor.held)
     fates = Counter(row.fate.value for row in conductor.machine.report().values())
     took = time.monotonic() - began
     print(
@@ -95,11 +96,11 @@
 
 async def measure(folder: Path, addresses: dict[str, tuple[str, int]], freeze: Any, frozen: int) -> None:
     """Status, then rollouts, the last one with silent agents."""
-    tls = pki.context(folder / "ca.crt", folder / "admin", server=False)
-    operator = Operator(Inventory("f", addresses), tls, 5.0, "admin")
+    tls = pki.tls_context(folder / "ca.crt", folder / "admin", server=False)
+    operator = FleetClient(Inventory("f", addresses), tls, 5.0, "admin")
     for turn in ("with handshakes", "over kept connections"):
         began = time.monotonic()
-        heard = await operator.ask_all(wire.Status())
+        heard = await operator.call_all(messages.StatusRequest())
         assert all(h.status == 200 for h in heard)
         print(f"  status of {len(heard)}, {turn}: {time.monotonic() - began:.2f} s")
     options = Options(watch=1.0, window=2.0, silent=5.0)
@@ -124,11 +125,13 @@
     folder = Path(tempfile.mkdtemp())
     processes, talks, addresses = [], [], {}
     try:
-        pki.make_authority(folder, "f")
-        pki.issue(folder, wire.Identity("f", "operator", "admin", wire.WRITE), folder / "admin")
+        pki.create_authority(folder, "f")
+        pki.issue_certificate(
+            folder, Identity("f", IdentityKind.OPERATOR, "admin", Role.WRITE), folder / "admin"
+        )
         names = [f"h{i:04d}" for i in range(given.agents)]
         for name in names:
-            pki.issue(folder, wire.Identity("f", "agent", name, wire.READ), folder / name)
+            pki.issue_certificate(folder, Identity("f", IdentityKind.AGENT, name, Role.READ), folder / name)
         for i in range(given.processes):
             here, there = multiprocessing.Pipe()
             process = multiprocessing.Process(target=host, args=(folder, names[i :: given.processes], there))
--- a/oakbridge/agent/runner.py
+++ b/oakbridge/agent/runner.py
@@ -22,7 +22,8 @@
 from oakbridge.agent.lease import Granted, Lease, Refused
 from oakbridge.agent.store import Store, StoreError, check_files, check_name, digest_of
 from oakbridge.control import protocol
-from oakbridge.fleet import wire
+from oakbridge.fleet import codec, messages
+from oakbridge.fleet.identity import Identity, Role
 from oakbridge.process import supervisor as sup
 
 log = logging.getLogger(__name__)
@@ -278,28 +279,28 @@
 
     # ---- answers
 
-    async def answer(self, who: wire.Identity, method: str, path: str, body: bytes) -> tuple[int, wire.Raw]:
+    async def answer(self, who: Identity, method: str, path: str, body: bytes) -> messages.Response:
         """Answer one request of somebody whose certificate is of this fleet."""
-        request = wire.read(method, path, body)
+        request = codec.decode_request(method, path, body)
         if request is None:
-            return 404, {"error": f"path: nothing at {method} {path[:100]}"}
+            return messages.Response(404, {"error": f"path: nothing at {method} {path[:100]}"})
         if who.kind != "operator":
-            return 403, {"error": f"{who.kind} {who.name} is no operator"}
-        if wire.needed_role(request) == wire.WRITE and who.role != wire.WRITE:
-            return 403, {"error": f"operator {who.name} may read, and not change anything"}
-        if isinstance(request, wire.Status):
-            return 200, self.describe()
-        if isinstance(request, wire.Fetch):
+            return messages.Response(403, {"error": f"{who.kind} {who.name} is no operator"})
+        if messages.required_role(request) == Role.WRITE and who.role != Role.WRITE:
+            return messages.Response(403, {"error": f"operator {who.name} may read, and not change anything"})
+        if isinstance(request, messages.StatusRequest):
+            return messages.Response(200, self.describe())
+        if isinstance(request, messages.FilesRequest):
             return self._fetch(request)
-        if isinstance(request, wire.Acquire):
+        if isinstance(request, messages.LeaseRequest):
             return self._acquire(request, who.name)
-        if isinstance(request, wire.Release):
+        if isinstance(request, messages.ReleaseRequest):
             if self.lease.release(now_us(), request.token, who.name):
                 self.store.keep_promise(self.lease.promise)
-            return 200, {"token": self.lease.promise.token}
+            return messages.Response(200, {"token": self.lease.promise.token})
         return await self._step(request, who.name)
 
-    def describe(self) -> wire.Raw:
+    def describe(self) -> messages.JsonObject:
         """All that the agent knows."""
         promise = self.lease.promise
         return {
@@ -313,58 +314,64 @@
             "instances": [managed.describe() for managed in self.managed.values()],
         }
 
-    def _fetch(self, request: wire.Fetch) -> tuple[int, wire.Raw]:
+    def _fetch(self, request: messages.FilesRequest) -> messages.Response:
         try:
-            return 200, {"files": self.store.read(request.instance, m.Generation(request.number))}
+            return messages.Response(
+                200, {"files": self.store.read(request.instance, m.Generation(request.generation))}
+            )
         except StoreError as e:
-            return 404, {"error": str(e)}
+            return messages.Response(404, {"error": str(e)})
 
-    def _acquire(self, request: wire.Acquire, holder: str) -> tuple[int, wire.Raw]:
+    def _acquire(self, request: messages.LeaseRequest, holder: str) -> messages.Response:
         now = now_us()
         if request.renew:
-            got = self.lease.renew(now, request.token, holder, request.length)
+            got = self.lease.renew(now, request.token, holder, request.duration_us)
         else:
-            got = self.lease.acquire(now, request.token, holder, request.length, time.time())
+            got = self.lease.acquire(now, request.token, holder, request.duration_us, time.time())
         if isinstance(got, Granted):
             if got.changed:
                 self.store.keep_promise(self.lease.promise)  # before it is told
-            return 200, {"token": got.token, "length_s": got.length / 1e6}
-        return 409, self._refusal(got)
+            return messages.Response(200, {"token": got.token, "length_s": got.length / 1e6})
+        return messages.Response(409, self._refusal(got))
 
     @staticmethod
-    def _refusal(got: Refused) -> wire.Raw:
+    def _refusal(got: Refused) -> messages.JsonObject:
         return {
             "error": got.reason, "token": got.token, "holder": got.holder, "since": got.since,
             "ends_in_s": got.ends_in / 1e6,
         }  # fmt: skip
 
-    async def _step(self, order: wire.StepOrder, holder: str) -> tuple[int, wire.Raw]:
+    async def _step(self, order: messages.StepRequest, holder: str) -> messages.Response:
         managed = self.managed.get(order.instance)
         if managed is None:
-            return 404, {"error": f"instance: there is no {order.instance} here"}
-        if (ended := managed.machine.outcome(order.id)) is not None:
-            return 200, {"step": ended.step, "verdict": ended.verdict.value, "reason": ended.reason}
+            return messages.Response(404, {"error": f"instance: there is no {order.instance} here"})
+        if (ended := managed.machine.outcome(order.step_id)) is not None:
+            return messages.Response(
+                200, {"step": ended.step, "verdict": ended.verdict.value, "reason": ended.reason}
+            )
         if (refused := self.lease.check(now_us(), order.token, holder)) is not None:
-            return 409, self._refusal(refused)
+            return messages.Response(409, self._refusal(refused))
         try:
             check_files(order.files)
         except StoreError as e:
-            return 400, {"error": str(e)}
+            return messages.Response(400, {"error": str(e)})
         if CONFIG not in order.files:
-            return 400, {"error": f"files: expected {CONFIG} among them"}
+            return messages.Response(400, {"error": f"files: expected {CONFIG} among them"})
         target = m.Generation(order.generation, digest_of(order.files))
-        step = m.Step(order.id, order.token, target, order.base, order.watch)
+        step = m.Step(order.step_id, order.token, target, order.base_generation, order.watch_us)
         async with self._checks:
             verdict = await self._check(order.files)
         try:
             # The lease may have ended meanwhile: the machine asks once more, just before the flip.
             managed.order(step, holder, order.files, verdict)
         except m.Busy as e:
-            return 503 if isinstance(e, m.UnderWay) else 409, {"error": str(e)}
-        ended = managed.machine.outcome(order.id)
+            return messages.Response(503 if isinstance(e, m.UnderWay) else 409, {"error": str(e)})
+        ended = managed.machine.outcome(order.step_id)
         if ended is not None:
-            return 200, {"step": ended.step, "verdict": ended.verdict.value, "reason": ended.reason}
-        return 202, {"step": order.id, "change": managed.machine.state.value}
+            return messages.Response(
+                200, {"step": ended.step, "verdict": ended.verdict.value, "reason": ended.reason}
+            )
+        return messages.Response(202, {"step": order.step_id, "change": managed.machine.state.value})
 
     async def _check(self, files: dict[str, str]) -> str:
         """What the node's own checker says against these files."""
--- a/oakbridge/cli/agent.py
+++ b/oakbridge/cli/agent.py
@@ -15,8 +15,9 @@
 from oakbridge.agent.store import Store, StoreError
 from oakbridge.cli.common import BadInput, Failed
 from oakbridge.cli.logs import log_option, start_logs
-from oakbridge.fleet.http import Server
-from oakbridge.fleet.pki import PkiError, context
+from oakbridge.fleet.errors import PkiError
+from oakbridge.fleet.pki import tls_context
+from oakbridge.fleet.server import AgentServer
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +29,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     agent = Agent(store, given.name, given.fleet, given.zone)
-    server = Server(tls, given.fleet, agent.answer)
+    server = AgentServer(tls, given.fleet, agent.answer)
     for name, listen in given.instances.items():
         agent.add(name, listen, given.state / f"{name}.sock", given.members.get(name, ""))
     await server.start(given.listen)
@@ -51,7 +52,7 @@
     try:
         given = read(path)
         start_logs(log_format, agent=given.name)
-        tls = context(given.authority, given.certificate, server=True)
+        tls = tls_context(given.authority, given.certificate, server=True)
         asyncio.run(run(given, Store(given.state), tls))
     except (BadAgentFile, StoreError, PkiError) as e:
         raise BadInput(str(e)) from None
--- a/oakbridge/cli/fleet.py
+++ b/oakbridge/cli/fleet.py
@@ -20,10 +20,18 @@
 
 from oakbridge.cli.common import BadInput, Failed, say_json
 from oakbridge.cli.peers import STYLE
-from oakbridge.fleet import pki, wire
-from oakbridge.fleet.ask import Heard, Operator
-from oakbridge.fleet.health import health, in_order
-from oakbridge.fleet.inventory import FILE, BadInventory, Inventory, good_name, read, write
+from oakbridge.fleet import messages, pki
+from oakbridge.fleet.client import AgentResponse, FleetClient
+from oakbridge.fleet.errors import InventoryError, PkiError
+from oakbridge.fleet.health import instance_health, is_healthy
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
+from oakbridge.fleet.inventory import (
+    INVENTORY_FILE,
+    Inventory,
+    is_valid_name,
+    read_inventory,
+    write_inventory,
+)
 
 folder_option = click.option(
     "--fleet", "folder", default=Path("fleet"), type=click.Path(path_type=Path), help="The fleet's folder."
@@ -68,7 +76,7 @@
 
 
 def _named(text: str, what: str) -> str:
-    if not good_name(text):
+    if not is_valid_name(text):
         raise BadInput(
             f"{what}: expected up to 63 letters, digits, dots, dashes and underscores, got {text!r:.80}"
         )
@@ -77,8 +85,8 @@
 
 def _read(folder: Path) -> Inventory:
     try:
-        return read(folder)
-    except BadInventory as e:
+        return read_inventory(folder)
+    except InventoryError as e:
         raise BadInput(str(e)) from None
 
 
@@ -89,16 +97,18 @@
     """Make a fleet: its certificate authority, and an operator `admin` that may change things."""
     _named(name, "NAME")
     try:
-        pki.make_authority(folder, name)
-        pki.issue(
-            folder, wire.Identity(name, "operator", "admin", wire.WRITE), folder / "operators" / "admin"
+        pki.create_authority(folder, name)
+        pki.issue_certificate(
+            folder, Identity(name, IdentityKind.OPERATOR, "admin", Role.WRITE), folder / "operators" / "admin"
         )
-    except pki.PkiError as e:
+    except PkiError as e:
         raise BadInput(str(e)) from None
     except OSError as e:
         raise Failed(f"{folder}: {e.strerror}") from None
-    write(folder, Inventory(name))
-    click.echo(f"fleet {name}: {folder / FILE}; keep {folder / 'ca.key'} where nobody else can read it")
+    write_inventory(folder, Inventory(name))
+    click.echo(
+        f"fleet {name}: {folder / INVENTORY_FILE}; keep {folder / 'ca.key'} where nobody else can read it"
+    )
 
 
 @command.command("add-agent")
@@ -106,7 +116,10 @@
 @click.argument("name")
 @click.argument("address")
 @click.option(
-    "--days", default=pki.DAYS, type=click.FloatRange(0.01, 3650), help="How long its certificate holds."
+    "--days",
+    default=pki.CERTIFICATE_DAYS,
+    type=click.FloatRange(0.01, 3650),
+    help="How long its certificate holds.",
 )
 def add_agent(folder: Path, name: str, address: str, days: float) -> None:
     """Add a host's agent: sign its certificate, and write it into the inventory."""
@@ -119,10 +132,12 @@
     try:
         inventory.agents[name] = parse_address(address)
         stem = folder / "agents" / name
-        pki.issue(folder, wire.Identity(inventory.name, "agent", name, wire.READ), stem, days)
-    except (ConfigError, pki.PkiError) as e:
+        pki.issue_certificate(
+            folder, Identity(inventory.name, IdentityKind.AGENT, name, Role.READ), stem, days
+        )
+    except (ConfigError, PkiError) as e:
         raise BadInput(str(e)) from None
-    write(folder, inventory)
+    write_inventory(folder, inventory)
     click.echo(f"agent {name}: take {stem}.crt, {stem}.key and {folder / 'ca.crt'} to its host")
 
 
@@ -131,30 +146,35 @@
 @click.argument("name")
 @click.option("--read-only", is_flag=True, help="It may look, and change nothing.")
 @click.option(
-    "--days", default=pki.DAYS, type=click.FloatRange(0.01, 3650), help="How long its certificate holds."
+    "--days",
+    default=pki.CERTIFICATE_DAYS,
+    type=click.FloatRange(0.01, 3650),
+    help="How long its certificate holds.",
 )
 def add_operator(folder: Path, name: str, read_only: bool, days: float) -> None:
     """Sign an operator's certificate."""
     inventory = _read(folder)
-    role = wire.READ if read_only else wire.WRITE
+    role = Role.READ if read_only else Role.WRITE
     stem = folder / "operators" / _named(name, "NAME")
     try:
-        pki.issue(folder, wire.Identity(inventory.name, "operator", name, role), stem, days)
-    except pki.PkiError as e:
+        pki.issue_certificate(folder, Identity(inventory.name, IdentityKind.OPERATOR, name, role), stem, days)
+    except PkiError as e:
         raise BadInput(str(e)) from None
     click.echo(f"operator {name} may {role}: {stem}.crt, {stem}.key")
 
 
-def operator_of(folder: Path, name: str, within_s: float) -> Operator:
+def operator_of(folder: Path, name: str, within_s: float) -> FleetClient:
     """An operator's end of the protocol, by the fleet's folder and the name of its certificate."""
     inventory = _read(folder)
     if not inventory.agents:
-        raise BadInput(f"{folder / FILE}: the fleet has no agents yet (`oakbridge fleet add-agent`)")
+        raise BadInput(
+            f"{folder / INVENTORY_FILE}: the fleet has no agents yet (`oakbridge fleet add-agent`)"
+        )
     try:
-        tls = pki.context(folder / "ca.crt", folder / "operators" / _named(name, "--as"), server=False)
-    except pki.PkiError as e:
+        tls = pki.tls_context(folder / "ca.crt", folder / "operators" / _named(name, "--as"), server=False)
+    except PkiError as e:
         raise BadInput(str(e)) from None
-    return Operator(inventory, tls, within_s, name)
+    return FleetClient(inventory, tls, within_s, name)
 
 
 @command.command("status")
@@ -182,13 +202,13 @@
             raise click.exceptions.Exit(1)
         return
     asker = operator_of(folder, operator, within)
-    heard = asyncio.run(asker.ask_all(wire.Status()))
+    heard = asyncio.run(asker.call_all(messages.StatusRequest()))
     rows = [row for h in heard for row in instances(h)]
     if as_json:
         say_json({"agents": [agent_row(h) for h in heard], "instances": rows})
     else:
         Console().print(fleet_view(heard, rows))
-    if any(h.status != 200 for h in heard) or not all(in_order(r["health"]) for r in rows):
+    if any(h.status != 200 for h in heard) or not all(is_healthy(r["health"]) for r in rows):
         raise click.exceptions.Exit(1)
 
 
@@ -208,7 +228,7 @@
     async def run(live: Live | None) -> None:
         before: dict[str, str] = {}
         for number in itertools.count(1):
-            heard = await asker.ask_all(wire.Status())
+            heard = await asker.call_all(messages.StatusRequest())
             rows = [row for h in heard for row in instances(h)]
             if live is not None:
                 live.update(fleet_view(heard, rows, all_rows=False), refresh=True)
@@ -227,7 +247,9 @@
             asyncio.run(run(live))
 
 
-def _say_changes(heard: list[Heard], rows: list[dict[str, Any]], before: dict[str, str]) -> dict[str, str]:
+def _say_changes(
+    heard: list[AgentResponse], rows: list[dict[str, Any]], before: dict[str, str]
+) -> dict[str, str]:
     """A line for each name whose word is another than before."""
     now = {h.agent: "unknown" for h in heard if h.status != 200}
     now |= {f"{row['agent']}/{row['name']}": str(row["health"]) for row in rows}
@@ -239,15 +261,15 @@
     return now
 
 
-def agent_row(heard: Heard) -> dict[str, Any]:
+def agent_row(heard: AgentResponse) -> dict[str, Any]:
     """What is known of an agent; without an answer nothing is claimed."""
     if heard.status != 200:
         return {
             "agent": heard.agent,
             "state": "unknown",
-            "error": heard.error or heard.answer.get("error", ""),
+            "error": heard.error or heard.body.get("error", ""),
         }
-    told = heard.answer
+    told = heard.body
     return {
         "agent": heard.agent, "state": "answers", "pid": told["pid"], "lease": told["lease"],
         "zone": told.get("zone", ""), "version": told.get("version", ""),
@@ -255,11 +277,11 @@
     }  # fmt: skip
 
 
-def instances(heard: Heard) -> list[dict[str, Any]]:
+def instances(heard: AgentResponse) -> list[dict[str, Any]]:
     """What is known of an agent's instances, with one word for how each is."""
     if heard.status != 200:
         return []
-    return [{"agent": heard.agent, "health": health(row), **row} for row in heard.answer["instances"]]
+    return [{"agent": heard.agent, "health": instance_health(row), **row} for row in heard.body["instances"]]
 
 
 def members_view(members: list[dict[str, Any]]) -> Group:
@@ -274,7 +296,7 @@
     return Group(table, Text(", ".join(f"{n} {word}" for word, n in counts.most_common())))
 
 
-def fleet_view(heard: list[Heard], rows: list[dict[str, Any]], all_rows: bool = True) -> Group:
+def fleet_view(heard: list[AgentResponse], rows: list[dict[str, Any]], all_rows: bool = True) -> Group:
     """The fleet for people, within 80 columns: instances, then agents that do not answer, then the sum."""
     table = Table(box=box.SIMPLE_HEAD, pad_edge=False)
     table.add_column("instance", no_wrap=True, overflow="ellipsis", max_width=28)
@@ -283,12 +305,12 @@
         table.add_column(name, justify="right", no_wrap=True)
     table.add_column("crashes, last words", no_wrap=True, overflow="ellipsis", max_width=26)
     for row in rows:
-        if all_rows or not in_order(row["health"]):
+        if all_rows or not is_healthy(row["health"]):
             node, crashes = row["node"], row["crashes"]
             words = f"{crashes}: {row['last_exit']}" if crashes else ""
             table.add_row(
                 f"{row['agent']}/{row['name']}",
-                Text(row["health"], style="green" if in_order(row["health"]) else "red"),
+                Text(row["health"], style="green" if is_healthy(row["health"]) else "red"),
                 str(row["generation"]), str(node.get("servers", "")), str(node.get("attempts_per_s", "")), words,
             )  # fmt: skip
     lines = [
--- a/oakbridge/cli/rollout.py
+++ b/oakbridge/cli/rollout.py
@@ -22,8 +22,9 @@
 from oakbridge.cli.common import BadInput, Failed, say_json
 from oakbridge.cli.fleet import command, folder_option, members_by, operator_of, operator_option, via_options
 from oakbridge.cli.rollout_view import picture
-from oakbridge.fleet import pki, wire
-from oakbridge.fleet.ask import Held, Operator
+from oakbridge.fleet import messages, pki
+from oakbridge.fleet.client import FleetClient, LeaseResult
+from oakbridge.fleet.errors import PkiError
 from oakbridge.rollout import change as changes
 from oakbridge.rollout.change import CONFIG, BadChange, Change
 from oakbridge.rollout.conduct import LEASE_S, Conductor, Options
@@ -140,14 +141,14 @@
     ])  # fmt: skip
 
 
-async def find_targets(operator: Operator, only: tuple[str, ...]) -> tuple[list[Target], list[str]]:
+async def find_targets(operator: FleetClient, only: tuple[str, ...]) -> tuple[list[Target], list[str]]:
     """All instances that can be seen now, and the agents that can't."""
-    heard = await operator.ask_all(wire.Status())
+    heard = await operator.call_all(messages.StatusRequest())
     found = [
-        Target(h.agent, row["name"], h.answer.get("zone", ""), row["generation"], row.get("drained", False))
-        for h in heard if h.status == 200 for row in h.answer["instances"]
+        Target(h.agent, row["name"], h.body.get("zone", ""), row["generation"], row.get("drained", False))
+        for h in heard if h.status == 200 for row in h.body["instances"]
     ]  # fmt: skip
-    unseen = [f"{h.agent}: {h.error or h.answer.get('error', '')}" for h in heard if h.status != 200]
+    unseen = [f"{h.agent}: {h.error or h.body.get('error', '')}" for h in heard if h.status != 200]
     if missing := set(only) - {t.name for t in found}:
         raise BadInput(f"--only: there is no instance {', '.join(sorted(missing))} that can be seen")
     return [t for t in found if not only or t.name in only], unseen
@@ -184,7 +185,7 @@
     ) -> None:
         """Roll a change out; ends the command with its exit code."""
 
-        async def run(asker: Operator, journal: Journal, held: Held) -> tuple[Conductor, list[str]]:
+        async def run(asker: FleetClient, journal: Journal, held: LeaseResult) -> tuple[Conductor, list[str]]:
             targets, unseen = await find_targets(asker, cut.only)
             if sources is not None:
                 targets = [t for t in targets if t.name in sources]
@@ -199,14 +200,14 @@
     def again(self, rollout: int) -> None:
         """Go on with a rollout; ends the command with its exit code."""
 
-        async def run(asker: Operator, journal: Journal, held: Held) -> tuple[Conductor, list[str]]:
+        async def run(asker: FleetClient, journal: Journal, held: LeaseResult) -> tuple[Conductor, list[str]]:
             entry = journal.entry(rollout)
             sources = sources_of(journal, entry.change)
             return await self._conduct(asker, journal, rollout, entry.change, entry.record, held, sources), []
 
         self._end(*self._with_lease(run))
 
-    def _with_lease(self, run: Callable[[Operator, Journal, Held], Any]) -> Any:
+    def _with_lease(self, run: Callable[[FleetClient, Journal, LeaseResult], Any]) -> Any:
         """Run under the lease, which is given back however it ends."""
         asker, journal = operator_of(self.folder, self.operator, 5.0), open_journal(self.folder)
 
@@ -218,7 +219,7 @@
                 conductor = got[0]
                 return got
             finally:
-                await asker.release(conductor.held if conductor is not None else held)
+                await asker.release_lease(conductor.held if conductor is not None else held)
                 asker.close()
 
         try:
@@ -227,7 +228,7 @@
             raise BadInput(str(e)) from None
 
     async def _conduct(
-        self, asker: Operator, journal: Journal, rollout: int, change: Change, record: Record, held: Held,
+        self, asker: FleetClient, journal: Journal, rollout: int, change: Change, record: Record, held: LeaseResult,
         sources: dict[str, int] | None,
     ) -> Conductor:  # fmt: skip
         """Carry it out, with a live view where people look."""
@@ -417,17 +418,19 @@
     asker, journal = operator_of(folder, operator, 5.0), open_journal(folder)
 
     async def run() -> tuple[list[Entry], list[str]]:
-        heard = await asker.ask_all(wire.Status())
+        heard = await asker.call_all(messages.StatusRequest())
         silent = [h.agent for h in heard if h.status != 200]
-        there = {h.agent: h.answer["instances"] for h in heard if h.status == 200}
+        there = {h.agent: h.body["instances"] for h in heard if h.status == 200}
         known, made = {e.id for e in journal.entries(1_000_000)}, []
         for found in rebuild(there, silent):
             if found.id in known:
                 continue
             files: dict[str, str] = {}
             if found.held_by is not None:
-                got = await asker.ask(found.held_by.agent, wire.Fetch(found.held_by.instance, found.id))
-                files = got.answer.get("files", {})
+                got = await asker.call(
+                    found.held_by.agent, messages.FilesRequest(found.held_by.instance, found.id)
+                )
+                files = got.body.get("files", {})
             whole, now = changes.Whole(files), time.time()
             made.append(Entry(found.id, "unknown", now, now, "(rebuilt)", whole, found.record))
         asker.close()
@@ -455,15 +458,13 @@
     """
     members = None if via is None else asyncio.run(members_by(via, secret_file))
     asker, journal = operator_of(folder, operator, 5.0), open_journal(folder)
-    heard = asyncio.run(asker.ask_all(wire.Status()))
-    told = {
-        h.agent: h.answer if h.status == 200 else (h.error or str(h.answer.get("error", ""))) for h in heard
-    }
+    heard = asyncio.run(asker.call_all(messages.StatusRequest()))
+    told = {h.agent: h.body if h.status == 200 else (h.error or str(h.body.get("error", ""))) for h in heard}
     certificates: dict[str, float] = {}
     for path in (folder / "ca.crt", *folder.glob("agents/*.crt"), *folder.glob("operators/*.crt")):
         try:
-            certificates[str(path.relative_to(folder))] = pki.days_left(path)
-        except (pki.PkiError, OSError, ValueError):
+            certificates[str(path.relative_to(folder))] = pki.certificate_days_left(path)
+        except (PkiError, OSError, ValueError):
             certificates[str(path.relative_to(folder))] = 0.0
     try:
         found = examine(told, journal.entries(), time.time(), certificates, members)
@@ -489,17 +490,17 @@
         raise BadInput(str(e)) from None
 
 
-async def lease(operator: Operator) -> Held:
+async def lease(operator: FleetClient) -> LeaseResult:
     """The lease, or Failed with who has it."""
-    held = await operator.acquire(LEASE_S)
+    held = await operator.acquire_lease(LEASE_S)
     of = len(operator.inventory.agents)
-    if held.won(of):
+    if held.has_majority(of):
         return held
-    for heard in held.refused:
-        if holder := heard.answer.get("holder"):
-            since = time.strftime("%H:%M:%S", time.localtime(heard.answer["since"]))
-            ends = f", ends in {heard.answer['ends_in_s']:.0f} s" if heard.answer.get("ends_in_s") else ""
+    for heard in held.denied:
+        if holder := heard.body.get("holder"):
+            since = time.strftime("%H:%M:%S", time.localtime(heard.body["since"]))
+            ends = f", ends in {heard.body['ends_in_s']:.0f} s" if heard.body.get("ends_in_s") else ""
             raise Failed(f"{holder} has the lease since {since}{ends} (agent {heard.agent})")
-    for heard in held.refused:
-        raise Failed(f"agent {heard.agent} refuses: {heard.answer.get('error')}")
-    raise Failed(f"{len(held.agents)} of {of} agents answer; a majority is needed for a change")
+    for heard in held.denied:
+        raise Failed(f"agent {heard.agent} refuses: {heard.body.get('error')}")
+    raise Failed(f"{len(held.granted_by)} of {of} agents answer; a majority is needed for a change")
--- a/oakbridge/fleet/health.py
+++ b/oakbridge/fleet/health.py
@@ -1,36 +1,45 @@
-"""How an instance is, in one word, by what its agent tells of it.  Pure."""
+"""The health of an instance, by the row of its agent's status.  Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
-WELL, DRAINED = "well", "drained"
+HEALTHY = "well"
+DRAINED = "drained"
+UNRESPONSIVE = "silent"
+CRASH_LOOP = "crash loop"
 
 
-def health(row: Mapping[str, Any]) -> str:
-    """One word: well, drained, or what is wrong."""
+def instance_health(row: Mapping[str, Any]) -> str:
+    """Return one of this module's constants, or the state of the change or process that is not settled."""
     if row["crash_loop"]:
-        return "crash loop"
+        return CRASH_LOOP
     if row["change"] != "settled":
         return str(row["change"])
     if row.get("drained") and row["process"] == "stopped":
         return DRAINED
     if row["process"] != "running":
         return str(row["process"])
-    return WELL if row["answers"] else "silent"
+    return HEALTHY if row["answers"] else UNRESPONSIVE
 
 
-def in_order(word: str) -> bool:
-    """Whether nobody has to look at it."""
-    return word in (WELL, DRAINED)
+def is_healthy(health: str) -> bool:
+    """Return whether nobody has to look at an instance of this health."""
+    return health in (HEALTHY, DRAINED)
 
 
-def unwell_because(told: Mapping[str, Any] | None, generation: int) -> str:
-    """What is wrong with a changed instance (None: its agent does not answer); "" if it is well."""
-    if told is None:
+def health_problem(row: Mapping[str, Any] | None, generation: int) -> str:
+    """Return what is wrong with an instance that should run a generation; "" if nothing is.
+
+    ``row`` is None where its agent does not answer.
+    """
+    if row is None:
         return "its agent does not answer"
-    word = health(told)
-    if not in_order(word):
-        return f"{word} ({told['last_exit']})" if told["last_exit"] and word != "silent" else word
-    return "" if told["generation"] == generation else f"it runs generation {told['generation']}"
+    health = instance_health(row)
+    if not is_healthy(health):
+        show_exit = row["last_exit"] and health != UNRESPONSIVE
+        return f"{health} ({row['last_exit']})" if show_exit else health
+    if row["generation"] != generation:
+        return f"it runs generation {row['generation']}"
+    return ""
--- a/oakbridge/fleet/pki.py
+++ b/oakbridge/fleet/pki.py
@@ -1,6 +1,7 @@
-"""The fleet's own certificate authority: made once, it signs agents' and operators' certificates.
+"""The fleet's own certificate authority: created once, it signs the certificates of agents and operators.
 
-Keys are P-256; files are PEM, keys owner-only.  A certificate says whom it speaks for in one URI (see ``wire``).
+Keys are P-256; files are PEM, and keys are readable by their owner alone.  A certificate has its holder's identity in
+one URI (see ``identity``).
 """
 
 from __future__ import annotations
@@ -15,37 +16,124 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from oakbridge.fleet.wire import Identity
+from oakbridge.fleet.errors import PkiError
+from oakbridge.fleet.identity import Identity, IdentityKind
+
+AUTHORITY_DAYS = 3650
+CERTIFICATE_DAYS = 397
+CLOCK_SKEW = datetime.timedelta(minutes=5)  # by which certificates are backdated
+MAX_COMMON_NAME_LENGTH = 64  # of X.509
+AUTHORITY_CERTIFICATE = "ca.crt"
+AUTHORITY_KEY = "ca.key"
+
+AUTHORITY_USAGE = x509.KeyUsage(
+    digital_signature=False,
+    content_commitment=False,
+    key_encipherment=False,
+    data_encipherment=False,
+    key_agreement=False,
+    key_cert_sign=True,
+    crl_sign=True,
+    encipher_only=False,
+    decipher_only=False,
+)
+
+
+def create_authority(folder: Path, fleet: str) -> None:
+    """Create ``ca.crt`` and ``ca.key`` in a folder.
+
+    Raises:
+        PkiError: if there is an authority already.
+    """
+    folder.mkdir(mode=0o700, parents=True, exist_ok=True)
+    key = ec.generate_private_key(ec.SECP256R1())
+    name = _common_name(f"oakbridge fleet {fleet}")
+    key_id = x509.SubjectKeyIdentifier.from_public_key(key.public_key())
+    certificate = (
+        _builder(name, name, key.public_key(), AUTHORITY_DAYS)
+        .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
+        .add_extension(AUTHORITY_USAGE, critical=True)
+        .add_extension(key_id, critical=False)
+        .sign(key, hashes.SHA256())
+    )
+    try:
+        _write_new(folder / AUTHORITY_KEY, _key_pem(key), secret=True)
+        _write_new(folder / AUTHORITY_CERTIFICATE, _certificate_pem(certificate), secret=False)
+    except FileExistsError as e:
+        raise PkiError(
+            f"{e.filename}: there is one already, and what it signed would be worth nothing"
+        ) from None
 
-AUTHORITY_DAYS, DAYS = 3650, 397
-BACKDATED = datetime.timedelta(minutes=5)  # clocks of hosts differ a little
 
+def issue_certificate(folder: Path, identity: Identity, stem: Path, days: float = CERTIFICATE_DAYS) -> None:
+    """Sign a certificate for an identity, and write ``STEM.crt`` and ``STEM.key``.
 
-class PkiError(Exception):
-    """A certificate or key can't be made or used; the text says why."""
+    Raises:
+        PkiError: if the authority in ``folder`` can't be read, or the certificate is there already.
+    """
+    authority, signer = _load_authority(folder)
+    key = ec.generate_private_key(ec.SECP256R1())
+    is_agent = identity.kind is IdentityKind.AGENT
+    usage = ExtendedKeyUsageOID.SERVER_AUTH if is_agent else ExtendedKeyUsageOID.CLIENT_AUTH
+    uri = x509.UniformResourceIdentifier(identity.uri)
+    authority_id = x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key())
+    certificate = (
+        _builder(_common_name(identity.name), authority.subject, key.public_key(), days)
+        .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
+        .add_extension(x509.ExtendedKeyUsage([usage]), critical=False)
+        .add_extension(x509.SubjectAlternativeName([uri]), critical=False)
+        .add_extension(authority_id, critical=False)
+        .sign(signer, hashes.SHA256())
+    )
+    stem.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
+    try:
+        _write_new(_append_suffix(stem, ".key"), _key_pem(key), secret=True)
+        _write_new(_append_suffix(stem, ".crt"), _certificate_pem(certificate), secret=False)
+    except FileExistsError as e:
+        raise PkiError(f"{e.filename}: there is one already") from None
 
 
-def _write(path: Path, data: bytes, secret: bool) -> None:
-    fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600 if secret else 0o644)
-    with open(fd, "wb") as file:
-        file.write(data)
-        file.flush()
-        os.fsync(file.fileno())
+def certificate_days_left(path: Path) -> float:
+    """Return for how many days a certificate is still valid; below 0 once it has expired.
 
+    Raises:
+        PkiError: if it can't be read.
+    """
+    try:
+        certificate = x509.load_pem_x509_certificate(path.read_bytes())
+    except (OSError, ValueError) as e:
+        raise PkiError(f"{path}: {e}") from None
+    left = certificate.not_valid_after_utc - datetime.datetime.now(datetime.UTC)
+    return left / datetime.timedelta(days=1)
 
-def _beside(stem: Path, ending: str) -> Path:
-    """Names have dots: an ending is added, never put in the place of one."""
-    return stem.parent / (stem.name + ending)
 
+def tls_context(authority: Path, stem: Path, *, server: bool) -> ssl.SSLContext:
+    """Return the context for one end, which shows ``STEM.crt`` and accepts none but the fleet's certificates.
 
-def _pem(key: ec.EllipticCurvePrivateKey) -> bytes:
-    return key.private_bytes(
-        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
-    )  # fmt: skip
+    Raises:
+        PkiError: if the authority's certificate, the end's own or its key can't be read.
+    """
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
+    context.minimum_version = ssl.TLSVersion.TLSv1_2
+    context.check_hostname = False  # a certificate's identity is its URI, not an address
+    context.verify_mode = ssl.CERT_REQUIRED
+    try:
+        context.load_verify_locations(authority)
+        context.load_cert_chain(_append_suffix(stem, ".crt"), _append_suffix(stem, ".key"))
+    except (OSError, ssl.SSLError) as e:
+        raise PkiError(f"{stem}: {e}") from None
+    return context
 
 
-def _name(text: str) -> x509.Name:
-    return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text[:64])])
+def _load_authority(folder: Path) -> tuple[x509.Certificate, ec.EllipticCurvePrivateKey]:
+    try:
+        certificate = x509.load_pem_x509_certificate((folder / AUTHORITY_CERTIFICATE).read_bytes())
+        key = serialization.load_pem_private_key((folder / AUTHORITY_KEY).read_bytes(), None)
+    except (OSError, ValueError) as e:
+        raise PkiError(f"{folder}: expected the fleet's authority: {e}") from None
+    if not isinstance(key, ec.EllipticCurvePrivateKey):
+        raise PkiError(f"{folder / AUTHORITY_KEY}: expected a key on a curve")
+    return certificate, key
 
 
 def _builder(
@@ -58,81 +146,37 @@
         .issuer_name(issuer)
         .public_key(key)
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - BACKDATED)
+        .not_valid_before(now - CLOCK_SKEW)
         .not_valid_after(now + datetime.timedelta(days=days))
     )
 
 
-def make_authority(folder: Path, fleet: str) -> None:
-    """Make ``ca.crt`` and ``ca.key``.  Raises :class:`PkiError` where there is one already."""
-    folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-    key = ec.generate_private_key(ec.SECP256R1())
-    name = _name(f"oakbridge fleet {fleet}")
-    certificate = (
-        _builder(name, name, key.public_key(), AUTHORITY_DAYS)
-        .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
-        .add_extension(
-            x509.KeyUsage(False, False, False, False, False, True, True, False, False), critical=True
-        )
-        .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
-        .sign(key, hashes.SHA256())
-    )  # fmt: skip
-    try:
-        _write(folder / "ca.key", _pem(key), secret=True)
-        _write(folder / "ca.crt", certificate.public_bytes(serialization.Encoding.PEM), secret=False)
-    except FileExistsError as e:
-        raise PkiError(
-            f"{e.filename}: there is one already, and what it signed would be worth nothing"
-        ) from None
+def _common_name(text: str) -> x509.Name:
+    return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text[:MAX_COMMON_NAME_LENGTH])])
 
 
-def issue(folder: Path, who: Identity, stem: Path, days: float = DAYS) -> None:
-    """Sign a certificate for somebody: ``STEM.crt`` and ``STEM.key``.  Raises :class:`PkiError`."""
-    try:
-        authority = x509.load_pem_x509_certificate((folder / "ca.crt").read_bytes())
-        signer = serialization.load_pem_private_key((folder / "ca.key").read_bytes(), None)
-    except (OSError, ValueError) as e:
-        raise PkiError(f"{folder}: expected the fleet's authority: {e}") from None
-    if not isinstance(signer, ec.EllipticCurvePrivateKey):
-        raise PkiError(f"{folder / 'ca.key'}: expected a key on a curve")
-    key = ec.generate_private_key(ec.SECP256R1())
-    usage = ExtendedKeyUsageOID.SERVER_AUTH if who.kind == "agent" else ExtendedKeyUsageOID.CLIENT_AUTH
-    certificate = (
-        _builder(_name(who.name), authority.subject, key.public_key(), days)
-        .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
-        .add_extension(x509.ExtendedKeyUsage([usage]), critical=False)
-        .add_extension(x509.SubjectAlternativeName([x509.UniformResourceIdentifier(who.uri())]), critical=False)
-        .add_extension(
-            x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), critical=False
-        )
-        .sign(signer, hashes.SHA256())
-    )  # fmt: skip
-    stem.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
-    try:
-        _write(_beside(stem, ".key"), _pem(key), secret=True)
-        _write(_beside(stem, ".crt"), certificate.public_bytes(serialization.Encoding.PEM), secret=False)
-    except FileExistsError as e:
-        raise PkiError(f"{e.filename}: there is one already") from None
+def _key_pem(key: ec.EllipticCurvePrivateKey) -> bytes:
+    return key.private_bytes(
+        serialization.Encoding.PEM,
+        serialization.PrivateFormat.PKCS8,
+        serialization.NoEncryption(),
+    )
 
 
-def days_left(certificate: Path) -> float:
-    """For how many days a certificate still holds; below 0 once it has run out.  Raises :class:`PkiError`."""
-    try:
-        found = x509.load_pem_x509_certificate(certificate.read_bytes())
-    except (OSError, ValueError) as e:
-        raise PkiError(f"{certificate}: {e}") from None
-    return (found.not_valid_after_utc - datetime.datetime.now(datetime.UTC)).total_seconds() / 86_400
+def _certificate_pem(certificate: x509.Certificate) -> bytes:
+    return certificate.public_bytes(serialization.Encoding.PEM)
 
 
-def context(authority: Path, stem: Path, server: bool) -> ssl.SSLContext:
-    """TLS for one end: it shows its certificate and takes none but the fleet's.  Raises :class:`PkiError`."""
-    made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
-    made.minimum_version = ssl.TLSVersion.TLSv1_2
-    made.check_hostname = False  # whom a certificate speaks for is its URI, not an address
-    made.verify_mode = ssl.CERT_REQUIRED
-    try:
-        made.load_verify_locations(authority)
-        made.load_cert_chain(_beside(stem, ".crt"), _beside(stem, ".key"))
-    except (OSError, ssl.SSLError) as e:
-        raise PkiError(f"{stem}: {e}") from None
-    return made
+def _append_suffix(stem: Path, suffix: str) -> Path:
+    """Append a suffix; ``Path.with_suffix`` would cut a name that has dots."""
+    return stem.with_name(stem.name + suffix)
+
+
+def _write_new(path: Path, data: bytes, *, secret: bool) -> None:
+    """Write a file that must not exist, and sync it."""
+    mode = 0o600 if secret else 0o644
+    fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, mode)
+    with open(fd, "wb") as file:
+        file.write(data)
+        file.flush()
+        os.fsync(file.fileno())
--- a/oakbridge/rollout/conduct.py
+++ b/oakbridge/rollout/conduct.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from oakbridge.fleet import wire
-from oakbridge.fleet.ask import Heard, Held, Operator
-from oakbridge.fleet.health import unwell_because
+from oakbridge.fleet import messages
+from oakbridge.fleet.client import AgentResponse, FleetClient, LeaseResult
+from oakbridge.fleet.health import health_problem
 from oakbridge.rollout import machine as m
 from oakbridge.rollout import news
 from oakbridge.rollout.change import BadChange, Change, Drain, Files, Whole
@@ -54,8 +54,8 @@
     """Carries out one rollout."""
 
     def __init__(
-        self, operator: Operator, journal: Journal, rollout: int, change: Change, record: m.Record,
-        held: Held, options: Options, show: Callable[[Conductor], None] = lambda _: None,
+        self, operator: FleetClient, journal: Journal, rollout: int, change: Change, record: m.Record,
+        held: LeaseResult, options: Options, show: Callable[[Conductor], None] = lambda _: None,
         sources: dict[str, int] | None = None,
     ) -> None:  # fmt: skip
         """``sources``: the generation that an instance's files are made from, where it is not what it runs."""
@@ -63,7 +63,7 @@
         self.machine, self.held, self.options, self._show = m.Rollout(record), held, options, show
         self.targets = {t.name: t for wave in record.waves for t in wave}
         self._sources = sources or {}
-        self._granted = set(held.agents)
+        self._granted = set(held.granted_by)
         self._of_agent: dict[str, list[str]] = {}
         for name, target in self.targets.items():
             self._of_agent.setdefault(target.agent, []).append(name)
@@ -155,35 +155,37 @@
         """Renew it; without a majority nothing more may be sent."""
         while True:
             await asyncio.sleep(RENEW_S)
-            heard = await self.operator.ask_all(wire.Acquire(self.held.token, int(LEASE_S * 1e6), renew=True))
+            heard = await self.operator.call_all(
+                messages.LeaseRequest(self.held.token, int(LEASE_S * 1e6), renew=True)
+            )
             if sum(1 for h in heard if h.status == 200) * 2 <= len(heard):
-                taken = next((h for h in heard if h.status == 409 and h.answer.get("holder")), None)
-                why = f"{taken.answer['holder']} has the lease" if taken else "too few agents answer"
+                taken = next((h for h in heard if h.status == 409 and h.body.get("holder")), None)
+                why = f"{taken.body['holder']} has the lease" if taken else "too few agents answer"
                 return self._do(self.machine.stopped(f"the lease is lost: {why}"))
 
     async def _admit(self, agent: str) -> bool:
         """Whether our token is promised by an agent that did not grant it when we asked all; asked for here."""
         if agent in self._granted:
             return True
-        heard = await self.operator.ask(agent, wire.Acquire(self.held.token, int(LEASE_S * 1e6)))
+        heard = await self.operator.call(agent, messages.LeaseRequest(self.held.token, int(LEASE_S * 1e6)))
         if heard.status == 200:
             self._granted.add(agent)
             self.listener.look(agent)
             return True
         # One that lost to us may have a part of the fleet for a moment, or have left a higher token there.  A higher
         # one of our own name is another tool of ours, which has taken over: that is never outbid.
-        ended = heard.status == 409 and not heard.answer.get("ends_in_s")
-        if ended and heard.answer.get("holder") != self.operator.name:
-            await self._above(int(heard.answer["token"]))
+        ended = heard.status == 409 and not heard.body.get("ends_in_s")
+        if ended and heard.body.get("holder") != self.operator.name:
+            await self._above(int(heard.body["token"]))
         return False
 
     async def _above(self, number: int) -> int:
         """A token of ours above a number: the next one, if ours is not."""
         async with self._raising:
             if self.held.token <= number:
-                self.held = await self.operator.higher(self.held, LEASE_S, number)
-                self._granted = set(self.held.agents)
-                if not self.held.won(len(self.operator.inventory.agents)):
+                self.held = await self.operator.raise_token(self.held, LEASE_S, number)
+                self._granted = set(self.held.granted_by)
+                if not self.held.has_majority(len(self.operator.inventory.agents)):
                     self._do(self.machine.stopped("the lease is lost: a higher token was not granted"))
             return self.held.token
 
@@ -194,23 +196,23 @@
         number = self._sources.get(target.name, target.base)
         before: Files = {}
         if number and (target.drained or not isinstance(self.change, Whole)):
-            heard = await self.operator.ask(target.agent, wire.Fetch(target.instance, number))
+            heard = await self.operator.call(target.agent, messages.FilesRequest(target.instance, number))
             if heard.status != 200:
                 return _refusal(heard)
-            before = heard.answer["files"]
+            before = heard.body["files"]
         try:
             return self.change.after(before)
         except BadChange as e:
             return str(e)
 
-    async def _order(self, target: Target, order: wire.StepOrder) -> Heard:
-        heard = await self.operator.ask(target.agent, order)
+    async def _order(self, target: Target, order: messages.StepRequest) -> AgentResponse:
+        heard = await self.operator.call(target.agent, order)
         self.listener.look(target.agent)
         if heard.status == 409:
             async with self._raising:  # an agent may have the new token before we know that it is granted
                 raised = self.held.token != order.token
             if raised:  # sent again under the new one
-                return Heard(target.agent, error="our token has been raised meanwhile")
+                return AgentResponse(target.agent, error="our token has been raised meanwhile")
         return heard
 
     async def _send(self, target: Target) -> None:
@@ -231,7 +233,7 @@
         files = await self._files(target)
         if files is None or isinstance(files, str):
             return files
-        order = wire.StepOrder(
+        order = messages.StepRequest(
             self.held.token, news.step_id(self.rollout, target.instance), target.instance, self.rollout,
             target.base, int(self.options.watch * 1e6), files,
         )  # fmt: skip
@@ -256,16 +258,18 @@
 
     async def _try_back(self, target: Target) -> str | None:
         base = target.base
-        heard = await self.operator.ask(target.agent, wire.Fetch(target.instance, base or self.rollout))
+        heard = await self.operator.call(
+            target.agent, messages.FilesRequest(target.instance, base or self.rollout)
+        )
         if heard.status != 200:
             return _refusal(heard)
-        files: Files = heard.answer["files"]
+        files: Files = heard.body["files"]
         if not base:
             files = Drain("it ran nothing before").after(files)
         token = await self._above(self.rollout)
         if not await self._admit(target.agent):
             return None
-        order = wire.StepOrder(
+        order = messages.StepRequest(
             token, news.back_id(self.rollout, target.instance), target.instance, token, self.rollout,
             int(self.options.watch * 1e6), files,
         )  # fmt: skip
@@ -284,7 +288,7 @@
 
     # ---- news
 
-    def _row(self, target: Target) -> wire.Raw | None:
+    def _row(self, target: Target) -> messages.JsonObject | None:
         return self.listener.row(target.agent, target.instance)
 
     def _all_counts(self) -> dict[str, Counts]:
@@ -310,7 +314,7 @@
             self._do(self.machine.silent(name, reason, self.listener.last_heard.get(agent, 0.0)))
         self._judge()
 
-    def _step_news(self, name: str, target: Target, row: wire.Raw | None) -> None:
+    def _step_news(self, name: str, target: Target, row: messages.JsonObject | None) -> None:
         step = news.step_id(self.rollout, target.instance)
         if name in self._settling:
             ended = news.settled(row, step, self.listener.promised(target.agent), self.held.token)
@@ -321,7 +325,7 @@
             self._settling.discard(name)
             self._do(self.machine.ended(name, *ended))
 
-    def _back_news(self, name: str, target: Target, row: wire.Raw | None) -> None:
+    def _back_news(self, name: str, target: Target, row: messages.JsonObject | None) -> None:
         ended = news.ended(row, news.back_id(self.rollout, target.instance))
         if ended is None:
             return
@@ -343,15 +347,15 @@
         others = {n: c for n, c in now.items() if n not in names and rows[n].fate is m.Fate.WAITS}
         if not others:  # nobody is unchanged any more: what they answered before
             others = self._first
-        unwell = {t.name: why for t in gate.changed if (why := unwell_because(self._row(t), self.rollout))}
+        unwell = {t.name: why for t in gate.changed if (why := health_problem(self._row(t), self.rollout))}
         self.judgement = judge(mine, others, unwell, self.options.rules, gate.over)
         if self.judgement.word is not Word.WAIT:
             self._gate = None
             self._do(self.machine.judged(self.judgement))
 
 
-def _refusal(heard: Heard) -> str | None:
+def _refusal(heard: AgentResponse) -> str | None:
     """Why an agent will not do what was asked; "" if it will, None without an answer."""
     if not heard.status or heard.status >= 500:
         return None
-    return str(heard.answer.get("error", heard.status)) if heard.status >= 400 else ""
+    return str(heard.body.get("error", heard.status)) if heard.status >= 400 else ""
--- a/oakbridge/rollout/doctor.py
+++ b/oakbridge/rollout/doctor.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from oakbridge.fleet.health import DRAINED, health, in_order
+from oakbridge.fleet.health import DRAINED, instance_health, is_healthy
 from oakbridge.rollout.journal import Entry
 from oakbridge.rollout.machine import Fate, Stage
 
@@ -71,10 +71,10 @@
 
 
 def _instance(name: str, row: Mapping[str, Any]) -> list[Finding]:
-    word = health(row)
+    word = instance_health(row)
     if word == DRAINED:
         return [Finding(NOTE, name, "drained", f"`fleet undrain --only {name}` when it should serve again")]
-    if in_order(word):
+    if is_healthy(word):
         return []
     does = {
         "silent": "the node runs and says nothing: frozen, or starved",
@@ -146,7 +146,7 @@
         if told is None or told["state"] in ("failed", "left"):
             how = "do not know it" if told is None else f"call it {told['state']}"
             by = f" by the word of {told['by']}" if told is not None and told["by"] else ""
-            if in_order(health(row)):
+            if is_healthy(instance_health(row)):
                 do = f"`oakbridge peers why {name}` at two sites; look whether UDP and TCP reach {row['member']}"
                 found.append(Finding(BAD, name, f"its agent finds it well, and the members {how}{by}", do))
         elif told["address"] != row["member"]:
--- a/oakbridge/rollout/listen.py
+++ b/oakbridge/rollout/listen.py
@@ -6,8 +6,8 @@
 import time
 from collections.abc import Callable
 
-from oakbridge.fleet import wire
-from oakbridge.fleet.ask import Heard, Operator
+from oakbridge.fleet import messages
+from oakbridge.fleet.client import AgentResponse, FleetClient
 
 STEP_S = 0.25  # the shortest pace
 LOOK_WITHIN_S = 1.5  # an agent that takes longer is asked again
@@ -17,11 +17,11 @@
 class Listener:
     """What each agent said last; :attr:`news` is set with each answer."""
 
-    def __init__(self, operator: Operator, agents: tuple[str, ...], pace: Callable[[str], float]) -> None:
+    def __init__(self, operator: FleetClient, agents: tuple[str, ...], pace: Callable[[str], float]) -> None:
         """``pace``: how many seconds to wait between two looks at this agent; asked anew all the time."""
         self._operator, self._pace = operator, pace
         self.agents = agents
-        self.heard: dict[str, Heard] = {}  # of those that answered when they were asked last
+        self.heard: dict[str, AgentResponse] = {}  # of those that answered when they were asked last
         self.last_heard: dict[str, float] = {}  # Unix time
         self._misses: dict[str, int] = {}  # asks in a row without an answer
         self.news = asyncio.Event()
@@ -47,16 +47,16 @@
         asked = [agent for agent in self.agents if agent in self.heard or not self._tasks]
         await asyncio.gather(*(self._look(agent) for agent in asked))
 
-    def row(self, agent: str, instance: str) -> wire.Raw | None:
+    def row(self, agent: str, instance: str) -> messages.JsonObject | None:
         """What is known of an instance; None where its agent did not answer."""
         heard = self.heard.get(agent)
-        rows = heard.answer["instances"] if heard is not None else []
+        rows = heard.body["instances"] if heard is not None else []
         return next((row for row in rows if row["name"] == instance), None)
 
     def promised(self, agent: str) -> int:
         """The highest token that the agent has promised, as far as is known."""
         heard = self.heard.get(agent)
-        return int(heard.answer["lease"]["token"]) if heard is not None else 0
+        return int(heard.body["lease"]["token"]) if heard is not None else 0
 
     async def _look(self, agent: str) -> None:
         """Ask until it has answered, or is silent."""
@@ -64,7 +64,7 @@
             pass
 
     async def _ask(self, agent: str) -> bool:
-        heard = await self._operator.ask(agent, wire.Status(), LOOK_WITHIN_S)
+        heard = await self._operator.call(agent, messages.StatusRequest(), LOOK_WITHIN_S)
         answers = heard.status == 200
         self._misses[agent] = 0 if answers else self._misses.get(agent, 0) + 1
         if answers:
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -13,9 +13,10 @@
 from peers import LIMIT, free_ports
 
 from oakbridge.agent.process import listener_pid
-from oakbridge.fleet import pki, wire
-from oakbridge.fleet.ask import Operator
-from oakbridge.fleet.inventory import Inventory, read, write
+from oakbridge.fleet import messages, pki
+from oakbridge.fleet.client import FleetClient
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
+from oakbridge.fleet.inventory import Inventory, read_inventory, write_inventory
 from oakbridge.fleet.quorum import majority
 
 ROOT = Path(__file__).parents[2]
@@ -40,10 +41,14 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.fleet = folder, folder / "fleet"
-        pki.make_authority(self.fleet, "f")
-        pki.issue(self.fleet, wire.Identity("f", "agent", "h1", wire.READ), self.fleet / "h1")
-        for name, role in (("kari", wire.WRITE), ("ola", wire.WRITE), ("look", wire.READ)):
-            pki.issue(self.fleet, wire.Identity("f", "operator", name, role), self.fleet / name)
+        pki.create_authority(self.fleet, "f")
+        pki.issue_certificate(
+            self.fleet, Identity("f", IdentityKind.AGENT, "h1", Role.READ), self.fleet / "h1"
+        )
+        for name, role in (("kari", Role.WRITE), ("ola", Role.WRITE), ("look", Role.READ)):
+            pki.issue_certificate(
+                self.fleet, Identity("f", IdentityKind.OPERATOR, name, role), self.fleet / name
+            )
         self.inventory = Inventory("f", {"h1": ("127.0.0.1", free_ports(1)[0])})
         self.state = folder / "state"
         lines = [
@@ -81,21 +86,21 @@
                 os.kill(pid, signal.SIGKILL)
 
     def ask(self, request, who: str = "kari"):
-        tls = pki.context(self.fleet / "ca.crt", self.fleet / who, server=False)
-        return asyncio.run(Operator(self.inventory, tls).ask("h1", request))
+        tls = pki.tls_context(self.fleet / "ca.crt", self.fleet / who, server=False)
+        return asyncio.run(FleetClient(self.inventory, tls).call("h1", request))
 
     def lease(self, token: int, who: str = "kari", length: float = 60):
-        return self.ask(wire.Acquire(token, int(length * SECOND)), who)
+        return self.ask(messages.LeaseRequest(token, int(length * SECOND)), who)
 
     def step(self, token: int, name: str, base: int, files=None, step: str = "", watch: float = 1.0):
-        order = wire.StepOrder(
+        order = messages.StepRequest(
             token, step or f"s{token}-{name}", name, token, base, int(watch * SECOND), files or config()
         )
         return self.ask(order)
 
     def status(self):
-        heard = self.ask(wire.Status(), "look")
-        return heard.answer if heard.status == 200 else None
+        heard = self.ask(messages.StatusRequest(), "look")
+        return heard.body if heard.status == 200 else None
 
     def instance(self, name: str) -> dict:
         return next(i for i in (self.status() or {"instances": []})["instances"] if i["name"] == name)
@@ -144,19 +149,19 @@
     after = host.well("n1", 2)
     assert after["pid"] != before and host.instance("n2")["generation"] == 1
     again = host.step(2, "n1", 1, config("2s"))
-    assert (again.status, again.answer["verdict"]) == (200, "took it")
+    assert (again.status, again.body["verdict"]) == (200, "took it")
     assert host.instance("n1")["pid"] == after["pid"]
-    got = host.ask(wire.Fetch("n1", 2), "look")
-    assert got.answer["files"] == config("2s")
+    got = host.ask(messages.FilesRequest("n1", 2), "look")
+    assert got.body["files"] == config("2s")
 
 
 def test_what_the_nodes_own_checker_refuses_changes_nothing(host):
     host.lease(2)
     pid = host.instance("n1")["pid"]
     told = host.step(2, "n1", 1, config("soon"))
-    assert told.answer["verdict"] == "did not" and "class[0].aim: expected a time" in told.answer["reason"]
+    assert told.body["verdict"] == "did not" and "class[0].aim: expected a time" in told.body["reason"]
     told = host.step(2, "n1", 1, {"servers.toml": "x"}, step="other")
-    assert told.status == 400 and "expected oakbridge.toml" in told.answer["error"]
+    assert told.status == 400 and "expected oakbridge.toml" in told.body["error"]
     assert (host.instance("n1")["generation"], host.instance("n1")["pid"]) == (1, pid)
 
 
@@ -170,7 +175,7 @@
     _, verdict, reason = host.ended("n1", "s2-n1")
     assert verdict == "undone" and "signal 9" in reason
     host.well("n1", 1)
-    assert host.ask(wire.Fetch("n1", 1), "look").answer["files"] == config()
+    assert host.ask(messages.FilesRequest("n1", 1), "look").body["files"] == config()
 
 
 def test_a_node_that_crashes_is_started_again(host):
@@ -211,16 +216,16 @@
     told = host.lease(3, "ola")
     assert told.status == 200
     told = host.step(2, "n1", 1, config("2s"), step="again")
-    assert told.status == 409 and told.answer["holder"] == "ola"
+    assert told.status == 409 and told.body["holder"] == "ola"
     assert host.instance("n1")["generation"] == 1
 
 
 def test_two_operators_and_one_that_may_only_look(host):
     host.lease(2)
     told = host.lease(3, "ola")
-    assert told.status == 409 and told.answer["holder"] == "kari" and told.answer["since"] > 0
-    assert host.ask(wire.Acquire(9, SECOND), "look").status == 403
-    assert host.ask(wire.StepOrder(2, "x", "n1", 2, 1, SECOND, config("2s")), "look").status == 403
+    assert told.status == 409 and told.body["holder"] == "kari" and told.body["since"] > 0
+    assert host.ask(messages.LeaseRequest(9, SECOND), "look").status == 403
+    assert host.ask(messages.StepRequest(2, "x", "n1", 2, 1, SECOND, config("2s")), "look").status == 403
     assert host.instance("n1")["generation"] == 1
     assert host.step(2, "n9", 1).status == 404
 
@@ -241,12 +246,12 @@
     assert call("add-agent", "h1", "127.0.0.1:1").returncode == 2
     assert call("add-agent", "h2", "here").returncode == 2
     assert call("add-operator", "ola", "--read-only").returncode == 0
-    assert list(read(tmp_path / "fleet").agents) == ["h1"]
+    assert list(read_inventory(tmp_path / "fleet").agents) == ["h1"]
     done = call("status", "--as", "ola", "--json", "--within", "1")
     told = json.loads(done.stdout)
     assert done.returncode == 1 and told["agents"][0]["state"] == "unknown" and told["instances"] == []
     assert "1 of 1 agents unknown" in call("status", "--within", "1").stdout
-    write(tmp_path / "fleet", Inventory("bergen", {}))
+    write_inventory(tmp_path / "fleet", Inventory("bergen", {}))
     assert "Traceback" not in call("status").stderr
 
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_messages.py
@@ -6,38 +6,35 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakbridge.fleet.wire import (
-    READ,
-    WRITE,
-    Acquire,
-    BadMessage,
-    Fetch,
-    Identity,
-    Release,
-    Status,
-    StepOrder,
-    needed_role,
-    read,
-    write,
+from oakbridge.fleet.codec import decode_request, encode_request
+from oakbridge.fleet.errors import FleetMessageError
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
+from oakbridge.fleet.messages import (
+    FilesRequest,
+    LeaseRequest,
+    ReleaseRequest,
+    StatusRequest,
+    StepRequest,
+    required_role,
 )
 
-STEP = StepOrder(3, "s-1", "n1", 3, 2, 5_000_000, {"oakbridge.toml": "é"})
+STEP = StepRequest(3, "s-1", "n1", 3, 2, 5_000_000, {"oakbridge.toml": "é"})
 
 
 @pytest.mark.parametrize(
     ("request_", "role"),
     [
-        (Status(), READ), (Fetch("n1", 7), READ), (Acquire(4, 60_000_000), WRITE),
-        (Acquire(4, 60_000_000, renew=True), WRITE), (Release(4), WRITE), (STEP, WRITE),
+        (StatusRequest(), Role.READ), (FilesRequest("n1", 7), Role.READ), (LeaseRequest(4, 60_000_000), Role.WRITE),
+        (LeaseRequest(4, 60_000_000, renew=True), Role.WRITE), (ReleaseRequest(4), Role.WRITE), (STEP, Role.WRITE),
     ],
 )  # fmt: skip
 def test_what_is_read_is_what_was_written(request_, role):
-    assert read(*write(request_)) == request_
-    assert needed_role(request_) == role
+    assert decode_request(*encode_request(request_)) == request_
+    assert required_role(request_) == role
 
 
 def body(**changes) -> bytes:
-    return json.dumps({**json.loads(write(STEP)[2]), **changes}).encode()
+    return json.dumps({**json.loads(encode_request(STEP).body), **changes}).encode()
 
 
 @pytest.mark.parametrize(
@@ -64,15 +61,15 @@
     ],
 )
 def test_a_message_that_is_none_is_named(path, data, says):
-    with pytest.raises(BadMessage, match=says):
-        read("POST", path, data)
+    with pytest.raises(FleetMessageError, match=says):
+        decode_request("POST", path, data)
 
 
 @pytest.mark.parametrize(
     ("method", "path"), [("GET", "/v1/step"), ("POST", "/v1/x"), ("PUT", "/v1/step"), ("GET", "/v1")]
 )
 def test_other_paths_are_nothing(method, path):
-    assert read(method, path, b"{}") is None
+    assert decode_request(method, path, b"{}") is None
 
 
 @given(st.sampled_from(["GET", "POST"]), st.text(max_size=30), st.binary(max_size=100))
@@ -80,14 +77,14 @@
 def test_no_bytes_make_the_reader_fail(method, path, data):
     for start in ("", "/v1/", "/v1/generation/", "/v1/lease/acquire", "/v1/step"):
         try:
-            read(method, start + path, data)
-        except BadMessage as e:
+            decode_request(method, start + path, data)
+        except FleetMessageError as e:
             assert "\n" not in str(e)
 
 
 def test_identities_go_round_and_others_are_refused():
-    who = Identity("bergen", "operator", "kari", WRITE)
-    assert Identity.parse(who.uri()) == who
+    who = Identity("bergen", IdentityKind.OPERATOR, "kari", Role.WRITE)
+    assert Identity.from_uri(who.uri) == who
     for bad in (
         "",
         "oakbridge:a/b/c/d",
@@ -95,5 +92,5 @@
         "oakbridge:a/agent/b",
         "oakbridge:a/agent//read",
     ):
-        with pytest.raises(BadMessage):
-            Identity.parse(bad)
+        with pytest.raises(FleetMessageError):
+            Identity.from_uri(bad)
--- a/tests/formats/test_fleet.py
+++ b/tests/formats/test_fleet.py
@@ -15,10 +15,11 @@
 from oakbridge.agent.instance import Generation, Outcome, Record, State, Step, Verdict
 from oakbridge.agent.runner import Agent
 from oakbridge.agent.store import Store, digest_of
-from oakbridge.fleet import pki, wire
-from oakbridge.fleet.ask import Operator
-from oakbridge.fleet.http import Server
+from oakbridge.fleet import messages, pki
+from oakbridge.fleet.client import FleetClient
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
 from oakbridge.fleet.inventory import Inventory
+from oakbridge.fleet.server import AgentServer
 from oakbridge.standin.host import PlayedHost
 
 FIXTURES = Path(__file__).parent / "fixtures" / "fleet"
@@ -33,19 +34,21 @@
 WATCH = 600 * SECOND
 
 
-def step(name: str, instance: str, number: int, base: int, files=FILES, token: int = 7) -> wire.StepOrder:
-    return wire.StepOrder(token, name, instance, number, base, WATCH, files)
+def step(
+    name: str, instance: str, number: int, base: int, files=FILES, token: int = 7
+) -> messages.StepRequest:
+    return messages.StepRequest(token, name, instance, number, base, WATCH, files)
 
 
 # Name, who asks, the request (None: bytes that no operator of ours sends), the status of the answer.
 TABLE = [
-    ("status", "look", wire.Status(), 200),
-    ("fetch", "look", wire.Fetch("n1", 2), 200),
-    ("fetch-missing", "look", wire.Fetch("n1", 9), 404),
-    ("lease-acquire", "kari", wire.Acquire(7, 60 * SECOND), 200),
-    ("lease-acquire-refused", "ola", wire.Acquire(8, 60 * SECOND), 409),
-    ("lease-renew", "kari", wire.Acquire(7, 90 * SECOND + SECOND // 2, renew=True), 200),
-    ("lease-renew-refused", "ola", wire.Acquire(7, 60 * SECOND, renew=True), 409),
+    ("status", "look", messages.StatusRequest(), 200),
+    ("fetch", "look", messages.FilesRequest("n1", 2), 200),
+    ("fetch-missing", "look", messages.FilesRequest("n1", 9), 404),
+    ("lease-acquire", "kari", messages.LeaseRequest(7, 60 * SECOND), 200),
+    ("lease-acquire-refused", "ola", messages.LeaseRequest(8, 60 * SECOND), 409),
+    ("lease-renew", "kari", messages.LeaseRequest(7, 90 * SECOND + SECOND // 2, renew=True), 200),
+    ("lease-renew-refused", "ola", messages.LeaseRequest(7, 60 * SECOND, renew=True), 409),
     ("step-ended", "kari", step("rollout-2-n1", "n1", 2, 1), 200),
     ("step-begun", "kari", step("rollout-7-n2", "n2", 7, 0), 202),
     ("step-again", "kari", step("rollout-7-n2", "n2", 7, 0), 202),
@@ -58,8 +61,8 @@
     ("step-file-name", "kari", step("rollout-7-n1", "n1", 7, 2, {"../x": ""}), 400),
     ("step-refused", "kari", step("rollout-7-n1", "n1", 7, 2, REFUSED), 200),
     ("step-fails", "kari", step("rollout-8-n1", "n1", 8, 2, BROKEN), 500),
-    ("read-only", "look", wire.Release(7), 403),
-    ("lease-release", "kari", wire.Release(7), 200),
+    ("read-only", "look", messages.ReleaseRequest(7), 403),
+    ("lease-release", "kari", messages.ReleaseRequest(7), 200),
     ("path-unknown", "kari", None, 404),
     ("token-wrong", "kari", None, 400),
     ("body-too-long", "kari", None, 413),
@@ -73,15 +76,15 @@
 @pytest.fixture(scope="module")
 def authority(tmp_path_factory):
     folder = tmp_path_factory.mktemp("fleet")
-    pki.make_authority(folder, FLEET)
-    pki.issue(folder, wire.Identity(FLEET, "agent", AGENT, wire.READ), folder / AGENT)
-    for name, role in (("kari", wire.WRITE), ("ola", wire.WRITE), ("look", wire.READ)):
-        pki.issue(folder, wire.Identity(FLEET, "operator", name, role), folder / name)
+    pki.create_authority(folder, FLEET)
+    pki.issue_certificate(folder, Identity(FLEET, IdentityKind.AGENT, AGENT, Role.READ), folder / AGENT)
+    for name, role in (("kari", Role.WRITE), ("ola", Role.WRITE), ("look", Role.READ)):
+        pki.issue_certificate(folder, Identity(FLEET, IdentityKind.OPERATOR, name, role), folder / name)
     return folder
 
 
 def tls(authority: Path, who: str):
-    return pki.context(authority / "ca.crt", authority / who, server=who == AGENT)
+    return pki.tls_context(authority / "ca.crt", authority / who, server=who == AGENT)
 
 
 async def message(reader: asyncio.StreamReader) -> bytes:
@@ -134,7 +137,7 @@
     monkeypatch.setattr("oakbridge.agent.runner.__version__", "0.0.1")
 
 
-async def exchange(server: Server, authority: Path, who: str, request: bytes) -> bytes:
+async def exchange(server: AgentServer, authority: Path, who: str, request: bytes) -> bytes:
     reader, writer = await asyncio.open_connection(*server.address, ssl=tls(authority, who))
     writer.write(request)
     try:
@@ -146,7 +149,7 @@
 async def play(authority: Path, requests: list[tuple[str, bytes]]) -> list[bytes]:
     """What an agent answers to these, one after another."""
     agent = make_agent()
-    server = Server(tls(authority, AGENT), FLEET, agent.answer)
+    server = AgentServer(tls(authority, AGENT), FLEET, agent.answer)
     await server.start(("127.0.0.1", 0))
     agent.begin()
     try:
@@ -184,11 +187,11 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0, ssl=tls(authority, AGENT))
         address = server.sockets[0].getsockname()[:2]
-        operator = Operator(Inventory(FLEET, {AGENT: address}), tls(authority, who), name=who)
-        heard = await soon(operator.ask(AGENT, request_))
+        operator = FleetClient(Inventory(FLEET, {AGENT: address}), tls(authority, who), name=who)
+        heard = await soon(operator.call(AGENT, request_))
         body = fixture(name, "response").split(b"\r\n\r\n", 1)[1]
         assert (heard.agent, heard.status, heard.error) == (AGENT, status, "")
-        assert heard.answer == json.loads(body)
+        assert heard.body == json.loads(body)
         assert written == [fixture(name, "request")]
         operator.close()
         server.close()
--- a/tests/rollout/killed_tool.py
+++ b/tests/rollout/killed_tool.py
@@ -44,8 +44,8 @@
 async def main(folder: Path, word: str, rollout: int, write: int, side: str) -> None:
     operator, journal = operator_of(folder, "admin", 5.0), Deadly(folder)
     journal.left, journal.side = write, side
-    held = await operator.acquire(60.0)
-    assert held.won(len(operator.inventory.agents))
+    held = await operator.acquire_lease(60.0)
+    assert held.has_majority(len(operator.inventory.agents))
     if rollout:
         entry = journal.entry(rollout)
         change, record = entry.change, entry.record
@@ -59,7 +59,7 @@
     conductor = Conductor(operator, journal, rollout, change, record, held, QUICK)
     await conductor.run()
     print(json.dumps(fates(conductor)))
-    await operator.release(conductor.held)
+    await operator.release_lease(conductor.held)
     operator.close()
 
 
--- a/tests/rollout/played.py
+++ b/tests/rollout/played.py
@@ -7,8 +7,9 @@
 from oakbridge.agent.instance import Generation
 from oakbridge.agent.runner import Agent
 from oakbridge.agent.store import Store
-from oakbridge.fleet import wire
-from oakbridge.fleet.ask import Heard, Operator
+from oakbridge.fleet import codec, messages
+from oakbridge.fleet.client import AgentResponse, FleetClient
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
 from oakbridge.fleet.inventory import Inventory
 from oakbridge.rollout.change import Whole
 from oakbridge.rollout.conduct import Conductor, Options
@@ -45,38 +46,38 @@
     def thaw(self, agent: str) -> None:
         self.frozen.pop(agent).set()
 
-    async def carry(self, agent: Agent, who: wire.Identity, request: wire.Request):
+    async def carry(self, agent: Agent, who: Identity, request: messages.Request):
         await asyncio.sleep(self.draw.random() * self.delay_s)
         if self.draw.random() < self.lose:
             await asyncio.sleep(3600)
         if (gate := self.frozen.get(agent.name)) is not None:
             await gate.wait()
-        got = await agent.answer(who, *wire.write(request))
+        got = await agent.answer(who, *codec.encode_request(request))
         if self.draw.random() < self.double:
-            got = await agent.answer(who, *wire.write(request))
+            got = await agent.answer(who, *codec.encode_request(request))
         if self.draw.random() < self.lose:
             await asyncio.sleep(3600)
         return got
 
 
-class Direct(Operator):
+class Direct(FleetClient):
     """An operator whose calls go by such a network; a call that nobody waits for any more still arrives."""
 
     def __init__(self, fleet: "PlayedFleet", name: str, within_s: float) -> None:
         super().__init__(Inventory("f", dict.fromkeys(fleet.agents, ("", 0))), None, within_s, name)
-        self.fleet, self.who = fleet, wire.Identity("f", "operator", name, wire.WRITE)
+        self.fleet, self.who = fleet, Identity("f", IdentityKind.OPERATOR, name, Role.WRITE)
 
-    async def ask(self, agent, request, within_s=None):
+    async def call(self, agent, request, timeout_s=None):
         network = self.fleet.network
         task = asyncio.create_task(network.carry(self.fleet.agents[agent], self.who, request))
         network.tasks.add(task)
         task.add_done_callback(network.tasks.discard)
         try:
-            async with asyncio.timeout(min(within_s or self._within, self._within)):
+            async with asyncio.timeout(min(timeout_s or self.timeout_s, self.timeout_s)):
                 status, answer = await asyncio.shield(task)
         except TimeoutError:
-            return Heard(agent, error="no answer")
-        return Heard(agent, status, answer)
+            return AgentResponse(agent, error="no answer")
+        return AgentResponse(agent, status, answer)
 
 
 class PlayedFleet:
@@ -115,10 +116,10 @@
     def operator(self, name: str = "kari", within_s: float = 5.0) -> Direct:
         return Direct(self, name, within_s)
 
-    async def targets(self, operator: Operator) -> list[Target]:
+    async def targets(self, operator: FleetClient) -> list[Target]:
         return [
-            Target(h.agent, row["name"], h.answer["zone"], row["generation"], row["drained"])
-            for h in await operator.ask_all(wire.Status()) if h.status == 200 for row in h.answer["instances"]
+            Target(h.agent, row["name"], h.body["zone"], row["generation"], row["drained"])
+            for h in await operator.call_all(messages.StatusRequest()) if h.status == 200 for row in h.body["instances"]
         ]  # fmt: skip
 
     async def roll(
@@ -128,8 +129,8 @@
         """A whole rollout; the conductor, or None where the lease was not to be had."""
         operator = operator or self.operator()
         journal = journal or Journal(self.folder)
-        held = await operator.acquire(60.0)
-        if not held.won(len(self.agents)):
+        held = await operator.acquire_lease(60.0)
+        if not held.has_majority(len(self.agents)):
             return None
         targets = [t for t in await self.targets(operator) if sources is None or t.name in sources]
         record = Record(tuple(map(tuple, plan(targets, waves))), waves.unavailable, undo)
@@ -139,7 +140,7 @@
 
     async def resume(self, rollout: int, operator=None, journal=None, options=QUICK):
         operator, journal = operator or self.operator(), journal or Journal(self.folder)
-        while not (held := await operator.acquire(60.0)).won(len(self.agents)):
+        while not (held := await operator.acquire_lease(60.0)).has_majority(len(self.agents)):
             pass  # some calls were lost
         entry = journal.entry(rollout)
         return await self._run(
@@ -152,7 +153,7 @@
         if during is not None:
             await during(conductor)
         await task
-        await conductor.operator.release(conductor.held)
+        await conductor.operator.release_lease(conductor.held)
         return conductor
 
     async def first(self, word: str = "1s") -> Conductor:
--- a/tests/rollout/test_fifty.py
+++ b/tests/rollout/test_fifty.py
@@ -19,8 +19,9 @@
 
 from oakbridge.agent.process import listener_pid
 from oakbridge.control.client import ControlClient, Unreachable
-from oakbridge.fleet import pki, wire
-from oakbridge.fleet.inventory import Inventory, write
+from oakbridge.fleet import pki
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
+from oakbridge.fleet.inventory import Inventory, write_inventory
 from oakbridge.standin.behaviour import Behaviour
 from oakbridge.standin.server import StandIn
 
@@ -99,10 +100,10 @@
     def __init__(self, folder: Path, servers: list[int]) -> None:
         self.folder, self.fleet = folder, folder / "fleet"
         self.environment = os.environ | {"PYTHONPATH": str(ROOT)}
-        pki.make_authority(self.fleet, "f")
-        pki.issue(
+        pki.create_authority(self.fleet, "f")
+        pki.issue_certificate(
             self.fleet,
-            wire.Identity("f", "operator", "admin", wire.WRITE),
+            Identity("f", IdentityKind.OPERATOR, "admin", Role.WRITE),
             self.fleet / "operators" / "admin",
         )
         self.files = {word: config(word, servers) for word in WORDS}
@@ -110,9 +111,11 @@
         self.agents: dict[str, subprocess.Popen] = {}
         self.ports: dict[str, int] = {}
         addresses = {f"h{i}": ("127.0.0.1", port) for i, port in enumerate(free_ports(HOSTS))}
-        write(self.fleet, Inventory("f", addresses))
+        write_inventory(self.fleet, Inventory("f", addresses))
         for i, (name, (_, port)) in enumerate(addresses.items()):
-            pki.issue(self.fleet, wire.Identity("f", "agent", name, wire.READ), self.fleet / "agents" / name)
+            pki.issue_certificate(
+                self.fleet, Identity("f", IdentityKind.AGENT, name, Role.READ), self.fleet / "agents" / name
+            )
             lines = [
                 f'name = "{name}"\nfleet = "f"\nlisten = "127.0.0.1:{port}"\nstate = "{name}"\nzone = "z{i % 3}"',
                 f'authority = "fleet/ca.crt"\ncertificate = "fleet/agents/{name}"',
--- a/tests/rollout/test_kills.py
+++ b/tests/rollout/test_kills.py
@@ -12,9 +12,10 @@
 from peers import LIMIT, run
 from played import PlayedFleet
 
-from oakbridge.fleet import pki, wire
-from oakbridge.fleet.http import Server
-from oakbridge.fleet.inventory import Inventory, write
+from oakbridge.fleet import pki
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
+from oakbridge.fleet.inventory import Inventory, write_inventory
+from oakbridge.fleet.server import AgentServer
 from oakbridge.rollout.journal import Journal
 
 HERE = Path(__file__).parent
@@ -36,17 +37,21 @@
     async def test():
         fleet = PlayedFleet(tmp_path, 3)
         folder = tmp_path / "fleet"
-        pki.make_authority(folder, "f")
-        pki.issue(folder, wire.Identity("f", "operator", "admin", wire.WRITE), folder / "operators" / "admin")
+        pki.create_authority(folder, "f")
+        pki.issue_certificate(
+            folder, Identity("f", IdentityKind.OPERATOR, "admin", Role.WRITE), folder / "operators" / "admin"
+        )
         servers, addresses = [], {}
         async with fleet:
             for name, agent in fleet.agents.items():
-                pki.issue(folder, wire.Identity("f", "agent", name, wire.READ), folder / "agents" / name)
-                tls = pki.context(folder / "ca.crt", folder / "agents" / name, server=True)
-                servers.append(Server(tls, "f", agent.answer))
+                pki.issue_certificate(
+                    folder, Identity("f", IdentityKind.AGENT, name, Role.READ), folder / "agents" / name
+                )
+                tls = pki.tls_context(folder / "ca.crt", folder / "agents" / name, server=True)
+                servers.append(AgentServer(tls, "f", agent.answer))
                 await servers[-1].start(("127.0.0.1", 0))
                 addresses[name] = servers[-1].address
-            write(folder, Inventory("f", addresses))
+            write_inventory(folder, Inventory("f", addresses))
             kills = 0
             for at in itertools.count(1 + part // 2, 2):
                 before, word = fleet.truth(), f"{at}s"
--- a/tests/rollout/test_plan_and_gate.py
+++ b/tests/rollout/test_plan_and_gate.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakbridge.fleet.health import unwell_because
+from oakbridge.fleet.health import health_problem
 from oakbridge.rollout.gate import Counts, Rules, Word, judge
 from oakbridge.rollout.plan import BadPlan, Target, Waves, plan, spread
 
@@ -97,14 +97,14 @@
         "answers": True,
         "generation": 7,
     }
-    assert unwell_because(well, 7) == ""
-    assert unwell_because(None, 7) == "its agent does not answer"
+    assert health_problem(well, 7) == ""
+    assert health_problem(None, 7) == "its agent does not answer"
     for change, says in (
         ({"crash_loop": True}, "crash loop"), ({"process": "waiting", "last_exit": "exit 1"}, "waiting (exit 1)"),
         ({"answers": False}, "silent"), ({"change": "undoing"}, "undoing"), ({"process": "stopped"}, "stopped"),
         ({"process": "stopped", "drained": True}, ""), ({"generation": 6}, "it runs generation 6"),
     ):  # fmt: skip
-        assert unwell_because(well | change, 7) == says
+        assert health_problem(well | change, 7) == says
 
 
 def test_a_counter_that_began_anew_counts_from_its_start():
--- a/tests/rollout/test_played.py
+++ b/tests/rollout/test_played.py
@@ -8,7 +8,7 @@
 from peers import LIMIT, run, until
 from played import QUICK, Network, PlayedFleet, config, fates
 
-from oakbridge.fleet import wire
+from oakbridge.fleet import messages
 from oakbridge.rollout.change import Back, Drain, ServerFile, Undrain, Values, Whole
 from oakbridge.rollout.conduct import Options
 from oakbridge.rollout.gate import Rules
@@ -193,8 +193,8 @@
             second = await fleet.roll(Whole(config("2s")))
             third = await fleet.roll(Whole(config("3s", "dies 0.01")))
             third = await fleet.roll(Whole(config("3s", "refused")))
-            heard = await fleet.operator().ask_all(wire.Status())
-            found = rebuild({h.agent: h.answer["instances"] for h in heard})
+            heard = await fleet.operator().call_all(messages.StatusRequest())
+            found = rebuild({h.agent: h.body["instances"] for h in heard})
             told = {r.id: (r.record.stage, sorted(row.fate.value for _, row in r.record.rows)) for r in found}
             assert told[1] == told[second.rollout] == (Stage.DONE, ["took it"] * 3)
             assert told[third.rollout] == (Stage.UNDONE, ["did not"])
@@ -235,7 +235,7 @@
 
             async def take(conductor):
                 await asyncio.sleep(0.1)
-                await fleet.operator("kari").acquire(60.0)  # the same holder, from another tool
+                await fleet.operator("kari").acquire_lease(60.0)  # the same holder, from another tool
 
             done = await fleet.roll(Whole(config("2s")), options=Options(0.3, 0.3, 5.0), during=take)
             assert done.machine.record.stage is Stage.HALTED and "lease" in done.machine.record.reason
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -13,8 +13,9 @@
 
 from oakbridge.agent.process import listener_pid
 from oakbridge.control.client import ControlClient, Unreachable
-from oakbridge.fleet import pki, wire
-from oakbridge.fleet.inventory import Inventory, write
+from oakbridge.fleet import pki
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
+from oakbridge.fleet.inventory import Inventory, write_inventory
 
 ROOT = Path(__file__).parents[2]
 HOSTS = 4
@@ -35,17 +36,23 @@
     def __init__(self, folder: Path) -> None:
         self.folder, self.fleet = folder, folder / "fleet"
         self.environment = os.environ | {"PYTHONPATH": str(ROOT)}
-        pki.make_authority(self.fleet, "f")
+        pki.create_authority(self.fleet, "f")
         for name in ("admin", "ola"):
-            pki.issue(
-                self.fleet, wire.Identity("f", "operator", name, wire.WRITE), self.fleet / "operators" / name
+            pki.issue_certificate(
+                self.fleet,
+                Identity("f", IdentityKind.OPERATOR, name, Role.WRITE),
+                self.fleet / "operators" / name,
             )
         ports = free_ports(2 * HOSTS)
         self.names = [f"h{i}" for i in range(HOSTS)]
-        write(self.fleet, Inventory("f", {n: ("127.0.0.1", ports[i]) for i, n in enumerate(self.names)}))
+        write_inventory(
+            self.fleet, Inventory("f", {n: ("127.0.0.1", ports[i]) for i, n in enumerate(self.names)})
+        )
         self.agents: dict[str, subprocess.Popen] = {}
         for i, name in enumerate(self.names):
-            pki.issue(self.fleet, wire.Identity("f", "agent", name, wire.READ), self.fleet / "agents" / name)
+            pki.issue_certificate(
+                self.fleet, Identity("f", IdentityKind.AGENT, name, Role.READ), self.fleet / "agents" / name
+            )
             (folder / f"{name}.toml").write_text(
                 f'name = "{name}"\nfleet = "f"\nlisten = "127.0.0.1:{ports[i]}"\nstate = "{name}"\n'
                 f'authority = "fleet/ca.crt"\ncertificate = "fleet/agents/{name}"\n'
