--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,8 +22,9 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.agent.process import listener_pid
-from oakbridge.agent.runner import Agent
+from oakbridge.agent.agent import Agent
+from oakbridge.agent.node_process import listener_pid
+from oakbridge.agent.operator_api import OperatorApi
 from oakbridge.agent.store import Store
 from oakbridge.fleet import messages, pki
 from oakbridge.fleet.client import FleetClient
@@ -116,8 +117,8 @@
         tls = pki.tls_context(folder / "ca.crt", folder / "h", server=True)
         for i, port in enumerate(listen):
             agent = Agent(Store(folder / f"s{i}"), "h", "f")
-            agent.add("n", ["127.0.0.1:1"], folder / "none.sock")
-            await AgentServer(tls, "f", agent.answer).start(("127.0.0.1", port))
+            agent.add_instance("n", ["127.0.0.1:1"], folder / "none.sock")
+            await AgentServer(tls, "f", OperatorApi(agent).handle).start(("127.0.0.1", port))
         ready.send(True)
         await asyncio.sleep(600)
 
--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -19,7 +19,8 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.agent.runner import Agent
+from oakbridge.agent.agent import Agent
+from oakbridge.agent.operator_api import OperatorApi
 from oakbridge.agent.store import Store
 from oakbridge.fleet import messages, pki
 from oakbridge.fleet.client import FleetClient
@@ -46,8 +47,8 @@
         for name in names:
             tls = pki.tls_context(folder / "ca.crt", folder / name, server=True)
             agent = Agent(Store(folder / f"s-{name}"), name, "f", host=PlayedHost(rate=50.0))
-            agent.add("n", ["127.0.0.1:1"], folder / f"s-{name}" / "n.sock")
-            agent.begin()
+            agent.add_instance("n", ["127.0.0.1:1"], folder / f"s-{name}" / "n.sock")
+            agent.start()
             frozen = asyncio.Event()
 
             async def answer(
@@ -56,7 +57,7 @@
             ) -> messages.Response:  # fmt: skip
                 if frozen.is_set():
                     await asyncio.sleep(3600)
-                return await agent.answer(who, method, path, body)
+                return await OperatorApi(agent).handle(who, method, path, body)
 
             servers[name] = AgentServer(tls, "f", answer)
             servers[name].frozen = frozen  # type: ignore[attr-defined]
--- a/oakbridge/agent/__init__.py
+++ b/oakbridge/agent/__init__.py
@@ -1,5 +1,7 @@
-"""The agent: one for each host, it runs node instances there and changes them over, whole or not at all.
+"""The agent: one for each host, it runs node instances there and changes their generation, completely or not at all.
 
-``lease`` (who may change), ``supervisor`` (one process) and ``instance`` (which generation it runs) are pure;
-``store`` is the journal and the files, ``runner`` the shell.
+Pure: ``lease`` (who may change things), ``state_machine`` (which generation an instance runs; ``records`` and
+``actions`` are its types).  On disk: ``store`` (the lock), ``journal`` and ``record_codec`` (``agent.db``),
+``generations`` (folders and links).  At run time: ``agent``, ``managed_instance`` with its ``executor`` and
+``supervised_node``, ``host`` and ``local_host`` (the machine).  For operators: ``operator_api`` and ``status_codec``.
 """
--- /dev/null
+++ b/oakbridge/agent/agent.py
@@ -0,0 +1,101 @@
+"""The agent: all instances of one host, and the lease on changing them."""
+
+from __future__ import annotations
+
+import asyncio
+import shutil
+import tempfile
+from pathlib import Path
+
+from oakbridge.agent.clock import monotonic_us
+from oakbridge.agent.generations import Files, check_name
+from oakbridge.agent.host import Host
+from oakbridge.agent.lease import Lease
+from oakbridge.agent.local_host import LocalHost
+from oakbridge.agent.managed_instance import CONFIG_FILE, POLL_INTERVAL_S, ManagedInstance
+from oakbridge.agent.records import InstanceRecord, InstanceSpec
+from oakbridge.agent.store import Store
+
+MAX_CONCURRENT_CHECKS = 2
+
+
+class Agent:
+    """Runs the instances of one host; ``operator_api`` answers the fleet's operators for it."""
+
+    def __init__(
+        self,
+        store: Store,
+        name: str,
+        fleet: str,
+        zone: str = "",
+        host: Host | None = None,
+        poll_interval_s: float = POLL_INTERVAL_S,
+    ) -> None:
+        """``host``: the machine with its processes, by default this one; ``poll_interval_s``: of nodes' status."""
+        self.store = store
+        self.name = name
+        self.fleet = fleet
+        self.zone = zone
+        self.host: Host = host or LocalHost()
+        self.lease = Lease(store.journal.load_token_record(), monotonic_us())
+        self.instances: dict[str, ManagedInstance] = {}
+        self._poll_interval_s = poll_interval_s
+        self._checks = asyncio.Semaphore(MAX_CONCURRENT_CHECKS)
+
+    def start(self) -> None:
+        """Continue with all instances that the journal has."""
+        for name in self.store.journal.load_instances():
+            self.start_instance(name)
+
+    def stop(self) -> None:
+        """Leave all nodes as they are, and close the store."""
+        for instance in self.instances.values():
+            instance.stop()
+        self.store.close()
+
+    def add_instance(self, name: str, listen: list[str], control: Path, member: str = "") -> None:
+        """Add an instance, unless there is one of that name; it runs nothing until a step gives it a generation.
+
+        ``member``: its address among members, if it is one; its name there is ``AGENT/INSTANCE``.
+        """
+        journal = self.store.journal
+        if name in journal.load_instances():
+            return
+        spec = InstanceSpec(tuple(listen), control, member)
+        journal.save_instance(check_name(name, "instance"), spec, InstanceRecord())
+
+    def start_instance(self, name: str) -> None:
+        """Run an instance that was added."""
+        spec, record = self.store.journal.load_instances()[name]
+        instance = ManagedInstance(
+            name,
+            spec,
+            record,
+            agent=self.name,
+            store=self.store,
+            host=self.host,
+            poll_interval_s=self._poll_interval_s,
+        )
+        instance.start()
+        self.instances[name] = instance
+
+    def lease_problem(self, token: int, holder: str) -> str:
+        """Return why a step with this token may not go on; "" if it may."""
+        denied = self.lease.check(monotonic_us(), token, holder)
+        return "" if denied is None else denied.reason
+
+    def save_token_record(self) -> None:
+        """Have the lease's fencing token on disk."""
+        self.store.journal.save_token_record(self.lease.record)
+
+    async def check_config(self, files: Files) -> str:
+        """Return what the node's own checker finds wrong with a generation's files; "" if nothing."""
+        async with self._checks:
+            folder = Path(tempfile.mkdtemp(prefix="check-", dir=self.store.folder))
+            try:
+                for name, text in files.items():
+                    (folder / name).write_text(text, "utf-8")
+                problem = await self.host.check_config(folder / CONFIG_FILE)
+                return problem.replace(f"{folder}/", "")
+            finally:
+                shutil.rmtree(folder, ignore_errors=True)
--- /dev/null
+++ b/oakbridge/agent/clock.py
@@ -0,0 +1,12 @@
+"""The clock that an agent's leases, steps and timers go by."""
+
+from __future__ import annotations
+
+import time
+
+NS_PER_US = 1000
+
+
+def monotonic_us() -> int:
+    """Return the machine's monotonic time: it goes on while processes are frozen, and never jumps."""
+    return time.monotonic_ns() // NS_PER_US
--- /dev/null
+++ b/oakbridge/agent/generations.py
@@ -0,0 +1,180 @@
+"""The folders of generations: one for each, and one link for each instance that shows the current one.
+
+    instances/NAME/gen-00000012/      the files of a generation, written once
+    instances/NAME/current -> gen-00000012
+
+Whatever is written is complete: files are synced before the folder gets its name, and links are renamed.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import os
+import re
+import shutil
+from pathlib import Path
+
+from oakbridge.agent.errors import StoreError
+from oakbridge.agent.records import Generation, InstanceRecord
+
+MAX_FILES = 64
+MAX_TOTAL_BYTES = 32 * 1024 * 1024
+RETAINED = 8  # generations of an instance that stay on disk, to roll back to
+FOLDER_PREFIX = "gen-"
+TEMPORARY_SUFFIX = ".tmp"
+_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
+
+Files = dict[str, str]  # a generation's files: text by name
+
+
+def check_name(name: str, field: str) -> str:
+    """Return a name that is safe as a part of a path.
+
+    Raises:
+        StoreError: if it is not.
+    """
+    if not _NAME.fullmatch(name) or name.endswith(TEMPORARY_SUFFIX):
+        raise StoreError(field, f"expected up to 100 letters, digits, dots or dashes, got {name!r:.120}")
+    return name
+
+
+def check_files(files: Files) -> None:
+    """Check a generation's files before anything is written.
+
+    Raises:
+        StoreError: if there are none or too many, or a name can't be used.
+    """
+    if not files or len(files) > MAX_FILES:
+        raise StoreError("files", f"expected 1 to {MAX_FILES}, got {len(files)}")
+    for name in files:
+        check_name(name, "files")
+    total = sum(len(text.encode()) for text in files.values())
+    if total > MAX_TOTAL_BYTES:
+        raise StoreError("files", f"expected at most {MAX_TOTAL_BYTES} bytes, got {total}")
+
+
+def digest_of(files: Files) -> str:
+    """Return a generation's digest: over all names and contents."""
+    canonical = json.dumps(files, sort_keys=True, separators=(",", ":"))
+    return hashlib.sha256(canonical.encode()).hexdigest()
+
+
+class GenerationFolders:
+    """The generations of all instances of an agent."""
+
+    def __init__(self, folder: Path) -> None:
+        self._folder = folder
+
+    def home(self, instance: str) -> Path:
+        """Return the folder of an instance."""
+        return self._folder / check_name(instance, "instance")
+
+    def folder(self, instance: str, generation: Generation) -> Path:
+        """Return the folder of a generation."""
+        return self.home(instance) / f"{FOLDER_PREFIX}{generation.number:08d}"
+
+    def current_link(self, instance: str) -> Path:
+        """Return the link that shows the generation in use."""
+        return self.home(instance) / "current"
+
+    def current_number(self, instance: str) -> int:
+        """Return the number of the generation that the link shows; 0 without a link."""
+        try:
+            target = self.current_link(instance).readlink()
+        except FileNotFoundError:
+            return 0
+        return int(target.name.removeprefix(FOLDER_PREFIX))
+
+    def stage(self, instance: str, generation: Generation, files: Files) -> None:
+        """Write a generation's files; its folder gets its name once all of them are on disk.
+
+        Raises:
+            StoreError: if the files can't be used, or are not those of the digest.
+            OSError: if they can't be written.
+        """
+        check_files(files)
+        if digest_of(files) != generation.digest:
+            raise StoreError("files", "they are not those of the digest that was told")
+        final = self.folder(instance, generation)
+        if final.exists():
+            shutil.rmtree(final)  # of a step that did not come through: no link shows it
+        temporary = final.with_suffix(TEMPORARY_SUFFIX)
+        shutil.rmtree(temporary, ignore_errors=True)
+        temporary.mkdir(mode=0o700, parents=True)
+        for name, text in files.items():
+            _write_synced(temporary / name, text)
+        _sync_folder(temporary)
+        temporary.rename(final)
+        _sync_folder(final.parent)
+
+    def discard(self, instance: str, generation: Generation) -> None:
+        """Delete a generation, unless it is the one that the link shows."""
+        if self.current_number(instance) != generation.number:
+            shutil.rmtree(self.folder(instance, generation), ignore_errors=True)
+
+    def activate(self, instance: str, generation: Generation) -> None:
+        """Have the link show a generation, by one rename; for the empty generation, remove the link.
+
+        Raises:
+            StoreError: if the generation is not staged.
+            OSError: if the link can't be renamed.
+        """
+        link = self.current_link(instance)
+        if generation.is_empty:
+            link.unlink(missing_ok=True)
+        else:
+            folder = self.folder(instance, generation)
+            if not folder.is_dir():
+                raise StoreError(folder, "expected a staged generation")
+            temporary = link.with_suffix(TEMPORARY_SUFFIX)
+            temporary.unlink(missing_ok=True)
+            temporary.symlink_to(folder.name)
+            temporary.rename(link)
+        _sync_folder(link.parent)
+
+    def read_files(self, instance: str, generation: Generation) -> Files:
+        """Return a generation's files, as they are on disk.
+
+        Raises:
+            StoreError: if they can't be read.
+        """
+        folder = self.folder(instance, generation)
+        try:
+            return {path.name: path.read_text("utf-8") for path in sorted(folder.iterdir())}
+        except OSError as e:
+            raise StoreError(folder, str(e.strerror)) from None
+
+    def prune(self, instance: str, record: InstanceRecord) -> None:
+        """Delete old generations, but for the newest and those that the record or the link refers to."""
+        needed = {
+            record.current.number,
+            record.previous.number,
+            self.current_number(instance),
+        }
+        if record.step is not None:
+            needed.add(record.step.target.number)
+        folders = sorted(self.home(instance).glob(f"{FOLDER_PREFIX}*"))
+        for folder in folders[:-RETAINED]:
+            number = folder.name.removeprefix(FOLDER_PREFIX)
+            if not number.isdigit() or int(number) not in needed:
+                shutil.rmtree(folder, ignore_errors=True)
+
+    def delete(self, instance: str) -> None:
+        """Delete all generations of an instance."""
+        shutil.rmtree(self.home(instance), ignore_errors=True)
+
+
+def _write_synced(path: Path, text: str) -> None:
+    with path.open("w", encoding="utf-8") as out:
+        out.write(text)
+        out.flush()
+        os.fsync(out.fileno())
+
+
+def _sync_folder(folder: Path) -> None:
+    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    try:
+        os.fsync(fd)
+    finally:
+        os.close(fd)
--- a/oakbridge/agent/host.py
+++ b/oakbridge/agent/host.py
@@ -1,4 +1,4 @@
-"""What an agent needs of the machine that it runs on; ``process`` is the real one, tests and figures bring another."""
+"""What an agent needs of the machine that it runs on; ``local_host`` is the real one, tests bring another."""
 
 from __future__ import annotations
 
@@ -8,45 +8,55 @@
 from pathlib import Path
 from typing import Any, Protocol
 
+ExitCallback = Callable[[str], None]  # is called once, with how the process ended
 
-class Running(Protocol):
-    """One process."""
+
+class NodeProcess(Protocol):
+    """One running process of a node."""
 
     pid: int
 
-    def send(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal."""
+
+    def detach(self) -> None:
+        """Stop watching the process; its exit callback is not called any more."""
+
 
-    def leave(self) -> None:
-        """Hear of it no more."""
+@dataclass(frozen=True, slots=True)
+class MemberEndpoint:
+    """What a node is called among members, and where they reach it."""
+
+    name: str
+    address: str
 
 
 @dataclass(frozen=True, slots=True)
-class Launch:
+class NodeLaunch:
     """What a node is started with; it goes before what its configuration says."""
 
     config: Path
     name: str
-    listen: list[str]
+    listen: tuple[str, ...]
     control: Path
     log: Path
-    member: tuple[str, str] | None = None  # its name and address among members
+    member: MemberEndpoint | None = None
 
 
 class Host(Protocol):
-    """Processes of nodes, and what they say."""
+    """The processes of nodes, and their answers."""
 
-    def find(self, control: Path, ended: Callable[[str], None]) -> Running | None:
-        """The node that has this control socket already, if one has."""
+    def find_node(self, control: Path, on_exit: ExitCallback) -> NodeProcess | None:
+        """Return the node that listens on this control socket already, if one does."""
 
-    def start(self, launch: Launch, ended: Callable[[str], None]) -> Running:
-        """Start a node; ``ended`` is called once, with how it ended.  Raises OSError."""
+    def start_node(self, launch: NodeLaunch, on_exit: ExitCallback) -> NodeProcess:
+        """Start a node.  Raises OSError."""
 
-    def last_words(self, log: Path) -> str:
-        """The last line of a node's log."""
+    def last_log_line(self, log: Path) -> str:
+        """Return the last line of a node's log; "" if there is none."""
 
-    async def check(self, config: Path) -> str:
-        """What the node's own checker says against a configuration, in one line; "" if nothing."""
+    async def check_config(self, config: Path) -> str:
+        """Return what the node's own checker finds wrong with a configuration, in one line; "" if nothing."""
 
-    async def ask(self, control: Path, do: str, **arguments: Any) -> Any:
-        """Ask a node.  Raises OSError, EOFError, ValueError or a Refusal."""
+    async def query_node(self, control: Path, command: str, **arguments: Any) -> Any:
+        """Query a node over its control socket.  Raises OSError, EOFError, ValueError or a Refusal."""
--- /dev/null
+++ b/oakbridge/agent/journal.py
@@ -0,0 +1,115 @@
+"""``agent.db``: the agent's journal in SQLite, one transaction for each record.
+
+facts       name, value             the format's number; the fencing token's record
+instances   name, spec, record      how an instance is run; where its change stands
+"""
+
+from __future__ import annotations
+
+import contextlib
+import sqlite3
+from pathlib import Path
+
+from oakbridge.agent.errors import StoreError
+from oakbridge.agent.generations import check_name
+from oakbridge.agent.lease import FencingTokenRecord
+from oakbridge.agent.record_codec import (
+    decode_record,
+    decode_spec,
+    decode_token_record,
+    encode_record,
+    encode_spec,
+    encode_token_record,
+)
+from oakbridge.agent.records import InstanceRecord, InstanceSpec
+
+FORMAT = 1
+FORMAT_FACT = "format"
+TOKEN_FACT = "promise"
+
+SCHEMA = (
+    "CREATE TABLE IF NOT EXISTS facts (name TEXT PRIMARY KEY, value TEXT NOT NULL)",
+    "CREATE TABLE IF NOT EXISTS instances (name TEXT PRIMARY KEY, spec TEXT NOT NULL, record TEXT NOT NULL)",
+)
+
+
+class AgentJournal:
+    """The open database; what a method writes is on disk when it returns."""
+
+    def __init__(self, path: Path) -> None:
+        """Open the database, or create it.
+
+        Raises:
+            StoreError: if it is no database, or one of another format.
+        """
+        try:
+            self._database = sqlite3.connect(path, isolation_level=None)
+            with contextlib.ExitStack() as on_failure:
+                on_failure.callback(self.close)
+                self._prepare(path)
+                on_failure.pop_all()
+        except sqlite3.DatabaseError as e:
+            raise StoreError(path, str(e)) from None
+
+    def _prepare(self, path: Path) -> None:
+        self._database.execute("PRAGMA journal_mode = WAL")
+        self._database.execute("PRAGMA synchronous = FULL")  # a granted token must survive a power cut
+        for statement in SCHEMA:
+            self._database.execute(statement)
+        found = self._read_fact(FORMAT_FACT)
+        if found is None:
+            self._write_fact(FORMAT_FACT, str(FORMAT))
+        elif found != str(FORMAT):
+            raise StoreError(path.parent, f"expected a state of format {FORMAT}, got {found}")
+
+    def close(self) -> None:
+        """Close the database."""
+        self._database.close()
+
+    # ---- the fencing token
+
+    def load_token_record(self) -> FencingTokenRecord:
+        """Return the fencing token's record that was saved last."""
+        text = self._read_fact(TOKEN_FACT)
+        return FencingTokenRecord() if text is None else decode_token_record(text)
+
+    def save_token_record(self, record: FencingTokenRecord) -> None:
+        """Save the fencing token's record."""
+        self._write_fact(TOKEN_FACT, encode_token_record(record))
+
+    # ---- instances
+
+    def load_instances(self) -> dict[str, tuple[InstanceSpec, InstanceRecord]]:
+        """Return all instances by name: how each is run, and where its change stands.
+
+        Raises:
+            StoreError: if one of them can't be read.
+        """
+        rows = self._database.execute("SELECT name, spec, record FROM instances ORDER BY name")
+        return {name: (decode_spec(spec), decode_record(record)) for name, spec, record in rows}
+
+    def save_instance(self, name: str, spec: InstanceSpec, record: InstanceRecord) -> None:
+        """Save an instance, new or changed."""
+        values = (check_name(name, "instance"), encode_spec(spec), encode_record(record))
+        self._write("INSERT OR REPLACE INTO instances VALUES (?, ?, ?)", values)
+
+    def save_record(self, name: str, record: InstanceRecord) -> None:
+        """Save where an instance's change stands."""
+        self._write("UPDATE instances SET record = ? WHERE name = ?", (encode_record(record), name))
+
+    def delete_instance(self, name: str) -> None:
+        """Delete an instance."""
+        self._write("DELETE FROM instances WHERE name = ?", (name,))
+
+    # ---- statements
+
+    def _read_fact(self, name: str) -> str | None:
+        row = self._database.execute("SELECT value FROM facts WHERE name = ?", (name,)).fetchone()
+        return None if row is None else str(row[0])
+
+    def _write_fact(self, name: str, value: str) -> None:
+        self._write("INSERT OR REPLACE INTO facts VALUES (?, ?)", (name, value))
+
+    def _write(self, statement: str, values: tuple[str, ...]) -> None:
+        """Execute one statement, which is a transaction of its own."""
+        self._database.execute(statement, values)
--- a/oakbridge/agent/lease.py
+++ b/oakbridge/agent/lease.py
@@ -1,107 +1,110 @@
-"""Who may change things here: a lease with a fencing token, without any I/O.
+"""Who may change things on this host: a lease with a fencing token.  No I/O.
 
-An operator proposes a token that is higher than any it has seen and needs a majority of the fleet's agents.  A
-token that has been promised is promised for good: whatever comes with a lower one, however late, is refused.
-Times are whole microseconds on a clock that only moves forward; a lease ends by it, never by what an operator's
-clock says, so that a clock that jumps on another host changes nothing here.
+An operator proposes a token that is higher than any it has seen and needs a majority of the fleet's agents.  A token
+that has been granted is never granted to another holder: whatever comes with a lower one, however late, is refused.
+Times are microseconds on a clock that only moves forward; a lease ends by it, never by what an operator's clock says,
+so that a clock that jumps on another host changes nothing here.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
-SECOND = 1_000_000
-LONGEST = 600 * SECOND
+US_PER_S = 1_000_000
+MAX_DURATION_US = 600 * US_PER_S
+RESTART_GRACE_US = 30 * US_PER_S
 
 
 @dataclass(frozen=True, slots=True)
-class Promise:
-    """What an agent has promised, kept on disk: the highest token, whose it is, and whether its lease was ended."""
+class FencingTokenRecord:
+    """What an agent keeps on disk: the highest token granted, its holder, and whether its lease was released."""
 
     token: int = 0
     holder: str = ""
-    since: float = 0.0  # Unix time, for people
+    granted_at_s: float = 0.0  # Unix time, for people
     released: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
-    """The lease is the asker's; it ends ``length`` after the answer was made unless it is renewed."""
+class LeaseGranted:
+    """The lease is the asker's; it ends ``duration_us`` after this unless it is renewed."""
 
     token: int
-    length: int
-    changed: bool  # whether the promise is new, and has to be on disk before this is told
+    duration_us: int
+    record_changed: bool  # whether the record has to be on disk before the asker is told
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """The lease is somebody else's, or the token is not high enough; the highest is told, and who has it."""
+class LeaseDenied:
+    """The lease is somebody else's, or the token is too low; the highest one is told, and whose it is."""
 
     reason: str
     token: int
     holder: str
-    since: float
-    ends_in: int  # microseconds until the lease that stands in the way ends; 0: none does
+    granted_at_s: float
+    expires_in_us: int  # of the lease that stands in the way; 0: none does
 
 
 class Lease:
-    """The machine.  :attr:`promise` is what must outlive the process; the lease itself need not."""
-
-    def __init__(self, promise: Promise, now: int, grace: int = 30 * SECOND) -> None:
-        """After a start a lease that was not released counts as alive for ``grace``: its end was forgotten."""
-        self.promise = promise
-        self._until = now if promise.released else now + grace
-
-    def acquire(self, now: int, token: int, holder: str, length: int, wall: float) -> Granted | Refused:
-        """Ask for the lease.  Asked again by the same holder with the same token, it is granted again."""
-        mine = (token, holder) == (self.promise.token, self.promise.holder)
-        if mine and not self.promise.released:
-            return self._grant(now, length, changed=False)
-        if self.alive(now) and holder != self.promise.holder:
-            return self._refuse(now, f"{self.promise.holder} has the lease")
-        if token <= self.promise.token:
-            return self._refuse(now, f"token {token} is not above {self.promise.token}")
-        self.promise = Promise(token, holder, wall, released=False)
-        return self._grant(now, length, changed=True)
-
-    def renew(self, now: int, token: int, holder: str, length: int) -> Granted | Refused:
-        """Ask for more time.  A lease that has run out may be renewed as long as nobody else has asked.
-
-        The holder counts as well: two that ask at once choose the same token, and each may have won some agents.
+    """The lease of one agent.  ``record`` must outlive the process; the lease itself need not."""
+
+    def __init__(self, record: FencingTokenRecord, now_us: int, grace_us: int = RESTART_GRACE_US) -> None:
+        """After a start a lease that was not released counts as active for ``grace_us``: its end was forgotten."""
+        self.record = record
+        self._expires_us = now_us if record.released else now_us + grace_us
+
+    def acquire(
+        self, now_us: int, token: int, holder: str, duration_us: int, wall_time_s: float
+    ) -> LeaseGranted | LeaseDenied:
+        """Grant the lease if nobody else has it; the same request again is granted again."""
+        if self._is_held_by(token, holder):
+            return self._grant(now_us, duration_us, record_changed=False)
+        if self.is_active(now_us) and holder != self.record.holder:
+            return self._deny(now_us, f"{self.record.holder} has the lease")
+        if token <= self.record.token:
+            return self._deny(now_us, f"token {token} is not above {self.record.token}")
+        self.record = FencingTokenRecord(token, holder, wall_time_s, released=False)
+        return self._grant(now_us, duration_us, record_changed=True)
+
+    def renew(self, now_us: int, token: int, holder: str, duration_us: int) -> LeaseGranted | LeaseDenied:
+        """Grant more time.  An expired lease may be renewed as long as nobody else has acquired it.
+
+        The holder counts as well: two who ask at once choose the same token, and each may have won some agents.
         """
-        if not self._holds(token, holder):
-            return self._refuse(now, f"token {token} has no lease here")
-        return self._grant(now, length, changed=False)
+        if not self._is_held_by(token, holder):
+            return self._deny(now_us, f"token {token} has no lease here")
+        return self._grant(now_us, duration_us, record_changed=False)
 
-    def release(self, now: int, token: int, holder: str) -> bool:
-        """Give the lease back; returns whether the promise changed.  The token stays promised."""
-        if not self._holds(token, holder):
+    def release(self, now_us: int, token: int, holder: str) -> bool:
+        """Give the lease back; return whether the record changed.  The token is never granted again."""
+        if not self._is_held_by(token, holder):
             return False
-        p = self.promise
-        self.promise = Promise(p.token, p.holder, p.since, released=True)
-        self._until = now
+        self.record = replace(self.record, released=True)
+        self._expires_us = now_us
         return True
 
-    def check(self, now: int, token: int, holder: str) -> Refused | None:
-        """Whether a step with this token may begin: it is the one promised to its sender, and its lease is alive."""
-        if (token, holder) != (self.promise.token, self.promise.holder):
-            return self._refuse(now, f"token {token} is not the one promised")
-        if not self.alive(now):
-            return self._refuse(now, f"the lease of token {token} has ended")
+    def check(self, now_us: int, token: int, holder: str) -> LeaseDenied | None:
+        """Return why a step with this token may not begin; None if its holder has the lease."""
+        if (token, holder) != (self.record.token, self.record.holder):
+            return self._deny(now_us, f"token {token} is not the one promised")
+        if not self.is_active(now_us):
+            return self._deny(now_us, f"the lease of token {token} has ended")
         return None
 
-    def alive(self, now: int) -> bool:
-        """Whether somebody has the lease now."""
-        return not self.promise.released and now < self._until
+    def is_active(self, now_us: int) -> bool:
+        """Return whether somebody has the lease now."""
+        return not self.record.released and now_us < self._expires_us
 
-    def _holds(self, token: int, holder: str) -> bool:
-        return (token, holder) == (self.promise.token, self.promise.holder) and not self.promise.released
+    def _is_held_by(self, token: int, holder: str) -> bool:
+        record = self.record
+        return (token, holder) == (record.token, record.holder) and not record.released
 
-    def _grant(self, now: int, length: int, changed: bool) -> Granted:
-        length = max(0, min(length, LONGEST))
-        self._until = now + length
-        return Granted(self.promise.token, length, changed)
+    def _grant(self, now_us: int, duration_us: int, *, record_changed: bool) -> LeaseGranted:
+        duration_us = max(0, min(duration_us, MAX_DURATION_US))
+        self._expires_us = now_us + duration_us
+        return LeaseGranted(self.record.token, duration_us, record_changed)
 
-    def _refuse(self, now: int, reason: str) -> Refused:
-        p, left = self.promise, max(0, self._until - now)
-        return Refused(reason, p.token, p.holder, p.since, left if self.alive(now) else 0)
+    def _deny(self, now_us: int, reason: str) -> LeaseDenied:
+        record = self.record
+        expires_in_us = self._expires_us - now_us if self.is_active(now_us) else 0
+        return LeaseDenied(reason, record.token, record.holder, record.granted_at_s, expires_in_us)
--- /dev/null
+++ b/oakbridge/agent/managed_instance.py
@@ -0,0 +1,217 @@
+"""One instance on this host: its change-overs, its node, and the polling of the node's status."""
+
+from __future__ import annotations
+
+import asyncio
+import hashlib
+import logging
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from oakbridge.agent.actions import Action
+from oakbridge.agent.clock import monotonic_us
+from oakbridge.agent.executor import ActionExecutor
+from oakbridge.agent.generations import Files
+from oakbridge.agent.host import Host, MemberEndpoint, NodeLaunch
+from oakbridge.agent.node_status import NodeStatus
+from oakbridge.agent.records import ChangeState, Generation, InstanceRecord, InstanceSpec, Step
+from oakbridge.agent.state_machine import InstanceStateMachine
+from oakbridge.agent.store import Store
+from oakbridge.agent.supervised_node import SupervisedNode
+from oakbridge.agent.timers import Timers
+from oakbridge.control import protocol
+from oakbridge.process import supervisor as sup
+
+log = logging.getLogger(__name__)
+
+CONFIG_FILE = "oakbridge.toml"  # the file of a generation that a node is started with
+DRAINED_FILE = "drained"  # a generation with a file of this name is one whose node does not run
+LOG_FILE = "node.log"
+POLL_INTERVAL_S = 0.5
+POLL_TIMEOUT_S = 2.0  # a node that does not answer for so long is unresponsive
+UNKNOWN_GENERATION = 0
+
+
+class ManagedInstance:
+    """Ties an instance's state machine to the disk and to its node."""
+
+    def __init__(
+        self,
+        name: str,
+        spec: InstanceSpec,
+        record: InstanceRecord,
+        *,
+        agent: str,
+        store: Store,
+        host: Host,
+        poll_interval_s: float = POLL_INTERVAL_S,
+    ) -> None:
+        """``agent``: the agent's name, by which members know the instance."""
+        self.name = name
+        self.spec = spec
+        self.machine = InstanceStateMachine(record)
+        self.node_answer: dict[str, Any] = {}  # the node's last status; empty if it did not answer
+        self.answered_at_s = 0.0  # Unix time
+        self.running_generation = UNKNOWN_GENERATION  # the one that the process was started with
+        self._member = MemberEndpoint(f"{agent}/{name}", spec.member) if spec.member else None
+        self._generations = store.generations
+        self._host = host
+        self._poll_interval_s = poll_interval_s
+        self._poll_task: asyncio.Task[None] | None = None
+        self._config_problem = ""  # what the node's checker found in the files of the step in progress
+        self._timers = Timers(name)
+        self.node = SupervisedNode(
+            name,
+            host,
+            self._timers,
+            log_file=self._log_file,
+            prepare_launch=self._prepare_launch,
+            on_exit=self._on_node_exit,
+        )
+        self._executor = ActionExecutor(
+            store,
+            name,
+            self.machine,
+            check_staged=lambda _: self._config_problem,
+            run_generation=self._run_generation,
+            set_timer=self._set_timer,
+        )
+
+    @property
+    def is_drained(self) -> bool:
+        """Whether the current generation says that the node should not run."""
+        return (self._generations.current_link(self.name) / DRAINED_FILE).exists()
+
+    @property
+    def _config_file(self) -> Path:
+        return self._generations.current_link(self.name) / CONFIG_FILE
+
+    @property
+    def _log_file(self) -> Path:
+        return self._generations.home(self.name) / LOG_FILE
+
+    def start(self) -> None:
+        """Find the node if it runs already, then continue from the journal."""
+        self.node.adopt(self.spec.control)
+        self._execute(self.machine.recover(monotonic_us()))
+        self._poll_task = asyncio.get_running_loop().create_task(self._poll())
+
+    def stop(self) -> None:
+        """Leave the node as it is."""
+        if self._poll_task is not None:
+            self._poll_task.cancel()
+        self._timers.cancel_all()
+        self.node.detach()
+
+    # ---- changes
+
+    def begin_step(
+        self, step: Step, files: Files, config_problem: str, lease_problem: Callable[[], str]
+    ) -> None:
+        """Begin a step whose files have been checked; ``config_problem`` is what was found.
+
+        Raises:
+            StepConflictError: if the step can't begin.
+        """
+        self._config_problem = config_problem
+        self._executor.begin_step(monotonic_us(), step, files, lease_problem)
+
+    def _execute(self, actions: list[Action]) -> None:
+        if actions:
+            self._executor.execute(monotonic_us(), actions)
+
+    def _set_timer(self, at_us: int) -> None:
+        self._timers.schedule(at_us, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._execute(self.machine.on_timer(monotonic_us()))
+
+    def _run_generation(self, target: Generation) -> None:
+        """Have the node run a generation: it is restarted unless it runs that one already."""
+        if target.is_empty or self.is_drained:
+            self.node.stop()
+            # A node that had been stopped before does not end once more.
+            asyncio.get_running_loop().call_soon(self._report_drained)
+        elif self.running_generation == target.number and self.node.state is sup.State.RUNNING:
+            self.node.keep_running()
+        elif self._may_run_already():
+            # It was found running: what it runs is checked as soon as it answers.
+            self.running_generation = target.number
+        else:
+            self.node.restart()
+
+    def _may_run_already(self) -> bool:
+        return (
+            self.node.process is not None
+            and self.running_generation == UNKNOWN_GENERATION
+            and self.machine.state is ChangeState.SETTLED
+        )
+
+    # ---- the node
+
+    def _prepare_launch(self) -> NodeLaunch:
+        self.node_answer = {}
+        self.running_generation = self._generations.current_number(self.name)
+        return NodeLaunch(
+            config=self._config_file,
+            name=self.name,
+            listen=self.spec.listen,
+            control=self.spec.control,
+            log=self._log_file,
+            member=self._member,
+        )
+
+    def _on_node_exit(self, reason: str, expected: bool) -> None:
+        self.node_answer = {}
+        if not expected:
+            self._execute(self.machine.on_failed(reason))
+        self._report_drained()
+
+    def _report_drained(self) -> None:
+        """A drained instance is as it should be once its node has ended."""
+        if self.is_drained and self.node.state is sup.State.STOPPED:
+            self._execute(self.machine.on_ready(monotonic_us()))
+
+    async def _poll(self) -> None:
+        """Ask the node for its status, again and again."""
+        while True:
+            await asyncio.sleep(self._poll_interval_s)
+            try:
+                async with asyncio.timeout(POLL_TIMEOUT_S):
+                    answer = await self._host.query_node(self.spec.control, "status", rows=0)
+            except (OSError, TimeoutError, EOFError, ValueError, protocol.Refusal):
+                self.node_answer = {}
+                continue
+            self.node_answer = answer
+            self.answered_at_s = time.time()
+            self._evaluate(NodeStatus.from_json(answer))
+
+    def _evaluate(self, status: NodeStatus) -> None:
+        """Pass on what the node's status means to the supervisor and the state machine."""
+        if self.node.pid is None or status.pid != self.node.pid:
+            return
+        if not self.node.is_up:
+            return  # the old process, which is ending, says nothing of the new one
+        if status.source_problem:
+            reason = f"its server file is {status.source_problem}"
+            self._execute(self.machine.on_failed(reason))
+        elif self._is_steady() and not self._runs_current_config(status):
+            log.warning("%s: it runs another configuration than it should, and is started anew", self.name)
+            self.node.restart()
+        elif status.ready:
+            self.node.mark_ready()
+            self._execute(self.machine.on_ready(monotonic_us()))
+
+    def _is_steady(self) -> bool:
+        """Whether the link shows what the node should run."""
+        return self.machine.state in (ChangeState.SETTLED, ChangeState.WATCHING)
+
+    def _runs_current_config(self, status: NodeStatus) -> bool:
+        """Whether the node was started with what the link shows, by its own answer."""
+        try:
+            config = self._config_file.read_bytes()
+        except OSError:
+            return False
+        return status.config_digest == hashlib.sha256(config).hexdigest()
--- /dev/null
+++ b/oakbridge/agent/node_process.py
@@ -0,0 +1,100 @@
+"""Processes of nodes: start them, and hear of their end through pidfds."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import os
+import signal
+import socket
+import struct
+import subprocess
+import sys
+from pathlib import Path
+
+from oakbridge.agent.host import ExitCallback, NodeLaunch
+
+MAX_LOG_BYTES = 8 * 1024 * 1024  # a longer log is put aside at the node's next start
+OLD_LOG_SUFFIX = ".old"
+CONNECT_TIMEOUT_S = 1.0
+PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid and gid
+
+
+def listener_pid(path: Path) -> int | None:
+    """Return the process that listens on a control socket, by the kernel's word; None if none does."""
+    with socket.socket(socket.AF_UNIX) as probe:
+        probe.settimeout(CONNECT_TIMEOUT_S)
+        try:
+            probe.connect(str(path))
+            raw = probe.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+        except OSError:
+            return None
+    pid, _, _ = PEER_CREDENTIALS.unpack(raw)
+    return int(pid)
+
+
+class LocalProcess:
+    """A process of this machine, a child or one that was found."""
+
+    def __init__(self, pid: int, on_exit: ExitCallback, child: subprocess.Popen[bytes] | None = None) -> None:
+        """Raises OSError where there is no such process."""
+        self.pid = pid
+        self._child = child
+        self._on_exit = on_exit
+        self._pidfd = os.pidfd_open(pid)
+        self._loop = asyncio.get_running_loop()
+        self._loop.add_reader(self._pidfd, self._exited)
+
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal; if the process is gone nobody gets it: a pidfd never refers to another process."""
+        if self._pidfd >= 0:
+            with contextlib.suppress(ProcessLookupError):
+                signal.pidfd_send_signal(self._pidfd, number)
+
+    def detach(self) -> None:
+        """Stop watching the process."""
+        if self._pidfd >= 0:
+            self._loop.remove_reader(self._pidfd)
+            os.close(self._pidfd)
+            self._pidfd = -1
+
+    def _exited(self) -> None:
+        self.detach()
+        self._on_exit(self._exit_description())
+
+    def _exit_description(self) -> str:
+        if self._child is None:
+            return "it ended"  # only a parent is told an exit code
+        code = self._child.wait()
+        return f"signal {-code}" if code < 0 else f"exit code {code}"
+
+
+def start_node(launch: NodeLaunch, on_exit: ExitCallback) -> LocalProcess:
+    """Start a node in a session of its own, so that it outlives its agent.  Raises OSError."""
+    _rotate(launch.log)
+    with launch.log.open("ab") as log:
+        child = subprocess.Popen(
+            _command(launch),
+            stdin=subprocess.DEVNULL,
+            stdout=log,
+            stderr=log,
+            start_new_session=True,
+            cwd="/",
+        )
+    return LocalProcess(child.pid, on_exit, child)
+
+
+def _command(launch: NodeLaunch) -> list[str]:
+    command = [sys.executable, "-m", "oakbridge.cli", "serve"]
+    command += ["--config", str(launch.config), "--name", launch.name]
+    for address in launch.listen:
+        command += ["--listen", address]
+    command += ["--control", str(launch.control)]
+    if launch.member is not None:
+        command += ["--member", launch.member.name, launch.member.address]
+    return command
+
+
+def _rotate(log: Path) -> None:
+    if log.exists() and log.stat().st_size > MAX_LOG_BYTES:
+        log.replace(log.with_suffix(OLD_LOG_SUFFIX))
--- /dev/null
+++ b/oakbridge/agent/operator_api.py
@@ -0,0 +1,164 @@
+"""Answer the requests of the fleet's operators.
+
+Every request is idempotent: sent again, it gets the same answer.
+"""
+
+from __future__ import annotations
+
+import time
+from http import HTTPStatus
+
+from oakbridge.agent.agent import Agent
+from oakbridge.agent.clock import monotonic_us
+from oakbridge.agent.errors import StepConflictError, StepInProgressError, StoreError
+from oakbridge.agent.generations import check_files, digest_of
+from oakbridge.agent.lease import LeaseDenied, LeaseGranted
+from oakbridge.agent.managed_instance import CONFIG_FILE, ManagedInstance
+from oakbridge.agent.records import Generation, Step, StepOutcome
+from oakbridge.agent.status_codec import US_PER_S, encode_status
+from oakbridge.fleet.codec import decode_request
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
+from oakbridge.fleet.messages import (
+    FilesRequest,
+    LeaseRequest,
+    ReleaseRequest,
+    Request,
+    Response,
+    StatusRequest,
+    StepRequest,
+    required_role,
+)
+
+MAX_SHOWN_PATH_LENGTH = 100
+
+
+class OperatorApi:
+    """The requests of operators to one agent."""
+
+    def __init__(self, agent: Agent) -> None:
+        self._agent = agent
+
+    async def handle(self, identity: Identity, method: str, path: str, body: bytes) -> Response:
+        """Answer one request of somebody whose certificate is of this fleet.
+
+        Raises:
+            FleetMessageError: if the request is malformed.
+        """
+        request = decode_request(method, path, body)
+        if request is None:
+            return _error(HTTPStatus.NOT_FOUND, f"path: nothing at {method} {path[:MAX_SHOWN_PATH_LENGTH]}")
+        if (problem := _authorization_problem(identity, request)) is not None:
+            return _error(HTTPStatus.FORBIDDEN, problem)
+        match request:
+            case StatusRequest():
+                return Response(HTTPStatus.OK, encode_status(self._agent))
+            case FilesRequest():
+                return self._files(request)
+            case LeaseRequest():
+                return self._lease(request, identity.name)
+            case ReleaseRequest():
+                return self._release(request, identity.name)
+            case StepRequest():
+                return await self._step(request, identity.name)
+
+    def _files(self, request: FilesRequest) -> Response:
+        generation = Generation(request.generation)
+        try:
+            files = self._agent.store.generations.read_files(request.instance, generation)
+        except StoreError as e:
+            return _error(HTTPStatus.NOT_FOUND, str(e))
+        return Response(HTTPStatus.OK, {"files": files})
+
+    def _lease(self, request: LeaseRequest, holder: str) -> Response:
+        lease, now_us = self._agent.lease, monotonic_us()
+        if request.renew:
+            result = lease.renew(now_us, request.token, holder, request.duration_us)
+        else:
+            result = lease.acquire(now_us, request.token, holder, request.duration_us, time.time())
+        if isinstance(result, LeaseDenied):
+            return _denial(result)
+        if result.record_changed:
+            self._agent.save_token_record()  # a token must be on disk before it is told
+        return _grant(result)
+
+    def _release(self, request: ReleaseRequest, holder: str) -> Response:
+        lease = self._agent.lease
+        if lease.release(monotonic_us(), request.token, holder):
+            self._agent.save_token_record()
+        return Response(HTTPStatus.OK, {"token": lease.record.token})
+
+    async def _step(self, request: StepRequest, holder: str) -> Response:
+        agent = self._agent
+        instance = agent.instances.get(request.instance)
+        if instance is None:
+            return _error(HTTPStatus.NOT_FOUND, f"instance: there is no {request.instance} here")
+        if (ended := instance.machine.outcome(request.step_id)) is not None:
+            return _outcome(ended)
+        denied = agent.lease.check(monotonic_us(), request.token, holder)
+        if denied is not None:
+            return _denial(denied)
+        try:
+            check_files(request.files)
+        except StoreError as e:
+            return _error(HTTPStatus.BAD_REQUEST, str(e))
+        if CONFIG_FILE not in request.files:
+            return _error(HTTPStatus.BAD_REQUEST, f"files: expected {CONFIG_FILE} among them")
+        problem = await agent.check_config(request.files)
+        return self._begin_step(instance, request, holder, problem)
+
+    def _begin_step(
+        self, instance: ManagedInstance, request: StepRequest, holder: str, config_problem: str
+    ) -> Response:
+        target = Generation(request.generation, digest_of(request.files))
+        step = Step(request.step_id, request.token, target, request.base_generation, request.watch_us)
+
+        def lease_problem() -> str:  # the lease may have ended since the request came
+            return self._agent.lease_problem(step.token, holder)
+
+        try:
+            instance.begin_step(step, request.files, config_problem, lease_problem)
+        except StepInProgressError as e:
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, str(e))
+        except StepConflictError as e:
+            return _error(HTTPStatus.CONFLICT, str(e))
+        if (ended := instance.machine.outcome(step.step_id)) is not None:
+            return _outcome(ended)
+        accepted = {"step": step.step_id, "change": instance.machine.state.value}
+        return Response(HTTPStatus.ACCEPTED, accepted)
+
+
+def _authorization_problem(identity: Identity, request: Request) -> str | None:
+    if identity.kind is not IdentityKind.OPERATOR:
+        return f"{identity.kind} {identity.name} is no operator"
+    if required_role(request) is Role.WRITE and identity.role is not Role.WRITE:
+        return f"operator {identity.name} may read, and not change anything"
+    return None
+
+
+def _error(status: HTTPStatus, text: str) -> Response:
+    return Response(status, {"error": text})
+
+
+def _grant(granted: LeaseGranted) -> Response:
+    body = {"token": granted.token, "length_s": granted.duration_us / US_PER_S}
+    return Response(HTTPStatus.OK, body)
+
+
+def _denial(denied: LeaseDenied) -> Response:
+    body = {
+        "error": denied.reason,
+        "token": denied.token,
+        "holder": denied.holder,
+        "since": denied.granted_at_s,
+        "ends_in_s": denied.expires_in_us / US_PER_S,
+    }
+    return Response(HTTPStatus.CONFLICT, body)
+
+
+def _outcome(outcome: StepOutcome) -> Response:
+    body = {
+        "step": outcome.step_id,
+        "verdict": outcome.verdict.value,
+        "reason": outcome.reason,
+    }
+    return Response(HTTPStatus.OK, body)
--- a/oakbridge/cli/agent.py
+++ b/oakbridge/cli/agent.py
@@ -10,9 +10,11 @@
 
 import click
 
-from oakbridge.agent.file import AgentFile, BadAgentFile, read
-from oakbridge.agent.runner import Agent
-from oakbridge.agent.store import Store, StoreError
+from oakbridge.agent.agent import Agent
+from oakbridge.agent.config import AgentConfig, read_agent_config
+from oakbridge.agent.errors import AgentConfigError, StoreError
+from oakbridge.agent.operator_api import OperatorApi
+from oakbridge.agent.store import Store
 from oakbridge.cli.common import BadInput, Failed
 from oakbridge.cli.logs import log_option, start_logs
 from oakbridge.fleet.errors import PkiError
@@ -22,24 +24,25 @@
 log = logging.getLogger(__name__)
 
 
-async def run(given: AgentFile, store: Store, tls: ssl.SSLContext) -> None:
+async def run(config: AgentConfig, store: Store, tls: ssl.SSLContext) -> None:
     """Run until SIGTERM; the nodes run on."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    agent = Agent(store, given.name, given.fleet, given.zone)
-    server = AgentServer(tls, given.fleet, agent.answer)
-    for name, listen in given.instances.items():
-        agent.add(name, listen, given.state / f"{name}.sock", given.members.get(name, ""))
-    await server.start(given.listen)
+    agent = Agent(store, config.name, config.fleet, config.zone)
+    server = AgentServer(tls, config.fleet, OperatorApi(agent).handle)
+    for instance in config.instances:
+        control = config.state / f"{instance.name}.sock"
+        agent.add_instance(instance.name, instance.listen, control, instance.member)
+    await server.start(config.listen)
     try:
-        agent.begin()
-        log.info("agent %s listens on %s:%d", given.name, *server.address)
+        agent.start()
+        log.info("agent %s listens on %s:%d", config.name, *server.address)
         await stop.wait()
     finally:
         server.close()
-        agent.end()
+        agent.stop()
 
 
 @click.command("agent")
@@ -50,11 +53,11 @@
 def command(path: Path, log_format: str) -> None:
     """Run the nodes of this host, and answer the fleet's operators; nodes outlive their agent."""
     try:
-        given = read(path)
-        start_logs(log_format, agent=given.name)
-        tls = tls_context(given.authority, given.certificate, server=True)
-        asyncio.run(run(given, Store(given.state), tls))
-    except (BadAgentFile, StoreError, PkiError) as e:
+        config = read_agent_config(path)
+        start_logs(log_format, agent=config.name)
+        tls = tls_context(config.authority, config.certificate, server=True)
+        asyncio.run(run(config, Store(config.state), tls))
+    except (AgentConfigError, StoreError, PkiError) as e:
         raise BadInput(str(e)) from None
     except OSError as e:
         raise Failed(f"can't start: {e}") from None
--- a/oakbridge/cli/rollout.py
+++ b/oakbridge/cli/rollout.py
@@ -18,7 +18,8 @@
 from rich.live import Live
 from rich.table import Table
 
-from oakbridge.agent.store import StoreError, check_files
+from oakbridge.agent.errors import StoreError
+from oakbridge.agent.generations import check_files
 from oakbridge.cli.common import BadInput, Failed, say_json
 from oakbridge.cli.fleet import command, folder_option, members_by, operator_of, operator_option, via_options
 from oakbridge.cli.rollout_view import picture
--- a/oakbridge/standin/host.py
+++ b/oakbridge/standin/host.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.agent.host import Launch
+from oakbridge.agent.host import NodeLaunch
 
 PIDS = itertools.count(1_000_000)
 _PLAYS = re.compile(r"# plays: (\w+) ?([\d.]*)")
@@ -47,14 +47,14 @@
             self.gone = True
             self._ended(how)
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """It ends by any signal but those that freeze and thaw."""
         if number in (signal.SIGSTOP, signal.SIGCONT):
             self.frozen = number == signal.SIGSTOP
         else:
             self._loop.call_soon(self.end, f"signal {int(number)}")
 
-    def leave(self) -> None:
+    def detach(self) -> None:
         """Its agent has ended: nobody hears of it."""
         self._ended = lambda _: None
 
@@ -80,7 +80,7 @@
         self.rate, self.weak = rate, weak
         self.nodes: dict[Path, PlayedNode] = {}
 
-    def find(self, control: Path, ended: Callable[[str], None]) -> PlayedNode | None:
+    def find_node(self, control: Path, ended: Callable[[str], None]) -> PlayedNode | None:
         """The node that has this control socket."""
         node = self.nodes.get(control)
         if node is None or node.gone:
@@ -88,20 +88,20 @@
         node.follow(ended)
         return node
 
-    def start(self, launch: Launch, ended: Callable[[str], None]) -> PlayedNode:
+    def start_node(self, launch: NodeLaunch, ended: Callable[[str], None]) -> PlayedNode:
         """Start a node."""
         node = self.nodes[launch.control] = PlayedNode(launch.config, ended, self.rate, self.weak)
         return node
 
-    def last_words(self, log: Path) -> str:
+    def last_log_line(self, log: Path) -> str:
         """Nothing is logged."""
         return ""
 
-    async def check(self, config: Path) -> str:
+    async def check_config(self, config: Path) -> str:
         """The checker."""
         return f"{config}: refused, as it plays" if "# plays: refused" in config.read_text("utf-8") else ""
 
-    async def ask(self, control: Path, do: str, **arguments: Any) -> Any:
+    async def query_node(self, control: Path, command: str, **arguments: Any) -> Any:
         """Ask a node how it is."""
         node = self.nodes.get(control)
         if node is None or node.gone:
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -12,7 +12,7 @@
 import pytest
 from peers import LIMIT, free_ports
 
-from oakbridge.agent.process import listener_pid
+from oakbridge.agent.node_process import listener_pid
 from oakbridge.fleet import messages, pki
 from oakbridge.fleet.client import FleetClient
 from oakbridge.fleet.identity import Identity, IdentityKind, Role
--- a/tests/agent/test_instance.py
+++ b/tests/agent/test_state_machine.py
@@ -5,24 +5,25 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from oakbridge.agent.instance import (
-    NOTHING,
-    READY_WITHIN,
-    Busy,
-    Flip,
+from oakbridge.agent.actions import (
+    ActivateGeneration,
+    DiscardGeneration,
+    PersistRecord,
+    RunGeneration,
+    SetTimer,
+    StageGeneration,
+)
+from oakbridge.agent.errors import StepConflictError
+from oakbridge.agent.records import (
+    NO_DIGEST,
+    ChangeState,
     Generation,
-    Instance,
-    Keep,
-    Outcome,
-    Record,
-    Run,
-    Stage,
-    State,
+    InstanceRecord,
     Step,
-    Unstage,
+    StepOutcome,
     Verdict,
-    Wake,
 )
+from oakbridge.agent.state_machine import READY_TIMEOUT_US, InstanceStateMachine
 
 ONE, TWO = Generation(1, "one"), Generation(2, "two")
 
@@ -31,83 +32,83 @@
     return Step(name, target.number, target, base, watch)
 
 
-def settled() -> Instance:
-    return Instance(Record(current=ONE))
+def settled() -> InstanceStateMachine:
+    return InstanceStateMachine(InstanceRecord(current=ONE))
 
 
 def kinds(actions) -> list[type]:
     return [type(a) for a in actions]
 
 
-def watching() -> Instance:
+def watching() -> InstanceStateMachine:
     i = settled()
-    i.order(0, step())
-    i.staged(0)
-    assert kinds(i.flipped(0)) == [Keep, Run, Wake]
+    i.begin_step(step())
+    i.on_staged()
+    assert kinds(i.on_activated(0)) == [PersistRecord, RunGeneration, SetTimer]
     return i
 
 
 def test_a_step_goes_through():
     i = settled()
-    assert kinds(i.order(0, step())) == [Keep, Stage]
-    assert kinds(i.staged(0)) == [Keep, Flip]
-    assert kinds(i.flipped(0)) == [Keep, Run, Wake]
-    assert i.ready(5) == [Wake(15)] and i.ready(6) == []
-    assert i.tick(14) == []
-    assert kinds(i.tick(15)) == [Keep]
+    assert kinds(i.begin_step(step())) == [PersistRecord, StageGeneration]
+    assert kinds(i.on_staged()) == [PersistRecord, ActivateGeneration]
+    assert kinds(i.on_activated(0)) == [PersistRecord, RunGeneration, SetTimer]
+    assert i.on_ready(5) == [SetTimer(15)] and i.on_ready(6) == []
+    assert i.on_timer(14) == []
+    assert kinds(i.on_timer(15)) == [PersistRecord]
     assert (i.record.current, i.record.previous) == (TWO, ONE)
-    assert i.outcome("s") == Outcome("s", Verdict.TOOK)
+    assert i.outcome("s") == StepOutcome("s", Verdict.APPLIED)
 
 
 def test_what_does_not_pass_the_check_never_reaches_the_link():
     i = settled()
-    i.order(0, step())
-    assert kinds(i.staged(0, "class: missing")) == [Keep, Unstage]
-    assert i.outcome("s") == Outcome("s", Verdict.DID_NOT, "class: missing")
+    i.begin_step(step())
+    assert kinds(i.on_staged("class: missing")) == [PersistRecord, DiscardGeneration]
+    assert i.outcome("s") == StepOutcome("s", Verdict.REJECTED, "class: missing")
     assert i.record.current == ONE
 
 
 def test_a_lease_that_ended_meanwhile_stops_the_flip():
     """An agent that was frozen wakes with an old step in its hand."""
     i = settled()
-    i.order(0, step())
-    assert kinds(i.staged(3600, lease="the lease of token 2 has ended")) == [Keep, Unstage]
-    assert i.outcome("s").verdict is Verdict.DID_NOT
+    i.begin_step(step())
+    assert kinds(i.on_staged("the lease of token 2 has ended")) == [PersistRecord, DiscardGeneration]
+    assert i.outcome("s").verdict is Verdict.REJECTED
 
 
 @pytest.mark.parametrize("after", [1, 9])
 def test_a_node_that_dies_while_it_is_watched_goes_back(after):
     i = watching()
-    i.ready(0)
-    assert kinds(i.failed(after, "exit 1")) == [Keep, Flip]
-    assert kinds(i.flipped(after)) == [Keep, Run, Unstage]
-    assert i.outcome("s") == Outcome("s", Verdict.UNDONE, "exit 1")
+    i.on_ready(0)
+    assert kinds(i.on_failed("exit 1")) == [PersistRecord, ActivateGeneration]
+    assert kinds(i.on_activated(after)) == [PersistRecord, RunGeneration, DiscardGeneration]
+    assert i.outcome("s") == StepOutcome("s", Verdict.ROLLED_BACK, "exit 1")
     assert i.record.current == ONE
 
 
 def test_a_node_that_is_not_ready_in_time_goes_back():
     i = watching()
-    assert i.tick(READY_WITHIN - 1) == []
-    assert kinds(i.tick(READY_WITHIN)) == [Keep, Flip]
+    assert i.on_timer(READY_TIMEOUT_US - 1) == []
+    assert kinds(i.on_timer(READY_TIMEOUT_US)) == [PersistRecord, ActivateGeneration]
 
 
 def test_a_way_back_that_fails_is_tried_again():
     i = watching()
-    i.failed(1, "exit 1")
-    [wake] = i.flipped(1, "disk full")
-    assert kinds(i.tick(wake.at)) == [Flip]
-    assert kinds(i.flipped(wake.at)) == [Keep, Run, Unstage]
+    i.on_failed("exit 1")
+    [wake] = i.on_activated(1, "disk full")
+    assert kinds(i.on_timer(wake.at_us)) == [ActivateGeneration]
+    assert kinds(i.on_activated(wake.at_us)) == [PersistRecord, RunGeneration, DiscardGeneration]
 
 
 def test_a_step_delivered_twice_is_one_step():
     i = settled()
-    i.order(0, step())
-    assert i.order(1, step()) == []
-    i.staged(1)
-    i.flipped(1)
-    i.ready(1)
-    i.tick(11)
-    assert i.order(12, step()) == []
+    i.begin_step(step())
+    assert i.begin_step(step()) == []
+    i.on_staged()
+    i.on_activated(1)
+    i.on_ready(1)
+    i.on_timer(11)
+    assert i.begin_step(step()) == []
     assert len(i.record.outcomes) == 1
 
 
@@ -120,21 +121,21 @@
 )
 def test_a_step_for_another_state_changes_nothing(asked, says):
     i = settled()
-    with pytest.raises(Busy, match=says):
-        i.order(0, asked)
+    with pytest.raises(StepConflictError, match=says):
+        i.begin_step(asked)
     assert i.record == settled().record
 
 
 def test_one_step_at_a_time():
     i = watching()
-    with pytest.raises(Busy, match="step s is under way"):
-        i.order(0, step(target=Generation(3, "three"), base=1, name="t"))
+    with pytest.raises(StepConflictError, match="step s is under way"):
+        i.begin_step(step(target=Generation(3, "three"), base=1, name="t"))
 
 
 def test_an_instance_that_runs_it_already_took_it():
     i = settled()
-    assert kinds(i.order(0, step(target=ONE, base=0))) == [Keep]
-    assert i.outcome("s").verdict is Verdict.TOOK
+    assert kinds(i.begin_step(step(target=ONE, base=0))) == [PersistRecord]
+    assert i.outcome("s").verdict is Verdict.APPLIED
 
 
 class Host(RuleBasedStateMachine):
@@ -143,11 +144,11 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0
-        self.disk = Record(current=Generation(1, "g1"))
+        self.disk = InstanceRecord(current=Generation(1, "g1"))
         self.staged = {1: "g1"}
         self.link = 1
         self.process: int | None = 1  # the generation that it runs; None: it does not run
-        self.machine = Instance(self.disk)
+        self.machine = InstanceStateMachine(self.disk)
         self.queue: list = []
         self.due: int | None = None
         self.numbers = 1
@@ -161,7 +162,7 @@
         self.numbers += 1
         target = Generation(self.numbers, f"g{self.numbers}" if good else "bad")
         s = Step(f"s{self.numbers}", self.numbers, target, 0 if old else self.disk.current.number, 10)
-        self.sent[s.id] = s
+        self.sent[s.step_id] = s
         self.send(s)
 
     @precondition(lambda self: self.sent)
@@ -174,8 +175,8 @@
         if self.queue:
             return
         try:
-            self.queue += self.machine.order(self.now, s)
-        except Busy:
+            self.queue += self.machine.begin_step(s)
+        except StepConflictError:
             assert self.disk == self.machine.record
 
     @precondition(lambda self: self.queue)
@@ -186,27 +187,27 @@
             return self.kill()
         action = self.queue.pop(0)
         follows: list = []
-        if isinstance(action, Keep):
+        if isinstance(action, PersistRecord):
             self.disk = action.record
-        elif isinstance(action, Stage):
+        elif isinstance(action, StageGeneration):
             self.staged[action.target.number] = action.target.digest
             problem = "bad" if action.target.digest == "bad" else ""
-            follows = self.machine.staged(self.now, problem) if killed is None else []
-        elif isinstance(action, Unstage):
+            follows = self.machine.on_staged(problem) if killed is None else []
+        elif isinstance(action, DiscardGeneration):
             if self.link != action.target.number:
                 self.staged.pop(action.target.number, None)
-        elif isinstance(action, Flip):
+        elif isinstance(action, ActivateGeneration):
             if flip_fails and killed is None:
-                follows = self.machine.flipped(self.now, "disk full")
+                follows = self.machine.on_activated(self.now, "disk full")
             else:
                 assert action.target.number in self.staged, "the link would show nothing"
                 self.link = action.target.number
-                follows = self.machine.flipped(self.now) if killed is None else []
-        elif isinstance(action, Run):
+                follows = self.machine.on_activated(self.now) if killed is None else []
+        elif isinstance(action, RunGeneration):
             assert self.link == action.target.number
             self.process = action.target.number
-        elif isinstance(action, Wake):
-            self.due = action.at
+        elif isinstance(action, SetTimer):
+            self.due = action.at_us
         self.queue += follows
         if killed == "after":
             self.kill()
@@ -214,18 +215,18 @@
     def kill(self) -> None:
         """The agent is gone, and starts again from its disk; the process lives on."""
         self.queue, self.due = [], None
-        self.machine = Instance(self.disk)
+        self.machine = InstanceStateMachine(self.disk)
         self.queue = self.machine.recover(self.now)
 
     @precondition(lambda self: not self.queue and self.process is not None)
     @rule()
     def is_ready(self):
-        self.queue += self.machine.ready(self.now)
+        self.queue += self.machine.on_ready(self.now)
 
     @precondition(lambda self: not self.queue)
     @rule()
     def process_fails(self):
-        self.queue += self.machine.failed(self.now, "exit 1")
+        self.queue += self.machine.on_failed("exit 1")
 
     @precondition(lambda self: not self.queue)
     @rule(time=st.integers(1, 20))
@@ -233,7 +234,7 @@
         self.now += time
         if self.due is not None and self.due <= self.now:
             self.due = None
-            self.queue += self.machine.tick(self.now)
+            self.queue += self.machine.on_timer(self.now)
 
     @invariant()
     def the_link_shows_a_whole_generation(self):
@@ -246,8 +247,8 @@
     @invariant()
     def an_end_is_told_once_and_stays(self):
         for outcome in self.disk.outcomes:
-            assert self.ends.setdefault(outcome.step, outcome.verdict) == outcome.verdict
-        assert len({o.step for o in self.disk.outcomes}) == len(self.disk.outcomes)
+            assert self.ends.setdefault(outcome.step_id, outcome.verdict) == outcome.verdict
+        assert len({o.step_id for o in self.disk.outcomes}) == len(self.disk.outcomes)
 
     @invariant()
     def generations_only_grow(self):
@@ -261,12 +262,12 @@
             self.is_ready()
             self.wait(1_000_001)
         r = self.machine.record
-        assert r.state is State.SETTLED and r == self.disk
+        assert r.state is ChangeState.SETTLED and r == self.disk
         assert self.link == r.current.number == self.process
         for outcome in r.outcomes:
-            if outcome.verdict is Verdict.TOOK:
-                assert self.sent[outcome.step].target.number <= r.current.number
-        assert r.current.digest != NOTHING
+            if outcome.verdict is Verdict.APPLIED:
+                assert self.sent[outcome.step_id].target.number <= r.current.number
+        assert r.current.digest != NO_DIGEST
 
 
 Host.TestCase.settings = settings(max_examples=200, stateful_step_count=50, deadline=None, derandomize=True)
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -12,12 +12,25 @@
 import pytest
 from peers import LIMIT
 
-from oakbridge.agent.instance import Generation, Instance, Outcome, Record, State, Step, Verdict
-from oakbridge.agent.lease import Promise
-from oakbridge.agent.store import KEPT, Store, StoreError, decode, digest_of, encode
+from oakbridge.agent.errors import StoreError
+from oakbridge.agent.generations import RETAINED, digest_of
+from oakbridge.agent.lease import FencingTokenRecord
+from oakbridge.agent.record_codec import decode_record, encode_record
+from oakbridge.agent.records import (
+    ChangeState,
+    Generation,
+    InstanceRecord,
+    InstanceSpec,
+    Step,
+    StepOutcome,
+    Verdict,
+)
+from oakbridge.agent.state_machine import InstanceStateMachine
+from oakbridge.agent.store import Store
 
 ROOT = Path(__file__).parents[2]
 FILES = {"oakbridge.toml": "a = 1\n", "servers.toml": "é\n"}
+SPEC = InstanceSpec(("127.0.0.1:1",), Path("/run/a.sock"))
 
 
 @pytest.fixture
@@ -33,25 +46,25 @@
 
 def test_records_and_promises_come_back(tmp_path):
     step = Step("s", 3, Generation(3, "x"), 2, 7)
-    record = Record(
-        State.WATCHING,
+    record = InstanceRecord(
+        ChangeState.WATCHING,
         Generation(2, "y"),
         Generation(1, "z"),
         step,
         "",
-        (Outcome("r", Verdict.UNDONE, "why"),),
+        (StepOutcome("r", Verdict.ROLLED_BACK, "why"),),
     )
-    assert decode(encode(record)) == record
+    assert decode_record(encode_record(record)) == record
     first = Store(tmp_path)
-    first.keep_instance("a", {"listen": ["127.0.0.1:1"]}, Record())
-    first.keep_record("a", record)
-    first.keep_promise(Promise(9, "kari", 5.0, False))
+    first.journal.save_instance("a", SPEC, InstanceRecord())
+    first.journal.save_record("a", record)
+    first.journal.save_token_record(FencingTokenRecord(9, "kari", 5.0, False))
     first.close()
     again = Store(tmp_path)
-    assert again.instances() == {"a": ({"listen": ["127.0.0.1:1"]}, record)}
-    assert again.promise() == Promise(9, "kari", 5.0, False)
-    again.forget_instance("a")
-    assert again.instances() == {}
+    assert again.journal.load_instances() == {"a": (SPEC, record)}
+    assert again.journal.load_token_record() == FencingTokenRecord(9, "kari", 5.0, False)
+    again.delete_instance("a")
+    assert again.journal.load_instances() == {}
     again.close()
 
 
@@ -77,20 +90,20 @@
 
 def test_a_generation_is_staged_shown_and_read(store):
     one, two = generation(1), generation(2, {"oakbridge.toml": "b"})
-    store.stage("a", one, FILES)
-    store.flip("a", one)
-    assert (store.shown("a"), store.read("a", one)) == (1, FILES)
-    assert (store.current("a") / "servers.toml").read_text() == "é\n"
-    store.stage("a", two, {"oakbridge.toml": "b"})
-    assert store.shown("a") == 1
-    store.flip("a", two)
-    store.unstage("a", two)  # it is shown: it stays
-    store.unstage("a", one)
-    assert store.shown("a") == 2 and not store.place("a", one).exists()
+    store.generations.stage("a", one, FILES)
+    store.generations.activate("a", one)
+    assert (store.generations.current_number("a"), store.generations.read_files("a", one)) == (1, FILES)
+    assert (store.generations.current_link("a") / "servers.toml").read_text() == "é\n"
+    store.generations.stage("a", two, {"oakbridge.toml": "b"})
+    assert store.generations.current_number("a") == 1
+    store.generations.activate("a", two)
+    store.generations.discard("a", two)  # it is shown: it stays
+    store.generations.discard("a", one)
+    assert store.generations.current_number("a") == 2 and not store.generations.folder("a", one).exists()
     with pytest.raises(StoreError, match="expected a staged generation"):
-        store.flip("a", one)
-    store.flip("a", Generation())
-    assert store.shown("a") == 0
+        store.generations.activate("a", one)
+    store.generations.activate("a", Generation())
+    assert store.generations.current_number("a") == 0
 
 
 @pytest.mark.parametrize(
@@ -103,28 +116,28 @@
 )  # fmt: skip
 def test_files_that_may_not_be_written_are_refused(store, files, says):
     with pytest.raises(StoreError, match=says):
-        store.stage("a", generation(1, files), files)
-    assert not store.place("a", generation(1)).exists()
+        store.generations.stage("a", generation(1, files), files)
+    assert not store.generations.folder("a", generation(1)).exists()
 
 
 def test_files_of_another_digest_are_refused(store):
     with pytest.raises(StoreError, match="not those of the digest"):
-        store.stage("a", Generation(1, "0" * 64), FILES)
+        store.generations.stage("a", Generation(1, "0" * 64), FILES)
 
 
 @pytest.mark.parametrize("name", ["", "..", "a/b", "x" * 101, ".a", "a b"])
 def test_names_stay_inside_the_state(store, name):
     with pytest.raises(StoreError):
-        store.current(name)
+        store.generations.current_link(name)
 
 
 def test_old_generations_go_but_for_those_that_are_needed(store):
     for n in range(1, 20):
-        store.stage("a", generation(n), FILES)
-    store.flip("a", generation(2))
-    store.tidy("a", Record(current=generation(2), previous=generation(1)))
-    left = sorted(int(p.name[4:]) for p in store.current("a").parent.glob("gen-*"))
-    assert left == [1, 2, *range(20 - KEPT, 20)]
+        store.generations.stage("a", generation(n), FILES)
+    store.generations.activate("a", generation(2))
+    store.generations.prune("a", InstanceRecord(current=generation(2), previous=generation(1)))
+    left = sorted(int(p.name[4:]) for p in store.generations.current_link("a").parent.glob("gen-*"))
+    assert left == [1, 2, *range(20 - RETAINED, 20)]
 
 
 # ---- killed at every step
@@ -133,9 +146,12 @@
 DRIVER = """
     import json, os, signal, sys
     from pathlib import Path
-    from oakbridge.agent import store as s
-    from oakbridge.agent.changer import Changer
-    from oakbridge.agent.instance import Generation, Instance, Record, Step
+    from oakbridge.agent import generations as s
+    from oakbridge.agent.executor import ActionExecutor
+    from oakbridge.agent.journal import AgentJournal
+    from oakbridge.agent.records import Generation, Step
+    from oakbridge.agent.state_machine import InstanceStateMachine
+    from oakbridge.agent.store import Store
 
     folder, kill_at, fate = Path(sys.argv[1]), int(sys.argv[2]), sys.argv[3]
     count = 0
@@ -154,30 +170,35 @@
         return call
 
     if kill_at:  # every way in which the store touches the disk
-        s.Store._write = counted("journal", s.Store._write)
+        AgentJournal._write = counted("journal", AgentJournal._write)
         s.os.fsync = counted("fsync", os.fsync)
         s.os.rename = counted("rename", os.rename)
         s.os.symlink = counted("symlink", os.symlink)
         s.shutil.rmtree = counted("rmtree", s.shutil.rmtree)
 
-    store = s.Store(folder)
-    spec, record = store.instances()["a"]
-    machine = Instance(record)
+    store = Store(folder)
+    spec, record = store.journal.load_instances()["a"]
+    machine = InstanceStateMachine(record)
     now, ran = 0, []
-    check = lambda place: "bad" if "bad" in (place / "oakbridge.toml").read_text() else ""
-    changer = Changer(store, "a", machine, check, lambda g: ran.append(g.number), lambda at: None)
-    changer.carry_out(now, machine.recover(now))
+    def check(generation):
+        staged = store.generations.folder("a", generation) / "oakbridge.toml"
+        return "bad" if "bad" in staged.read_text() else ""
+    executor = ActionExecutor(
+        store, "a", machine,
+        check_staged=check, run_generation=lambda g: ran.append(g.number), set_timer=lambda at: None,
+    )
+    executor.execute(now, machine.recover(now))
     text = {"took": "new", "bad": "bad", "dies": "new"}[fate]
     files = {"oakbridge.toml": text}
     target = Generation(2, s.digest_of(files))
     if machine.outcome("s") is None:
-        changer.order(now, Step("s", 2, target, 1, 10), files, lambda: "")
+        executor.begin_step(now, Step("s", 2, target, 1, 10), files, lambda: "")
     if machine.state.value == "watching":
         if fate == "dies":
-            changer.carry_out(now, machine.failed(now, "exit 1"))
+            executor.execute(now, machine.on_failed("exit 1"))
         else:
-            machine.ready(now)
-            changer.carry_out(100, machine.tick(100))
+            machine.on_ready(now)
+            executor.execute(100, machine.on_timer(100))
     print(json.dumps({"count": count, "ran": ran[-1] if ran else None}), flush=True)
     store.close()
 """
@@ -195,9 +216,9 @@
 def fresh(folder: Path) -> None:
     store = Store(folder)
     one = {"oakbridge.toml": "old"}
-    store.keep_instance("a", {}, Record(current=generation(1, one)))
-    store.stage("a", generation(1, one), one)
-    store.flip("a", generation(1, one))
+    store.journal.save_instance("a", SPEC, InstanceRecord(current=generation(1, one)))
+    store.generations.stage("a", generation(1, one), one)
+    store.generations.activate("a", generation(1, one))
     store.close()
 
 
@@ -215,9 +236,11 @@
         assert code == -signal.SIGKILL
         seen.append(tuple(json.loads(out.splitlines()[0])))
         store = Store(folder)  # between two generations at no moment
-        number = store.shown("a")
-        record = store.instances()["a"][1]
-        assert store.read("a", Generation(number)) == {"oakbridge.toml": "old" if number == 1 else "new"}
+        number = store.generations.current_number("a")
+        record = store.journal.load_instances()["a"][1]
+        assert store.generations.read_files("a", Generation(number)) == {
+            "oakbridge.toml": "old" if number == 1 else "new"
+        }
         store.close()
         if fate == "bad":
             assert number == 1
@@ -225,14 +248,17 @@
         code, _ = drive(folder, 0, fate)
         assert code == 0
         store = Store(folder)
-        record = store.instances()["a"][1]
+        record = store.journal.load_instances()["a"][1]
         [outcome] = record.outcomes
         ended_by_the_kill = outcome.reason == "the agent ended while it was staged"
         assert outcome.verdict.value in (verdicts[fate] | ({"did not"} if ended_by_the_kill else set()))
         wanted = "old" if ended_by_the_kill else text
-        assert store.read("a", record.current) == {"oakbridge.toml": wanted}
-        assert store.shown("a") == record.current.number and record.state is State.SETTLED
+        assert store.generations.read_files("a", record.current) == {"oakbridge.toml": wanted}
+        assert (
+            store.generations.current_number("a") == record.current.number
+            and record.state is ChangeState.SETTLED
+        )
         store.close()
         kill_at += 1
     assert len(seen) >= 15 and len({name for name, _ in seen}) >= 3
-    assert Instance(record).state is State.SETTLED
+    assert InstanceStateMachine(record).state is ChangeState.SETTLED
--- a/tests/formats/test_agent.py
+++ b/tests/formats/test_agent.py
@@ -6,12 +6,21 @@
 import json
 import shutil
 import sqlite3
+from dataclasses import replace
 from pathlib import Path
 
 import pytest
 
-from oakbridge.agent.instance import Generation, Outcome, Record, State, Step, Verdict
-from oakbridge.agent.lease import Promise
+from oakbridge.agent.lease import FencingTokenRecord
+from oakbridge.agent.records import (
+    ChangeState,
+    Generation,
+    InstanceRecord,
+    InstanceSpec,
+    Step,
+    StepOutcome,
+    Verdict,
+)
 from oakbridge.agent.store import Store
 
 FIXTURES = Path(__file__).parent / "fixtures" / "agent"
@@ -20,19 +29,25 @@
 ONE, TWO, THREE = Generation(1, "1" * 64), Generation(2, "2" * 64), Generation(3, "3" * 64)
 STEP = Step("rollout-3-n1", 3, THREE, 2, 5_000_000)
 OUTCOMES = (
-    Outcome("rollout-1-n1", Verdict.TOOK),
-    Outcome("rollout-2-n1", Verdict.DID_NOT, "class[0].aim: expected a time, got 'straks nå'"),
-    Outcome("back-1-n1", Verdict.UNDONE, "exit code 1"),
+    StepOutcome("rollout-1-n1", Verdict.APPLIED),
+    StepOutcome("rollout-2-n1", Verdict.REJECTED, "class[0].aim: expected a time, got 'straks nå'"),
+    StepOutcome("back-1-n1", Verdict.ROLLED_BACK, "exit code 1"),
 )
-SPEC = {"listen": ["127.0.0.1:7000", "127.0.0.1:7001"], "control": "/var/lib/oakbridge/n1.sock"}
-PROMISE = Promise(9, "kari", 1_700_000_000.25, released=False)
+SPEC = InstanceSpec(("127.0.0.1:7000", "127.0.0.1:7001"), Path("/var/lib/oakbridge/n1.sock"))
+PROMISE = FencingTokenRecord(9, "kari", 1_700_000_000.25, released=False)
 INSTANCES = {
-    "flipping": (SPEC, Record(State.FLIPPING, TWO, ONE, STEP, "", OUTCOMES)),
-    "new": (SPEC, Record()),
-    "settled": (SPEC | {"member": "127.0.0.1:7946"}, Record(State.SETTLED, TWO, ONE, None, "", OUTCOMES)),
-    "staging": (SPEC, Record(State.STAGING, TWO, ONE, STEP)),
-    "undoing": (SPEC, Record(State.UNDOING, TWO, ONE, STEP, "signal 9: no more memory", OUTCOMES[:1])),
-    "watching": (SPEC, Record(State.WATCHING, TWO, ONE, STEP, "", OUTCOMES[1:])),
+    "flipping": (SPEC, InstanceRecord(ChangeState.ACTIVATING, TWO, ONE, STEP, "", OUTCOMES)),
+    "new": (SPEC, InstanceRecord()),
+    "settled": (
+        replace(SPEC, member="127.0.0.1:7946"),
+        InstanceRecord(ChangeState.SETTLED, TWO, ONE, None, "", OUTCOMES),
+    ),
+    "staging": (SPEC, InstanceRecord(ChangeState.STAGING, TWO, ONE, STEP)),
+    "undoing": (
+        SPEC,
+        InstanceRecord(ChangeState.ROLLING_BACK, TWO, ONE, STEP, "signal 9: no more memory", OUTCOMES[:1]),
+    ),
+    "watching": (SPEC, InstanceRecord(ChangeState.WATCHING, TWO, ONE, STEP, "", OUTCOMES[1:])),
 }
 
 
@@ -57,10 +72,10 @@
 
 def write(folder: Path) -> None:
     store = Store(folder)
-    store.keep_promise(PROMISE)
+    store.journal.save_token_record(PROMISE)
     for name, (spec, record) in INSTANCES.items():
-        store.keep_instance(name, spec, Record())
-        store.keep_record(name, record)
+        store.journal.save_instance(name, spec, InstanceRecord())
+        store.journal.save_record(name, record)
     store.close()
 
 
@@ -70,15 +85,15 @@
 
 def test_the_promise_is_read(tmp_path):
     store = Store(copy(tmp_path / "old"))
-    assert store.promise() == PROMISE
+    assert store.journal.load_token_record() == PROMISE
     store.close()
 
 
 @pytest.mark.parametrize("name", INSTANCES)
 def test_each_instance_is_read(tmp_path, name):
     store = Store(copy(tmp_path / "old"))
-    assert store.instances()[name] == INSTANCES[name]
-    assert store.instances().keys() == INSTANCES.keys()
+    assert store.journal.load_instances()[name] == INSTANCES[name]
+    assert store.journal.load_instances().keys() == INSTANCES.keys()
     store.close()
 
 
@@ -89,8 +104,8 @@
 
 def test_what_is_read_is_written_back_as_it_was(tmp_path):
     store = Store(copy(tmp_path / "old"))
-    store.keep_promise(store.promise())
-    for name, (spec, record) in store.instances().items():
-        store.keep_instance(name, spec, record)
+    store.journal.save_token_record(store.journal.load_token_record())
+    for name, (spec, record) in store.journal.load_instances().items():
+        store.journal.save_instance(name, spec, record)
     store.close()
     assert rows(tmp_path / "old" / "agent.db") == STORED
--- a/tests/formats/test_fleet.py
+++ b/tests/formats/test_fleet.py
@@ -12,9 +12,20 @@
 import pytest
 from peers import LIMIT, run, soon
 
-from oakbridge.agent.instance import Generation, Outcome, Record, State, Step, Verdict
-from oakbridge.agent.runner import Agent
-from oakbridge.agent.store import Store, digest_of
+from oakbridge.agent.agent import Agent
+from oakbridge.agent.generations import digest_of
+from oakbridge.agent.operator_api import OperatorApi
+from oakbridge.agent.records import (
+    ChangeState,
+    Generation,
+    InstanceRecord,
+    InstanceSpec,
+    Step,
+    StepOutcome,
+    Verdict,
+)
+from oakbridge.agent.status_codec import encode_status
+from oakbridge.agent.store import Store
 from oakbridge.fleet import messages, pki
 from oakbridge.fleet.client import FleetClient
 from oakbridge.fleet.identity import Identity, IdentityKind, Role
@@ -95,10 +106,10 @@
 
 
 class Host(PlayedHost):
-    async def check(self, config: Path) -> str:
+    async def check_config(self, config: Path) -> str:
         if "# broken" in config.read_text("utf-8"):
             raise RuntimeError
-        return await super().check(config)
+        return await super().check_config(config)
 
 
 def make_agent() -> Agent:
@@ -106,24 +117,27 @@
     store = Store(Path("state"))
     one, two, three = (Generation(n, digest_of(FILES)) for n in (1, 2, 3))
     off = Generation(2, digest_of(DRAINED))
-    ended = Outcome("rollout-2-n1", Verdict.TOOK), Outcome("rollout-1-n1", Verdict.UNDONE, "exit code 1")
+    ended = (
+        StepOutcome("rollout-2-n1", Verdict.APPLIED),
+        StepOutcome("rollout-1-n1", Verdict.ROLLED_BACK, "exit code 1"),
+    )
     watched = Step("rollout-3-n3", 3, three, 2, WATCH)
     records = {
-        "n1": Record(State.SETTLED, two, one, None, "", ended),
-        "n2": Record(),
-        "n3": Record(State.WATCHING, two, one, watched),
-        "n4": Record(State.SETTLED, off, one),
+        "n1": InstanceRecord(ChangeState.SETTLED, two, one, None, "", ended),
+        "n2": InstanceRecord(),
+        "n3": InstanceRecord(ChangeState.WATCHING, two, one, watched),
+        "n4": InstanceRecord(ChangeState.SETTLED, off, one),
     }
     for name, record in records.items():
-        member = {"member": f"127.0.0.1:794{name[1]}"} if name == "n3" else {}
-        spec = {"listen": [f"127.0.0.1:700{name[1]}"], "control": f"state/{name}.sock"} | member
-        store.keep_instance(name, spec, record)
+        member = f"127.0.0.1:794{name[1]}" if name == "n3" else ""
+        spec = InstanceSpec((f"127.0.0.1:700{name[1]}",), Path(f"state/{name}.sock"), member)
+        store.journal.save_instance(name, spec, record)
     shown = {"n1": [(two, FILES)], "n3": [(two, FILES), (three, FILES)], "n4": [(off, DRAINED)]}
     for name, generations in shown.items():
         for generation, files in generations:
-            store.stage(name, generation, files)
-            store.flip(name, generation)
-    return Agent(store, AGENT, FLEET, "z1", Host(), look_s=0.01)
+            store.generations.stage(name, generation, files)
+            store.generations.activate(name, generation)
+    return Agent(store, AGENT, FLEET, "z1", Host(), poll_interval_s=0.01)
 
 
 @pytest.fixture
@@ -134,7 +148,7 @@
     monkeypatch.setattr("time.monotonic_ns", lambda: 5_000 * SECOND * 1000)
     monkeypatch.setattr("os.getpid", lambda: 4242)
     monkeypatch.setattr("oakbridge.standin.host.PIDS", itertools.count(101))
-    monkeypatch.setattr("oakbridge.agent.runner.__version__", "0.0.1")
+    monkeypatch.setattr("oakbridge.agent.status_codec.__version__", "0.0.1")
 
 
 async def exchange(server: AgentServer, authority: Path, who: str, request: bytes) -> bytes:
@@ -149,17 +163,19 @@
 async def play(authority: Path, requests: list[tuple[str, bytes]]) -> list[bytes]:
     """What an agent answers to these, one after another."""
     agent = make_agent()
-    server = AgentServer(tls(authority, AGENT), FLEET, agent.answer)
+    server = AgentServer(tls(authority, AGENT), FLEET, OperatorApi(agent).handle)
     await server.start(("127.0.0.1", 0))
-    agent.begin()
+    agent.start()
     try:
         async with asyncio.timeout(LIMIT):
-            while sum(i["answers"] and i["process"] == "running" for i in agent.describe()["instances"]) < 2:
+            while (
+                sum(i["answers"] and i["process"] == "running" for i in encode_status(agent)["instances"]) < 2
+            ):
                 await asyncio.sleep(0.01)
         return [await exchange(server, authority, who, request) for who, request in requests]
     finally:
         server.close()
-        agent.end()
+        agent.stop()
 
 
 def test_an_agent_answers_each_request_with_the_same_bytes(authority, still):
--- a/tests/rollout/played.py
+++ b/tests/rollout/played.py
@@ -4,8 +4,9 @@
 import random
 from pathlib import Path
 
-from oakbridge.agent.instance import Generation
-from oakbridge.agent.runner import Agent
+from oakbridge.agent.agent import Agent
+from oakbridge.agent.operator_api import OperatorApi
+from oakbridge.agent.records import Generation
 from oakbridge.agent.store import Store
 from oakbridge.fleet import codec, messages
 from oakbridge.fleet.client import AgentResponse, FleetClient
@@ -52,9 +53,9 @@
             await asyncio.sleep(3600)
         if (gate := self.frozen.get(agent.name)) is not None:
             await gate.wait()
-        got = await agent.answer(who, *codec.encode_request(request))
+        got = await OperatorApi(agent).handle(who, *codec.encode_request(request))
         if self.draw.random() < self.double:
-            got = await agent.answer(who, *codec.encode_request(request))
+            got = await OperatorApi(agent).handle(who, *codec.encode_request(request))
         if self.draw.random() < self.lose:
             await asyncio.sleep(3600)
         return got
@@ -99,7 +100,7 @@
 
     async def __aexit__(self, *_) -> None:
         for agent in self.agents.values():
-            agent.end()
+            agent.stop()
         tasks = list(self.network.tasks)
         for task in tasks:
             task.cancel()
@@ -107,10 +108,10 @@
 
     def start(self, name: str) -> None:
         store = Store(self.folder / name)
-        agent = Agent(store, name, "f", f"z{len(self.agents) % 2}", self.hosts[name], look_s=0.02)
+        agent = Agent(store, name, "f", f"z{len(self.agents) % 2}", self.hosts[name], poll_interval_s=0.02)
         for i in range(self.each):
-            agent.add(f"n{i}", ["127.0.0.1:1"], self.folder / name / f"n{i}.sock")
-        agent.begin()
+            agent.add_instance(f"n{i}", ["127.0.0.1:1"], self.folder / name / f"n{i}.sock")
+        agent.start()
         self.agents[name] = agent
 
     def operator(self, name: str = "kari", within_s: float = 5.0) -> Direct:
@@ -167,7 +168,7 @@
         for name, agent in self.agents.items():
             for i in range(self.each):
                 node = self.hosts[name].nodes.get(self.folder / name / f"n{i}.sock")
-                place = agent.store.current(f"n{i}")
+                place = agent.store.generations.current_link(f"n{i}")
                 text = (place / "oakbridge.toml").read_text() if place.exists() else 'aim = "-"'
                 word = text.split('aim = "')[1].split('"')[0]
                 found[f"{name}/n{i}"] = word if node is not None and not node.gone else "-"
@@ -175,8 +176,8 @@
 
     def files(self, name: str) -> dict[str, str]:
         agent, _, instance = name.partition("/")
-        store = self.agents[agent].store
-        return store.read(instance, Generation(store.shown(instance)))
+        generations = self.agents[agent].store.generations
+        return generations.read_files(instance, Generation(generations.current_number(instance)))
 
 
 def fates(conductor: Conductor) -> dict[str, str]:
--- a/tests/rollout/test_doctor.py
+++ b/tests/rollout/test_doctor.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from oakbridge.agent.file import BadAgentFile, read
+from oakbridge.agent.config import read_agent_config
+from oakbridge.agent.errors import AgentConfigError
 from oakbridge.rollout.doctor import BAD, NOTE, examine
 
 WELL = {
@@ -61,7 +62,7 @@
     lines = 'name="h"\nfleet="f"\nlisten="127.0.0.1:1"\nstate="s"\nauthority="a"\ncertificate="c"\n'
     path = tmp_path / "agent.toml"
     path.write_text(lines + '[[instance]]\nname="n"\nlisten=["127.0.0.1:2"]\nmember="127.0.0.1:3"\n')
-    assert read(path).members == {"n": "127.0.0.1:3"}
+    assert [(i.name, i.member) for i in read_agent_config(path).instances] == [("n", "127.0.0.1:3")]
     path.write_text(lines + '[[instance]]\nname="n"\nlisten=["127.0.0.1:2"]\nmember="here"\n')
-    with pytest.raises(BadAgentFile, match=r"instance\[0\].member: expected"):
-        read(path)
+    with pytest.raises(AgentConfigError, match=r"instance\[0\].member: expected"):
+        read_agent_config(path)
--- a/tests/rollout/test_fifty.py
+++ b/tests/rollout/test_fifty.py
@@ -17,7 +17,7 @@
 import pytest
 from peers import LIMIT, free_ports
 
-from oakbridge.agent.process import listener_pid
+from oakbridge.agent.node_process import listener_pid
 from oakbridge.control.client import ControlClient, Unreachable
 from oakbridge.fleet import pki
 from oakbridge.fleet.identity import Identity, IdentityKind, Role
--- a/tests/rollout/test_kills.py
+++ b/tests/rollout/test_kills.py
@@ -12,6 +12,7 @@
 from peers import LIMIT, run
 from played import PlayedFleet
 
+from oakbridge.agent.operator_api import OperatorApi
 from oakbridge.fleet import pki
 from oakbridge.fleet.identity import Identity, IdentityKind, Role
 from oakbridge.fleet.inventory import Inventory, write_inventory
@@ -48,7 +49,7 @@
                     folder, Identity("f", IdentityKind.AGENT, name, Role.READ), folder / "agents" / name
                 )
                 tls = pki.tls_context(folder / "ca.crt", folder / "agents" / name, server=True)
-                servers.append(AgentServer(tls, "f", agent.answer))
+                servers.append(AgentServer(tls, "f", OperatorApi(agent).handle))
                 await servers[-1].start(("127.0.0.1", 0))
                 addresses[name] = servers[-1].address
             write_inventory(folder, Inventory("f", addresses))
--- a/tests/rollout/test_played.py
+++ b/tests/rollout/test_played.py
@@ -70,7 +70,7 @@
         async with PlayedFleet(tmp_path, 6, **setup) as fleet:
             await fleet.first()
             if plays == "mute":  # the only one that has to run out of this time; the others must not
-                monkeypatch.setattr("oakbridge.agent.instance.READY_WITHIN", 2_000_000)
+                monkeypatch.setattr("oakbridge.agent.state_machine.READY_TIMEOUT_US", 2_000_000)
             options = Options(watch=0.3, window=0.6, silent=20.0, rules=Rules())
             waves = Waves(canary=1, shares=(0.5, 1.0), unavailable=1)
             done = await fleet.roll(Whole(config("2s", plays)), waves=waves, undo=True, options=options)
@@ -213,9 +213,9 @@
             await fleet.first()
 
             async def change(conductor):
-                fleet.agents["h2"].managed.pop("n0").end()
-                fleet.agents["h0"].add("n9", ["127.0.0.1:1"], fleet.folder / "h0" / "n9.sock")
-                fleet.agents["h0"].managed.update(fleet.agents["h0"].spawn("n9"))
+                fleet.agents["h2"].instances.pop("n0").stop()
+                fleet.agents["h0"].add_instance("n9", ["127.0.0.1:1"], fleet.folder / "h0" / "n9.sock")
+                fleet.agents["h0"].start_instance("n9")
 
             done = await fleet.roll(Whole(config("2s")), waves=Waves(0, (0.4, 1.0), False, 1), during=change)
             assert fates(done)["h2/n0"] == "did not" and "there is no n0 here" in done.machine.record.reason
--- a/tests/rollout/test_protocol.py
+++ b/tests/rollout/test_protocol.py
@@ -8,8 +8,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from oakbridge.agent import instance as inst
-from oakbridge.agent.lease import Granted, Lease, Promise
+from oakbridge.agent.actions import ActivateGeneration, PersistRecord, SetTimer, StageGeneration
+from oakbridge.agent.errors import StepConflictError, StepInProgressError
+from oakbridge.agent.lease import FencingTokenRecord, Lease, LeaseGranted
+from oakbridge.agent.records import ChangeState, Generation, InstanceRecord, Step
+from oakbridge.agent.state_machine import InstanceStateMachine
 from oakbridge.fleet.quorum import majority
 from oakbridge.rollout import news
 from oakbridge.rollout.gate import Judgement, Word
@@ -27,19 +30,19 @@
 class Agent:
     """One agent with its disk; actions of its instance are carried out as its shell would."""
 
-    promise: Promise = Promise()
-    record: inst.Record = inst.Record()
+    token_record: FencingTokenRecord = FencingTokenRecord()
+    record: InstanceRecord = InstanceRecord()
     link: int = 0
     steps: list[int] = field(default_factory=list)  # tokens of the steps that began here, in order
     due: int | None = None
 
     def __post_init__(self):
-        self.lease, self.machine = Lease(self.promise, 0), inst.Instance(self.record)
+        self.lease, self.machine = Lease(self.token_record, 0), InstanceStateMachine(self.record)
 
     def restart(self, now):
         self.lease, self.machine, self.due = (
-            Lease(self.promise, now, 10 * S),
-            inst.Instance(self.record),
+            Lease(self.token_record, now, 10 * S),
+            InstanceStateMachine(self.record),
             None,
         )
         self.carry(now, self.machine.recover(now))
@@ -48,26 +51,29 @@
         queue = list(actions)
         while queue:
             action = queue.pop(0)
-            if isinstance(action, inst.Keep):
+            if isinstance(action, PersistRecord):
                 self.record = action.record
-            elif isinstance(action, inst.Stage):
+            elif isinstance(action, StageGeneration):
                 refused = self.lease.check(now, token, who)
-                queue += self.machine.staged(now, problem, refused.reason if refused else "")
-            elif isinstance(action, inst.Flip):
+                queue += self.machine.on_staged(problem or (refused.reason if refused else ""))
+            elif isinstance(action, ActivateGeneration):
                 self.link = action.target.number
-                queue += self.machine.flipped(now)
-            elif isinstance(action, inst.Wake):
-                self.due = action.at
+                queue += self.machine.on_activated(now)
+            elif isinstance(action, SetTimer):
+                self.due = action.at_us
 
     def order(self, now, step, who, problem):
         """A step as the shell takes it: the lease is asked first.  Returns why it never can begin, if so."""
-        if self.machine.outcome(step.id) is not None or self.lease.check(now, step.token, who) is not None:
+        if (
+            self.machine.outcome(step.step_id) is not None
+            or self.lease.check(now, step.token, who) is not None
+        ):
             return ""
         try:
-            actions = self.machine.order(now, step)
-        except inst.UnderWay:
+            actions = self.machine.begin_step(step)
+        except StepInProgressError:
             return ""
-        except inst.Busy as e:
+        except StepConflictError as e:
             return str(e)
         if actions:
             self.steps.append(step.token)
@@ -76,9 +82,9 @@
 
     def tells(self):
         r = self.record
-        step = None if r.step is None else {"id": r.step.id}
-        outcomes = [[o.step, o.verdict.value, o.reason] for o in r.outcomes]
-        return {"generation": r.current.number, "step": step, "outcomes": outcomes}, self.lease.promise.token
+        step = None if r.step is None else {"id": r.step.step_id}
+        outcomes = [[o.step_id, o.verdict.value, o.reason] for o in r.outcomes]
+        return {"generation": r.current.number, "step": step, "outcomes": outcomes}, self.lease.record.token
 
 
 @dataclass
@@ -106,7 +112,7 @@
 
     def ask(self, who):
         tool = self.tools[who]
-        tool.token = 1 + max(a.lease.promise.token for a in self.agents.values())
+        tool.token = 1 + max(a.lease.record.token for a in self.agents.values())
         tool.granted = set()
         self.bag += [("acquire", who, host, tool.token) for host in HOSTS]
 
@@ -179,8 +185,8 @@
             return self.bag.append(("acquire", who, target.agent, tool.token))
         make = news.back_id if back else news.step_id
         number, base = (tool.token, tool.rollout) if back else (tool.rollout, target.base)
-        step = inst.Step(
-            make(tool.rollout, f"{target.agent}-n"), tool.token, inst.Generation(number, f"{number}"), base, S
+        step = Step(
+            make(tool.rollout, f"{target.agent}-n"), tool.token, Generation(number, f"{number}"), base, S
         )
         self.bag.append(("step", who, target.agent, step))
 
@@ -251,17 +257,20 @@
         agent, tool = self.agents[host], self.tools[who]
         if kind == "acquire":
             got = agent.lease.acquire(self.now, what, who, 60 * S, 0.0)
-            if isinstance(got, Granted):
-                agent.promise = agent.lease.promise
+            if isinstance(got, LeaseGranted):
+                agent.token_record = agent.lease.record
                 self.bag.append(("granted", who, host, what))
-            elif not got.ends_in and got.holder != who:
+            elif not got.expires_in_us and got.holder != who:
                 self.bag.append(("outbid", who, host, got.token))
         elif kind == "renew":
-            if not isinstance(agent.lease.renew(self.now, what, who, 60 * S), Granted) and what == tool.token:
+            if (
+                not isinstance(agent.lease.renew(self.now, what, who, 60 * S), LeaseGranted)
+                and what == tool.token
+            ):
                 self.loses(who, host)
         elif kind == "release":
             agent.lease.release(self.now, what, who)
-            agent.promise = agent.lease.promise
+            agent.token_record = agent.lease.record
         elif kind == "granted":
             if what == tool.token:
                 tool.granted.add(host)
@@ -270,7 +279,7 @@
                 self.ask(who)
         elif kind == "step":
             if refused := agent.order(self.now, what, who, problem):
-                self.bag.append(("refused", who, host, (what.id, refused)))
+                self.bag.append(("refused", who, host, (what.step_id, refused)))
         elif kind == "refused" and tool.machine is not None:
             if what[0] == news.step_id(tool.rollout, f"{host}-n"):
                 self.do(who, tool.machine.ended(f"{host}/n", Fate.DID_NOT, what[1]))
@@ -311,9 +320,7 @@
         if how == "killed":
             agent.restart(self.now)
         else:
-            react = (
-                agent.machine.ready(self.now) if how == "ready" else agent.machine.failed(self.now, "exit 1")
-            )
+            react = agent.machine.on_ready(self.now) if how == "ready" else agent.machine.on_failed("exit 1")
             agent.carry(self.now, react)
 
     @rule(by=st.sampled_from([1, 2, 20, 70]))
@@ -322,25 +329,25 @@
         for agent in self.agents.values():
             if agent.due is not None and agent.due <= self.now:
                 agent.due = None
-                agent.carry(self.now, agent.machine.tick(self.now))
+                agent.carry(self.now, agent.machine.on_timer(self.now))
 
     # ---- what holds at every moment
 
     @invariant()
     def two_never_hold_a_majority(self):
-        alive = [a.lease.promise.holder for a in self.agents.values() if a.lease.alive(self.now)]
+        alive = [a.lease.record.holder for a in self.agents.values() if a.lease.is_active(self.now)]
         assert sum(alive.count(who) >= majority(len(HOSTS)) for who in set(alive)) <= 1
 
     @invariant()
     def steps_of_two_leases_are_never_interleaved(self):
         for agent in self.agents.values():
-            assert agent.steps == sorted(agent.steps) and agent.promise == agent.lease.promise
+            assert agent.steps == sorted(agent.steps) and agent.token_record == agent.lease.record
 
     @invariant()
     def the_link_shows_what_the_record_says(self):
         for agent in self.agents.values():
             r = agent.record
-            if r.state is inst.State.SETTLED:
+            if r.state is ChangeState.SETTLED:
                 assert agent.link == r.current.number
             assert agent.link in (r.current.number, r.step and r.step.target.number)
 
@@ -352,7 +359,7 @@
                 continue
             for name, row in tool.machine.report().items():
                 host = name[0]
-                outcomes = {o.step: o.verdict.value for o in self.agents[host].record.outcomes}
+                outcomes = {o.step_id: o.verdict.value for o in self.agents[host].record.outcomes}
                 mine = outcomes.get(news.step_id(tool.rollout, f"{host}-n"))
                 back = outcomes.get(news.back_id(tool.rollout, f"{host}-n"))
                 if row.fate is Fate.TOOK:
@@ -400,7 +407,7 @@
             assert last.machine is None, self.tell(who)
 
     def tell(self, who):
-        return self.tools[who], {h: (a.lease.promise, a.record, a.steps) for h, a in self.agents.items()}
+        return self.tools[who], {h: (a.lease.record, a.record, a.steps) for h, a in self.agents.items()}
 
     def settle(self):
         """All that is under way arrives, and what begins has its end."""
