--- a/oakbridge/agent/host.py
+++ b/oakbridge/agent/host.py
@@ -8,6 +8,8 @@
 from pathlib import Path
 from typing import Any, Protocol
 
+from oakbridge.control.protocol import ControlCommand
+
 ExitCallback = Callable[[str], None]  # is called once, with how the process ended
 
 
@@ -58,5 +60,5 @@
     async def check_config(self, config: Path) -> str:
         """Return what the node's own checker finds wrong with a configuration, in one line; "" if nothing."""
 
-    async def query_node(self, control: Path, command: str, **arguments: Any) -> Any:
-        """Query a node over its control socket.  Raises OSError, EOFError, ValueError or a Refusal."""
+    async def query_node(self, control: Path, command: ControlCommand, **arguments: Any) -> Any:
+        """Query a node over its control socket.  Raises OSError, EOFError, ValueError or RequestRejectedError."""
--- a/oakbridge/agent/local_host.py
+++ b/oakbridge/agent/local_host.py
@@ -66,15 +66,15 @@
             return ""
         return _first_problem(errors.decode("utf-8", "replace"))
 
-    async def query_node(self, control: Path, command: str, **arguments: Any) -> Any:
-        """Query a node over its control socket.  Raises OSError, EOFError, ValueError or a Refusal."""
-        reader, writer = await asyncio.open_unix_connection(str(control), limit=protocol.MAX_ANSWER)
+    async def query_node(self, control: Path, command: protocol.ControlCommand, **arguments: Any) -> Any:
+        """Query a node over its control socket.  Raises OSError, EOFError, ValueError or RequestRejectedError."""
+        reader, writer = await asyncio.open_unix_connection(str(control), limit=protocol.MAX_RESPONSE_BYTES)
         try:
-            writer.write(protocol.request(command, arguments))
+            writer.write(protocol.encode_request(command, arguments))
             line = await reader.readline()
             if not line:
                 raise EOFError
-            return protocol.read_answer(line)
+            return protocol.decode_response(line)
         finally:
             writer.transport.abort()
 
--- a/oakbridge/agent/managed_instance.py
+++ b/oakbridge/agent/managed_instance.py
@@ -21,7 +21,8 @@
 from oakbridge.agent.store import Store
 from oakbridge.agent.supervised_node import SupervisedNode
 from oakbridge.agent.timers import Timers
-from oakbridge.control import protocol
+from oakbridge.control.errors import RequestRejectedError
+from oakbridge.control.protocol import ControlCommand
 from oakbridge.process import supervisor as sup
 
 log = logging.getLogger(__name__)
@@ -180,8 +181,8 @@
             await asyncio.sleep(self._poll_interval_s)
             try:
                 async with asyncio.timeout(POLL_TIMEOUT_S):
-                    answer = await self._host.query_node(self.spec.control, "status", rows=0)
-            except (OSError, TimeoutError, EOFError, ValueError, protocol.Refusal):
+                    answer = await self._host.query_node(self.spec.control, ControlCommand.STATUS, rows=0)
+            except (OSError, TimeoutError, EOFError, ValueError, RequestRejectedError):
                 self.node_answer = {}
                 continue
             self.node_answer = answer
--- a/oakbridge/agent/status_codec.py
+++ b/oakbridge/agent/status_codec.py
@@ -54,7 +54,7 @@
         "pid": instance.node.pid,
         "runs": instance.running_generation,
         "crashes": supervisor.total_crashes,
-        "crash_loop": supervisor.crash_loop,
+        "crash_loop": supervisor.is_crash_looping,
         "last_exit": supervisor.last_exit,
         "answers": bool(instance.node_answer),
         "heard": instance.answered_at_s,
--- a/oakbridge/agent/supervised_node.py
+++ b/oakbridge/agent/supervised_node.py
@@ -60,8 +60,7 @@
         if self.process is None:
             return
         log.info("%s: found running as process %d", self._name, self.process.pid)
-        self.supervisor.state = sup.State.RUNNING
-        self.supervisor.wanted = True
+        self.supervisor.adopt()
 
     def detach(self) -> None:
         """Leave the process as it is, and stop watching it."""
@@ -93,7 +92,7 @@
                     self._send_signal(signal.SIGTERM)
                 case sup.Kill():
                     self._send_signal(signal.SIGKILL)
-                case sup.Wake(at):
+                case sup.SetTimer(at):
                     self._timers.schedule(at, self._on_timer)
 
     def _on_timer(self) -> None:
--- a/oakbridge/control/protocol.py
+++ b/oakbridge/control/protocol.py
@@ -1,114 +1,124 @@
-"""The control socket's wire: one JSON object a line, a request and its answer; bounded, versioned, no I/O.
+"""Encode and decode the control socket's messages: one JSON object a line, without I/O.
 
     {"v": 1, "do": "status", "rows": 200}
     {"v": 1, "ok": true, "result": {...}}
     {"v": 1, "ok": false, "error": "..."}
 
-A connection carries one request after another.  A line that is too long or no JSON ends it with an error.
+Messages carry a version, and lines are bounded.  A connection carries one request after another; a
+line that is too long ends it with an error.
 """
 
 from __future__ import annotations
 
 import json
+from collections.abc import Mapping
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any
 
+from oakbridge.control.errors import ProtocolError, RequestRejectedError
+
 VERSION = 1
-MAX_REQUEST = 64 * 1024
-MAX_ANSWER = 64 * 1024 * 1024
-COMMANDS = (
-    "status",
-    "servers.accept",
-    "servers.look",
-    "peers",
-    "peers.why",
-    "sites",
-    "sites.why",
-    "sites.operate",
-    "spread",
-)
+MAX_REQUEST_BYTES = 64 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+
+JsonObject = dict[str, Any]
 
-Raw = dict[str, Any]
 
+class ControlCommand(StrEnum):
+    """What a node can be asked; the value is the name on the wire."""
 
-class ProtocolError(ValueError):
-    """A line that the wire does not allow; the text says what was expected."""
+    STATUS = "status"
+    ACCEPT_SERVER_LIST = "servers.accept"
+    FETCH_SERVER_LIST = "servers.look"
+    PEERS = "peers"
+    PEER_HISTORY = "peers.why"
+    SITES = "sites"
+    SITE_HISTORY = "sites.why"
+    DRAIN_OR_RETURN_SITE = "sites.operate"
+    SPREAD = "spread"
 
 
-class Refusal(Exception):
-    """The other side understood, and says no; the text is its reason."""
+PEER_COMMANDS = frozenset({ControlCommand.PEERS, ControlCommand.PEER_HISTORY})
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What a node is asked."""
+    """A command and its arguments as they came; ``arguments`` of this package checks them."""
 
-    do: str
-    arguments: Raw = field(default_factory=dict)
+    command: ControlCommand
+    arguments: JsonObject = field(default_factory=dict)
 
 
-class Lines:
-    """Cuts a stream of bytes into lines, within a bound."""
+class LineSplitter:
+    """Split a stream of bytes into lines of bounded length."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._rest = bytearray()
+    def __init__(self, max_line_bytes: int) -> None:
+        self._max_line_bytes = max_line_bytes
+        self._partial_line = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes in; returns the lines that are whole now.  Raises :class:`ProtocolError`."""
-        self._rest += data
-        *lines, rest = bytes(self._rest).split(b"\n")
-        self._rest = bytearray(rest)
-        if any(len(line) > self._most for line in (*lines, rest)):
-            raise ProtocolError(f"expected lines of at most {self._most} bytes")
+        """Take bytes in and return the lines that are complete now.
+
+        Raises ProtocolError for a line that is too long.
+        """
+        *lines, partial_line = (self._partial_line + data).split(b"\n")
+        self._partial_line = partial_line
+        if any(len(line) > self._max_line_bytes for line in (*lines, partial_line)):
+            raise ProtocolError(f"lines of at most {self._max_line_bytes} bytes")
         return lines
 
 
-def encode(message: Raw) -> bytes:
-    """A message's line."""
-    return json.dumps({"v": VERSION, **message}, separators=(",", ":")).encode() + b"\n"
-
-
-def _decode(line: bytes) -> Raw:
-    try:
-        message = json.loads(line)
-    except (ValueError, RecursionError):
-        raise ProtocolError("expected a JSON object in a line") from None
-    if not isinstance(message, dict):
-        raise ProtocolError("expected a JSON object in a line")
-    if message.get("v") != VERSION:
-        raise ProtocolError(f"v: expected {VERSION}, got {message.get('v')!r:.20}")
-    return message
-
+def encode_request(command: ControlCommand, arguments: Mapping[str, Any]) -> bytes:
+    """Return a request's line."""
+    return _encode({**arguments, "do": command})
 
-def read_request(line: bytes) -> Request:
-    """A request from its line.  Raises :class:`ProtocolError`."""
-    message = _decode(line)
-    do = message.pop("do", None)
-    if do not in COMMANDS:
-        raise ProtocolError(f"do: expected one of {', '.join(COMMANDS)}, got {do!r:.60}")
-    message.pop("v")
-    return Request(do, message)
 
+def encode_response(result: Any) -> bytes:
+    """Return the line of a response to a request that was carried out."""
+    return _encode({"ok": True, "result": result})
 
-def request(do: str, arguments: Raw) -> bytes:
-    """A request's line."""
-    return encode({**arguments, "do": do})
 
+def encode_error(reason: str) -> bytes:
+    """Return the line of a response to a request that was not carried out."""
+    return _encode({"ok": False, "error": reason})
 
-def answer(result: Any) -> bytes:
-    """A good answer's line."""
-    return encode({"ok": True, "result": result})
 
+def decode_request(line: bytes) -> Request:
+    """Read a request from its line.  Raises ProtocolError."""
+    message = _decode(line)
+    name = message.pop("do", None)
+    try:
+        command = ControlCommand(name)
+    except ValueError:
+        raise ProtocolError(f"one of {', '.join(ControlCommand)}", field="do", got=f"{name!r:.60}") from None
+    return Request(command, message)
 
-def refusal(text: str) -> bytes:
-    """The line of an answer that says no."""
-    return encode({"ok": False, "error": text})
 
+def decode_response(line: bytes) -> Any:
+    """Read the result from a response's line.
 
-def read_answer(line: bytes) -> Any:
-    """An answer's result.  Raises :class:`Refusal` with what the node said, or :class:`ProtocolError`."""
+    Raises ProtocolError, or RequestRejectedError with the node's reason.
+    """
     message = _decode(line)
     if message.get("ok") is True:
         return message.get("result")
-    raise Refusal(str(message.get("error") or "refused without a reason"))
+    raise RequestRejectedError(str(message.get("error") or "refused without a reason"))
+
+
+def _encode(message: JsonObject) -> bytes:
+    return json.dumps({"v": VERSION, **message}, separators=(",", ":")).encode() + b"\n"
+
+
+def _decode(line: bytes) -> JsonObject:
+    """Read a message without its version.  Raises ProtocolError."""
+    try:
+        message = json.loads(line)
+    except (ValueError, RecursionError):
+        raise ProtocolError("a JSON object in a line") from None
+    if not isinstance(message, dict):
+        raise ProtocolError("a JSON object in a line")
+    version = message.pop("v", None)
+    if version != VERSION:
+        raise ProtocolError(f"{VERSION}", field="v", got=f"{version!r:.20}")
+    return message
--- /dev/null
+++ b/oakbridge/handover/state_machine.py
@@ -0,0 +1,174 @@
+"""Both sides of a hand-over as state machines: messages and events in, actions out.  Pure.
+
+The predecessor serves unchanged until the successor is ready, so that a successor that fails
+before that changes nothing.  From then on the successor accepts clients, and the predecessor
+completes what it has.  The successor waits for the predecessor at each step for a bounded time and
+goes on without it: no failure of the predecessor ends the successor.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+
+from oakbridge.handover.actions import (
+    ApplyCommand,
+    BuildNode,
+    Disconnect,
+    DrainToSuccessor,
+    PredecessorAction,
+    ReserveForPredecessor,
+    ResumeServing,
+    Send,
+    SendWelcome,
+    StartServing,
+    SuccessorAction,
+)
+from oakbridge.handover.messages import (
+    Decline,
+    Hello,
+    Message,
+    OperatorCommand,
+    Ready,
+    RemainingLoad,
+    TakeOver,
+    Welcome,
+    wire_kind,
+)
+
+# Reasons on the wire for which a successor is declined.
+HAS_SUCCESSOR = "another process takes over"
+SHUTTING_DOWN = "ends"
+
+
+class PredecessorState(Enum):
+    """The state of the process that runs."""
+
+    SERVING = "serving"  # without a successor
+    SUCCESSOR_STARTING = "successor starting"
+    DRAINING = "draining"  # the successor serves
+
+
+class PredecessorStateMachine:
+    """The process that runs and hands over to one successor at most."""
+
+    def __init__(self, node_name: str) -> None:
+        self.node_name = node_name
+        self.state = PredecessorState.SERVING
+        self.shutting_down = False
+
+    def receive(self, message: Message) -> list[PredecessorAction]:
+        """Handle a message of the successor, or of a process that asks to become it."""
+        match message:
+            case Hello():
+                return self._welcome_or_decline(message)
+            case Ready() if self.state is PredecessorState.SUCCESSOR_STARTING:
+                self.state = PredecessorState.DRAINING
+                return [DrainToSuccessor()]
+            case OperatorCommand() if self.relays_commands:
+                return [ApplyCommand(message)]
+            case _:
+                reason = f"{wire_kind(message)} is not expected now"
+                return [Send(Decline(reason)), *self.disconnected()]
+
+    def _welcome_or_decline(self, hello: Hello) -> list[PredecessorAction]:
+        reason = self._reason_to_decline(hello)
+        if reason is not None:
+            return [Send(Decline(reason)), Disconnect()]
+        self.state = PredecessorState.SUCCESSOR_STARTING
+        return [SendWelcome()]
+
+    def _reason_to_decline(self, hello: Hello) -> str | None:
+        if hello.node_name != self.node_name:
+            return f"this is {self.node_name}"
+        if self.shutting_down:
+            return SHUTTING_DOWN
+        if self.state is not PredecessorState.SERVING:
+            return HAS_SUCCESSOR
+        return None
+
+    def disconnected(self) -> list[PredecessorAction]:
+        """Handle that the successor is gone, or breaks the protocol."""
+        was_draining = self.state is PredecessorState.DRAINING
+        self.state = PredecessorState.SERVING
+        if was_draining and not self.shutting_down:
+            return [Disconnect(), ResumeServing()]
+        return [Disconnect()]
+
+    def begin_shutdown(self) -> None:
+        """Handle that this process was told to end: it never serves again."""
+        self.shutting_down = True
+
+    @property
+    def relays_commands(self) -> bool:
+        """Whether operators' commands have to be carried out in the successor too."""
+        return self.state is not PredecessorState.SERVING
+
+
+class SuccessorState(Enum):
+    """The state of the process that was started, beside another one or alone."""
+
+    CONNECTING = "connecting"  # until the predecessor's welcome
+    BUILDING = "building"
+    TAKING_OVER = "taking over"  # ready, until the predecessor lets it serve
+    SERVING = "serving"
+
+
+class SuccessorStateMachine:
+    """The process that was started: it takes over if it can, and serves in any case."""
+
+    def __init__(self, node_name: str) -> None:
+        self.node_name = node_name
+        self.state = SuccessorState.CONNECTING
+        self.has_predecessor = True  # until the contrary is known
+
+    def connected(self) -> list[SuccessorAction]:
+        """Handle that a predecessor was found."""
+        return [Send(Hello(self.node_name))]
+
+    def receive(self, message: Message) -> list[SuccessorAction]:
+        """Handle a message of the predecessor; one that declines is done without."""
+        match message:
+            case Welcome() if self.state is SuccessorState.CONNECTING:
+                self.state = SuccessorState.BUILDING
+                return [BuildNode(message)]
+            case TakeOver() if self.state is SuccessorState.TAKING_OVER:
+                self.state = SuccessorState.SERVING
+                return [StartServing(message.policy_state)]
+            case RemainingLoad() if self.state is SuccessorState.SERVING:
+                return [ReserveForPredecessor(message)]
+            case OperatorCommand() if self.state is not SuccessorState.CONNECTING:
+                return [ApplyCommand(message)]
+            case _:
+                return self.disconnected()
+
+    def node_built(self) -> list[SuccessorAction]:
+        """Handle that the node is built and can serve."""
+        if self.has_predecessor:
+            self.state = SuccessorState.TAKING_OVER
+            return [Send(Ready())]
+        self.state = SuccessorState.SERVING
+        return [StartServing(None)]
+
+    def timed_out(self) -> list[SuccessorAction]:
+        """Handle that the predecessor has not answered in time."""
+        if self.state in (SuccessorState.CONNECTING, SuccessorState.TAKING_OVER):
+            return self.disconnected()
+        return []
+
+    def disconnected(self) -> list[SuccessorAction]:
+        """Handle that there is no predecessor, or that it declines or breaks the protocol."""
+        if not self.has_predecessor:
+            return []
+        self.has_predecessor = False
+        if self.state is SuccessorState.CONNECTING:
+            self.state = SuccessorState.BUILDING
+            return [Disconnect(), BuildNode(None)]
+        if self.state is SuccessorState.TAKING_OVER:
+            self.state = SuccessorState.SERVING
+            return [Disconnect(), StartServing(None)]
+        return [Disconnect()]
+
+    @property
+    def relays_commands(self) -> bool:
+        """Whether operators' commands have to be carried out in the predecessor too."""
+        return self.has_predecessor and self.state is not SuccessorState.CONNECTING
--- a/oakbridge/rollout/machine.py
+++ b/oakbridge/rollout/machine.py
@@ -1,293 +1,225 @@
-"""A rollout from its first step to its report: what is sent when, when to halt, what to undo.  Pure.
+"""The state machine of a rollout: when to send which step, when to halt, what to roll back.  Pure.
 
     running -> gating -> running ... -> done
        |          |
        v          v
-    halted  (or undoing -> undone, where that was asked for)
+    halted  (or rolling back -> rolled back, where that was asked for)
 
-A rollout that is over and left instances unknown may begin again (``resume``): in one that was done they get their
-step again; in one that was halted nothing more is changed, and they are only asked how their step ended.
+A rollout that is over and left instances unknown may be resumed: in one that was done they get
+their step again; in one that was halted nothing more is changed, and the agents are only asked how
+the step ended.
 
-:class:`Keep` comes before what it speaks of, so that a tool that is killed goes on from its journal: a step that may
-have been sent is sent again, under the same id, and the agent answers as it did.  An instance of which nothing is
-heard is *unknown*, never counted as changed or as unchanged; it takes up one of the places of those that may be
-unavailable, until it is heard of again.
+:class:`Persist` precedes the actions that depend on it, so that a tool that is killed resumes from
+its journal: a step that may have been sent is sent again under the same id, and the agent answers
+as it did before.  An instance without an answer is *unknown*, never counted as changed or as
+unchanged; it counts as unavailable until it is heard of again.
 """
 
 from __future__ import annotations
 
 import dataclasses
-from dataclasses import dataclass
-from enum import Enum
-
-from oakbridge.rollout.gate import Judgement, Word
+from collections.abc import Sequence, Set
+
+from oakbridge.rollout.actions import (
+    Action,
+    EvaluateGate,
+    Finish,
+    Persist,
+    ResolveStep,
+    RollBack,
+    SendStep,
+)
+from oakbridge.rollout.gate import GateResult, Verdict
 from oakbridge.rollout.plan import Target
+from oakbridge.rollout.record import (
+    FINAL_OUTCOMES,
+    UNAVAILABLE_OUTCOMES,
+    InstanceOutcome,
+    InstanceStatus,
+    Phase,
+    RolloutRecord,
+)
 
-SECOND = 1_000_000
-
-
-class Stage(Enum):
-    """Where the rollout stands."""
-
-    RUNNING = "running"
-    GATING = "gating"
-    HALTED = "halted"
-    UNDOING = "undoing"
-    UNDONE = "undone"
-    DONE = "done"
-
-
-class Fate(Enum):
-    """What became of one instance."""
-
-    WAITS = "not reached"
-    SENT = "under way"
-    TOOK = "took it"
-    DID_NOT = "did not"
-    UNDONE = "undone"
-    UNKNOWN = "unknown"
-
-
-OVER = frozenset({Fate.TOOK, Fate.DID_NOT, Fate.UNDONE})
-
-
-@dataclass(frozen=True, slots=True)
-class Row:
-    """One instance's line of the report."""
-
-    fate: Fate = Fate.WAITS
-    reason: str = ""
-    since: float = 0.0  # Unix time, of an unknown one: since when nothing is heard
-
-
-@dataclass(frozen=True, slots=True)
-class Record:
-    """What must outlive the tool."""
-
-    waves: tuple[tuple[Target, ...], ...]
-    unavailable: int
-    undo: bool  # whether a halt undoes what was changed
-    stage: Stage = Stage.RUNNING
-    wave: int = 0
-    rows: tuple[tuple[str, Row], ...] = ()
-    reason: str = ""
-
-
-# ---- actions
-
-
-@dataclass(frozen=True, slots=True)
-class Keep:
-    """Have this on disk before anything that follows."""
-
-    record: Record
-
-
-@dataclass(frozen=True, slots=True)
-class Send:
-    """Send the step to this instance (again); then ``ended`` or ``silent``."""
-
-    target: Target
+IN_PROGRESS_PHASES = frozenset({Phase.RUNNING, Phase.GATING})
+ROLLBACK_PHASES = frozenset({Phase.ROLLING_BACK, Phase.ROLLED_BACK})
 
 
-@dataclass(frozen=True, slots=True)
-class TakeBack:
-    """Have this instance run what it ran before; then ``taken_back`` or ``silent``."""
+class RolloutMachine:
+    """Turns events of a rollout into actions; :attr:`record` is the state between events."""
 
-    target: Target
-
-
-@dataclass(frozen=True, slots=True)
-class Settle:
-    """Find out how the step of this instance ended, and send it no more; then ``ended`` or ``silent``."""
-
-    target: Target
-
-
-@dataclass(frozen=True, slots=True)
-class Judge:
-    """Compare these with those that are unchanged, over a window; then ``judged``."""
-
-    changed: tuple[Target, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class Finish:
-    """The rollout is over, or stands still."""
-
-    stage: Stage
-
-
-Action = Keep | Send | TakeBack | Settle | Judge | Finish
-
-
-class Rollout:
-    """The machine."""
-
-    def __init__(self, record: Record) -> None:
+    def __init__(self, record: RolloutRecord) -> None:
+        """Take up a record, new or from the journal; :meth:`start` returns the first actions."""
         self.record = record
-        self._rows: dict[str, Row] = {t.name: Row() for wave in record.waves for t in wave} | dict(
-            record.rows
-        )
-        self._targets = {t.name: t for wave in record.waves for t in wave}
-        self._order = [t.name for wave in record.waves for t in wave]
-
-    # ---- beginning, and beginning again
-
-    def begin(self) -> list[Action]:
-        """Begin, or go on from the record: whatever may have been sent is sent again."""
-        stage = self.record.stage
-        if stage is Stage.DONE and self._missing():
-            self._set(stage=Stage.RUNNING)
-            stage = Stage.RUNNING
-        if stage is Stage.RUNNING:
-            again = [Send(t) for t in self._wake()]
-            return self._kept([*again, *self._more()])
-        if stage is Stage.GATING:
-            return [Judge(self._changed())]
-        if stage in (Stage.UNDOING, Stage.UNDONE) and (self._missing() or stage is Stage.UNDOING):
-            self._set(stage=Stage.UNDOING)
-            asked = [Settle(t) for t in self._wake()]
-            return self._kept([*asked, *[TakeBack(t) for t in self._changed()]] or self._go_on())
-        if stage is Stage.HALTED:
-            return self._kept([Settle(t) for t in self._wake()] or [Finish(stage)])
-        return [Finish(stage)]
-
-    # ---- what happened
-
-    def ended(self, name: str, fate: Fate, reason: str = "") -> list[Action]:
-        """An agent says how a step ended.  News of one that was unknown is news like any other."""
-        row = self._rows.get(name)
-        if row is None or fate not in OVER or row.fate in OVER or row.fate is Fate.WAITS:
+        self._targets = {target.name: target for wave in record.waves for target in wave}
+        self._statuses = dict.fromkeys(self._targets, InstanceStatus()) | dict(record.statuses)
+
+    def start(self) -> list[Action]:
+        """Begin, or resume from the record: whatever may have been sent is sent again."""
+        phase = self.record.phase
+        if phase is Phase.RUNNING or (phase is Phase.DONE and self._unknown_count()):
+            return self._start_running()
+        if phase is Phase.GATING:
+            return [EvaluateGate(self._changed())]
+        if phase is Phase.ROLLING_BACK or (phase is Phase.ROLLED_BACK and self._unknown_count()):
+            return self._start_rolling_back()
+        if phase is Phase.HALTED:
+            return self._persisted(self._resolve_open_steps() or [Finish(phase)])
+        return [Finish(phase)]
+
+    def on_step_ended(self, name: str, outcome: InstanceOutcome, reason: str = "") -> list[Action]:
+        """Take an agent's report of how a step ended, also of an instance that was unknown."""
+        status = self._statuses.get(name)
+        if status is None or outcome not in FINAL_OUTCOMES:
+            return []
+        if status.outcome not in UNAVAILABLE_OUTCOMES:
+            return []
+        self._statuses[name] = InstanceStatus(outcome, reason)
+        if outcome is not InstanceOutcome.APPLIED and self.record.phase in IN_PROGRESS_PHASES:
+            return self._halt(f"{name} {outcome.value}: {reason}")
+        if outcome is InstanceOutcome.APPLIED and self.record.phase in ROLLBACK_PHASES:
+            self._set(phase=Phase.ROLLING_BACK)  # late news: it is rolled back like the others
+            return self._persisted([RollBack(self._targets[name])])
+        return self._persisted(self._continue())
+
+    def on_silence(self, name: str, reason: str, last_response_unix_s: float) -> list[Action]:
+        """Give up waiting for an instance that was sent a step or is to be rolled back."""
+        status = self._statuses.get(name)
+        if status is None:
+            return []
+        rolling_back = status.outcome is InstanceOutcome.APPLIED and self.record.phase is Phase.ROLLING_BACK
+        # Outside a rollback, an instance that reported that it took the step did take it.
+        if status.outcome is not InstanceOutcome.IN_PROGRESS and not rolling_back:
+            return []
+        self._statuses[name] = InstanceStatus(InstanceOutcome.UNKNOWN, reason, last_response_unix_s)
+        if self.record.phase is not Phase.RUNNING:
+            return self._persisted(self._continue())
+        return self._halt_if_stuck() or self._persisted(self._continue())
+
+    def on_gate_result(self, result: GateResult) -> list[Action]:
+        """Take the result of the gate after the present wave."""
+        if self.record.phase is not Phase.GATING or result.verdict is Verdict.PENDING:
             return []
-        self._rows[name] = Row(fate, reason)
-        if fate is not Fate.TOOK and self.record.stage in (Stage.RUNNING, Stage.GATING):
-            return self._halt(f"{name} {fate.value}: {reason}")
-        if fate is Fate.TOOK and self.record.stage in (Stage.UNDOING, Stage.UNDONE):
-            self._set(stage=Stage.UNDOING)  # it has woken up with it: it is taken back like the others
-            return self._kept([TakeBack(self._targets[name])])
-        return self._kept(self._go_on())
-
-    def silent(self, name: str, reason: str, since: float) -> list[Action]:
-        """Nothing is heard of an instance that was sent a step (or is to be taken back)."""
-        row = self._rows.get(name)
-        if row is None or row.fate not in (Fate.SENT, Fate.TOOK):
+        if result.verdict is Verdict.FAIL:
+            return self._halt(f"the gate after wave {self.record.wave_index + 1}: {result.reason}")
+        if self.record.wave_index + 1 == len(self.record.waves):
+            return self._persisted(self._finish(Phase.DONE))
+        self._set(phase=Phase.RUNNING, wave_index=self.record.wave_index + 1)
+        return self._halt_if_stuck() or self._persisted(self._continue())
+
+    def on_rolled_back(self, name: str, reason: str = "") -> list[Action]:
+        """Take an agent's report that an instance runs again what it ran before."""
+        status = self._statuses.get(name)
+        if status is None or self.record.phase not in ROLLBACK_PHASES:
             return []
-        if row.fate is Fate.TOOK and self.record.stage is not Stage.UNDOING:
-            return []  # it has said that it took it: that stays true
-        self._rows[name] = Row(Fate.UNKNOWN, reason, since)
-        if self.record.stage is not Stage.RUNNING:
-            return self._kept(self._go_on())
-        return self._halt_if_stuck() or self._kept(self._go_on())
-
-    def judged(self, judgement: Judgement) -> list[Action]:
-        """The gate has spoken."""
-        if self.record.stage is not Stage.GATING or judgement.word is Word.WAIT:
+        if status.outcome not in (InstanceOutcome.APPLIED, InstanceOutcome.UNKNOWN):
             return []
-        if judgement.word is Word.FAIL:
-            return self._halt(f"the gate after wave {self.record.wave + 1}: {judgement.reason}")
-        if self.record.wave + 1 == len(self.record.waves):
-            return self._kept(self._finish(Stage.DONE))
-        self._set(stage=Stage.RUNNING, wave=self.record.wave + 1)
-        return self._halt_if_stuck() or self._kept(self._go_on())
-
-    def stopped(self, reason: str) -> list[Action]:
-        """The lease is lost, or somebody wants it to stop: nothing more is sent, and nothing is undone."""
-        if self.record.stage in (Stage.RUNNING, Stage.GATING, Stage.UNDOING):
-            self._set(reason=reason, stage=Stage.HALTED)
-            return self._kept(self._go_on())
+        self._statuses[name] = InstanceStatus(InstanceOutcome.ROLLED_BACK, reason or self.record.reason)
+        return self._persisted(self._continue())
+
+    def stop(self, reason: str) -> list[Action]:
+        """Halt without a rollback, as when the lease is lost: nothing more is sent."""
+        if self.record.phase in IN_PROGRESS_PHASES or self.record.phase is Phase.ROLLING_BACK:
+            self._set(reason=reason, phase=Phase.HALTED)
+            return self._persisted(self._continue())
         return []
 
-    def taken_back(self, name: str, reason: str = "") -> list[Action]:
-        """An instance runs again what it ran before."""
-        row = self._rows.get(name)
-        if (
-            self.record.stage not in (Stage.UNDOING, Stage.UNDONE)
-            or row is None
-            or row.fate not in (Fate.TOOK, Fate.UNKNOWN)
-        ):
-            return []
-        self._rows[name] = Row(Fate.UNDONE, reason or self.record.reason)
-        return self._kept(self._go_on())
+    def statuses(self) -> dict[str, InstanceStatus]:
+        """Return the status of each instance, in the order of the waves."""
+        return {name: self._statuses[name] for name in self._targets}
+
+    def is_complete(self) -> bool:
+        """Return whether every instance took the change."""
+        return all(s.outcome is InstanceOutcome.APPLIED for s in self._statuses.values())
+
+    def _start_running(self) -> list[Action]:
+        self._set(phase=Phase.RUNNING)
+        resent = [SendStep(target) for target in self._reopen_steps()]
+        return self._persisted([*resent, *self._next_steps()])
 
-    # ---- the report
+    def _start_rolling_back(self) -> list[Action]:
+        self._set(phase=Phase.ROLLING_BACK)
+        resolved = self._resolve_open_steps()
+        return self._persisted([*resolved, *self._roll_back_changed()] or self._continue())
 
-    def report(self) -> dict[str, Row]:
-        """What became of each instance, in the order of the waves."""
-        return {name: self._rows[name] for name in self._order}
+    def _resolve_open_steps(self) -> list[Action]:
+        return [ResolveStep(target) for target in self._reopen_steps()]
 
-    def complete(self) -> bool:
-        """Whether every instance took it."""
-        return all(row.fate is Fate.TOOK for row in self._rows.values())
+    def _reopen_steps(self) -> list[Target]:
+        """Mark sent steps without a known end as in progress again; return their targets."""
+        reopened = self._targets_with(UNAVAILABLE_OUTCOMES)
+        for target in reopened:
+            self._statuses[target.name] = InstanceStatus(InstanceOutcome.IN_PROGRESS)
+        return reopened
 
-    # ---- parts
+    def _roll_back_changed(self) -> list[Action]:
+        return [RollBack(target) for target in self._changed()]
 
     def _changed(self) -> tuple[Target, ...]:
-        return tuple(self._targets[n] for n in self._order if self._rows[n].fate is Fate.TOOK)
+        return tuple(self._targets_with({InstanceOutcome.APPLIED}))
 
-    def _wake(self) -> list[Target]:
-        """What was sent and has no end that is known, also what was given up as unknown: it is under way again."""
-        found = [n for n in self._order if self._rows[n].fate in (Fate.SENT, Fate.UNKNOWN)]
-        for name in found:
-            self._rows[name] = Row(Fate.SENT)
-        return [self._targets[n] for n in found]
+    def _targets_with(self, outcomes: Set[InstanceOutcome]) -> list[Target]:
+        return [target for name, target in self._targets.items() if self._statuses[name].outcome in outcomes]
 
-    def _missing(self) -> int:
-        return sum(1 for row in self._rows.values() if row.fate is Fate.UNKNOWN)
+    def _unknown_count(self) -> int:
+        return len(self._targets_with({InstanceOutcome.UNKNOWN}))
+
+    def _present_wave(self) -> Sequence[Target]:
+        return self.record.waves[self.record.wave_index]
 
     def _unsent(self) -> list[Target]:
-        """Of the waves up to this one, those that nothing was sent to yet."""
-        now = self.record.waves[self.record.wave]
-        return [t for t in now if self._rows[t.name].fate is Fate.WAITS]
+        """Return the targets of the present wave to which no step has been sent."""
+        return [
+            target
+            for target in self._present_wave()
+            if self._statuses[target.name].outcome is InstanceOutcome.NOT_REACHED
+        ]
 
     def _halt_if_stuck(self) -> list[Action]:
-        """Those that are not heard of have all the places there are: no step could go out any more."""
-        missing, most = self._missing(), self.record.unavailable
-        if missing < most or not self._unsent():
+        """Halt if unknown instances use up the limit, so that no step could be sent."""
+        unknown, limit = self._unknown_count(), self.record.max_unavailable
+        if unknown < limit or not self._unsent():
             return []
-        return self._halt(f"{missing} instances are not heard of, and {most} may be missing")
-
-    def _more(self) -> list[Action]:
-        """As many steps as may be under way; then the gate."""
-        sent: list[Action] = []
-        under_way = sum(1 for row in self._rows.values() if row.fate in (Fate.SENT, Fate.UNKNOWN))
-        for target in self._unsent():
-            if under_way >= self.record.unavailable:
-                break
-            self._rows[target.name] = Row(Fate.SENT)
-            sent.append(Send(target))
-            under_way += 1
-        now = self.record.waves[self.record.wave]
-        if not sent and all(self._rows[t.name].fate in OVER | {Fate.UNKNOWN} for t in now):
-            self._set(stage=Stage.GATING)
-            return [Judge(self._changed())]
-        return sent
-
-    def _go_on(self) -> list[Action]:
-        if self.record.stage is Stage.RUNNING:
-            return self._more()
-        if any(row.fate is Fate.SENT for row in self._rows.values()):
-            return []  # what is under way has its end first
-        if self.record.stage is Stage.UNDOING and not self._changed():
-            return self._finish(Stage.UNDONE)
-        return [Finish(Stage.HALTED)] if self.record.stage is Stage.HALTED else []
+        return self._halt(f"{unknown} instances are not heard of, and {limit} may be missing")
+
+    def _next_steps(self) -> list[Action]:
+        """Send as many steps as the limit allows; evaluate the gate once the wave has ended."""
+        free = self.record.max_unavailable - len(self._targets_with(UNAVAILABLE_OUTCOMES))
+        next_targets = self._unsent()[: max(0, free)]
+        for target in next_targets:
+            self._statuses[target.name] = InstanceStatus(InstanceOutcome.IN_PROGRESS)
+        if not next_targets and self._wave_has_ended():
+            self._set(phase=Phase.GATING)
+            return [EvaluateGate(self._changed())]
+        return [SendStep(target) for target in next_targets]
+
+    def _wave_has_ended(self) -> bool:
+        ended = FINAL_OUTCOMES | {InstanceOutcome.UNKNOWN}
+        return all(self._statuses[t.name].outcome in ended for t in self._present_wave())
+
+    def _continue(self) -> list[Action]:
+        if self.record.phase is Phase.RUNNING:
+            return self._next_steps()
+        if self._targets_with({InstanceOutcome.IN_PROGRESS}):
+            return []  # steps in progress end before the rollout does
+        if self.record.phase is Phase.ROLLING_BACK and not self._changed():
+            return self._finish(Phase.ROLLED_BACK)
+        return [Finish(Phase.HALTED)] if self.record.phase is Phase.HALTED else []
 
     def _halt(self, reason: str) -> list[Action]:
-        undo = self.record.undo and any(
-            r.fate in (Fate.TOOK, Fate.SENT, Fate.UNKNOWN) for r in self._rows.values()
-        )
-        self._set(reason=reason, stage=Stage.UNDOING if undo else Stage.HALTED)
-        return self._kept(
-            [TakeBack(t) for t in self._changed()] if undo and self._changed() else self._go_on()
-        )
-
-    def _finish(self, stage: Stage) -> list[Action]:
-        self._set(stage=stage)
-        return [Finish(stage)]
+        may_be_changed = UNAVAILABLE_OUTCOMES | {InstanceOutcome.APPLIED}
+        roll_back = self.record.auto_rollback and bool(self._targets_with(may_be_changed))
+        self._set(reason=reason, phase=Phase.ROLLING_BACK if roll_back else Phase.HALTED)
+        rollbacks = self._roll_back_changed() if roll_back else []
+        return self._persisted(rollbacks or self._continue())
+
+    def _finish(self, phase: Phase) -> list[Action]:
+        self._set(phase=phase)
+        return [Finish(phase)]
 
     def _set(self, **changes: object) -> None:
         self.record = dataclasses.replace(self.record, **changes)  # type: ignore[arg-type]
 
-    def _kept(self, actions: list[Action]) -> list[Action]:
-        self._set(rows=tuple((name, self._rows[name]) for name in self._order))
-        return [Keep(self.record), *actions]
+    def _persisted(self, actions: list[Action]) -> list[Action]:
+        """Put the statuses into the record, and have it written before the actions."""
+        self._set(statuses=tuple(self.statuses().items()))
+        return [Persist(self.record), *actions]
--- /dev/null
+++ b/tests/handover/test_state_machine.py
@@ -0,0 +1,141 @@
+"""Both sides, with every message lost, late or cut off: one of them serves, one at a time."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from oakbridge.handover.actions import (
+    ApplyCommand,
+    BuildNode,
+    Disconnect,
+    DrainToSuccessor,
+    ReserveForPredecessor,
+    ResumeServing,
+    Send,
+    SendWelcome,
+    StartServing,
+)
+from oakbridge.handover.messages import (
+    Decline,
+    Hello,
+    OperatorCommand,
+    Ready,
+    RemainingLoad,
+    TakeOver,
+    Welcome,
+)
+from oakbridge.handover.state_machine import (
+    PredecessorState,
+    PredecessorStateMachine,
+    SuccessorState,
+    SuccessorStateMachine,
+)
+
+WELCOME = Welcome(configuration={}, endpoint_list={}, outages={}, draining=False)
+
+
+def test_ordinary_course():
+    old, new = PredecessorStateMachine("n"), SuccessorStateMachine("n")
+    [hello] = new.connected()
+    assert hello == Send(Hello("n"))
+    assert old.receive(hello.message) == [SendWelcome()]
+    assert new.receive(WELCOME) == [BuildNode(WELCOME)]
+    assert new.node_built() == [Send(Ready())]
+    assert old.receive(Ready()) == [DrainToSuccessor()]
+    assert new.receive(TakeOver({"a": 1})) == [StartServing({"a": 1})]
+    load = RemainingLoad(attempts=2, connections=9)
+    assert new.receive(load) == [ReserveForPredecessor(load)]
+    command = OperatorCommand("OFFLINE", "s")
+    assert old.receive(command) == new.receive(command) == [ApplyCommand(command)]
+    assert old.disconnected()[-1] == ResumeServing()  # it was not told to end: it is the node again
+    assert old.state == PredecessorState.SERVING
+
+
+def test_another_name_a_third_process_and_one_that_ends_are_declined():
+    old = PredecessorStateMachine("n")
+    assert old.receive(Hello("m")) == [Send(Decline("this is n")), Disconnect()]
+    assert old.state == PredecessorState.SERVING
+    old.receive(Hello("n"))
+    third = old.receive(Hello("n"))
+    assert third == [Send(Decline("another process takes over")), Disconnect()]
+    ending = PredecessorStateMachine("n")
+    ending.begin_shutdown()
+    assert ending.receive(Hello("n")) == [Send(Decline("ends")), Disconnect()]
+
+
+def test_a_message_out_of_turn_is_declined_by_its_name_on_the_wire():
+    old = PredecessorStateMachine("n")
+    assert old.receive(TakeOver({})) == [Send(Decline("over is not expected now")), Disconnect()]
+
+
+def test_a_process_that_fails_before_its_yes_changes_nothing():
+    old = PredecessorStateMachine("n")
+    old.receive(Hello("n"))
+    assert old.disconnected() == [Disconnect()]
+    assert old.receive(Hello("n")) == [SendWelcome()]
+
+
+def test_one_that_was_told_to_end_takes_nothing_back():
+    old = PredecessorStateMachine("n")
+    old.receive(Hello("n"))
+    old.receive(Ready())
+    old.begin_shutdown()
+    assert old.disconnected() == [Disconnect()]
+
+
+MESSAGES = st.sampled_from(
+    [
+        Hello("n"),
+        WELCOME,
+        Ready(),
+        Decline(""),
+        TakeOver({}),
+        RemainingLoad(attempts=1, connections=1),
+        OperatorCommand("JOIN", ""),
+    ]
+)
+SUCCESSOR_EVENTS = st.sampled_from(["timed_out", "disconnected", "node_built"])
+PREDECESSOR_EVENTS = st.sampled_from(["disconnected", "begin_shutdown"])
+
+
+@given(st.lists(st.one_of(MESSAGES, SUCCESSOR_EVENTS), max_size=12))
+def test_the_successor_builds_once_serves_once_and_never_ends(course):
+    new, actions = SuccessorStateMachine("n"), []
+    new.connected()
+    for event in course:
+        if not isinstance(event, str):
+            actions += new.receive(event) if new.has_predecessor else []
+        elif event == "node_built":
+            actions += new.node_built() if new.state == SuccessorState.BUILDING else []
+        else:
+            actions += getattr(new, event)()
+    actions += new.timed_out()
+    if new.state == SuccessorState.BUILDING:
+        actions += new.node_built()
+    actions += new.timed_out()
+    assert new.state == SuccessorState.SERVING
+    steps = [type(action) for action in actions if isinstance(action, BuildNode | StartServing)]
+    assert steps == [BuildNode, StartServing]
+
+
+@given(st.lists(st.one_of(MESSAGES, PREDECESSOR_EVENTS), max_size=12))
+def test_the_predecessor_hands_over_only_to_one_that_asked_and_is_ready(course):
+    old, asked, over = PredecessorStateMachine("n"), False, False
+    for event in course:
+        actions = []
+        if event == "begin_shutdown":
+            old.begin_shutdown()
+        elif event == "disconnected":
+            actions = old.disconnected()
+        else:
+            actions = old.receive(event)
+        if DrainToSuccessor() in actions:
+            assert asked
+            assert event == Ready()
+            over = True
+        if ResumeServing() in actions:
+            assert over
+            assert not old.shutting_down
+            over = False
+        asked = old.state != PredecessorState.SERVING
+        over = over and old.state == PredecessorState.DRAINING
+        assert (old.state == PredecessorState.DRAINING) == over
--- a/tests/rollout/killed_tool.py
+++ b/tests/rollout/killed_tool.py
@@ -1,6 +1,7 @@
 """A tool that kills itself by SIGKILL at a write of its journal: `FLEET WORD ROLLOUT WRITE before|after`; see the test.
 
-With ROLLOUT 0 it begins a change to WORD, otherwise it resumes; WRITE 0 is never reached.  Prints its report.
+With ROLLOUT 0 it begins a change to WORD, otherwise it resumes; WRITE 0 is never reached.  Prints
+its report.
 """
 
 import asyncio
@@ -10,19 +11,19 @@
 import sys
 from pathlib import Path
 
-from played import QUICK, config, fates
+from simulated_fleet import QUICK, config, fates
 
 from oakbridge.cli.fleet import operator_of
-from oakbridge.cli.rollout import find_targets
-from oakbridge.rollout.change import Whole
-from oakbridge.rollout.conduct import Conductor
-from oakbridge.rollout.journal import Entry, Journal
-from oakbridge.rollout.machine import Record
-from oakbridge.rollout.plan import Waves, plan
+from oakbridge.cli.rollout.session import find_targets
+from oakbridge.rollout.change import ReplaceFiles
+from oakbridge.rollout.coordinator import Coordinator
+from oakbridge.rollout.journal import Journal, JournalEntry
+from oakbridge.rollout.plan import WaveOptions, plan_waves
+from oakbridge.rollout.record import RolloutRecord
 
 
 class Deadly(Journal):
-    """Counts its writes."""
+    """ResponseCounts its writes."""
 
     left, side = 0, ""
 
@@ -37,8 +38,8 @@
     def add(self, entry):
         self._write(lambda: super(Deadly, self).add(entry))
 
-    def keep(self, rollout, record):
-        self._write(lambda: super(Deadly, self).keep(rollout, record))
+    def update(self, rollout, record):
+        self._write(lambda: super(Deadly, self).update(rollout, record))
 
 
 async def main(folder: Path, word: str, rollout: int, write: int, side: str) -> None:
@@ -48,18 +49,17 @@
     assert held.has_majority(len(operator.inventory.agents))
     if rollout:
         entry = journal.entry(rollout)
-        change, record = entry.change, entry.record
     else:
         targets, unseen = await find_targets(operator, ())
         assert not unseen
-        rollout, change = held.token, Whole(config(word))
-        waves = plan(targets, Waves(1, (1.0,), False, 2))
-        record = Record(tuple(map(tuple, waves)), 2, False)
-        journal.add(Entry(rollout, "admin", 0.0, 0.0, "", change, record))
-    conductor = Conductor(operator, journal, rollout, change, record, held, QUICK)
-    await conductor.run()
-    print(json.dumps(fates(conductor)))
-    await operator.release_lease(conductor.held)
+        waves = plan_waves(targets, WaveOptions(canary=1, shares=(1.0,), max_unavailable=2))
+        record = RolloutRecord(waves, max_unavailable=2, auto_rollback=False)
+        entry = JournalEntry(held.token, "admin", 0.0, 0.0, "", ReplaceFiles(config(word)), record)
+        journal.add(entry)
+    coordinator = Coordinator(operator, journal, entry, held, QUICK)
+    await coordinator.run()
+    print(json.dumps(fates(coordinator)))
+    await operator.release_lease(coordinator.held)
     operator.close()
 
 
--- a/tests/rollout/played.py
+++ b/tests/rollout/simulated_fleet.py
@@ -12,17 +12,16 @@
 from oakbridge.fleet.client import AgentResponse, FleetClient
 from oakbridge.fleet.identity import Identity, IdentityKind, Role
 from oakbridge.fleet.inventory import Inventory
-from oakbridge.rollout.change import Whole
-from oakbridge.rollout.conduct import Conductor, Options
-from oakbridge.rollout.gate import Rules
-from oakbridge.rollout.journal import Entry, Journal
-from oakbridge.rollout.machine import Record
-from oakbridge.rollout.plan import Target, Waves, plan
+from oakbridge.rollout.change import ReplaceFiles
+from oakbridge.rollout.coordinator import Coordinator, RolloutOptions
+from oakbridge.rollout.journal import Journal, JournalEntry
+from oakbridge.rollout.plan import Target, WaveOptions, plan_waves
+from oakbridge.rollout.record import RolloutRecord
 from oakbridge.standin.host import PlayedHost
 
-QUICK = Options(watch=0.05, window=0.05, silent=20.0, rules=Rules())
+QUICK = RolloutOptions(watch_s=0.05, window_s=0.05, silence_timeout_s=20.0)
 
-WAVES = Waves(canary=1, unavailable=99)
+WAVES = WaveOptions(canary=1, max_unavailable=99)
 
 
 def config(word: str, plays: str = "") -> dict[str, str]:
@@ -64,7 +63,7 @@
 class Direct(FleetClient):
     """An operator whose calls go by such a network; a call that nobody waits for any more still arrives."""
 
-    def __init__(self, fleet: "PlayedFleet", name: str, within_s: float) -> None:
+    def __init__(self, fleet: "SimulatedFleet", name: str, within_s: float) -> None:
         super().__init__(Inventory("f", dict.fromkeys(fleet.agents, ("", 0))), None, within_s, name)
         self.fleet, self.who = fleet, Identity("f", IdentityKind.OPERATOR, name, Role.WRITE)
 
@@ -81,7 +80,7 @@
         return AgentResponse(agent, status, answer)
 
 
-class PlayedFleet:
+class SimulatedFleet:
     """So many hosts with so many instances each; ``async with`` runs their agents."""
 
     def __init__(
@@ -93,7 +92,7 @@
         self.hosts = {n: PlayedHost(weak=n in weak, **play) for n in names}
         self.agents: dict[str, Agent] = {}
 
-    async def __aenter__(self) -> "PlayedFleet":
+    async def __aenter__(self) -> "SimulatedFleet":
         for name in self.hosts:
             self.start(name)
         return self
@@ -127,43 +126,44 @@
         self, change, operator=None, journal=None, waves=WAVES, undo=False, options=QUICK,
         sources=None, during=None,
     ):  # fmt: skip
-        """A whole rollout; the conductor, or None where the lease was not to be had."""
+        """Carry out a rollout; return its coordinator, or None without the lease."""
         operator = operator or self.operator()
         journal = journal or Journal(self.folder)
         held = await operator.acquire_lease(60.0)
         if not held.has_majority(len(self.agents)):
             return None
         targets = [t for t in await self.targets(operator) if sources is None or t.name in sources]
-        record = Record(tuple(map(tuple, plan(targets, waves))), waves.unavailable, undo)
-        journal.add(Entry(held.token, operator.name, 0.0, 0.0, "", change, record))
-        conductor = Conductor(operator, journal, held.token, change, record, held, options, sources=sources)
-        return await self._run(conductor, during)
+        record = RolloutRecord(plan_waves(targets, waves), waves.max_unavailable, undo)
+        entry = JournalEntry(held.token, operator.name, 0.0, 0.0, "", change, record)
+        journal.add(entry)
+        coordinator = Coordinator(operator, journal, entry, held, options, sources=sources)
+        return await self._run(coordinator, during)
 
     async def resume(self, rollout: int, operator=None, journal=None, options=QUICK):
         operator, journal = operator or self.operator(), journal or Journal(self.folder)
         while not (held := await operator.acquire_lease(60.0)).has_majority(len(self.agents)):
             pass  # some calls were lost
         entry = journal.entry(rollout)
-        return await self._run(
-            Conductor(operator, journal, rollout, entry.change, entry.record, held, options)
-        )
+        return await self._run(Coordinator(operator, journal, entry, held, options))
 
     @staticmethod
-    async def _run(conductor: Conductor, during=None) -> Conductor:
-        task = asyncio.create_task(conductor.run())
+    async def _run(coordinator: Coordinator, during=None) -> Coordinator:
+        task = asyncio.create_task(coordinator.run())
         if during is not None:
-            await during(conductor)
+            await during(coordinator)
         await task
-        await conductor.operator.release_lease(conductor.held)
-        return conductor
+        await coordinator.operator.release_lease(coordinator.held)
+        return coordinator
 
-    async def first(self, word: str = "1s") -> Conductor:
-        done = await self.roll(Whole(config(word)), waves=Waves(canary=0, shares=(1.0,), unavailable=999))
-        assert done.machine.complete(), done.machine.report()
+    async def first(self, word: str = "1s") -> Coordinator:
+        done = await self.roll(
+            ReplaceFiles(config(word)), waves=WaveOptions(canary=0, shares=(1.0,), max_unavailable=999)
+        )
+        assert done.machine.is_complete(), done.machine.statuses()
         return done
 
     def truth(self) -> dict[str, str]:
-        """What each instance's own process runs, by the aim in its configuration; "-" where none runs."""
+        """Return what each instance's own process runs, by its aim; "-" where none runs."""
         found = {}
         for name, agent in self.agents.items():
             for i in range(self.each):
@@ -180,5 +180,5 @@
         return generations.read_files(instance, Generation(generations.current_number(instance)))
 
 
-def fates(conductor: Conductor) -> dict[str, str]:
-    return {name: row.fate.value for name, row in conductor.machine.report().items()}
+def fates(coordinator: Coordinator) -> dict[str, str]:
+    return {name: row.outcome.value for name, row in coordinator.machine.statuses().items()}
