--- a/oakbridge/agent/agent.py
+++ b/oakbridge/agent/agent.py
@@ -31,7 +31,7 @@
         host: Host | None = None,
         poll_interval_s: float = POLL_INTERVAL_S,
     ) -> None:
-        """``host``: the machine with its processes, by default this one; ``poll_interval_s``: of nodes' status."""
+        """Load the lease's token; ``host`` is by default this machine."""
         self.store = store
         self.name = name
         self.fleet = fleet
@@ -54,9 +54,10 @@
         self.store.close()
 
     def add_instance(self, name: str, listen: list[str], control: Path, member: str = "") -> None:
-        """Add an instance, unless there is one of that name; it runs nothing until a step gives it a generation.
+        """Add an instance, unless there is one of that name.
 
-        ``member``: its address among members, if it is one; its name there is ``AGENT/INSTANCE``.
+        It runs nothing until a step gives it a generation.  ``member`` is its address among
+        members, if it is one; its name there is ``AGENT/INSTANCE``.
         """
         journal = self.store.journal
         if name in journal.load_instances():
@@ -89,7 +90,7 @@
         self.store.journal.save_token_record(self.lease.record)
 
     async def check_config(self, files: Files) -> str:
-        """Return what the node's own checker finds wrong with a generation's files; "" if nothing."""
+        """Return what the node's own checker finds wrong with files; "" if nothing."""
         async with self._checks:
             folder = Path(tempfile.mkdtemp(prefix="check-", dir=self.store.folder))
             try:
--- a/oakbridge/agent/clock.py
+++ b/oakbridge/agent/clock.py
@@ -8,5 +8,5 @@
 
 
 def monotonic_us() -> int:
-    """Return the machine's monotonic time: it goes on while processes are frozen, and never jumps."""
+    """Return the monotonic time: it goes on while processes are frozen, and never jumps."""
     return time.monotonic_ns() // NS_PER_US
--- a/oakbridge/agent/executor.py
+++ b/oakbridge/agent/executor.py
@@ -28,7 +28,7 @@
 
 
 class ActionExecutor:
-    """Carries out one instance's actions: those on the disk itself, those of the node by its callbacks."""
+    """Carries out one instance's actions: on the disk itself, on the node by callbacks."""
 
     def __init__(
         self,
@@ -50,7 +50,9 @@
         self._files: Files = {}  # of the step in progress, until they are staged
 
     def begin_step(self, now_us: int, step: Step, files: Files, lease_problem: Problem) -> None:
-        """Begin a step; ``lease_problem`` is asked once more, just before the generation is activated.
+        """Begin a step.
+
+        ``lease_problem`` is asked once more, just before the generation is activated.
 
         Raises:
             StepConflictError: if the step can't begin.
--- a/oakbridge/agent/generations.py
+++ b/oakbridge/agent/generations.py
@@ -1,9 +1,10 @@
-"""The folders of generations: one for each, and one link for each instance that shows the current one.
+"""The folders of generations, and for each instance the link that shows the current one.
 
     instances/NAME/gen-00000012/      the files of a generation, written once
     instances/NAME/current -> gen-00000012
 
-Whatever is written is complete: files are synced before the folder gets its name, and links are renamed.
+Whatever is written is complete: files are synced before the folder gets its name, and links are
+renamed.
 """
 
 from __future__ import annotations
@@ -114,7 +115,7 @@
             shutil.rmtree(self.folder(instance, generation), ignore_errors=True)
 
     def activate(self, instance: str, generation: Generation) -> None:
-        """Have the link show a generation, by one rename; for the empty generation, remove the link.
+        """Have the link show a generation, by one rename; for the empty one, remove the link.
 
         Raises:
             StoreError: if the generation is not staged.
@@ -146,7 +147,7 @@
             raise StoreError(folder, str(e.strerror)) from None
 
     def prune(self, instance: str, record: InstanceRecord) -> None:
-        """Delete old generations, but for the newest and those that the record or the link refers to."""
+        """Delete all but the newest generations and those that the record or the link refers to."""
         needed = {
             record.current.number,
             record.previous.number,
--- a/oakbridge/agent/host.py
+++ b/oakbridge/agent/host.py
@@ -1,4 +1,4 @@
-"""What an agent needs of the machine that it runs on; ``local_host`` is the real one, tests bring another."""
+"""What an agent needs of its machine; ``local_host`` is the real one, tests bring another."""
 
 from __future__ import annotations
 
@@ -58,7 +58,13 @@
         """Return the last line of a node's log; "" if there is none."""
 
     async def check_config(self, config: Path) -> str:
-        """Return what the node's own checker finds wrong with a configuration, in one line; "" if nothing."""
+        """Return what the node's checker finds wrong with a configuration, in one line, or ""."""
 
     async def query_node(self, control: Path, command: ControlCommand, **arguments: Any) -> Any:
-        """Query a node over its control socket.  Raises OSError, EOFError, ValueError or RequestRejectedError."""
+        """Query a node over its control socket.
+
+        Raises:
+            OSError, EOFError: if there is no answer.
+            ValueError: if the answer is malformed.
+            RequestRejectedError: if the node refuses.
+        """
--- a/oakbridge/agent/lease.py
+++ b/oakbridge/agent/lease.py
@@ -1,9 +1,10 @@
 """Who may change things on this host: a lease with a fencing token.  No I/O.
 
-An operator proposes a token that is higher than any it has seen and needs a majority of the fleet's agents.  A token
-that has been granted is never granted to another holder: whatever comes with a lower one, however late, is refused.
-Times are microseconds on a clock that only moves forward; a lease ends by it, never by what an operator's clock says,
-so that a clock that jumps on another host changes nothing here.
+An operator proposes a token that is higher than any it has seen and needs a majority of the fleet's
+agents.  A token that has been granted is never granted to another holder: whatever comes with a
+lower one, however late, is refused. Times are microseconds on a clock that only moves forward; a
+lease ends by it, never by what an operator's clock says, so that a clock that jumps on another host
+changes nothing here.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FencingTokenRecord:
-    """What an agent keeps on disk: the highest token granted, its holder, and whether its lease was released."""
+    """What an agent keeps on disk: the highest token granted, and its holder."""
 
     token: int = 0
     holder: str = ""
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseDenied:
-    """The lease is somebody else's, or the token is too low; the highest one is told, and whose it is."""
+    """The lease is somebody else's, or the token too low; tells the highest one and its holder."""
 
     reason: str
     token: int
@@ -49,7 +50,7 @@
     """The lease of one agent.  ``record`` must outlive the process; the lease itself need not."""
 
     def __init__(self, record: FencingTokenRecord, now_us: int, grace_us: int = RESTART_GRACE_US) -> None:
-        """After a start a lease that was not released counts as active for ``grace_us``: its end was forgotten."""
+        """Take up a record; an unreleased lease is active for ``grace_us`` more."""
         self.record = record
         self._expires_us = now_us if record.released else now_us + grace_us
 
@@ -69,14 +70,18 @@
     def renew(self, now_us: int, token: int, holder: str, duration_us: int) -> LeaseGranted | LeaseDenied:
         """Grant more time.  An expired lease may be renewed as long as nobody else has acquired it.
 
-        The holder counts as well: two who ask at once choose the same token, and each may have won some agents.
+        The holder counts as well: two who ask at once choose the same token, and each may have won
+        some agents.
         """
         if not self._is_held_by(token, holder):
             return self._deny(now_us, f"token {token} has no lease here")
         return self._grant(now_us, duration_us, record_changed=False)
 
     def release(self, now_us: int, token: int, holder: str) -> bool:
-        """Give the lease back; return whether the record changed.  The token is never granted again."""
+        """Give the lease back; return whether the record changed.
+
+        The token is never granted again.
+        """
         if not self._is_held_by(token, holder):
             return False
         self.record = replace(self.record, released=True)
--- a/oakbridge/agent/local_host.py
+++ b/oakbridge/agent/local_host.py
@@ -1,7 +1,7 @@
-"""This machine, as an agent uses it.
+"""The local machine, as an agent uses it.
 
-A node outlives its agent.  An agent that starts again finds it by its control socket, whose peer is told by the kernel,
-also where that process is frozen and does not answer.
+A node outlives its agent.  An agent that starts again finds it by its control socket, whose peer is
+told by the kernel, also where that process is frozen and does not answer.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class LocalHost:
-    """This machine."""
+    """The local machine."""
 
     def find_node(self, control: Path, on_exit: ExitCallback) -> LocalProcess | None:
         """Return the node that listens on this control socket already, if one does."""
@@ -49,7 +49,7 @@
         return lines[-1][:MAX_LOG_LINE_LENGTH] if lines else ""
 
     async def check_config(self, config: Path) -> str:
-        """Return what ``oakbridge check`` finds wrong with a configuration, in one line; "" if nothing."""
+        """Return what ``oakbridge check`` finds wrong with a configuration, in one line, or ""."""
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "oakbridge.cli", "check", str(config),
             stdin=asyncio.subprocess.DEVNULL,
@@ -67,7 +67,7 @@
         return _first_problem(errors.decode("utf-8", "replace"))
 
     async def query_node(self, control: Path, command: protocol.ControlCommand, **arguments: Any) -> Any:
-        """Query a node over its control socket.  Raises OSError, EOFError, ValueError or RequestRejectedError."""
+        """Query a node over its control socket; raises as :meth:`Host.query_node` says."""
         reader, writer = await asyncio.open_unix_connection(str(control), limit=protocol.MAX_RESPONSE_BYTES)
         try:
             writer.write(protocol.encode_request(command, arguments))
--- a/oakbridge/agent/managed_instance.py
+++ b/oakbridge/agent/managed_instance.py
@@ -171,7 +171,7 @@
         self._report_drained()
 
     def _report_drained(self) -> None:
-        """A drained instance is as it should be once its node has ended."""
+        """Report a drained instance ready once its node has ended."""
         if self.is_drained and self.node.state is sup.State.STOPPED:
             self._execute(self.machine.on_ready(monotonic_us()))
 
--- a/oakbridge/agent/node_process.py
+++ b/oakbridge/agent/node_process.py
@@ -21,7 +21,7 @@
 
 
 def listener_pid(path: Path) -> int | None:
-    """Return the process that listens on a control socket, by the kernel's word; None if none does."""
+    """Return the process that listens on a control socket, as the kernel has it, or None."""
     with socket.socket(socket.AF_UNIX) as probe:
         probe.settimeout(CONNECT_TIMEOUT_S)
         try:
@@ -37,7 +37,7 @@
     """A process of this machine, a child or one that was found."""
 
     def __init__(self, pid: int, on_exit: ExitCallback, child: subprocess.Popen[bytes] | None = None) -> None:
-        """Raises OSError where there is no such process."""
+        """Watch the process.  Raises OSError where there is none."""
         self.pid = pid
         self._child = child
         self._on_exit = on_exit
@@ -46,7 +46,7 @@
         self._loop.add_reader(self._pidfd, self._exited)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal; if the process is gone nobody gets it: a pidfd never refers to another process."""
+        """Send a signal; nobody gets it if the process is gone: a pidfd is never used anew."""
         if self._pidfd >= 0:
             with contextlib.suppress(ProcessLookupError):
                 signal.pidfd_send_signal(self._pidfd, number)
--- a/oakbridge/agent/record_codec.py
+++ b/oakbridge/agent/record_codec.py
@@ -1,4 +1,4 @@
-"""Encode and decode what ``agent.db`` stores: JSON texts of a format that does not follow the code's names."""
+"""Encode and decode what ``agent.db`` stores: JSON with names of its own, not the code's."""
 
 from __future__ import annotations
 
@@ -153,6 +153,6 @@
 
 
 def _refuse_unknown(fields: dict[str, Any], known: set[str]) -> None:
-    """Raise ValueError for a field that this format does not have: a newer program may mean something by it."""
+    """Raise ValueError for a field that is not of this format: a newer program may need it."""
     if unknown := fields.keys() - known:
         raise ValueError(f"unknown field {min(unknown)!r}")
--- a/oakbridge/agent/records.py
+++ b/oakbridge/agent/records.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Generation:
-    """All that an instance runs by, under one digest; the number only grows over the fleet's life."""
+    """All that an instance runs by, under one digest; numbers grow over the fleet's life."""
 
     number: int = 0
     digest: str = NO_DIGEST
--- a/oakbridge/agent/state_machine.py
+++ b/oakbridge/agent/state_machine.py
@@ -5,9 +5,10 @@
                   v            v           v
                settled     rolling back -> settled                rejected / rolled back
 
-Events come as calls, and each returns the actions that follow from it, in order.  :class:`PersistRecord` comes before
-the action that it speaks of, so that after a crash :meth:`InstanceStateMachine.recover` knows what may have been begun.
-Times are microseconds on a clock that only moves forward.
+Events come as calls, and each returns the actions that follow from it, in order.
+:class:`PersistRecord` comes before the action that it speaks of, so that after a crash
+:meth:`InstanceStateMachine.recover` knows what may have been begun. Times are microseconds on a
+clock that only moves forward.
 """
 
 from __future__ import annotations
@@ -57,7 +58,8 @@
         """Begin a step; one that is in progress or has ended already changes nothing.
 
         Raises:
-            StepConflictError: if the step can't begin; :class:`StepInProgressError` if it can't begin now.
+            StepInProgressError: if the step can't begin now.
+            StepConflictError: if it never can.
         """
         record = self.record
         if self.outcome(step.step_id) is not None:
@@ -76,7 +78,7 @@
         return [self._persist(staging), StageGeneration(step.target)]
 
     def on_staged(self, problem: str = "") -> list[Action]:
-        """The generation is staged; ``problem``: why it must not be activated, if so."""
+        """Take up that the generation is staged; ``problem``: why it must not be activated."""
         step = self.record.step
         if self.record.state is not ChangeState.STAGING or step is None:
             return []
@@ -89,7 +91,7 @@
         return [self._persist(activating), ActivateGeneration(step.target)]
 
     def on_activated(self, now_us: int, problem: str = "") -> list[Action]:
-        """The link has been renamed; ``problem``: why it could not be."""
+        """Take up that the link has been renamed; ``problem``: why it could not be."""
         step = self.record.step
         if step is None:
             return []
@@ -113,7 +115,7 @@
         return []
 
     def on_ready(self, now_us: int) -> list[Action]:
-        """The node serves, by what the link shows."""
+        """Take up that the node serves, by what the link shows."""
         step = self.record.step
         if self._node_ready or self.record.state is not ChangeState.WATCHING or step is None:
             return []
@@ -122,12 +124,12 @@
         return [SetTimer(self._deadline_us)]
 
     def on_failed(self, reason: str) -> list[Action]:
-        """The node has crashed, or its status is not good enough."""
+        """Take up that the node has crashed, or that its status is not good enough."""
         self._node_ready = False
         return self._roll_back(reason) if self.record.state is ChangeState.WATCHING else []
 
     def on_timer(self, now_us: int) -> list[Action]:
-        """A time has come that was asked for with :class:`SetTimer`."""
+        """Take up that a time has come that was asked for with :class:`SetTimer`."""
         record, step = self.record, self.record.step
         if record.state is ChangeState.ROLLING_BACK:
             return [ActivateGeneration(record.current)]
@@ -154,7 +156,8 @@
             case ChangeState.ACTIVATING:
                 return [ActivateGeneration(step.target)]
             case ChangeState.WATCHING:
-                # The node may have been stopped for its restart: it is run again, and watched from the start.
+                # The node may have been stopped for its restart: it is run again, and the
+                # watch begins anew.
                 return [
                     ActivateGeneration(step.target),
                     RunGeneration(step.target),
--- a/oakbridge/agent/status_codec.py
+++ b/oakbridge/agent/status_codec.py
@@ -1,6 +1,7 @@
 """Encode what an agent tells operators of itself and its instances.
 
-The names of the fields are part of the protocol: the tool's reports, ``fleet doctor`` and ``--json`` show them.
+The names of the fields are part of the protocol: the tool's reports, ``fleet doctor`` and
+``--json`` show them.
 """
 
 from __future__ import annotations
--- a/oakbridge/agent/timers.py
+++ b/oakbridge/agent/timers.py
@@ -21,7 +21,7 @@
         self._handles: set[asyncio.TimerHandle] = set()
 
     def schedule(self, at_us: int, callback: Callable[[], None]) -> None:
-        """Call back at a time; an exception is logged and goes no further: one instance's fault is its own."""
+        """Call back at a time; an exception is logged, so that no other instance suffers."""
 
         def expire() -> None:
             self._handles.discard(handle)
--- a/oakbridge/cli/agent.py
+++ b/oakbridge/cli/agent.py
@@ -47,7 +47,11 @@
 
 @click.command("agent")
 @click.option(
-    "--config", "path", required=True, type=click.Path(path_type=Path), help="The agent's file, agent.toml."
+    "--config",
+    "path",
+    required=True,
+    type=click.Path(path_type=Path),
+    help="The agent's file, agent.toml.",
 )
 @log_option
 def command(path: Path, log_format: str) -> None:
--- a/oakbridge/fleet/client.py
+++ b/oakbridge/fleet/client.py
@@ -1,4 +1,4 @@
-"""An operator's client: calls to one agent or to many at once, and the lease over a majority of them."""
+"""An operator's client: calls to one agent or to many, and the lease over a majority."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
         timeout_s: float = CALL_TIMEOUT_S,
         name: str = "",
     ) -> None:
-        """``name``: the operator's, as its certificate has it; it breaks ties between two who ask at once."""
+        """Take the operator's certificate and name; the name breaks ties between two candidates."""
         self.inventory = inventory
         self.name = name
         self.timeout_s = timeout_s
@@ -94,7 +94,10 @@
         agents: tuple[str, ...] | None = None,
         timeout_s: float | None = None,
     ) -> list[AgentResponse]:
-        """Send a request to many agents (all by default) at once; the responses are in the agents' order."""
+        """Send a request to many agents at once, by default to all.
+
+        The responses are in the order of the agents.
+        """
         names = tuple(self.inventory.agents) if agents is None else agents
         calls = (self.call(name, request, timeout_s) for name in names)
         return list(await asyncio.gather(*calls))
@@ -105,7 +108,7 @@
             connection.close()
 
     async def acquire_lease(self, duration_s: float) -> LeaseResult:
-        """Acquire the lease at a majority of the agents; without a majority, give back what was granted."""
+        """Acquire the lease at a majority of the agents, or else give back what was granted."""
         round_index = 0
         while True:
             token = await self._highest_token() + 1
@@ -120,7 +123,7 @@
             round_index += 1
 
     async def raise_token(self, lease: LeaseResult, duration_s: float, above: int = 0) -> LeaseResult:
-        """Acquire a higher token, also higher than ``above``, without releasing the lease in between."""
+        """Acquire a token above the lease's and ``above``, without releasing in between."""
         return await self._request_lease(max(lease.token, above) + 1, duration_s)
 
     async def release_lease(self, lease: LeaseResult) -> None:
--- a/oakbridge/fleet/connection.py
+++ b/oakbridge/fleet/connection.py
@@ -1,4 +1,4 @@
-"""The operator's end of one connection to an agent: HTTP over mutual TLS, kept open between calls."""
+"""The operator's end of a connection to an agent: HTTP over mutual TLS, kept between calls."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         """Send a request and return its response; waiting for an earlier call counts.
 
         Raises:
-            CallError: if there is no response in time, or the other end is not this agent of this fleet.
+            CallError: if there is no response in time, or the other end is not this agent.
         """
         try:
             async with asyncio.timeout(timeout_s), self._in_use:
@@ -70,7 +70,7 @@
     async def _call(self, request: EncodedRequest) -> Response:
         idle, self._idle = self._idle, None
         if idle is not None:
-            # The agent may have closed it meanwhile; every request is idempotent, so a retry is harmless.
+            # The agent may have closed it; every request is idempotent, so a retry is harmless.
             with contextlib.suppress(OSError, EOFError, h11.ProtocolError):
                 return await self._exchange(idle, request)
         return await self._exchange(await self._open(), request)
@@ -90,7 +90,7 @@
         return channel
 
     async def _exchange(self, channel: _Channel, request: EncodedRequest) -> Response:
-        """Send a request and read its response; the channel is kept if it may carry another, else closed."""
+        """Send a request and read its response; keep the channel if it may carry another."""
         reusable = False
         try:
             headers = [("host", self._agent), ("content-length", str(len(request.body)))]
--- a/oakbridge/fleet/errors.py
+++ b/oakbridge/fleet/errors.py
@@ -11,7 +11,7 @@
     """A message or certificate that the protocol does not allow."""
 
     def __init__(self, field: str, expected: str) -> None:
-        """``field`` names what is wrong, ``expected`` says what was expected in its place (and what there was)."""
+        """Name the field, what was expected of it, and what there was."""
         super().__init__(f"{field}: expected {expected}")
         self.field = field
         self.expected = expected
--- a/oakbridge/fleet/health.py
+++ b/oakbridge/fleet/health.py
@@ -12,7 +12,7 @@
 
 
 def instance_health(row: Mapping[str, Any]) -> str:
-    """Return one of this module's constants, or the state of the change or process that is not settled."""
+    """Return a constant of this module, or the state of an unsettled change or process."""
     if row["crash_loop"]:
         return CRASH_LOOP
     if row["change"] != "settled":
--- a/oakbridge/fleet/messages.py
+++ b/oakbridge/fleet/messages.py
@@ -1,4 +1,4 @@
-"""The messages between operators and agents, as the code has them; ``codec`` has their form on the wire.
+"""The messages between operators and agents; ``codec`` has their form on the wire.
 
     GET  /v1/status                     read    StatusRequest
     GET  /v1/generation/INSTANCE/N      read    FilesRequest
@@ -7,8 +7,9 @@
     POST /v1/lease/release              write   ReleaseRequest
     POST /v1/step                       write   StepRequest
 
-Every request is idempotent.  A response with status 409 is a refusal with its reason and, for leases, the holder who
-is in the way; 403 a role that may not ask this; 400 a malformed message, with the field and what was expected.
+Every request is idempotent.  A response with status 409 is a refusal with its reason and, for
+leases, the holder who is in the way; 403 a role that may not ask this; 400 a malformed message,
+with the field and what was expected.
 """
 
 from __future__ import annotations
--- a/oakbridge/fleet/pki.py
+++ b/oakbridge/fleet/pki.py
@@ -1,7 +1,7 @@
-"""The fleet's own certificate authority: created once, it signs the certificates of agents and operators.
+"""The fleet's own certificate authority, and the certificates of agents and operators.
 
-Keys are P-256; files are PEM, and keys are readable by their owner alone.  A certificate has its holder's identity in
-one URI (see ``identity``).
+Keys are P-256; files are PEM, and keys are readable by their owner alone.  A certificate has its
+holder's identity in one URI (see ``identity``).
 """
 
 from __future__ import annotations
@@ -108,7 +108,7 @@
 
 
 def tls_context(authority: Path, stem: Path, *, server: bool) -> ssl.SSLContext:
-    """Return the context for one end, which shows ``STEM.crt`` and accepts none but the fleet's certificates.
+    """Return the context for one end, which shows ``STEM.crt`` and accepts its fleet alone.
 
     Raises:
         PkiError: if the authority's certificate, the end's own or its key can't be read.
@@ -176,7 +176,7 @@
     """Write a file that must not exist, and sync it."""
     mode = 0o600 if secret else 0o644
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, mode)
-    with open(fd, "wb") as file:
+    with os.fdopen(fd, "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
--- a/oakbridge/fleet/quorum.py
+++ b/oakbridge/fleet/quorum.py
@@ -1,8 +1,9 @@
 """Decide who has won the lease over a fleet, by what its agents answered.  Pure.
 
-Two strict majorities share an agent, and an agent grants its lease to one holder at a time; so two operators never
-both win.  They may both fail to, when each has a part of the fleet: then the one with the larger part (on a tie, the
-one whose name sorts first) gives its part back and asks again after a random backoff, and the others give up at once.
+Two strict majorities share an agent, and an agent grants its lease to one holder at a time; so two
+operators never both win.  They may both fail to, when each has a part of the fleet: then the one
+with the larger part (on a tie, the one whose name sorts first) gives its part back and asks again
+after a random backoff, and the others give up at once.
 """
 
 from __future__ import annotations
--- a/oakbridge/fleet/server.py
+++ b/oakbridge/fleet/server.py
@@ -1,7 +1,7 @@
 """The agent's end: an HTTP server over mutual TLS, where everything has a bound.
 
-Nobody without a certificate of this fleet gets past the handshake: the context knows one authority alone.  Whom the
-certificate speaks for is checked once the handshake is done.
+Nobody without a certificate of this fleet gets past the handshake: the context knows one authority
+alone.  Whom the certificate speaks for is checked once the handshake is done.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 
 class AgentServer:
-    """Listens for operators and hands their requests, one after another on each connection, to a handler."""
+    """Listens for operators, and hands each connection's requests to a handler, one by one."""
 
     def __init__(self, context: ssl.SSLContext, fleet: str, handler: Handler) -> None:
-        """``handler`` gets the sender's identity, the method, the path and the body."""
+        """Take a handler, which gets the sender's identity, the method, the path and the body."""
         self._context = context
         self._fleet = fleet
         self._handler = handler
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -1,4 +1,4 @@
-"""A whole agent as a process, with real nodes: changes over, goes back, outlives and is outlived."""
+"""An agent as a process, with real nodes: applies, rolls back, outlives and is outlived."""
 
 import asyncio
 import json
@@ -52,11 +52,13 @@
         self.inventory = Inventory("f", {"h1": ("127.0.0.1", free_ports(1)[0])})
         self.state = folder / "state"
         lines = [
-            'name = "h1"\nfleet = "f"\nstate = "state"\nauthority = "fleet/ca.crt"\ncertificate = "fleet/h1"',
+            'name = "h1"\nfleet = "f"\nstate = "state"',
+            'authority = "fleet/ca.crt"\ncertificate = "fleet/h1"',
             f'listen = "127.0.0.1:{self.inventory.agents["h1"][1]}"',
         ]
-        for name in NODES:
-            lines.append(f'[[instance]]\nname = "{name}"\nlisten = ["127.0.0.1:{free_ports(1)[0]}"]')
+        lines += [
+            f'[[instance]]\nname = "{name}"\nlisten = ["127.0.0.1:{free_ports(1)[0]}"]' for name in NODES
+        ]
         (folder / "agent.toml").write_text("\n".join(lines))
         self.agent: subprocess.Popen | None = None
 
@@ -65,9 +67,10 @@
         return self
 
     def start(self) -> None:
+        config = self.folder / "agent.toml"
         with (self.folder / "agent.log").open("ab") as out:
             self.agent = subprocess.Popen(
-                [sys.executable, "-m", "oakbridge.cli", "agent", "--config", str(self.folder / "agent.toml")],
+                [sys.executable, "-m", "oakbridge.cli", "agent", "--config", str(config)],
                 env=environment(), stdout=out, stderr=out,
             )  # fmt: skip
         self.until(lambda: self.status())
@@ -147,7 +150,8 @@
     assert host.step(2, "n1", 1, config("2s")).status == 202
     assert host.ended("n1", "s2-n1")[1] == "took it"
     after = host.well("n1", 2)
-    assert after["pid"] != before and host.instance("n2")["generation"] == 1
+    assert after["pid"] != before
+    assert host.instance("n2")["generation"] == 1
     again = host.step(2, "n1", 1, config("2s"))
     assert (again.status, again.body["verdict"]) == (200, "took it")
     assert host.instance("n1")["pid"] == after["pid"]
@@ -159,9 +163,11 @@
     host.lease(2)
     pid = host.instance("n1")["pid"]
     told = host.step(2, "n1", 1, config("soon"))
-    assert told.body["verdict"] == "did not" and "class[0].aim: expected a time" in told.body["reason"]
+    assert told.body["verdict"] == "did not"
+    assert "class[0].aim: expected a time" in told.body["reason"]
     told = host.step(2, "n1", 1, {"servers.toml": "x"}, step="other")
-    assert told.status == 400 and "expected oakbridge.toml" in told.body["error"]
+    assert told.status == 400
+    assert "expected oakbridge.toml" in told.body["error"]
     assert (host.instance("n1")["generation"], host.instance("n1")["pid"]) == (1, pid)
 
 
@@ -173,7 +179,8 @@
     assert new["change"] == "watching"
     os.kill(new["pid"], signal.SIGKILL)
     _, verdict, reason = host.ended("n1", "s2-n1")
-    assert verdict == "undone" and "signal 9" in reason
+    assert verdict == "undone"
+    assert "signal 9" in reason
     host.well("n1", 1)
     assert host.ask(messages.FilesRequest("n1", 1), "look").body["files"] == config()
 
@@ -216,14 +223,17 @@
     told = host.lease(3, "ola")
     assert told.status == 200
     told = host.step(2, "n1", 1, config("2s"), step="again")
-    assert told.status == 409 and told.body["holder"] == "ola"
+    assert told.status == 409
+    assert told.body["holder"] == "ola"
     assert host.instance("n1")["generation"] == 1
 
 
 def test_two_operators_and_one_that_may_only_look(host):
     host.lease(2)
     told = host.lease(3, "ola")
-    assert told.status == 409 and told.body["holder"] == "kari" and told.body["since"] > 0
+    assert told.status == 409
+    assert told.body["holder"] == "kari"
+    assert told.body["since"] > 0
     assert host.ask(messages.LeaseRequest(9, SECOND), "look").status == 403
     assert host.ask(messages.StepRequest(2, "x", "n1", 2, 1, SECOND, config("2s")), "look").status == 403
     assert host.instance("n1")["generation"] == 1
@@ -249,7 +259,9 @@
     assert list(read_inventory(tmp_path / "fleet").agents) == ["h1"]
     done = call("status", "--as", "ola", "--json", "--within", "1")
     told = json.loads(done.stdout)
-    assert done.returncode == 1 and told["agents"][0]["state"] == "unknown" and told["instances"] == []
+    assert done.returncode == 1
+    assert told["agents"][0]["state"] == "unknown"
+    assert told["instances"] == []
     assert "1 of 1 agents unknown" in call("status", "--within", "1").stdout
     write_inventory(tmp_path / "fleet", Inventory("bergen", {}))
     assert "Traceback" not in call("status").stderr
--- a/tests/agent/test_lease.py
+++ b/tests/agent/test_lease.py
@@ -49,15 +49,18 @@
     lease = Lease(FencingTokenRecord(), 0)
     lease.acquire(0, 5, "ola", 10 * S, 0)
     assert isinstance(lease.renew(5 * S, 5, "kari", 60 * S), LeaseDenied)
-    assert lease.release(5 * S, 5, "kari") is False and lease.check(5 * S, 5, "kari") is not None
-    assert lease.is_active(9 * S) and not lease.is_active(10 * S)
+    assert lease.release(5 * S, 5, "kari") is False
+    assert lease.check(5 * S, 5, "kari") is not None
+    assert lease.is_active(9 * S)
+    assert not lease.is_active(10 * S)
 
 
 def test_its_holder_may_ask_for_a_higher_token_before_it_ends():
     lease = Lease(FencingTokenRecord(), 0)
     lease.acquire(0, 5, "kari", 10 * S, 0)
     assert isinstance(lease.acquire(1, 6, "kari", 10 * S, 0), LeaseGranted)
-    assert lease.check(2, 5, "kari") is not None and lease.check(2, 6, "kari") is None
+    assert lease.check(2, 5, "kari") is not None
+    assert lease.check(2, 6, "kari") is None
 
 
 def test_after_a_start_an_unreleased_lease_counts_as_alive_for_a_while():
@@ -84,7 +87,7 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Operators that race for five agents; each message may be late, lost or doubled, each agent killed or frozen."""
+    """Operators that race for five agents, over messages that are late, lost or doubled."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -124,7 +127,7 @@
     @precondition(lambda self: self.granted)
     @rule(data=st.data())
     def send_step(self, data):
-        """An operator that believes that it has a majority sends a step, which may come much later."""
+        """An operator that believes it has a majority sends a step, which may come much later."""
         holders = [key for key, agents in self.granted.items() if len(agents) >= majority(AGENTS)]
         if holders:
             who, token = data.draw(st.sampled_from(sorted(holders)))
@@ -164,7 +167,7 @@
 
     @invariant()
     def tokens_of_steps_only_grow(self):
-        """A step of an older lease is never taken after one of a newer: nothing is interleaved at an agent."""
+        """A step of an older lease is never taken after one of a newer."""
         for tokens in self.done:
             assert tokens == sorted(tokens)
 
@@ -179,7 +182,7 @@
 
 
 def test_two_hundred_races_have_one_winner_each():
-    """Both ask all agents, in an order by seed; each gives back what it got if that is no majority."""
+    """Both ask all agents, in an order by seed."""
     import random
 
     for seed in range(200):
@@ -192,4 +195,5 @@
         for who, agent in asks:
             got[who] += isinstance(leases[agent].acquire(0, 1, who, LENGTH, 0.0), LeaseGranted)
         winners = [who for who, n in got.items() if n >= majority(count)]
-        assert len(winners) <= 1 and sum(got.values()) == count
+        assert len(winners) <= 1
+        assert sum(got.values()) == count
--- a/tests/agent/test_state_machine.py
+++ b/tests/agent/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The change-over of one instance: each way through it, and a state machine with crashes at every action."""
+"""An instance's state machine: each way through it, and crashes at every action."""
 
 import pytest
 from hypothesis import settings
@@ -53,7 +53,8 @@
     assert kinds(i.begin_step(step())) == [PersistRecord, StageGeneration]
     assert kinds(i.on_staged()) == [PersistRecord, ActivateGeneration]
     assert kinds(i.on_activated(0)) == [PersistRecord, RunGeneration, SetTimer]
-    assert i.on_ready(5) == [SetTimer(15)] and i.on_ready(6) == []
+    assert i.on_ready(5) == [SetTimer(15)]
+    assert i.on_ready(6) == []
     assert i.on_timer(14) == []
     assert kinds(i.on_timer(15)) == [PersistRecord]
     assert (i.record.current, i.record.previous) == (TWO, ONE)
@@ -139,7 +140,7 @@
 
 
 class Host(RuleBasedStateMachine):
-    """A disk, a link and a process; the agent may be killed before or after any action, and starts again."""
+    """A disk, a link and a process; the agent may be killed around any action."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -158,7 +159,7 @@
 
     @rule(good=st.booleans(), old=st.booleans())
     def order(self, good, old):
-        """A new step; ``good``: its files pass the check; ``old``: for an instance that ran something else."""
+        """A new step; ``good``: its files pass the check; ``old``: its base is another generation."""
         self.numbers += 1
         target = Generation(self.numbers, f"g{self.numbers}" if good else "bad")
         s = Step(f"s{self.numbers}", self.numbers, target, 0 if old else self.disk.current.number, 10)
@@ -184,33 +185,36 @@
     def act(self, killed, flip_fails):
         """Carry one action out, unless the agent is killed first; or kill it right after."""
         if killed == "before":
-            return self.kill()
-        action = self.queue.pop(0)
-        follows: list = []
+            self.kill()
+            return
+        follows = self.carry_out(self.queue.pop(0), flip_fails and killed is None)
+        if killed == "after":
+            self.kill()
+        else:
+            self.queue += follows
+
+    def carry_out(self, action, flip_fails) -> list:
+        """Carry an action out; return what follows from it."""
         if isinstance(action, PersistRecord):
             self.disk = action.record
         elif isinstance(action, StageGeneration):
             self.staged[action.target.number] = action.target.digest
-            problem = "bad" if action.target.digest == "bad" else ""
-            follows = self.machine.on_staged(problem) if killed is None else []
+            return self.machine.on_staged("bad" if action.target.digest == "bad" else "")
         elif isinstance(action, DiscardGeneration):
             if self.link != action.target.number:
                 self.staged.pop(action.target.number, None)
         elif isinstance(action, ActivateGeneration):
-            if flip_fails and killed is None:
-                follows = self.machine.on_activated(self.now, "disk full")
-            else:
-                assert action.target.number in self.staged, "the link would show nothing"
-                self.link = action.target.number
-                follows = self.machine.on_activated(self.now) if killed is None else []
+            if flip_fails:
+                return self.machine.on_activated(self.now, "disk full")
+            assert action.target.number in self.staged, "the link would show nothing"
+            self.link = action.target.number
+            return self.machine.on_activated(self.now)
         elif isinstance(action, RunGeneration):
             assert self.link == action.target.number
             self.process = action.target.number
         elif isinstance(action, SetTimer):
             self.due = action.at_us
-        self.queue += follows
-        if killed == "after":
-            self.kill()
+        return []
 
     def kill(self) -> None:
         """The agent is gone, and starts again from its disk; the process lives on."""
@@ -255,14 +259,15 @@
         assert self.disk.current.number >= self.disk.previous.number
 
     def teardown(self):
-        """Left alone, it settles: link, process and record agree, and every step that was begun has its end."""
+        """Left alone, it settles: link, process and record agree, and each step has its end."""
         for _ in range(30):
             while self.queue:
                 self.act(None, False)
             self.is_ready()
             self.wait(1_000_001)
         r = self.machine.record
-        assert r.state is ChangeState.SETTLED and r == self.disk
+        assert r.state is ChangeState.SETTLED
+        assert r == self.disk
         assert self.link == r.current.number == self.process
         for outcome in r.outcomes:
             if outcome.verdict is Verdict.APPLIED:
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -1,4 +1,4 @@
-"""The agent's disk: whole or not at all, one agent at a time, and a SIGKILL before every single write of it."""
+"""The agent's disk: complete or not at all, one agent, and a SIGKILL around every write."""
 
 import json
 import os
@@ -84,7 +84,7 @@
         with sqlite3.connect(tmp_path / "agent.db") as db:
             db.execute("UPDATE facts SET value = '99' WHERE name = 'format'")
         db.close()
-    with pytest.raises(StoreError, match="agent.db|format 1, got 99"):
+    with pytest.raises(StoreError, match=r"agent.db|format 1, got 99"):
         Store(tmp_path)
 
 
@@ -99,7 +99,8 @@
     store.generations.activate("a", two)
     store.generations.discard("a", two)  # it is shown: it stays
     store.generations.discard("a", one)
-    assert store.generations.current_number("a") == 2 and not store.generations.folder("a", one).exists()
+    assert store.generations.current_number("a") == 2
+    assert not store.generations.folder("a", one).exists()
     with pytest.raises(StoreError, match="expected a staged generation"):
         store.generations.activate("a", one)
     store.generations.activate("a", Generation())
@@ -109,11 +110,14 @@
 @pytest.mark.parametrize(
     ("files", "says"),
     [
-        ({}, "expected 1 to 64"), ({"../x": "1"}, "letters, digits"), ({"a/b": "1"}, "letters, digits"),
-        ({".hidden": "1"}, "letters, digits"), ({"a": "x" * 40_000_000}, "at most"),
+        ({}, "expected 1 to 64"),
+        ({"../x": "1"}, "letters, digits"),
+        ({"a/b": "1"}, "letters, digits"),
+        ({".hidden": "1"}, "letters, digits"),
+        ({"a": "x" * 40_000_000}, "at most"),
         ({f"f{i}": "" for i in range(65)}, "expected 1 to 64"),
     ],
-)  # fmt: skip
+)
 def test_files_that_may_not_be_written_are_refused(store, files, says):
     with pytest.raises(StoreError, match=says):
         store.generations.stage("a", generation(1, files), files)
@@ -185,7 +189,9 @@
         return "bad" if "bad" in staged.read_text() else ""
     executor = ActionExecutor(
         store, "a", machine,
-        check_staged=check, run_generation=lambda g: ran.append(g.number), set_timer=lambda at: None,
+        check_staged=check,
+        run_generation=lambda g: ran.append(g.number),
+        set_timer=lambda at: None,
     )
     executor.execute(now, machine.recover(now))
     text = {"took": "new", "bad": "bad", "dies": "new"}[fate]
@@ -224,7 +230,7 @@
 
 @pytest.mark.parametrize(("fate", "text"), [("took", "new"), ("bad", "old"), ("dies", "old")])
 def test_killed_before_and_after_every_write_it_comes_to_the_same_end(tmp_path, fate, text):
-    """The list of kills is every touch of the disk in turn, not a draw; then the agent starts again and goes on."""
+    """The list of kills is every touch of the disk in turn; then the agent starts again."""
     verdicts = {"took": {"took it"}, "bad": {"did not"}, "dies": {"undone"}}
     kill_at, seen = 1, []
     while True:
@@ -244,7 +250,7 @@
         store.close()
         if fate == "bad":
             assert number == 1
-        # Killed while it was staged: the step is over, as *did not*; else it goes on to the end it would have had.
+        # Killed while it was staged: the step is rejected; else it has the end it would have had.
         code, _ = drive(folder, 0, fate)
         assert code == 0
         store = Store(folder)
@@ -254,11 +260,10 @@
         assert outcome.verdict.value in (verdicts[fate] | ({"did not"} if ended_by_the_kill else set()))
         wanted = "old" if ended_by_the_kill else text
         assert store.generations.read_files("a", record.current) == {"oakbridge.toml": wanted}
-        assert (
-            store.generations.current_number("a") == record.current.number
-            and record.state is ChangeState.SETTLED
-        )
+        assert store.generations.current_number("a") == record.current.number
+        assert record.state is ChangeState.SETTLED
         store.close()
         kill_at += 1
-    assert len(seen) >= 15 and len({name for name, _ in seen}) >= 3
+    assert len(seen) >= 15
+    assert len({name for name, _ in seen}) >= 3
     assert InstanceStateMachine(record).state is ChangeState.SETTLED
--- a/tests/fleet/test_http.py
+++ b/tests/fleet/test_http.py
@@ -4,7 +4,7 @@
 import ssl
 
 import pytest
-from peers import run, soon
+from peers import run, soon, until
 
 from oakbridge.fleet import pki, server
 from oakbridge.fleet.connection import AgentConnection
@@ -19,7 +19,7 @@
 
 @pytest.fixture(scope="module")
 def folder(tmp_path_factory):
-    """Two fleets: ours with an agent, operators and one whose time is over; another with an operator."""
+    """Two fleets: ours with an agent, operators and an expired one; another with an operator."""
     ours, other = tmp_path_factory.mktemp("ours"), tmp_path_factory.mktemp("other")
     pki.create_authority(ours, FLEET)
     pki.create_authority(other, FLEET)  # of the same name: it is the authority that counts
@@ -79,7 +79,7 @@
 
 
 def test_nobody_else_gets_past_the_handshake(folder):
-    """No certificate, another fleet's, one that has run out: nothing of what they say is looked at."""
+    """No certificate, another fleet's, an expired one: nothing that they say is read."""
     ours, other = folder
 
     async def scenario():
@@ -109,7 +109,7 @@
                 await ask(s, ours, ours / "kari", agent="h2")
             assert s.handled == []
         async with Serving(other) as s:
-            with pytest.raises(CallError, match="(?i)certificate"):
+            with pytest.raises(CallError, match=r"(?i)certificate"):
                 await ask(s, ours, ours / "kari")
 
     run(scenario())
@@ -170,10 +170,8 @@
             tls = pki.tls_context(ours / "ca.crt", ours / "kari", server=False)
             _, writer = await asyncio.open_connection(*s.server.address, ssl=tls, limit=1024)
             writer.write(b"GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n")
-            while not s.server.connection_count:
-                await asyncio.sleep(0.01)
-            while s.server.connection_count:
-                await asyncio.sleep(0.01)
+            await until(lambda: s.server.connection_count)
+            await until(lambda: not s.server.connection_count)
             writer.transport.abort()
 
     run(scenario())
@@ -187,7 +185,7 @@
 
     async def scenario():
         async with Serving(ours, never) as s:
-            with pytest.raises(CallError, match="no answer within 0.2 s"):
+            with pytest.raises(CallError, match=r"no answer within 0\.2 s"):
                 await ask(s, ours, ours / "kari", within=0.2)
 
     run(scenario())
@@ -201,14 +199,12 @@
         async with Serving(ours) as s:
             tls = pki.tls_context(ours / "ca.crt", ours / "kari", server=False)
             held = [await asyncio.open_connection(*s.server.address, ssl=tls) for _ in range(3)]
-            while s.server.connection_count < 3:
-                await asyncio.sleep(0.01)
+            await until(lambda: s.server.connection_count == 3)
             with pytest.raises(CallError):
                 await ask(s, ours, ours / "kari")
             for _, writer in held:
                 writer.transport.abort()
-            while s.server.connection_count:
-                await asyncio.sleep(0.01)
+            await until(lambda: not s.server.connection_count)
             assert (await ask(s, ours, ours / "kari"))[0] == 200
 
     run(scenario())
@@ -221,16 +217,14 @@
     with pytest.raises(PkiError, match="there is one already"):
         pki.issue_certificate(ours, Identity(FLEET, IdentityKind.OPERATOR, "kari", Role.WRITE), ours / "kari")
     assert (ours / "ca.key").stat().st_mode & 0o777 == 0o600
-    assert (
-        pki.certificate_days_left(ours / "kari.crt") > 390
-        and pki.certificate_days_left(ours / "late.crt") < 0
-    )
+    assert pki.certificate_days_left(ours / "kari.crt") > 390
+    assert pki.certificate_days_left(ours / "late.crt") < 0
 
 
 def test_a_fault_is_told_and_ends_nothing(folder):
     ours, _ = folder
 
-    async def faulty(who, method, path, body):
+    async def faulty(_who, _method, path, _body):
         if path == "/v1/bad":
             raise FleetMessageError("x", "y")
         raise RuntimeError("oh")
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -24,10 +24,14 @@
 @pytest.mark.parametrize(
     ("request_", "role"),
     [
-        (StatusRequest(), Role.READ), (FilesRequest("n1", 7), Role.READ), (LeaseRequest(4, 60_000_000), Role.WRITE),
-        (LeaseRequest(4, 60_000_000, renew=True), Role.WRITE), (ReleaseRequest(4), Role.WRITE), (STEP, Role.WRITE),
+        (StatusRequest(), Role.READ),
+        (FilesRequest("n1", 7), Role.READ),
+        (LeaseRequest(4, 60_000_000), Role.WRITE),
+        (LeaseRequest(4, 60_000_000, renew=True), Role.WRITE),
+        (ReleaseRequest(4), Role.WRITE),
+        (STEP, Role.WRITE),
     ],
-)  # fmt: skip
+)
 def test_what_is_read_is_what_was_written(request_, role):
     assert decode_request(*encode_request(request_)) == request_
     assert required_role(request_) == role
@@ -72,14 +76,19 @@
     assert decode_request(method, path, b"{}") is None
 
 
+def problem_of(method: str, path: str, data: bytes) -> str:
+    try:
+        decode_request(method, path, data)
+    except FleetMessageError as e:
+        return str(e)
+    return ""
+
+
 @given(st.sampled_from(["GET", "POST"]), st.text(max_size=30), st.binary(max_size=100))
 @settings(derandomize=True, max_examples=300)
 def test_no_bytes_make_the_reader_fail(method, path, data):
     for start in ("", "/v1/", "/v1/generation/", "/v1/lease/acquire", "/v1/step"):
-        try:
-            decode_request(method, start + path, data)
-        except FleetMessageError as e:
-            assert "\n" not in str(e)
+        assert "\n" not in problem_of(method, start + path, data)
 
 
 def test_identities_go_round_and_others_are_refused():
--- a/tests/formats/test_agent.py
+++ b/tests/formats/test_agent.py
@@ -1,6 +1,7 @@
-"""``agent.db`` as the agent before the renames wrote it: it is read, and the same records are stored as the same text.
+"""``agent.db`` as the agent before the renames wrote it: read, and written as the same text.
 
-``fixtures/agent/agent.db`` is the database; ``rows.json`` has its rows, so that they can be checked by hand.
+``fixtures/agent/agent.db`` is the database; ``rows.json`` has its rows, so that they can be checked
+by hand.
 """
 
 import json
--- a/tests/formats/test_fleet.py
+++ b/tests/formats/test_fleet.py
@@ -1,7 +1,8 @@
-"""The fleet's protocol as the program before the renames spoke it: each request and answer, byte for byte over TLS.
+"""The fleet's protocol as before the renames: requests and answers, byte for byte over TLS.
 
-``fixtures/fleet/NAME.request`` and ``.response`` are whole HTTP messages.  The agent's end is sent each request in
-the order of the table and gives the response; the operator's end writes the request and reads the response.
+``fixtures/fleet/NAME.request`` and ``.response`` are whole HTTP messages.  The agent's end is sent
+each request in the order of the table and gives the response; the operator's end writes the request
+and reads the response.
 """
 
 import asyncio
@@ -10,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from peers import LIMIT, run, soon
+from peers import run, soon, until
 
 from oakbridge.agent.agent import Agent
 from oakbridge.agent.generations import digest_of
@@ -51,7 +52,7 @@
     return messages.StepRequest(token, name, instance, number, base, WATCH, files)
 
 
-# Name, who asks, the request (None: bytes that no operator of ours sends), the status of the answer.
+# Name, who asks, the request (None: bytes that no client of ours sends), the answer's status.
 TABLE = [
     ("status", "look", messages.StatusRequest(), 200),
     ("fetch", "look", messages.FilesRequest("n1", 2), 200),
@@ -105,9 +106,13 @@
     return head + await reader.readexactly(int(lines.get(b"content-length", b"0")))
 
 
+def is_broken(config: Path) -> bool:
+    return "# broken" in config.read_text("utf-8")
+
+
 class Host(PlayedHost):
     async def check_config(self, config: Path) -> str:
-        if "# broken" in config.read_text("utf-8"):
+        if is_broken(config):
             raise RuntimeError
         return await super().check_config(config)
 
@@ -142,7 +147,7 @@
 
 @pytest.fixture
 def still(monkeypatch, tmp_path):
-    """All that differs from run to run stands still: clocks, process numbers, the version, the folder."""
+    """All that differs from run to run stands still: clocks, processes, version, folder."""
     monkeypatch.chdir(tmp_path)
     monkeypatch.setattr("time.time", lambda: WALL)
     monkeypatch.setattr("time.monotonic_ns", lambda: 5_000 * SECOND * 1000)
@@ -151,6 +156,11 @@
     monkeypatch.setattr("oakbridge.agent.status_codec.__version__", "0.0.1")
 
 
+def nodes_that_run(agent: Agent) -> int:
+    rows = encode_status(agent)["instances"]
+    return sum(row["answers"] and row["process"] == "running" for row in rows)
+
+
 async def exchange(server: AgentServer, authority: Path, who: str, request: bytes) -> bytes:
     reader, writer = await asyncio.open_connection(*server.address, ssl=tls(authority, who))
     writer.write(request)
@@ -167,18 +177,15 @@
     await server.start(("127.0.0.1", 0))
     agent.start()
     try:
-        async with asyncio.timeout(LIMIT):
-            while (
-                sum(i["answers"] and i["process"] == "running" for i in encode_status(agent)["instances"]) < 2
-            ):
-                await asyncio.sleep(0.01)
+        await until(lambda: nodes_that_run(agent) == 2)
         return [await exchange(server, authority, who, request) for who, request in requests]
     finally:
         server.close()
         agent.stop()
 
 
-def test_an_agent_answers_each_request_with_the_same_bytes(authority, still):
+@pytest.mark.usefixtures("still")
+def test_an_agent_answers_each_request_with_the_same_bytes(authority):
     async def scenario():
         answers = await play(authority, [(who, fixture(name, "request")) for name, who, _, _ in TABLE])
         for (name, _, _, status), answer in zip(TABLE, answers, strict=True):
