--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -113,7 +113,7 @@
         self._perform(self._machine.disconnected())
 
     def _notice_shutdown(self) -> None:
-        if self._node.server.leaving:
+        if self._node.server.shutting_down:
             self._machine.begin_shutdown()
 
     def _perform(self, actions: Sequence[PredecessorAction]) -> None:
@@ -147,9 +147,9 @@
             configuration=node.config.raw,
             endpoint_list=as_raw(index or 0, node.listed_now()),
             outages=node.outages.saved(),
-            draining=node.server.life.draining,
+            draining=node.server.lifecycle.draining,
         )
-        self._send(welcome, node.server.doors())
+        self._send(welcome, node.server.listener.duplicate_descriptors())
         log.info("successor welcomed")
 
     def _drain_to_successor(self) -> None:
@@ -157,9 +157,9 @@
         node.server.hand_over(self._migrate_connection)
         node.pool.close_idle()
         self._send(TakeOver(policy_state.save(node.balancer, node.clock.now())))
-        log.info("handed over; %d callers move on as they rest", node.server.callers())
+        log.info("handed over; %d callers move on as they rest", node.server.connection_count())
         self._report_load(None)
-        node.server.move_all()
+        node.server.hand_over_idle_connections()
 
     def _migrate_connection(self, descriptor: int) -> bool:
         """Send an idle client connection to the successor; False if that is gone."""
@@ -175,7 +175,7 @@
         node = self._node
         load = RemainingLoad(
             attempts=node.balancer.admission.out,
-            connections=node.server.callers() + node.pool.count,
+            connections=node.server.connection_count() + node.pool.connection_count,
         )
         if load != last_report:
             self._send(load)
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -17,7 +17,7 @@
 from oakbridge.handover.predecessor import Predecessor
 from oakbridge.handover.successor import Successor
 from oakbridge.handover.unix_socket import socket_path
-from oakbridge.node.config import Config, load, made
+from oakbridge.node.config import Config, load_config, parse_config
 from oakbridge.node.listing import Address, ConfigError
 from oakbridge.node.node import Node
 from oakbridge.node.outages import Outages
@@ -43,7 +43,7 @@
         """
         config, config_error = None, None
         try:
-            config = load(self._environment)
+            config = load_config(self._environment)
         except ConfigError as e:
             config_error = e
         name = config.name if config is not None else self._environment.get("NODE_NAME")
@@ -74,7 +74,7 @@
         if config is None or missing_key(inherited.configuration, config.raw):
             reason = config_error or "it lacks a key"
             log.error("the configuration can't be used, the running process's is: %s", reason)
-            config = made(self._environment, inherited.configuration)
+            config = parse_config(self._environment, inherited.configuration)
         return replace(config, known=inherited.endpoint_list)
 
     @asynccontextmanager
