--- a/oakbridge/cli/rollout/change_options.py
+++ b/oakbridge/cli/rollout/change_options.py
@@ -4,7 +4,8 @@
 
 from pathlib import Path
 
-from oakbridge.agent.store import StoreError, check_files
+from oakbridge.agent.errors import StoreError
+from oakbridge.agent.generations import check_files
 from oakbridge.cli.common import BadInput
 from oakbridge.rollout.change import (
     CONFIG_FILE,
--- a/oakbridge/cli/rollout/doctor_command.py
+++ b/oakbridge/cli/rollout/doctor_command.py
@@ -19,7 +19,8 @@
     via_options,
 )
 from oakbridge.cli.rollout.session import CALL_TIMEOUT_S, open_journal
-from oakbridge.fleet import pki, wire
+from oakbridge.fleet import messages, pki
+from oakbridge.fleet.errors import PkiError
 from oakbridge.rollout.doctor import Finding, Severity, diagnose
 from oakbridge.rollout.journal import JournalError
 
@@ -37,11 +38,11 @@
     members = None if via is None else asyncio.run(members_by(via, secret_file))
     client = operator_of(folder, operator, CALL_TIMEOUT_S)
     journal = open_journal(folder)
-    responses = asyncio.run(client.ask_all(wire.Status()))
+    responses = asyncio.run(client.call_all(messages.StatusRequest()))
     answers: dict[str, dict[str, Any] | str] = {
-        response.agent: response.answer
+        response.agent: response.body
         if response.status == 200
-        else response.error or str(response.answer.get("error", ""))
+        else response.error or str(response.body.get("error", ""))
         for response in responses
     }
     try:
@@ -67,8 +68,8 @@
     days_by_name: dict[str, float] = {}
     for path in paths:
         try:
-            days = pki.days_left(path)
-        except (pki.PkiError, OSError, ValueError):
+            days = pki.certificate_days_left(path)
+        except (PkiError, OSError, ValueError):
             days = 0.0
         days_by_name[str(path.relative_to(folder))] = days
     return days_by_name
--- a/oakbridge/cli/rollout/journal_commands.py
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -16,8 +16,8 @@
 from oakbridge.cli.common import BadInput, say_json
 from oakbridge.cli.fleet import command, folder_option, operator_of, operator_option
 from oakbridge.cli.rollout.session import CALL_TIMEOUT_S, open_journal
-from oakbridge.fleet import wire
-from oakbridge.fleet.ask import Operator
+from oakbridge.fleet import messages
+from oakbridge.fleet.client import FleetClient
 from oakbridge.rollout.change import ReplaceFiles
 from oakbridge.rollout.journal import Journal, JournalEntry, JournalError
 from oakbridge.rollout.rebuild import RebuiltRollout, rebuild
@@ -94,13 +94,11 @@
         click.echo(f"{agent} did not answer: what it alone remembers is not there")
 
 
-async def _missing_entries(operator: Operator, journal: Journal) -> tuple[list[JournalEntry], list[str]]:
+async def _missing_entries(operator: FleetClient, journal: Journal) -> tuple[list[JournalEntry], list[str]]:
     """Return the rollouts that only agents remember, and the agents without an answer."""
-    responses = await operator.ask_all(wire.Status())
+    responses = await operator.call_all(messages.StatusRequest())
     silent = [response.agent for response in responses if response.status != 200]
-    reports = {
-        response.agent: response.answer["instances"] for response in responses if response.status == 200
-    }
+    reports = {response.agent: response.body["instances"] for response in responses if response.status == 200}
     known = {entry.id for entry in journal.entries(ALL_ENTRIES)}
     entries = [
         await _rebuilt_entry(operator, rollout)
@@ -111,12 +109,12 @@
     return entries, silent
 
 
-async def _rebuilt_entry(operator: Operator, rollout: RebuiltRollout) -> JournalEntry:
+async def _rebuilt_entry(operator: FleetClient, rollout: RebuiltRollout) -> JournalEntry:
     files: dict[str, str] = {}
     if rollout.files_holder is not None:
         holder = rollout.files_holder
-        response = await operator.ask(holder.agent, wire.Fetch(holder.instance, rollout.id))
-        files = response.answer.get("files", {})
+        response = await operator.call(holder.agent, messages.FilesRequest(holder.instance, rollout.id))
+        files = response.body.get("files", {})
     now_unix_s = time.time()
     return JournalEntry(
         id=rollout.id,
--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -18,8 +18,8 @@
 from oakbridge.cli.fleet import operator_of
 from oakbridge.cli.rollout.options import WaveArguments
 from oakbridge.cli.rollout.view import render
-from oakbridge.fleet import wire
-from oakbridge.fleet.ask import Held, Operator
+from oakbridge.fleet import messages
+from oakbridge.fleet.client import FleetClient, LeaseResult
 from oakbridge.rollout.change import Change, RollBackRollout
 from oakbridge.rollout.coordinator import Coordinator, RolloutOptions
 from oakbridge.rollout.journal import Journal, JournalEntry, JournalError
@@ -61,7 +61,7 @@
     ) -> None:
         """Roll a change out, and end the command with its exit code."""
 
-        async def run(operator: Operator, journal: Journal, held: Held) -> RolloutResult:
+        async def run(operator: FleetClient, journal: Journal, held: LeaseResult) -> RolloutResult:
             targets, unseen = await find_targets(operator, waves.only)
             if sources is not None:
                 targets = [target for target in targets if target.name in sources]
@@ -84,7 +84,7 @@
     def resume(self, rollout: int) -> None:
         """Resume a rollout, and end the command with its exit code."""
 
-        async def run(operator: Operator, journal: Journal, held: Held) -> RolloutResult:
+        async def run(operator: FleetClient, journal: Journal, held: LeaseResult) -> RolloutResult:
             entry = journal.entry(rollout)
             sources = rollback_sources(journal, entry.change)
             return RolloutResult(await self._coordinate(operator, journal, entry, held, sources), [])
@@ -92,7 +92,7 @@
         self._report(self._run_with_lease(run))
 
     def _run_with_lease(
-        self, run: Callable[[Operator, Journal, Held], Awaitable[RolloutResult]]
+        self, run: Callable[[FleetClient, Journal, LeaseResult], Awaitable[RolloutResult]]
     ) -> RolloutResult:
         """Run under the lease, which is released however the run ends."""
         operator = operator_of(self.folder, self.operator_name, CALL_TIMEOUT_S)
@@ -105,7 +105,7 @@
                 result = await run(operator, journal, held)
                 return result
             finally:
-                await operator.release(held if result is None else result.coordinator.held)
+                await operator.release_lease(held if result is None else result.coordinator.held)
                 operator.close()
 
         try:
@@ -115,10 +115,10 @@
 
     async def _coordinate(
         self,
-        operator: Operator,
+        operator: FleetClient,
         journal: Journal,
         entry: JournalEntry,
-        held: Held,
+        held: LeaseResult,
         sources: Mapping[str, int] | None,
     ) -> Coordinator:
         """Carry the rollout out, with a live view on a terminal."""
@@ -190,26 +190,26 @@
     }
 
 
-async def find_targets(operator: Operator, only: tuple[str, ...]) -> tuple[list[Target], list[str]]:
+async def find_targets(operator: FleetClient, only: tuple[str, ...]) -> tuple[list[Target], list[str]]:
     """Return the instances that answer, or those of ``only``, and the silent agents.
 
     Raise BadInput if one of ``only`` is missing.
     """
-    responses = await operator.ask_all(wire.Status())
+    responses = await operator.call_all(messages.StatusRequest())
     targets = [
         Target(
             agent=response.agent,
             instance=report["name"],
-            zone=response.answer.get("zone", ""),
+            zone=response.body.get("zone", ""),
             base=report["generation"],
             drained=report.get("drained", False),
         )
         for response in responses
         if response.status == 200
-        for report in response.answer["instances"]
+        for report in response.body["instances"]
     ]
     unseen = [
-        f"{response.agent}: {response.error or response.answer.get('error', '')}"
+        f"{response.agent}: {response.error or response.body.get('error', '')}"
         for response in responses
         if response.status != 200
     ]
@@ -246,19 +246,19 @@
         raise BadInput(str(error)) from None
 
 
-async def acquire_lease(operator: Operator) -> Held:
+async def acquire_lease(operator: FleetClient) -> LeaseResult:
     """Return the lease.  Raise Failed, with who has it, without a majority of the agents."""
-    held = await operator.acquire(LEASE_S)
+    held = await operator.acquire_lease(LEASE_S)
     agent_count = len(operator.inventory.agents)
-    if held.won(agent_count):
+    if held.has_majority(agent_count):
         return held
-    for response in held.refused:
-        if holder := response.answer.get("holder"):
-            since = time.strftime("%H:%M:%S", time.localtime(response.answer["since"]))
-            ends_in_s = response.answer.get("ends_in_s")
+    for response in held.denied:
+        if holder := response.body.get("holder"):
+            since = time.strftime("%H:%M:%S", time.localtime(response.body["since"]))
+            ends_in_s = response.body.get("ends_in_s")
             ends = f", ends in {ends_in_s:.0f} s" if ends_in_s else ""
             raise Failed(f"{holder} has the lease since {since}{ends} (agent {response.agent})")
-    if held.refused:
-        response = held.refused[0]
-        raise Failed(f"agent {response.agent} refuses: {response.answer.get('error')}")
-    raise Failed(f"{len(held.agents)} of {agent_count} agents answer; a majority is needed for a change")
+    if held.denied:
+        response = held.denied[0]
+        raise Failed(f"agent {response.agent} refuses: {response.body.get('error')}")
+    raise Failed(f"{len(held.granted_by)} of {agent_count} agents answer; a majority is needed for a change")
--- a/oakbridge/rollout/agent_watcher.py
+++ b/oakbridge/rollout/agent_watcher.py
@@ -6,8 +6,8 @@
 import time
 from collections.abc import Callable
 
-from oakbridge.fleet import wire
-from oakbridge.fleet.ask import Heard, Operator
+from oakbridge.fleet import messages
+from oakbridge.fleet.client import AgentResponse, FleetClient
 from oakbridge.rollout.step_report import Report
 
 POLL_STEP_S = 0.25  # the shortest poll interval
@@ -19,13 +19,13 @@
     """The last response of each agent; :attr:`updated` is set with each new one."""
 
     def __init__(
-        self, operator: Operator, agents: tuple[str, ...], poll_interval_s: Callable[[str], float]
+        self, operator: FleetClient, agents: tuple[str, ...], poll_interval_s: Callable[[str], float]
     ) -> None:
         """Watch these agents; ``poll_interval_s`` is called anew for each wait."""
         self._operator = operator
         self._poll_interval_s = poll_interval_s
         self._agents = agents
-        self._responses: dict[str, Heard] = {}  # of the agents that are not silent
+        self._responses: dict[str, AgentResponse] = {}  # of the agents that are not silent
         self._last_response_unix_s: dict[str, float] = {}
         self._misses: dict[str, int] = {}
         self._poll_requested = {agent: asyncio.Event() for agent in agents}
@@ -62,13 +62,13 @@
     def report(self, agent: str, instance: str) -> Report | None:
         """Return the last report on an instance; None if the agent is silent or has none."""
         response = self._responses.get(agent)
-        reports = response.answer["instances"] if response is not None else []
+        reports = response.body["instances"] if response is not None else []
         return next((report for report in reports if report["name"] == instance), None)
 
     def promised_token(self, agent: str) -> int:
         """Return the highest fencing token that the agent is known to have promised."""
         response = self._responses.get(agent)
-        return int(response.answer["lease"]["token"]) if response is not None else 0
+        return int(response.body["lease"]["token"]) if response is not None else 0
 
     async def _poll_until_answered(self, agent: str) -> None:
         """Poll until the agent has answered, or is silent."""
@@ -76,7 +76,7 @@
             pass
 
     async def _poll(self, agent: str) -> bool:
-        response = await self._operator.ask(agent, wire.Status(), RESPONSE_TIMEOUT_S)
+        response = await self._operator.call(agent, messages.StatusRequest(), RESPONSE_TIMEOUT_S)
         answered = response.status == 200
         self._misses[agent] = 0 if answered else self._misses.get(agent, 0) + 1
         if answered:
--- a/oakbridge/rollout/coordinator.py
+++ b/oakbridge/rollout/coordinator.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oakbridge.fleet.ask import Held, Operator
+from oakbridge.fleet.client import FleetClient, LeaseResult
 from oakbridge.rollout import actions, step_report
 from oakbridge.rollout.agent_watcher import AgentWatcher
 from oakbridge.rollout.gate import GateResult, GateRules, ResponseCounts, Verdict
@@ -50,10 +50,10 @@
 
     def __init__(
         self,
-        operator: Operator,
+        operator: FleetClient,
         journal: Journal,
         entry: JournalEntry,
-        held: Held,
+        held: LeaseResult,
         options: RolloutOptions,
         *,
         on_update: Callable[[Coordinator], None] = lambda _: None,
@@ -96,7 +96,7 @@
         self._finished: Phase | None = None
 
     @property
-    def held(self) -> Held:
+    def held(self) -> LeaseResult:
         """The lease as it is now: its token may have been raised."""
         return self._lease.held
 
--- a/oakbridge/rollout/doctor.py
+++ b/oakbridge/rollout/doctor.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Any
 
-from oakbridge.fleet.health import DRAINED, health, in_order
+from oakbridge.fleet.health import DRAINED, instance_health, is_healthy
 from oakbridge.rollout.journal import JournalEntry
 from oakbridge.rollout.record import InstanceOutcome, Phase
 from oakbridge.rollout.step_report import Report
@@ -92,11 +92,11 @@
 
 
 def _instance_findings(name: str, report: Report) -> list[Finding]:
-    state = health(report)
+    state = instance_health(report)
     if state == DRAINED:
         remedy = f"`fleet undrain --only {name}` when it should serve again"
         return [Finding(Severity.NOTE, name, "drained", remedy)]
-    if in_order(state):
+    if is_healthy(state):
         return []
     last_exit = f" ({report['last_exit']})" if report["last_exit"] else ""
     remedy = REMEDIES.get(state, DEFAULT_REMEDY)
@@ -186,7 +186,7 @@
 def _reported_member_findings(name: str, report: Report, member: Mapping[str, Any] | None) -> list[Finding]:
     """Return where an agent's report on its instance and the members' view of it differ."""
     if member is None or member["state"] in ABSENT_STATES:
-        if not in_order(health(report)):
+        if not is_healthy(instance_health(report)):
             return []
         problem = f"its agent finds it well, and the members {_members_view(member)}"
         address = report["member"]
--- a/oakbridge/rollout/gate_window.py
+++ b/oakbridge/rollout/gate_window.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from oakbridge.fleet.health import unwell_because
+from oakbridge.fleet.health import health_problem
 from oakbridge.rollout.gate import GateResult, GateRules, ResponseCounts, evaluate
 from oakbridge.rollout.plan import Target
 from oakbridge.rollout.record import InstanceOutcome, InstanceStatus
@@ -68,7 +68,7 @@
         )
 
     def _unhealthy(self, view: FleetView) -> dict[str, str]:
-        reasons = {name: unwell_because(view.reports[name], self._rollout) for name in self._changed}
+        reasons = {name: health_problem(view.reports[name], self._rollout) for name in self._changed}
         return {name: reason for name, reason in reasons.items() if reason}
 
 
--- a/oakbridge/rollout/step_sender.py
+++ b/oakbridge/rollout/step_sender.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
 
-from oakbridge.fleet import wire
-from oakbridge.fleet.ask import Heard, Operator
+from oakbridge.fleet import messages
+from oakbridge.fleet.client import AgentResponse, FleetClient
 from oakbridge.rollout import step_report
 from oakbridge.rollout.agent_watcher import AgentWatcher
 from oakbridge.rollout.change import Change, Drain, Files, ReplaceFiles
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        operator: Operator,
+        operator: FleetClient,
         lease: LeaseKeeper,
         watcher: AgentWatcher,
         rollout: int,
@@ -79,13 +79,13 @@
         files = await self._files(target)
         if files is None:
             return False
-        order = wire.StepOrder(
+        order = messages.StepRequest(
             token=self._lease.held.token,
-            id=step_report.step_id(self._rollout, target.instance),
+            step_id=step_report.step_id(self._rollout, target.instance),
             instance=target.instance,
             generation=self._rollout,
-            base=target.base,
-            watch=self._watch_us,
+            base_generation=target.base,
+            watch_us=self._watch_us,
             files=files,
         )
         return await self._order(target, order)
@@ -98,13 +98,13 @@
         token = await self._lease.raise_above(self._rollout)
         if not await self._lease.admit(target.agent):
             return False
-        order = wire.StepOrder(
+        order = messages.StepRequest(
             token=token,
-            id=step_report.rollback_step_id(self._rollout, target.instance),
+            step_id=step_report.rollback_step_id(self._rollout, target.instance),
             instance=target.instance,
             generation=token,
-            base=self._rollout,
-            watch=self._watch_us,
+            base_generation=self._rollout,
+            watch_us=self._watch_us,
             files=files,
         )
         return await self._order(target, order)
@@ -123,15 +123,15 @@
             raise StepRefusedError(str(error)) from None
 
     async def _fetch(self, target: Target, generation: int) -> Files | None:
-        response = await self._operator.ask(target.agent, wire.Fetch(target.instance, generation))
+        response = await self._operator.call(target.agent, messages.FilesRequest(target.instance, generation))
         if not _is_answer(response):
             return None
         _raise_for_refusal(response)
-        files: Files = response.answer["files"]
+        files: Files = response.body["files"]
         return files
 
-    async def _order(self, target: Target, order: wire.StepOrder) -> bool:
-        response = await self._operator.ask(target.agent, order)
+    async def _order(self, target: Target, order: messages.StepRequest) -> bool:
+        response = await self._operator.call(target.agent, order)
         self._watcher.request_poll(target.agent)
         # The agent may have our new token before we know that it is granted: the step is sent again
         # under that.
@@ -150,11 +150,11 @@
         await asyncio.sleep(RETRY_S)
 
 
-def _is_answer(response: Heard) -> bool:
+def _is_answer(response: AgentResponse) -> bool:
     """Return whether the agent has decided: after an error of its own it is asked again."""
     return bool(response.status) and response.status < 500
 
 
-def _raise_for_refusal(response: Heard) -> None:
+def _raise_for_refusal(response: AgentResponse) -> None:
     if response.status >= 400:
-        raise StepRefusedError(str(response.answer.get("error", response.status)))
+        raise StepRefusedError(str(response.body.get("error", response.status)))
--- a/tests/rollout/simulated_fleet.py
+++ b/tests/rollout/simulated_fleet.py
@@ -4,11 +4,13 @@
 import random
 from pathlib import Path
 
-from oakbridge.agent.instance import Generation
-from oakbridge.agent.runner import Agent
+from oakbridge.agent.agent import Agent
+from oakbridge.agent.operator_api import OperatorApi
+from oakbridge.agent.records import Generation
 from oakbridge.agent.store import Store
-from oakbridge.fleet import wire
-from oakbridge.fleet.ask import Heard, Operator
+from oakbridge.fleet import codec, messages
+from oakbridge.fleet.client import AgentResponse, FleetClient
+from oakbridge.fleet.identity import Identity, IdentityKind, Role
 from oakbridge.fleet.inventory import Inventory
 from oakbridge.rollout.change import ReplaceFiles
 from oakbridge.rollout.coordinator import Coordinator, RolloutOptions
@@ -44,38 +46,38 @@
     def thaw(self, agent: str) -> None:
         self.frozen.pop(agent).set()
 
-    async def carry(self, agent: Agent, who: wire.Identity, request: wire.Request):
+    async def carry(self, agent: Agent, who: Identity, request: messages.Request):
         await asyncio.sleep(self.draw.random() * self.delay_s)
         if self.draw.random() < self.lose:
             await asyncio.sleep(3600)
         if (gate := self.frozen.get(agent.name)) is not None:
             await gate.wait()
-        got = await agent.answer(who, *wire.write(request))
+        got = await OperatorApi(agent).handle(who, *codec.encode_request(request))
         if self.draw.random() < self.double:
-            got = await agent.answer(who, *wire.write(request))
+            got = await OperatorApi(agent).handle(who, *codec.encode_request(request))
         if self.draw.random() < self.lose:
             await asyncio.sleep(3600)
         return got
 
 
-class Direct(Operator):
+class Direct(FleetClient):
     """An operator whose calls go by such a network; a call that nobody waits for any more still arrives."""
 
     def __init__(self, fleet: "SimulatedFleet", name: str, within_s: float) -> None:
         super().__init__(Inventory("f", dict.fromkeys(fleet.agents, ("", 0))), None, within_s, name)
-        self.fleet, self.who = fleet, wire.Identity("f", "operator", name, wire.WRITE)
+        self.fleet, self.who = fleet, Identity("f", IdentityKind.OPERATOR, name, Role.WRITE)
 
-    async def ask(self, agent, request, within_s=None):
+    async def call(self, agent, request, timeout_s=None):
         network = self.fleet.network
         task = asyncio.create_task(network.carry(self.fleet.agents[agent], self.who, request))
         network.tasks.add(task)
         task.add_done_callback(network.tasks.discard)
         try:
-            async with asyncio.timeout(min(within_s or self._within, self._within)):
+            async with asyncio.timeout(min(timeout_s or self.timeout_s, self.timeout_s)):
                 status, answer = await asyncio.shield(task)
         except TimeoutError:
-            return Heard(agent, error="no answer")
-        return Heard(agent, status, answer)
+            return AgentResponse(agent, error="no answer")
+        return AgentResponse(agent, status, answer)
 
 
 class SimulatedFleet:
@@ -97,7 +99,7 @@
 
     async def __aexit__(self, *_) -> None:
         for agent in self.agents.values():
-            agent.end()
+            agent.stop()
         tasks = list(self.network.tasks)
         for task in tasks:
             task.cancel()
@@ -105,19 +107,19 @@
 
     def start(self, name: str) -> None:
         store = Store(self.folder / name)
-        agent = Agent(store, name, "f", f"z{len(self.agents) % 2}", self.hosts[name], look_s=0.02)
+        agent = Agent(store, name, "f", f"z{len(self.agents) % 2}", self.hosts[name], poll_interval_s=0.02)
         for i in range(self.each):
-            agent.add(f"n{i}", ["127.0.0.1:1"], self.folder / name / f"n{i}.sock")
-        agent.begin()
+            agent.add_instance(f"n{i}", ["127.0.0.1:1"], self.folder / name / f"n{i}.sock")
+        agent.start()
         self.agents[name] = agent
 
     def operator(self, name: str = "kari", within_s: float = 5.0) -> Direct:
         return Direct(self, name, within_s)
 
-    async def targets(self, operator: Operator) -> list[Target]:
+    async def targets(self, operator: FleetClient) -> list[Target]:
         return [
-            Target(h.agent, row["name"], h.answer["zone"], row["generation"], row["drained"])
-            for h in await operator.ask_all(wire.Status()) if h.status == 200 for row in h.answer["instances"]
+            Target(h.agent, row["name"], h.body["zone"], row["generation"], row["drained"])
+            for h in await operator.call_all(messages.StatusRequest()) if h.status == 200 for row in h.body["instances"]
         ]  # fmt: skip
 
     async def roll(
@@ -127,8 +129,8 @@
         """Carry out a rollout; return its coordinator, or None without the lease."""
         operator = operator or self.operator()
         journal = journal or Journal(self.folder)
-        held = await operator.acquire(60.0)
-        if not held.won(len(self.agents)):
+        held = await operator.acquire_lease(60.0)
+        if not held.has_majority(len(self.agents)):
             return None
         targets = [t for t in await self.targets(operator) if sources is None or t.name in sources]
         record = RolloutRecord(plan_waves(targets, waves), waves.max_unavailable, undo)
@@ -139,7 +141,7 @@
 
     async def resume(self, rollout: int, operator=None, journal=None, options=QUICK):
         operator, journal = operator or self.operator(), journal or Journal(self.folder)
-        while not (held := await operator.acquire(60.0)).won(len(self.agents)):
+        while not (held := await operator.acquire_lease(60.0)).has_majority(len(self.agents)):
             pass  # some calls were lost
         entry = journal.entry(rollout)
         return await self._run(Coordinator(operator, journal, entry, held, options))
@@ -150,7 +152,7 @@
         if during is not None:
             await during(coordinator)
         await task
-        await coordinator.operator.release(coordinator.held)
+        await coordinator.operator.release_lease(coordinator.held)
         return coordinator
 
     async def first(self, word: str = "1s") -> Coordinator:
@@ -166,7 +168,7 @@
         for name, agent in self.agents.items():
             for i in range(self.each):
                 node = self.hosts[name].nodes.get(self.folder / name / f"n{i}.sock")
-                place = agent.store.current(f"n{i}")
+                place = agent.store.generations.current_link(f"n{i}")
                 text = (place / "oakbridge.toml").read_text() if place.exists() else 'aim = "-"'
                 word = text.split('aim = "')[1].split('"')[0]
                 found[f"{name}/n{i}"] = word if node is not None and not node.gone else "-"
@@ -174,8 +176,8 @@
 
     def files(self, name: str) -> dict[str, str]:
         agent, _, instance = name.partition("/")
-        store = self.agents[agent].store
-        return store.read(instance, Generation(store.shown(instance)))
+        generations = self.agents[agent].store.generations
+        return generations.read_files(instance, Generation(generations.current_number(instance)))
 
 
 def fates(coordinator: Coordinator) -> dict[str, str]:
--- a/tests/rollout/test_protocol.py
+++ b/tests/rollout/test_protocol.py
@@ -10,8 +10,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from oakbridge.agent import instance as inst
-from oakbridge.agent.lease import Granted, Lease, Promise
+from oakbridge.agent.actions import ActivateGeneration, PersistRecord, SetTimer, StageGeneration
+from oakbridge.agent.errors import StepConflictError, StepInProgressError
+from oakbridge.agent.lease import FencingTokenRecord, Lease, LeaseGranted
+from oakbridge.agent.records import ChangeState, Generation, InstanceRecord, Step
+from oakbridge.agent.state_machine import InstanceStateMachine
 from oakbridge.fleet.quorum import majority
 from oakbridge.rollout import step_report
 from oakbridge.rollout.actions import EvaluateGate, Persist, ResolveStep, RollBack, SendStep
@@ -39,19 +42,19 @@
 class Agent:
     """One agent with its disk; actions of its instance are carried out as its shell would."""
 
-    promise: Promise = Promise()
-    record: inst.Record = inst.Record()
+    token_record: FencingTokenRecord = FencingTokenRecord()
+    record: InstanceRecord = InstanceRecord()
     link: int = 0
     steps: list[int] = field(default_factory=list)  # tokens of the steps that began here, in order
     due: int | None = None
 
     def __post_init__(self):
-        self.lease, self.machine = Lease(self.promise, 0), inst.Instance(self.record)
+        self.lease, self.machine = Lease(self.token_record, 0), InstanceStateMachine(self.record)
 
     def restart(self, now):
         self.lease, self.machine, self.due = (
-            Lease(self.promise, now, 10 * S),
-            inst.Instance(self.record),
+            Lease(self.token_record, now, 10 * S),
+            InstanceStateMachine(self.record),
             None,
         )
         self.carry(now, self.machine.recover(now))
@@ -60,26 +63,29 @@
         queue = list(actions)
         while queue:
             action = queue.pop(0)
-            if isinstance(action, inst.Keep):
+            if isinstance(action, PersistRecord):
                 self.record = action.record
-            elif isinstance(action, inst.Stage):
+            elif isinstance(action, StageGeneration):
                 refused = self.lease.check(now, token, who)
-                queue += self.machine.staged(now, problem, refused.reason if refused else "")
-            elif isinstance(action, inst.Flip):
+                queue += self.machine.on_staged(problem or (refused.reason if refused else ""))
+            elif isinstance(action, ActivateGeneration):
                 self.link = action.target.number
-                queue += self.machine.flipped(now)
-            elif isinstance(action, inst.Wake):
-                self.due = action.at
+                queue += self.machine.on_activated(now)
+            elif isinstance(action, SetTimer):
+                self.due = action.at_us
 
     def order(self, now, step, who, problem):
         """Take a step as the shell does, the lease first; return why it never can begin, if so."""
-        if self.machine.outcome(step.id) is not None or self.lease.check(now, step.token, who) is not None:
+        if (
+            self.machine.outcome(step.step_id) is not None
+            or self.lease.check(now, step.token, who) is not None
+        ):
             return ""
         try:
-            actions = self.machine.order(now, step)
-        except inst.UnderWay:
+            actions = self.machine.begin_step(step)
+        except StepInProgressError:
             return ""
-        except inst.Busy as e:
+        except StepConflictError as e:
             return str(e)
         if actions:
             self.steps.append(step.token)
@@ -88,9 +94,9 @@
 
     def tells(self):
         r = self.record
-        step = None if r.step is None else {"id": r.step.id}
-        outcomes = [[o.step, o.verdict.value, o.reason] for o in r.outcomes]
-        return {"generation": r.current.number, "step": step, "outcomes": outcomes}, self.lease.promise.token
+        step = None if r.step is None else {"id": r.step.step_id}
+        outcomes = [[o.step_id, o.verdict.value, o.reason] for o in r.outcomes]
+        return {"generation": r.current.number, "step": step, "outcomes": outcomes}, self.lease.record.token
 
 
 @dataclass
@@ -124,7 +130,7 @@
 
     def ask(self, who):
         tool = self.tools[who]
-        tool.token = 1 + max(a.lease.promise.token for a in self.agents.values())
+        tool.token = 1 + max(a.lease.record.token for a in self.agents.values())
         tool.granted = set()
         self.in_transit += [("acquire", who, host, tool.token) for host in HOSTS]
 
@@ -198,8 +204,8 @@
             return
         make = step_report.rollback_step_id if is_rollback else step_report.step_id
         number, base = (tool.token, tool.rollout) if is_rollback else (tool.rollout, target.base)
-        step = inst.Step(
-            make(tool.rollout, f"{target.agent}-n"), tool.token, inst.Generation(number, f"{number}"), base, S
+        step = Step(
+            make(tool.rollout, f"{target.agent}-n"), tool.token, Generation(number, f"{number}"), base, S
         )
         self.in_transit.append(("step", who, target.agent, step))
 
@@ -281,21 +287,21 @@
     def _arrive_acquire(self, who, host, token):
         agent = self.agents[host]
         got = agent.lease.acquire(self.now, token, who, 60 * S, 0.0)
-        if isinstance(got, Granted):
-            agent.promise = agent.lease.promise
+        if isinstance(got, LeaseGranted):
+            agent.token_record = agent.lease.record
             self.in_transit.append(("granted", who, host, token))
-        elif not got.ends_in and got.holder != who:
+        elif not got.expires_in_us and got.holder != who:
             self.in_transit.append(("outbid", who, host, got.token))
 
     def _arrive_renew(self, who, host, token):
         got = self.agents[host].lease.renew(self.now, token, who, 60 * S)
-        if not isinstance(got, Granted) and token == self.tools[who].token:
+        if not isinstance(got, LeaseGranted) and token == self.tools[who].token:
             self.loses(who, host)
 
     def _arrive_release(self, who, host, token):
         agent = self.agents[host]
         agent.lease.release(self.now, token, who)
-        agent.promise = agent.lease.promise
+        agent.token_record = agent.lease.record
 
     def _arrive_granted(self, who, host, token):
         if token == self.tools[who].token:
@@ -374,9 +380,7 @@
         if how == "killed":
             agent.restart(self.now)
         else:
-            react = (
-                agent.machine.ready(self.now) if how == "ready" else agent.machine.failed(self.now, "exit 1")
-            )
+            react = agent.machine.on_ready(self.now) if how == "ready" else agent.machine.on_failed("exit 1")
             agent.carry(self.now, react)
 
     @rule(by=st.sampled_from([1, 2, 20, 70]))
@@ -385,26 +389,26 @@
         for agent in self.agents.values():
             if agent.due is not None and agent.due <= self.now:
                 agent.due = None
-                agent.carry(self.now, agent.machine.tick(self.now))
+                agent.carry(self.now, agent.machine.on_timer(self.now))
 
     # ---- what holds at every moment
 
     @invariant()
     def two_never_hold_a_majority(self):
-        alive = [a.lease.promise.holder for a in self.agents.values() if a.lease.alive(self.now)]
+        alive = [a.lease.record.holder for a in self.agents.values() if a.lease.is_active(self.now)]
         assert sum(alive.count(who) >= majority(len(HOSTS)) for who in set(alive)) <= 1
 
     @invariant()
     def steps_of_two_leases_are_never_interleaved(self):
         for agent in self.agents.values():
             assert agent.steps == sorted(agent.steps)
-            assert agent.promise == agent.lease.promise
+            assert agent.token_record == agent.lease.record
 
     @invariant()
     def the_link_shows_what_the_record_says(self):
         for agent in self.agents.values():
             r = agent.record
-            if r.state is inst.State.SETTLED:
+            if r.state is ChangeState.SETTLED:
                 assert agent.link == r.current.number
             assert agent.link in (r.current.number, r.step and r.step.target.number)
 
@@ -416,7 +420,7 @@
                 continue
             for name, status in tool.machine.statuses().items():
                 host = name[0]
-                outcomes = {o.step: o.verdict.value for o in self.agents[host].record.outcomes}
+                outcomes = {o.step_id: o.verdict.value for o in self.agents[host].record.outcomes}
                 mine = outcomes.get(step_report.step_id(tool.rollout, f"{host}-n"))
                 back = outcomes.get(step_report.rollback_step_id(tool.rollout, f"{host}-n"))
                 if status.outcome is InstanceOutcome.APPLIED:
@@ -471,7 +475,7 @@
             assert last.machine is None, self.tell(who)
 
     def tell(self, who):
-        return self.tools[who], {h: (a.lease.promise, a.record, a.steps) for h, a in self.agents.items()}
+        return self.tools[who], {h: (a.lease.record, a.record, a.steps) for h, a in self.agents.items()}
 
     def settle(self):
         """All that is under way arrives, and what begins has its end."""
--- a/tests/rollout/test_simulated_fleet.py
+++ b/tests/rollout/test_simulated_fleet.py
@@ -8,7 +8,7 @@
 from peers import LIMIT, run, until
 from simulated_fleet import QUICK, Network, SimulatedFleet, config, fates
 
-from oakbridge.fleet import wire
+from oakbridge.fleet import messages
 from oakbridge.rollout.change import (
     Drain,
     ReplaceFiles,
@@ -79,7 +79,7 @@
         async with SimulatedFleet(tmp_path, 6, **setup) as fleet:
             await fleet.first()
             if plays == "mute":  # the only one that has to run out of this time; the others must not
-                monkeypatch.setattr("oakbridge.agent.instance.READY_WITHIN", 2_000_000)
+                monkeypatch.setattr("oakbridge.agent.state_machine.READY_TIMEOUT_US", 2_000_000)
             options = RolloutOptions(watch_s=0.3, window_s=0.6, silence_timeout_s=20.0)
             waves = WaveOptions(canary=1, shares=(0.5, 1.0), max_unavailable=1)
             done = await fleet.roll(
@@ -219,8 +219,8 @@
             second = await fleet.roll(ReplaceFiles(config("2s")))
             third = await fleet.roll(ReplaceFiles(config("3s", "dies 0.01")))
             third = await fleet.roll(ReplaceFiles(config("3s", "refused")))
-            heard = await fleet.operator().ask_all(wire.Status())
-            found = rebuild({h.agent: h.answer["instances"] for h in heard})
+            heard = await fleet.operator().call_all(messages.StatusRequest())
+            found = rebuild({h.agent: h.body["instances"] for h in heard})
             told = {
                 r.id: (r.record.phase, sorted(row.outcome.value for _, row in r.record.statuses))
                 for r in found
@@ -243,9 +243,9 @@
             await fleet.first()
 
             async def change(_coordinator):
-                fleet.agents["h2"].managed.pop("n0").end()
-                fleet.agents["h0"].add("n9", ["127.0.0.1:1"], fleet.folder / "h0" / "n9.sock")
-                fleet.agents["h0"].managed.update(fleet.agents["h0"].spawn("n9"))
+                fleet.agents["h2"].instances.pop("n0").stop()
+                fleet.agents["h0"].add_instance("n9", ["127.0.0.1:1"], fleet.folder / "h0" / "n9.sock")
+                fleet.agents["h0"].start_instance("n9")
 
             done = await fleet.roll(
                 ReplaceFiles(config("2s")),
@@ -270,7 +270,7 @@
 
             async def take(_coordinator):
                 await asyncio.sleep(0.1)
-                await fleet.operator("kari").acquire(60.0)  # the same holder, from another tool
+                await fleet.operator("kari").acquire_lease(60.0)  # the same holder, from another tool
 
             done = await fleet.roll(
                 ReplaceFiles(config("2s")),
