--- a/tests/sources/test_rewrites.py
+++ b/tests/sources/test_rewrites.py
@@ -136,7 +136,10 @@
             self.listed_times.append((now, kept - set(before.values())))
 
         def noted_send(action):
-            call, server = self.node.balancer.calls[action.request_id], self.node.balancer.known[action.server]
+            call, server = (
+                self.node.balancer.calls[action.request_id],
+                self.node.balancer.known[action.server],
+            )
             self.requests.append((call.version, action.server, server.place))
             send(action)
 
