--- a/oakbridge/cli/check.py
+++ b/oakbridge/cli/check.py
@@ -48,7 +48,7 @@
         say_json({
             "ok": not problems,
             "problems": [
-                {"file": p.file, "line": p.line, "field": p.where(), "expected": p.expected} for p in problems
+                {"file": p.file, "line": p.line, "field": p.field_name(), "expected": p.expected} for p in problems
             ],
         })  # fmt: skip
     elif problems:
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import dataclasses
 import time
 from pathlib import Path
 from typing import Any
@@ -18,6 +17,7 @@
 from oakbridge.node.listing import Entry
 from oakbridge.sources.files import load_saved
 from oakbridge.sources.inspect import Inspection, inspect
+from oakbridge.sources.problem import Problem
 from oakbridge.sources.versions import Change, Version, compare
 
 
@@ -33,6 +33,16 @@
     return found
 
 
+def _problem_as_json(problem: Problem) -> dict[str, Any]:
+    return {
+        "file": problem.file,
+        "path": problem.path,
+        "expected": problem.expected,
+        "line": problem.line,
+        "field": problem.field_name(),
+    }
+
+
 def _row(entry: Entry) -> dict[str, Any]:
     s = entry.server
     return {
@@ -48,7 +58,7 @@
     """Check a server file, or a directory of them; exit code 2 if there are mistakes."""
     if as_json:
         found = inspect(path)
-        problems = [dataclasses.asdict(p) | {"field": p.where()} for p in found.problems]
+        problems = [_problem_as_json(problem) for problem in found.problems]
         say_json({"ok": not problems, "servers": len(found.parsed.servers), "problems": problems})
         if problems:
             raise click.exceptions.Exit(2)
--- a/oakbridge/config/load.py
+++ b/oakbridge/config/load.py
@@ -19,8 +19,9 @@
 from oakbridge.node.listing import Entry
 from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.policy.settings import Idempotency, Prices, RequestClass, Settings, Tenant, WeightSource
-from oakbridge.sources.formats import Problem
-from oakbridge.sources.locate import lines_of, nearest
+from oakbridge.sources.decoding import FileKind
+from oakbridge.sources.field_lines import field_lines, nearest_line
+from oakbridge.sources.problem import Problem
 
 T = TypeVar("T", bound=schema.Table)
 
@@ -85,9 +86,9 @@
     try:
         return model.model_validate(raw)
     except ValidationError as e:
-        lines = lines_of(data, "toml")
+        lines = field_lines(data, FileKind.TOML)
         found = [_problem(name, error, lines, model) for error in e.errors(include_url=False)]
-        raise BadFile(sorted(found, key=lambda p: (p.line or 0, p.where()))) from None
+        raise BadFile(sorted(found, key=lambda p: (p.line or 0, p.field_name()))) from None
 
 
 _EXPECTED = {
@@ -131,7 +132,7 @@
         text = f"unknown key{_near(path, root)}"
     else:
         text = _EXPECTED.get(kind, error["msg"]) + shown
-    return Problem(name, path, text, nearest(lines, path))
+    return Problem(name, path, text, nearest_line(lines, path))
 
 
 def _near(path: tuple[str | int, ...], root: type[schema.Table]) -> str:
--- a/oakbridge/config/peers.py
+++ b/oakbridge/config/peers.py
@@ -11,7 +11,7 @@
 from oakbridge.peers.protocol_options import ProtocolOptions
 from oakbridge.peers.service import ServiceOptions
 from oakbridge.sources.files import FileOptions
-from oakbridge.sources.formats import Problem
+from oakbridge.sources.problem import Problem
 
 MIN_SECRET_BYTES = 16
 MAX_SECRET_BYTES = 4096
--- a/oakbridge/lab/plan.py
+++ b/oakbridge/lab/plan.py
@@ -12,7 +12,7 @@
 from oakbridge.config.load import MAX_BYTES, BadFile, checked
 from oakbridge.config.schema import Duration, Name, Number, Table, Time
 from oakbridge.lab.compare import BadVary, changed
-from oakbridge.sources.formats import Problem
+from oakbridge.sources.problem import Problem
 
 KINDS = (
     "kill", "freeze", "restart", "starve", "cut", "lossy", "slow links", "reset", "servers down", "servers slow",
--- a/oakbridge/sites/scheme.py
+++ b/oakbridge/sites/scheme.py
@@ -12,9 +12,10 @@
 
 from oakbridge.config.load import MAX_BYTES, BadFile, checked
 from oakbridge.config.schema import Name, Number, Table
+from oakbridge.sources.decoding import FileKind
+from oakbridge.sources.field_lines import field_lines, nearest_line
 from oakbridge.sources.files import write_whole
-from oakbridge.sources.formats import Problem
-from oakbridge.sources.locate import lines_of, nearest
+from oakbridge.sources.problem import Problem
 
 MOST_SITES = 64
 AT_ONCE = 2  # sites whose loss together is planned for
@@ -93,10 +94,10 @@
     """The file and its digest.  Raises BadFile with every mistake."""
     data = _read(path)
     file = checked(data, str(path), SitesFile)
-    lines = lines_of(data, "toml")
-    found = [Problem(str(path), at, text, nearest(lines, at)) for at, text in _mistakes(file)]
+    lines = field_lines(data, FileKind.TOML)
+    found = [Problem(str(path), at, text, nearest_line(lines, at)) for at, text in _mistakes(file)]
     if found:
-        raise BadFile(sorted(found, key=lambda p: (p.line or 0, p.where())))
+        raise BadFile(sorted(found, key=lambda p: (p.line or 0, p.field_name())))
     return file, hashlib.sha256(data).hexdigest()[:16]
 
 
--- a/oakbridge/sources/files.py
+++ b/oakbridge/sources/files.py
@@ -25,17 +25,12 @@
 from oakbridge.node.listing import ConfigError, Entry, Listener, Listing
 from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources import versions as v
-from oakbridge.sources.formats import (
-    ENDINGS,
-    MAX_BYTES,
-    MAX_FILES,
-    File,
-    Problem,
-    checksum_holds,
-    parse,
-    split_checksum,
-)
-from oakbridge.sources.locate import located
+from oakbridge.sources.checksum import checksum_matches, split_checksum
+from oakbridge.sources.decoding import FILE_SUFFIXES, MAX_FILE_BYTES, SourceFile
+from oakbridge.sources.errors import ReadError
+from oakbridge.sources.field_lines import with_lines
+from oakbridge.sources.parsing import parse
+from oakbridge.sources.problem import Problem
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
@@ -47,13 +42,10 @@
 POLL_ALONE_S = 0.1  # how often to look where no changes are told
 RACY_NS = 2_000_000_000  # a file changed so lately may change again within its time stamp's grain
 SAVED_FORMAT = 1
+MAX_FILES = 256  # of one directory
 LINES_UP_TO = 64 * 1024  # bytes in which a mistake's line is found: longer texts would hold the loop up
 
 
-class CantRead(Exception):
-    """The disk has nothing that can be used; the text says what was found."""
-
-
 def rest() -> None:
     """Let the loop's thread run: it would otherwise wait for the interpreter's switch interval."""
     time.sleep(PAUSE_S)
@@ -69,17 +61,17 @@
         try:
             status = os.fstat(fd)
             if not stat.S_ISREG(status.st_mode):
-                raise CantRead(f"{path}: expected a regular file")
-            if status.st_size > MAX_BYTES:
-                raise CantRead(f"{path}: expected at most {MAX_BYTES} bytes, got {status.st_size}")
+                raise ReadError(path, "expected a regular file")
+            if status.st_size > MAX_FILE_BYTES:
+                raise ReadError(path, f"expected at most {MAX_FILE_BYTES} bytes, got {status.st_size}")
             with open(fd, "rb", closefd=False) as file:
-                data = file.read(MAX_BYTES + 1)
+                data = file.read(MAX_FILE_BYTES + 1)
         finally:
             os.close(fd)
     except OSError as e:
-        raise CantRead(f"{path}: {e.strerror or e}") from None
-    if len(data) > MAX_BYTES:
-        raise CantRead(f"{path}: expected at most {MAX_BYTES} bytes")
+        raise ReadError(path, f"{e.strerror or e}") from None
+    if len(data) > MAX_FILE_BYTES:
+        raise ReadError(path, f"expected at most {MAX_FILE_BYTES} bytes")
     return data
 
 
@@ -88,17 +80,19 @@
     if not directory:
         return [path]
     try:
-        names = sorted(e.name for e in os.scandir(path) if e.name.endswith(ENDINGS) and e.name[0] not in ".#")
+        names = sorted(
+            e.name for e in os.scandir(path) if e.name.endswith(FILE_SUFFIXES) and e.name[0] not in ".#"
+        )
     except OSError as e:
-        raise CantRead(f"{path}: {e.strerror or e}") from None
+        raise ReadError(path, f"{e.strerror or e}") from None
     if not names:
-        raise CantRead(f"{path}: expected files that end in {' or '.join(ENDINGS)}")
+        raise ReadError(path, f"expected files that end in {' or '.join(FILE_SUFFIXES)}")
     if len(names) > MAX_FILES:
-        raise CantRead(f"{path}: expected at most {MAX_FILES} files, got {len(names)}")
+        raise ReadError(path, f"expected at most {MAX_FILES} files, got {len(names)}")
     return [path / name for name in names]
 
 
-def digest_of(files: list[File]) -> str:
+def digest_of(files: list[SourceFile]) -> str:
     """One name for all bytes of all files."""
     total = hashlib.sha256()
     for file in files:
@@ -107,20 +101,20 @@
     return total.hexdigest()
 
 
-def read_all(path: Path, directory: bool) -> list[File]:
-    """All files of one version.  Raises :class:`CantRead`."""
+def read_all(path: Path, directory: bool) -> list[SourceFile]:
+    """All files of one version.  Raises :class:`ReadError`."""
     paths = files_of(path, directory)
     files = []
     for each in paths:
-        files.append(File(each.name, read_file(each)))
-        if sum(len(f.data) for f in files) > MAX_BYTES:
-            raise CantRead(f"{path}: expected at most {MAX_BYTES} bytes in all files")
+        files.append(SourceFile(each.name, read_file(each)))
+        if sum(len(f.data) for f in files) > MAX_FILE_BYTES:
+            raise ReadError(path, f"expected at most {MAX_FILE_BYTES} bytes in all files")
     return files
 
 
-def wholeness(files: list[File]) -> bool | None:
+def wholeness(files: list[SourceFile]) -> bool | None:
     """Whether all checksum lines fit; None if a file has none, for then it has to stand still."""
-    held = [checksum_holds(file.data) for file in files]
+    held = [checksum_matches(file.data) for file in files]
     return False if False in held else None if None in held else True
 
 
@@ -133,7 +127,7 @@
             if time.time_ns() - max(s.st_mtime_ns, s.st_ctime_ns) < RACY_NS:
                 return None
             marks.append((each.name, s.st_dev, s.st_ino, s.st_size, s.st_mtime_ns, s.st_ctime_ns))
-    except (OSError, CantRead):
+    except (OSError, ReadError):
         return None
     return tuple(marks)
 
@@ -212,10 +206,10 @@
     """The copy of the last good version, if there is one that can be read."""
     try:
         data = read_file(path)
-    except CantRead:
+    except ReadError:
         return None
     try:
-        if not checksum_holds(data):
+        if not checksum_matches(data):
             raise ValueError("its checksum does not fit")
         head, *rows = [json.loads(line) for line in split_checksum(data)[0].decode().splitlines()]
         if head["format"] != SAVED_FORMAT:
@@ -256,7 +250,7 @@
         self._listener: Listener | None = None
         self._hint = asyncio.Event()
         self._due: float | None = 0.0  # on the loop's clock: when to look even if nothing is heard
-        self._read: tuple[str, list[File]] | None = None
+        self._read: tuple[str, list[SourceFile]] | None = None
         self._stamped: tuple[tuple[Any, ...], v.Reading] | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
         self._threads = ThreadPoolExecutor(THREADS, "server-file")
@@ -383,7 +377,7 @@
         self._stamped = None
         try:
             files = read_all(path, directory)
-        except CantRead as e:
+        except ReadError as e:
             return v.Missing(str(e))
         found = v.Reading(digest_of(files), wholeness(files))
         self._read = found.digest, files
@@ -469,13 +463,13 @@
         (gc.disable if on else gc.enable)()
 
     @staticmethod
-    def _compare(files: list[File], action: v.Check, now: int) -> v.Change | list[Problem]:
+    def _compare(files: list[SourceFile], action: v.Check, now: int) -> v.Change | list[Problem]:
         """In a thread: parse, and find what changes."""
         total = sum(len(f.data) for f in files)
         pause = rest if total > 16_384 else lambda: None
         parsed = parse(files, pause)
         if parsed.problems and total <= LINES_UP_TO:
-            return located(files, parsed.problems)
+            return with_lines(files, parsed.problems)
         return parsed.problems or v.compare(action.base, action.digest, parsed, now, pause)
 
     async def _apply(self, action: v.Apply) -> None:
--- a/oakbridge/sources/inspect.py
+++ b/oakbridge/sources/inspect.py
@@ -5,9 +5,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from oakbridge.sources.files import CantRead, digest_of, read_all
-from oakbridge.sources.formats import Parsed, Problem, parse
-from oakbridge.sources.locate import located
+from oakbridge.sources.errors import ReadError
+from oakbridge.sources.field_lines import with_lines
+from oakbridge.sources.files import digest_of, read_all
+from oakbridge.sources.parsing import parse
+from oakbridge.sources.problem import Problem
+from oakbridge.sources.server_row import ParsedServers
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,7 +18,7 @@
     """What one look at a file or a directory found."""
 
     digest: str
-    parsed: Parsed
+    parsed: ParsedServers
     problems: list[Problem]
 
 
@@ -23,7 +26,7 @@
     """Read and check; a directory is taken as one where it is one, if not said."""
     try:
         files = read_all(path, path.is_dir() if directory is None else directory)
-    except CantRead as e:
-        return Inspection("", Parsed(), [Problem(str(path), (), str(e).removeprefix(f"{path}: "))])
+    except ReadError as e:
+        return Inspection("", ParsedServers(), [Problem(str(path), (), e.reason)])
     parsed = parse(files)
-    return Inspection(digest_of(files), parsed, located(files, parsed.problems))
+    return Inspection(digest_of(files), parsed, with_lines(files, parsed.problems))
--- a/oakbridge/sources/versions.py
+++ b/oakbridge/sources/versions.py
@@ -19,7 +19,8 @@
 
 from oakbridge.node.listing import Entry
 from oakbridge.policy.events import EndpointState
-from oakbridge.sources.formats import Parsed, Problem
+from oakbridge.sources.problem import Problem
+from oakbridge.sources.server_row import ParsedServers
 
 MS = 1000
 RESTLESS = 500 * MS  # a file that has not stood still for so long is waited for less
@@ -137,7 +138,9 @@
 Action = LookAgain | Check | Apply | Save | Say
 
 
-def compare(base: Version | None, digest: str, parsed: Parsed, now: int, pause: Callable[[], None]) -> Change:
+def compare(
+    base: Version | None, digest: str, parsed: ParsedServers, now: int, pause: Callable[[], None]
+) -> Change:
     """What a checked list changes.  A newcomer whose start the file does not tell counts as started now.
 
     Guards cold servers: one that joins a running fleet is new far more often than not, and one that is taken
@@ -151,7 +154,7 @@
         if count % 64 == 0:
             pause()
         before = old.get(name)
-        if name not in parsed.dated:
+        if name not in parsed.with_start_time:
             other = before is None or before.address != entry.address
             started = (now if base is not None else 0) if other else before.server.started_at  # type: ignore[union-attr]
             entry = Entry(dataclasses.replace(entry.server, started_at=started), entry.address)
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -7,7 +7,8 @@
 from oakbridge.config.load import BadFile, check, inline_entries, load
 from oakbridge.config.reference import page
 from oakbridge.control.paths import default_socket_path
-from oakbridge.sources.locate import lines_of
+from oakbridge.sources.decoding import FileKind
+from oakbridge.sources.field_lines import field_lines
 
 ROOT = Path(__file__).parents[2]
 GOOD = """\
@@ -46,7 +47,7 @@
 def problems(text: str) -> list[tuple[int | None, str, str]]:
     with pytest.raises(BadFile) as e:
         check(text.encode(), "f.toml")
-    return [(p.line, p.where(), p.expected) for p in e.value.problems]
+    return [(p.line, p.field_name(), p.expected) for p in e.value.problems]
 
 
 def test_a_file_becomes_a_nodes_configuration(tmp_path):
@@ -145,7 +146,7 @@
 
 def test_lines_are_found_in_nested_and_quoted_tables():
     text = b'a."b.c" = 1\n[x.y]\nz = [\n 1,\n 2]\n[[x.w]]\nk = {p = 1}\n[[x.w]]\n[x.w.deep]\nq = 1\n'
-    lines = lines_of(text, "toml")
+    lines = field_lines(text, FileKind.TOML)
     assert lines["a", "b.c"] == 1 and lines["x", "y", "z", 1] == 5
     assert lines["x", "w", 0, "k", "p"] == 7 and lines["x", "w", 1] == 8
     assert lines["x", "w", 1, "deep", "q"] == 10
--- a/tests/sites/test_parts.py
+++ b/tests/sites/test_parts.py
@@ -208,7 +208,7 @@
     )
     with pytest.raises(BadFile) as caught:
         sites_file(tmp_path, text + '[[site]]\nname = "a"\ncapacity = 1.0\n')
-    told = [(p.line, p.where(), p.expected[:26]) for p in caught.value.problems]
+    told = [(p.line, p.field_name(), p.expected[:26]) for p in caught.value.problems]
     assert [where for _, where, _ in told] == ["load[2].site", "load[2].class", "distance[0]", "site[3]"]
     assert all(line and SITES.splitlines() for line, _, _ in told)
 
--- a/tests/sources/test_files.py
+++ b/tests/sources/test_files.py
@@ -14,7 +14,8 @@
 from oakbridge.node.clock import Clock
 from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources import files
-from oakbridge.sources.files import CantRead, FileOptions, FileSource, load_saved, read_file, save
+from oakbridge.sources.errors import ReadError
+from oakbridge.sources.files import FileOptions, FileSource, load_saved, read_file, save
 from oakbridge.sources.versions import Version
 
 
@@ -433,5 +434,5 @@
 
 def test_reading_never_waits_on_a_pipe(tmp_path):
     os.mkfifo(tmp_path / "pipe")
-    with pytest.raises(CantRead, match="regular file"):
+    with pytest.raises(ReadError, match="regular file"):
         read_file(tmp_path / "pipe")
--- a/tests/sources/test_formats.py
+++ b/tests/sources/test_formats.py
@@ -8,8 +8,10 @@
 from hypothesis import strategies as st
 
 from oakbridge.policy.events import Endpoint, EndpointState
-from oakbridge.sources.formats import File, checksum_holds, parse, split_checksum
-from oakbridge.sources.locate import located
+from oakbridge.sources.checksum import checksum_matches, split_checksum
+from oakbridge.sources.decoding import SourceFile
+from oakbridge.sources.field_lines import with_lines
+from oakbridge.sources.parsing import parse
 
 TOML = """\
 # the harbour's servers
@@ -44,7 +46,7 @@
 
 
 def read(data: bytes | str, name: str = "f.toml"):
-    return parse([File(name, data.encode() if isinstance(data, str) else data)])
+    return parse([SourceFile(name, data.encode() if isinstance(data, str) else data)])
 
 
 def signed(content: bytes) -> bytes:
@@ -64,7 +66,7 @@
         "s-2", EndpointState.DRAINING, "b", 3, 2.5, 1_796_040_000_000_000, "127.0.0.1:9002"
     )
     assert second.address == ("127.0.0.1", 9002)
-    assert got.dated == {"s-2"}
+    assert got.with_start_time == {"s-2"}
 
 
 def test_targets_without_a_name_are_named_by_their_address():
@@ -142,10 +144,10 @@
 
 @pytest.mark.parametrize(("name", "data", "says", "line"), BROKEN)
 def test_a_mistake_is_named_with_its_place_and_nothing_is_used(name, data, says, line):
-    file = File(name, data.encode() if isinstance(data, str) else data)
+    file = SourceFile(name, data.encode() if isinstance(data, str) else data)
     got = parse([file])
     assert got.servers == {}
-    [first, *_] = located([file], got.problems)
+    [first, *_] = with_lines([file], got.problems)
     assert says in str(first)
     assert first.line == line
     assert "\n" not in str(first)
@@ -161,22 +163,22 @@
 
 def test_files_of_a_directory_are_one_list():
     one, two = (
-        File("a.json", endpoints(row(name="a", address="127.0.0.1:1")).encode()),
-        File("b.toml", TOML.encode()),
+        SourceFile("a.json", endpoints(row(name="a", address="127.0.0.1:1")).encode()),
+        SourceFile("b.toml", TOML.encode()),
     )
     assert list(parse([one, two]).servers) == ["a", "s-1", "s-2"]
-    twice = parse([two, File("c.json", endpoints(row(name="s-1", address="127.0.0.1:5")).encode())])
-    assert [(p.file, p.where()) for p in twice.problems] == [("c.json", "endpoints[0].name")]
-    assert parse([one, File("z.json", b"{")]).servers == {}
+    twice = parse([two, SourceFile("c.json", endpoints(row(name="s-1", address="127.0.0.1:5")).encode())])
+    assert [(p.file, p.field_name()) for p in twice.problems] == [("c.json", "endpoints[0].name")]
+    assert parse([one, SourceFile("z.json", b"{")]).servers == {}
 
 
 def test_a_checksum_is_over_all_that_stands_before_it():
     data = signed(TOML.encode())
-    assert checksum_holds(data) is True
+    assert checksum_matches(data) is True
     assert split_checksum(data)[0] == TOML.encode()
-    assert checksum_holds(data + b"\n") is None or checksum_holds(data + b"\n") is True
-    assert checksum_holds(TOML.encode()) is None
-    assert checksum_holds(data[1:]) is False
+    assert checksum_matches(data + b"\n") is None or checksum_matches(data + b"\n") is True
+    assert checksum_matches(TOML.encode()) is None
+    assert checksum_matches(data[1:]) is False
     as_json = signed(json.dumps(DISCOVERY).encode() + b"\n")
     assert len(read(as_json, "f.json").servers) == 2
 
@@ -185,14 +187,14 @@
 @settings(max_examples=200, derandomize=True)
 def test_a_signed_file_that_is_cut_is_never_taken_for_whole(cut):
     """Cut within the digest's digits it has no such line, and has to stand still like any other."""
-    assert checksum_holds(signed(TOML.encode())[:cut]) is not True
+    assert checksum_matches(signed(TOML.encode())[:cut]) is not True
 
 
 @given(st.binary(max_size=300) | st.text(max_size=300).map(str.encode))
 @settings(max_examples=300, derandomize=True)
 def test_no_bytes_make_the_reader_fail(data):
     for name in ("f.json", "f.toml"):
-        got = parse([File(name, data)])
+        got = parse([SourceFile(name, data)])
         assert got.problems and not got.servers
 
 
@@ -217,5 +219,5 @@
 def test_pauses_come_between_batches():
     paused = []
     rows = [row(name=f"s{i}", address=f"127.0.{i // 250}.1:{1 + i % 250}") for i in range(1000)]
-    parse([File("f.json", endpoints(*rows).encode())], lambda: paused.append(1))
+    parse([SourceFile("f.json", endpoints(*rows).encode())], lambda: paused.append(1))
     assert len(paused) > 10
--- a/tests/sources/test_versions.py
+++ b/tests/sources/test_versions.py
@@ -7,7 +7,8 @@
 
 from oakbridge.node.listing import Entry
 from oakbridge.policy.events import Endpoint, EndpointState
-from oakbridge.sources.formats import Parsed, Problem
+from oakbridge.sources.problem import Problem
+from oakbridge.sources.server_row import ParsedServers
 from oakbridge.sources.versions import (
     Apply,
     Change,
@@ -31,8 +32,8 @@
     return Entry(Endpoint(name, state, started_at=started, address=place), ("127.0.0.1", port))
 
 
-def parsed(*entries: Entry) -> Parsed:
-    return Parsed({e.server.id: e for e in entries})
+def parsed(*entries: Entry) -> ParsedServers:
+    return ParsedServers({e.server.id: e for e in entries})
 
 
 def version(number: int, digest: str, *entries: Entry) -> Version:
@@ -140,7 +141,7 @@
     assert (second.servers["a"].server.started_at, second.servers["b"].server.started_at) == (0, 9)
     third = change(Version(2, "y", second.servers), "z", entry("a"), entry("b", 2), now=11)
     assert third.servers["b"] is second.servers["b"]  # its start stays what it was
-    told = Parsed({"c": entry("c", 3, started=4)}, dated={"c"})
+    told = ParsedServers({"c": entry("c", 3, started=4)}, with_start_time={"c"})
     assert compare(base, "q", told, 13, lambda: None).servers["c"].server.started_at == 4
     moved = change(base, "r", entry("a", 8), now=15)
     assert moved.servers["a"].server.started_at == 15
