--- a/benchmarks/server_files.py
+++ b/benchmarks/server_files.py
@@ -24,7 +24,7 @@
 from oakbridge.node.config import Config
 from oakbridge.node.node import Node
 from oakbridge.policy.settings import Idempotency, RequestClass, Settings, WeightSource
-from oakbridge.sources.files import FileOptions, FileSource
+from oakbridge.sources.file_source import FileOptions, FileSource
 
 CLASSES = (RequestClass("look", 1_000_000, 2_000_000, idempotency=Idempotency.IDEMPOTENT),)
 
@@ -74,7 +74,7 @@
             classes=CLASSES, replica_count=200, pin_endpoint_list=True, weight_source=WeightSource.NOMINAL
         )
         config = Config("bench", ("127.0.0.1", 0), None, 1, 1024, None, settings)
-        options = FileOptions(path, saved=Path(folder) / "saved")
+        options = FileOptions(path, saved_path=Path(folder) / "saved")
         node = Node(config, loop, lambda clock: FileSource(options, clock.now))
         source = node.source
         assert isinstance(source, FileSource)
--- a/oakbridge/cli/check.py
+++ b/oakbridge/cli/check.py
@@ -10,7 +10,7 @@
 from oakbridge.cli.serve import file_options
 from oakbridge.config.load import BadFile, load
 from oakbridge.config.reference import page
-from oakbridge.sources.inspect import inspect
+from oakbridge.sources.inspection import inspect_server_files
 
 
 @click.command("check")
@@ -29,7 +29,7 @@
         options = file_options(loaded)
         told = f"{len(loaded.file.classes)} classes, {len(loaded.file.tenants)} tenants"
         if options is not None:
-            found = inspect(options.path, options.directory)
+            found = inspect_server_files(options.path, options.is_directory)
             problems = found.problems
             told += f", {len(found.parsed.servers)} servers in {options.path}"
         elif loaded.file.servers.inline:
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -30,7 +30,8 @@
 from oakbridge.node.listing import ConfigError, Source, parse_address
 from oakbridge.node.node import Node
 from oakbridge.node.run import serve
-from oakbridge.sources.files import FileOptions, FileSource, InlineSource
+from oakbridge.sources.file_source import FileOptions, FileSource
+from oakbridge.sources.inline_source import InlineSource
 from oakbridge.workers.share import BadShare, share
 
 if TYPE_CHECKING:
@@ -102,11 +103,11 @@
         return None
     return FileOptions(
         resolved(path, loaded.path),
-        directory=servers.directory is not None,
-        settle=servers.settle / 1e6,
-        poll=servers.poll / 1e6,
-        most_lost=servers.most_lost,
-        saved=resolved(servers.saved, loaded.path) if servers.saved else None,
+        is_directory=servers.directory is not None,
+        settle_s=servers.settle / 1e6,
+        poll_interval_s=servers.poll / 1e6,
+        max_lost_share=servers.most_lost,
+        saved_path=resolved(servers.saved, loaded.path) if servers.saved else None,
     )
 
 
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -1,4 +1,4 @@
-"""``oakbridge servers``: what a server file holds, what it would change, and a word for a held version."""
+"""``oakbridge servers``: check a server file, show what it would change, approve a version that is held."""
 
 from __future__ import annotations
 
@@ -15,10 +15,16 @@
 from oakbridge.control.errors import RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
 from oakbridge.node.listing import Entry
-from oakbridge.sources.files import load_saved
-from oakbridge.sources.inspect import Inspection, inspect
+from oakbridge.policy.events import EndpointState
+from oakbridge.sources.inspection import Inspection, inspect_server_files
+from oakbridge.sources.list_version import ListChange, ListVersion, compare
 from oakbridge.sources.problem import Problem
-from oakbridge.sources.versions import Change, Version, compare
+from oakbridge.sources.saved_copy import load_saved_version
+
+JsonObject = dict[str, Any]
+
+_COLUMNS = ("change", "server", "address", "state", "weight", "zone", "group")
+_RIGHT_ALIGNED_COLUMNS = ("weight", "group")
 
 
 @click.group("servers")
@@ -26,59 +32,17 @@
     """Server files: check one, show what it would change, accept a version that is held."""
 
 
-def _good(path: Path) -> Inspection:
-    found = inspect(path)
-    if found.problems:
-        raise BadInput("\n".join(map(str, found.problems)))
-    return found
-
-
-def _problem_as_json(problem: Problem) -> dict[str, Any]:
-    return {
-        "file": problem.file,
-        "path": problem.path,
-        "expected": problem.expected,
-        "line": problem.line,
-        "field": problem.field_name(),
-    }
-
-
-def _row(entry: Entry) -> dict[str, Any]:
-    s = entry.server
-    return {
-        "name": s.id, "address": s.address, "state": s.state, "weight": s.weight, "zone": s.zone, "group": s.cell,
-        "since": s.started_at / 1e6 if s.started_at else None,
-    }  # fmt: skip
-
-
 @command.command("check")
 @click.argument("path", metavar="FILE", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON.")
 def check(path: Path, as_json: bool) -> None:
     """Check a server file, or a directory of them; exit code 2 if there are mistakes."""
     if as_json:
-        found = inspect(path)
-        problems = [_problem_as_json(problem) for problem in found.problems]
-        say_json({"ok": not problems, "servers": len(found.parsed.servers), "problems": problems})
-        if problems:
-            raise click.exceptions.Exit(2)
+        _check_as_json(path)
         return
-    found = _good(path)
-    ready = sum(1 for e in found.parsed.servers.values() if e.server.state == "up")
-    click.echo(f"{path}: good ({len(found.parsed.servers)} servers, {ready} of them ready)")
-
-
-def _in_use(against: Path | None, saved: Path | None, path: Path) -> Version | None:
-    """The list to compare with: another server file, or the copy that a node has saved."""
-    if against is not None:
-        other = _good(against)
-        return Version(1, other.digest, other.parsed.servers)
-    if saved is not None:
-        version = load_saved(saved)
-        if version is None:
-            raise BadInput(f"{saved}: expected a saved copy of a list that can be read")
-        return version
-    return None
+    servers = _inspect_valid(path).parsed.servers
+    ready = sum(1 for entry in servers.values() if entry.server.state == EndpointState.UP)
+    click.echo(f"{path}: good ({len(servers)} servers, {ready} of them ready)")
 
 
 @command.command("show")
@@ -90,64 +54,22 @@
     """Show the servers of a file, or what it would change."""
     if against is not None and saved is not None:
         raise BadInput("servers show: expected one of --against and --saved")
-    found = _good(path)
-    base = _in_use(against, saved, path)
-    change = compare(base, found.digest, found.parsed, int(time.time() * 1e6), lambda: None)
+    found = _inspect_valid(path)
+    base = _load_base(against, saved)
+    now_us = int(time.time() * 1e6)
+    change = compare(base, found.digest, found.parsed, now_us)
     if as_json:
-        return say_json(_as_json(change, base))
+        say_json(_encode_change(change, base))
+        return
     console = Console()
-    table = Table(box=box.SIMPLE_HEAD)
-    for column in ("change", "server", "address", "state", "weight", "zone", "group"):
-        table.add_column(column, justify="right" if column in ("weight", "group") else "left")
-    marks = _marks(change, base)
-    for name, entry in {**change.servers, **{n: base.servers[n] for n in change.gone if base}}.items():
-        if base is None or name in marks:
-            row = _row(entry)
-            cells = [
-                row["name"],
-                row["address"],
-                row["state"],
-                f"{row['weight']:g}",
-                row["zone"],
-                str(row["group"]),
-            ]
-            table.add_row(marks.get(name, ""), *cells)
-    console.print(table)
-    if base is not None:
-        console.print(
-            f"{len(change.added)} added, {len(change.changed)} changed, {len(change.moved)} moved, "
-            f"{len(change.gone)} gone; {change.lost} of {change.of} ready servers ({change.share:.0%}) are taken away"
-        )
-
-
-def _marks(change: Change, base: Version | None) -> dict[str, str]:
     if base is None:
-        return {}
-    groups = (
-        ("added", change.added),
-        ("changed", change.changed),
-        ("moved", change.moved),
-        ("gone", change.gone),
-    )
-    return {name: mark for mark, names in groups for name in names}
-
-
-def _as_json(change: Change, base: Version | None) -> dict[str, Any]:
-    told: dict[str, Any] = {"digest": change.digest, "servers": [_row(e) for e in change.servers.values()]}
-    if base is not None:
-        told |= {
-            "added": change.added, "changed": change.changed, "moved": change.moved, "gone": change.gone,
-            "taken_away": change.lost, "of_ready": change.of,
-        }  # fmt: skip
-    return told
-
-
-def _ask(command: ControlCommand, socket_path: Path | None, config: Path | None, **arguments: Any) -> Any:
-    with connect(socket_path, config) as client:
-        try:
-            return client.request(command, **arguments)
-        except RequestRejectedError as e:
-            raise Failed(str(e)) from None
+        console.print(_servers_table(list(change.servers.values()), {}))
+        return
+    marks = _change_marks(change)
+    entries = [entry for name, entry in change.servers.items() if name in marks]
+    entries += [base.servers[name] for name in change.removed]
+    console.print(_servers_table(entries, marks))
+    console.print(_change_summary(change))
 
 
 @command.command("accept")
@@ -157,7 +79,7 @@
 )
 def accept(socket_path: Path | None, config: Path | None, digest: str) -> None:
     """Have a node use the version that it holds because it takes many servers away."""
-    _ask(ControlCommand.ACCEPT_SERVER_LIST, socket_path, config, digest=digest)
+    _request(ControlCommand.ACCEPT_SERVER_LIST, socket_path, config, digest=digest)
     click.echo("accepted")
 
 
@@ -165,5 +87,128 @@
 @socket_options
 def look(socket_path: Path | None, config: Path | None) -> None:
     """Have a node look at its server file now."""
-    _ask(ControlCommand.FETCH_SERVER_LIST, socket_path, config)
+    _request(ControlCommand.FETCH_SERVER_LIST, socket_path, config)
     click.echo("it looks now")
+
+
+def _request(
+    command: ControlCommand, socket_path: Path | None, config: Path | None, **arguments: str
+) -> None:
+    with connect(socket_path, config) as client:
+        try:
+            client.request(command, **arguments)
+        except RequestRejectedError as error:
+            raise Failed(str(error)) from None
+
+
+# ---- reading
+
+
+def _inspect_valid(path: Path) -> Inspection:
+    """Return what the server files hold.  Raises BadInput with all their mistakes."""
+    found = inspect_server_files(path)
+    if found.problems:
+        raise BadInput("\n".join(map(str, found.problems)))
+    return found
+
+
+def _load_base(against: Path | None, saved: Path | None) -> ListVersion | None:
+    """Return the list to compare with: another server file, or the copy that a node has saved."""
+    if against is not None:
+        found = _inspect_valid(against)
+        return ListVersion(1, found.digest, found.parsed.servers)
+    if saved is not None:
+        version = load_saved_version(saved)
+        if version is None:
+            raise BadInput(f"{saved}: expected a saved copy of a list that can be read")
+        return version
+    return None
+
+
+# ---- views
+
+
+def _check_as_json(path: Path) -> None:
+    found = inspect_server_files(path)
+    problems = [_encode_problem(problem) for problem in found.problems]
+    say_json({"ok": not problems, "servers": len(found.parsed.servers), "problems": problems})
+    if problems:
+        raise click.exceptions.Exit(2)
+
+
+def _encode_problem(problem: Problem) -> JsonObject:
+    return {
+        "file": problem.file,
+        "path": problem.path,
+        "expected": problem.expected,
+        "line": problem.line,
+        "field": problem.field_name(),
+    }
+
+
+def _encode_change(change: ListChange, base: ListVersion | None) -> JsonObject:
+    encoded: JsonObject = {
+        "digest": change.digest,
+        "servers": [_encode_entry(entry) for entry in change.servers.values()],
+    }
+    if base is not None:
+        encoded |= {
+            "added": change.added,
+            "changed": change.updated,
+            "moved": change.moved,
+            "gone": change.removed,
+            "taken_away": change.lost_ready,
+            "of_ready": change.base_ready,
+        }
+    return encoded
+
+
+def _encode_entry(entry: Entry) -> JsonObject:
+    server = entry.server
+    return {
+        "name": server.id,
+        "address": server.address,
+        "state": server.state,
+        "weight": server.weight,
+        "zone": server.zone,
+        "group": server.cell,
+        "since": server.started_at / 1e6 if server.started_at else None,
+    }
+
+
+def _change_marks(change: ListChange) -> dict[str, str]:
+    """Return what happens to each server that the change names."""
+    groups = {
+        "added": change.added,
+        "changed": change.updated,
+        "moved": change.moved,
+        "gone": change.removed,
+    }
+    return {name: mark for mark, names in groups.items() for name in names}
+
+
+def _servers_table(entries: list[Entry], marks: dict[str, str]) -> Table:
+    table = Table(box=box.SIMPLE_HEAD)
+    for column in _COLUMNS:
+        table.add_column(column, justify="right" if column in _RIGHT_ALIGNED_COLUMNS else "left")
+    for entry in entries:
+        server = entry.server
+        table.add_row(
+            marks.get(server.id, ""),
+            server.id,
+            server.address,
+            server.state,
+            f"{server.weight:g}",
+            server.zone,
+            str(server.cell),
+        )
+    return table
+
+
+def _change_summary(change: ListChange) -> str:
+    counts = (
+        f"{len(change.added)} added, {len(change.updated)} changed, "
+        f"{len(change.moved)} moved, {len(change.removed)} gone"
+    )
+    lost = f"{change.lost_ready} of {change.base_ready} ready servers ({change.lost_share:.0%})"
+    return f"{counts}; {lost} are taken away"
--- a/oakbridge/config/peers.py
+++ b/oakbridge/config/peers.py
@@ -10,7 +10,7 @@
 from oakbridge.peers.messages import MAX_NAME
 from oakbridge.peers.protocol_options import ProtocolOptions
 from oakbridge.peers.service import ServiceOptions
-from oakbridge.sources.files import FileOptions
+from oakbridge.sources.file_source import FileOptions
 from oakbridge.sources.problem import Problem
 
 MIN_SECRET_BYTES = 16
@@ -66,4 +66,4 @@
     table = loaded.file.peers
     if table is None or table.seeds_file is None:
         return None
-    return FileOptions(resolved(table.seeds_file, loaded.path), most_lost=1.0)
+    return FileOptions(resolved(table.seeds_file, loaded.path), max_lost_share=1.0)
--- a/oakbridge/control/handler.py
+++ b/oakbridge/control/handler.py
@@ -15,7 +15,8 @@
 from oakbridge.control.status import NodeStatus, ResponseCounts, encode_status
 from oakbridge.node.node import Node
 from oakbridge.policy.view import view
-from oakbridge.sources.files import FileSource, InlineSource
+from oakbridge.sources.file_source import FileSource
+from oakbridge.sources.inline_source import InlineSource
 
 
 class SpreadReporter(Protocol):
--- a/oakbridge/peers/node_adapter.py
+++ b/oakbridge/peers/node_adapter.py
@@ -10,7 +10,7 @@
 from oakbridge.peers.service import MembershipService, monotonic_us
 from oakbridge.policy.events import PeerFailureReports
 from oakbridge.policy.view import brief
-from oakbridge.sources.files import FileOptions, FileSource
+from oakbridge.sources.file_source import FileOptions, FileSource
 
 
 def load_source(node: Node) -> Callable[[], LocalLoad]:
--- a/oakbridge/peers/snapshot.py
+++ b/oakbridge/peers/snapshot.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from oakbridge.peers.messages import MAX_NAME, MAX_TEXT
-from oakbridge.sources.files import write_whole
+from oakbridge.sources.atomic_file import write_atomically
 
 MAX_SNAPSHOT_BYTES = 4 * 1024 * 1024
 MAX_SEEDS = 64
@@ -84,4 +84,4 @@
 
 def save(path: Path, snapshot: Snapshot) -> None:
     """Replace the file.  Raises OSError."""
-    write_whole(path, encode(snapshot))
+    write_atomically(path, encode(snapshot))
--- a/oakbridge/sites/scheme.py
+++ b/oakbridge/sites/scheme.py
@@ -12,9 +12,9 @@
 
 from oakbridge.config.load import MAX_BYTES, BadFile, checked
 from oakbridge.config.schema import Name, Number, Table
+from oakbridge.sources.atomic_file import write_atomically
 from oakbridge.sources.decoding import FileKind
 from oakbridge.sources.field_lines import field_lines, nearest_line
-from oakbridge.sources.files import write_whole
 from oakbridge.sources.problem import Problem
 
 MOST_SITES = 64
@@ -188,4 +188,4 @@
 
 def save_plan(path: Path, plan: Plan) -> None:
     """Write it whole.  Raises OSError."""
-    write_whole(path, msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n")
+    write_atomically(path, msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n")
--- a/oakbridge/sources/errors.py
+++ b/oakbridge/sources/errors.py
@@ -28,3 +28,11 @@
         super().__init__(expected)
         self.expected = expected
         self.line = line
+
+
+class NotAcceptedError(ServerFileError, ValueError):
+    """An operator's approval that can't be carried out; ``reason`` says why."""
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
--- /dev/null
+++ b/oakbridge/sources/file_poller.py
@@ -0,0 +1,58 @@
+"""Poll the server files on the disk, and keep what was read last until it is validated."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from pathlib import Path
+
+from oakbridge.sources.decoding import SourceFile
+from oakbridge.sources.errors import ReadError
+from oakbridge.sources.reading import Fingerprint, checksums_match, digest_of, fingerprint, read_files
+from oakbridge.sources.tracker_messages import FilesMissing, FilesRead
+
+
+@dataclass(frozen=True, slots=True)
+class _KnownResult:
+    fingerprint: Fingerprint
+    result: FilesRead
+
+
+@dataclass(frozen=True, slots=True)
+class _LastRead:
+    digest: str
+    files: list[SourceFile]
+
+
+class FilePoller:
+    """Read the files of one path.  ``poll`` blocks and runs in a thread, one at a time."""
+
+    def __init__(self, path: Path, *, is_directory: bool) -> None:
+        self._path = path
+        self._is_directory = is_directory
+        self._known: _KnownResult | None = None
+        self._last_read: _LastRead | None = None
+
+    def poll(self) -> FilesRead | FilesMissing:
+        """Return what the disk has now; files whose fingerprint is the same are not read again."""
+        before = self._fingerprint()
+        if before is not None and self._known is not None and self._known.fingerprint == before:
+            return self._known.result
+        self._known = None
+        try:
+            files = read_files(self._path, is_directory=self._is_directory)
+        except ReadError as error:
+            return FilesMissing(str(error))
+        result = FilesRead(digest_of(files), checksums_match(files))
+        self._last_read = _LastRead(result.digest, files)
+        if before is not None and self._fingerprint() == before:
+            self._known = _KnownResult(before, result)
+        return result
+
+    def files_with(self, digest: str) -> list[SourceFile] | None:
+        """Return the files that were read last, None if they have another digest."""
+        if self._last_read is None or self._last_read.digest != digest:
+            return None
+        return self._last_read.files
+
+    def _fingerprint(self) -> Fingerprint | None:
+        return fingerprint(self._path, is_directory=self._is_directory)
--- /dev/null
+++ b/oakbridge/sources/file_source.py
@@ -0,0 +1,277 @@
+"""Watch server files for one node: poll the disk, validate beside the loop, hand over whole versions.
+
+Nothing is decided in here: :mod:`oakbridge.sources.version_tracker` decides.  The disk is read in threads,
+since a file on a network mount can take its time.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+from collections.abc import Callable, Coroutine, Iterator
+from concurrent.futures import ThreadPoolExecutor
+from contextlib import contextmanager
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any, TypeVar
+
+from oakbridge.node.listing import ConfigError, Entry, Listener, Listing
+from oakbridge.policy.events import Endpoint, EndpointState
+from oakbridge.sources.change_notifier import ChangeNotifier
+from oakbridge.sources.decoding import SourceFile
+from oakbridge.sources.field_lines import with_lines
+from oakbridge.sources.file_poller import FilePoller
+from oakbridge.sources.list_version import ListVersion, compare
+from oakbridge.sources.pacing import let_loop_run, no_pause
+from oakbridge.sources.parsing import parse
+from oakbridge.sources.saved_copy import load_saved_version, save_version
+from oakbridge.sources.source_status import JsonObject, encode_status
+from oakbridge.sources.tracker_messages import (
+    Action,
+    ApplyVersion,
+    FilesMissing,
+    PollAfter,
+    RetrySaveAfter,
+    SaveVersion,
+    ValidateFiles,
+    ValidationResult,
+    WriteLog,
+)
+from oakbridge.sources.version_tracker import VersionTracker
+
+PREPARED_PER_TURN = 200  # servers that are made ready in one turn of the loop
+POLL_INTERVAL_WITHOUT_INOTIFY_S = 0.1
+_THREADS = 4  # one each to poll, to validate, to save, and to verify the watched directories
+_MAX_BYTES_WITH_LINES = 64 * 1024  # longer texts would hold the loop up while a problem's line is found
+_MAX_BYTES_WITHOUT_PAUSES = 16 * 1024
+_NO_ADDRESS = ("0.0.0.0", 0)
+
+logger = logging.getLogger(__name__)
+T = TypeVar("T")
+
+
+@dataclass(frozen=True, slots=True)
+class FileOptions:
+    """Where server files are and how they are watched; times in seconds."""
+
+    path: Path
+    is_directory: bool = False
+    settle_s: float = 0.03
+    poll_interval_s: float = 1.0
+    max_lost_share: float = 0.5  # of the ready servers, above which a version needs approval
+    saved_path: Path | None = None  # of the saved copy
+    use_inotify: bool = True
+
+
+class FileSource:
+    """The source of servers that watches a server file or a directory of them."""
+
+    def __init__(self, options: FileOptions, now: Callable[[], int]) -> None:
+        """``now`` is the clock, in microseconds.  Reads the saved copy, if there is one."""
+        self.options = options
+        self.decided = asyncio.Event()  # set whenever a poll has led to something
+        self._now = now
+        saved = load_saved_version(options.saved_path) if options.saved_path else None
+        self._tracker = VersionTracker(int(options.settle_s * 1e6), options.max_lost_share, saved)
+        self._poller = FilePoller(options.path, is_directory=options.is_directory)
+        self._poll_requested = asyncio.Event()
+        self._poll_due_s: float | None = 0.0  # on the loop's clock, even if no change is notified
+        self._notifier = ChangeNotifier(
+            options.path,
+            is_directory=options.is_directory,
+            poll_interval_s=options.poll_interval_s,
+            find_directories=self._run_in_thread,
+            on_change=self._poll_requested.set,
+        )
+        self._listener: Listener | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._threads = ThreadPoolExecutor(_THREADS, "server-file")
+        self._started = False
+
+    # ---- the node's side
+
+    def tell(self, listener: Listener) -> None:
+        """Name the node that is notified of versions, and notify it of the saved one."""
+        self._listener = listener
+        saved = self._tracker.current
+        if saved is not None:
+            listener.listed(Listing(saved.number, True, list(saved.servers.values())), saved=True)
+            logger.info("version %d, as saved, is in use until the file is read", saved.number)
+
+    async def ready(self) -> None:
+        """Wait for a version to be in use.  Raises ConfigError where the first poll finds none to use."""
+        while self._tracker.current is None:
+            if self._tracker.rejected is not None:
+                raise ConfigError("\n".join(map(str, self._tracker.rejected.problems)))
+            if self._tracker.missing_reason:
+                raise ConfigError(self._tracker.missing_reason)
+            await self.decided.wait()
+            self.decided.clear()
+
+    def describe(self) -> JsonObject:
+        """Return which version is in use, and why nothing newer is, in the control socket's form."""
+        return encode_status(
+            self._tracker,
+            self._now(),
+            path=str(self.options.path),
+            is_directory=self.options.is_directory,
+            notified=self._notifier.active,
+        )
+
+    def start(self) -> None:
+        """Begin to watch; calling it again changes nothing."""
+        if self._started:
+            return
+        self._started = True
+        self._spawn(self._poll_forever())
+        if self.options.use_inotify:
+            self._spawn(self._notifier.run())
+
+    def watch(self, on: bool) -> None:
+        """Do nothing: files are always watched."""
+
+    def fetch(self) -> None:
+        """Poll now."""
+        self._poll_requested.set()
+
+    def stop(self) -> None:
+        """Watch no more."""
+        for task in self._tasks:
+            task.cancel()
+        self._threads.shutdown(wait=False, cancel_futures=True)
+
+    def accept(self, digest_prefix: str = "") -> None:
+        """Take the version that waits for approval into use.  Raises NotAcceptedError."""
+        self._execute(self._tracker.accept(digest_prefix))
+
+    # ---- tasks and threads
+
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(self._contain(work))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _contain(self, work: Coroutine[Any, Any, None]) -> None:
+        """Guard the node: a fault in here leaves the last good version in use, and is logged."""
+        try:
+            await work
+        except Exception:
+            logger.exception("watching %s failed; the list in use stays", self.options.path)
+
+    async def _run_in_thread(self, function: Callable[[], T]) -> T:
+        return await asyncio.get_running_loop().run_in_executor(self._threads, function)
+
+    # ---- polling
+
+    async def _poll_forever(self) -> None:
+        while True:
+            await self._wait_for_poll()
+            found = await self._run_in_thread(self._poller.poll)
+            self._execute(self._tracker.on_polled(self._now(), found))
+            if isinstance(found, FilesMissing):
+                self.decided.set()
+
+    async def _wait_for_poll(self) -> None:
+        """Wait until a poll is requested or due."""
+        loop = asyncio.get_running_loop()
+        interval_s = self.options.poll_interval_s
+        if not self._notifier.active:
+            interval_s = min(interval_s, POLL_INTERVAL_WITHOUT_INOTIFY_S)
+        due_s = loop.time() + interval_s
+        if self._poll_due_s is not None:
+            due_s = min(due_s, self._poll_due_s)
+        if not self._poll_requested.is_set():
+            timer = loop.call_at(due_s, self._poll_requested.set)
+            await self._poll_requested.wait()
+            timer.cancel()
+        self._poll_requested.clear()
+        self._poll_due_s = None
+
+    def _poll_after(self, delay_us: int) -> None:
+        if not delay_us:
+            self._poll_requested.set()
+        due_s = asyncio.get_running_loop().time() + delay_us / 1e6
+        self._poll_due_s = due_s if self._poll_due_s is None else min(self._poll_due_s, due_s)
+
+    # ---- carrying out the tracker's actions
+
+    def _execute(self, actions: list[Action]) -> None:
+        for action in actions:
+            match action:
+                case PollAfter():
+                    self._poll_after(action.delay_us)
+                case ValidateFiles():
+                    self._spawn(self._validate(action))
+                case ApplyVersion():
+                    self._spawn(self._apply(action))
+                case SaveVersion():
+                    self._spawn(self._save(action.version))
+                case RetrySaveAfter():
+                    self._spawn(self._retry_save(action.delay_us))
+                case WriteLog():
+                    logger.log(action.level, "%s: %s", self.options.path, action.text)
+
+    async def _validate(self, action: ValidateFiles) -> None:
+        files = self._poller.files_with(action.digest)
+        started_us = self._now()
+        result: ValidationResult = None
+        if files is not None:
+            with _garbage_collection_paused():
+                result = await self._run_in_thread(lambda: _validate_files(files, action, started_us))
+        self._execute(self._tracker.on_validated(self._now(), action.digest, result))
+        self.decided.set()
+
+    async def _apply(self, action: ApplyVersion) -> None:
+        """Prepare servers in slices, then change over at once: no request sees a part of a version."""
+        assert self._listener is not None
+        change = action.change
+        entries = change.delta_entries()
+        for start in range(0, len(entries), PREPARED_PER_TURN):
+            self._listener.prepare(entries[start : start + PREPARED_PER_TURN])
+            await asyncio.sleep(0)
+        removed = [Entry(Endpoint(name, EndpointState.GONE), _NO_ADDRESS) for name in change.removed]
+        is_whole_list = change.base_number == 0
+        self._listener.listed(Listing(action.version.number, is_whole_list, entries + removed))
+        self._execute(self._tracker.on_applied(self._now(), action.version.number))
+        self.decided.set()
+
+    async def _save(self, version: ListVersion) -> None:
+        path = self.options.saved_path
+        if path is None:
+            return
+        try:
+            await self._run_in_thread(lambda: save_version(path, version))
+        except OSError as error:
+            text = f"{path}: {error.strerror or error}"
+            self._execute(self._tracker.on_save_failed(version.number, text))
+        else:
+            self._execute(self._tracker.on_saved(version.number))
+
+    async def _retry_save(self, delay_us: int) -> None:
+        await asyncio.sleep(delay_us / 1e6)
+        self._execute(self._tracker.on_save_retry())
+
+
+@contextmanager
+def _garbage_collection_paused() -> Iterator[None]:
+    """Put the collector of cycles off while a list is parsed.
+
+    Guards the loop: the tens of thousands of objects that a long list makes set the collector off, and it
+    would hold the interpreter for 20 ms to find that all of them are in use.
+    """
+    gc.disable()
+    try:
+        yield
+    finally:
+        gc.enable()
+
+
+def _validate_files(files: list[SourceFile], action: ValidateFiles, now_us: int) -> ValidationResult:
+    """Parse the files and find what they change; runs in a thread."""
+    total_bytes = sum(len(file.data) for file in files)
+    pause = let_loop_run if total_bytes > _MAX_BYTES_WITHOUT_PAUSES else no_pause
+    parsed = parse(files, pause)
+    if not parsed.problems:
+        return compare(action.base, action.digest, parsed, now_us, pause)
+    return with_lines(files, parsed.problems) if total_bytes <= _MAX_BYTES_WITH_LINES else parsed.problems
--- a/oakbridge/sources/inspect.py
+++ b/oakbridge/sources/inspection.py
@@ -1,4 +1,4 @@
-"""A server file looked at once, for people: its servers or its mistakes with their lines, and what it changes."""
+"""Read server files once, for people: their servers, or their mistakes with lines."""
 
 from __future__ import annotations
 
@@ -7,26 +7,28 @@
 
 from oakbridge.sources.errors import ReadError
 from oakbridge.sources.field_lines import with_lines
-from oakbridge.sources.files import digest_of, read_all
 from oakbridge.sources.parsing import parse
 from oakbridge.sources.problem import Problem
+from oakbridge.sources.reading import digest_of, read_files
 from oakbridge.sources.server_row import ParsedServers
 
 
 @dataclass(frozen=True, slots=True)
 class Inspection:
-    """What one look at a file or a directory found."""
+    """What one reading of a file or a directory found."""
 
     digest: str
     parsed: ParsedServers
     problems: list[Problem]
 
 
-def inspect(path: Path, directory: bool | None = None) -> Inspection:
-    """Read and check; a directory is taken as one where it is one, if not said."""
+def inspect_server_files(path: Path, is_directory: bool | None = None) -> Inspection:
+    """Read and check a file, or all files of a directory; by default what the path is decides."""
+    if is_directory is None:
+        is_directory = path.is_dir()
     try:
-        files = read_all(path, path.is_dir() if directory is None else directory)
-    except ReadError as e:
-        return Inspection("", ParsedServers(), [Problem(str(path), (), e.reason)])
+        files = read_files(path, is_directory=is_directory)
+    except ReadError as error:
+        return Inspection("", ParsedServers(), [Problem(str(path), (), error.reason)])
     parsed = parse(files)
     return Inspection(digest_of(files), parsed, with_lines(files, parsed.problems))
--- /dev/null
+++ b/oakbridge/sources/list_version.py
@@ -0,0 +1,118 @@
+"""A complete, valid list of servers, and what a new one changes against the one in use."""
+
+from __future__ import annotations
+
+import dataclasses
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from oakbridge.node.listing import Entry
+from oakbridge.policy.events import EndpointState
+from oakbridge.sources.pacing import BATCH_SIZE, no_pause
+from oakbridge.sources.server_row import ParsedServers
+
+
+@dataclass(frozen=True, slots=True)
+class ListVersion:
+    """One complete, valid list; ``digest`` stands for all bytes of its files."""
+
+    number: int
+    digest: str
+    servers: dict[str, Entry]
+
+
+@dataclass(frozen=True, slots=True)
+class ListChange:
+    """What a new list changes against the one in use, by name, in the order of the file."""
+
+    base_number: int  # of the version that it was compared with; 0: there was none
+    digest: str
+    servers: dict[str, Entry]  # the whole new list
+    added: tuple[str, ...] = ()
+    updated: tuple[str, ...] = ()  # still there, with other facts
+    moved: tuple[str, ...] = ()  # still there, at another address: another process under the name
+    removed: tuple[str, ...] = ()
+    lost_ready: int = 0  # servers that were ready and are so no longer, or have moved
+    base_ready: int = 0  # servers that were ready
+
+    @property
+    def lost_share(self) -> float:
+        """The share of the ready servers that this change takes away."""
+        return self.lost_ready / self.base_ready if self.base_ready else 0.0
+
+    def delta_entries(self) -> list[Entry]:
+        """Return the entries to add or replace."""
+        return [self.servers[name] for name in (*self.added, *self.updated, *self.moved)]
+
+
+def compare(
+    base: ListVersion | None,
+    digest: str,
+    parsed: ParsedServers,
+    now_us: int,
+    pause: Callable[[], None] = no_pause,
+) -> ListChange:
+    """Return what a valid list changes.  A newcomer without a start time counts as started now.
+
+    Guards cold servers: one that joins a running fleet is new far more often than not, and one that is taken
+    for new when it is not only gets its part a little later.  Entries that are equal stay the same objects.
+    ``pause`` is called between batches.
+    """
+    base_servers = base.servers if base is not None else {}
+    newcomer_started_at_us = now_us if base is not None else 0
+    added, updated, moved = [], [], []
+    servers: dict[str, Entry] = {}
+    for count, (name, listed) in enumerate(parsed.servers.items()):
+        if count % BATCH_SIZE == 0:
+            pause()
+        before, entry = base_servers.get(name), listed
+        if name not in parsed.with_start_time:
+            entry = _with_start_time(entry, before, newcomer_started_at_us)
+        if before is None:
+            added.append(name)
+        elif before == entry:
+            entry = before
+        elif before.address != entry.address:
+            moved.append(name)
+        else:
+            updated.append(name)
+        servers[name] = entry
+    lost_ready, base_ready = _count_lost(base_servers, servers, pause)
+    return ListChange(
+        base_number=base.number if base else 0,
+        digest=digest,
+        servers=servers,
+        added=tuple(added),
+        updated=tuple(updated),
+        moved=tuple(moved),
+        removed=tuple(name for name in base_servers if name not in servers),
+        lost_ready=lost_ready,
+        base_ready=base_ready,
+    )
+
+
+def _with_start_time(entry: Entry, before: Entry | None, newcomer_started_at_us: int) -> Entry:
+    if before is not None and before.address == entry.address:
+        started_at_us = before.server.started_at
+    else:
+        started_at_us = newcomer_started_at_us
+    return Entry(dataclasses.replace(entry.server, started_at=started_at_us), entry.address)
+
+
+def _count_lost(
+    base_servers: dict[str, Entry], servers: dict[str, Entry], pause: Callable[[], None]
+) -> tuple[int, int]:
+    """Return how many ready servers are no longer ready at their address, and how many there were."""
+    lost_ready = base_ready = 0
+    for count, (name, before) in enumerate(base_servers.items()):
+        if count % BATCH_SIZE == 0:
+            pause()
+        if before.server.state != EndpointState.UP:
+            continue
+        base_ready += 1
+        after = servers.get(name)
+        still_ready = (
+            after is not None and after.server.state == EndpointState.UP and after.address == before.address
+        )
+        lost_ready += not still_ready
+    return lost_ready, base_ready
--- a/oakbridge/sources/parsing.py
+++ b/oakbridge/sources/parsing.py
@@ -9,15 +9,11 @@
 from oakbridge.sources.decoding import SourceFile, decode
 from oakbridge.sources.errors import DecodeError
 from oakbridge.sources.formats import read_rows
+from oakbridge.sources.pacing import BATCH_SIZE, no_pause
 from oakbridge.sources.problem import Problem
 from oakbridge.sources.server_row import MAX_PROBLEMS, ParsedServers, ServerRowReader
 
 MAX_SERVERS = 100_000
-BATCH_SIZE = 64  # servers between two pauses
-
-
-def no_pause() -> None:
-    """Go on at once: for callers that hold nobody up."""
 
 
 def parse(files: list[SourceFile], pause: Callable[[], None] = no_pause) -> ParsedServers:
--- /dev/null
+++ b/oakbridge/sources/saved_copy.py
@@ -0,0 +1,89 @@
+"""The saved copy of the version in use: its format, written and read.
+
+The first line is an object of ``format``, ``number`` and ``digest``; each further line is an array of one
+server: name, state, zone, group, weight, start in microseconds of Unix time, host, port.  A checksum line ends
+it.
+"""
+
+from __future__ import annotations
+
+import json
+import logging
+import os
+from pathlib import Path
+from typing import Any
+
+from oakbridge.node.listing import Entry
+from oakbridge.policy.events import Endpoint
+from oakbridge.sources.atomic_file import Write, write_atomically
+from oakbridge.sources.checksum import checksum_line, checksum_matches, split_checksum
+from oakbridge.sources.errors import ReadError
+from oakbridge.sources.list_version import ListVersion
+from oakbridge.sources.pacing import BATCH_SIZE, let_loop_run
+from oakbridge.sources.reading import read_regular_file
+
+FORMAT_VERSION = 1
+
+logger = logging.getLogger(__name__)
+
+
+def save_version(path: Path, version: ListVersion, write: Write = os.write) -> None:
+    """Save a copy, whole.  Blocks; raises OSError, and then the copy before stays."""
+    write_atomically(path, _encode(version), write)
+
+
+def load_saved_version(path: Path) -> ListVersion | None:
+    """Return the saved copy, None if there is none that can be read."""
+    try:
+        data = read_regular_file(path)
+    except ReadError:
+        return None
+    try:
+        return _decode(data)
+    except (ValueError, KeyError, TypeError) as error:
+        logger.warning("%s: the saved list is not used: %s", path, error)
+        return None
+
+
+def _encode(version: ListVersion) -> bytes:
+    header = {"format": FORMAT_VERSION, "number": version.number, "digest": version.digest}
+    lines = [json.dumps(header)]
+    for count, entry in enumerate(version.servers.values()):
+        if count % BATCH_SIZE == 0:
+            let_loop_run()
+        lines.append(json.dumps(_encode_entry(entry)))
+    content = "\n".join(lines).encode() + b"\n"
+    return content + checksum_line(content)
+
+
+def _encode_entry(entry: Entry) -> list[Any]:
+    server = entry.server
+    host, port = entry.address
+    return [
+        server.id,
+        server.state,
+        server.zone,
+        server.cell,
+        server.weight,
+        server.started_at,
+        host,
+        port,
+    ]
+
+
+def _decode(data: bytes) -> ListVersion:
+    """Raise ValueError, KeyError or TypeError for anything but a saved copy."""
+    if not checksum_matches(data):
+        raise ValueError("its checksum does not fit")
+    lines = split_checksum(data)[0].decode().splitlines()
+    header, *rows = [json.loads(line) for line in lines]
+    if header["format"] != FORMAT_VERSION:
+        raise ValueError(f"expected format {FORMAT_VERSION}, got {header['format']!r}")
+    entries = [_decode_entry(row) for row in rows]
+    return ListVersion(header["number"], header["digest"], {entry.server.id: entry for entry in entries})
+
+
+def _decode_entry(row: list[Any]) -> Entry:
+    name, state, zone, group, weight, started_at_us, host, port = row
+    server = Endpoint(name, state, zone, group, weight, started_at_us, f"{host}:{port}")
+    return Entry(server, (host, port))
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -18,7 +18,8 @@
 from oakbridge.control.protocol import ControlCommand
 from oakbridge.control.server import ControlServer
 from oakbridge.policy.view import BalancerView, ServerView
-from oakbridge.sources.files import FileOptions, FileSource, InlineSource
+from oakbridge.sources.file_source import FileOptions, FileSource
+from oakbridge.sources.inline_source import InlineSource
 
 FIXTURES = Path(__file__).parent / "fixtures"
 
@@ -125,7 +126,7 @@
 def node_with_all():
     saved = FIXTURES / "sources" / "saved.list"
     source = FileSource(
-        FileOptions(Path("/srv/servers.json"), saved=saved), now=lambda: 1_700_000_000_000_000
+        FileOptions(Path("/srv/servers.json"), saved_path=saved), now=lambda: 1_700_000_000_000_000
     )
     return NodeControlHandler(node(source, ready=True), "c0ffee", HeldMembers(), HeldSites(), HeldSpread())
 
--- a/tests/formats/test_sources.py
+++ b/tests/formats/test_sources.py
@@ -4,8 +4,8 @@
 
 from oakbridge.node.listing import Entry
 from oakbridge.policy.events import Endpoint, EndpointState
-from oakbridge.sources.files import load_saved, save
-from oakbridge.sources.versions import Version
+from oakbridge.sources.list_version import ListVersion
+from oakbridge.sources.saved_copy import load_saved_version, save_version
 
 FIXTURE = Path(__file__).parent / "fixtures" / "sources" / "saved.list"
 
@@ -19,13 +19,13 @@
         Entry(Endpoint("s2", EndpointState.DRAINING, "b", 0, 2.5, 0, "10.0.0.2:9000"), ("10.0.0.2", 9000)),
         Entry(Endpoint("näm", EndpointState.UP, "", 0, 0.5, 0, "::1:9000"), ("::1", 9000)),
     ]
-    return Version(12, "4b2f" + "0" * 60, {entry.server.id: entry for entry in servers})
+    return ListVersion(12, "4b2f" + "0" * 60, {entry.server.id: entry for entry in servers})
 
 
 def test_a_saved_list_is_read():
-    assert load_saved(FIXTURE) == version()
+    assert load_saved_version(FIXTURE) == version()
 
 
 def test_a_saved_list_is_written_with_the_same_bytes(tmp_path):
-    save(tmp_path / "saved.list", version())
+    save_version(tmp_path / "saved.list", version())
     assert (tmp_path / "saved.list").read_bytes() == FIXTURE.read_bytes()
--- a/tests/sip/test_front.py
+++ b/tests/sip/test_front.py
@@ -17,7 +17,7 @@
 from oakbridge.sip.front import Front
 from oakbridge.sip.proxy import Peer
 from oakbridge.sip.standins import Phone, Server
-from oakbridge.sources.files import InlineSource
+from oakbridge.sources.inline_source import InlineSource
 
 CONFIG = """
 [node]
--- a/tests/sources/test_cold.py
+++ b/tests/sources/test_cold.py
@@ -12,7 +12,7 @@
 from oakbridge.node.config import Config
 from oakbridge.node.node import Node
 from oakbridge.node.settings import read_settings
-from oakbridge.sources.files import FileOptions, FileSource
+from oakbridge.sources.file_source import FileOptions, FileSource
 from oakbridge.standin.behaviour import Behaviour
 
 RATE, WARM, SHARE, MULTIPLE, WINDOW = 300, 6, 0.2, 2.5, 1.0
@@ -38,7 +38,7 @@
         cold = SETTINGS["invariants"] | {"cold-from": SHARE, "fall-multiple": MULTIPLE, "warm-up": 60_000_000}
         settings = World.pinned(read_settings(SETTINGS | {"discovery": "pushed", "invariants": cold}))
         config = Config("n", ("127.0.0.1", 0), None, 7, 1024, None, settings)
-        node = Node(config, loop, lambda clock: FileSource(FileOptions(path, settle=0.01), clock.now))
+        node = Node(config, loop, lambda clock: FileSource(FileOptions(path, settle_s=0.01), clock.now))
         node.source.start()
         await soon(node.source.ready())
         node.start()
--- a/tests/sources/test_files.py
+++ b/tests/sources/test_files.py
@@ -12,11 +12,13 @@
 from peers import run, soon
 
 from oakbridge.node.clock import Clock
+from oakbridge.node.listing import Entry
 from oakbridge.policy.events import Endpoint, EndpointState
-from oakbridge.sources import files
 from oakbridge.sources.errors import ReadError
-from oakbridge.sources.files import FileOptions, FileSource, load_saved, read_file, save
-from oakbridge.sources.versions import Version
+from oakbridge.sources.file_source import PREPARED_PER_TURN, FileOptions, FileSource
+from oakbridge.sources.list_version import ListVersion
+from oakbridge.sources.reading import list_files, read_regular_file
+from oakbridge.sources.saved_copy import load_saved_version, save_version
 
 
 def text(*names: str, port: int = 9000) -> str:
@@ -62,9 +64,9 @@
     """A source on a path, in this process."""
 
     def __init__(self, path: Path, **options) -> None:
-        options.setdefault("settle", 0.01)
-        options.setdefault("poll", 0.2)
-        options.setdefault("most_lost", 1.0)
+        options.setdefault("settle_s", 0.01)
+        options.setdefault("poll_interval_s", 0.2)
+        options.setdefault("max_lost_share", 1.0)
         self.options = FileOptions(path, **options)
 
     async def __aenter__(self) -> "Watching":
@@ -105,7 +107,7 @@
     path.write_text(text("a"))
 
     async def scenario():
-        async with Watching(path, notify=notify) as w:
+        async with Watching(path, use_inotify=notify) as w:
             await w.listener.until("a")
             for names in ("ab", "bc", "c", "cdef"):
                 way(path, text(*names))
@@ -132,7 +134,7 @@
     publish(1, one=text("a"), two=text("b", port=9100))
 
     async def scenario():
-        async with Watching(mount, directory=True) as w, Watching(mount / "one.toml") as single:
+        async with Watching(mount, is_directory=True) as w, Watching(mount / "one.toml") as single:
             await w.listener.until("a", "b")
             await single.listener.until("a")
             publish(2, one=text("a", "c"), two=text("d", port=9100))
@@ -151,7 +153,7 @@
     (folder / "x.toml").write_text(text("a"))
 
     async def scenario():
-        async with Watching(folder, directory=True, poll=0.1) as w:
+        async with Watching(folder, is_directory=True, poll_interval_s=0.1) as w:
             await w.listener.until("a")
             for n, name in enumerate("bc"):
                 other = tmp_path / f"other{n}"
@@ -171,7 +173,7 @@
     (tmp_path / ".b.toml").write_text("half")
     (tmp_path / "#c.toml").write_text("half")
     (tmp_path / "d.toml~").write_text("half")
-    assert [p.name for p in files.files_of(tmp_path, True)] == ["a.toml"]
+    assert [p.name for p in list_files(tmp_path, is_directory=True)] == ["a.toml"]
 
 
 def make_fifo(path: Path) -> None:
@@ -230,7 +232,7 @@
     path.write_text(text("a"))
 
     async def scenario():
-        async with Watching(path, settle=0.3, poll=0.02) as w:
+        async with Watching(path, settle_s=0.3, poll_interval_s=0.02) as w:
             await w.listener.until("a")
             with path.open("w") as file:
                 for part in whole.split("\n\n"):  # each part ends where a server does: valid every time
@@ -249,7 +251,7 @@
     path.write_text(text(*"abcd"))
 
     async def scenario():
-        async with Watching(path, most_lost=0.5) as w:
+        async with Watching(path, max_lost_share=0.5) as w:
             await w.listener.until(*"abcd")
             swap(path, text("a"))
             held = (await w.until("held"))["held"]
@@ -268,7 +270,7 @@
     path.write_text(text("a", "b"))
 
     async def first():
-        async with Watching(path, saved=saved) as w:
+        async with Watching(path, saved_path=saved) as w:
             await w.listener.until("a", "b")
             while w.source.describe()["saved"] != 1:
                 await asyncio.sleep(0.01)
@@ -277,7 +279,7 @@
 
     async def second():
         path.write_text("half of a")
-        async with Watching(path, saved=saved) as w:
+        async with Watching(path, saved_path=saved) as w:
             assert set(w.listener.servers) == {"a", "b"}  # told before anything is read
             await w.until("refused")
             assert set(w.listener.servers) == {"a", "b"}
@@ -289,14 +291,14 @@
     run(second())
 
 
-def saved_version() -> Version:
-    entry = files.Entry(Endpoint("a", zone="z", started_at=5, address="127.0.0.1:1"), ("127.0.0.1", 1))
-    return Version(3, "d" * 64, {"a": entry})
+def saved_version() -> ListVersion:
+    entry = Entry(Endpoint("a", zone="z", started_at=5, address="127.0.0.1:1"), ("127.0.0.1", 1))
+    return ListVersion(3, "d" * 64, {"a": entry})
 
 
 def test_a_full_disk_leaves_the_copy_before(tmp_path):
     path = tmp_path / "saved"
-    save(path, saved_version())
+    save_version(path, saved_version())
     before = path.read_bytes()
 
     def full(fd: int, data: memoryview) -> int:
@@ -305,20 +307,20 @@
         return os.write(fd, data[:50])
 
     with pytest.raises(OSError, match="No space"):
-        save(path, Version(4, "e" * 64, saved_version().servers), full)
+        save_version(path, ListVersion(4, "e" * 64, saved_version().servers), full)
     assert path.read_bytes() == before
     assert [p.name for p in tmp_path.iterdir()] == ["saved"]
-    assert load_saved(path) == saved_version()
+    assert load_saved_version(path) == saved_version()
 
 
 def test_a_copy_that_can_not_be_written_is_said_and_tried_again(tmp_path, monkeypatch):
     path, saved = tmp_path / "servers.toml", tmp_path / "saved"
     path.write_text(text("a"))
-    monkeypatch.setattr("oakbridge.sources.versions.SAVE_AGAIN", 20_000)
-    monkeypatch.setattr("oakbridge.sources.files.save", failing := Failing())
+    monkeypatch.setattr("oakbridge.sources.version_tracker.SAVE_BACKOFF_MIN_US", 20_000)
+    monkeypatch.setattr("oakbridge.sources.file_source.save_version", failing := Failing())
 
     async def scenario():
-        async with Watching(path, saved=saved) as w:
+        async with Watching(path, saved_path=saved) as w:
             await w.listener.until("a")
             while not w.source.describe()["save_error"]:
                 await asyncio.sleep(0.01)
@@ -329,12 +331,12 @@
             assert w.source.describe()["save_error"] == ""
 
     run(scenario())
-    assert load_saved(saved) is not None
+    assert load_saved_version(saved) is not None
 
 
 class Failing:
     def __init__(self) -> None:
-        self.full, self.save = True, save
+        self.full, self.save = True, save_version
 
     def __call__(self, path, version) -> None:
         if self.full:
@@ -347,10 +349,10 @@
 )
 def test_a_spoilt_copy_is_not_used(tmp_path, spoil):
     path = tmp_path / "saved"
-    save(path, saved_version())
+    save_version(path, saved_version())
     path.write_bytes(spoil(path.read_bytes()))
-    assert load_saved(path) is None
-    assert load_saved(tmp_path / "nothing") is None
+    assert load_saved_version(path) is None
+    assert load_saved_version(tmp_path / "nothing") is None
 
 
 def test_a_hundred_rewrites_a_second_do_not_keep_new_versions_out(tmp_path):
@@ -358,7 +360,7 @@
     path.write_text(text("a"))
 
     async def scenario():
-        async with Watching(path, settle=0.04) as w:
+        async with Watching(path, settle_s=0.04) as w:
             await w.listener.until("a")
             done = asyncio.Event()
 
@@ -393,7 +395,7 @@
     path.write_text(text("a"))
 
     async def scenario():
-        async with Watching(path, poll=60) as w:
+        async with Watching(path, poll_interval_s=60) as w:
             await w.listener.until("a")
             swap(path, text("a", "b"))
             await w.listener.until("a", "b")
@@ -407,7 +409,7 @@
     path.write_text(text("a"))
 
     async def scenario():
-        async with Watching(path, notify=False, poll=0.02) as w:
+        async with Watching(path, use_inotify=False, poll_interval_s=0.02) as w:
             await w.listener.until("a")
             stamp = path.stat()
             path.write_text(text("b"))
@@ -427,7 +429,7 @@
             await w.listener.until("s0")
             swap(path, json.dumps({"endpoints": rows}))
             assert len(await soon(w.listener.versions.get())) == 1000
-            assert max(w.listener.prepared) <= files.SLICE and sum(w.listener.prepared) == 1000
+            assert max(w.listener.prepared) <= PREPARED_PER_TURN and sum(w.listener.prepared) == 1000
 
     run(scenario())
 
@@ -435,4 +437,4 @@
 def test_reading_never_waits_on_a_pipe(tmp_path):
     os.mkfifo(tmp_path / "pipe")
     with pytest.raises(ReadError, match="regular file"):
-        read_file(tmp_path / "pipe")
+        read_regular_file(tmp_path / "pipe")
--- a/tests/sources/test_rewrites.py
+++ b/tests/sources/test_rewrites.py
@@ -15,7 +15,8 @@
 from oakbridge.node.node import Node
 from oakbridge.node.settings import read_settings
 from oakbridge.policy.settings import Settings
-from oakbridge.sources.files import FileOptions, FileSource
+from oakbridge.sources.file_source import FileOptions, FileSource
+from oakbridge.sources.reading import digest_of, read_files
 from oakbridge.standin.behaviour import Behaviour
 from oakbridge.standin.server import StandIn
 
@@ -104,7 +105,11 @@
         self.servers = {n: ("ready", self.places[n][0]) for n in NAMES[:6]}
         self.path.write_text(render(self.servers, 0))
         options = FileOptions(
-            self.path, settle=SETTLE, poll=0.05, most_lost=0.6, saved=self.path.with_suffix(".saved")
+            self.path,
+            settle_s=SETTLE,
+            poll_interval_s=0.05,
+            max_lost_share=0.6,
+            saved_path=self.path.with_suffix(".saved"),
         )
         warm_soon = SETTINGS["invariants"] | {"warm-up": 50_000}  # newcomers get their part at once
         settings = SETTINGS | {"discovery": "pushed", "invariants": warm_soon}
@@ -207,14 +212,12 @@
 
 
 def files_digest(path: Path) -> str:
-    from oakbridge.sources.files import digest_of, read_all
-
-    return digest_of(read_all(path, False))
+    return digest_of(read_files(path, is_directory=False))
 
 
 def test_a_thousand_rewrites_under_load(tmp_path, monkeypatch):
     # A list with a checksum that does not fit is awaited for 2 s; here for less, as there are many of them.
-    monkeypatch.setattr("oakbridge.sources.versions.CUT", 20_000)
+    monkeypatch.setattr("oakbridge.sources.version_tracker.CHECKSUM_TIMEOUT_US", 20_000)
 
     async def scenario():
         async with World(tmp_path) as world:
--- a/tests/sources/test_versions.py
+++ b/tests/sources/test_versions.py
@@ -7,21 +7,21 @@
 
 from oakbridge.node.listing import Entry
 from oakbridge.policy.events import Endpoint, EndpointState
+from oakbridge.sources.errors import NotAcceptedError
+from oakbridge.sources.list_version import ListChange, ListVersion, compare
 from oakbridge.sources.problem import Problem
 from oakbridge.sources.server_row import ParsedServers
-from oakbridge.sources.versions import (
-    Apply,
-    Change,
-    Check,
-    LookAgain,
-    Missing,
-    Reading,
-    Save,
-    Say,
-    Version,
-    Versions,
-    compare,
+from oakbridge.sources.tracker_messages import (
+    ApplyVersion,
+    FilesMissing,
+    FilesRead,
+    PollAfter,
+    RetrySaveAfter,
+    SaveVersion,
+    ValidateFiles,
+    WriteLog,
 )
+from oakbridge.sources.version_tracker import VersionTracker
 
 MS = 1000
 SETTLE = 40 * MS
@@ -36,84 +36,86 @@
     return ParsedServers({e.server.id: e for e in entries})
 
 
-def version(number: int, digest: str, *entries: Entry) -> Version:
-    return Version(number, digest, {e.server.id: e for e in entries})
+def version(number: int, digest: str, *entries: Entry) -> ListVersion:
+    return ListVersion(number, digest, {e.server.id: e for e in entries})
 
 
-def change(base: Version | None, digest: str, *entries: Entry, now: int = 5) -> Change:
-    return compare(base, digest, parsed(*entries), now, lambda: None)
+def change(base: ListVersion | None, digest: str, *entries: Entry, now: int = 5) -> ListChange:
+    return compare(base, digest, parsed(*entries), now)
 
 
 def kinds(actions) -> list[type]:
-    return [type(a) for a in actions if not isinstance(a, Say)]
+    return [type(a) for a in actions if not isinstance(a, WriteLog)]
 
 
-def in_use(machine: Versions, digest: str, *entries: Entry, now: int = 0) -> None:
+def in_use(machine: VersionTracker, digest: str, *entries: Entry, now: int = 0) -> None:
     """Bring a list through to use."""
-    machine.looked(now, Reading(digest, True))
+    machine.on_polled(now, FilesRead(digest, True))
     [apply] = [
         a
-        for a in machine.checked(now, digest, change(machine.used, digest, *entries))
-        if isinstance(a, Apply)
+        for a in machine.on_validated(now, digest, change(machine.current, digest, *entries))
+        if isinstance(a, ApplyVersion)
     ]
-    machine.applied(now, apply.version.number)
+    machine.on_applied(now, apply.version.number)
 
 
 def test_a_reading_is_checked_once_it_has_stood_still():
-    machine = Versions(SETTLE)
-    assert kinds(machine.looked(0, Reading("a"))) == [LookAgain]
-    assert machine.looked(10 * MS, Reading("b")) == [LookAgain(SETTLE)]  # it changed: the wait begins anew
-    assert machine.looked(30 * MS, Reading("b")) == [LookAgain(20 * MS)]
-    assert machine.looked(50 * MS, Reading("b")) == [Check("b", None)]
+    machine = VersionTracker(SETTLE)
+    assert kinds(machine.on_polled(0, FilesRead("a"))) == [PollAfter]
+    assert machine.on_polled(10 * MS, FilesRead("b")) == [
+        PollAfter(SETTLE)
+    ]  # it changed: the wait begins anew
+    assert machine.on_polled(30 * MS, FilesRead("b")) == [PollAfter(20 * MS)]
+    assert machine.on_polled(50 * MS, FilesRead("b")) == [ValidateFiles("b", None)]
 
 
 def test_a_checksum_that_fits_needs_no_wait_and_one_that_does_not_is_awaited_then_refused():
-    assert Versions(SETTLE).looked(0, Reading("a", True)) == [Check("a", None)]
-    machine = Versions(SETTLE)
+    assert VersionTracker(SETTLE).on_polled(0, FilesRead("a", True)) == [ValidateFiles("a", None)]
+    machine = VersionTracker(SETTLE)
     now = 0
-    while kinds(actions := machine.looked(now, Reading("cut", False))) == [LookAgain]:
-        assert 0 < actions[0].delay <= SETTLE
-        now += actions[0].delay
-    assert actions == [Check("cut", None)]
+    while kinds(actions := machine.on_polled(now, FilesRead("cut", False))) == [PollAfter]:
+        assert 0 < actions[0].delay_us <= SETTLE
+        now += actions[0].delay_us
+    assert actions == [ValidateFiles("cut", None)]
     assert 1_900 * MS < now < 2_100 * MS
 
 
 def test_a_file_that_never_stands_still_is_used_all_the_same():
     """Guards against a hundred rewrites a second that would keep every new version out for good."""
-    machine, now, checked = Versions(SETTLE), 0, 0
+    machine, now, checked = VersionTracker(SETTLE), 0, 0
     for n in range(200):  # one content every 10 ms, looked at twice
         for _ in range(2):
-            if any(isinstance(a, Check) for a in machine.looked(now, Reading(f"v{n}"))):
+            if any(isinstance(a, ValidateFiles) for a in machine.on_polled(now, FilesRead(f"v{n}"))):
                 checked += 1
-                machine.checked(now, f"v{n}", change(machine.used, f"v{n}", entry("a")))
-                machine.applied(now, machine.applying.number)
+                machine.on_validated(now, f"v{n}", change(machine.current, f"v{n}", entry("a")))
+                machine.on_applied(now, machine.applying.number)
             now += 5 * MS
     assert checked >= 2
 
 
 def test_a_list_that_takes_too_many_away_is_held_until_somebody_says_so():
-    machine = Versions(SETTLE, most_lost=0.5)
+    machine = VersionTracker(SETTLE, max_lost_share=0.5)
     in_use(machine, "four", *(entry(n) for n in "abcd"))
-    machine.looked(0, Reading("one", True))
-    said = machine.checked(1, "one", change(machine.used, "one", entry("a")))
-    assert kinds(said) == [LookAgain] and "3 of 4" in said[0].text
-    assert machine.used.digest == "four" and machine.looked(2, Reading("one", True)) == []
-    with pytest.raises(ValueError, match="not other"):
-        machine.accept(3, "other")
-    assert kinds(machine.accept(3, "on")) == [Apply]
-    machine.applied(4, 2)
-    assert machine.used.digest == "one" and machine.held is None
-    with pytest.raises(ValueError, match="no version is held"):
-        machine.accept(5)
+    machine.on_polled(0, FilesRead("one", True))
+    said = machine.on_validated(1, "one", change(machine.current, "one", entry("a")))
+    assert kinds(said) == [PollAfter] and "3 of 4" in said[0].text
+    assert machine.current.digest == "four" and machine.on_polled(2, FilesRead("one", True)) == []
+    with pytest.raises(NotAcceptedError, match="not other"):
+        machine.accept("other")
+    assert kinds(machine.accept("on")) == [ApplyVersion]
+    machine.on_applied(4, 2)
+    assert machine.current.digest == "one" and machine.pending_approval is None
+    with pytest.raises(NotAcceptedError, match="no version is held"):
+        machine.accept()
 
 
 def test_a_held_list_is_forgotten_when_the_file_is_as_it_was():
-    machine = Versions(SETTLE)
+    machine = VersionTracker(SETTLE)
     in_use(machine, "four", *(entry(n) for n in "abcd"))
-    machine.looked(0, Reading("one", True))
-    machine.checked(1, "one", change(machine.used, "one", entry("a")))
-    machine.looked(2, Reading("four", True))
-    assert machine.held is None
+    machine.on_polled(0, FilesRead("one", True))
+    machine.on_validated(1, "one", change(machine.current, "one", entry("a")))
+    machine.on_polled(2, FilesRead("four", True))
+    assert machine.pending_approval is None
 
 
 def test_drains_and_moves_count_as_taken_away():
@@ -121,87 +123,86 @@
     new = change(
         base, "y", entry("a", 1), entry("b", 9), entry("c", 3, EndpointState.DRAINING), entry("e", 5)
     )
-    assert (new.added, new.changed, new.moved, new.gone) == (("e",), ("c",), ("b",), ("d",))
-    assert (new.lost, new.of, new.share) == (3, 4, 0.75)
+    assert (new.added, new.updated, new.moved, new.removed) == (("e",), ("c",), ("b",), ("d",))
+    assert (new.lost_ready, new.base_ready, new.lost_share) == (3, 4, 0.75)
 
 
 def test_what_stays_equal_is_the_same_object_and_no_part_of_the_delta():
     base = version(1, "x", entry("a", 1), entry("b", 2))
     new = change(base, "y", entry("a", 1), entry("b", 2), entry("c", 3))
     assert new.servers["a"] is base.servers["a"]
-    assert [e.server.id for e in new.entries()] == ["c"]
+    assert [e.server.id for e in new.delta_entries()] == ["c"]
 
 
 def test_a_newcomer_without_a_start_counts_as_started_now_but_not_in_the_first_list():
     """Guards cold servers: one that joins by file is not pushed over."""
     first = change(None, "x", entry("a"), now=7)
     assert first.servers["a"].server.started_at == 0
-    base = Version(1, "x", first.servers)
+    base = ListVersion(1, "x", first.servers)
     second = change(base, "y", entry("a"), entry("b", 2), now=9)
     assert (second.servers["a"].server.started_at, second.servers["b"].server.started_at) == (0, 9)
-    third = change(Version(2, "y", second.servers), "z", entry("a"), entry("b", 2), now=11)
+    third = change(ListVersion(2, "y", second.servers), "z", entry("a"), entry("b", 2), now=11)
     assert third.servers["b"] is second.servers["b"]  # its start stays what it was
     told = ParsedServers({"c": entry("c", 3, started=4)}, with_start_time={"c"})
-    assert compare(base, "q", told, 13, lambda: None).servers["c"].server.started_at == 4
+    assert compare(base, "q", told, 13).servers["c"].server.started_at == 4
     moved = change(base, "r", entry("a", 8), now=15)
     assert moved.servers["a"].server.started_at == 15
 
 
 def test_a_change_against_a_list_that_is_no_longer_in_use_is_not_applied():
-    machine = Versions(SETTLE)
+    machine = VersionTracker(SETTLE)
     in_use(machine, "one", entry("a"), entry("b"))
-    old = machine.used
+    old = machine.current
     in_use(machine, "two", entry("a"), entry("b"), entry("c"))
-    machine.looked(0, Reading("three", True))
-    assert kinds(machine.checked(1, "three", change(old, "three", entry("a")))) == [LookAgain]
-    assert machine.used.digest == "two" and machine.applying is None
+    machine.on_polled(0, FilesRead("three", True))
+    assert kinds(machine.on_validated(1, "three", change(old, "three", entry("a")))) == [PollAfter]
+    assert machine.current.digest == "two" and machine.applying is None
 
 
 def test_a_check_that_was_not_asked_for_or_not_made_changes_nothing():
-    machine = Versions(SETTLE)
-    assert machine.checked(0, "x", change(None, "x", entry("a"))) == []
-    machine.looked(0, Reading("a", True))
-    assert machine.checked(1, "a", None) == [LookAgain(0)]
-    assert machine.applied(2, 1) == [] and machine.used is None
+    machine = VersionTracker(SETTLE)
+    assert machine.on_validated(0, "x", change(None, "x", entry("a"))) == []
+    machine.on_polled(0, FilesRead("a", True))
+    assert machine.on_validated(1, "a", None) == [PollAfter(0)]
+    assert machine.on_applied(2, 1) == [] and machine.current is None
 
 
 def test_missing_is_said_once_and_the_list_stays():
-    machine = Versions(SETTLE)
+    machine = VersionTracker(SETTLE)
     in_use(machine, "one", entry("a"))
-    [said] = machine.looked(5, Missing("no such file"))
+    [said] = machine.on_polled(5, FilesMissing("no such file"))
     assert "version 1 stays" in said.text
-    assert machine.looked(6, Missing("no such file")) == []
-    assert machine.used.digest == "one"
-    machine.looked(7, Reading("one"))
-    assert machine.status().missing == ""
+    assert machine.on_polled(6, FilesMissing("no such file")) == []
+    assert machine.current.digest == "one"
+    machine.on_polled(7, FilesRead("one"))
+    assert machine.missing_reason == ""
 
 
 def test_one_copy_is_written_at_a_time_and_a_failed_one_again_later():
-    machine = Versions(SETTLE)
-    machine.looked(0, Reading("one", True))
-    machine.checked(0, "one", change(None, "one", entry("a")))
-    assert kinds(machine.applied(0, 1)) == [Save, LookAgain]
-    machine.looked(0, Reading("two", True))
-    machine.checked(0, "two", change(machine.used, "two", entry("a"), entry("b")))
-    assert kinds(machine.applied(0, 2)) == [LookAgain]  # the first copy is still being written
-    actions, _ = machine.save_ended(1, 1)
-    assert [a.version.number for a in actions] == [2]
-    actions, wait = machine.save_ended(2, 2, "no space left on device")
-    assert isinstance(actions[0], Say) and wait == 1_000 * MS
-    assert machine.status().saved == 1 and "no space" in machine.status().save_error
-    assert [a.version.number for a in machine.save_due()] == [2]
-    actions, longer = machine.save_ended(3, 2, "no space left on device")
-    assert actions == [] and longer == 2 * wait  # said once, tried ever more seldom
-    machine.save_due()
-    assert machine.save_ended(4, 2) == ([], 0)
-    assert machine.status().saved == 2 and machine.status().save_error == ""
+    machine = VersionTracker(SETTLE)
+    machine.on_polled(0, FilesRead("one", True))
+    machine.on_validated(0, "one", change(None, "one", entry("a")))
+    assert kinds(machine.on_applied(0, 1)) == [SaveVersion, PollAfter]
+    machine.on_polled(0, FilesRead("two", True))
+    machine.on_validated(0, "two", change(machine.current, "two", entry("a"), entry("b")))
+    assert kinds(machine.on_applied(0, 2)) == [PollAfter]  # the first copy is still being written
+    assert [a.version.number for a in machine.on_saved(1)] == [2]
+    [said, retry] = machine.on_save_failed(2, "no space left on device")
+    assert isinstance(said, WriteLog) and retry == RetrySaveAfter(1_000 * MS)
+    assert machine.saved_number == 1 and "no space" in machine.save_error
+    assert [a.version.number for a in machine.on_save_retry()] == [2]
+    # Logged once, tried ever more seldom.
+    assert machine.on_save_failed(2, "no space left on device") == [RetrySaveAfter(2_000 * MS)]
+    machine.on_save_retry()
+    assert machine.on_saved(2) == []
+    assert machine.saved_number == 2 and machine.save_error == ""
 
 
 def test_a_saved_list_is_in_use_until_the_file_has_a_newer_one():
-    machine = Versions(SETTLE, saved=version(7, "old", entry("a"), entry("b")))
-    assert machine.status().saved == 7
+    machine = VersionTracker(SETTLE, saved=version(7, "old", entry("a"), entry("b")))
+    assert machine.saved_number == 7
     in_use(machine, "new", entry("a"), entry("b"), entry("c"))
-    assert machine.used.number == 8
+    assert machine.current.number == 8
 
 
 # ---- against a model of the disk
@@ -217,16 +218,16 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0
-        self.machine = Versions(SETTLE, most_lost=0.5)
+        self.machine = VersionTracker(SETTLE, max_lost_share=0.5)
         self.contents: dict[str, tuple[str, frozenset[str], bool | None]] = {}  # digest: kind, servers, whole
         self.disk: str | None = None
         self.seen: tuple[str | None, int] = None, 0  # what looks have found, and since which look
         self.due: int | None = 0
-        self.checks: list[tuple[Check, str]] = []
-        self.applies: list[Apply] = []
-        self.saves: list[Version] = []
+        self.checks: list[tuple[ValidateFiles, str]] = []
+        self.applies: list[ApplyVersion] = []
+        self.saves: list[ListVersion] = []
         self.save_due: int | None = None
-        self.used: list[Version] = []
+        self.used: list[ListVersion] = []
         self.accepted: set[str] = set()
 
     # ---- the writers
@@ -263,7 +264,7 @@
         self.now = until
         if self.save_due is not None and self.save_due <= self.now:
             self.save_due = None
-            self.do(self.machine.save_due())
+            self.do(self.machine.on_save_retry())
 
     @rule()
     def look(self):
@@ -271,9 +272,9 @@
         if self.seen[0] != self.disk:
             self.seen = self.disk, self.now
         if self.disk is None:
-            self.do(self.machine.looked(self.now, Missing("gone")))
+            self.do(self.machine.on_polled(self.now, FilesMissing("gone")))
         else:
-            self.do(self.machine.looked(self.now, Reading(self.disk, self.contents[self.disk][2])))
+            self.do(self.machine.on_polled(self.now, FilesRead(self.disk, self.contents[self.disk][2])))
 
     @precondition(lambda self: self.checks)
     @rule()
@@ -283,49 +284,50 @@
         if kind != "list" or not names:
             outcome = [Problem("f", (), "expected something else")]
         else:
-            outcome = compare(check.base, digest, parsed(*map(entry, sorted(names))), self.now, lambda: None)
-        self.do(self.machine.checked(self.now, digest, outcome))
+            outcome = compare(check.base, digest, parsed(*map(entry, sorted(names))), self.now)
+        self.do(self.machine.on_validated(self.now, digest, outcome))
 
     @precondition(lambda self: self.applies)
     @rule()
     def end_apply(self):
         apply = self.applies.pop(0)
-        base = {} if apply.change.base == 0 else dict(self.used[-1].servers)
-        for gone in apply.change.gone:
+        base = {} if apply.change.base_number == 0 else dict(self.used[-1].servers)
+        for gone in apply.change.removed:
             del base[gone]
-        base |= {e.server.id: e for e in apply.change.entries()}
+        base |= {e.server.id: e for e in apply.change.delta_entries()}
         assert base == apply.version.servers  # what a node makes of the delta is the whole new list
         self.used.append(apply.version)
-        self.do(self.machine.applied(self.now, apply.version.number))
+        self.do(self.machine.on_applied(self.now, apply.version.number))
 
     @precondition(lambda self: self.saves)
     @rule(fails=st.booleans())
     def end_save(self, fails):
-        actions, wait = self.machine.save_ended(self.now, self.saves.pop(0).number, "full" if fails else "")
-        self.save_due = self.now + wait if wait else None
-        self.do(actions)
+        number = self.saves.pop(0).number
+        self.do(self.machine.on_save_failed(number, "full") if fails else self.machine.on_saved(number))
 
     @rule()
     def accept(self):
-        held = self.machine.held
+        held = self.machine.pending_approval
         try:
-            actions = self.machine.accept(self.now)
-        except ValueError:
+            actions = self.machine.accept()
+        except NotAcceptedError:
             return
         self.accepted.add(held.change.digest)
         self.do(actions)
 
     def do(self, actions) -> None:
         for action in actions:
-            if isinstance(action, LookAgain):
-                self.due = min(self.due or self.now + action.delay, self.now + action.delay)
-            elif isinstance(action, Check):
+            if isinstance(action, PollAfter):
+                self.due = min(self.due or self.now + action.delay_us, self.now + action.delay_us)
+            elif isinstance(action, ValidateFiles):
                 self.check_is_due(action.digest)
                 self.checks.append((action, action.digest))
-            elif isinstance(action, Apply):
+            elif isinstance(action, ApplyVersion):
                 self.applies.append(action)
-            elif isinstance(action, Save):
+            elif isinstance(action, SaveVersion):
                 self.saves.append(action.version)
+            elif isinstance(action, RetrySaveAfter):
+                self.save_due = self.now + action.delay_us
         assert len(self.checks) + len(self.applies) <= 1 and len(self.saves) <= 1
 
     def check_is_due(self, digest: str) -> None:
@@ -346,7 +348,7 @@
             kind, names, _ = self.contents[used.digest]
             assert kind == "list" and names
             assert set(used.servers) == names
-            assert used is self.machine.used
+            assert used is self.machine.current
         assert [v.number for v in self.used] == list(range(1, len(self.used) + 1))
 
     @invariant()
@@ -364,17 +366,20 @@
             if self.applies:
                 self.end_apply()
             self.look()
-        status = self.machine.status()
+        machine = self.machine
         if self.disk is None:
-            assert status.missing
+            assert machine.missing_reason
             return
         kind, names, _ = self.contents[self.disk]
         if kind != "list" or not names:
-            assert status.refused.digest == self.disk
-        elif status.held is not None:
-            assert status.held.change.digest == self.disk and status.held.change.share > 0.5
+            assert machine.rejected.digest == self.disk
+        elif machine.pending_approval is not None:
+            assert (
+                machine.pending_approval.change.digest == self.disk
+                and machine.pending_approval.change.lost_share > 0.5
+            )
         else:
-            assert status.used.digest == self.disk
+            assert machine.current.digest == self.disk
 
 
 Disk.TestCase.settings = settings(max_examples=150, stateful_step_count=40, deadline=None, derandomize=True)
