--- a/tests/agent/test_state_machine.py
+++ b/tests/agent/test_state_machine.py
@@ -13,7 +13,12 @@
     SetTimer,
     StageGeneration,
 )
-from oakbridge.agent.errors import StepConflictError
+from oakbridge.agent.errors import (
+    BaseMismatchError,
+    StaleGenerationError,
+    StepConflictError,
+    StepInProgressError,
+)
 from oakbridge.agent.records import (
     NO_DIGEST,
     ChangeState,
@@ -114,23 +119,34 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "says"),
+    ("asked", "error", "says"),
     [
-        (step(base=3), "runs generation 1, and the step is for one that runs 3"),
-        (step(target=Generation(1, "other"), base=1), "generation 1 is not newer than 1"),
+        (
+            step(base=3),
+            BaseMismatchError,
+            "runs generation 1, and the step is for one that runs 3",
+        ),
+        (
+            step(target=Generation(1, "other"), base=1),
+            StaleGenerationError,
+            "generation 1 is not newer than 1",
+        ),
     ],
 )
-def test_a_step_for_another_state_changes_nothing(asked, says):
+def test_a_step_for_another_state_changes_nothing(asked, error, says):
     i = settled()
-    with pytest.raises(StepConflictError, match=says):
+    with pytest.raises(error, match=says) as raised:
         i.begin_step(asked)
+    assert isinstance(raised.value, StepConflictError)
+    assert not isinstance(raised.value, StepInProgressError)
     assert i.record == settled().record
 
 
 def test_one_step_at_a_time():
     i = watching()
-    with pytest.raises(StepConflictError, match="step s is under way"):
+    with pytest.raises(StepInProgressError, match="step s is under way") as raised:
         i.begin_step(step(target=Generation(3, "three"), base=1, name="t"))
+    assert (raised.value.step_id, raised.value.state) == ("s", "watching")
 
 
 def test_an_instance_that_runs_it_already_took_it():
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -68,6 +68,39 @@
     again.close()
 
 
+RECORD = {
+    "state": "watching",
+    "current": {"number": 2, "digest": "y"},
+    "previous": {"number": 1, "digest": "z"},
+    "step": {"id": "s", "token": 3, "target": {"number": 3, "digest": "x"}, "base": 2, "watch": 7},
+    "reason": "",
+    "outcomes": [["r", "undone", "why"]],
+}
+
+
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"state": "flying"},
+        {"current": {"number": 2, "digest": "y", "size": 1}},
+        {"step": {"id": "s"}},
+        {"step": RECORD["step"] | {"force": True}},
+        {"outcomes": [["r", "perhaps", "why"]]},
+        {"outcomes": [["r"]]},
+    ],
+)
+def test_a_stored_record_of_another_form_is_refused(change):
+    assert decode_record(json.dumps(RECORD)).state is ChangeState.WATCHING
+    with pytest.raises(StoreError, match="journal: a record that can't be read"):
+        decode_record(json.dumps(RECORD | change))
+
+
+@pytest.mark.parametrize("text", ["", "[]", "{}", '{"state": "settled"}'])
+def test_a_text_that_is_no_record_is_refused(text):
+    with pytest.raises(StoreError, match="journal: a record that can't be read"):
+        decode_record(text)
+
+
 def test_a_second_agent_is_told_that_there_is_one(store):
     with pytest.raises(StoreError, match="another agent runs here"):
         Store(store.folder)
