--- a/benchmarks/server_files.py
+++ b/benchmarks/server_files.py
@@ -79,13 +79,13 @@
         source = node.source
         assert isinstance(source, FileSource)
         used: asyncio.Queue[float] = asyncio.Queue()
-        listed = node.listed
+        listed = node.endpoints.on_endpoint_list
 
-        def noted(listing: Any, saved: bool = False) -> None:
-            listed(listing, saved)
+        def noted(new: Any, *, saved: bool = False) -> None:
+            listed(new, saved=saved)
             used.put_nowait(time.monotonic())
 
-        node.listed = noted  # type: ignore[method-assign]
+        node.endpoints.on_endpoint_list = noted  # type: ignore[method-assign]
         source.start()
         await source.ready()
         used.get_nowait()
--- a/oakbridge/__main__.py
+++ b/oakbridge/__main__.py
@@ -9,7 +9,7 @@
 import sys
 
 from oakbridge.node.config import has_control_address, load_config
-from oakbridge.node.listing import ConfigError
+from oakbridge.node.errors import ConfigError
 from oakbridge.node.node import Node
 from oakbridge.node.run import serve
 
--- a/oakbridge/agent/file.py
+++ b/oakbridge/agent/file.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from oakbridge.agent.store import StoreError, check_name
-from oakbridge.node.listing import Address, ConfigError, parse_address
+from oakbridge.node.address import Address, parse_address
+from oakbridge.node.errors import ConfigError
 
 MAX_INSTANCES = 200
 KEYS = ("name", "fleet", "zone", "listen", "state", "authority", "certificate", "instance")
--- a/oakbridge/cli/fleet.py
+++ b/oakbridge/cli/fleet.py
@@ -47,7 +47,8 @@
     """Whom the member at this address knows.  Raises BadInput or Failed."""
     from oakbridge.config.load import BadFile
     from oakbridge.config.peers import read_secret
-    from oakbridge.node.listing import ConfigError, parse_address
+    from oakbridge.node.address import parse_address
+    from oakbridge.node.errors import ConfigError
     from oakbridge.peers.member_query import MemberQueryError, query_members
 
     if secret_file is None:
@@ -110,7 +111,8 @@
 )
 def add_agent(folder: Path, name: str, address: str, days: float) -> None:
     """Add a host's agent: sign its certificate, and write it into the inventory."""
-    from oakbridge.node.listing import ConfigError, parse_address
+    from oakbridge.node.address import parse_address
+    from oakbridge.node.errors import ConfigError
 
     inventory = _read(folder)
     _named(name, "NAME")
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -26,8 +26,10 @@
 from oakbridge.control.handler import NodeControlHandler
 from oakbridge.control.paths import default_socket_path, worker_socket_path
 from oakbridge.control.server import ControlServer
+from oakbridge.node.address import parse_address
 from oakbridge.node.clock import Clock
-from oakbridge.node.listing import ConfigError, Source, parse_address
+from oakbridge.node.endpoint_source import EndpointSource
+from oakbridge.node.errors import ConfigError
 from oakbridge.node.node import Node
 from oakbridge.node.run import serve
 from oakbridge.sources.files import FileOptions, FileSource, InlineSource
@@ -114,10 +116,10 @@
     """The node that a configuration tells of, with its source of servers; a worker's is without a door."""
     options, entries = file_options(loaded), inline_entries(loaded.file)
 
-    def source(clock: Clock) -> Source:
+    def source(clock: Clock) -> EndpointSource:
         return FileSource(options, clock.now) if options is not None else InlineSource(entries)
 
-    return Node(loaded.config, loop, None if loaded.config.discovery else source, door)
+    return Node(loaded.config, loop, None if loaded.config.discovery else source, listens=door)
 
 
 async def started(loaded: Loaded, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -15,7 +15,7 @@
 from oakbridge.cli.common import BadInput, Failed, connect, say_json, socket_options
 from oakbridge.control.errors import RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
-from oakbridge.node.listing import Entry
+from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.sources.files import load_saved
 from oakbridge.sources.inspect import Inspection, inspect
 from oakbridge.sources.versions import Change, Version, compare
@@ -33,7 +33,7 @@
     return found
 
 
-def _row(entry: Entry) -> dict[str, Any]:
+def _row(entry: ListedEndpoint) -> dict[str, Any]:
     s = entry.server
     return {
         "name": s.id, "address": s.address, "state": s.state, "weight": s.weight, "zone": s.zone, "group": s.cell,
--- a/oakbridge/config/load.py
+++ b/oakbridge/config/load.py
@@ -16,7 +16,7 @@
 from oakbridge.config import schema
 from oakbridge.control.paths import default_socket_path
 from oakbridge.node.config import Config
-from oakbridge.node.listing import Entry
+from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.policy.settings import Idempotency, Prices, RequestClass, Settings, Tenant, WeightSource
 from oakbridge.sources.formats import Problem
@@ -205,10 +205,10 @@
     )
 
 
-def inline_entries(file: schema.File) -> list[Entry]:
+def inline_entries(file: schema.File) -> list[ListedEndpoint]:
     """The servers that the file itself holds."""
     return [
-        Entry(
+        ListedEndpoint(
             Endpoint(
                 s.name, EndpointState.UP, s.zone, s.group, s.weight, 0, f"{s.address[0]}:{s.address[1]}"
             ),
--- a/oakbridge/config/schema.py
+++ b/oakbridge/config/schema.py
@@ -9,7 +9,8 @@
 
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, StringConstraints, model_validator
 
-from oakbridge.node.listing import ConfigError, parse_address
+from oakbridge.node.address import parse_address
+from oakbridge.node.errors import ConfigError
 from oakbridge.policy.settings import Idempotency
 
 _UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
--- a/oakbridge/control/handler.py
+++ b/oakbridge/control/handler.py
@@ -82,7 +82,7 @@
             is_shutting_down=node.server.shutting_down,
             client_connections=node.server.connection_count(),
             server_connections=node.pool.connection_count,
-            responses=ResponseCounts(node.served, node.refused, node.failed),
+            responses=ResponseCounts(node.served, node.rejected, node.failed),
             balancer=view(node.balancer, node.clock.now(), max_rows),
             server_source=self._describe_source(),
         )
--- a/oakbridge/control/status.py
+++ b/oakbridge/control/status.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from oakbridge.control.protocol import JsonObject
-from oakbridge.node.listing import Address
+from oakbridge.node.address import Address
 from oakbridge.policy.view import BalancerView, ServerView
 
 
--- a/oakbridge/fleet/inventory.py
+++ b/oakbridge/fleet/inventory.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from oakbridge.node.listing import Address, ConfigError, parse_address
+from oakbridge.node.address import Address, parse_address
+from oakbridge.node.errors import ConfigError
 
 FILE = "fleet.toml"
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -34,8 +34,8 @@
     PredecessorStateMachine,
 )
 from oakbridge.handover.unix_socket import UnixListener
-from oakbridge.node.discovery import Discovery
-from oakbridge.node.listing import as_raw
+from oakbridge.node.discovery import DiscoverySource
+from oakbridge.node.endpoint_list_json import encode_endpoint_list
 from oakbridge.node.node import Node
 from oakbridge.policy import state as policy_state
 
@@ -142,10 +142,10 @@
 
     def _send_welcome(self) -> None:
         node = self._node
-        index = node.source.index if isinstance(node.source, Discovery) else None
+        index = node.source.index if isinstance(node.source, DiscoverySource) else None
         welcome = Welcome(
             configuration=node.config.raw,
-            endpoint_list=as_raw(index or 0, node.listed_now()),
+            endpoint_list=encode_endpoint_list(index or 0, node.endpoints.current()),
             outages=node.outages.saved(),
             draining=node.server.lifecycle.draining,
         )
--- a/oakbridge/handover/successor.py
+++ b/oakbridge/handover/successor.py
@@ -157,7 +157,7 @@
 
     def _reserve_for_predecessor(self, load: RemainingLoad) -> None:
         if self._node is not None:
-            self._node.share(load.connections)
+            self._node.share_descriptors(load.connections)
             self._node.post(InFlightInOtherProcess(load.attempts))
 
     def _apply(self, command: OperatorCommand) -> None:
--- a/oakbridge/node/config.py
+++ b/oakbridge/node/config.py
@@ -9,7 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.node.listing import Address, ConfigError, Raw, parse_address
+from oakbridge.node.address import Address, parse_address
+from oakbridge.node.endpoint_list_json import JsonObject
+from oakbridge.node.errors import ConfigError
 from oakbridge.node.settings import missing_key, read_settings
 from oakbridge.policy.settings import Settings, SettingsError
 
@@ -27,12 +29,12 @@
     discovery: Address | None  # None: the list comes from another source
     seed: int
     sockets: int  # descriptors that the node may hold
-    known: Raw | None  # the list of servers as this node last had it, in discovery's form
+    known: JsonObject | None  # the list of servers as this node last had it, in discovery's form
     settings: Settings
     also_listen: tuple[Address, ...] = ()  # where the deployment allows it
     control: Address | None = None  # where operators' commands come in; None: nowhere
     memory_mb: int = 0  # what the node may use; 0: not told
-    raw: Raw = field(default_factory=dict, compare=False)  # the file as it was read, but for the list
+    raw: JsonObject = field(default_factory=dict, compare=False)  # the file as it was read, but for the list
 
 
 def load_config(environment: Mapping[str, str], before: Config | None = None) -> Config:
@@ -51,7 +53,7 @@
     return parse_config(environment, raw, reloading=before is not None)
 
 
-def parse_config(environment: Mapping[str, str], raw: Raw, *, reloading: bool = False) -> Config:
+def parse_config(environment: Mapping[str, str], raw: JsonObject, *, reloading: bool = False) -> Config:
     """Check a file's object; ``reloading``: it was read while the process runs.  Raise ConfigError."""
     try:
         settings = read_settings(raw.get("settings"))
@@ -81,7 +83,7 @@
         return bool(environment.get("NODE_CONTROL"))
 
 
-def _read_file(path: str) -> Raw:
+def _read_file(path: str) -> JsonObject:
     try:
         return _object(json.loads(Path(path).read_text("utf-8")), path)
     except OSError as e:
@@ -90,7 +92,7 @@
         raise ConfigError(f"NODE_CONFIG: {path}: {str(e) or 'not JSON'}") from None
 
 
-def _object(value: Any, what: str) -> Raw:
+def _object(value: Any, what: str) -> JsonObject:
     if not isinstance(value, dict):
         raise ConfigError(f"{what}: expected an object, got {value!r:.80}")
     return value
@@ -103,7 +105,7 @@
         raise ConfigError(f"seed: expected a hexadecimal number, got {value!r:.80}") from None
 
 
-def _address(environment: Mapping[str, str], raw: Raw, name: str) -> Address:
+def _address(environment: Mapping[str, str], raw: JsonObject, name: str) -> Address:
     variable = f"NODE_{name.upper()}"
     value = environment.get(variable) or raw.get(name)
     if not value:
@@ -114,15 +116,15 @@
         raise ConfigError(f"{variable}: {e}") from None
 
 
-def _has_control(environment: Mapping[str, str], raw: Raw) -> bool:
+def _has_control(environment: Mapping[str, str], raw: JsonObject) -> bool:
     return bool(environment.get("NODE_CONTROL") or raw.get("control"))
 
 
-def _limit(raw: Raw, name: str, default: int) -> Any:
+def _limit(raw: JsonObject, name: str, default: int) -> Any:
     return _object(raw.get("limits") or {}, "limits").get(name, default)
 
 
-def _max_sockets(raw: Raw) -> int:
+def _max_sockets(raw: JsonObject) -> int:
     """Return how many descriptors the node may hold: what it was given, and what the system allows."""
     limit = _limit(raw, "sockets", DEFAULT_SOCKETS)
     if isinstance(limit, bool) or not isinstance(limit, int) or limit < MIN_SOCKETS:
@@ -133,7 +135,7 @@
     return limit if soft == resource.RLIM_INFINITY else min(limit, soft)
 
 
-def _memory_mb(raw: Raw) -> int:
+def _memory_mb(raw: JsonObject) -> int:
     limit = _limit(raw, "memory_mb", 0)
     if isinstance(limit, bool) or not isinstance(limit, int | float) or not 0 <= limit < MAX_MEMORY_MB:
         raise ConfigError(f"limits.memory_mb: expected a number of megabytes, got {limit!r:.80}")
--- a/oakbridge/node/connection_pool.py
+++ b/oakbridge/node/connection_pool.py
@@ -6,9 +6,10 @@
 import logging
 from bisect import bisect_right
 
+from oakbridge.node.address import Address
 from oakbridge.node.attempt import Attempt, AttemptOutcome
 from oakbridge.node.clock import Clock, Timer
-from oakbridge.node.listing import Address, Listing
+from oakbridge.node.endpoint_list import EndpointList
 from oakbridge.node.observer import NodeObserver
 from oakbridge.node.server_connection import ServerConnection
 from oakbridge.policy.events import AttemptResult, EndpointState
@@ -72,17 +73,17 @@
 
     # ---- servers
 
-    def update_endpoints(self, listing: Listing) -> None:
+    def update_endpoints(self, new: EndpointList) -> None:
         """Take the servers that may be sent to; retire connections to any other, or to an earlier start."""
-        if listing.whole:
+        if new.complete:
             self.endpoints = {}
-        for entry in listing.entries:
-            server = entry.server
+        for endpoint in new.endpoints:
+            server = endpoint.server
             if server.state == EndpointState.UP:
-                self.endpoints[server.id] = entry.address, server.started_at
+                self.endpoints[server.id] = endpoint.address, server.started_at
             else:
                 self.endpoints.pop(server.id, None)
-        changed = self.servers if listing.whole else [entry.server.id for entry in listing.entries]
+        changed = self.servers if new.complete else [endpoint.server.id for endpoint in new.endpoints]
         for name in list(changed):
             pooled = self.servers.get(name)
             if pooled is not None and self.endpoints.get(name) != (pooled.address, pooled.started):
--- /dev/null
+++ b/oakbridge/node/discovery_http.py
@@ -0,0 +1,72 @@
+"""One poll of discovery over HTTP, on a connection of its own."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from typing import Any
+
+import httptools
+
+from oakbridge.node.address import Address
+from oakbridge.node.endpoint_list import EndpointList
+from oakbridge.node.endpoint_list_json import parse_endpoint_list
+from oakbridge.node.errors import EndpointListError
+
+MAX_LIST_BYTES = 4 * 1024 * 1024
+READ_BYTES = 64 * 1024
+
+
+class _Response:
+    """Collects a response; httptools calls the ``on_`` methods."""
+
+    def __init__(self) -> None:
+        self.parser: Any = httptools.HttpResponseParser(self)
+        self.body = bytearray()
+        self.status = 0
+        self.complete = False
+
+    def on_body(self, data: bytes) -> None:
+        self.body += data
+
+    def on_message_complete(self) -> None:
+        self.status = self.parser.get_status_code()
+        self.complete = self.status >= 200
+
+
+async def poll(address: Address, path: str, timeout_s: float) -> EndpointList:
+    """Return the list that discovery responds with; raise EndpointListError, OSError (also TimeoutError).
+
+    Guards against a kept connection that discovery has just closed, which looks like a broken watch.
+    """
+    async with asyncio.timeout(timeout_s):
+        reader, writer = await asyncio.open_connection(*address)
+        try:
+            host, port = address
+            request = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: close\r\n\r\n"
+            writer.write(request.encode())
+            response = await _read_response(reader)
+        finally:
+            writer.transport.abort()
+    if response.status != 200:
+        raise EndpointListError(f"discovery answered {response.status}")
+    try:
+        return parse_endpoint_list(json.loads(bytes(response.body)))
+    except (ValueError, RecursionError) as e:
+        raise EndpointListError(str(e) or "not JSON") from None
+
+
+async def _read_response(reader: asyncio.StreamReader) -> _Response:
+    response = _Response()
+    while not response.complete:
+        data = await reader.read(READ_BYTES)
+        if not data:
+            raise EndpointListError("the connection ended before the answer did")
+        try:
+            response.parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as e:
+            if not response.complete:
+                raise EndpointListError(f"no HTTP: {e}") from None
+        if len(response.body) > MAX_LIST_BYTES:
+            raise EndpointListError(f"a list of more than {MAX_LIST_BYTES} bytes")
+    return response
--- /dev/null
+++ b/oakbridge/node/dispatcher.py
@@ -0,0 +1,177 @@
+"""Hands events to the balancer, one at a time, and carries out the actions that it returns, in order."""
+
+from __future__ import annotations
+
+import logging
+from collections import deque
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import Protocol
+
+from oakbridge.node.clock import Clock
+from oakbridge.node.connection_pool import ConnectionPool
+from oakbridge.node.endpoint_list import EndpointList
+from oakbridge.node.endpoint_source import EndpointSource
+from oakbridge.node.observer import NodeObserver
+from oakbridge.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    FetchList,
+    Log,
+    RejectRequest,
+    Release,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import AttemptEnded, Event, RequestReceived, TimerFired
+
+log = logging.getLogger(__name__)
+
+
+class RequestActions(Protocol):
+    """Carries out the balancer's actions about requests that came in over HTTP."""
+
+    def send(self, action: SendAttempt) -> None:
+        """Send an attempt."""
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """Cancel an attempt."""
+
+    def reject(self, action: RejectRequest) -> None:
+        """Reject a request."""
+
+    def fail(self, action: FailRequest) -> None:
+        """Fail a request."""
+
+    def abandon(self, request_id: int) -> None:
+        """Fail a request that the balancer can't be trusted with any more."""
+
+
+class Front(Protocol):
+    """Another protocol's requests on the same balancer, numbered from the node's ``ids``."""
+
+    def owns(self, request: int) -> bool:
+        """Return whether a request came in there."""
+
+    def carry_out(self, action: Action) -> None:
+        """Carry out one of the balancer's actions about such a request."""
+
+    def on_endpoint_list(self, new: EndpointList) -> None:
+        """Keep to the list of servers."""
+
+
+class Dispatcher:
+    """The one place where the balancer meets the sockets."""
+
+    def __init__(self, balancer: Balancer, clock: Clock, pool: ConnectionPool) -> None:
+        self.balancer = balancer
+        self.observer: NodeObserver | None = None
+        self.fronts: list[Front] = []  # beside HTTP
+        self._clock = clock
+        self._pool = pool
+        self._events: deque[Event] = deque()
+        self._handling = False
+
+    def attach(self, requests: RequestActions, source: EndpointSource) -> None:
+        """Name what carries out actions about requests, and about the endpoint list; once, before any event."""
+        self._requests = requests
+        self._source = source
+
+    # ---- events in
+
+    def post(self, event: Event) -> None:
+        """Hand an event to the balancer; one that comes up while actions are carried out waits its turn."""
+        self._events.append(event)
+        if not self._handling:
+            self._handle_all()
+
+    @contextmanager
+    def posting_first(self, event: Event) -> Iterator[None]:
+        """Post an event that the balancer sees before all that the block posts; both are handled at its end."""
+        self._events.append(event)
+        was_handling, self._handling = self._handling, True
+        try:
+            yield
+        finally:
+            self._handling = was_handling
+        if not was_handling:
+            self._handle_all()
+
+    def _handle_all(self) -> None:
+        self._handling = True
+        try:
+            while self._events:
+                self._handle(self._events.popleft())
+        finally:
+            self._handling = False
+
+    def _handle(self, event: Event) -> None:
+        """Handle one event, and its actions in order; a fault is contained to the request that it is about."""
+        now = self._clock.now()
+        try:
+            if self.observer is not None:
+                self.observer.on_event(now, event)
+            actions = self.balancer.handle(now, event)
+            if self.observer is not None:
+                self.observer.on_actions(now, actions)
+        except Exception:
+            log.exception("the module failed on %s", type(event).__name__)
+            self._abandon_request_of(event)
+            return
+        for action in actions:
+            try:
+                self._carry_out(action)
+            except Exception:
+                log.exception("could not carry out %s", action)
+
+    def _abandon_request_of(self, event: Event) -> None:
+        match event:
+            case RequestReceived():
+                self._requests.abandon(event.request_id)
+            case AttemptEnded():
+                self._requests.abandon(event.request_id)
+
+    # ---- actions out
+
+    def _carry_out(self, action: Action) -> None:
+        if isinstance(action, SetTimer):
+            self._set_timer(action)
+        elif not self.fronts or not self._carried_out_by_front(action):
+            self._carry_out_here(action)
+
+    def _carry_out_here(self, action: Action) -> None:
+        match action:
+            case SendAttempt():
+                self._requests.send(action)
+            case RejectRequest():
+                self._requests.reject(action)
+            case FailRequest():
+                self._requests.fail(action)
+            case CancelAttempt():
+                self._requests.cancel(action)
+            case WatchEndpoints():
+                self._source.watch(action.on)
+            case FetchList():
+                self._source.fetch()
+            case Release():
+                self._pool.close_idle_to(action.server)
+            case Log():
+                log.info("%s", action.text)
+            case _:  # probes and messages to peers: the balancer uses neither
+                log.warning("no way to carry out %s", action)
+
+    def _set_timer(self, action: SetTimer) -> None:
+        token = action.token
+        self._clock.call_at(self._clock.now() + action.delay, lambda: self.post(TimerFired(token)))
+
+    def _carried_out_by_front(self, action: Action) -> bool:
+        """Return whether an action is about a request of another front, which then carries it out."""
+        request = getattr(action, "request_id", 0)
+        for front in self.fronts:
+            if front.owns(request):
+                front.carry_out(action)
+                return True
+        return False
--- a/oakbridge/node/http_server.py
+++ b/oakbridge/node/http_server.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
+from oakbridge.node.address import Address
 from oakbridge.node.client_connection import ClientConnection
 from oakbridge.node.client_request import ClientRequest, parse_timeout
 from oakbridge.node.clock import Clock, Timer
 from oakbridge.node.connection_limits import ConnectionLimits
 from oakbridge.node.lifecycle import Lifecycle, Phase
 from oakbridge.node.listener import Listener
-from oakbridge.node.listing import Address
 from oakbridge.node.request_body import BodyBuffers
 
 log = logging.getLogger(__name__)
--- a/oakbridge/node/listener.py
+++ b/oakbridge/node/listener.py
@@ -8,10 +8,10 @@
 import socket
 from collections.abc import Callable, Sequence
 
+from oakbridge.node.address import Address
 from oakbridge.node.clock import Clock, Timer
 from oakbridge.node.connection_limits import MIN_SILENCE_US, ConnectionLimits
 from oakbridge.node.lifecycle import Lifecycle, Phase
-from oakbridge.node.listing import Address
 
 log = logging.getLogger(__name__)
 
--- a/oakbridge/node/observer.py
+++ b/oakbridge/node/observer.py
@@ -24,7 +24,7 @@
     def on_connection_refused(self) -> None:
         """A server, or the way to it, refused a connection."""
 
-    def on_poll(self, *, whole_list: bool) -> None:
+    def on_poll(self, *, complete_list: bool) -> None:
         """Discovery is about to be polled, for the whole list or for what changed."""
 
     def on_endpoint_list(self, entry_count: int) -> None:
--- a/oakbridge/node/outages.py
+++ b/oakbridge/node/outages.py
@@ -1,7 +1,7 @@
-"""Which servers operators hold out: applied between any list and the module, so that no list can undo it.
+"""Which servers operators hold out: applied between any list and the balancer, so that no list can undo it.
 
-Pure: the caller tells the time and lists, and gets lists back.  An operator's word goes before discovery's: a server
-that is held out is listed as draining, wherever it goes and whatever becomes of it, until one call puts it back.
+Pure: the caller passes the time and endpoints, and gets endpoints back.  An operator's command goes before discovery: a
+server that is held out is listed as draining, wherever it goes and whatever becomes of it, until it is put back.
 """
 
 from __future__ import annotations
@@ -9,91 +9,103 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from oakbridge.node.listing import Entry
+from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.policy.events import EndpointState
 
-HELD_MOST = 4096  # servers that are held out at once: each is kept, listed or not, until it is put back
+# Servers that are held out at once: each is kept, listed or not, until it is put back.
+MAX_HELD_OUT = 4096
 
 
 @dataclass(slots=True)
 class Outage:
-    """One server that is held out, or was put back and may have been restarted since a time."""
+    """One server that is held out, or was put back and may have been restarted meanwhile."""
 
-    since: int
-    back: int = 0  # when it was put back; 0: it is still out
-    again: int = 0  # the start that is assumed for one put back, if no list has told of a newer one
+    taken_out_at: int
+    put_back_at: int = 0  # 0: it is still out
+    assumed_start: int = 0  # of one that was put back, until a list has a newer one
 
 
 class Outages:
-    """The servers held out, and those put back of which no list has told yet that they were restarted."""
+    """The servers held out, and those put back of which no list has said yet that they were restarted.
+
+    Times are the node's clock's, in microseconds.
+    """
 
     def __init__(self) -> None:
-        self._known: dict[str, Outage] = {}
+        self._outages: dict[str, Outage] = {}
 
     def out(self) -> list[str]:
-        """The ids held out, in the order in which they went."""
-        return [name for name, outage in self._known.items() if not outage.back]
+        """Return the ids held out, in the order in which they went."""
+        return [name for name, outage in self._outages.items() if not outage.put_back_at]
 
     def holds(self, name: str) -> bool:
-        """Whether operators hold this one out."""
-        outage = self._known.get(name)
-        return outage is not None and not outage.back
+        """Return whether operators hold this server out."""
+        outage = self._outages.get(name)
+        return outage is not None and not outage.put_back_at
 
     def full(self) -> bool:
-        """Whether no more can be held out."""
-        return len(self._known) >= HELD_MOST
+        """Return whether no more can be held out."""
+        return len(self._outages) >= MAX_HELD_OUT
 
     def take_out(self, name: str, now: int) -> bool:
-        """Hold a server out; False if it is out already: a second call changes nothing."""
+        """Hold a server out; return False if it is out already: a second call changes nothing."""
         if self.holds(name):
             return False
-        self._known[name] = Outage(now)
+        self._outages[name] = Outage(now)
         return True
 
     def put_back(self, name: str, now: int) -> bool:
-        """Hold it out no more, however often it was taken out; False if it was not out.
+        """Hold a server out no more, however often it was taken out; return False if it was not out.
 
-        It may have been restarted at any time since it was taken out.  Until a list says when, it counts as cold from
-        now on: the latest start that is possible, as a server taken for warmer than it is would be pushed over.
+        It may have been restarted at any time since it was taken out.  Until a list says when, it counts as started
+        now: the latest that is possible, as a server that gets more than its slow start allows would be overloaded.
         """
-        outage = self._known.get(name)
-        if outage is None or outage.back:
+        outage = self._outages.get(name)
+        if outage is None or outage.put_back_at:
             return False
-        outage.back, outage.again = now, now
+        outage.put_back_at = now
+        outage.assumed_start = now
         return True
 
-    def apply(self, entry: Entry) -> Entry:
-        """An entry as the module may see it."""
-        outage = self._known.get(entry.server.id)
+    def apply(self, endpoint: ListedEndpoint) -> ListedEndpoint:
+        """Return an endpoint as the balancer may see it."""
+        server = endpoint.server
+        outage = self._outages.get(server.id)
         if outage is None:
-            return entry
-        server = entry.server
-        if not outage.back:
-            if server.state == EndpointState.GONE:
-                return entry
-            return Entry(replace(server, state=EndpointState.DRAINING), entry.address)
-        if server.started_at > outage.since or server.state == EndpointState.GONE:
-            del self._known[server.id]  # the list tells of its restart itself, or of its end
-            return entry
-        return Entry(replace(server, started_at=outage.again), entry.address)
-
-    def apply_all(self, entries: Iterable[Entry]) -> list[Entry]:
-        """A list's entries as the module may see them."""
-        if not self._known:
-            return list(entries)
-        return [self.apply(entry) for entry in entries]
+            return endpoint
+        gone = server.state == EndpointState.GONE
+        if not outage.put_back_at:
+            return endpoint if gone else _replace_server(endpoint, state=EndpointState.DRAINING)
+        if gone or server.started_at > outage.taken_out_at:
+            del self._outages[server.id]  # the list itself tells of its restart, or of its end
+            return endpoint
+        return _replace_server(endpoint, started_at=outage.assumed_start)
+
+    def apply_all(self, endpoints: Iterable[ListedEndpoint]) -> list[ListedEndpoint]:
+        """Return a list's endpoints as the balancer may see them."""
+        if not self._outages:
+            return list(endpoints)
+        return [self.apply(endpoint) for endpoint in endpoints]
 
     def forget_older(self, before: int) -> None:
-        """Let go of what was put back before a time: a server is warm by then, restarted or not."""
-        for name in [n for n, outage in self._known.items() if outage.back and outage.back < before]:
-            del self._known[name]
+        """Forget what was put back before a time: a server is warm by then, restarted or not."""
+        outages = self._outages.items()
+        for name in [n for n, outage in outages if outage.put_back_at and outage.put_back_at < before]:
+            del self._outages[name]
 
-    # ---- over an upgrade
+    # ---- over a hand-over
 
     def saved(self) -> dict[str, list[int]]:
-        """All of it as plain values, for the process that takes over."""
-        return {name: [o.since, o.back, o.again] for name, o in self._known.items()}
+        """Return all of it as plain values, for the process that takes over."""
+        return {
+            name: [outage.taken_out_at, outage.put_back_at, outage.assumed_start]
+            for name, outage in self._outages.items()
+        }
 
     def restore(self, saved: dict[str, list[int]]) -> None:
-        """Go on with what another process held."""
-        self._known = {name: Outage(*values) for name, values in saved.items()}
+        """Go on with what another process held out."""
+        self._outages = {name: Outage(*values) for name, values in saved.items()}
+
+
+def _replace_server(endpoint: ListedEndpoint, **changes: object) -> ListedEndpoint:
+    return ListedEndpoint(replace(endpoint.server, **changes), endpoint.address)  # type: ignore[arg-type]
--- /dev/null
+++ b/oakbridge/node/request_forwarder.py
@@ -0,0 +1,378 @@
+"""Forwards clients' requests: from the client to the balancer, to the servers that it picks, and back."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable, Iterator
+
+from oakbridge.node.attempt import Attempt, AttemptOutcome, ResponseSink
+from oakbridge.node.client_request import HOP_BY_HOP_HEADERS, ClientRequest
+from oakbridge.node.clock import Clock
+from oakbridge.node.connection_pool import ConnectionPool
+from oakbridge.node.endpoint_updates import EndpointUpdates
+from oakbridge.node.http_framing import Headers
+from oakbridge.node.load_report import parse_load_report
+from oakbridge.node.request_writer import encode_request
+from oakbridge.node.server_connection import ServerConnection
+from oakbridge.policy.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
+from oakbridge.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Event,
+    RequestBodySent,
+    RequestReceived,
+)
+from oakbridge.policy.settings import ReportSource, Settings
+
+log = logging.getLogger(__name__)
+
+# Of 4xx: these say nothing against the request, nor that it has not run.
+RETRYABLE_CLIENT_ERRORS = (408, 425, 429)
+# A node that shuts down has its last responses written so long before it must.
+SHUTDOWN_MARGIN_US = 50_000
+MAX_COST_DIGITS = 15
+
+
+class ForwardedAttempt:
+    """One attempt for one request: what the pool calls as it goes."""
+
+    __slots__ = ("_forwarder", "request", "number", "server", "sent_at")
+
+    def __init__(
+        self, forwarder: RequestForwarder, request: ClientRequest, number: int, server: str, sent_at: int
+    ) -> None:
+        self._forwarder = forwarder
+        self.request = request
+        self.number = number
+        self.server = server
+        self.sent_at = sent_at
+
+    def render(self, timeout_us: int) -> bytes:
+        """Return the bytes to write, with the time that is left."""
+        return encode_request(self.request, timeout_us)
+
+    def on_request_sent(self) -> None:
+        """Note that the last byte of a streamed body is written."""
+        self._forwarder.on_body_sent(self)
+
+    def on_response_start(
+        self, outcome: AttemptOutcome, length: int | None, connection: ServerConnection
+    ) -> ResponseSink | None:
+        """Start to forward a long response; return where its body goes."""
+        return self._forwarder.on_response_start(self, outcome, length, connection)
+
+    def on_end(self, outcome: AttemptOutcome) -> None:
+        """Forward a short response, or have the balancer decide what follows."""
+        self._forwarder.on_attempt_end(self, outcome)
+
+
+class ForwardedResponse:
+    """A response on its way, as the client's connection sees it: the source of its body."""
+
+    def __init__(self, pool: ConnectionPool, request: ClientRequest, connection: ServerConnection) -> None:
+        self._pool = pool
+        self._request = request
+        self.pause = connection.pause
+        self.resume = connection.resume
+
+    def cancel(self) -> None:
+        """Cancel the attempt at once: the client is gone."""
+        if self._request.attempt is not None:
+            self._pool.cancel(self._request.attempt)
+
+
+class RequestForwarder:
+    """All requests that came in over HTTP and are not ended yet.  Times are in microseconds."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Clock,
+        pool: ConnectionPool,
+        endpoints: EndpointUpdates,
+        post: Callable[[Event], None],
+        ids: Iterator[int],
+    ) -> None:
+        """``post``: hands an event to the balancer; ``ids``: its numbers of requests, for all fronts."""
+        self.requests: dict[int, ClientRequest] = {}
+        self.open_ids: set[bytes] = set()  # their X-Request-IDs
+        self.served = 0  # responses since the start
+        self.rejected = 0
+        self.failed = 0
+        self._clock = clock
+        self._pool = pool
+        self._endpoints = endpoints
+        self._post = post
+        self._ids = ids
+        self.configure(settings)
+
+    def configure(self, settings: Settings) -> None:
+        """Use other settings for requests that come from now on."""
+        self._settings = settings
+        self._classes = {one.name: one for one in settings.classes}
+        self._tenants = {tenant.name for tenant in settings.tenants}
+
+    # ---- requests in
+
+    def serving(self) -> bool:
+        """Return whether requests can be served: a server is known that may be sent to."""
+        return self._endpoints.has_usable()
+
+    def knows_class(self, name: str) -> bool:
+        """Return whether there is a priority class of this name."""
+        return name in self._classes
+
+    def has_open(self, request_id: bytes) -> bool:
+        """Return whether a request with this id is open: owed a response, or with an attempt in flight."""
+        return request_id in self.open_ids
+
+    def handle_request(self, request: ClientRequest) -> None:
+        """Take a request over: it is the balancer's until its one response."""
+        class_name = request.header_text(b"x-priority-class")
+        now = self._clock.now()
+        due = self._due(request, self._classes[class_name].deadline)
+        if self._endpoints.all_held_out():  # nobody is left to wait for
+            retry_after = [(b"retry-after", b"1")] if self._settings.max_retry_after else []
+            request.client.respond(request, 503, retry_after, b"")
+            return
+        if self._settings.max_open_requests and len(self.requests) >= self._settings.max_open_requests:
+            request.client.respond(request, 503, [], b"")  # as on the simulator: the balancer sees none
+            return
+        request.id = next(self._ids)
+        self.requests[request.id] = request
+        self.open_ids.add(request.header_values[b"x-request-id"])
+        body = request.streamed_body
+        if body is None or body.complete:
+            # The balancer ends each request before this; it guards against one that it has forgotten.
+            self._set_overdue_timer(request, max(due, now + 1))
+        self._post(
+            RequestReceived(
+                request.id,
+                class_name,
+                max(0, due - now),
+                self._tenant(request),
+                request.header_values.get(b"x-retried") == b"1",
+                request.header_text(b"x-route-key"),
+                _cost(request),
+                streamed=body is not None,
+            )
+        )
+
+    @staticmethod
+    def _due(request: ClientRequest, class_deadline: int) -> int:
+        """Return when a request's response is due at the latest."""
+        if request.timeout is None:
+            request.timeout = class_deadline
+        due = request.received_at + request.timeout
+        if request.answer_by is not None:
+            due = min(due, request.answer_by - SHUTDOWN_MARGIN_US)
+        return due
+
+    def _tenant(self, request: ClientRequest) -> str:
+        """Return the tenant, if the settings know it: what is kept by tenant must not grow with each name."""
+        name = request.header_text(b"x-tenant-id")
+        return name if name in self._tenants else ""
+
+    def on_client_gone(self, request: ClientRequest) -> None:
+        """Note that the client is gone: nothing is owed."""
+        self._forget(request)
+        if request.id:
+            self._post(ClientDisconnected(request.id))
+
+    def _set_overdue_timer(self, request: ClientRequest, due: int) -> None:
+        request.overdue_timer = self._clock.call_at(due, lambda: self._on_overdue(request))
+
+    def _on_overdue(self, request: ClientRequest) -> None:
+        if not request.answered:
+            log.warning("request %d was left unanswered", request.id)
+            self.abandon(request.id)
+            self._post(ClientDisconnected(request.id))
+
+    # ---- attempts out
+
+    def send(self, action: SendAttempt) -> None:
+        """Send an attempt to the server that the balancer picked."""
+        request = self.requests.get(action.request_id)
+        if request is None or request.attempt is not None:
+            # Guards two rules: nothing is sent for what is over, and no two attempts are in flight at once.
+            log.error("not sent: request %d is over or has an attempt out", action.request_id)
+            self._end_unsent(request, action)
+            return
+        if request.client.client_has_closed():
+            # It waited for its turn or a retry, and the end of its connection lies unread: nothing starts for it.
+            request.answered = True
+            self._end_unsent(request, action)
+            self._forget(request)
+            request.client.abort()
+            return
+        number, now = request.attempts, self._clock.now()
+        request.attempts = number + 1
+        forwarded = ForwardedAttempt(self, request, number, action.server, now)
+        request.attempt = Attempt(
+            server=action.server,
+            render=forwarded.render,
+            deadline=now + action.timeout,
+            on_end=forwarded.on_end,
+            number=number,
+            on_response_start=forwarded.on_response_start,
+            upload=request.streamed_body,
+            on_request_sent=None if request.streamed_body is None else forwarded.on_request_sent,
+            start_by=now + action.start_within if action.start_within else None,
+        )
+        self._pool.send(request.attempt)
+
+    def _end_unsent(self, request: ClientRequest | None, action: SendAttempt) -> None:
+        """Post the end of an attempt that was never made: each attempt has one outcome."""
+        number, over = 0, True
+        if request is not None:
+            number, over = request.attempts, request.answered
+            request.attempts += 1
+        self._post(AttemptEnded(action.request_id, number, action.server, AttemptResult.NOT_SENT, 0, over))
+
+    def on_body_sent(self, forwarded: ForwardedAttempt) -> None:
+        """Count the request's time from now: the last byte of its streamed body is written."""
+        request = forwarded.request
+        if request.answered or request.attempt is None:
+            return
+        now, timeout = self._clock.now(), request.timeout or 0
+        request.body_sent_at = now
+        self._pool.set_deadline(request.attempt, now + timeout)
+        self._set_overdue_timer(request, now + timeout)
+        self._post(RequestBodySent(request.id, forwarded.number, timeout))
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """Cancel an attempt, if it is the one in flight."""
+        request = self.requests.get(action.request_id)
+        attempt = None if request is None else request.attempt
+        if attempt is not None and attempt.number == action.attempt:
+            self._pool.cancel(attempt)
+
+    # ---- responses back
+
+    def on_response_start(
+        self,
+        forwarded: ForwardedAttempt,
+        outcome: AttemptOutcome,
+        length: int | None,
+        connection: ServerConnection,
+    ) -> ResponseSink | None:
+        """Forward a long response as it comes; for the balancer, the attempt has ended well."""
+        request = forwarded.request
+        headers = _end_to_end(outcome.headers)
+        source = ForwardedResponse(self._pool, request, connection)
+        if not request.client.start_response(request, outcome.status, headers, length, source):
+            return None
+        self.served += 1
+        self._cancel_overdue_timer(request)
+        self._post_end(forwarded, AttemptResult.OK, finished=True, report=self._load_report(outcome))
+        return request.client
+
+    def on_attempt_end(self, forwarded: ForwardedAttempt, outcome: AttemptOutcome) -> None:
+        """Forward a server's response to the client first; then the balancer sees the end."""
+        request = forwarded.request
+        request.attempt = None
+        if request.response_streamed:
+            self._end_streamed(forwarded, outcome)
+            return
+        result = outcome.result
+        if result == AttemptResult.OK and not request.answered:
+            request.client.respond(request, 200, _end_to_end(outcome.headers), outcome.body)
+            self.served += 1
+        elif result == AttemptResult.ERROR and _blames_request(outcome.status):
+            # The server has no use for this request; no other will have, and it is no fault of the server.
+            request.client.respond(request, outcome.status, [], b"")
+            result = AttemptResult.NOT_SENT
+        if request.answered:
+            self._forget(request)
+        self._post_end(forwarded, result, finished=request.answered, report=self._load_report(outcome))
+
+    def _end_streamed(self, forwarded: ForwardedAttempt, outcome: AttemptOutcome) -> None:
+        """End an attempt whose response was being forwarded; only a break is news to the balancer."""
+        request = forwarded.request
+        self._forget(request)
+        if outcome.result == AttemptResult.RESET:
+            self._post(AttemptEnded(request.id, forwarded.number, forwarded.server, outcome.result, 0, True))
+
+    def _post_end(
+        self,
+        forwarded: ForwardedAttempt,
+        result: AttemptResult,
+        *,
+        finished: bool,
+        report: dict[str, float] | None,
+    ) -> None:
+        request = forwarded.request
+        latency = self._clock.now() - (request.body_sent_at or forwarded.sent_at)
+        self._post(
+            AttemptEnded(request.id, forwarded.number, forwarded.server, result, latency, finished, report)
+        )
+
+    def _load_report(self, outcome: AttemptOutcome) -> dict[str, float] | None:
+        if self._settings.report_source != ReportSource.RESPONSES:
+            return None
+        text = dict(outcome.headers).get(b"x-server-load")
+        return parse_load_report(text.decode("latin-1")) if text else None
+
+    def reject(self, action: RejectRequest) -> None:
+        """Reject a request for which the balancer has no server in time."""
+        headers = []
+        if action.retry_after:
+            headers.append((b"retry-after", b"%.3f" % (action.retry_after / 1e6)))
+        if self._finish(action.request_id, 503, headers):
+            self.rejected += 1
+
+    def fail(self, action: FailRequest) -> None:
+        """Fail a request that may have run and can't be retried."""
+        if self._finish(action.request_id, 502, []):
+            self.failed += 1
+
+    def abandon(self, request_id: int) -> None:
+        """Fail a request that the balancer can't be trusted with any more, and cancel its attempt."""
+        if self._finish(request_id, 500, []):
+            self.failed += 1
+        request = self.requests.get(request_id)
+        if request is not None and request.attempt is not None:
+            self._pool.cancel(request.attempt)
+
+    def abandon_all(self) -> None:
+        """Fail all requests, at the node's end: nobody is left to wait for."""
+        for request_id in list(self.requests):
+            self.abandon(request_id)
+
+    def _finish(self, request_id: int, status: int, headers: Headers) -> bool:
+        """Write the final response of a request that no server served; False if there is no such request."""
+        request = self.requests.get(request_id)
+        if request is None:
+            return False
+        request.client.respond(request, status, headers, b"")
+        self._forget(request)
+        return True
+
+    def _forget(self, request: ClientRequest) -> None:
+        """Owe nothing any more; while an attempt is in flight the balancer may still cancel it."""
+        self._cancel_overdue_timer(request)
+        if request.attempt is None and self.requests.pop(request.id, None) is not None:
+            self.open_ids.discard(request.header_values[b"x-request-id"])
+
+    @staticmethod
+    def _cancel_overdue_timer(request: ClientRequest) -> None:
+        if request.overdue_timer is not None:
+            request.overdue_timer.cancel()
+            request.overdue_timer = None
+
+
+def _end_to_end(headers: Headers) -> Headers:
+    """Return the headers that are forwarded."""
+    return [(name, value) for name, value in headers if name not in HOP_BY_HOP_HEADERS]
+
+
+def _blames_request(status: int) -> bool:
+    """Return whether a server's response says that no server will serve this request."""
+    return 400 <= status < 500 and status not in RETRYABLE_CLIENT_ERRORS
+
+
+def _cost(request: ClientRequest) -> int:
+    """Return the work that the client tells, in the settings' unit; 0 if it tells none."""
+    cost = request.header_text(b"x-cost")
+    return int(cost) if cost.isascii() and cost.isdigit() and len(cost) <= MAX_COST_DIGITS else 0
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -69,9 +69,9 @@
         """Count a dial that failed."""
         self.counts["refused_connections"] += 1
 
-    def on_poll(self, *, whole_list: bool) -> None:
+    def on_poll(self, *, complete_list: bool) -> None:
         """Count a call to discovery."""
-        self.counts["asked_whole" if whole_list else "asked_changes"] += 1
+        self.counts["asked_whole" if complete_list else "asked_changes"] += 1
 
     def on_endpoint_list(self, entry_count: int) -> None:
         """Count the entries that discovery answered with."""
--- a/oakbridge/operators/listener.py
+++ b/oakbridge/operators/listener.py
@@ -11,8 +11,8 @@
 import socket
 from collections.abc import Callable
 
+from oakbridge.node.address import Address
 from oakbridge.node.listener import open_listener
-from oakbridge.node.listing import Address
 from oakbridge.operators.protocol import (
     MAX_LINE_BYTES,
     InvalidCommandError,
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -17,8 +17,9 @@
 from oakbridge.handover.predecessor import Predecessor
 from oakbridge.handover.successor import Successor
 from oakbridge.handover.unix_socket import socket_path
+from oakbridge.node.address import Address
 from oakbridge.node.config import Config, load_config, parse_config
-from oakbridge.node.listing import Address, ConfigError
+from oakbridge.node.errors import ConfigError
 from oakbridge.node.node import Node
 from oakbridge.node.outages import Outages
 from oakbridge.node.settings import missing_key
@@ -61,8 +62,8 @@
         if inherited is not None:
             outages.restore(inherited.outages)
         listeners, successor.listeners = successor.listeners, []
-        doors = _inherit_listeners(listeners, config.listen)
-        return Node(config, loop, doors=doors, shared=True, outages=outages)
+        inherited_sockets = _inherit_listeners(listeners, config.listen)
+        return Node(config, loop, inherited=inherited_sockets, reuse_port=True, outages=outages)
 
     def _inherit_config(
         self, config: Config | None, config_error: ConfigError | None, inherited: Welcome
--- a/oakbridge/peers/addresses.py
+++ b/oakbridge/peers/addresses.py
@@ -4,7 +4,7 @@
 
 import functools
 
-from oakbridge.node.listing import Address, parse_address
+from oakbridge.node.address import Address, parse_address
 
 CACHED_ADDRESSES = 4096
 
--- a/oakbridge/peers/member_query.py
+++ b/oakbridge/peers/member_query.py
@@ -7,7 +7,7 @@
 from contextlib import AsyncExitStack
 from typing import Any
 
-from oakbridge.node.listing import Address
+from oakbridge.node.address import Address
 from oakbridge.peers.codec import Codec, PeerMessageError
 from oakbridge.peers.framing import STREAM_LIMIT_BYTES, read_frame, write_frame
 from oakbridge.peers.messages import MemberRecord, PushPullState
--- a/oakbridge/peers/node_adapter.py
+++ b/oakbridge/peers/node_adapter.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from oakbridge.node.listing import Entry, Listing
+from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint
 from oakbridge.node.node import Node
 from oakbridge.peers.node_reports import LocalLoad
 from oakbridge.peers.service import MembershipService, monotonic_us
@@ -34,22 +34,22 @@
     def __init__(self, options: FileOptions, service: MembershipService) -> None:
         """Begin to watch."""
         self._service = service
-        self._entries: dict[str, Entry] = {}
+        self._endpoints: dict[str, ListedEndpoint] = {}
         self._source = FileSource(options, monotonic_us)
-        self._source.tell(self)
+        self._source.attach(self)
         self._source.start()
 
     def stop(self) -> None:
         """Watch no more."""
         self._source.stop()
 
-    def prepare(self, entries: Iterable[Entry]) -> None:
-        """Nothing is needed before a listing holds."""
+    def prepare(self, endpoints: Iterable[ListedEndpoint]) -> None:
+        """Nothing is needed before a list holds."""
 
-    def listed(self, listing: Listing, saved: bool = False) -> None:  # noqa: ARG002  # a source's
+    def on_endpoint_list(self, new: EndpointList, *, saved: bool = False) -> None:  # noqa: ARG002  # a source's
         """Join by these from now on."""
-        listing.put_into(self._entries)
-        self._service.set_seeds([entry.address for entry in self._entries.values()])
+        new.apply_to(self._endpoints)
+        self._service.set_seeds([endpoint.address for endpoint in self._endpoints.values()])
 
-    def lost_watch(self, waited: int = 0, stale: int = 0) -> None:
+    def on_poll_failed(self, waited: int = 0, stale: int = 0) -> None:
         """Go on with what is known while the file can't be read."""
--- a/oakbridge/peers/service.py
+++ b/oakbridge/peers/service.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from oakbridge.node.listing import Address
+from oakbridge.node.address import Address
 from oakbridge.peers import operator_view, snapshot
 from oakbridge.peers.actions import Action, MemberChanged, NameTaken, SendDatagram, StartPushPull
 from oakbridge.peers.addresses import format_address, parse_member_address
--- a/oakbridge/sip/front.py
+++ b/oakbridge/sip/front.py
@@ -13,8 +13,9 @@
 from dataclasses import dataclass
 from typing import cast
 
+from oakbridge.node.address import Address
 from oakbridge.node.clock import Timer
-from oakbridge.node.listing import Address, Listing
+from oakbridge.node.endpoint_list import EndpointList
 from oakbridge.node.node import Node
 from oakbridge.policy.actions import Action
 from oakbridge.policy.events import EndpointState
@@ -138,11 +139,11 @@
         """One action of the module."""
         self._do(self.proxy.carry_out(self.node.clock.now(), action))
 
-    def listed(self, listing: Listing) -> None:
+    def on_endpoint_list(self, new: EndpointList) -> None:
         """Keep to the list of servers: those that drain stay known to their dialogs, those that are gone do not."""
-        if listing.whole:
+        if new.complete:
             self.proxy.servers = {}
-        for entry in listing.entries:
+        for entry in new.endpoints:
             if entry.server.state == EndpointState.GONE:
                 self.proxy.servers.pop(entry.server.id, None)
             else:
--- a/oakbridge/sources/files.py
+++ b/oakbridge/sources/files.py
@@ -22,7 +22,9 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from oakbridge.node.listing import ConfigError, Entry, Listener, Listing
+from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint
+from oakbridge.node.endpoint_source import EndpointListener
+from oakbridge.node.errors import ConfigError
 from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources import versions as v
 from oakbridge.sources.formats import (
@@ -223,7 +225,7 @@
         servers = {}
         for name, state, zone, cell, size, started, host, port in rows:
             server = Endpoint(name, state, zone, cell, size, started, f"{host}:{port}")
-            servers[name] = Entry(server, (host, port))
+            servers[name] = ListedEndpoint(server, (host, port))
         return v.Version(head["number"], head["digest"], servers)
     except (ValueError, KeyError, TypeError) as e:
         log.warning("%s: the saved list is not used: %s", path, e)
@@ -253,7 +255,7 @@
         self.options, self.now = options, now
         saved = load_saved(options.saved) if options.saved else None
         self.versions = v.Versions(int(options.settle * 1e6), options.most_lost, saved)
-        self._listener: Listener | None = None
+        self._listener: EndpointListener | None = None
         self._hint = asyncio.Event()
         self._due: float | None = 0.0  # on the loop's clock: when to look even if nothing is heard
         self._read: tuple[str, list[File]] | None = None
@@ -266,11 +268,13 @@
 
     # ---- the node's side
 
-    def tell(self, listener: Listener) -> None:
+    def attach(self, listener: EndpointListener) -> None:
         """Name the node that is told of versions, and tell it what is in use already."""
         self._listener = listener
         if (used := self.versions.used) is not None:
-            listener.listed(Listing(used.number, True, list(used.servers.values())), saved=True)
+            listener.on_endpoint_list(
+                EndpointList(used.number, True, list(used.servers.values())), saved=True
+            )
             log.info("version %d, as saved, is in use until the file is read", used.number)
 
     async def ready(self) -> None:
@@ -486,8 +490,8 @@
         for start in range(0, len(entries), SLICE):
             self._listener.prepare(entries[start : start + SLICE])
             await asyncio.sleep(0)
-        gone = [Entry(Endpoint(name, EndpointState.GONE), ("0.0.0.0", 0)) for name in change.gone]
-        self._listener.listed(Listing(action.version.number, whole, entries + gone))
+        gone = [ListedEndpoint(Endpoint(name, EndpointState.GONE), ("0.0.0.0", 0)) for name in change.gone]
+        self._listener.on_endpoint_list(EndpointList(action.version.number, whole, entries + gone))
         self._do(self.versions.applied(self.now(), action.version.number))
         self.decided.set()
 
@@ -509,12 +513,12 @@
 class InlineSource:
     """A list that the configuration itself holds: it is told once."""
 
-    def __init__(self, entries: list[Entry]) -> None:
+    def __init__(self, entries: list[ListedEndpoint]) -> None:
         self._entries = entries
 
-    def tell(self, listener: Listener) -> None:
+    def attach(self, listener: EndpointListener) -> None:
         """Tell the whole list."""
-        listener.listed(Listing(1, True, self._entries))
+        listener.on_endpoint_list(EndpointList(1, True, self._entries))
 
     def start(self) -> None:
         """Nothing changes."""
--- a/oakbridge/sources/formats.py
+++ b/oakbridge/sources/formats.py
@@ -16,7 +16,9 @@
 from datetime import datetime
 from typing import Any
 
-from oakbridge.node.listing import Address, ConfigError, Entry, parse_address
+from oakbridge.node.address import Address, parse_address
+from oakbridge.node.endpoint_list import ListedEndpoint
+from oakbridge.node.errors import ConfigError
 from oakbridge.policy.events import Endpoint, EndpointState
 
 MAX_BYTES = 16 * 1024 * 1024  # of one file
@@ -66,7 +68,7 @@
 class Parsed:
     """What the files of one reading hold: servers by name, or the mistakes; never a part of either."""
 
-    servers: dict[str, Entry] = field(default_factory=dict)
+    servers: dict[str, ListedEndpoint] = field(default_factory=dict)
     problems: list[Problem] = field(default_factory=list)
     dated: set[str] = field(default_factory=set)  # the servers whose start the file tells
 
@@ -179,7 +181,7 @@
         )
         if name in self.into.servers:
             return self.problem((*path, names.get("name", "name")), f"expected a new name{_got(name)} again")
-        self.into.servers[name] = Entry(server, address)
+        self.into.servers[name] = ListedEndpoint(server, address)
         if since is not None:
             self.into.dated.add(name)
 
--- a/oakbridge/sources/versions.py
+++ b/oakbridge/sources/versions.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from oakbridge.node.listing import Entry
+from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.policy.events import EndpointState
 from oakbridge.sources.formats import Parsed, Problem
 
@@ -49,7 +49,7 @@
 
     number: int
     digest: str
-    servers: dict[str, Entry]
+    servers: dict[str, ListedEndpoint]
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
 
     base: int  # the number of the version that it was compared with
     digest: str
-    servers: dict[str, Entry]  # the whole new list
+    servers: dict[str, ListedEndpoint]  # the whole new list
     added: tuple[str, ...] = ()
     changed: tuple[str, ...] = ()  # still there, with other facts
     moved: tuple[str, ...] = ()  # still there, at another address: another process under the name
@@ -71,7 +71,7 @@
         """The share of the ready servers that this change takes away."""
         return self.lost / self.of if self.of else 0.0
 
-    def entries(self) -> list[Entry]:
+    def entries(self) -> list[ListedEndpoint]:
         """What changes, in the form of a list's delta."""
         return [self.servers[name] for name in (*self.added, *self.changed, *self.moved)]
 
@@ -145,7 +145,7 @@
     """
     old = base.servers if base is not None else {}
     added, changed, moved = [], [], []
-    servers: dict[str, Entry] = {}
+    servers: dict[str, ListedEndpoint] = {}
     lost = of = 0
     for count, (name, entry) in enumerate(parsed.servers.items()):
         if count % 64 == 0:
@@ -154,7 +154,7 @@
         if name not in parsed.dated:
             other = before is None or before.address != entry.address
             started = (now if base is not None else 0) if other else before.server.started_at  # type: ignore[union-attr]
-            entry = Entry(dataclasses.replace(entry.server, started_at=started), entry.address)
+            entry = ListedEndpoint(dataclasses.replace(entry.server, started_at=started), entry.address)
         if before is None:
             added.append(name)
         elif before == entry:
--- a/oakbridge/spread/beside.py
+++ b/oakbridge/spread/beside.py
@@ -48,7 +48,7 @@
     def weight(self) -> int:
         """What this node tells of its requests."""
         node = self.node
-        return self._rate.note(node.clock.now(), node.served + node.refused + node.failed)
+        return self._rate.note(node.clock.now(), node.served + node.rejected + node.failed)
 
     async def _looking(self) -> None:
         while True:
--- a/oakbridge/workers/door.py
+++ b/oakbridge/workers/door.py
@@ -26,8 +26,8 @@
 from oakbridge.control.peers import PeerDirectory, handle_peer_request
 from oakbridge.control.protocol import PEER_COMMANDS, ControlCommand, Request
 from oakbridge.control.server import ControlServer
+from oakbridge.node.address import Address
 from oakbridge.node.listener import ACCEPT_BATCH, open_listener
-from oakbridge.node.listing import Address
 from oakbridge.process import supervisor as sup
 from oakbridge.workers import crew as c
 from oakbridge.workers import wire
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -116,7 +116,7 @@
         ),
         pool=SimpleNamespace(connection_count=9),
         served=1000,
-        refused=20,
+        rejected=20,
         failed=3,
         serving=lambda: True,
     )
--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -156,7 +156,7 @@
             again = await node.caller()
             again.send(X_Request_ID="same")
             assert (await again.answer())[0] == 200
-            assert not node.node.open
+            assert not node.node.forwarder.open_ids
 
     run(scenario())
 
@@ -308,5 +308,9 @@
 
 async def node_is_empty(node) -> bool:
     """Whether nothing is kept of any request, once the module has heard of all."""
-    await until(lambda: not node.node.requests)
-    return not node.node.open and not node.node.balancer.calls and node.node.balancer.admission.out == 0
+    await until(lambda: not node.node.forwarder.requests)
+    return (
+        not node.node.forwarder.open_ids
+        and not node.node.balancer.calls
+        and node.node.balancer.admission.out == 0
+    )
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -9,8 +9,9 @@
 from oakbridge.node import discovery
 from oakbridge.node.client_request import parse_timeout
 from oakbridge.node.connection_pool import MIN_IDLE_US
-from oakbridge.node.listing import BadList, parse
-from oakbridge.node.node import parse_report
+from oakbridge.node.endpoint_list_json import parse_endpoint_list
+from oakbridge.node.errors import EndpointListError
+from oakbridge.node.load_report import parse_load_report
 from oakbridge.policy.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from oakbridge.policy.balancer import AT_ONCE
 from oakbridge.policy.events import (
@@ -136,7 +137,7 @@
             await soon(peer.seen.get())
             caller.close()
             assert await soon(peer.left.get()) == 1
-            assert not node.node.requests
+            assert not node.node.forwarder.requests
 
     run(scenario())
 
@@ -208,11 +209,11 @@
 def test_module_that_fails_costs_one_request():
     async def scenario():
         async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
-            module, node.node.balancer = node.node.balancer, Script(ValueError("boom"))
+            module, node.node.dispatcher.balancer = node.node.dispatcher.balancer, Script(ValueError("boom"))
             caller = await node.caller()
             caller.send()
             assert (await caller.answer())[0] == 500
-            node.node.balancer = module
+            node.node.dispatcher.balancer = module
             caller.send()
             assert (await caller.answer())[0] == 200
 
@@ -222,7 +223,7 @@
 def test_request_that_the_module_forgets_is_failed_when_its_time_is_up():
     async def scenario():
         async with Peer(lambda _: None) as peer, Running(peer) as node:
-            node.node.balancer = script = Script([SendAttempt(1, "s-0", 50_000_000)])
+            node.node.dispatcher.balancer = script = Script([SendAttempt(1, "s-0", 50_000_000)])
             caller = await node.caller()
             caller.send(X_Timeout="200m")
             assert (await caller.answer())[0] == 500
@@ -237,7 +238,7 @@
         async with Peer(lambda _: None) as peer, Running(peer) as node:
             send = SendAttempt(1, "s-0", 20_000_000)
             script = Script([send], [send, FailRequest(1), CancelAttempt(1, 0), send])
-            node.node.balancer = script
+            node.node.dispatcher.balancer = script
             caller, other = await node.caller(), await node.caller()
             caller.send()
             await soon(peer.seen.get())
@@ -256,7 +257,7 @@
 def test_refusal_carries_the_modules_advice(advice, expected):
     async def scenario():
         async with Peer(lambda _: None) as peer, Running(peer) as node:
-            node.node.balancer = Script([RejectRequest(1, advice)])
+            node.node.dispatcher.balancer = Script([RejectRequest(1, advice)])
             caller = await node.caller()
             caller.send()
             status, headers, _ = await caller.answer()
@@ -292,7 +293,7 @@
 
 def test_a_watch_that_fell_silent_is_begun_anew_at_once(monkeypatch):
     """The module, told of a loss, would let up to four seconds go by: the drain below has to be known long before."""
-    monkeypatch.setattr(discovery, "WATCH_MOST_S", 0.6)
+    monkeypatch.setattr(discovery, "MAX_WATCH_S", 0.6)
 
     async def scenario():
         async with (
@@ -301,7 +302,7 @@
             Running(one, two, settings=TEN) as node,
         ):
             lost = []
-            node.node.source._lost = lambda *said: lost.append(said)
+            node.node.source._on_poll_failed = lambda *said: lost.append(said)
             await soon(node.registry.seen.get())
             node.registry.put(listing(4, whole=False))
             watch = await soon(node.registry.seen.get())  # nothing is ever answered on this one
@@ -324,7 +325,7 @@
     async def scenario():
         async with Running(settings=TEN) as node:
             lost = asyncio.Queue()
-            node.node.source._lost = lambda *said: lost.put_nowait(said)
+            node.node.source._on_poll_failed = lambda *said: lost.put_nowait(said)
             await soon(node.registry.seen.get())
             node.registry.put(reply(503))
             assert (await soon(lost.get()))[0] > 0
@@ -342,7 +343,7 @@
             await asyncio.sleep(1.2 * AT_ONCE / 1e6)
             node.registry.put("close")
             waited, stale = await soon(lost.get())
-            assert (waited, stale) == (0, 0) and node.node.source._watch is None
+            assert (waited, stale) == (0, 0) and node.node.source._watch_task is None
 
     run(scenario())
 
@@ -358,7 +359,7 @@
                 node.registry.put(listing(index, whole=False))
             assert 500 <= min(found) < 1000 < 3500 < max(found) <= 4000
             assert len(set(found)) > 30
-            left = 6.0 - max(found) / 1000 - discovery.LATE_S
+            left = 6.0 - max(found) / 1000 - discovery.WATCH_GRACE_S
             assert left >= 1.5  # for a line at discovery of all nodes whose watches fell silent at once
 
     run(scenario())
@@ -395,7 +396,7 @@
             node.node.source.move(("127.0.0.1", other.port))
             assert "since=5&" in (await soon(other.seen.get())).url
             other.put(listing(2, whole=False))
-            await until(lambda: node.node.source._watch is None)
+            await until(lambda: node.node.source._watch_task is None)
             node.node.source.watch(True)  # as the module does after a loss
             assert "since=-1&" in (await soon(other.seen.get())).url
             other.put(listing(2, endpoint("s-1", two.port)))
@@ -477,19 +478,19 @@
     ],
 )
 def test_list_that_can_not_be_read_is_refused_as_a_whole(raw):
-    with pytest.raises(BadList):
-        parse(raw)
+    with pytest.raises(EndpointListError):
+        parse_endpoint_list(raw)
 
 
 def test_list_is_read():
     raw = listing(
         9, endpoint("s", 80, since_ms=1_700_000_000_000), {"name": "t", "status": "gone"}, whole=False
     )
-    got = parse(raw)
-    assert (got.index, got.whole) == (9, False)
-    assert got.entries[0].address == ("127.0.0.1", 80)
-    assert got.entries[0].server.started_at == 1_700_000_000_000_000
-    assert [e.server.state for e in got.entries] == [EndpointState.UP, EndpointState.GONE]
+    got = parse_endpoint_list(raw)
+    assert (got.index, got.complete) == (9, False)
+    assert got.endpoints[0].address == ("127.0.0.1", 80)
+    assert got.endpoints[0].server.started_at == 1_700_000_000_000_000
+    assert [e.server.state for e in got.endpoints] == [EndpointState.UP, EndpointState.GONE]
 
 
 def test_callers_are_bounded(monkeypatch):
@@ -537,7 +538,7 @@
     async def scenario():
         async with Running() as node:
             await soon(node.registry.seen.get())
-            listed, calls = node.node.source._listed, []
+            listed, calls = node.node.source._on_list, []
 
             def fails_once(listing):
                 calls.append(listing)
@@ -545,7 +546,7 @@
                     raise RuntimeError("unforeseen")
                 listed(listing)
 
-            node.node.source._listed = fails_once
+            node.node.source._on_list = fails_once
             node.registry.put(listing(2))
             assert "since=2&" in (await soon(node.registry.seen.get())).url
 
@@ -573,7 +574,7 @@
 
 def test_load_report_is_read():
     text = "TEXT inflight=7, queue=2, util=0.61, other=1, eps=nan, qps=x"
-    assert parse_report(text) == {"in_flight": 7, "queued": 2, "utilisation": 0.61}
+    assert parse_load_report(text) == {"in_flight": 7, "queued": 2, "utilisation": 0.61}
 
 
 @pytest.mark.parametrize(
--- a/tests/node/test_outages.py
+++ b/tests/node/test_outages.py
@@ -3,13 +3,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from oakbridge.node.listing import Entry, Listing
+from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint
 from oakbridge.node.outages import Outages
 from oakbridge.policy.events import Endpoint, EndpointState
 
 
-def entry(name: str, state: str = EndpointState.UP, started: int = 0, address=("127.0.0.1", 1)) -> Entry:
-    return Entry(Endpoint(name, state, started_at=started), address)
+def entry(
+    name: str, state: str = EndpointState.UP, started: int = 0, address=("127.0.0.1", 1)
+) -> ListedEndpoint:
+    return ListedEndpoint(Endpoint(name, state, started_at=started), address)
 
 
 def test_held_server_is_listed_as_draining_whatever_the_list_says():
@@ -73,5 +75,5 @@
 def test_list_in_which_all_are_held_out_is_still_a_list():
     outages = Outages()
     outages.take_out("a", 1)
-    listing = Listing(3, True, [entry("a")])
-    assert [e.server.state for e in outages.apply_all(listing.entries)] == [EndpointState.DRAINING]
+    listing = EndpointList(3, True, [entry("a")])
+    assert [e.server.state for e in outages.apply_all(listing.endpoints)] == [EndpointState.DRAINING]
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -13,7 +13,7 @@
 
 from oakbridge.node.clock import Clock
 from oakbridge.node.config import load_config
-from oakbridge.node.listing import ConfigError
+from oakbridge.node.errors import ConfigError
 
 ROOT = Path(__file__).parents[2]
 COMMAND = [sys.executable, "-m", "oakbridge"]
--- a/tests/node/test_streaming.py
+++ b/tests/node/test_streaming.py
@@ -166,7 +166,7 @@
                 assert len(got) < BIG
                 assert not got.endswith(b"0\r\n\r\n")
             assert server.connections == 1
-            assert not node.node.requests
+            assert not node.node.forwarder.requests
 
     run(scenario())
 
@@ -190,7 +190,7 @@
             await soon(caller.reader.readuntil(b"\r\n\r\n"))
             caller.close()
             await soon(left.wait())
-            while node.node.requests or node.node.pool.connection_count:
+            while node.node.forwarder.requests or node.node.pool.connection_count:
                 await asyncio.sleep(0.005)
 
     run(scenario())
@@ -330,7 +330,7 @@
             await asyncio.sleep(0.6)  # longer than the request may take, once it is whole
             if gone:  # the request keeps the time that it was taken with
                 classes = [c for c in SETTINGS["classes"] if c["name"] != "brief"]
-                node.node._change(read_settings(SETTINGS | {"classes": classes}))
+                node.node.configure(read_settings(SETTINGS | {"classes": classes}))
             caller.writer.write(b"x" * (BIG - 1_000_000))
             assert (await caller.answer())[0] == 200
 
@@ -365,7 +365,7 @@
             assert len(short) == 1
             if end == "stall":
                 assert (await soon(caller.reader.read())).startswith(b"HTTP/1.1 408 ")
-            while node.node.requests or node.node.server.limits.connections:
+            while node.node.forwarder.requests or node.node.server.limits.connections:
                 await asyncio.sleep(0.005)
 
     run(scenario())
@@ -443,7 +443,7 @@
             for i, caller in enumerate(all_):
                 caller.writer.write(head("POST", "/api", "Content-Length: 200000", ident=f"h-{i}"))
                 caller.writer.write(b"x" * 199_999)
-            while node.node.server.body_buffers.used < 150_000 or len(node.node.requests) < 5:
+            while node.node.server.body_buffers.used < 150_000 or len(node.node.forwarder.requests) < 5:
                 await asyncio.sleep(0.005)
             assert node.node.server.body_buffers.used <= 500_000
             for caller in all_:
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -9,7 +9,8 @@
 
 from oakbridge.node import lifecycle
 from oakbridge.node.config import load_config
-from oakbridge.node.listing import ConfigError, parse
+from oakbridge.node.endpoint_list_json import parse_endpoint_list
+from oakbridge.node.errors import ConfigError
 from oakbridge.operators import listener
 from oakbridge.operators.executor import NodeCommandExecutor
 from oakbridge.operators.listener import MAX_CONNECTIONS, OperatorListener
@@ -59,7 +60,7 @@
                 again = listing(2, endpoint("s-0", a.port), endpoint("s-1", b.port))
                 for known in (None, again, listing(3, endpoint("s-0", a.port, since_ms=5), whole=False)):
                     if known is not None:
-                        node.node.listed(parse(known))
+                        node.node.endpoints.on_endpoint_list(parse_endpoint_list(known))
                     assert [await status_of_request(caller) for _ in range(10)] == [200] * 10
                 assert a.seen.qsize() == 0
                 assert (await operators.call(b"ONLINE s-0\n")).startswith(b"YES ")
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from oakbridge import Balancer
-from oakbridge.node.listing import PIECE, Entry, Listing, pieces
+from oakbridge.node.endpoint_list import BATCH_SIZE, EndpointList, ListedEndpoint, split_into_batches
 from oakbridge.policy import balancer as module
 from oakbridge.policy.actions import SendAttempt
 from oakbridge.policy.events import (
@@ -274,7 +274,9 @@
         Endpoint(f"s{i}", EndpointState.DRAINING if draw.random() < 0.1 else EndpointState.UP, started_at=i)
         for i in range(5_000, 15_000)
     ]
-    listing = Listing(7, True, [Entry(s, ("127.0.0.1", 1)) for s in draw.sample(listed, len(listed))])
+    listing = EndpointList(
+        7, True, [ListedEndpoint(s, ("127.0.0.1", 1)) for s in draw.sample(listed, len(listed))]
+    )
     ends, worst = [], 0
     for split in (False, True):
         b = Balancer(
@@ -282,20 +284,22 @@
         )
         b.handle(1, EndpointListReceived([Endpoint(f"s{i}", started_at=i) for i in range(10_000)]))
         b.admission.flow = 500.0
-        parts = pieces(listing, b.members.servers) if split else [listing]
+        parts = split_into_batches(listing, b.members.servers) if split else [listing]
         for n, part in enumerate(parts):
             event = EndpointListReceived(
-                [e.server for e in part.entries], complete=part.whole, more_follow=n + 1 < len(parts)
+                [e.server for e in part.endpoints], complete=part.complete, more_follow=n + 1 < len(parts)
             )
             with Lines() as traced:
                 b.handle(2, event)
             worst = max(worst, traced.count) if split else worst
         states = {s.id: (s.joined, s.started, s.gone) for s in b.known.values()}
         ends.append((set(b.servers), states, b.version, b.admission.flow, b.safety.oldest))
-    assert ends[0] == ends[1] and len(parts) > 20 and worst < 150 * PIECE
+    assert ends[0] == ends[1] and len(parts) > 20 and worst < 150 * BATCH_SIZE
     assert (
-        pieces(Listing(8, False, listing.entries[:PIECE]), b.members.servers)[0].entries
-        == listing.entries[:PIECE]
+        split_into_batches(EndpointList(8, False, listing.endpoints[:BATCH_SIZE]), b.members.servers)[
+            0
+        ].endpoints
+        == listing.endpoints[:BATCH_SIZE]
     )
 
 
--- a/tests/pool_bench.py
+++ b/tests/pool_bench.py
@@ -9,7 +9,7 @@
 from oakbridge.node.attempt import Attempt, AttemptOutcome
 from oakbridge.node.clock import Clock
 from oakbridge.node.connection_pool import ConnectionPool
-from oakbridge.node.listing import Entry, Listing
+from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint
 from oakbridge.policy.events import AttemptResult, Endpoint
 
 LONG = 60_000_000
@@ -28,8 +28,8 @@
 
     def list(self, *names: str, started: int = 0) -> None:
         address = "127.0.0.1", self.port
-        entries = [Entry(Endpoint(name, started_at=started), address) for name in names]
-        self.pool.update_endpoints(Listing(1, True, entries))
+        entries = [ListedEndpoint(Endpoint(name, started_at=started), address) for name in names]
+        self.pool.update_endpoints(EndpointList(1, True, entries))
 
     def send(
         self, data: bytes = GET, timeout: int = LONG
--- a/tests/sources/test_files.py
+++ b/tests/sources/test_files.py
@@ -39,17 +39,17 @@
     def prepare(self, entries) -> None:
         self.prepared.append(len(list(entries)))
 
-    def listed(self, listing, saved=False) -> None:
-        if listing.whole:
+    def on_endpoint_list(self, new, *, saved=False) -> None:
+        if new.complete:
             self.servers = {}
-        for entry in listing.entries:
+        for entry in new.endpoints:
             self.servers[entry.server.id] = entry
             if entry.server.state == EndpointState.GONE:
                 del self.servers[entry.server.id]
         assert self.servers
         self.versions.put_nowait(frozenset(self.servers))
 
-    def lost_watch(self, waited: int = 0, stale: int = 0) -> None:
+    def on_poll_failed(self, waited: int = 0, stale: int = 0) -> None:
         raise AssertionError
 
     async def until(self, *names: str) -> None:
@@ -69,7 +69,7 @@
     async def __aenter__(self) -> "Watching":
         self.source = FileSource(self.options, Clock(asyncio.get_running_loop()).now)
         self.listener = Listener()
-        self.source.tell(self.listener)
+        self.source.attach(self.listener)
         self.source.start()
         return self
 
@@ -289,7 +289,9 @@
 
 
 def saved_version() -> Version:
-    entry = files.Entry(Endpoint("a", zone="z", started_at=5, address="127.0.0.1:1"), ("127.0.0.1", 1))
+    entry = files.ListedEndpoint(
+        Endpoint("a", zone="z", started_at=5, address="127.0.0.1:1"), ("127.0.0.1", 1)
+    )
     return Version(3, "d" * 64, {"a": entry})
 
 
--- a/tests/sources/test_rewrites.py
+++ b/tests/sources/test_rewrites.py
@@ -123,11 +123,11 @@
         return Settings(**{f: getattr(settings, f) for f in settings.__slots__} | {"pin_endpoint_list": True})
 
     def listen_in(self) -> None:
-        listed, send = self.node.listed, self.node._send
+        listed, send = self.node.endpoints.on_endpoint_list, self.node.forwarder.send
 
-        def noted_list(listing, saved=False):
+        def noted_list(new, *, saved=False):
             before = self.versions.get(self.node.balancer.version, {})
-            listed(listing, saved)
+            listed(new, saved=saved)
             balancer = self.node.balancer
             now_is = {s.id: s.place for s in balancer.servers.values()}
             self.versions[balancer.version] = now_is
@@ -140,7 +140,7 @@
             self.requests.append((call.version, action.server, server.place))
             send(action)
 
-        self.node.listed, self.node._send = noted_list, noted_send
+        self.node.endpoints.on_endpoint_list, self.node.forwarder.send = noted_list, noted_send
 
     async def feel(self) -> None:
         """Note the longest time in which the machine kept the processor from this process."""
--- a/tests/sources/test_versions.py
+++ b/tests/sources/test_versions.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from oakbridge.node.listing import Entry
+from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources.formats import Parsed, Problem
 from oakbridge.sources.versions import (
@@ -26,20 +26,20 @@
 SETTLE = 40 * MS
 
 
-def entry(name: str, port: int = 1, state: str = EndpointState.UP, started: int = 0) -> Entry:
+def entry(name: str, port: int = 1, state: str = EndpointState.UP, started: int = 0) -> ListedEndpoint:
     place = f"127.0.0.1:{port}"
-    return Entry(Endpoint(name, state, started_at=started, address=place), ("127.0.0.1", port))
+    return ListedEndpoint(Endpoint(name, state, started_at=started, address=place), ("127.0.0.1", port))
 
 
-def parsed(*entries: Entry) -> Parsed:
+def parsed(*entries: ListedEndpoint) -> Parsed:
     return Parsed({e.server.id: e for e in entries})
 
 
-def version(number: int, digest: str, *entries: Entry) -> Version:
+def version(number: int, digest: str, *entries: ListedEndpoint) -> Version:
     return Version(number, digest, {e.server.id: e for e in entries})
 
 
-def change(base: Version | None, digest: str, *entries: Entry, now: int = 5) -> Change:
+def change(base: Version | None, digest: str, *entries: ListedEndpoint, now: int = 5) -> Change:
     return compare(base, digest, parsed(*entries), now, lambda: None)
 
 
@@ -47,7 +47,7 @@
     return [type(a) for a in actions if not isinstance(a, Say)]
 
 
-def in_use(machine: Versions, digest: str, *entries: Entry, now: int = 0) -> None:
+def in_use(machine: Versions, digest: str, *entries: ListedEndpoint, now: int = 0) -> None:
     """Bring a list through to use."""
     machine.looked(now, Reading(digest, True))
     [apply] = [
