--- /dev/null
+++ b/tests/node/test_dispatcher.py
@@ -0,0 +1,87 @@
+"""Events to a balancer by script, and its actions over loopback sockets."""
+
+import pytest
+from peers import Peer, Running, reply, run, soon
+
+from oakbridge.policy.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt
+from oakbridge.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Event,
+    RequestReceived,
+)
+
+
+class Script:
+    """A module by script, one answer for each request: the node's guards are held against one that errs."""
+
+    def __init__(self, *answers) -> None:
+        self.answers, self.events = list(answers), []
+
+    def handle(self, _: int, event: Event) -> list[Action]:
+        self.events.append(event)
+        answer = self.answers.pop(0) if self.answers and isinstance(event, RequestReceived) else []
+        if isinstance(answer, Exception):
+            raise answer
+        return answer
+
+
+def test_module_that_fails_costs_one_request():
+    async def scenario():
+        async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
+            module, node.node.dispatcher.balancer = node.node.dispatcher.balancer, Script(ValueError("boom"))
+            caller = await node.caller()
+            caller.send()
+            assert (await caller.answer())[0] == 500
+            node.node.dispatcher.balancer = module
+            caller.send()
+            assert (await caller.answer())[0] == 200
+
+    run(scenario())
+
+
+def test_request_that_the_module_forgets_is_failed_when_its_time_is_up():
+    async def scenario():
+        async with Peer(lambda _: None) as peer, Running(peer) as node:
+            node.node.dispatcher.balancer = script = Script([SendAttempt(1, "s-0", 50_000_000)])
+            caller = await node.caller()
+            caller.send(X_Timeout="200m")
+            assert (await caller.answer())[0] == 500
+            assert await soon(peer.left.get()) == 1
+            assert ClientDisconnected(1) in script.events
+
+    run(scenario())
+
+
+def test_two_attempts_are_never_out_at_once_and_none_is_sent_after_the_answer():
+    async def scenario():
+        async with Peer(lambda _: None) as peer, Running(peer) as node:
+            send = SendAttempt(1, "s-0", 20_000_000)
+            script = Script([send], [send, FailRequest(1), CancelAttempt(1, 0), send])
+            node.node.dispatcher.balancer = script
+            caller, other = await node.caller(), await node.caller()
+            caller.send()
+            await soon(peer.seen.get())
+            other.send()  # the event at which the module errs
+            assert (await caller.answer())[0] == 502
+            assert await soon(peer.left.get()) == 1
+            assert peer.seen.empty()
+            ended = [(e.result, e.request_finished) for e in script.events if isinstance(e, AttemptEnded)]
+            sent_not = AttemptResult.NOT_SENT
+            assert sorted(ended) == [(AttemptResult.CANCELLED, True), (sent_not, False), (sent_not, True)]
+
+    run(scenario())
+
+
+@pytest.mark.parametrize(("advice", "expected"), [(0, None), (250_000, "0.250")])
+def test_refusal_carries_the_modules_advice(advice, expected):
+    async def scenario():
+        async with Peer(lambda _: None) as peer, Running(peer) as node:
+            node.node.dispatcher.balancer = Script([RejectRequest(1, advice)])
+            caller = await node.caller()
+            caller.send()
+            status, headers, _ = await caller.answer()
+            assert (status, headers.get("retry-after")) == (503, expected)
+
+    run(scenario())
--- /dev/null
+++ b/tests/node/test_endpoint_list_json.py
@@ -0,0 +1,42 @@
+"""Endpoint lists in discovery's form."""
+
+import pytest
+from peers import endpoint, listing
+
+from oakbridge.node.endpoint_list_json import parse_endpoint_list
+from oakbridge.node.errors import EndpointListError
+from oakbridge.policy.events import (
+    EndpointState,
+)
+
+
+@pytest.mark.parametrize(
+    "raw",
+    [
+        None,
+        {},
+        {"index": "2", "endpoints": []},
+        {"index": 2, "endpoints": {}},
+        {"index": 2, "endpoints": [7]},
+        listing(2, endpoint("", 1)),
+        listing(2, endpoint("s", 1, "resting")),
+        listing(2, endpoint("s", 1) | {"status": ["ready"]}),
+        listing(2, endpoint("s", 99_999)),
+        listing(2, endpoint("s", 1) | {"since_ms": float("nan")}),
+        listing(2, endpoint("s", 1) | {"weight": "big"}),
+    ],
+)
+def test_list_that_can_not_be_read_is_refused_as_a_whole(raw):
+    with pytest.raises(EndpointListError):
+        parse_endpoint_list(raw)
+
+
+def test_list_is_read():
+    raw = listing(
+        9, endpoint("s", 80, since_ms=1_700_000_000_000), {"name": "t", "status": "gone"}, whole=False
+    )
+    got = parse_endpoint_list(raw)
+    assert (got.index, got.complete) == (9, False)
+    assert got.endpoints[0].address == ("127.0.0.1", 80)
+    assert got.endpoints[0].server.started_at == 1_700_000_000_000_000
+    assert [e.server.state for e in got.endpoints] == [EndpointState.UP, EndpointState.GONE]
