--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -26,24 +26,32 @@
     """Microseconds for one decision."""
     import random
 
-    from oakbridge.policy import vocabulary as api
+    from oakbridge.policy.actions import SendAttempt
     from oakbridge.policy.balancer import Balancer
+    from oakbridge.policy.events import (
+        AttemptEnded,
+        AttemptResult,
+        Endpoint,
+        EndpointListReceived,
+        RequestReceived,
+    )
+    from oakbridge.policy.settings import Idempotency, Prices, RequestClass, Settings, WeightSource
 
     more: dict[str, Any] = {}
     draw = random.Random(3)
-    entries = [api.ListedServer(f"s{i}", zone="b") for i in range(count)]
+    entries = [Endpoint(f"s{i}", zone="b") for i in range(count)]
     if case.startswith("weights"):
-        more["size_source"] = api.NOMINAL
-        entries = [api.ListedServer(f"s{i}", size=10 ** draw.uniform(-3, 3)) for i in range(count)]
+        more["weight_source"] = WeightSource.NOMINAL
+        entries = [Endpoint(f"s{i}", weight=10 ** draw.uniform(-3, 3)) for i in range(count)]
     elif case == "all cold":
-        more |= {"warm_up": 600_000_000, "cold_from": 0.2}
-        entries = [api.ListedServer(f"s{i}", started=1_000_000) for i in range(count)]
+        more |= {"slow_start_window": 600_000_000, "slow_start_minimum": 0.2}
+        entries = [Endpoint(f"s{i}", started_at=1_000_000) for i in range(count)]
     elif case == "all in another zone":
-        more |= {"zone": "a", "zones": ("a", "b"), "prices": api.Prices(cross_zone=1.0)}
-    klass = api.RequestClass("look", 2_500_000, 6_000_000, repeat="safe")
-    b = Balancer(api.Settings(classes=(klass,), instances=10, **more), 7)
+        more |= {"zone": "a", "zones": ("a", "b"), "prices": Prices(cross_zone=1.0)}
+    klass = RequestClass("look", 2_500_000, 6_000_000, idempotency=Idempotency.IDEMPOTENT)
+    b = Balancer(Settings(classes=(klass,), replica_count=10, **more), 7)
     now, number = 1_000_000, 0
-    b.handle(now, api.ServerList(entries))
+    b.handle(now, EndpointListReceived(entries))
     out: deque[tuple[int, str, int]] = deque()
 
     def some(requests: int) -> float:
@@ -51,12 +59,14 @@
         first, begin = number, time.perf_counter()
         while number < first + requests and time.perf_counter() - begin < 0.5:
             now, number = now + 200, number + 1
-            for action in b.handle(now, api.Request(number, "look", time_left=5_000_000)):
-                if isinstance(action, api.Send):
+            for action in b.handle(now, RequestReceived(number, "look", time_left=5_000_000)):
+                if isinstance(action, SendAttempt):
                     out.append((number, action.server, now))
             if len(out) > 5:
                 request, server, sent = out.popleft()
-                b.handle(now, api.AttemptEnded(request, 0, server, api.Result.OK, now - sent, finished=True))
+                b.handle(
+                    now, AttemptEnded(request, 0, server, AttemptResult.OK, now - sent, request_finished=True)
+                )
         return (time.perf_counter() - begin) / (number - first) * 1e6
 
     some(300)
@@ -70,25 +80,26 @@
 
 def lists(count: int) -> tuple[float, float, float]:
     """Microseconds for a delta of one server among many; for a whole list, half of it new; for its longest piece."""
-    from oakbridge.policy import vocabulary as api
     from oakbridge.policy.balancer import Balancer
+    from oakbridge.policy.events import Endpoint, EndpointListReceived, EndpointsAnnounced, EndpointState
+    from oakbridge.policy.settings import RequestClass, Settings
 
-    settings = api.Settings(classes=(api.RequestClass("x", 10, 20),), instances=100, one_version=True)
+    settings = Settings(classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True)
     b = Balancer(settings, 3)
-    b.handle(1, api.ServerList([api.ListedServer(f"s{i}") for i in range(count)]))
+    b.handle(1, EndpointListReceived([Endpoint(f"s{i}") for i in range(count)]))
     took = []
     for i in range(50):
-        change = [api.ListedServer(f"new{i}"), api.ListedServer(f"s{i}", state=api.GONE)]
+        change = [Endpoint(f"new{i}"), Endpoint(f"s{i}", state=EndpointState.GONE)]
         begin = time.perf_counter()
-        b.handle(2 + i, api.ServerList(change, whole=False))
+        b.handle(2 + i, EndpointListReceived(change, complete=False))
         took.append((time.perf_counter() - begin) * 1e6)
-    whole = [api.ListedServer(f"s{i}") for i in range(count // 2, count + count // 2)]
+    whole = [Endpoint(f"s{i}") for i in range(count // 2, count + count // 2)]
     for start in range(0, count, 200):  # records are made ahead, as a node does
-        b.handle(100, api.Upcoming(whole[start : start + 200]))
+        b.handle(100, EndpointsAnnounced(whole[start : start + 200]))
     held = []
     for servers, more in in_pieces(whole, b):
         begin = time.perf_counter()
-        b.handle(100, api.ServerList(servers, **more))
+        b.handle(100, EndpointListReceived(servers, **more))
         held.append((time.perf_counter() - begin) * 1e6)
     return statistics.median(took), sum(held), max(held)
 
--- a/benchmarks/server_files.py
+++ b/benchmarks/server_files.py
@@ -23,10 +23,10 @@
 
 from oakbridge.node.config import Config
 from oakbridge.node.node import Node
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.settings import Idempotency, RequestClass, Settings, WeightSource
 from oakbridge.sources.files import FileOptions, FileSource
 
-CLASSES = (api.RequestClass("look", 1_000_000, 2_000_000, repeat=api.SAFE),)
+CLASSES = (RequestClass("look", 1_000_000, 2_000_000, idempotency=Idempotency.IDEMPOTENT),)
 
 
 def render(count: int, turn: int) -> str:
@@ -70,7 +70,9 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "servers.json"
         path.write_text(render(count, 0))
-        settings = api.Settings(classes=CLASSES, instances=200, one_version=True, size_source=api.NOMINAL)
+        settings = Settings(
+            classes=CLASSES, replica_count=200, pin_endpoint_list=True, weight_source=WeightSource.NOMINAL
+        )
         config = Config("bench", ("127.0.0.1", 0), None, 1, 1024, None, settings)
         options = FileOptions(path, saved=Path(folder) / "saved")
         node = Node(config, loop, lambda clock: FileSource(options, clock.now))
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -23,13 +23,13 @@
 from typing import Any
 
 from oakbridge.lab.world import SECOND, WORK, Fleet
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.settings import Idempotency, RequestClass
 
 BEFORE, LOST, AFTER = 15, 20, 60
 CLASSES = (
-    api.RequestClass("look", 2_500_000, 6_000_000, 1.0, 0.0, api.SAFE),
-    api.RequestClass("status", 2_500_000, 6_000_000, 2.0, 0.0, api.SAFE),
-    api.RequestClass("book", 2_500_000, 6_000_000, 6.0, 0.0, api.UNSAFE),
+    RequestClass("look", 2_500_000, 6_000_000, 1.0, 0.0, Idempotency.IDEMPOTENT),
+    RequestClass("status", 2_500_000, 6_000_000, 2.0, 0.0, Idempotency.IDEMPOTENT),
+    RequestClass("book", 2_500_000, 6_000_000, 6.0, 0.0, Idempotency.NOT_IDEMPOTENT),
 )
 PARTS = {"look": 0.5, "status": 0.35, "book": 0.15}
 
@@ -85,7 +85,7 @@
     servers = 3 * copies // 2
     fleet = Fleet(
         copies, servers, seed, CLASSES, ("a", "b", "c"), with_sites, repeats=5, max_retry_after=2 * SECOND,
-        warm_up=12 * SECOND, cold_from=0.25,
+        slow_start_window=12 * SECOND, slow_start_minimum=0.25,
     )  # fmt: skip
     rate = 0.75 * servers * 4 * SECOND / WORK
     total = BEFORE + LOST + AFTER
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -36,8 +36,8 @@
 def _row(entry: Entry) -> dict[str, Any]:
     s = entry.server
     return {
-        "name": s.id, "address": s.place, "state": s.state, "weight": s.size, "zone": s.zone, "group": s.cell,
-        "since": s.started / 1e6 if s.started else None,
+        "name": s.id, "address": s.address, "state": s.state, "weight": s.weight, "zone": s.zone, "group": s.cell,
+        "since": s.started_at / 1e6 if s.started_at else None,
     }  # fmt: skip
 
 
--- a/oakbridge/config/load.py
+++ b/oakbridge/config/load.py
@@ -17,7 +17,8 @@
 from oakbridge.control.paths import default_socket_path
 from oakbridge.node.config import Config
 from oakbridge.node.listing import Entry
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import Endpoint, EndpointState
+from oakbridge.policy.settings import Idempotency, Prices, RequestClass, Settings, Tenant, WeightSource
 from oakbridge.sources.formats import Problem
 from oakbridge.sources.locate import lines_of, nearest
 
@@ -168,36 +169,36 @@
     )
 
 
-def _settings(file: schema.File) -> api.Settings:
+def _settings(file: schema.File) -> Settings:
     """The module's settings; a tick of 1 ms, as on the platform."""
     limits, budget, cold = file.limits, file.retry_budget, file.cold_start
     classes = tuple(
-        api.RequestClass(
-            c.name, c.aim, c.deadline, c.worth, c.late_worth, c.repeat, c.group, c.repeat_window
+        RequestClass(
+            c.name, c.aim, c.deadline, c.worth, c.late_worth, Idempotency(c.repeat), c.group, c.repeat_window
         )
         for c in file.classes
     )  # fmt: skip
-    return api.Settings(
+    return Settings(
         classes=classes,
-        tenants=tuple(api.Tenant(t.name, t.quota_per_s) for t in file.tenants),
-        instances=file.node.instances,
+        tenants=tuple(Tenant(t.name, t.quota_per_s) for t in file.tenants),
+        replica_count=file.node.instances,
         zone=file.node.zone,
         zones=(file.node.zone, "any other") if file.node.zone else (),
-        prices=api.Prices(cross_zone=CROSSING if file.node.zone else 0.0),
+        prices=Prices(cross_zone=CROSSING if file.node.zone else 0.0),
         max_attempts=limits.attempts,
-        cancel=True,
+        cancellation_allowed=True,
         max_retry_after=limits.retry_after,
-        size_source=api.NOMINAL,
+        weight_source=WeightSource.NOMINAL,
         drain_grace=DRAIN_GRACE,
-        cold_from=cold.share,
-        warm_up=cold.warm_up,
-        fall_multiple=cold.most,
-        fall_window=cold.within,
-        over_share_worth=limits.over_quota_worth,
-        connection_idle=limits.connection_idle,
+        slow_start_minimum=cold.share,
+        slow_start_window=cold.warm_up,
+        overload_factor=cold.most,
+        overload_window=cold.within,
+        over_quota_weight=limits.over_quota_worth,
+        connection_idle_timeout=limits.connection_idle,
         connect_timeout=limits.connect_timeout,
-        max_open=limits.open_requests,
-        one_version=True,
+        max_open_requests=limits.open_requests,
+        pin_endpoint_list=True,
         retry_ratio=budget.ratio,
         retry_floor=budget.floor_per_s,
         retry_window=budget.window_s,
@@ -208,7 +209,9 @@
     """The servers that the file itself holds."""
     return [
         Entry(
-            api.ListedServer(s.name, api.UP, s.zone, s.group, s.weight, 0, f"{s.address[0]}:{s.address[1]}"),
+            Endpoint(
+                s.name, EndpointState.UP, s.zone, s.group, s.weight, 0, f"{s.address[0]}:{s.address[1]}"
+            ),
             s.address,
         )
         for s in file.servers.inline
--- a/oakbridge/config/schema.py
+++ b/oakbridge/config/schema.py
@@ -10,7 +10,7 @@
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, StringConstraints, model_validator
 
 from oakbridge.node.listing import ConfigError, parse_address
-from oakbridge.policy.vocabulary import KEYED
+from oakbridge.policy.settings import Idempotency
 
 _UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
 _DURATION = re.compile(r"(\d+(?:\.\d+)?)\s*(us|ms|s|m|h)")
@@ -150,7 +150,7 @@
     def _fits(self) -> ClassTable:
         if self.aim > self.deadline:
             raise ValueError("aim: expected at most the deadline")
-        if self.repeat == KEYED and not self.repeat_window:
+        if Idempotency(self.repeat) == Idempotency.IDEMPOTENT_WITH_KEY and not self.repeat_window:
             raise ValueError("repeat_window: expected a time above 0 where repeat is keyed")
         return self
 
--- a/oakbridge/config/sites.py
+++ b/oakbridge/config/sites.py
@@ -16,8 +16,8 @@
     plan = load_plan(resolved(table.plan, loaded.path)) if table.plan else None
     name = loaded.member[0] if loaded.member is not None else loaded.config.name
     settings = loaded.config.settings
-    classes = {c.name: c.worth for c in settings.classes}
-    options = Options(warm_up=settings.warm_up, step=table.step)
+    classes = {c.name: c.priority_weight for c in settings.classes}
+    options = Options(warm_up=settings.slow_start_window, step=table.step)
     return Sites(
         name, loaded.config.settings.zone, classes, bool(settings.tenants), loaded.config.seed, options, plan
     )
--- a/oakbridge/handover/successor.py
+++ b/oakbridge/handover/successor.py
@@ -31,7 +31,7 @@
 from oakbridge.handover.unix_socket import connect
 from oakbridge.node.node import Node
 from oakbridge.policy import state as policy_state
-from oakbridge.policy.vocabulary import Elsewhere
+from oakbridge.policy.events import InFlightInOtherProcess
 
 log = logging.getLogger(__name__)
 
@@ -158,7 +158,7 @@
     def _reserve_for_predecessor(self, load: RemainingLoad) -> None:
         if self._node is not None:
             self._node.share(load.connections)
-            self._node.post(Elsewhere(load.attempts))
+            self._node.post(InFlightInOtherProcess(load.attempts))
 
     def _apply(self, command: OperatorCommand) -> None:
         if self._apply_command is None:
@@ -171,7 +171,7 @@
         assert node is not None
         if learned is not None:
             self._restore_policy_state(node, learned)
-            if node.settings.must_ask:
+            if node.settings.poll_discovery:
                 node.source.watch(True)
             log.info("taken over")
         for sock in self._early_connections:
--- a/oakbridge/lab/ways.py
+++ b/oakbridge/lab/ways.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import Action, FailRequest, SendAttempt
+from oakbridge.policy.events import AttemptEnded, EndpointListReceived, EndpointState, Event, RequestReceived
 
 TRIES = 2
 
@@ -33,32 +34,34 @@
         self.turn = seed  # of round robin: each copy begins elsewhere
         self.subset: list[str] = []
 
-    def handle(self, now: int, event: api.Event) -> list[api.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         """Take one event; returns what to do."""
         match event:
-            case api.ServerList():
-                gone = {s.id for s in event.servers if s.state != api.UP}
-                new = [s.id for s in event.servers if s.state == api.UP and s.id not in self.servers]
-                kept = [] if event.whole else [s for s in self.servers if s not in gone]
-                self.servers = [*kept, *(new if not event.whole else [s.id for s in event.servers])]
+            case EndpointListReceived():
+                gone = {s.id for s in event.endpoints if s.state != EndpointState.UP}
+                new = [
+                    s.id for s in event.endpoints if s.state == EndpointState.UP and s.id not in self.servers
+                ]
+                kept = [] if event.complete else [s for s in self.servers if s not in gone]
+                self.servers = [*kept, *(new if not event.complete else [s.id for s in event.endpoints])]
                 self.subset = []
-            case api.Request():
-                self.calls[event.id] = Call()
-                return [self._send(event.id, event.time_left)]
-            case api.AttemptEnded() if event.request in self.calls:
+            case RequestReceived():
+                self.calls[event.request_id] = Call()
+                return [self._send(event.request_id, event.time_left)]
+            case AttemptEnded() if event.request_id in self.calls:
                 self.out[event.server] -= 1
-                call = self.calls[event.request]
-                if event.finished or len(call.attempts) >= TRIES:
-                    del self.calls[event.request]
-                    return [] if event.finished else [api.Fail(event.request)]
-                return [self._send(event.request, 1_000_000)]
+                call = self.calls[event.request_id]
+                if event.request_finished or len(call.attempts) >= TRIES:
+                    del self.calls[event.request_id]
+                    return [] if event.request_finished else [FailRequest(event.request_id)]
+                return [self._send(event.request_id, 1_000_000)]
         return []
 
-    def _send(self, request: int, left: int) -> api.Send:
+    def _send(self, request: int, left: int) -> SendAttempt:
         server = self.choose(self)
         self.calls[request].attempts.append(server)
         self.out[server] += 1
-        return api.Send(request, server, left)
+        return SendAttempt(request, server, left)
 
 
 def at_random(copy: Plain) -> str:
--- a/oakbridge/lab/world.py
+++ b/oakbridge/lab/world.py
@@ -19,19 +19,40 @@
 
 from oakbridge.peers.messages import SiteReport
 from oakbridge.peers.view_state import ClusterView, ViewState
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import (
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
 from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    LoadSheddingLevel,
+    RequestReceived,
+    SubsetAssignment,
+    TimerFired,
+    ZoneWeights,
+)
+from oakbridge.policy.settings import Idempotency, Prices, RequestClass, Settings
 from oakbridge.policy.view import listed, zones
-from oakbridge.policy.vocabulary import AttemptEnded, ListedServer, Request, Result, ServerList
 from oakbridge.sites.core import WINDOW, Counts, Heard, Rates, Sites
 from oakbridge.spread.core import Copy, Spread
 
 SECOND = 1_000_000
 WORK = 200_000  # of a call, at a warm server, give or take
 SITE: dict[str, Any] = {
-    "max_attempts": 6, "cancel": True, "warm_up": 24 * SECOND, "cold_from": 0.13, "fall_multiple": 2.5,
+    "max_attempts": 6, "cancellation_allowed": True,
+    "slow_start_window": 24 * SECOND, "slow_start_minimum": 0.13, "overload_factor": 2.5,
 }  # fmt: skip
-LOOK = api.RequestClass("look", 2_500_000, 6_000_000, 5, 0.3, api.SAFE)
+LOOK = RequestClass("look", 2_500_000, 6_000_000, 5, 0.3, Idempotency.IDEMPOTENT)
 TELL_EVERY, LOOK_EVERY = 2 * SECOND, SECOND // 2  # of what members say, and of looks at the sites
 
 Key = tuple[int, int, int]  # copy, request, attempt
@@ -61,7 +82,7 @@
 class Caller:
     """One who wants an answer: when it first asked, for what, and how often it has come."""
 
-    klass: api.RequestClass
+    klass: RequestClass
     first: int
     came: int
     tries: int = 1
@@ -76,7 +97,7 @@
         copies: int,
         servers: int,
         seed: int,
-        classes: tuple[api.RequestClass, ...] = (LOOK,),
+        classes: tuple[RequestClass, ...] = (LOOK,),
         sites: tuple[str, ...] = (),
         with_sites: bool = False,
         repeats: int = 0,
@@ -94,7 +115,7 @@
         self.random, self.now = random.Random(seed), 0
         self.repeats, self.names = repeats, sites
         more = {**SITE, **options}
-        self.settings = api.Settings(classes, instances=copies, **more)
+        self.settings = Settings(classes, replica_count=copies, **more)
         self.classes = {c.name: c for c in classes}
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.order, self.ids = itertools.count(), itertools.count(1)
@@ -109,7 +130,7 @@
             f"s{i}": Server(f"s{i}", site=sites[i % len(sites)] if sites else "") for i in range(servers)
         }
         self.homes = [sites[i % len(sites)] if sites else "" for i in range(copies)]
-        prices = api.Prices(cross_zone=0.02 if sites else 0.0)
+        prices = Prices(cross_zone=0.02 if sites else 0.0)
         self.visits: list[
             tuple[int, int, int]
         ] = []  # server's number, when it came, when it was done or left
@@ -120,16 +141,16 @@
             way(self.random.getrandbits(32))
             if way is not None
             else Balancer(
-                api.Settings(classes, instances=copies, zone=home, zones=sites, prices=prices, **more),
+                Settings(classes, replica_count=copies, zone=home, zones=sites, prices=prices, **more),
                 self.random.getrandbits(32),
             )
             for home in self.homes
         ]
         self.owners: dict[tuple[int, int], Caller] = {}
         for copy in range(copies):
-            listed = [ListedServer(s.name, zone=s.site) for s in self.servers.values()]
-            self.feed(copy, ServerList(listed))
-        worth = {c.name: c.worth for c in classes}
+            listed = [Endpoint(s.name, zone=s.site) for s in self.servers.values()]
+            self.feed(copy, EndpointListReceived(listed))
+        worth = {c.name: c.priority_weight for c in classes}
         self.plans = (
             [Sites(f"n{i}", home, worth, False, seed * 1000 + i) for i, home in enumerate(self.homes)]
             if with_sites else []
@@ -178,7 +199,7 @@
         """One caller comes for the first time."""
         self.ends["asked"] += 1
         found = self.classes[klass]
-        self._count(self.now, "asked", found.worth)
+        self._count(self.now, "asked", found.priority_weight)
         self._ask(copy, Caller(found, self.now, self.now, number=self.ends["asked"]))
 
     def _ask(self, copy: int, caller: Caller) -> None:
@@ -186,73 +207,78 @@
         self.owners[copy, number] = caller
         self._count(self.now, "tries", 1)
         key = f"{caller.number}" if self.plans else ""
-        self.feed(copy, Request(number, caller.klass.name, caller.klass.deadline, key=key))
+        self.feed(copy, RequestReceived(number, caller.klass.name, caller.klass.deadline, key=key))
 
     def _count(self, when: int, what: str, many: float) -> None:
         self.by_second.setdefault(when // SECOND, Counter())[what] += many  # type: ignore[assignment]
 
     # ---- the module
 
-    def feed(self, copy: int, event: api.Event) -> None:
+    def feed(self, copy: int, event: Event) -> None:
         """One event for one copy, and what it does."""
         for action in self.copies[copy].handle(self.now, event):
-            if isinstance(action, api.SetTimer):
-                fired = api.TimerFired(action.token)
+            if isinstance(action, SetTimer):
+                fired = TimerFired(action.token)
                 self.at(self.now + action.delay, lambda fired=fired: self.feed(copy, fired))  # type: ignore[misc]
-            elif isinstance(action, api.Send):
+            elif isinstance(action, SendAttempt):
                 self.send(copy, action)
-            elif isinstance(action, api.Refuse | api.Fail):
-                after = action.retry_after if isinstance(action, api.Refuse) else 0
-                self.over(copy, action.request, type(action).__name__.lower(), after)
-            elif isinstance(action, api.Cancel):
-                self.end(copy, action.request, action.attempt, Result.CANCELLED)
-            elif isinstance(action, api.Watch):
+            elif isinstance(action, RejectRequest | FailRequest):
+                after = action.retry_after if isinstance(action, RejectRequest) else 0
+                how = "refuse" if isinstance(action, RejectRequest) else "fail"
+                self.over(copy, action.request_id, how, after)
+            elif isinstance(action, CancelAttempt):
+                self.end(copy, action.request_id, action.attempt, AttemptResult.CANCELLED)
+            elif isinstance(action, WatchEndpoints):
                 self.watch(copy)
 
     def over(self, copy: int, request: int, how: str, after: int = 0) -> None:
         """A request's one answer; its caller may come again."""
         caller = self.owners.pop((copy, request))
         self._ended[copy, how] += 1
-        if how == "served" and self.now - caller.first <= caller.klass.aim:
-            self._count(caller.first, "served", caller.klass.worth)
+        if how == "served" and self.now - caller.first <= caller.klass.latency_objective:
+            self._count(caller.first, "served", caller.klass.priority_weight)
         if how == "refuse" and caller.tries <= self.repeats:
             caller.tries += 1
             again = Caller(caller.klass, caller.first, self.now, caller.tries, caller.number)
             wait = max(50_000, after) * self.random.uniform(0.9, 1.3)
             chosen = self.random.randrange(len(self.copies))
             self.at(self.now + wait, lambda: self._ask(chosen, again))
-        self.ends["late" if how == "served" and self.now - caller.came > caller.klass.aim else how] += 1
+        self.ends[
+            "late" if how == "served" and self.now - caller.came > caller.klass.latency_objective else how
+        ] += 1
 
     # ---- servers
 
-    def send(self, copy: int, action: api.Send) -> None:
+    def send(self, copy: int, action: SendAttempt) -> None:
         """An attempt comes to a server."""
         server = self.servers[action.server]
-        key = copy, action.request, len(self.copies[copy].calls[action.request].attempts) - 1
+        key = copy, action.request_id, len(self.copies[copy].calls[action.request_id].attempts) - 1
         self.results[server.name, "sent"] += 1
         if server.down:
-            self.at(self.now + 1000, lambda: self.tell(key, server, Result.CONNECT_FAILED, self.now - 1000))
+            self.at(
+                self.now + 1000, lambda: self.tell(key, server, AttemptResult.CONNECT_FAILED, self.now - 1000)
+            )
             return
         server.sent.append(self.now)
         out = sum(1 for k in (*server.running, *server.waiting) if k[0] == copy)
         held = sum(max(1, n) for n in server.holders.values())
         full = out + 1 > server.holders[copy] and held + 1 > server.connections
         if full or len(server.waiting) >= server.queue:
-            self.at(self.now + 1000, lambda: self.tell(key, server, Result.FULL, self.now - 1000))
+            self.at(self.now + 1000, lambda: self.tell(key, server, AttemptResult.REJECTED, self.now - 1000))
         else:
             server.holders[copy] = max(server.holders[copy], out + 1)
             server.waiting.append(key)
             server.came[key] = self.now
             self.start(server)
-            self.at(self.now + action.timeout, lambda: self.end(*key, Result.TIMEOUT))
+            self.at(self.now + action.timeout, lambda: self.end(*key, AttemptResult.TIMEOUT))
 
     def warmth(self, server: Server, when: int) -> float:
         """How fast it is then, of what it will be."""
         since = server.started if server.started else server.cold_since
         if since <= 0:
             return 1.0
-        cold = self.settings.cold_from
-        return min(1.0, cold + (1 - cold) * (when - since) / self.settings.warm_up)
+        cold = self.settings.slow_start_minimum
+        return min(1.0, cold + (1 - cold) * (when - since) / self.settings.slow_start_window)
 
     def start(self, server: Server) -> None:
         """Work on what waits, while there are workers."""
@@ -267,7 +293,7 @@
         """It is done with one."""
         if key in server.running and not server.hangs:
             self.leave(server, key)
-            self.tell(key, server, Result.OK, began)
+            self.tell(key, server, AttemptResult.OK, began)
 
     def leave(self, server: Server, key: Key) -> None:
         """It has no more to do with one."""
@@ -278,7 +304,7 @@
             server.waiting.remove(key)
         self.start(server)
 
-    def end(self, copy: int, request: int, number: int, result: Result) -> None:
+    def end(self, copy: int, request: int, number: int, result: AttemptResult) -> None:
         """A copy calls an attempt off, or stops waiting; a server that hangs does not notice."""
         key = copy, request, number
         for server in self.servers.values():
@@ -289,11 +315,11 @@
                     self.told.add(key)
                     self.at(self.now, lambda server=server: self.tell(key, server, result, self.now))  # type: ignore[misc]
 
-    def tell(self, key: Key, server: Server, result: Result, began: int) -> None:
+    def tell(self, key: Key, server: Server, result: AttemptResult, began: int) -> None:
         """A copy hears how its attempt ended."""
         copy, request, number = key
         self.results[server.name, result.name] += 1
-        done = result == Result.OK and (copy, request) in self.owners
+        done = result == AttemptResult.OK and (copy, request) in self.owners
         if done:
             self.over(copy, request, "served")
         self.feed(copy, AttemptEnded(request, number, server.name, result, self.now - began, done))
@@ -302,11 +328,11 @@
         """One server goes and a cold one comes; all copies hear of it later, and the old one answers until then."""
         self.servers[new] = Server(new, started=self.now)
         self.numbers[new] = len(self.numbers)
-        entries = [ListedServer(old, api.GONE), ListedServer(new, started=self.now)]
+        entries = [Endpoint(old, EndpointState.GONE), Endpoint(new, started_at=self.now)]
 
         def told() -> None:
             for copy in range(len(self.copies)):
-                self.feed(copy, ServerList(entries, whole=False))
+                self.feed(copy, EndpointListReceived(entries, complete=False))
                 if self.divided:  # a look a second
                     self.at(self.now + self.random.randrange(SECOND), partial(self.divide, copy))
 
@@ -347,7 +373,7 @@
                     continue
                 server.down = True
                 for key in (*server.running, *server.waiting):
-                    self.at(self.now, partial(self.tell, key, server, Result.RESET, self.now))
+                    self.at(self.now, partial(self.tell, key, server, AttemptResult.RESET, self.now))
                 server.running.clear()
                 server.waiting.clear()
 
@@ -379,8 +405,8 @@
         decision = plan.look(now, now // 1000, everyone, heard, own)
         if copy not in self._said or now - self._said[copy][0] >= TELL_EVERY // (1 + plan.urgent):
             self._said[copy] = now, plan.say()
-        self.feed(copy, api.Zones(decision.parts, decision.look))
-        self.feed(copy, api.TurnedAway(dict(decision.away), 0.0, decision.salt))
+        self.feed(copy, ZoneWeights(decision.parts, decision.look))
+        self.feed(copy, LoadSheddingLevel(dict(decision.away), 0.0, decision.salt))
         self.at(now + LOOK_EVERY, lambda: self._look(copy))
 
     def divide(self, copy: int, copies: dict[str, Copy] | None = None) -> None:
@@ -389,7 +415,7 @@
         everyone = ClusterView(ViewState.COMPLETE, known=len(held), unreachable=0)
         found = self.divided[copy].look(self.now, everyone, held, listed(self.copies[copy]))
         if found is not None:
-            self.feed(copy, api.Cut(found))
+            self.feed(copy, SubsetAssignment(found))
 
     # ---- discovery
 
@@ -398,8 +424,8 @@
         self.asked += 1
         if max(0, self.turn_free - self.now) > 2 * SECOND:
             self.lost += 1
-            self.at(self.now + 1000, lambda: self.feed(copy, ServerList(lost=True)))
+            self.at(self.now + 1000, lambda: self.feed(copy, EndpointListReceived(failed=True)))
             return
         self.turn_free = max(self.now, self.turn_free) + self.turn
-        listed = [ListedServer(s.name, started=s.started) for s in self.servers.values()]
-        self.at(self.turn_free, lambda: self.feed(copy, ServerList(listed)))
+        listed = [Endpoint(s.name, started_at=s.started) for s in self.servers.values()]
+        self.at(self.turn_free, lambda: self.feed(copy, EndpointListReceived(listed)))
--- a/oakbridge/node/attempt.py
+++ b/oakbridge/node/attempt.py
@@ -9,7 +9,7 @@
 from oakbridge.node.clock import Timer
 from oakbridge.node.http_framing import Headers
 from oakbridge.node.request_body import StreamedBody
-from oakbridge.policy.vocabulary import Result
+from oakbridge.policy.events import AttemptResult
 
 if TYPE_CHECKING:
     from oakbridge.node.server_connection import ServerConnection
@@ -32,7 +32,7 @@
 class AttemptOutcome:
     """How an attempt ended, and what the server responded."""
 
-    result: Result
+    result: AttemptResult
     headers: Headers = field(default_factory=list)
     body: bytes = b""
     status: int = 0  # 0: there was no response
--- a/oakbridge/node/config.py
+++ b/oakbridge/node/config.py
@@ -11,7 +11,7 @@
 
 from oakbridge.node.listing import Address, ConfigError, Raw, parse_address
 from oakbridge.node.settings import missing_key, read_settings
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.settings import Settings, SettingsError
 
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 128
@@ -28,7 +28,7 @@
     seed: int
     sockets: int  # descriptors that the node may hold
     known: Raw | None  # the list of servers as this node last had it, in discovery's form
-    settings: api.Settings
+    settings: Settings
     also_listen: tuple[Address, ...] = ()  # where the deployment allows it
     control: Address | None = None  # where operators' commands come in; None: nowhere
     memory_mb: int = 0  # what the node may use; 0: not told
@@ -55,7 +55,7 @@
     """Check a file's object; ``reloading``: it was read while the process runs.  Raise ConfigError."""
     try:
         settings = read_settings(raw.get("settings"))
-    except api.SettingsError as e:
+    except SettingsError as e:
         raise ConfigError(str(e)) from None
     known = raw.get("known")
     file_goes_first = reloading and raw.get("discovery")
--- a/oakbridge/node/connection_pool.py
+++ b/oakbridge/node/connection_pool.py
@@ -11,7 +11,7 @@
 from oakbridge.node.listing import Address, Listing
 from oakbridge.node.observer import NodeObserver
 from oakbridge.node.server_connection import ServerConnection
-from oakbridge.policy.vocabulary import UP, Result
+from oakbridge.policy.events import AttemptResult, EndpointState
 
 log = logging.getLogger(__name__)
 
@@ -78,8 +78,8 @@
             self.endpoints = {}
         for entry in listing.entries:
             server = entry.server
-            if server.state == UP:
-                self.endpoints[server.id] = entry.address, server.started
+            if server.state == EndpointState.UP:
+                self.endpoints[server.id] = entry.address, server.started_at
             else:
                 self.endpoints.pop(server.id, None)
         changed = self.servers if listing.whole else [entry.server.id for entry in listing.entries]
@@ -140,7 +140,7 @@
 
     def _fail_soon(self, attempt: Attempt) -> None:
         """Fail an attempt for which there is no connection, in the loop's next round."""
-        self.loop.call_soon(attempt.finish, AttemptOutcome(Result.CONNECT_FAILED))
+        self.loop.call_soon(attempt.finish, AttemptOutcome(AttemptResult.CONNECT_FAILED))
 
     def _open(self, server: PooledServer, attempt: Attempt) -> None:
         if self.observer is not None:
@@ -157,14 +157,14 @@
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt: its connection is closed before this returns."""
-        self._abort(attempt, Result.CANCELLED)
+        self._abort(attempt, AttemptResult.CANCELLED)
 
     def fail_unsent(self, attempt: Attempt) -> None:
         """Fail an attempt of which nothing was written, and nothing may be any more."""
-        self._abort(attempt, Result.CONNECT_FAILED)
+        self._abort(attempt, AttemptResult.CONNECT_FAILED)
 
     @staticmethod
-    def _abort(attempt: Attempt, result: Result) -> None:
+    def _abort(attempt: Attempt, result: AttemptResult) -> None:
         if attempt.ended:
             return
         if attempt.connection is not None:
@@ -185,7 +185,7 @@
         """Stop waiting; a request whose last byte was never written has not run."""
         if not attempt.ended:
             written = attempt.connection is not None and attempt.connection.abort()
-            attempt.finish(AttemptOutcome(Result.TIMEOUT if written else Result.CONNECT_FAILED))
+            attempt.finish(AttemptOutcome(AttemptResult.TIMEOUT if written else AttemptResult.CONNECT_FAILED))
 
     # ---- idle connections
 
--- a/oakbridge/node/listing.py
+++ b/oakbridge/node/listing.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import Endpoint, EndpointState
 
 PIECE = 500  # servers of a list that are taken in one turn of the loop: 1 to 2 ms
 
@@ -15,7 +15,7 @@
 Raw = dict[str, Any]
 NOWHERE: Address = ("0.0.0.0", 0)
 
-_STATE = {"ready": api.UP, "draining": api.DRAINING, "gone": api.GONE}
+_STATE = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
 
 
 class ConfigError(ValueError):
@@ -30,7 +30,7 @@
 class Entry:
     """One server as listed, and where it listens."""
 
-    server: api.ListedServer
+    server: Endpoint
     address: Address
 
 
@@ -47,7 +47,7 @@
         if self.whole:
             known.clear()
         for entry in self.entries:
-            if entry.server.state == api.GONE:
+            if entry.server.state == EndpointState.GONE:
                 known.pop(entry.server.id, None)
             else:
                 known[entry.server.id] = entry
@@ -63,9 +63,9 @@
     if len(named) <= PIECE and (not listing.whole or len(known) <= PIECE):
         return [listing]
     if listing.whole:
-        gone = [Entry(api.ListedServer(name, api.GONE), NOWHERE) for name in known if name not in named]
-    gone += [entry for entry in named.values() if entry.server.state != api.UP]
-    changes = gone + [entry for entry in named.values() if entry.server.state == api.UP]
+        gone = [Entry(Endpoint(name, EndpointState.GONE), NOWHERE) for name in known if name not in named]
+    gone += [entry for entry in named.values() if entry.server.state != EndpointState.UP]
+    changes = gone + [entry for entry in named.values() if entry.server.state == EndpointState.UP]
     return [
         Listing(listing.index, False, changes[start : start + PIECE])
         for start in range(0, len(changes), PIECE)
@@ -138,16 +138,14 @@
     since = _number(raw.get("since_ms", 0), (int, float), "since_ms")
     weight = _number(raw.get("weight", 1.0), (int, float), "weight")
     cell = _number(raw.get("group", 0), int, "group")
-    listed = api.ListedServer(
-        name, _STATE[state], str(raw.get("zone") or ""), cell, float(weight), int(since * 1000)
-    )
+    listed = Endpoint(name, _STATE[state], str(raw.get("zone") or ""), cell, float(weight), int(since * 1000))
     try:
         address = parse_address(raw.get("address"))
     except ConfigError as e:
-        if listed.state == api.GONE:  # nothing is sent there: its address does not matter
+        if listed.state == EndpointState.GONE:  # nothing is sent there: its address does not matter
             return Entry(listed, NOWHERE)
         raise BadList(f"address: {e}") from None
-    listed.place = f"{address[0]}:{address[1]}"
+    listed.address = f"{address[0]}:{address[1]}"
     return Entry(listed, address)
 
 
@@ -156,8 +154,8 @@
     states = {state: name for name, state in _STATE.items()}
     endpoints = [
         {"name": e.server.id, "address": f"{e.address[0]}:{e.address[1]}", "zone": e.server.zone,
-         "group": e.server.cell, "status": states[e.server.state], "weight": e.server.size,
-         "since_ms": e.server.started / 1000}
+         "group": e.server.cell, "status": states[e.server.state], "weight": e.server.weight,
+         "since_ms": e.server.started_at / 1000}
         for e in entries
     ]  # fmt: skip
     return {"index": index, "snapshot": True, "endpoints": endpoints}
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -26,8 +26,32 @@
 from oakbridge.node.request_body import BODY_BUFFERS_PART
 from oakbridge.node.server_connection import ServerConnection
 from oakbridge.node.settings import in_place
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    FetchList,
+    Log,
+    RejectRequest,
+    Release,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
 from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointListReceived,
+    EndpointsAnnounced,
+    Event,
+    RequestBodySent,
+    RequestReceived,
+    SettingsChanged,
+    TimerFired,
+)
+from oakbridge.policy.settings import ReportSource, Settings
 
 log = logging.getLogger(__name__)
 
@@ -79,7 +103,7 @@
     def owns(self, request: int) -> bool:
         """Whether a request came in there."""
 
-    def carry_out(self, action: api.Action) -> None:
+    def carry_out(self, action: Action) -> None:
         """Carry out one of the module's actions about such a request."""
 
     def listed(self, listing: Listing) -> None:
@@ -127,7 +151,7 @@
         self.ids = itertools.count(1)  # the module's numbers of requests, for all fronts
         self.fronts: list[Front] = []  # beside HTTP
         self.served = self.refused = self.failed = 0  # answers since the start
-        self._events: deque[api.Event] = deque()
+        self._events: deque[Event] = deque()
         self._handling = False
         self.observer: NodeObserver | None = None
         self._loop = loop
@@ -138,13 +162,19 @@
         self._pieces: deque[Listing] = deque()  # of a long list, that are still to be taken
         upstream = int((config.sockets - RESERVE) * UPSTREAM_PART)
         self.pool = ConnectionPool(
-            loop, self.clock, settings.connect_timeout, settings.connection_idle or NEVER_CLOSE_IDLE, upstream
+            loop,
+            self.clock,
+            settings.connect_timeout,
+            settings.connection_idle_timeout or NEVER_CLOSE_IDLE,
+            upstream,
         )
         self.source: Source
         if source is not None:
             self.source = source(self.clock)
         elif config.discovery is not None:
-            self.source = Discovery(config.discovery, not settings.must_ask, settings.ask_within, config.seed)
+            self.source = Discovery(
+                config.discovery, not settings.poll_discovery, settings.poll_interval, config.seed
+            )
         else:
             raise ConfigError("discovery: missing, and there is no other source of servers")
         addresses = (config.listen, *config.also_listen) if door else ()
@@ -205,7 +235,7 @@
         if settings != self.settings:
             self._change(settings)
 
-    def _change(self, settings: api.Settings) -> None:
+    def _change(self, settings: Settings) -> None:
         """Decide by these settings from now on."""
         before, now = set(self.classes), {c.name for c in settings.classes}
         log.info(
@@ -216,8 +246,8 @@
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         self.tenants = {t.name for t in settings.tenants}
-        self.pool.configure(settings.connect_timeout, settings.connection_idle or NEVER_CLOSE_IDLE)
-        self.post(api.SettingsChanged(settings))
+        self.pool.configure(settings.connect_timeout, settings.connection_idle_timeout or NEVER_CLOSE_IDLE)
+        self.post(SettingsChanged(settings))
 
     async def leave(self) -> None:
         """End as a planned restart asks for: answer what was taken, take nothing after the changeover."""
@@ -240,7 +270,7 @@
 
     # ---- events in
 
-    def post(self, event: api.Event) -> None:
+    def post(self, event: Event) -> None:
         """Hand an event to the module; one that comes up while actions are carried out waits its turn."""
         self._events.append(event)
         if not self._handling:
@@ -254,7 +284,7 @@
         finally:
             self._handling = False
 
-    def _handle(self, event: api.Event) -> None:
+    def _handle(self, event: Event) -> None:
         """One event, and its actions in order; a fault is contained to the request that it is about."""
         now = self.clock.now()
         try:
@@ -265,10 +295,8 @@
                 self.observer.on_actions(now, actions)
         except Exception:
             log.exception("the module failed on %s", type(event).__name__)
-            if isinstance(event, api.Request):
-                self._abandon(event.id)
-            elif isinstance(event, api.AttemptEnded):
-                self._abandon(event.request)
+            if isinstance(event, RequestReceived | AttemptEnded):
+                self._abandon(event.request_id)
             return
         for action in actions:
             try:
@@ -301,7 +329,7 @@
         if not self.pool.endpoints and self.outages.out():  # nobody is left to wait for
             soon = [(b"retry-after", b"1")] if self.settings.max_retry_after else []
             return request.client.respond(request, 503, soon, b"")
-        if self.settings.max_open and len(self.requests) >= self.settings.max_open:
+        if self.settings.max_open_requests and len(self.requests) >= self.settings.max_open_requests:
             return request.client.respond(request, 503, [], b"")  # as on the simulator: the module sees none
         request.id = next(self.ids)
         self.requests[request.id] = request
@@ -311,7 +339,7 @@
             # The module ends each request before this; it guards against one that it has forgotten.
             request.overdue_timer = self.clock.call_at(max(due, now + 1), lambda: self._overdue(request))
         self.post(
-            api.Request(
+            RequestReceived(
                 request.id,
                 klass,
                 max(0, due - now),
@@ -337,13 +365,13 @@
         """The caller is gone: nothing is owed."""
         self._forget(request)
         if request.id:
-            self.post(api.ClientGone(request.id))
+            self.post(ClientDisconnected(request.id))
 
     def _overdue(self, request: ClientRequest) -> None:
         if not request.answered:
             log.warning("request %d was left unanswered", request.id)
             self._abandon(request.id)
-            self.post(api.ClientGone(request.id))
+            self.post(ClientDisconnected(request.id))
 
     def listed(self, listing: Listing, saved: bool = False) -> None:
         """Keep to the list from now on; a long one is taken in pieces, one in each turn of the loop."""
@@ -368,7 +396,7 @@
     def put_back(self, name: str) -> bool | None:
         """Use a server again that operators held out; False if it was not out, None if there is none such."""
         now = self.clock.now()
-        self.outages.forget_older(now - self.settings.warm_up)
+        self.outages.forget_older(now - self.settings.slow_start_window)
         if self.outages.put_back(name, now):
             self._relist(name, back=True)
             return True
@@ -397,7 +425,9 @@
         for front in self.fronts:
             front.listed(piece)
         servers = [e.server for e in piece.entries]
-        event = api.ServerList(servers, piece.whole, saved=saved, more=bool(self._pieces), back=back)
+        event = EndpointListReceived(
+            servers, piece.whole, cached=saved, more_follow=bool(self._pieces), restored=back
+        )
         # The module hears of the list before it hears of attempts that the list has ended.
         self._events.append(event)
         handling, self._handling = self._handling, True
@@ -410,43 +440,43 @@
 
     def prepare(self, entries: Iterable[Entry]) -> None:
         """Have the module make records ahead for what the next listing names; nothing is sent there yet."""
-        self.post(api.Upcoming([e.server for e in entries]))
+        self.post(EndpointsAnnounced([e.server for e in entries]))
 
     def lost_watch(self, waited: int = 0, stale: int = 0) -> None:
         """Asking failed; the list stays as it is."""
-        self.post(api.ServerList(lost=True, waited=waited, stale=stale))
+        self.post(EndpointListReceived(failed=True, waited=waited, staleness=stale))
 
     # ---- actions out
 
-    def _carry_out(self, action: api.Action) -> None:
-        if isinstance(action, api.SetTimer):
+    def _carry_out(self, action: Action) -> None:
+        if isinstance(action, SetTimer):
             token = action.token
             due = self.clock.now() + action.delay
-            self.clock.call_at(due, lambda: self.post(api.TimerFired(token)))
+            self.clock.call_at(due, lambda: self.post(TimerFired(token)))
         elif self.fronts and self._elsewhere(action):
             pass
-        elif isinstance(action, api.Send):
+        elif isinstance(action, SendAttempt):
             self._send(action)
-        elif isinstance(action, api.Refuse):
-            self._finish(action.request, 503, action.retry_after)
-        elif isinstance(action, api.Fail):
-            self._finish(action.request, 502)
-        elif isinstance(action, api.Cancel):
+        elif isinstance(action, RejectRequest):
+            self._finish(action.request_id, 503, action.retry_after)
+        elif isinstance(action, FailRequest):
+            self._finish(action.request_id, 502)
+        elif isinstance(action, CancelAttempt):
             self._cancel(action)
-        elif isinstance(action, api.Watch):
+        elif isinstance(action, WatchEndpoints):
             self.source.watch(action.on)
-        elif isinstance(action, api.FetchList):
+        elif isinstance(action, FetchList):
             self.source.fetch()
-        elif isinstance(action, api.Release):
+        elif isinstance(action, Release):
             self.pool.close_idle_to(action.server)
-        elif isinstance(action, api.Log):
+        elif isinstance(action, Log):
             log.info("%s", action.text)
         else:  # probes and peers: the module uses neither
             log.warning("no way to carry out %s", action)
 
-    def _elsewhere(self, action: api.Action) -> bool:
+    def _elsewhere(self, action: Action) -> bool:
         """Whether an action is about a request of another front, which then carries it out."""
-        request = getattr(action, "request", 0)
+        request = getattr(action, "request_id", 0)
         for front in self.fronts:
             if front.owns(request):
                 front.carry_out(action)
@@ -458,11 +488,11 @@
         self.fronts.append(front)
         front.listed(Listing(0, True, self.outages.apply_all(self._listed.values())))
 
-    def _send(self, action: api.Send) -> None:
-        request = self.requests.get(action.request)
+    def _send(self, action: SendAttempt) -> None:
+        request = self.requests.get(action.request_id)
         if request is None or request.attempt is not None:
             # Guards two rules: nothing is sent for what is over, and no two attempts are out at once.
-            log.error("not sent: request %d is over or has an attempt out", action.request)
+            log.error("not sent: request %d is over or has an attempt out", action.request_id)
             return self._not_sent(request, action)
         if request.client.client_has_closed():
             # It waited for its turn or a retry, and the end of its connection lies unread: nothing begins for it.
@@ -483,18 +513,18 @@
             ),
             request.streamed_body,
             None if request.streamed_body is None else lambda: self._body_sent(request, number),
-            now + action.begin_within if action.begin_within else None,
+            now + action.start_within if action.start_within else None,
         )
         request.attempt = attempt
         self.pool.send(attempt)
 
-    def _not_sent(self, request: ClientRequest | None, action: api.Send) -> None:
+    def _not_sent(self, request: ClientRequest | None, action: SendAttempt) -> None:
         """Every attempt has its one outcome, also one that was never made."""
         number, over = 0, True
         if request is not None:
             number, over = request.attempts, request.answered
             request.attempts += 1
-        self.post(api.AttemptEnded(action.request, number, action.server, api.Result.NOT_SENT, 0, over))
+        self.post(AttemptEnded(action.request_id, number, action.server, AttemptResult.NOT_SENT, 0, over))
 
     def _body_sent(self, request: ClientRequest, number: int) -> None:
         """The last of a body that went on as it came is written: the request's time counts from now."""
@@ -504,7 +534,7 @@
         request.body_sent_at = now
         self.pool.set_deadline(request.attempt, now + left)
         request.overdue_timer = self.clock.call_at(now + left, lambda: self._overdue(request))
-        self.post(api.BodySent(request.id, number, left))
+        self.post(RequestBodySent(request.id, number, left))
 
     def _begin(
         self, request: ClientRequest, number: int, server: str, sent: int, reply: AttemptOutcome, length: int | None,
@@ -522,11 +552,11 @@
             request.overdue_timer = None
         latency = self.clock.now() - (request.body_sent_at or sent)
         report = self._report(reply)
-        self.post(api.AttemptEnded(request.id, number, server, api.Result.OK, latency, True, report))
+        self.post(AttemptEnded(request.id, number, server, AttemptResult.OK, latency, True, report))
         return request.client
 
     def _report(self, reply: AttemptOutcome) -> dict[str, float] | None:
-        if self.settings.report_source != api.ANSWERS:
+        if self.settings.report_source != ReportSource.RESPONSES:
             return None
         text = dict(reply.headers).get(b"x-server-load")
         return parse_report(text.decode("latin-1")) if text else None
@@ -538,23 +568,23 @@
         request.attempt = None
         if request.response_streamed:  # it was answered when its answer began; what went wrong since is news
             self._forget(request)
-            if reply.result == api.Result.RESET:
-                self.post(api.AttemptEnded(request.id, number, server, reply.result, 0, True))
+            if reply.result == AttemptResult.RESET:
+                self.post(AttemptEnded(request.id, number, server, reply.result, 0, True))
             return
-        if reply.result == api.Result.OK and not request.answered:
+        if reply.result == AttemptResult.OK and not request.answered:
             headers = [(name, value) for name, value in reply.headers if name not in HOP_BY_HOP_HEADERS]
             request.client.respond(request, 200, headers, reply.body)
             self.served += 1
         result = reply.result
-        if result == api.Result.ERROR and 400 <= reply.status < 500 and reply.status not in NOT_FINAL:
+        if result == AttemptResult.ERROR and 400 <= reply.status < 500 and reply.status not in NOT_FINAL:
             # The server has no use for this request; no other will have, and it is no fault of the server.
             request.client.respond(request, reply.status, [], b"")
-            result = api.Result.NOT_SENT
+            result = AttemptResult.NOT_SENT
         if request.answered:
             self._forget(request)
         report = self._report(reply)
         latency = self.clock.now() - (request.body_sent_at or sent)
-        self.post(api.AttemptEnded(request.id, number, server, result, latency, request.answered, report))
+        self.post(AttemptEnded(request.id, number, server, result, latency, request.answered, report))
 
     def _finish(self, number: int, status: int, retry_after: int = 0) -> None:
         """The final answer of a request that no server served, if it is still owed."""
@@ -584,8 +614,8 @@
         if request.attempt is None and self.requests.pop(request.id, None) is not None:
             self.open.discard(request.header_values[b"x-request-id"])
 
-    def _cancel(self, action: api.Cancel) -> None:
-        request = self.requests.get(action.request)
+    def _cancel(self, action: CancelAttempt) -> None:
+        request = self.requests.get(action.request_id)
         attempt = None if request is None else request.attempt
         if attempt is not None and attempt.number == action.attempt:
             self.pool.cancel(attempt)
--- a/oakbridge/node/observer.py
+++ b/oakbridge/node/observer.py
@@ -5,16 +5,17 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import Action
+from oakbridge.policy.events import Event
 
 
 class NodeObserver(Protocol):
     """Is called by a node as it works.  It may not change anything, and must be quick: it runs in the loop."""
 
-    def on_event(self, now: int, event: api.Event) -> None:
+    def on_event(self, now: int, event: Event) -> None:
         """An event is about to be handed to the balancer, at a time in microseconds."""
 
-    def on_actions(self, now: int, actions: Sequence[api.Action]) -> None:
+    def on_actions(self, now: int, actions: Sequence[Action]) -> None:
         """The balancer returned these actions; none was carried out yet."""
 
     def on_connection_opened(self) -> None:
--- a/oakbridge/node/outages.py
+++ b/oakbridge/node/outages.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 
 from oakbridge.node.listing import Entry
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import EndpointState
 
 HELD_MOST = 4096  # servers that are held out at once: each is kept, listed or not, until it is put back
 
@@ -69,11 +69,13 @@
             return entry
         server = entry.server
         if not outage.back:
-            return entry if server.state == api.GONE else Entry(_as(server, api.DRAINING), entry.address)
-        if server.started > outage.since or server.state == api.GONE:
+            if server.state == EndpointState.GONE:
+                return entry
+            return Entry(replace(server, state=EndpointState.DRAINING), entry.address)
+        if server.started_at > outage.since or server.state == EndpointState.GONE:
             del self._known[server.id]  # the list tells of its restart itself, or of its end
             return entry
-        return Entry(replace(server, started=outage.again), entry.address)
+        return Entry(replace(server, started_at=outage.again), entry.address)
 
     def apply_all(self, entries: Iterable[Entry]) -> list[Entry]:
         """A list's entries as the module may see them."""
@@ -95,7 +97,3 @@
     def restore(self, saved: dict[str, list[int]]) -> None:
         """Go on with what another process held."""
         self._known = {name: Outage(*values) for name, values in saved.items()}
-
-
-def _as(server: api.ListedServer, state: str) -> api.ListedServer:
-    return replace(server, state=state)
--- a/oakbridge/node/response_parser.py
+++ b/oakbridge/node/response_parser.py
@@ -15,7 +15,7 @@
     Headers,
     read_framing,
 )
-from oakbridge.policy.vocabulary import Result
+from oakbridge.policy.events import AttemptResult
 
 # A response up to this size is buffered whole, so that one that breaks off can still be retried.
 MAX_BUFFERED_BYTES = 64 * 1024
@@ -92,15 +92,15 @@
         self.reusable = False
         return True
 
-    def result(self) -> Result:
+    def result(self) -> AttemptResult:
         """Classify the response by the protocol's table."""
         if self.status == 200:
-            return Result.OK
+            return AttemptResult.OK
         if self.status in (503, 504) and (b"x-not-processed", b"1") in self.headers:
-            return Result.FULL
-        return Result.ERROR
+            return AttemptResult.REJECTED
+        return AttemptResult.ERROR
 
-    def take(self, result: Result) -> AttemptOutcome:
+    def take(self, result: AttemptResult) -> AttemptOutcome:
         """Return the complete response, and keep nothing of it: its connection may be idle for long."""
         outcome = AttemptOutcome(result, self.headers, b"".join(self._body), self.status)
         self.headers = []
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -17,7 +17,7 @@
 from oakbridge.node.clock import Timer
 from oakbridge.node.request_body import StreamedBody
 from oakbridge.node.response_parser import ResponseError, ResponseParser
-from oakbridge.policy.vocabulary import Result
+from oakbridge.policy.events import AttemptResult
 
 if TYPE_CHECKING:
     from oakbridge.node.connection_pool import ConnectionPool, PooledServer
@@ -246,7 +246,7 @@
         if attempt is None or attempt.on_response_start is None:
             return None
         result = response.result()
-        if result != Result.OK or not self.request_written():
+        if result != AttemptResult.OK or not self.request_written():
             return None
         if attempt.timer is not None:
             attempt.timer.cancel()  # a response that has started is in time
@@ -256,7 +256,7 @@
     def _on_response_complete(self) -> None:
         response = self._response
         result = response.result()
-        if not self.request_written() and result != Result.FULL:
+        if not self.request_written() and result != AttemptResult.REJECTED:
             self._fail()  # no response to this request: its last byte was never written
             return
         self._stop_timer()
@@ -265,7 +265,7 @@
         if sink is not None:
             sink.end_response()
         outcome = response.take(result)
-        self._has_served = self._has_served or result != Result.FULL
+        self._has_served = self._has_served or result != AttemptResult.REJECTED
         if self._can_be_kept():
             self._pool.put_idle(self)
         else:
@@ -326,7 +326,7 @@
         if sink is not None:
             sink.abort_response()
         if attempt is not None:
-            attempt.finish(AttemptOutcome(Result.RESET if written else Result.CONNECT_FAILED))
+            attempt.finish(AttemptOutcome(AttemptResult.RESET if written else AttemptResult.CONNECT_FAILED))
 
     def abort(self) -> bool:
         """Close at once and leave the attempt to the caller; return whether its last byte was written."""
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -15,7 +15,8 @@
 
 from oakbridge.node.node import Node
 from oakbridge.node.trace_format import MARK, RESULT_NAMES, action_name, encode_settings
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import Action, SendAttempt
+from oakbridge.policy.events import AttemptEnded, AttemptResult, EndpointListReceived, Event, RequestReceived
 
 log = logging.getLogger(__name__)
 
@@ -38,24 +39,24 @@
 
     # ---- what the node tells
 
-    def on_event(self, now: int, event: api.Event) -> None:
+    def on_event(self, now: int, event: Event) -> None:
         """Count requests, the ends of attempts, and lists."""
         match event:
-            case api.Request():
+            case RequestReceived():
                 self.counts["taken"] += 1
-            case api.AttemptEnded():
-                self.counts["served"] += event.finished and event.result == api.Result.OK
+            case AttemptEnded():
+                self.counts["served"] += event.request_finished and event.result == AttemptResult.OK
                 self._count_end(event.server, RESULT_NAMES[event.result])
-            case api.ServerList():
-                self.counts["lists_lost"] += event.lost
-                if not event.lost and not event.saved:
+            case EndpointListReceived():
+                self.counts["lists_lost"] += event.failed
+                if not event.failed and not event.cached:
                     self.counts["lists"] += 1
                     self.listed_at = now
 
-    def on_actions(self, now: int, actions: Sequence[api.Action]) -> None:
+    def on_actions(self, now: int, actions: Sequence[Action]) -> None:
         """Count attempts, and all other actions by kind."""
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, SendAttempt):
                 self._count_attempt(action, now)
             else:
                 self.counts[action_name(action)] += 1
@@ -76,10 +77,10 @@
         """Count the entries that discovery answered with."""
         self.counts["list_lines"] += entry_count
 
-    def _count_attempt(self, action: api.Send, now: int) -> None:
+    def _count_attempt(self, action: SendAttempt, now: int) -> None:
         """The call may be over, or the server gone, by the same event: counting must not depend on either."""
         balancer = self.node.balancer
-        call, server = balancer.calls.get(action.request), balancer.known.get(action.server)
+        call, server = balancer.calls.get(action.request_id), balancer.known.get(action.server)
         self.counts["sent"] += 1
         self.counts["again"] += call is not None and len(call.attempts) > 1
         if server is not None and balancer.warmth(server, now) < 1:
--- a/oakbridge/node/trace_format.py
+++ b/oakbridge/node/trace_format.py
@@ -7,37 +7,46 @@
 
 from typing import Any
 
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    WatchEndpoints,
+)
+from oakbridge.policy.events import AttemptResult
+from oakbridge.policy.settings import Goal, Prices, RequestClass, Settings
 
 MARK = "trace "  # what a line begins with
 
 ACTION_NAMES: dict[type[Any], str] = {
-    api.Refuse: "refuse",
-    api.Fail: "fail",
-    api.Cancel: "cancel",
-    api.SetTimer: "settimer",
-    api.Watch: "watch",
+    RejectRequest: "refuse",
+    FailRequest: "fail",
+    CancelAttempt: "cancel",
+    SetTimer: "settimer",
+    WatchEndpoints: "watch",
 }
 
-RESULT_NAMES: dict[api.Result, str] = {
-    api.Result.OK: "ok",
-    api.Result.ERROR: "error",
-    api.Result.FULL: "full",
-    api.Result.TIMEOUT: "timeout",
-    api.Result.CONNECT_FAILED: "connect_failed",
-    api.Result.RESET: "reset",
-    api.Result.CANCELLED: "cancelled",
-    api.Result.NOT_SENT: "not_sent",
+RESULT_NAMES: dict[AttemptResult, str] = {
+    AttemptResult.OK: "ok",
+    AttemptResult.ERROR: "error",
+    AttemptResult.REJECTED: "full",
+    AttemptResult.TIMEOUT: "timeout",
+    AttemptResult.CONNECT_FAILED: "connect_failed",
+    AttemptResult.RESET: "reset",
+    AttemptResult.CANCELLED: "cancelled",
+    AttemptResult.NOT_SENT: "not_sent",
 }
 
 
-def action_name(action: api.Action) -> str:
+def action_name(action: Action) -> str:
     """Return what an action is counted as."""
     kind = type(action)
     return ACTION_NAMES.get(kind) or kind.__name__.lower()
 
 
-def encode_settings(settings: api.Settings) -> dict[str, Any]:
+def encode_settings(settings: Settings) -> dict[str, Any]:
     """Return the settings as a trace's first line has them."""
     return {
         "classes": [_encode_class(one) for one in settings.classes],
@@ -45,30 +54,30 @@
             {"name": tenant.name, "quota_per_s": tenant.quota_per_s, "share": tenant.share}
             for tenant in settings.tenants
         ],
-        "instances": settings.instances,
-        "me": settings.me,
+        "instances": settings.replica_count,
+        "me": settings.replica_index,
         "tier": settings.tier,
-        "tiers": settings.tiers,
+        "tiers": settings.tier_count,
         "zone": settings.zone,
         "zones": settings.zones,
         "tick": settings.tick,
         "max_attempts": settings.max_attempts,
-        "cancel": settings.cancel,
-        "second_copies": settings.second_copies,
+        "cancel": settings.cancellation_allowed,
+        "second_copies": settings.hedging_allowed,
         "probes": settings.probes,
         "peers": settings.peers,
         "max_retry_after": settings.max_retry_after,
-        "must_ask": settings.must_ask,
-        "ask_within": settings.ask_within,
-        "size_source": settings.size_source,
+        "must_ask": settings.poll_discovery,
+        "ask_within": settings.poll_interval,
+        "size_source": settings.weight_source,
         "passes_deadline": settings.passes_deadline,
         "answer_slack": settings.answer_slack,
         "drain_grace": settings.drain_grace,
-        "cold_from": settings.cold_from,
-        "warm_up": settings.warm_up,
-        "fall_multiple": settings.fall_multiple,
-        "fall_window": settings.fall_window,
-        "over_share_worth": settings.over_share_worth,
+        "cold_from": settings.slow_start_minimum,
+        "warm_up": settings.slow_start_window,
+        "fall_multiple": settings.overload_factor,
+        "fall_window": settings.overload_window,
+        "over_share_worth": settings.over_quota_weight,
         "goal": _encode_goal(settings.goal),
         "prices": _encode_prices(settings.prices),
         "report_source": settings.report_source,
@@ -76,35 +85,35 @@
         "marks_repeats": settings.marks_repeats,
         "keys_stay_warm": settings.keys_stay_warm,
         "worth_by_work": settings.worth_by_work,
-        "connection_idle": settings.connection_idle,
+        "connection_idle": settings.connection_idle_timeout,
         "connect_timeout": settings.connect_timeout,
         "streams_per_connection": settings.streams_per_connection,
-        "max_open": settings.max_open,
+        "max_open": settings.max_open_requests,
         "cpu_per_second": settings.cpu_per_second,
         "cpu_per_request": settings.cpu_per_request,
-        "one_version": settings.one_version,
+        "one_version": settings.pin_endpoint_list,
         "retry_ratio": settings.retry_ratio,
         "retry_floor": settings.retry_floor,
         "retry_window": settings.retry_window,
     }
 
 
-def _encode_class(given: api.RequestClass) -> dict[str, Any]:
+def _encode_class(given: RequestClass) -> dict[str, Any]:
     return {
         "name": given.name,
-        "aim": given.aim,
+        "aim": given.latency_objective,
         "deadline": given.deadline,
-        "worth": given.worth,
-        "late_worth": given.late_worth,
-        "repeat": given.repeat,
-        "group": given.group,
-        "repeat_window": given.repeat_window,
+        "worth": given.priority_weight,
+        "late_worth": given.late_weight,
+        "repeat": given.idempotency,
+        "group": given.dedup_scope,
+        "repeat_window": given.dedup_window,
         "streamed": given.streamed,
         "aim_stretch": given.aim_stretch,
     }
 
 
-def _encode_goal(goal: api.Goal) -> dict[str, float]:
+def _encode_goal(goal: Goal) -> dict[str, float]:
     return {
         "whole": goal.whole,
         "worst_window": goal.worst_window,
@@ -115,7 +124,7 @@
     }
 
 
-def _encode_prices(prices: api.Prices) -> dict[str, float]:
+def _encode_prices(prices: Prices) -> dict[str, float]:
     return {
         "cross_zone": prices.cross_zone,
         "waste": prices.waste,
--- a/oakbridge/peers/node_adapter.py
+++ b/oakbridge/peers/node_adapter.py
@@ -8,7 +8,7 @@
 from oakbridge.node.node import Node
 from oakbridge.peers.node_reports import LocalLoad
 from oakbridge.peers.service import MembershipService, monotonic_us
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import PeerFailureReports
 from oakbridge.policy.view import brief
 from oakbridge.sources.files import FileOptions, FileSource
 
@@ -25,7 +25,7 @@
 
 def failure_report_sink(node: Node) -> Callable[[dict[str, float]], None]:
     """Return what passes others' reports of failing servers to a node's outlier detection."""
-    return lambda weights: node.post(api.Doubted(weights))
+    return lambda weights: node.post(PeerFailureReports(weights))
 
 
 class SeedFile:
--- /dev/null
+++ b/oakbridge/policy/actions.py
@@ -0,0 +1,107 @@
+"""What comes out of :meth:`oakbridge.policy.balancer.Balancer.handle`.
+
+Each call returns the actions to carry out at the time of its event, in order.  Times are whole microseconds.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+ALL = -1  # every peer, as the receiver of a message
+
+
+@dataclass(slots=True)
+class SendAttempt:
+    """Start an attempt; attempts of a request count from 0 in the order in which they are sent."""
+
+    request_id: int
+    server: str
+    timeout: int
+    start_within: int = 0  # its first byte may go no later, a slow connect included; 0: no limit
+
+
+@dataclass(slots=True)
+class RejectRequest:
+    """Final response: the request was rejected, and trying again is harmless."""
+
+    request_id: int
+    retry_after: int = 0
+
+
+@dataclass(slots=True)
+class FailRequest:
+    """Final response: the request failed, with no promise about its effect."""
+
+    request_id: int
+
+
+@dataclass(slots=True)
+class CancelAttempt:
+    """Cancel an attempt; it still gets its result."""
+
+    request_id: int
+    attempt: int
+
+
+@dataclass(slots=True)
+class SetTimer:
+    """Ask for a :class:`oakbridge.policy.events.TimerFired`."""
+
+    delay: int
+    token: int
+
+
+@dataclass(slots=True)
+class WatchEndpoints:
+    """Subscribe to the endpoint list; answered by ``EndpointListReceived``."""
+
+    on: bool = True
+
+
+@dataclass(slots=True)
+class FetchList:
+    """Ask for the whole server list once; answered by ``EndpointListReceived``."""
+
+
+@dataclass(slots=True)
+class Tell:
+    """Send at most 256 bytes to one peer, or to ``ALL``; it may be lost."""
+
+    to: int
+    text: str
+
+
+@dataclass(slots=True)
+class Probe:
+    """Ask a server for its load."""
+
+    server: str
+
+
+@dataclass(slots=True)
+class Release:
+    """Give back the connections to a server that carry nothing now."""
+
+    server: str
+
+
+@dataclass(slots=True)
+class Log:
+    """A line for whoever reads the logs."""
+
+    text: str
+
+
+Action = (
+    SendAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | SetTimer
+    | WatchEndpoints
+    | FetchList
+    | Tell
+    | Probe
+    | Release
+    | Log
+)
--- a/oakbridge/policy/balancer.py
+++ b/oakbridge/policy/balancer.py
@@ -1,4 +1,4 @@
-"""All decisions of one outbound copy; its settings, events and actions are in ``vocabulary.py``.
+"""All decisions of one outbound copy; see ``settings.py``, ``events.py`` and ``actions.py``.
 
 The ordinary path: a request goes at once to the less busy of two members of an adaptive subset, by own calls
 in flight; what fails is retried after a growing random delay while the windowed retry budget allows it, and
@@ -15,7 +15,8 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy import actions, events
+from oakbridge.policy.events import NEVER_RAN, AttemptResult, EndpointState
 from oakbridge.policy.membership import (
     EJECT_FOR,
     LOOKS,
@@ -27,7 +28,7 @@
     shuffled,
 )  # fmt: skip
 from oakbridge.policy.retry_budget import SECOND, RetryBudget
-from oakbridge.policy.vocabulary import GONE, KEYED, NEVER_RAN, SAFE, UNSAFE, UP, Result
+from oakbridge.policy.settings import Idempotency, RequestClass, Settings, WeightSource
 
 GOLDEN = 0.618  # multiples of it spread evenly: advice to clients
 UNSEEN_COST = 0.2  # of a retry, after an attempt that is known not to have run: it did no work
@@ -64,8 +65,8 @@
     __slots__ = ("id", "klass", "tenant", "arrived", "give_up", "aim_by", "attempts", "out", "failures",
                  "over_share", "held", "value", "version", "once")  # fmt: skip
 
-    def __init__(self, request: api.Request, klass: api.RequestClass, now: int) -> None:
-        self.id, self.klass, self.tenant = request.id, klass, request.tenant
+    def __init__(self, request: events.RequestReceived, klass: RequestClass, now: int) -> None:
+        self.id, self.klass, self.tenant = request.request_id, klass, request.tenant
         self.arrived = self.give_up = self.aim_by = now
         self.once = request.streamed  # its body is gone once it is sent
         self.attempts: list[Attempt] = []
@@ -78,7 +79,7 @@
 class RepeatSafety:
     """The one place that says whether a send or a refusal is allowed (rules 1 and 2)."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.oldest = 0.0  # the version since which some server has been listed without a break
 
@@ -91,30 +92,30 @@
         """Whether one more attempt is allowed: at that server, or at any if None."""
         if not call.attempts:
             return True
-        tried, copies = len(call.attempts), self.settings.second_copies
+        tried, copies = len(call.attempts), self.settings.hedging_allowed
         if call.once or tried >= self.settings.max_attempts or (call.out and not copies):
             return False
-        if self.settings.one_version and call.version < (server.joined if server else self.oldest):
+        if self.settings.pin_endpoint_list and call.version < (server.joined if server else self.oldest):
             return False  # not on the list that this call keeps to, or not without a break since
-        if call.klass.repeat == SAFE:
+        if call.klass.idempotency == Idempotency.IDEMPOTENT:
             return True
         ran = self.may_have_run(call)
-        if not ran or call.klass.repeat != KEYED:
+        if not ran or call.klass.idempotency != Idempotency.IDEMPOTENT_WITH_KEY:
             return not ran
         # Keyed: inside the group that drops repeats, and only while it still remembers the first one.
         in_time = now < self.remembered(call, ran[0])
-        return in_time and (server is None or server.same_group(ran[0].where, call.klass.group))
+        return in_time and (server is None or server.same_group(ran[0].where, call.klass.dedup_scope))
 
     def remembered(self, call: Call, first: Attempt) -> int:
         """Until when a repeat may begin to arrive, after a first attempt that may have run."""
-        margin = 4 * self.settings.tick + call.klass.repeat_window // 20
-        return first.sent + call.klass.repeat_window - margin
+        margin = 4 * self.settings.tick + call.klass.dedup_window // 20
+        return first.sent + call.klass.dedup_window - margin
 
     def may_refuse(self, call: Call) -> bool:
         """Whether the client may be told that trying again is harmless."""
-        if call.klass.repeat == SAFE or not self.may_have_run(call):
+        if call.klass.idempotency == Idempotency.IDEMPOTENT or not self.may_have_run(call):
             return True
-        return call.klass.repeat == KEYED and call.klass.group == "all"
+        return call.klass.idempotency == Idempotency.IDEMPOTENT_WITH_KEY and call.klass.dedup_scope == "all"
 
 
 class Health:
@@ -176,7 +177,7 @@
 class Admission:
     """How many calls this copy may have out, and which of those that wait goes next."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.limit = self.least = 0.0
         self.credit, self.counted, self.out = 0.1, 0, 0  # see open
         self.seen = self.served = self.since = self.waiting = 0
@@ -185,15 +186,15 @@
         self.usual = 0.0  # see value
         self.peak, self.hit, self.window = 0, False, 8  # outcomes between two looks; few at the start
         # By the next tier's part of a call's time, and with room for calls that take longer than the least.
-        self.gain = 1 + max(GAIN_LEAST, GAIN / (settings.tiers - settings.tier))
+        self.gain = 1 + max(GAIN_LEAST, GAIN / (settings.tier_count - settings.tier))
         self.flow = 0.0  # calls out that would carry the highest rate seen at the least latency seen
         self.held: dict[tuple[str, str, bool], deque[Call]] = {}
         self.due: dict[str, float] = {}
         self.tune(settings)
 
-    def tune(self, settings: api.Settings) -> None:
+    def tune(self, settings: Settings) -> None:
         """Go by these settings from now on."""
-        self.settings, every = settings, SECOND * settings.instances
+        self.settings, every = settings, SECOND * settings.replica_count
         self.gap = {t.name: every / t.quota_per_s for t in settings.tenants if t.quota_per_s}
         self.due = {name: self.due.get(name, 0.0) for name in self.gap}
 
@@ -205,13 +206,13 @@
         self.due[tenant] = due + self.gap[tenant] if due <= now else due
         return due <= now
 
-    def note(self, latency: int, least: float, allowed: float, result: Result, now: int) -> None:
+    def note(self, latency: int, least: float, allowed: float, result: AttemptResult, now: int) -> None:
         """Take an outcome in; after enough of them, set the limit anew: calls beyond it would only queue."""
         if not self.seen:
             self.since = now
         self.seen += 1
         self.peak = max(self.peak, self.out)
-        if result == Result.OK:
+        if result == AttemptResult.OK:
             self.served += 1
             self.carried += least
             self.slower += 0.03 * (latency / allowed - self.slower)
@@ -261,7 +262,9 @@
 
     def worth(self, queue: deque[Call]) -> float:
         """What each call of a queue is worth."""
-        return queue[0].klass.worth * (self.settings.over_share_worth if queue[0].over_share else 1.0)
+        return queue[0].klass.priority_weight * (
+            self.settings.over_quota_weight if queue[0].over_share else 1.0
+        )
 
     def next(self, now: int) -> Call | None:
         """Take the waiting call worth most; the newest once the oldest waited long, or all would be late."""
@@ -298,14 +301,14 @@
 class Balancer:
     """The decisions of one outbound copy: ``handle`` takes what happened and says what to do."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.random = random.Random(seed)
         self.safety = RepeatSafety(settings)
         self.budget = RetryBudget(settings.retry_ratio, settings.retry_floor, settings.retry_window)
         self.health = Health()
         self.admission = Admission(settings)
         # Inner tiers leave time for their callers, also when calls carry no time left.
-        self.time_share = 1 - settings.tier / (2 * settings.tiers)
+        self.time_share = 1 - settings.tier / (2 * settings.tier_count)
         self.latency: dict[str, Latency] = {}
         self.home = settings.zone if settings.prices.cross_zone > 0 and len(settings.zones) > 1 else ""
         self.members = Membership(self.home)
@@ -313,7 +316,7 @@
         self.known: dict[str, Server] = {}  # those, and any that drain or have calls out
         self.subset, self.spare = self.members.subset, self.members.spare
         self.calls: dict[int, Call] = {}
-        self.tune(0, api.SettingsChanged(settings))
+        self.tune(0, events.SettingsChanged(settings))
         self.version, self.before = 0, 0  # of the list, one more with each; servers before its first piece
         self.used = 0.0  # the subset's share of these
         self.in_pieces = self.resuming = self.retired = False
@@ -323,7 +326,7 @@
         self.closed: set[str] = set()  # those that get nothing
         self.cut: dict[str, float] = {}  # the servers of this copy, where copies divide them
         self.looks: list[Server] = []  # servers in these that a call is to try
-        self.away, self.turned = api.TurnedAway({}), 0  # and how many that were
+        self.away, self.turned = events.LoadSheddingLevel({}), 0  # and how many that were
         self.answers = self.reviewed = self.elsewhere = 0
         self.young: dict[str, Server] = {}  # those that may still be cold
         self.counted, self.carried, self.best, self.failed_lately = 0, 0.0, 0.0, 0.0  # see measure
@@ -331,33 +334,41 @@
         # When calls are given up: plain numbers, as nearly all have ended by then and must not be held on to.
         self.ends: list[tuple[int, int]] = []
         self.alarm_count, self.timer, self.armed = 0, 0, math.inf
-        self.actions: list[api.Action] = []
+        self.actions: list[actions.Action] = []
         self.handlers: dict[type, Callable[[int, Any], None]] = {
-            api.Request: self.on_request, api.AttemptEnded: self.on_ended, api.TimerFired: self.on_timer,
-            api.ClientGone: self.on_gone, api.StreamStarted: self.on_gone, api.ServerList: self.on_list,
-            api.Upcoming: self.on_upcoming, api.BodySent: self.on_body_sent, api.SettingsChanged: self.tune,
-            api.Elsewhere: self.on_elsewhere, api.Doubted: self.on_doubted, api.Zones: self.on_zones,
-            api.TurnedAway: self.on_turned_away, api.Cut: self.on_cut,
+            events.RequestReceived: self.on_request, events.AttemptEnded: self.on_ended,
+            events.TimerFired: self.on_timer, events.ClientDisconnected: self.on_gone,
+            events.ResponseStarted: self.on_gone, events.EndpointListReceived: self.on_list,
+            events.EndpointsAnnounced: self.on_upcoming, events.RequestBodySent: self.on_body_sent,
+            events.SettingsChanged: self.tune, events.InFlightInOtherProcess: self.on_elsewhere,
+            events.PeerFailureReports: self.on_doubted, events.ZoneWeights: self.on_zones,
+            events.LoadSheddingLevel: self.on_turned_away, events.SubsetAssignment: self.on_cut,
         }  # fmt: skip
-        self.must_ask = settings.must_ask
-        self.sized = settings.size_source in (api.NOMINAL, api.ROUGH)  # a live size echoes what copies did
+        self.must_ask = settings.poll_discovery
+        self.sized = settings.weight_source in (
+            WeightSource.NOMINAL,
+            WeightSource.ROUGH,
+        )  # a live size echoes what copies did
 
-    def tune(self, _: int, event: api.SettingsChanged) -> None:
+    def tune(self, _: int, event: events.SettingsChanged) -> None:
         """Go by these settings from now on; a call keeps the class that it came with."""
         self.settings = self.safety.settings = settings = event.settings
         self.admission.tune(settings)
         self.budget.ratio, self.budget.floor = settings.retry_ratio, settings.retry_floor * self.budget.window
         self.classes = {c.name: c for c in settings.classes}
-        self.all_unsafe = all(c.repeat == UNSAFE for c in settings.classes)
+        self.all_unsafe = all(c.idempotency == Idempotency.NOT_IDEMPOTENT for c in settings.classes)
         counted = {call.klass.name: call.klass for call in self.calls.values()} | self.classes
-        seen = {n: self.latency.get(n) or Latency(c.aim / 5 * self.time_share) for n, c in counted.items()}
+        seen = {
+            n: self.latency.get(n) or Latency(c.latency_objective / 5 * self.time_share)
+            for n, c in counted.items()
+        }
         self.latency, self.mean = seen, sum(x.mean for x in seen.values()) / len(seen)  # over classes
 
-    def handle(self, now: int, event: api.Event) -> list[api.Action]:
+    def handle(self, now: int, event: events.Event) -> list[actions.Action]:
         """Take one event; returns the actions to carry out now, in order."""
         if self.must_ask:
             self.must_ask = False
-            self.watch_after(now, self.random.randrange(self.settings.ask_within // 4))
+            self.watch_after(now, self.random.randrange(self.settings.poll_interval // 4))
         if type(event) in self.handlers:
             self.handlers[type(event)](now, event)
         done, self.actions = self.actions, []
@@ -386,9 +397,9 @@
         if due < self.armed:
             self.armed = due
             self.timer += 1
-            self.actions.append(api.SetTimer(max(1, int(self.armed) - now), self.timer))
+            self.actions.append(actions.SetTimer(max(1, int(self.armed) - now), self.timer))
 
-    def on_timer(self, now: int, event: api.TimerFired) -> None:
+    def on_timer(self, now: int, event: events.TimerFired) -> None:
         """Look at all that is due.  Timers that an earlier alarm replaced must set no further ones."""
         if event.token != self.timer:
             return
@@ -400,34 +411,36 @@
                 self.end(call, now)
         self.arm(now)
 
-    def on_list(self, now: int, event: api.ServerList) -> None:
+    def on_list(self, now: int, event: events.EndpointListReceived) -> None:
         """Keep to the list at once: what drains or is gone gets nothing more."""
-        if event.lost:
-            scale, stale = min(1.0, self.settings.ask_within / TOLD), event.stale / SECOND
+        if event.failed:
+            scale, stale = min(1.0, self.settings.poll_interval / TOLD), event.staleness / SECOND
             pause = max(0.3, 2.5 - stale if event.waited else 0.0), max(1.0, 4.5 - stale)  # see AT_ONCE
             pause = ASK_AGAIN if event.waited >= AT_ONCE else pause
             return self.watch_after(now, scale * SECOND * self.random.uniform(*pause) - event.waited)
         if not self.in_pieces:
             self.version, self.before = self.version + 1, len(self.servers)
             self.used = len(self.subset) / max(1, self.before)
-        self.in_pieces, dropped = event.more, list[Server]()
-        for entry in event.servers:
+        self.in_pieces, dropped = event.more_follow, list[Server]()
+        for entry in event.endpoints:
             server = self.record(entry, now)
-            if entry.state != UP:
-                server.gone = entry.state == GONE
+            if entry.state != EndpointState.UP:
+                server.gone = entry.state == EndpointState.GONE
                 dropped.append(server)
             elif entry.id not in self.servers:
                 server.joined = self.version
                 # As likely in the subset as any: else what is new would be in fewer copies' subsets.
-                used = entry.id in self.cut if self.cut else event.back or self.random.random() < self.used
+                used = (
+                    entry.id in self.cut if self.cut else event.restored or self.random.random() < self.used
+                )
                 self.members.add(server, now, self.subset if used else self.spare)
-        if event.whole:
-            listed = {entry.id for entry in event.servers}
+        if event.complete:
+            listed = {entry.id for entry in event.endpoints}
             for server in [s for s in self.known.values() if s.id not in listed]:
                 server.gone = True
                 dropped.append(server)
         self.drop(dropped, now)
-        if event.more:
+        if event.more_follow:
             return
         for server in [self.known[name] for name in self.upcoming if name in self.known]:
             if server.id not in self.servers and not server.joined:  # made ready for, and not listed
@@ -436,7 +449,7 @@
         # Both ways: where servers are replaced one by one, it must not end at nothing.
         part = max(1, len(self.servers)) / max(1, self.before)
         self.admission.flow, self.admission.limit = self.admission.flow * part, self.admission.limit * part
-        share = len(self.servers) / self.settings.instances
+        share = len(self.servers) / self.settings.replica_count
         self.admission.least = LEAST_EACH * share
         if not self.admission.flow:  # no rush at the start, least of all where copies outnumber servers
             self.admission.limit = share * (START_EACH if share >= 1 else START_MANY)
@@ -445,38 +458,38 @@
             self.draw(now)
         self.dispatch(now)
 
-    def record(self, entry: api.ListedServer, now: int) -> Server:
+    def record(self, entry: events.Endpoint, now: int) -> Server:
         """What is kept of a server, with the facts as they are listed now."""
-        size = (entry.size if self.sized and entry.size > 0 else 1.0) * self.part(entry.zone, self.parts)
+        size = (entry.weight if self.sized and entry.weight > 0 else 1.0) * self.part(entry.zone, self.parts)
         size *= self.cut.get(entry.id, 1.0)
         if (server := self.known.get(entry.id)) is None:
             server = self.known[entry.id] = Server(entry, size)
         else:  # at another place it is another process: what keeps to an older list may not go there
-            joined = server.joined if server.place == entry.place else self.version
+            joined = server.joined if server.place == entry.address else self.version
             self.members.relist(server, entry, size, joined, now)
-        if entry.started:
+        if entry.started_at:
             self.young[entry.id] = server
         if entry.zone in self.closed:
             self.shut(server, now)
         return server
 
-    def on_upcoming(self, now: int, event: api.Upcoming) -> None:
+    def on_upcoming(self, now: int, event: events.EndpointsAnnounced) -> None:
         """Make records ahead for servers that are new; nothing is sent there before a list names them."""
-        for entry in event.servers:
+        for entry in event.endpoints:
             if entry.id not in self.known:
                 self.record(entry, now)
                 self.upcoming.append(entry.id)
 
     def watch_after(self, now: int, wait: float) -> None:
         """Ask discovery for the list and its changes after a while."""
-        self.alarm(now, wait, lambda _: self.actions.append(api.Watch()))
+        self.alarm(now, wait, lambda _: self.actions.append(actions.WatchEndpoints()))
 
     def drop(self, servers: list[Server], now: int) -> None:
         """Send nothing more to these servers."""
         for server in servers:
             self.members.remove(server)
             self.lose(server)
-        if self.settings.one_version and self.safety.oldest != self.members.oldest():
+        if self.settings.pin_endpoint_list and self.safety.oldest != self.members.oldest():
             self.strand(now)
 
     def strand(self, now: int) -> None:
@@ -496,22 +509,28 @@
         """The smallest subset at which all copies together still cover every server about evenly."""
         if self.cut:
             return sum(name in self.servers for name in self.cut)
-        return min(len(self.servers), max(4, math.ceil(COVER * len(self.servers) / self.settings.instances)))
+        return min(
+            len(self.servers), max(4, math.ceil(COVER * len(self.servers) / self.settings.replica_count))
+        )
 
     def measure(self, now: int, since: int) -> None:
         """What a warm server was seen to carry a second; a cold one counts as little as it may be able to."""
         self.young = {i: y for i, y in self.young.items() if y.side is not None and self.warmth(y, now) < 1}
         able = len(self.servers) - sum(1 - self.warmth(y, now) for y in self.young.values())
         new, self.counted = self.answers - self.counted, self.answers
-        rate = SECOND * new / since / max(able, self.settings.cold_from)
+        rate = SECOND * new / since / max(able, self.settings.slow_start_minimum)
         self.carried += (rate - self.carried) * (1 - math.exp(-new / CARRIED_OVER))
-        least = SECOND / self.mean / self.settings.instances  # one call at a time, of all copies
+        least = SECOND / self.mean / self.settings.replica_count  # one call at a time, of all copies
         self.best = max(least, self.carried, self.best * math.exp(-since / BEST_OVER))
 
     def unstick(self, now: int) -> None:
         """Call off what waits at a server that hangs, to go elsewhere: it holds places in all tiers above."""
-        left = self.budget.left(now) if self.settings.cancel else 0.0
-        for call in [c for c in self.calls.values() if c.out and c.klass.repeat != UNSAFE and left >= 1]:
+        left = self.budget.left(now) if self.settings.cancellation_allowed else 0.0
+        for call in [
+            c
+            for c in self.calls.values()
+            if c.out and c.klass.idempotency != Idempotency.NOT_IDEMPOTENT and left >= 1
+        ]:
             attempt = call.attempts[-1]
             late = not attempt.off and now - attempt.sent > HANG_MEANS * self.mean
             if late and left >= 1 and self.hangs(attempt.server, now):
@@ -520,7 +539,7 @@
                 self.blame(attempt.server, now)
                 self.health.rest(attempt.server, now)
                 self.members.judged(attempt.server, now)
-                self.actions.append(api.Cancel(call.id, len(call.attempts) - 1))
+                self.actions.append(actions.CancelAttempt(call.id, len(call.attempts) - 1))
 
     def review(self, now: int) -> None:
         """Now and then, widen the subset when calls pile up or fail, and narrow it when quiet."""
@@ -540,16 +559,16 @@
     def warmth(self, s: Server, now: int) -> float:
         """The least share of its capacity that a server can have by now, also if its start is ahead of us."""
         g, age = self.settings, now - s.started
-        if not s.started or age >= g.warm_up:
+        if not s.started or age >= g.slow_start_window:
             return 1.0
-        return g.cold_from + (1 - g.cold_from) * max(0, age) / max(1, g.warm_up)
+        return g.slow_start_minimum + (1 - g.slow_start_minimum) * max(0, age) / max(1, g.slow_start_window)
 
     def cold_full(self, s: Server, now: int) -> bool:
         """Whether it has had this copy's part, by what servers can do, of most that it bears."""
         warmth = self.warmth(s, now)
         if warmth >= 1 or self.retired:  # retired: the copy that took over has this one's part
             return warmth < 1
-        rate = self.best * warmth * max(1.0, COLD_PART * self.settings.fall_multiple)
+        rate = self.best * warmth * max(1.0, COLD_PART * self.settings.overload_factor)
         if s.tokens_at < 0:
             s.tokens = self.random.random()  # copies that see it at the same time don't all send at once
         else:
@@ -565,7 +584,7 @@
 
     def usable(self, s: Server, call: Call, now: int) -> bool:
         """Whether this call may go to this server now."""
-        unsafe = call.klass.repeat == UNSAFE and not self.all_unsafe
+        unsafe = call.klass.idempotency == Idempotency.NOT_IDEMPOTENT and not self.all_unsafe
         if s.ejected_until and (now < s.ejected_until or s.out or unsafe):  # later one safe call tries it
             return False
         if s.started and self.cold_full(s, now):
@@ -611,18 +630,20 @@
     def few(self, call: Call) -> list[Server] | None:
         """The servers that a call is confined to, where these are too few for draws from all to find them."""
         found: list[Server] | None = None
-        confined = call.klass.repeat == KEYED and call.klass.group != "all"
+        confined = (
+            call.klass.idempotency == Idempotency.IDEMPOTENT_WITH_KEY and call.klass.dedup_scope != "all"
+        )
         if confined and (ran := self.safety.may_have_run(call)):
-            group = self.members.group(ran[0].where, call.klass.group)
+            group = self.members.group(ran[0].where, call.klass.dedup_scope)
             found = list(group.values()) if len(group) <= LOOKS else None
-        if found is None and self.settings.one_version and call.version < self.version:
+        if found is None and self.settings.pin_endpoint_list and call.version < self.version:
             found = self.members.since(call.version)
         return found if found is not None and len(found) <= LOOKS else None
 
     def pick(self, call: Call, now: int) -> list[Server]:
         """Two random members that this call may go to; further ones only where those can't be used."""
         self.members.come_back(now)
-        while self.looks and not call.attempts and call.klass.repeat == SAFE:
+        while self.looks and not call.attempts and call.klass.idempotency == Idempotency.IDEMPOTENT:
             if (s := self.looks.pop()).side and not s.out:
                 return [s]
         even, pair = math.ceil((self.admission.out + 1) / max(1, len(self.subset))), list[Server]()
@@ -663,10 +684,10 @@
                     return [s]
         return []
 
-    def on_request(self, now: int, event: api.Request) -> None:
+    def on_request(self, now: int, event: events.RequestReceived) -> None:
         """Take a request: send it at once, or let it wait."""
-        if (klass := self.classes.get(event.klass)) is None:
-            return self.actions.append(api.Fail(event.id))
+        if (klass := self.classes.get(event.class_name)) is None:
+            return self.actions.append(actions.FailRequest(event.request_id))
         call = Call(event, klass, now)
         self.calls[call.id] = call
         self.review(now)
@@ -674,15 +695,18 @@
         seen = self.latency[klass.name]
         seen.came += 1
         call.over_share = not self.admission.within_share(call.tenant, now)
-        if self.away.parts or self.away.over_share:
-            parts = self.away.parts.get(klass.name, 0.0), self.away.over_share * call.over_share
+        if self.away.class_fractions or self.away.over_quota_fraction:
+            parts = (
+                self.away.class_fractions.get(klass.name, 0.0),
+                self.away.over_quota_fraction * call.over_share,
+            )
             # The same ones at all copies, and when they come again: else each gets in at some time, too late.
             at = zlib.crc32(b"%d %s" % (self.away.salt, event.key.encode())) / 2**32 if event.key else None
             if (self.random.random() if at is None else at) < max(parts):
                 self.turned += 1
                 return self.end(call, now, away=True)
-        share = self.settings.over_share_worth if call.over_share else 1.0
-        call.value = self.admission.value(klass.worth * share / max(1.0, seen.mean))
+        share = self.settings.over_quota_weight if call.over_share else 1.0
+        call.value = self.admission.value(klass.priority_weight * share / max(1.0, seen.mean))
         if call.give_up <= now:
             return self.end(call, now)
         call.give_up = now + UPLOAD if call.once else call.give_up
@@ -693,13 +717,13 @@
 
     def times(self, call: Call, left: int, now: int) -> None:
         """When an answer is late, and when it is worth nothing any more: then waiting only wastes work."""
-        useful = call.klass.deadline if call.klass.late_worth > 0 else call.klass.aim
+        useful = call.klass.deadline if call.klass.late_weight > 0 else call.klass.latency_objective
         call.give_up = now + max(0, min(left, int(useful * self.time_share)) - 2 * self.settings.tick)
-        call.aim_by = now + int(call.klass.aim * self.time_share)
+        call.aim_by = now + int(call.klass.latency_objective * self.time_share)
 
-    def on_body_sent(self, now: int, event: api.BodySent) -> None:
+    def on_body_sent(self, now: int, event: events.RequestBodySent) -> None:
         """A call whose body went on as it came is all there: its time counts from now."""
-        if (call := self.calls.get(event.request)) and call.out:
+        if (call := self.calls.get(event.request_id)) and call.out:
             call.attempts[-1].sent = now
             self.times(call, event.time_left, now)
             self.ends_at(call, now)
@@ -722,36 +746,40 @@
             call.version = self.version
         if server.started and self.warmth(server, now) < 1:
             server.tokens -= 1
-        ran = self.safety.may_have_run(call) if call.klass.repeat == KEYED else ()
+        ran = (
+            self.safety.may_have_run(call)
+            if call.klass.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
+            else ()
+        )
         call.attempts.append(attempt)
         call.out += 1
         self.admission.count(1, now)
         server.out[call.id, number] = attempt
         server.last_sent = now
         within = max(1, self.safety.remembered(call, ran[0]) - now) if ran else 0
-        self.actions.append(api.Send(call.id, server.id, max(1, call.give_up - now), within))
+        self.actions.append(actions.SendAttempt(call.id, server.id, max(1, call.give_up - now), within))
 
-    def on_ended(self, now: int, event: api.AttemptEnded) -> None:
+    def on_ended(self, now: int, event: events.AttemptEnded) -> None:
         """An attempt has ended: learn from it, then finish, retry or give up."""
         server = self.known.get(event.server)
-        key = event.request, event.attempt
+        key = event.request_id, event.attempt
         attempt = server.out.get(key) if server else None
         if attempt is None or server is None or attempt.result is not None:
-            if server is not None and event.finished and event.result == Result.RESET:
+            if server is not None and event.request_finished and event.result == AttemptResult.RESET:
                 self.health.note(server, True, now)  # an answer broke behind its beginning
             return
         attempt.result = event.result
-        if event.result in (Result.TIMEOUT, Result.CANCELLED):
+        if event.result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED):
             # The server may well work on: it counts as busy with the call for about as long as one takes.
             self.alarm(now, self.mean, lambda t: self.free(server, key, t))
         else:
             self.free(server, key, now)
-        if event.report and "queued" in event.report:
-            server.queued, server.reported = max(0.0, event.report["queued"]), now
+        if event.load_report and "queued" in event.load_report:
+            server.queued, server.reported = max(0.0, event.load_report["queued"]), now
         self.learn(server, event, now)
-        if (call := self.calls.get(event.request)) is not None:
+        if (call := self.calls.get(event.request_id)) is not None:
             call.out -= 1
-            if event.finished:
+            if event.request_finished:
                 self.forget(call)
             elif not call.out:
                 call.failures += 1
@@ -759,25 +787,25 @@
         self.review(now)
         self.dispatch(now)
 
-    def on_elsewhere(self, now: int, event: api.Elsewhere) -> None:
+    def on_elsewhere(self, now: int, event: events.InFlightInOtherProcess) -> None:
         """What another process of this node still has out is within the same limit."""
-        self.admission.count(event.out - self.elsewhere, now)
-        self.elsewhere = event.out
+        self.admission.count(event.count - self.elsewhere, now)
+        self.elsewhere = event.count
         self.dispatch(now)
 
-    def on_doubted(self, now: int, event: api.Doubted) -> None:
+    def on_doubted(self, now: int, event: events.PeerFailureReports) -> None:
         """What others find failing is put out by fewer failures of our own; by word alone nothing changes."""
-        for name, doubt in event.servers.items():
+        for name, doubt in event.suspicions.items():
             if server := self.servers.get(name):
                 server.doubt, server.doubted_until = min(1.0, doubt), now + DOUBTED
 
-    def on_turned_away(self, _: int, event: api.TurnedAway) -> None:
+    def on_turned_away(self, _: int, event: events.LoadSheddingLevel) -> None:
         """What is refused at once from now on, in all copies alike."""
         self.away = event
 
-    def on_zones(self, now: int, event: api.Zones) -> None:
+    def on_zones(self, now: int, event: events.ZoneWeights) -> None:
         """Zones have another part from now on; one that has none is closed, but for calls that look."""
-        before, self.parts = self.parts, {zone: part for zone, part in event.parts.items() if part < 1}
+        before, self.parts = self.parts, {zone: part for zone, part in event.weights.items() if part < 1}
         opened, self.closed = self.closed, {zone for zone, part in self.parts.items() if part <= 0}
         opened, replace = opened - self.closed, 0
         for zone in before.keys() | self.parts.keys():
@@ -793,13 +821,13 @@
                     self.members.judged(s, now)
         for _ in range(min(replace, len(self.spare))):
             self.draw(now)
-        self.looks = [self.random.choice(list(found.values())) for zone in event.look
+        self.looks = [self.random.choice(list(found.values())) for zone in event.probe_zones
                       if zone in self.closed and (found := self.members.by_zone.get(zone))]  # fmt: skip
         self.dispatch(now)
 
-    def on_cut(self, now: int, event: api.Cut) -> None:
+    def on_cut(self, now: int, event: events.SubsetAssignment) -> None:
         """Use these servers by these parts; the rest is spare.  With none of them, those in use stay."""
-        before, self.cut = self.cut, event.parts
+        before, self.cut = self.cut, event.weights
         for name in dict.fromkeys([*before, *self.cut]):
             if s := self.servers.get(name):
                 self.members.weigh(s, s.size / before.get(name, 1.0) * self.cut.get(name, 1.0), now)
@@ -828,33 +856,39 @@
         self.admission.count(-1, now)
         self.dispatch(now)
 
-    def learn(self, server: Server, event: api.AttemptEnded, now: int) -> None:
+    def learn(self, server: Server, event: events.AttemptEnded, now: int) -> None:
         """Take an outcome into health, latencies and the limit."""
-        result, call = event.result, self.calls.get(event.request)
+        result, call = event.result, self.calls.get(event.request_id)
         seen = self.latency[call.klass.name] if call else None
-        if result in (Result.OK, Result.TIMEOUT, Result.CANCELLED):
+        if result in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.CANCELLED):
             latest = min(event.latency / (seen.mean if seen else self.mean), 6.0)
             pace = self.slowness(server, now)
-            if result == Result.OK or latest > pace:  # what was called off would have taken longer
+            if result == AttemptResult.OK or latest > pace:  # what was called off would have taken longer
                 server.slowness, server.paced = pace + 0.25 * (latest - pace), now
-        if result in (Result.CANCELLED, Result.NOT_SENT):
+        if result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
             return
-        failed = result != Result.OK
+        failed = result != AttemptResult.OK
         self.failed_lately += 0.05 * (failed - self.failed_lately)
         # A server that turns calls away, or takes no more connections while it answers, is full, not sick: it
         # gets no more than it had, a little more with each answer.  If it had none it rests: it looks idle.
-        crowded = result == Result.CONNECT_FAILED and server.out and now - server.answered < SECOND
+        crowded = result == AttemptResult.CONNECT_FAILED and server.out and now - server.answered < SECOND
         before = server.ejected_until
-        if result == Result.FULL or crowded:
+        if result == AttemptResult.REJECTED or crowded:
             server.cap = max(1.0, min(server.cap, float(len(server.out))))
             if not server.out:
                 self.health.rest(server, now)
         else:
-            for _ in range(1 + (result == Result.CONNECT_FAILED)):  # none at all weighs double: it is down
+            for _ in range(
+                1 + (result == AttemptResult.CONNECT_FAILED)
+            ):  # none at all weighs double: it is down
                 self.health.note(server, failed, now)
-        if failed and result != Result.FULL and not crowded:
-            server.failed_at, server.mute = now, result == Result.TIMEOUT or event.latency > self.mean
-        if crowded or result in (Result.OK, Result.ERROR, Result.FULL):  # whatever it said, its zone is there
+        if failed and result != AttemptResult.REJECTED and not crowded:
+            server.failed_at, server.mute = now, result == AttemptResult.TIMEOUT or event.latency > self.mean
+        if crowded or result in (
+            AttemptResult.OK,
+            AttemptResult.ERROR,
+            AttemptResult.REJECTED,
+        ):  # whatever it said, its zone is there
             self.blamed.pop(server.zone, None)
         else:
             self.blame(server, now)
@@ -862,14 +896,14 @@
             self.shut(server, now)
         elif server.ejected_until != before:
             self.members.judged(server, now)
-        if result == Result.OK:
+        if result == AttemptResult.OK:
             self.answers, server.answered = self.answers + 1, now
             server.cap += 0.5 / server.cap
         if call and seen:
-            if result == Result.OK:
+            if result == AttemptResult.OK:
                 seen.note(event.latency)
                 self.mean = sum(x.mean for x in self.latency.values()) / len(self.latency)
-            allowed = max(SLOWER * seen.least, ALLOWED * call.klass.aim * self.time_share)
+            allowed = max(SLOWER * seen.least, ALLOWED * call.klass.latency_objective * self.time_share)
             self.admission.note(event.latency, seen.least, allowed, result, now)
 
     def blame(self, server: Server, now: int) -> None:
@@ -890,7 +924,12 @@
     def retry(self, call: Call, now: int) -> None:
         """Another attempt after a growing random delay, if safety, time and the budget allow it."""
         cost = UNSEEN_COST if call.attempts[-1].result in NEVER_RAN else 1.0
-        wait = call.klass.aim / BACKOFF_SHARE * 2 ** (call.failures - 1) * self.random.uniform(0.5, 1.5)
+        wait = (
+            call.klass.latency_objective
+            / BACKOFF_SHARE
+            * 2 ** (call.failures - 1)
+            * self.random.uniform(0.5, 1.5)
+        )
         allowed = now + wait < call.give_up and self.safety.may_send(call, None, now)
         if allowed and self.budget.take(now, call.tenant, cost):
             self.alarm(now, wait, lambda t: self.again(call, t))
@@ -953,7 +992,11 @@
         if call.id not in self.calls:
             return
         refused = self.safety.may_refuse(call)
-        self.actions.append(api.Refuse(call.id, self.advice(call, away)) if refused else api.Fail(call.id))
+        self.actions.append(
+            actions.RejectRequest(call.id, self.advice(call, away))
+            if refused
+            else actions.FailRequest(call.id)
+        )
         self.forget(call)
 
     def advice(self, call: Call, away: bool) -> int:
@@ -968,15 +1011,15 @@
 
     def forget(self, call: Call, streams: int = -1) -> None:
         """The request is over: what is out for it, but the attempt that streams, is work for nobody."""
-        if self.settings.cancel:
+        if self.settings.cancellation_allowed:
             for number, attempt in enumerate(call.attempts):
                 if attempt.result is None and number != streams:
-                    self.actions.append(api.Cancel(call.id, number))
+                    self.actions.append(actions.CancelAttempt(call.id, number))
         del self.calls[call.id]
         self.admission.release(call)
 
-    def on_gone(self, now: int, event: api.ClientGone | api.StreamStarted) -> None:
+    def on_gone(self, now: int, event: events.ClientDisconnected | events.ResponseStarted) -> None:
         """The client has left, or has the answer's beginning: nothing more is owed."""
-        if call := self.calls.get(event.request):
-            self.forget(call, event.attempt if isinstance(event, api.StreamStarted) else -1)
+        if call := self.calls.get(event.request_id):
+            self.forget(call, event.attempt if isinstance(event, events.ResponseStarted) else -1)
             self.dispatch(now)
--- a/oakbridge/policy/membership.py
+++ b/oakbridge/policy/membership.py
@@ -13,7 +13,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import AttemptResult, Endpoint
+from oakbridge.policy.weighted_pool import WeightedPool
 
 SECOND = 1_000_000
 SCORE_LOW, EJECT_FOR = -2.0, SECOND
@@ -29,7 +30,7 @@
                  "paced", "queued", "reported", "gone", "joined", "place", "side", "pool",
                  "slot", "doubt", "doubted_until", "failed_at", "mute")  # fmt: skip
 
-    def __init__(self, entry: api.ListedServer, size: float = 1.0) -> None:
+    def __init__(self, entry: Endpoint, size: float = 1.0) -> None:
         self.id = entry.id
         self.out: dict[tuple[int, int], Attempt] = {}  # unanswered calls, oldest first
         self.last_sent = self.answered = self.reported = self.slot = 0
@@ -37,14 +38,14 @@
         self.started, self.place = -1, ""
         self.joined = 0  # the version since which it has been listed without a break
         self.side: Side | None = None  # the subset or the spare ones, while it is listed
-        self.pool: Pool  # where it is drawn from, while it is listed
+        self.pool: WeightedPool[Server]  # where it is drawn from, while it is listed
         self.relist(entry, size)
 
-    def relist(self, entry: api.ListedServer, size: float = 1.0) -> None:
+    def relist(self, entry: Endpoint, size: float = 1.0) -> None:
         """Take changed facts over; a server that has restarted starts with a clean record."""
         self.zone, self.cell, self.size, self.gone = entry.zone, entry.cell, size, False
-        if entry.started != self.started or entry.place != self.place:
-            self.started, self.place = entry.started, entry.place
+        if entry.started_at != self.started or entry.address != self.place:
+            self.started, self.place = entry.started_at, entry.address
             self.score, self.scored_at = SCORE_LOW, 0
             self.ejected_until, self.eject_for = 0, EJECT_FOR
             self.doubt, self.doubted_until = 0.0, 0  # by others' word, 0 to 1
@@ -65,82 +66,29 @@
 
     def __init__(self, server: Server, sent: int, answers: int) -> None:
         self.server, self.sent, self.answers, self.where = server, sent, answers, (server.zone, server.cell)
-        self.result: api.Result | None = None
+        self.result: AttemptResult | None = None
         self.off = False  # called off to go elsewhere
 
 
-class Pool:
-    """Servers to draw from: one by size in constant time, by rejection inside groups of like size."""
-
-    __slots__ = ("groups", "sums", "count", "total")
-
-    def __init__(self) -> None:
-        self.groups: dict[int, list[Server]] = {}  # by the power of two that bounds their sizes
-        self.sums: dict[int, float] = {}
-        self.count, self.total = 0, 0.0
-
-    def add(self, s: Server) -> None:
-        """Put a server in; it must be in none."""
-        rank = _rank(s.size)
-        group = self.groups.setdefault(rank, [])
-        s.pool, s.slot = self, len(group)
-        group.append(s)
-        self.sums[rank] = self.sums.get(rank, 0.0) + s.size
-        self.count += 1
-        self.total += s.size
-
-    def remove(self, s: Server) -> None:
-        """Take a server out, with the size that it came with."""
-        rank = _rank(s.size)
-        group = self.groups[rank]
-        last = group.pop()
-        if last is not s:
-            group[s.slot], last.slot = last, s.slot
-        self.count -= 1
-        if not group:  # sums are set right here, so that rounding never piles up
-            del self.groups[rank], self.sums[rank]
-            self.total = sum(self.sums.values())
-        else:
-            self.sums[rank] -= s.size
-            self.total -= s.size
-
-    def draw(self, rng: random.Random) -> Server:
-        """One by size; the pool must not be empty."""
-        groups = self.groups
-        if len(groups) == 1:
-            ((rank, group),) = groups.items()
-        else:
-            left = rng.random() * sum(self.sums.values())
-            for rank, group in groups.items():  # noqa: B007
-                left -= self.sums[rank]
-                if left < 0:
-                    break
-        top = 2.0**rank
-        while True:
-            s = group[int(rng.random() * len(group))]
-            if s.size == top or rng.random() * top < s.size:
-                return s
-
-
-def _rank(size: float) -> int:
-    mantissa, exponent = math.frexp(size)
-    return exponent - (mantissa == 0.5)
-
-
 class Side:
     """The subset, or the spare servers: pools of (own zone, the rest), each with one of the ejected."""
 
     __slots__ = ("near", "far", "near_out", "far_out", "cursor")
 
     def __init__(self) -> None:
-        self.near, self.far, self.near_out, self.far_out = Pool(), Pool(), Pool(), Pool()
+        self.near, self.far, self.near_out, self.far_out = (
+            WeightedPool[Server](),
+            WeightedPool[Server](),
+            WeightedPool[Server](),
+            WeightedPool[Server](),
+        )
         self.cursor = 0
 
     def __len__(self) -> int:
         """All members, the ejected among them."""
         return self.near.count + self.far.count + self.near_out.count + self.far_out.count
 
-    def pools(self, whole: bool) -> tuple[Pool, ...]:
+    def pools(self, whole: bool) -> tuple[WeightedPool[Server], ...]:
         """Those to draw from; ``whole``: with the ejected."""
         return (self.near, self.far, self.near_out, self.far_out) if whole else (self.near, self.far)
 
@@ -238,14 +186,14 @@
             self._index(s, (s.zone, s.cell, s.joined), gone=True)
             s.side = None
 
-    def relist(self, s: Server, entry: api.ListedServer, size: float, joined: int, now: int) -> None:
+    def relist(self, s: Server, entry: Endpoint, size: float, joined: int, now: int) -> None:
         """Take changed facts over; ``joined``: the version of the list since which it is on it."""
         if s.id not in self.servers or (side := s.side) is None:
             s.relist(entry, size)
             s.joined = joined
             return
         same = (s.zone, s.cell, s.size, s.joined) == (entry.zone, entry.cell, size, joined)
-        if same and s.started == entry.started and s.place == entry.place:
+        if same and s.started == entry.started_at and s.place == entry.address:
             s.gone = False
             return
         s.pool.remove(s)
--- a/oakbridge/simhost/adapter.py
+++ b/oakbridge/simhost/adapter.py
@@ -18,11 +18,39 @@
 from typing import Any, TextIO
 
 from oakbridge.node.settings import NUMBER, is_kind, kind_name, read_settings
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    FetchList,
+    Log,
+    Probe,
+    RejectRequest,
+    Release,
+    SendAttempt,
+    SetTimer,
+    Tell,
+    WatchEndpoints,
+)
 from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    PeerMessage,
+    ProbeAnswered,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from oakbridge.policy.settings import SettingsError
 
-_STATE = {"on": api.UP, "fading": api.DRAINING, "off": api.GONE}
-_RESULT = {int(r): r for r in api.Result}
+_STATE = {"on": EndpointState.UP, "fading": EndpointState.DRAINING, "off": EndpointState.GONE}
+_RESULT = {int(r): r for r in AttemptResult}
 
 
 class WireError(Exception):
@@ -36,17 +64,17 @@
         """Start with no instance."""
         self._nodes: dict[int, Balancer | None] = {}  # None: killed, or failed
         self._names: dict[int, tuple[str, ...]] = {}
-        self._pages: dict[int, list[api.ListedServer]] = {}
+        self._pages: dict[int, list[Endpoint]] = {}
         self._now = 0
         self._out: list[str] = []
-        self._readers: dict[str, Callable[[dict[str, Any], int], api.Event]] = {
+        self._readers: dict[str, Callable[[dict[str, Any], int], Event]] = {
             "knock": self._request,
             "done": self._ended,
-            "reminder": lambda m, _: api.TimerFired(m["label"]),
-            "client-left": lambda m, _: api.ClientGone(m["op-id"]),
-            "established": lambda m, _: api.StreamStarted(m["op-id"], m["send-no"]),
+            "reminder": lambda m, _: TimerFired(m["label"]),
+            "client-left": lambda m, _: ClientDisconnected(m["op-id"]),
+            "established": lambda m, _: ResponseStarted(m["op-id"], m["send-no"]),
             "sampled": self._probed,
-            "from-peer": lambda m, _: api.PeerMessage(m["by"], m["data"]),
+            "from-peer": lambda m, _: PeerMessage(m["by"], m["data"]),
             "update": self._list,
         }
 
@@ -105,7 +133,7 @@
             settings = read_settings(m["settings"])
             self._nodes[node] = Balancer(settings, m["random-seed"])
             self._names[node] = settings.report_names
-        except api.SettingsError as e:
+        except SettingsError as e:
             self._nodes[node] = None
             self._fault(node, str(e))
 
@@ -113,8 +141,8 @@
         self._nodes[node] = None
         self._out.append(json.dumps({"msg": "fault", "node-id": node, "text": text}) + "\n")
 
-    def _request(self, m: dict[str, Any], _: int) -> api.Request:
-        return api.Request(
+    def _request(self, m: dict[str, Any], _: int) -> RequestReceived:
+        return RequestReceived(
             m["op-id"],
             m["category"],
             m["patience-left"],
@@ -133,11 +161,11 @@
         named = zip(self._names[node], stats, strict=False)
         return {name: float(value) for name, value in named if is_kind(value, NUMBER)}
 
-    def _ended(self, m: dict[str, Any], node: int) -> api.AttemptEnded:
+    def _ended(self, m: dict[str, Any], node: int) -> AttemptEnded:
         code = m["disposition"]
         if code not in _RESULT:
             raise WireError(f"done: disposition: expected an outcome's code, got {code!r}")
-        return api.AttemptEnded(
+        return AttemptEnded(
             m["op-id"],
             m.get("send-no") or 0,
             m["server"],
@@ -147,20 +175,20 @@
             self._report(m, node),
         )
 
-    def _probed(self, m: dict[str, Any], node: int) -> api.ProbeAnswered:
-        ok = m["disposition"] == api.Result.OK
-        return api.ProbeAnswered(m["server"], ok, m.get("latency") or 0, self._report(m, node))
+    def _probed(self, m: dict[str, Any], node: int) -> ProbeAnswered:
+        ok = m["disposition"] == AttemptResult.OK
+        return ProbeAnswered(m["server"], ok, m.get("latency") or 0, self._report(m, node))
 
-    def _list(self, m: dict[str, Any], _: int) -> api.ServerList:
+    def _list(self, m: dict[str, Any], _: int) -> EndpointListReceived:
         mode = m["mode"]
         if mode == "lost":
-            return api.ServerList(lost=True)
+            return EndpointListReceived(failed=True)
         if mode not in ("incr", "total", "warm_copy"):
             raise WireError(f"update: mode: expected incr, total, warm_copy or lost, got {mode!r}")
         number = m.get("roster-id")
         if number not in self._pages:
             raise WireError(f"update: roster-id: list {number!r} was never given")
-        return api.ServerList(self._pages[number], whole=mode != "incr", saved=mode == "warm_copy")
+        return EndpointListReceived(self._pages[number], complete=mode != "incr", cached=mode == "warm_copy")
 
 
 _NODE = ("node-id", int, True)
@@ -209,7 +237,7 @@
             raise WireError(f"{what}: {name}: expected {kind_name(kind)}, got {value!r:.80}")
 
 
-def _listed(e: Any, place: int) -> api.ListedServer:
+def _listed(e: Any, place: int) -> Endpoint:
     what = f"page: entries[{place}]"
     if not isinstance(e, dict):
         raise WireError(f"{what}: expected an object, got {e!r:.80}")
@@ -217,7 +245,7 @@
     state = e.get("availability") or "on"
     if state not in _STATE:
         raise WireError(f"{what}: availability: expected on, fading or off, got {state!r}")
-    return api.ListedServer(
+    return Endpoint(
         e["server"],
         _STATE[state],
         e.get("locality") or "",
@@ -227,35 +255,35 @@
     )
 
 
-def _encode(node: int, a: api.Action) -> str:
+def _encode(node: int, a: Action) -> str:
     """One action as a line; the common ones are written by hand, as servers' names need no escapes."""
-    if type(a) is api.SetTimer:
+    if type(a) is SetTimer:
         return f'{{"msg":"after","node-id":{node},"offset":{a.delay},"label":{a.token}}}\n'
-    if type(a) is api.Send:
+    if type(a) is SendAttempt:
         return (
-            f'{{"msg":"transmit","node-id":{node},"op-id":{a.request},'
+            f'{{"msg":"transmit","node-id":{node},"op-id":{a.request_id},'
             f'"server":{json.dumps(a.server)},"cap":{a.timeout}}}\n'
         )
     m: dict[str, Any]
-    if type(a) is api.Refuse:
-        m = {"msg": "reject", "op-id": a.request}
+    if type(a) is RejectRequest:
+        m = {"msg": "reject", "op-id": a.request_id}
         if a.retry_after:
             m["hold-off"] = a.retry_after
-    elif type(a) is api.Fail:
-        m = {"msg": "surrender", "op-id": a.request}
-    elif type(a) is api.Cancel:
-        m = {"msg": "cancel", "op-id": a.request, "send-no": a.attempt}
-    elif type(a) is api.Watch:
+    elif type(a) is FailRequest:
+        m = {"msg": "surrender", "op-id": a.request_id}
+    elif type(a) is CancelAttempt:
+        m = {"msg": "cancel", "op-id": a.request_id, "send-no": a.attempt}
+    elif type(a) is WatchEndpoints:
         m = {"msg": "watch", "on": a.on}
-    elif type(a) is api.FetchList:
+    elif type(a) is FetchList:
         m = {"msg": "fetch"}
-    elif type(a) is api.Tell:
+    elif type(a) is Tell:
         m = {"msg": "broadcast-to", "to": a.to, "data": a.text}
-    elif type(a) is api.Probe:
+    elif type(a) is Probe:
         m = {"msg": "inspect", "server": a.server}
-    elif type(a) is api.Release:
+    elif type(a) is Release:
         m = {"msg": "release", "server": a.server}
-    elif type(a) is api.Log:
+    elif type(a) is Log:
         m = {"msg": "remark", "text": a.text}
     else:
         raise TypeError(f"no wire form for {a!r}")
--- a/oakbridge/sip/front.py
+++ b/oakbridge/sip/front.py
@@ -16,7 +16,8 @@
 from oakbridge.node.clock import Timer
 from oakbridge.node.listing import Address, Listing
 from oakbridge.node.node import Node
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import Action
+from oakbridge.policy.events import EndpointState
 from oakbridge.sip import proxy as core
 from oakbridge.sip.framing import PONG, Stream
 from oakbridge.sip.message import MAX_MESSAGE, BadMessage
@@ -133,7 +134,7 @@
         """Whether a request of the module's came in here."""
         return request in self.proxy.by_id
 
-    def carry_out(self, action: api.Action) -> None:
+    def carry_out(self, action: Action) -> None:
         """One action of the module."""
         self._do(self.proxy.carry_out(self.node.clock.now(), action))
 
@@ -142,7 +143,7 @@
         if listing.whole:
             self.proxy.servers = {}
         for entry in listing.entries:
-            if entry.server.state == api.GONE:
+            if entry.server.state == EndpointState.GONE:
                 self.proxy.servers.pop(entry.server.id, None)
             else:
                 host, port = entry.address
--- a/oakbridge/sip/proxy.py
+++ b/oakbridge/sip/proxy.py
@@ -23,8 +23,16 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from oakbridge.policy import vocabulary as api
-from oakbridge.policy.vocabulary import Result
+from oakbridge.policy.actions import Action as PolicyAction
+from oakbridge.policy.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
+from oakbridge.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Event,
+    RequestReceived,
+    ResponseStarted,
+)
 from oakbridge.sip import message as m
 from oakbridge.sip.transaction import LONG, Kind, Transaction, group
 
@@ -65,7 +73,7 @@
 class Post:
     """Tell the module."""
 
-    event: api.Event
+    event: Event
 
 
 Action = Transmit | Post
@@ -154,19 +162,19 @@
     at: int | None = None
 
 
-def outcome(status: int, first: bool) -> Result | None:
+def outcome(status: int, first: bool) -> AttemptResult | None:
     """What a final answer means to the module; None: it is the request's answer, and none of the server's doing.
 
     ``first``: no provisional came before it.  A 503 that comes first says that the server has not taken the request
     on (21.5.4); behind a provisional it may have.  408 and 504 come from behind: something may have run there.
     """
     if status < 300:
-        return Result.OK
+        return AttemptResult.OK
     if status == 503 and first:
-        return Result.FULL
+        return AttemptResult.REJECTED
     if status in FAULTS:
-        return Result.ERROR
-    return Result.TIMEOUT if status in MAY_HAVE_RUN_LATE else None
+        return AttemptResult.ERROR
+    return AttemptResult.TIMEOUT if status in MAY_HAVE_RUN_LATE else None
 
 
 class Proxy:
@@ -342,7 +350,7 @@
         self.by_id[call.id] = call
         tenant = request.get(self.settings.tenant_header) if self.settings.tenant_header else ""
         key = request.get(self.settings.key_header) if self.settings.key_header else ""
-        self._post(api.Request(call.id, klass, self.settings.deadlines[klass], tenant, False, key))
+        self._post(RequestReceived(call.id, klass, self.settings.deadlines[klass], tenant, False, key))
 
     def _own_routes(self, request: m.Request) -> list[str]:
         """Take our own entry off the Route; returns the dialog's server, if it names one (16.4, 16.6 step 6)."""
@@ -430,7 +438,7 @@
             return  # too late, or once more: nothing changes
         call.cancelled = True
         if call.id:
-            self._post(api.ClientGone(call.id))
+            self._post(ClientDisconnected(call.id))
         out = [b for b in call.branches if not b.given_up and not b.txn.over]
         for branch in out:
             branch.limit = min(branch.limit, now + LONG)  # section 9.1: so long for the INVITE's own answer
@@ -457,29 +465,31 @@
 
     # ---- what the module wants
 
-    def carry_out(self, now: int, action: api.Action) -> list[Action]:
+    def carry_out(self, now: int, action: PolicyAction) -> list[Action]:
         """One action of the module, about a request of ours."""
-        if isinstance(action, api.Send):
+        if isinstance(action, SendAttempt):
             self._send(action, now)
-        elif isinstance(action, api.Refuse):
+        elif isinstance(action, RejectRequest):
             seconds = max(1, -(-action.retry_after // SECOND))
-            self._give_up(action.request, 503, now, [("retry-after", str(seconds))])
-        elif isinstance(action, api.Fail):
-            self._give_up(action.request, 500, now)
-        elif isinstance(action, api.Cancel):
-            call = self.by_id.get(action.request)
+            self._give_up(action.request_id, 503, now, [("retry-after", str(seconds))])
+        elif isinstance(action, FailRequest):
+            self._give_up(action.request_id, 500, now)
+        elif isinstance(action, CancelAttempt):
+            call = self.by_id.get(action.request_id)
             for branch in call.branches if call is not None else []:
                 if branch.number == action.attempt and not branch.ended and not call_waits(branch):
-                    self._abandon(branch, Result.CANCELLED, now)
+                    self._abandon(branch, AttemptResult.CANCELLED, now)
         return self._done()
 
-    def _send(self, action: api.Send, now: int) -> None:
-        call, peer = self.by_id.get(action.request), self.servers.get(action.server)
+    def _send(self, action: SendAttempt, now: int) -> None:
+        call, peer = self.by_id.get(action.request_id), self.servers.get(action.server)
         number = len(call.branches) if call is not None else 0
         out = call is not None and any(not b.ended for b in call.branches)
         if call is None or call.final or call.cancelled or out:
             # Guards two rules: nothing is sent for what is over, and no two attempts are out at once.
-            self._post(api.AttemptEnded(action.request, number, action.server, Result.NOT_SENT, 0, True))
+            self._post(
+                AttemptEnded(action.request_id, number, action.server, AttemptResult.NOT_SENT, 0, True)
+            )
             return
         request = self._copy(call.request, record=call.request.method in FORMING, server=action.server)
         kind = Kind.CLIENT_INVITE if request.method == "INVITE" else Kind.CLIENT_OTHER
@@ -488,7 +498,7 @@
         branch = Branch(call, number, action.server, target, request, txn, now, now + action.timeout)
         call.branches.append(branch)
         if peer is None:  # it was listed no more when this was decided
-            return self._end(branch, Result.CONNECT_FAILED, now)
+            return self._end(branch, AttemptResult.CONNECT_FAILED, now)
         self.clients[_client_key(request)] = branch
         for verb in txn.begin(now):
             self._verb(branch, verb, None, now)
@@ -502,25 +512,25 @@
     def _out_of_time(self, branch: Branch, now: int) -> None:
         """The module's time for an attempt is over, or the wait for a cancelled one."""
         call = branch.owner
-        self._abandon(branch, Result.TIMEOUT, now)
+        self._abandon(branch, AttemptResult.TIMEOUT, now)
         if not call.final and (call.cancelled or branch.early):
             # Cancelled: section 9.1 lets the transaction end here.  Ringing that never ends: Timer C (16.8).
             self._answer(call, 487 if call.cancelled else 408, now)
 
-    def _abandon(self, branch: Branch, result: Result, now: int) -> None:
+    def _abandon(self, branch: Branch, result: AttemptResult, now: int) -> None:
         """Nothing that it says counts any more; an INVITE is called off, a 2xx all the same is ended (see _late)."""
         branch.given_up = True
         branch.txn.quiet()
         self._cancel_branch(branch, now)
         self._end(branch, result, now)
 
-    def _end(self, branch: Branch, result: Result, now: int, finished: bool = False) -> None:
+    def _end(self, branch: Branch, result: AttemptResult, now: int, finished: bool = False) -> None:
         """Tell the module how an attempt ended, once."""
         if branch.ended:
             return
         branch.ended = True
         took = now - branch.sent
-        self._post(api.AttemptEnded(branch.owner.id, branch.number, branch.server, result, took, finished))
+        self._post(AttemptEnded(branch.owner.id, branch.number, branch.server, result, took, finished))
 
     # ---- answers from servers
 
@@ -569,7 +579,13 @@
             return
         # Never ran only if the one datagram was refused: an earlier one may have reached a server that died since.
         never = verb == "error" and not owner.provisional and not owner.peer.reliable and owner.sends == 1
-        result = Result.TIMEOUT if verb == "timeout" else Result.CONNECT_FAILED if never else Result.RESET
+        result = (
+            AttemptResult.TIMEOUT
+            if verb == "timeout"
+            else AttemptResult.CONNECT_FAILED
+            if never
+            else AttemptResult.RESET
+        )
         call = owner.owner
         owner.given_up = True
         self._end(owner, result, now)
@@ -587,21 +603,21 @@
                 if not branch.early:
                     # It rings: from here on nobody else may be asked, and the wait is Timer C's.
                     branch.early = True
-                    self._post(api.StreamStarted(call.id, branch.number))
+                    self._post(ResponseStarted(call.id, branch.number))
                 branch.limit = max(branch.limit, now + TIMER_C)
                 self._back(call, response, now)
             return
         if response.status < 300 and (branch.given_up or (call.final and call.winner is not branch)):
             self._late(branch, response, now)
-            return self._end(branch, Result.CANCELLED, now)
+            return self._end(branch, AttemptResult.CANCELLED, now)
         if branch.given_up or (call.final and response.status >= 300):
-            return self._end(branch, Result.CANCELLED, now)
+            return self._end(branch, AttemptResult.CANCELLED, now)
         result = outcome(response.status, not branch.provisional)
-        if result is Result.OK or result is None or branch.early or call.cancelled:
-            call.winner = branch if result is Result.OK else None
+        if result is AttemptResult.OK or result is None or branch.early or call.cancelled:
+            call.winner = branch if result is AttemptResult.OK else None
             self._back(call, response, now)
-            told = result if result is not None else Result.NOT_SENT
-            return self._end(branch, Result.CANCELLED if call.cancelled else told, now, finished=True)
+            told = result if result is not None else AttemptResult.NOT_SENT
+            return self._end(branch, AttemptResult.CANCELLED if call.cancelled else told, now, finished=True)
         branch.given_up = True
         self._end(branch, result, now)
 
@@ -667,7 +683,7 @@
     def _sent_by(self) -> str:
         return f"{self.settings.host}:{self.settings.port}"
 
-    def _post(self, event: api.Event) -> None:
+    def _post(self, event: Event) -> None:
         self._out.append(Post(event))
 
     def _tag(self) -> str:
--- a/oakbridge/sites/beside.py
+++ b/oakbridge/sites/beside.py
@@ -15,7 +15,7 @@
 from oakbridge.control.errors import RequestRejectedError
 from oakbridge.node.node import Node
 from oakbridge.peers.service import MembershipService
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import LoadSheddingLevel, ZoneWeights
 from oakbridge.policy.view import zones
 from oakbridge.sites.core import WINDOW, Counts, Decision, Heard, Rates, Sites, UnknownSite
 
@@ -87,10 +87,10 @@
             )  # fmt: skip
         before = self._said
         if before is None or decision.parts != before.parts or decision.look:
-            node.post(api.Zones(decision.parts, decision.look))
+            node.post(ZoneWeights(decision.parts, decision.look))
         if before is None or (decision.away, decision.salt) != (before.away, before.salt):
             away = dict(decision.away)
-            node.post(api.TurnedAway(away, away.pop("", 0.0), decision.salt))
+            node.post(LoadSheddingLevel(away, away.pop("", 0.0), decision.salt))
         self._said = decision
 
     # ---- what operators ask
--- a/oakbridge/sources/files.py
+++ b/oakbridge/sources/files.py
@@ -23,7 +23,7 @@
 from typing import Any, TypeVar
 
 from oakbridge.node.listing import ConfigError, Entry, Listener, Listing
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources import versions as v
 from oakbridge.sources.formats import (
     ENDINGS,
@@ -177,7 +177,7 @@
         if count % 64 == 0:
             rest()
         s = entry.server
-        row = [s.id, s.state, s.zone, s.cell, s.size, s.started, *entry.address]
+        row = [s.id, s.state, s.zone, s.cell, s.weight, s.started_at, *entry.address]
         parts.append(json.dumps(row))
     data = "\n".join(parts).encode() + b"\n"
     data += b"# sha256: " + hashlib.sha256(data).hexdigest().encode() + b"\n"
@@ -222,7 +222,7 @@
             raise ValueError(f"expected format {SAVED_FORMAT}, got {head['format']!r}")
         servers = {}
         for name, state, zone, cell, size, started, host, port in rows:
-            server = api.ListedServer(name, state, zone, cell, size, started, f"{host}:{port}")
+            server = Endpoint(name, state, zone, cell, size, started, f"{host}:{port}")
             servers[name] = Entry(server, (host, port))
         return v.Version(head["number"], head["digest"], servers)
     except (ValueError, KeyError, TypeError) as e:
@@ -486,7 +486,7 @@
         for start in range(0, len(entries), SLICE):
             self._listener.prepare(entries[start : start + SLICE])
             await asyncio.sleep(0)
-        gone = [Entry(api.ListedServer(name, api.GONE), ("0.0.0.0", 0)) for name in change.gone]
+        gone = [Entry(Endpoint(name, EndpointState.GONE), ("0.0.0.0", 0)) for name in change.gone]
         self._listener.listed(Listing(action.version.number, whole, entries + gone))
         self._do(self.versions.applied(self.now(), action.version.number))
         self.decided.set()
--- a/oakbridge/sources/formats.py
+++ b/oakbridge/sources/formats.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from oakbridge.node.listing import Address, ConfigError, Entry, parse_address
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import Endpoint, EndpointState
 
 MAX_BYTES = 16 * 1024 * 1024  # of one file
 MAX_FILES = 256  # of one directory
@@ -28,7 +28,7 @@
 ENDINGS = (".json", ".toml")
 
 _CHECKSUM = re.compile(rb"\n?#[ \t]*sha256:[ \t]*([0-9a-fA-F]{64})[ \t]*\r?\n?\Z")
-_STATES = {"ready": api.UP, "up": api.UP, "draining": api.DRAINING}
+_STATES = {"ready": EndpointState.UP, "up": EndpointState.UP, "draining": EndpointState.DRAINING}
 BOM = b"\xef\xbb\xbf"
 
 Path = tuple[str | int, ...]
@@ -135,11 +135,11 @@
             return 0
         return value
 
-    def state(self, raw: dict[str, Any], path: Path, key: str) -> str:
+    def state(self, raw: dict[str, Any], path: Path, key: str) -> EndpointState:
         value = raw.get(key, "ready")
         if not isinstance(value, str) or value not in _STATES:
             self.problem((*path, key), "expected ready or draining" + _got(value))
-            return api.UP
+            return EndpointState.UP
         return _STATES[value]
 
     def since(self, raw: dict[str, Any], path: Path) -> int | None:
@@ -168,7 +168,7 @@
             self.problem((*path, names.get("address", "address")), str(e))
         if since is None:
             since = self.since(raw, path)
-        server = api.ListedServer(
+        server = Endpoint(
             name,
             self.state(raw, path, names.get("state", "state")),
             self.text(raw, path, "zone"),
@@ -319,7 +319,7 @@
     _check_addresses(parsed, name)
     if len(parsed.servers) > MAX_SERVERS:
         parsed.problems.append(Problem(name, (), f"expected at most {MAX_SERVERS} servers"))
-    if not parsed.problems and not any(e.server.state == api.UP for e in parsed.servers.values()):
+    if not parsed.problems and not any(e.server.state == EndpointState.UP for e in parsed.servers.values()):
         parsed.problems.append(Problem(name, (), "expected at least one server that is ready"))
     if parsed.problems:
         parsed.servers = {}
@@ -332,5 +332,5 @@
     for name, entry in parsed.servers.items():
         other = by_address.setdefault(entry.address, name)
         if other != name and entry.address[1] and len(parsed.problems) < MAX_PROBLEMS:
-            expected = f"expected an address of its own, got {entry.server.place}"
+            expected = f"expected an address of its own, got {entry.server.address}"
             parsed.problems.append(Problem(file, (), f"{name}: {expected}, which {other} has"))
--- a/oakbridge/sources/versions.py
+++ b/oakbridge/sources/versions.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 
 from oakbridge.node.listing import Entry
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import EndpointState
 from oakbridge.sources.formats import Parsed, Problem
 
 MS = 1000
@@ -153,8 +153,8 @@
         before = old.get(name)
         if name not in parsed.dated:
             other = before is None or before.address != entry.address
-            started = (now if base is not None else 0) if other else before.server.started  # type: ignore[union-attr]
-            entry = Entry(dataclasses.replace(entry.server, started=started), entry.address)
+            started = (now if base is not None else 0) if other else before.server.started_at  # type: ignore[union-attr]
+            entry = Entry(dataclasses.replace(entry.server, started_at=started), entry.address)
         if before is None:
             added.append(name)
         elif before == entry:
@@ -167,10 +167,12 @@
     for count, (name, before) in enumerate(old.items()):
         if count % 64 == 0:
             pause()
-        if before.server.state == api.UP:
+        if before.server.state == EndpointState.UP:
             of += 1
             now_is = servers.get(name)
-            lost += now_is is None or now_is.server.state != api.UP or now_is.address != before.address
+            lost += (
+                now_is is None or now_is.server.state != EndpointState.UP or now_is.address != before.address
+            )
     gone = tuple(name for name in old if name not in servers)
     return Change(
         base.number if base else 0,
--- a/oakbridge/spread/beside.py
+++ b/oakbridge/spread/beside.py
@@ -10,7 +10,7 @@
 
 from oakbridge.node.node import Node
 from oakbridge.peers.service import MembershipService
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import SubsetAssignment
 from oakbridge.policy.view import listed
 from oakbridge.spread.core import Copy, Rate, Spread
 
@@ -97,7 +97,7 @@
             found = self.spread.look(*given)
         if found is not None:
             log.info("servers divided: %d of %d for this node", len(found) or len(servers), len(servers))
-            self.node.post(api.Cut(found))
+            self.node.post(SubsetAssignment(found))
 
     # ---- what operators ask
 
--- a/oakbridge/workers/share.py
+++ b/oakbridge/workers/share.py
@@ -36,9 +36,9 @@
     s = config.settings
     settings = replace(
         s,
-        instances=s.instances * workers,
+        replica_count=s.replica_count * workers,
         retry_floor=s.retry_floor / workers,
-        max_open=max(1, s.max_open // workers) if s.max_open else 0,
+        max_open_requests=max(1, s.max_open_requests // workers) if s.max_open_requests else 0,
     )
     return replace(
         config,
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -59,12 +59,12 @@
         ("127.0.0.1", 8080),
         (("127.0.0.1", 8081),),
     )
-    assert (config.seed, config.discovery, settings.one_version) == (5, None, True)
+    assert (config.seed, config.discovery, settings.pin_endpoint_list) == (5, None, True)
     first, second = settings.classes
-    assert (first.name, first.aim, first.deadline, first.worth, first.repeat) == (
+    assert (first.name, first.latency_objective, first.deadline, first.priority_weight, first.idempotency) == (
         "car-nearby", 2_500_000, 6_000_000, 3.0, "safe",
     )  # fmt: skip
-    assert (second.repeat, second.repeat_window, second.group) == ("keyed", 30_000_000, "cell")
+    assert (second.idempotency, second.dedup_window, second.dedup_scope) == ("keyed", 30_000_000, "cell")
     assert settings.tenants[0].quota_per_s == 20
     assert (settings.retry_ratio, settings.retry_floor, settings.retry_window) == (0.1, 0.1, 10)
     assert got.control == default_socket_path("n1")
@@ -138,7 +138,7 @@
         'file = "servers.toml"', 'inline = [\n{name = "a", address = "127.0.0.1:1", weight = 2},\n]'
     )
     [entry] = inline_entries(check(text.encode(), "f"))
-    assert (entry.server.id, entry.server.size, entry.address) == ("a", 2.0, ("127.0.0.1", 1))
+    assert (entry.server.id, entry.server.weight, entry.address) == ("a", 2.0, ("127.0.0.1", 1))
     [(line, field, says)] = problems(text.replace('"127.0.0.1:1"', '"x"'))
     assert (line, field) == (8, "servers.inline[0].address") and "IPv4" in says
 
--- a/tests/formats/test_node_trace.py
+++ b/tests/formats/test_node_trace.py
@@ -17,7 +17,7 @@
 
 from oakbridge.node.settings import read_settings
 from oakbridge.node.trace_format import RESULT_NAMES, encode_settings
-from oakbridge.policy.vocabulary import Result
+from oakbridge.policy.events import AttemptResult
 
 ROOT = Path(__file__).parents[2]
 FIXTURE = Path(__file__).parent / "fixtures" / "node" / "trace.log"
@@ -140,4 +140,4 @@
     assert len(encoded["classes"][0]) == len(fields(settings.classes[0]))
     assert len(encoded["goal"]) == len(fields(settings.goal))
     assert len(encoded["prices"]) == len(fields(settings.prices))
-    assert set(RESULT_NAMES) == set(Result)
+    assert set(RESULT_NAMES) == set(AttemptResult)
--- a/tests/formats/test_policy_state.py
+++ b/tests/formats/test_policy_state.py
@@ -10,44 +10,37 @@
 from test_balancer import Driver
 
 from oakbridge.policy import state
-from oakbridge.policy import vocabulary as api
-from oakbridge.policy.vocabulary import (
-    AttemptEnded,
-    ListedServer,
-    Request,
-    RequestClass,
-    Result,
-    Send,
-    Tenant,
-)
+from oakbridge.policy.actions import SendAttempt
+from oakbridge.policy.events import AttemptEnded, AttemptResult, Endpoint, RequestReceived
+from oakbridge.policy.settings import Idempotency, ReportSource, RequestClass, Tenant
 
 FIXTURES = Path(__file__).parent / "fixtures" / "policy_state"
 LISTED_AT_US = 50_000_000
 SETTINGS = {
     "classes": (
-        RequestClass("read", 1_000_000, 4_000_000, 1, 0.5, api.SAFE),
-        RequestClass("pay", 1_000_000, 4_000_000, 5, 0.5, api.UNSAFE),
+        RequestClass("read", 1_000_000, 4_000_000, 1, 0.5, Idempotency.IDEMPOTENT),
+        RequestClass("pay", 1_000_000, 4_000_000, 5, 0.5, Idempotency.NOT_IDEMPOTENT),
     ),
     "tenants": (Tenant("gold", 20.0, 0.5), Tenant("tin", 5.0, 0.1)),
-    "instances": 10,
-    "cold_from": 0.2,
-    "warm_up": 20_000_000,
-    "report_source": api.ANSWERS,
+    "replica_count": 10,
+    "slow_start_minimum": 0.2,
+    "slow_start_window": 20_000_000,
+    "report_source": ReportSource.RESPONSES,
     "report_names": ("queued", "in_flight"),
 }
 STARTED_AT_US = {"s6": LISTED_AT_US}  # by server; the others have run since 0
 SERVERS = [
-    ListedServer(
+    Endpoint(
         f"s{i}",
         zone=f"z{i % 2}",
-        size=1.0 + i % 2,
-        started=STARTED_AT_US.get(f"s{i}", 0),
-        place=f"10.0.0.{i}:80",
+        weight=1.0 + i % 2,
+        started_at=STARTED_AT_US.get(f"s{i}", 0),
+        address=f"10.0.0.{i}:80",
     )
     for i in range(10)
 ]
 # The results of attempts by server; the others answer OK.
-ANSWERS = {"s1": Result.ERROR, "s2": Result.FULL, "s3": Result.TIMEOUT}
+ANSWERS = {"s1": AttemptResult.ERROR, "s2": AttemptResult.REJECTED, "s3": AttemptResult.TIMEOUT}
 
 
 def copy_of_a_node(seed: int) -> Driver:
@@ -64,22 +57,22 @@
     for number in range(1, 121):
         driver.run_to(driver.now + 25_000)
         klass, tenant = ("pay" if number % 3 == 0 else "read"), ("gold", "tin", "")[number % 5 % 3]
-        driver.feed(Request(number, klass, 4_000_000, tenant))
-        while sends := driver.of(Send)[attempts.total() :]:
+        driver.feed(RequestReceived(number, klass, 4_000_000, tenant))
+        while sends := driver.of(SendAttempt)[attempts.total() :]:
             for send in sends:
-                answer_to(driver, send, attempts[send.request])
-                attempts[send.request] += 1
+                answer_to(driver, send, attempts[send.request_id])
+                attempts[send.request_id] += 1
     return driver
 
 
-def answer_to(driver: Driver, send: Send, attempt: int) -> None:
+def answer_to(driver: Driver, send: SendAttempt, attempt: int) -> None:
     """End an attempt, as its server does with every second of them."""
     latency = 20_000 + 1_000 * int(send.server[1:])
     driver.run_to(driver.now + latency)
-    result = ANSWERS.get(send.server, Result.OK) if send.request % 2 else Result.OK
-    finished = result == Result.OK
-    report = {"queued": float(send.request % 3), "in_flight": 1.0}
-    driver.feed(AttemptEnded(send.request, attempt, send.server, result, latency, finished, report))
+    result = ANSWERS.get(send.server, AttemptResult.OK) if send.request_id % 2 else AttemptResult.OK
+    finished = result == AttemptResult.OK
+    report = {"queued": float(send.request_id % 3), "in_flight": 1.0}
+    driver.feed(AttemptEnded(send.request_id, attempt, send.server, result, latency, finished, report))
 
 
 def written(saved: object) -> str:
--- a/tests/formats/test_sources.py
+++ b/tests/formats/test_sources.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from oakbridge.node.listing import Entry
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources.files import load_saved, save
 from oakbridge.sources.versions import Version
 
@@ -13,11 +13,11 @@
 def version():
     servers = [
         Entry(
-            api.ListedServer("s1", api.UP, "a", 1, 1.0, 1_700_000_000_000_000, "10.0.0.1:9000"),
+            Endpoint("s1", EndpointState.UP, "a", 1, 1.0, 1_700_000_000_000_000, "10.0.0.1:9000"),
             ("10.0.0.1", 9000),
         ),
-        Entry(api.ListedServer("s2", api.DRAINING, "b", 0, 2.5, 0, "10.0.0.2:9000"), ("10.0.0.2", 9000)),
-        Entry(api.ListedServer("näm", api.UP, "", 0, 0.5, 0, "::1:9000"), ("::1", 9000)),
+        Entry(Endpoint("s2", EndpointState.DRAINING, "b", 0, 2.5, 0, "10.0.0.2:9000"), ("10.0.0.2", 9000)),
+        Entry(Endpoint("näm", EndpointState.UP, "", 0, 0.5, 0, "::1:9000"), ("::1", 9000)),
     ]
     return Version(12, "4b2f" + "0" * 60, {entry.server.id: entry for entry in servers})
 
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -6,10 +6,10 @@
 from test_balancer import PAY, READ, Driver
 
 from oakbridge.policy import state
-from oakbridge.policy import vocabulary as api
-from oakbridge.policy.vocabulary import ListedServer, Send
+from oakbridge.policy.actions import SendAttempt
+from oakbridge.policy.events import Endpoint, InFlightInOtherProcess
 
-ENTRIES = [ListedServer(f"s{i}", place=f"p{i}") for i in range(6)]
+ENTRIES = [Endpoint(f"s{i}", address=f"p{i}") for i in range(6)]
 
 
 def pair(**options) -> tuple[Driver, Driver]:
@@ -23,7 +23,7 @@
 
 
 def test_health_latency_limits_and_the_subset_go_along():
-    old, new = pair(instances=3)
+    old, new = pair(replica_count=3)
     old.serve(120, latency=30_000, fails=("s1",))
     over(old, new)
     assert new.b.known["s1"].score == old.b.known["s1"].score
@@ -49,23 +49,23 @@
 def test_a_cold_servers_part_goes_to_the_next_copy_whole():
     """Guards the rule on cold servers: two processes of one node are one copy."""
     start = 50_000_000
-    cold = [*ENTRIES[:5], ListedServer("s5", place="p5", started=start)]
-    old, new = pair(entries=cold, cold_from=0.2, warm_up=20_000_000, instances=2)
+    cold = [*ENTRIES[:5], Endpoint("s5", address="p5", started_at=start)]
+    old, new = pair(entries=cold, slow_start_minimum=0.2, slow_start_window=20_000_000, replica_count=2)
     for d in (old, new):
         d.run_to(start)
     old.serve(300, gap=10_000)
-    assert "s5" in [a.server for a in old.of(Send)]
+    assert "s5" in [a.server for a in old.of(SendAttempt)]
     over(old, new)
-    before = len([a for a in old.of(Send) if a.server == "s5"])
+    before = len([a for a in old.of(SendAttempt) if a.server == "s5"])
     old.serve(300, gap=10_000)
-    assert len([a for a in old.of(Send) if a.server == "s5"]) == before
+    assert len([a for a in old.of(SendAttempt) if a.server == "s5"]) == before
     assert new.b.known["s5"].tokens_at > 0
 
 
 def test_a_server_that_restarted_since_starts_with_a_clean_record():
     old, _ = pair()
     old.serve(120, fails=("s1",))
-    new = Driver(entries=[ListedServer("s1", place="p1", started=7), *ENTRIES[2:]], classes=(READ, PAY))
+    new = Driver(entries=[Endpoint("s1", address="p1", started_at=7), *ENTRIES[2:]], classes=(READ, PAY))
     over(old, new)
     assert new.b.known["s1"].score < old.b.known["s1"].score
     assert new.ask()
@@ -80,15 +80,15 @@
     out = old.b.admission.out
     assert out >= old.b.admission.limit > 4
     over(old, new)
-    new.feed(api.Elsewhere(out))
+    new.feed(InFlightInOtherProcess(out))
     for _ in range(200):
         new.ask()
-    assert not new.of(Send)
+    assert not new.of(SendAttempt)
     for i, left in enumerate((out - 3, 0)):
-        new.feed(api.Elsewhere(left))
+        new.feed(InFlightInOtherProcess(left))
         for _ in range(30):
             new.ask()  # fewer wait than may be out
-        assert len(new.of(Send)) == pytest.approx((3, out)[i], abs=1)
+        assert len(new.of(SendAttempt)) == pytest.approx((3, out)[i], abs=1)
 
 
 @pytest.mark.parametrize("part", ["servers", "latency", "admission", "copy", "slots", "rate", "due"])
@@ -111,4 +111,4 @@
     state.save(old.b, old.now)
     old.b.retired = False
     old.serve(10)
-    assert old.of(Send)
+    assert old.of(SendAttempt)
--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -7,7 +7,7 @@
 
 from oakbridge.node.attempt import Attempt
 from oakbridge.node.connection_pool import MIN_IDLE_US
-from oakbridge.policy.vocabulary import Result
+from oakbridge.policy.events import AttemptResult
 
 
 def test_connection_is_kept_and_used_again():
@@ -15,7 +15,7 @@
         async with Peer(lambda _: reply(200)) as peer:
             bench = PoolBench(peer.port)
             for _ in range(3):
-                assert await bench.result() == Result.OK
+                assert await bench.result() == AttemptResult.OK
                 await asyncio.sleep(2 * MIN_IDLE_US / 1e6)
             assert peer.connections == 1
 
@@ -33,12 +33,12 @@
             with await accept(listener) as sock:
                 sock.recv(1000)
                 sock.sendall(reply(200))
-                assert (await soon(end)).result == Result.OK
+                assert (await soon(end)).result == AttemptResult.OK
             _, end = bench.send()  # in the same round of the loop as the close
             with await accept(listener) as sock:
                 assert sock.recv(1000) == GET
                 sock.sendall(reply(200))
-                assert (await soon(end)).result == Result.OK
+                assert (await soon(end)).result == AttemptResult.OK
 
     run(scenario())
 
@@ -47,10 +47,10 @@
     async def scenario():
         async with Peer(lambda _: reply(200)) as peer:
             bench = PoolBench(peer.port)
-            assert await bench.result() == Result.OK
+            assert await bench.result() == AttemptResult.OK
             bench.list()
             assert await soon(peer.left.get()) == 1  # the kept connection is given back
-            assert await bench.result() == Result.CONNECT_FAILED
+            assert await bench.result() == AttemptResult.CONNECT_FAILED
             assert peer.connections == 1
 
     run(scenario())
@@ -62,7 +62,7 @@
         bench = PoolBench(listener.getsockname()[1])
         _, connecting = bench.send()
         bench.list()
-        assert (await soon(connecting)).result == Result.CONNECT_FAILED
+        assert (await soon(connecting)).result == AttemptResult.CONNECT_FAILED
         for sock in [listener, *fillers]:
             sock.close()
 
@@ -81,7 +81,7 @@
             await soon(peer.seen.get())
             bench.list()
             peer.release.set()
-            assert (await soon(out)).result == Result.OK
+            assert (await soon(out)).result == AttemptResult.OK
             assert await soon(peer.left.get()) == 1
 
     run(scenario())
@@ -91,9 +91,9 @@
     async def scenario():
         async with Peer(lambda _: reply(200)) as peer:
             bench = PoolBench(peer.port)
-            assert await bench.result() == Result.OK
+            assert await bench.result() == AttemptResult.OK
             bench.list("s", started=5)
-            assert await bench.result() == Result.OK
+            assert await bench.result() == AttemptResult.OK
             assert [peer.seen.get_nowait().connection for _ in range(2)] == [1, 2]
 
     run(scenario())
@@ -103,7 +103,7 @@
     async def scenario():
         async with Peer(lambda _: reply(200)) as peer:
             bench = PoolBench(peer.port, idle=100_000)
-            assert await bench.result() == Result.OK
+            assert await bench.result() == AttemptResult.OK
             assert await soon(peer.left.get()) == 1
             assert bench.pool.connection_count == 0
 
@@ -117,12 +117,12 @@
         async with Peer(lambda seen: None if seen.url == "/hold" else reply(200)) as peer:
             bench = PoolBench(peer.port, most=1)
             bench.list("s", "t")
-            assert await bench.result() == Result.OK
+            assert await bench.result() == AttemptResult.OK
             end = bench.loop.create_future()
             hold = b"GET /hold HTTP/1.1\r\n\r\n"
             bench.pool.send(Attempt("t", lambda _: hold, bench.clock.now() + LONG, end.set_result))
             assert await soon(peer.left.get()) == 1
-            assert await bench.result() == Result.CONNECT_FAILED
+            assert await bench.result() == AttemptResult.CONNECT_FAILED
             assert not end.done()
             bench.pool.close()
 
@@ -163,7 +163,13 @@
             for _ in range(5):
                 results.append(await bench.result())
                 await asyncio.sleep(2 * MIN_IDLE_US / 1e6)
-            assert results == [Result.FULL, Result.FULL, Result.OK, Result.FULL, Result.FULL]
+            assert results == [
+                AttemptResult.REJECTED,
+                AttemptResult.REJECTED,
+                AttemptResult.OK,
+                AttemptResult.REJECTED,
+                AttemptResult.REJECTED,
+            ]
             assert server.connections == 3
             assert bench.pool.connection_count == 1  # the one that has served, and turned two away since
             bench.pool.close()
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -11,8 +11,16 @@
 from oakbridge.node.connection_pool import MIN_IDLE_US
 from oakbridge.node.listing import BadList, parse
 from oakbridge.node.node import parse_report
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from oakbridge.policy.balancer import AT_ONCE
+from oakbridge.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointState,
+    Event,
+    RequestReceived,
+)
 
 
 def test_request_and_answer_go_through_unchanged():
@@ -189,9 +197,9 @@
     def __init__(self, *answers) -> None:
         self.answers, self.events = list(answers), []
 
-    def handle(self, _: int, event: api.Event) -> list[api.Action]:
+    def handle(self, _: int, event: Event) -> list[Action]:
         self.events.append(event)
-        answer = self.answers.pop(0) if self.answers and isinstance(event, api.Request) else []
+        answer = self.answers.pop(0) if self.answers and isinstance(event, RequestReceived) else []
         if isinstance(answer, Exception):
             raise answer
         return answer
@@ -214,12 +222,12 @@
 def test_request_that_the_module_forgets_is_failed_when_its_time_is_up():
     async def scenario():
         async with Peer(lambda _: None) as peer, Running(peer) as node:
-            node.node.balancer = script = Script([api.Send(1, "s-0", 50_000_000)])
+            node.node.balancer = script = Script([SendAttempt(1, "s-0", 50_000_000)])
             caller = await node.caller()
             caller.send(X_Timeout="200m")
             assert (await caller.answer())[0] == 500
             assert await soon(peer.left.get()) == 1
-            assert api.ClientGone(1) in script.events
+            assert ClientDisconnected(1) in script.events
 
     run(scenario())
 
@@ -227,8 +235,8 @@
 def test_two_attempts_are_never_out_at_once_and_none_is_sent_after_the_answer():
     async def scenario():
         async with Peer(lambda _: None) as peer, Running(peer) as node:
-            send = api.Send(1, "s-0", 20_000_000)
-            script = Script([send], [send, api.Fail(1), api.Cancel(1, 0), send])
+            send = SendAttempt(1, "s-0", 20_000_000)
+            script = Script([send], [send, FailRequest(1), CancelAttempt(1, 0), send])
             node.node.balancer = script
             caller, other = await node.caller(), await node.caller()
             caller.send()
@@ -237,9 +245,9 @@
             assert (await caller.answer())[0] == 502
             assert await soon(peer.left.get()) == 1
             assert peer.seen.empty()
-            ended = [(e.result, e.finished) for e in script.events if isinstance(e, api.AttemptEnded)]
-            sent_not = api.Result.NOT_SENT
-            assert sorted(ended) == [(api.Result.CANCELLED, True), (sent_not, False), (sent_not, True)]
+            ended = [(e.result, e.request_finished) for e in script.events if isinstance(e, AttemptEnded)]
+            sent_not = AttemptResult.NOT_SENT
+            assert sorted(ended) == [(AttemptResult.CANCELLED, True), (sent_not, False), (sent_not, True)]
 
     run(scenario())
 
@@ -248,7 +256,7 @@
 def test_refusal_carries_the_modules_advice(advice, expected):
     async def scenario():
         async with Peer(lambda _: None) as peer, Running(peer) as node:
-            node.node.balancer = Script([api.Refuse(1, advice)])
+            node.node.balancer = Script([RejectRequest(1, advice)])
             caller = await node.caller()
             caller.send()
             status, headers, _ = await caller.answer()
@@ -480,8 +488,8 @@
     got = parse(raw)
     assert (got.index, got.whole) == (9, False)
     assert got.entries[0].address == ("127.0.0.1", 80)
-    assert got.entries[0].server.started == 1_700_000_000_000_000
-    assert [e.server.state for e in got.entries] == [api.UP, api.GONE]
+    assert got.entries[0].server.started_at == 1_700_000_000_000_000
+    assert [e.server.state for e in got.entries] == [EndpointState.UP, EndpointState.GONE]
 
 
 def test_callers_are_bounded(monkeypatch):
--- a/tests/node/test_outages.py
+++ b/tests/node/test_outages.py
@@ -5,11 +5,11 @@
 
 from oakbridge.node.listing import Entry, Listing
 from oakbridge.node.outages import Outages
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import Endpoint, EndpointState
 
 
-def entry(name: str, state: str = api.UP, started: int = 0, address=("127.0.0.1", 1)) -> Entry:
-    return Entry(api.ListedServer(name, state, started=started), address)
+def entry(name: str, state: str = EndpointState.UP, started: int = 0, address=("127.0.0.1", 1)) -> Entry:
+    return Entry(Endpoint(name, state, started_at=started), address)
 
 
 def test_held_server_is_listed_as_draining_whatever_the_list_says():
@@ -18,16 +18,16 @@
     assert not outages.take_out("a", 200)
     for seen in (
         entry("a"),
-        entry("a", api.DRAINING),
+        entry("a", EndpointState.DRAINING),
         entry("a", started=150),
         entry("a", address=("127.0.0.1", 9)),
     ):
-        assert outages.apply(seen).server.state == api.DRAINING
-    assert outages.apply(entry("a", api.GONE)).server.state == api.GONE
-    assert outages.apply(entry("b")).server.state == api.UP
+        assert outages.apply(seen).server.state == EndpointState.DRAINING
+    assert outages.apply(entry("a", EndpointState.GONE)).server.state == EndpointState.GONE
+    assert outages.apply(entry("b")).server.state == EndpointState.UP
     assert outages.put_back("a", 300)
     assert not outages.put_back("a", 310)
-    assert outages.apply(entry("a")).server.state == api.UP
+    assert outages.apply(entry("a")).server.state == EndpointState.UP
 
 
 def test_one_put_back_counts_as_started_then_until_a_list_tells_of_its_start():
@@ -35,13 +35,13 @@
     outages = Outages()
     outages.take_out("a", 100)
     outages.put_back("a", 300)
-    assert [outages.apply(entry("a", started=50)).server.started for _ in range(3)] == [300] * 3
-    assert outages.apply(entry("a", started=290)).server.started == 290
-    assert outages.apply(entry("a", started=290)).server.started == 290
+    assert [outages.apply(entry("a", started=50)).server.started_at for _ in range(3)] == [300] * 3
+    assert outages.apply(entry("a", started=290)).server.started_at == 290
+    assert outages.apply(entry("a", started=290)).server.started_at == 290
     outages.take_out("a", 400)
     outages.put_back("a", 500)
     outages.forget_older(501)
-    assert outages.apply(entry("a", started=290)).server.started == 290
+    assert outages.apply(entry("a", started=290)).server.started_at == 290
 
 
 @given(
@@ -65,8 +65,8 @@
             outages.restore(saved)
         for seen in outages.apply_all([entry("a"), entry("b")]):
             name = seen.server.id
-            assert (seen.server.state == api.DRAINING) == (name in out)
-            assert name in out or seen.server.started == since.get(name, 0)
+            assert (seen.server.state == EndpointState.DRAINING) == (name in out)
+            assert name in out or seen.server.started_at == since.get(name, 0)
     assert set(outages.out()) == out
 
 
@@ -74,4 +74,4 @@
     outages = Outages()
     outages.take_out("a", 1)
     listing = Listing(3, True, [entry("a")])
-    assert [e.server.state for e in outages.apply_all(listing.entries)] == [api.DRAINING]
+    assert [e.server.state for e in outages.apply_all(listing.entries)] == [EndpointState.DRAINING]
--- a/tests/node/test_response_parser.py
+++ b/tests/node/test_response_parser.py
@@ -4,29 +4,29 @@
 from peers import Peer, reply, run, soon
 from pool_bench import LONG, PoolBench, accept, listening
 
-from oakbridge.policy.vocabulary import Result
+from oakbridge.policy.events import AttemptResult
 
 
 @pytest.mark.parametrize(
     ("said", "expected"),
     [
-        (reply(200, b"car 7"), Result.OK),
-        (reply(200), Result.OK),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + reply(200, b"car 7"), Result.OK),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ncar\r\n0\r\n\r\n", Result.OK),
-        (reply(500), Result.ERROR),
-        (reply(404), Result.ERROR),
-        (reply(204), Result.ERROR),
-        (reply(503, b"", "X-Not-Processed: 1"), Result.FULL),
-        (reply(504, b"", "x-not-processed: 1"), Result.FULL),
-        (reply(500, b"", "X-Not-Processed: 1"), Result.ERROR),
-        (reply(503), Result.ERROR),
-        ("close", Result.RESET),
-        (b"SSH-2.0-what\r\n\r\n", Result.RESET),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n", Result.RESET),
-        (reply(200, b"x" * (64 * 1024 + 1)), Result.RESET),
-        (b"HTTP/1.1 101 Up\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n", Result.ERROR),
-        (b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 200_000, Result.RESET),
+        (reply(200, b"car 7"), AttemptResult.OK),
+        (reply(200), AttemptResult.OK),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + reply(200, b"car 7"), AttemptResult.OK),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ncar\r\n0\r\n\r\n", AttemptResult.OK),
+        (reply(500), AttemptResult.ERROR),
+        (reply(404), AttemptResult.ERROR),
+        (reply(204), AttemptResult.ERROR),
+        (reply(503, b"", "X-Not-Processed: 1"), AttemptResult.REJECTED),
+        (reply(504, b"", "x-not-processed: 1"), AttemptResult.REJECTED),
+        (reply(500, b"", "X-Not-Processed: 1"), AttemptResult.ERROR),
+        (reply(503), AttemptResult.ERROR),
+        ("close", AttemptResult.RESET),
+        (b"SSH-2.0-what\r\n\r\n", AttemptResult.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n", AttemptResult.RESET),
+        (reply(200, b"x" * (64 * 1024 + 1)), AttemptResult.RESET),
+        (b"HTTP/1.1 101 Up\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n", AttemptResult.ERROR),
+        (b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 200_000, AttemptResult.RESET),
     ],
 )
 def test_bytes_to_outcome(said, expected):
@@ -52,7 +52,7 @@
             with await accept(listener) as sock:
                 sock.recv(1000)
                 sock.sendall(said)
-            assert (await soon(end)).result == Result.RESET
+            assert (await soon(end)).result == AttemptResult.RESET
 
     run(scenario())
 
@@ -60,14 +60,14 @@
 @pytest.mark.parametrize(
     ("said", "expected"),
     [
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nabc", Result.RESET),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nabc", Result.RESET),
-        (b"HTTP/1.1 200 OK\r\nX-Endless: ", Result.RESET),
-        (b"HTTP/1.1 200 OK\r\n\r\nabc", Result.RESET),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", Result.RESET),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", Result.RESET),
-        (b"HTTP/1.1 103 Early\r\n\r\n" * 5_000, Result.RESET),
-        (b"HTTP/1.1 103 Early\r\nContent-Length: 7\r\n\r\n" + reply(200, b"car"), Result.OK),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nabc", AttemptResult.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nabc", AttemptResult.RESET),
+        (b"HTTP/1.1 200 OK\r\nX-Endless: ", AttemptResult.RESET),
+        (b"HTTP/1.1 200 OK\r\n\r\nabc", AttemptResult.RESET),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", AttemptResult.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", AttemptResult.RESET),
+        (b"HTTP/1.1 103 Early\r\n\r\n" * 5_000, AttemptResult.RESET),
+        (b"HTTP/1.1 103 Early\r\nContent-Length: 7\r\n\r\n" + reply(200, b"car"), AttemptResult.OK),
     ],
 )
 def test_spoilt_answer_ends_long_before_its_time(said, expected):
@@ -85,7 +85,7 @@
     async def scenario():
         async with Peer(lambda _: said) as peer:
             bench = PoolBench(peer.port)
-            assert [await bench.result() for _ in range(2)] == [Result.OK] * 2
+            assert [await bench.result() for _ in range(2)] == [AttemptResult.OK] * 2
             assert peer.connections == 2
 
     run(scenario())
--- a/tests/node/test_server_connection.py
+++ b/tests/node/test_server_connection.py
@@ -8,13 +8,13 @@
 from pool_bench import GET, LONG, PoolBench, accept, late_listener, listening
 
 from oakbridge.node.attempt import Attempt
-from oakbridge.policy.vocabulary import Result
+from oakbridge.policy.events import AttemptResult
 
 
 def test_silence_times_out_and_closes_the_connection():
     async def scenario():
         async with Peer(lambda _: None) as peer:
-            assert await PoolBench(peer.port).result(timeout=50_000) == Result.TIMEOUT
+            assert await PoolBench(peer.port).result(timeout=50_000) == AttemptResult.TIMEOUT
             assert await soon(peer.left.get()) == 1
 
     run(scenario())
@@ -24,7 +24,7 @@
     async def scenario():
         with listening() as listener:
             port = listener.getsockname()[1]
-        assert await PoolBench(port).result() == Result.CONNECT_FAILED
+        assert await PoolBench(port).result() == AttemptResult.CONNECT_FAILED
 
     run(scenario())
 
@@ -34,7 +34,7 @@
     async def scenario():
         listener, fillers = silent_listener()
         bench = PoolBench(listener.getsockname()[1], connect_timeout)
-        assert await bench.result(timeout=timeout) == Result.CONNECT_FAILED
+        assert await bench.result(timeout=timeout) == AttemptResult.CONNECT_FAILED
         assert bench.pool.connection_count == 0
         for sock in [listener, *fillers]:
             sock.close()
@@ -52,8 +52,8 @@
             with await accept(listener) as sock:
                 sock.recv(1000)
                 if not breaks:
-                    assert (await soon(end)).result == Result.CONNECT_FAILED
-            assert (await soon(end)).result == Result.CONNECT_FAILED
+                    assert (await soon(end)).result == AttemptResult.CONNECT_FAILED
+            assert (await soon(end)).result == AttemptResult.CONNECT_FAILED
 
     run(scenario())
 
@@ -69,7 +69,7 @@
                 assert sock.recv(1000) == GET
                 bench.pool.cancel(attempt)
                 assert sock.recv(1000) == b""  # the loop has not run since
-                assert end.result().result == Result.CANCELLED
+                assert end.result().result == AttemptResult.CANCELLED
 
     run(scenario())
 
@@ -83,7 +83,7 @@
             _, end = PoolBench(listener.getsockname()[1]).send(GET[:-2] + b"\r\n" + b"x" * 8_000_000)
             with await accept(listener) as sock:
                 sock.sendall(reply(200, b"early"))
-                assert (await soon(end)).result == Result.CONNECT_FAILED
+                assert (await soon(end)).result == AttemptResult.CONNECT_FAILED
 
     run(scenario())
 
@@ -120,7 +120,7 @@
             bench.pool.send(attempt)
             await asyncio.sleep(0.1)
             take()
-            assert (await soon(end)).result == Result.CONNECT_FAILED
+            assert (await soon(end)).result == AttemptResult.CONNECT_FAILED
             assert not told and bench.pool.connection_count == 0
 
     run(scenario())
