--- a/tests/policy/decision_digest.py
+++ b/tests/policy/decision_digest.py
@@ -16,35 +16,64 @@
 
 from oakbridge.lab.world import Fleet
 from oakbridge.policy import state, view
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
 from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointListReceived,
+    EndpointsAnnounced,
+    EndpointState,
+    Event,
+    InFlightInOtherProcess,
+    LoadSheddingLevel,
+    PeerFailureReports,
+    RequestBodySent,
+    RequestReceived,
+    ResponseStarted,
+    SettingsChanged,
+    SubsetAssignment,
+    TimerFired,
+    ZoneWeights,
+)
+from oakbridge.policy.settings import Idempotency, Prices, RequestClass, Settings, Tenant
 
 SECOND_US = 1_000_000
 RESULTS = [
-    (api.Result.OK, 60),
-    (api.Result.ERROR, 6),
-    (api.Result.FULL, 4),
-    (api.Result.TIMEOUT, 4),
-    (api.Result.CONNECT_FAILED, 4),
-    (api.Result.RESET, 3),
-    (api.Result.NOT_SENT, 2),
+    (AttemptResult.OK, 60),
+    (AttemptResult.ERROR, 6),
+    (AttemptResult.REJECTED, 4),
+    (AttemptResult.TIMEOUT, 4),
+    (AttemptResult.CONNECT_FAILED, 4),
+    (AttemptResult.RESET, 3),
+    (AttemptResult.NOT_SENT, 2),
 ]
 
 
-def values_of(action: api.Action) -> tuple[Any, ...]:
+def values_of(action: Action) -> tuple[Any, ...]:
     """The kind's number and the values of an action; an action of no listed kind is an error."""
     match action:
-        case api.Send():
-            return 1, action.request, action.server, action.timeout, action.begin_within
-        case api.Refuse():
-            return 2, action.request, action.retry_after
-        case api.Fail():
-            return 3, action.request
-        case api.Cancel():
-            return 4, action.request, action.attempt
-        case api.SetTimer():
+        case SendAttempt():
+            return 1, action.request_id, action.server, action.timeout, action.start_within
+        case RejectRequest():
+            return 2, action.request_id, action.retry_after
+        case FailRequest():
+            return 3, action.request_id
+        case CancelAttempt():
+            return 4, action.request_id, action.attempt
+        case SetTimer():
             return 5, action.delay, action.token
-        case api.Watch():
+        case WatchEndpoints():
             return 6, int(action.on)
     raise AssertionError(f"an action of a kind without a number: {action!r}")
 
@@ -56,7 +85,7 @@
         self._hash = hashlib.sha256()
         self.counts: dict[int, int] = {}  # of actions, by the number of their kind
 
-    def add(self, where: int, now: int, actions: Iterable[api.Action]) -> None:
+    def add(self, where: int, now: int, actions: Iterable[Action]) -> None:
         """Take in what one balancer does at one time."""
         for action in actions:
             values = values_of(action)
@@ -93,7 +122,7 @@
 class RandomDriver:
     """One balancer under random events of every kind; servers answer at random, timers fire when due."""
 
-    def __init__(self, settings: api.Settings, seed: int, servers: int) -> None:
+    def __init__(self, settings: Settings, seed: int, servers: int) -> None:
         self.settings, self.seed = settings, seed
         self.random = random.Random(seed)
         self.balancer = Balancer(settings, seed)
@@ -102,7 +131,7 @@
         self.ids, self.places = itertools.count(1), itertools.count(1)
         self.pending: list[tuple[int, int, Callable[[], None]]] = []
         self.order = itertools.count()
-        self.listed: dict[str, api.ListedServer] = {}
+        self.listed: dict[str, Endpoint] = {}
         self.numbers: dict[int, int] = {}  # attempts so far of each open request
         self.streamed: set[int] = set()
         self.out: dict[tuple[int, int], tuple[str, int]] = {}  # attempts without an outcome
@@ -110,7 +139,7 @@
         self.silent: set[str] = set()  # servers that answer nothing
         self.usual = servers  # about so many are listed
         first = [self.new_server(old=True) for _ in range(servers)]
-        self.feed(api.ServerList(first))
+        self.feed(EndpointListReceived(first))
 
     # ---- simulated time
 
@@ -132,29 +161,29 @@
         while (when := when + self.random.expovariate(per_second / SECOND_US)) < until:
             self.at(int(when), what)
 
-    def feed(self, event: api.Event) -> None:
+    def feed(self, event: Event) -> None:
         """One event, and what the balancer does."""
         balancer = self.balancer
         actions = balancer.handle(self.now, event)
         self.digest.add(0, self.now, actions)
         for action in actions:
-            if isinstance(action, api.SetTimer):
+            if isinstance(action, SetTimer):
                 self.at(self.now + action.delay, self._timer(balancer, action.token))
-            elif isinstance(action, api.Send):
+            elif isinstance(action, SendAttempt):
                 self.begin(action)
-            elif isinstance(action, api.Cancel):
-                key = action.request, action.attempt
+            elif isinstance(action, CancelAttempt):
+                key = action.request_id, action.attempt
                 late = self.random.randrange(3000)
-                self.at(self.now + late, lambda key=key: self.end(key, api.Result.CANCELLED))
-            elif isinstance(action, api.Refuse | api.Fail):
-                self.numbers.pop(action.request, None)
-            elif isinstance(action, api.Watch):
+                self.at(self.now + late, lambda key=key: self.end(key, AttemptResult.CANCELLED))
+            elif isinstance(action, RejectRequest | FailRequest):
+                self.numbers.pop(action.request_id, None)
+            elif isinstance(action, WatchEndpoints):
                 self.at(self.now + self.random.randrange(SECOND_US), self.watch_event)
 
     def _timer(self, balancer: Balancer, token: int) -> Callable[[], None]:
         def fire() -> None:
             if balancer is self.balancer:
-                self.feed(api.TimerFired(token))
+                self.feed(TimerFired(token))
 
         return fire
 
@@ -169,55 +198,57 @@
         name = klass.name if self.random.random() < 0.995 else "no such class"
         left = int(klass.deadline * self.random.uniform(0.0 if number % 40 == 0 else 0.5, 1.2))
         key = f"k{number % 50}" if number % 3 else ""
-        self.feed(api.Request(number, name, left, tenant, key=key, streamed=klass.streamed))
+        self.feed(RequestReceived(number, name, left, tenant, key=key, streamed=klass.streamed))
         if self.random.random() < 0.02:
             self.at(self.now + self.random.randrange(300_000), lambda: self.leave(number))
 
     def leave(self, number: int) -> None:
         if self.numbers.pop(number, None) is not None:
-            self.feed(api.ClientGone(number))
+            self.feed(ClientDisconnected(number))
 
-    def begin(self, action: api.Send) -> None:
-        attempt = self.numbers[action.request]
-        self.numbers[action.request] = attempt + 1
-        key = action.request, attempt
+    def begin(self, action: SendAttempt) -> None:
+        attempt = self.numbers[action.request_id]
+        self.numbers[action.request_id] = attempt + 1
+        key = action.request_id, attempt
         self.out[key] = action.server, self.now
         sick = action.server in self.sick
         results, weights = zip(*RESULTS, strict=True)
         result = self.random.choices(results, weights)[0]
         if sick and self.random.random() < 0.9:
-            result = self.random.choice([api.Result.ERROR, api.Result.CONNECT_FAILED, api.Result.RESET])
+            result = self.random.choice(
+                [AttemptResult.ERROR, AttemptResult.CONNECT_FAILED, AttemptResult.RESET]
+            )
         took = int(self.random.lognormvariate(0, 0.7) * 40_000)
-        if action.server in self.silent or result == api.Result.TIMEOUT or took >= action.timeout:
-            took, result = action.timeout, api.Result.TIMEOUT
-        elif result in (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.NOT_SENT):
+        if action.server in self.silent or result == AttemptResult.TIMEOUT or took >= action.timeout:
+            took, result = action.timeout, AttemptResult.TIMEOUT
+        elif result in (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT):
             took = 500
-        if action.request in self.streamed and self.random.random() < 0.8:
+        if action.request_id in self.streamed and self.random.random() < 0.8:
             self.at(self.now + took // 2, lambda: self.body_sent(key))
-        if result == api.Result.OK and self.random.random() < 0.1:
+        if result == AttemptResult.OK and self.random.random() < 0.1:
             self.at(self.now + took // 2, lambda: self.stream_started(key))
         self.at(self.now + took, lambda: self.end(key, result))
 
     def body_sent(self, key: tuple[int, int]) -> None:
         if key in self.out and key[0] in self.numbers:
-            self.feed(api.BodySent(*key, self.random.randrange(2 * SECOND_US)))
+            self.feed(RequestBodySent(*key, self.random.randrange(2 * SECOND_US)))
 
     def stream_started(self, key: tuple[int, int]) -> None:
         if key in self.out and self.numbers.pop(key[0], None) is not None:
-            self.feed(api.StreamStarted(*key))
+            self.feed(ResponseStarted(*key))
 
-    def end(self, key: tuple[int, int], result: api.Result) -> None:
+    def end(self, key: tuple[int, int], result: AttemptResult) -> None:
         if key not in self.out:
             return
         server, sent = self.out.pop(key)
-        finished = result == api.Result.OK
+        finished = result == AttemptResult.OK
         if finished:
             self.numbers.pop(key[0], None)
         report = {"queued": self.random.uniform(0, 6)} if self.random.random() < 0.3 else None
-        self.feed(api.AttemptEnded(*key, server, result, self.now - sent, finished, report))
-        if result == api.Result.OK and self.random.random() < 0.01:
+        self.feed(AttemptEnded(*key, server, result, self.now - sent, finished, report))
+        if result == AttemptResult.OK and self.random.random() < 0.01:
             # An answer that broke behind its beginning.
-            self.feed(api.AttemptEnded(*key, server, api.Result.RESET, self.now - sent, True))
+            self.feed(AttemptEnded(*key, server, AttemptResult.RESET, self.now - sent, True))
 
     # ---- all else that happens to a balancer
 
@@ -241,12 +272,12 @@
         ]
         self.random.choices([k for k, _ in kinds], [w for _, w in kinds])[0]()
 
-    def new_server(self, old: bool = False) -> api.ListedServer:
+    def new_server(self, old: bool = False) -> Endpoint:
         number = next(self.places)
         zones = self.settings.zones or ("",)
-        entry = api.ListedServer(
+        entry = Endpoint(
             f"s{number}",
-            api.UP,
+            EndpointState.UP,
             zones[number % len(zones)],
             number % 3,
             self.random.choice([0.5, 1.0, 1.0, 3.0]),
@@ -262,42 +293,44 @@
     def change_list(self) -> None:
         entries = [self.new_server() for _ in range(self.random.randrange(max(3, self.usual // 5)))]
         if entries and self.random.random() < 0.4:
-            self.feed(api.Upcoming([*entries, api.ListedServer(f"never{next(self.places)}")]))
+            self.feed(EndpointsAnnounced([*entries, Endpoint(f"never{next(self.places)}")]))
         for name in self.some(0.1):
             if len(self.listed) > 4:
                 gone = self.listed.pop(name)
-                state_ = self.random.choice([api.GONE, api.DRAINING])
+                state_ = self.random.choice([EndpointState.GONE, EndpointState.DRAINING])
                 entries.append(
-                    api.ListedServer(name, state_, gone.zone, gone.cell, gone.size, gone.started, gone.place)
+                    Endpoint(name, state_, gone.zone, gone.cell, gone.weight, gone.started_at, gone.address)
                 )
-        self.feed(api.ServerList(entries, whole=False, back=self.random.random() < 0.2))
+        self.feed(EndpointListReceived(entries, complete=False, restored=self.random.random() < 0.2))
 
     def restart_elsewhere(self) -> None:
         for name in self.some(0.1):
             old = self.listed[name]
-            place = f"p{next(self.places)}" if self.random.random() < 0.7 else old.place
-            new = api.ListedServer(name, api.UP, old.zone, old.cell, old.size, self.now, place)
+            place = f"p{next(self.places)}" if self.random.random() < 0.7 else old.address
+            new = Endpoint(name, EndpointState.UP, old.zone, old.cell, old.weight, self.now, place)
             self.listed[name] = new
-            self.feed(api.ServerList([new], whole=False))
+            self.feed(EndpointListReceived([new], complete=False))
 
     def replace_all(self) -> None:
         """No server that was listed is left: what keeps to the list before has nowhere to go."""
-        gone = [api.ListedServer(name, api.GONE) for name in self.listed]
+        gone = [Endpoint(name, EndpointState.GONE) for name in self.listed]
         self.listed.clear()
-        self.feed(api.ServerList([*gone, *(self.new_server() for _ in gone)], whole=False))
+        self.feed(EndpointListReceived([*gone, *(self.new_server() for _ in gone)], complete=False))
 
     def in_pieces(self) -> None:
         entries = list(self.listed.values())
         half = len(entries) // 2
-        self.feed(api.ServerList(entries[:half], whole=False, more=True))
-        self.feed(api.ServerList(entries[half:], whole=False))
+        self.feed(EndpointListReceived(entries[:half], complete=False, more_follow=True))
+        self.feed(EndpointListReceived(entries[half:], complete=False))
 
     def watch_event(self) -> None:
-        self.feed(api.ServerList(list(self.listed.values()), whole=True))
+        self.feed(EndpointListReceived(list(self.listed.values()), complete=True))
 
     def list_lost(self) -> None:
         waited = self.random.choice([0, 100_000, 3 * SECOND_US])
-        self.feed(api.ServerList(lost=True, waited=waited, stale=self.random.randrange(5 * SECOND_US)))
+        self.feed(
+            EndpointListReceived(failed=True, waited=waited, staleness=self.random.randrange(5 * SECOND_US))
+        )
 
     def zones(self) -> None:
         parts = {
@@ -306,7 +339,7 @@
             if self.random.random() < 0.4
         }
         look = tuple(zone for zone, part in parts.items() if not part)
-        self.feed(api.Zones(parts, look))
+        self.feed(ZoneWeights(parts, look))
 
     def turn_away(self) -> None:
         parts = {
@@ -314,17 +347,17 @@
             for c in self.settings.classes
             if self.random.random() < 0.5
         }
-        self.feed(api.TurnedAway(parts, self.random.choice([0.0, 0.5]), self.random.randrange(1000)))
+        self.feed(LoadSheddingLevel(parts, self.random.choice([0.0, 0.5]), self.random.randrange(1000)))
 
     def doubt(self) -> None:
-        self.feed(api.Doubted({name: self.random.random() for name in self.some(0.2)}))
+        self.feed(PeerFailureReports({name: self.random.random() for name in self.some(0.2)}))
 
     def divide(self) -> None:
         chosen = self.some(0.6) if self.random.random() < 0.6 else []
-        self.feed(api.Cut({name: self.random.choice([0.2, 0.5, 1.0]) for name in chosen}))
+        self.feed(SubsetAssignment({name: self.random.choice([0.2, 0.5, 1.0]) for name in chosen}))
 
     def elsewhere(self) -> None:
-        self.feed(api.Elsewhere(self.random.choice([0, 0, 2, 5])))
+        self.feed(InFlightInOtherProcess(self.random.choice([0, 0, 2, 5])))
 
     def other_settings(self) -> None:
         """The same settings said again, and the classes in another order."""
@@ -332,8 +365,8 @@
         self.random.shuffle(classes)
         values = {name: getattr(self.settings, name) for name in self.settings.__slots__}
         values["classes"] = tuple(classes)
-        self.settings = api.Settings(**values)
-        self.feed(api.SettingsChanged(self.settings))
+        self.settings = Settings(**values)
+        self.feed(SettingsChanged(self.settings))
 
     def trouble(self) -> None:
         self.sick = set(self.some(0.15)) if self.random.random() < 0.6 else set()
@@ -356,27 +389,27 @@
         self.out.clear()
         self.numbers.clear()
         for name in self.some(0.1):
-            self.listed[name].place = f"p{next(self.places)}"  # another process since then
+            self.listed[name].address = f"p{next(self.places)}"  # another process since then
         self.balancer = Balancer(self.settings, self.seed + self.now % 1000)
-        self.feed(api.ServerList(list(self.listed.values())))
+        self.feed(EndpointListReceived(list(self.listed.values())))
         state.restore(self.balancer, saved, self.now)
-        self.feed(api.Elsewhere(held))
-        self.at(self.now + SECOND_US, lambda: self.feed(api.Elsewhere(0)))
+        self.feed(InFlightInOtherProcess(held))
+        self.at(self.now + SECOND_US, lambda: self.feed(InFlightInOtherProcess(0)))
 
 
 # ---- what is driven
 
 ZONES = ("a", "b", "c")
-READ = api.RequestClass("read", 300_000, 1_500_000, 1, 0.5, api.SAFE)
-BOOK = api.RequestClass("book", 400_000, 2_000_000, 5, 0.3, api.UNSAFE)
-PAY = api.RequestClass("pay", 400_000, 2_000_000, 8, 0.3, api.KEYED, "all", 2_000_000)
-NEAR = api.RequestClass("near", 300_000, 1_500_000, 2, 0.0, api.KEYED, "zone", 1_000_000)
-SHELF = api.RequestClass("shelf", 300_000, 1_500_000, 3, 0.2, api.KEYED, "cell", 1_500_000)
-UPLOAD = api.RequestClass("upload", 500_000, 3_000_000, 2, 0.2, api.SAFE, streamed=True)
+READ = RequestClass("read", 300_000, 1_500_000, 1, 0.5, Idempotency.IDEMPOTENT)
+BOOK = RequestClass("book", 400_000, 2_000_000, 5, 0.3, Idempotency.NOT_IDEMPOTENT)
+PAY = RequestClass("pay", 400_000, 2_000_000, 8, 0.3, Idempotency.IDEMPOTENT_WITH_KEY, "all", 2_000_000)
+NEAR = RequestClass("near", 300_000, 1_500_000, 2, 0.0, Idempotency.IDEMPOTENT_WITH_KEY, "zone", 1_000_000)
+SHELF = RequestClass("shelf", 300_000, 1_500_000, 3, 0.2, Idempotency.IDEMPOTENT_WITH_KEY, "cell", 1_500_000)
+UPLOAD = RequestClass("upload", 500_000, 3_000_000, 2, 0.2, Idempotency.IDEMPOTENT, streamed=True)
 ALL = (READ, BOOK, PAY, NEAR, SHELF, UPLOAD)
-TENANTS = (api.Tenant("small", 20.0), api.Tenant("large", 200.0))
-COLD = {"warm_up": 8 * SECOND_US, "cold_from": 0.2, "fall_multiple": 2.5}
-HOME = {"zone": "a", "zones": ZONES, "prices": api.Prices(cross_zone=0.05)}
+TENANTS = (Tenant("small", 20.0), Tenant("large", 200.0))
+COLD = {"slow_start_window": 8 * SECOND_US, "slow_start_minimum": 0.2, "overload_factor": 2.5}
+HOME = {"zone": "a", "zones": ZONES, "prices": Prices(cross_zone=0.05)}
 
 # Settings; servers; seconds and requests a second.
 DRIVEN = {
@@ -384,11 +417,11 @@
         {
             "classes": ALL,
             "tenants": TENANTS,
-            "cancel": True,
+            "cancellation_allowed": True,
             "max_attempts": 4,
-            "instances": 3,
+            "replica_count": 3,
             "max_retry_after": 2_000_000,
-            "over_share_worth": 0.2,
+            "over_quota_weight": 0.2,
             **COLD,
             **HOME,
         },
@@ -400,12 +433,12 @@
         {
             "classes": ALL,
             "tenants": TENANTS,
-            "cancel": True,
+            "cancellation_allowed": True,
             "max_attempts": 5,
-            "second_copies": True,
+            "hedging_allowed": True,
             "zones": ZONES,
             "max_retry_after": 1_000_000,
-            "size_source": "nominal",
+            "weight_source": "nominal",
             **COLD,
         },
         24,
@@ -415,11 +448,11 @@
     "requests that keep to one list": (
         {
             "classes": ALL,
-            "one_version": True,
+            "pin_endpoint_list": True,
             "max_attempts": 4,
             "zones": ZONES,
-            "cancel": True,
-            "must_ask": True,
+            "cancellation_allowed": True,
+            "poll_discovery": True,
             **COLD,
         },
         12,
@@ -430,12 +463,12 @@
         {
             "classes": (READ, PAY),
             "tier": 1,
-            "tiers": 3,
-            "instances": 50,
+            "tier_count": 3,
+            "replica_count": 50,
             "max_attempts": 3,
             "retry_ratio": 0.1,
-            "must_ask": True,
-            "ask_within": 3_000_000,
+            "poll_discovery": True,
+            "poll_interval": 3_000_000,
             **COLD,
         },
         80,
@@ -443,7 +476,7 @@
         40,
     ),
     "nothing may be repeated": (
-        {"classes": (BOOK,), "max_retry_after": 500_000, **HOME, "size_source": "rough"},
+        {"classes": (BOOK,), "max_retry_after": 500_000, **HOME, "weight_source": "rough"},
         9,
         30,
         80,
@@ -452,10 +485,10 @@
         {
             "classes": (READ, BOOK, PAY),
             "tenants": TENANTS,
-            "over_share_worth": 0.5,
+            "over_quota_weight": 0.5,
             "max_retry_after": 1_000_000,
             "zones": ZONES,
-            "cancel": True,
+            "cancellation_allowed": True,
         },
         6,
         15,
@@ -465,9 +498,9 @@
         {
             "classes": ALL,
             "zones": ZONES,
-            "instances": 2,
-            "cancel": True,
-            "one_version": True,
+            "replica_count": 2,
+            "cancellation_allowed": True,
+            "pin_endpoint_list": True,
             "max_attempts": 4,
             **COLD,
         },
@@ -493,7 +526,7 @@
 
 def servers_are_divided(seed: int) -> Digest:
     """Copies that divide the servers among them, while servers are replaced."""
-    fleet = Fleet(8, 16, seed, rings=4, uneven=0.5, must_ask=True)
+    fleet = Fleet(8, 16, seed, rings=4, uneven=0.5, poll_discovery=True)
     digest = record_fleet(fleet)
     fleet.turn = SECOND_US // 20
     fleet.load(100, 15)
@@ -512,7 +545,7 @@
     if name in PLANNED:
         return PLANNED[name](3).text()
     options, servers, seconds, per_second = DRIVEN[name]
-    driver = RandomDriver(api.Settings(**options), 11, servers)
+    driver = RandomDriver(Settings(**options), 11, servers)
     driver.run(seconds, per_second)
     return driver.digest.text()
 
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -3,7 +3,7 @@
 import pytest
 
 from oakbridge.lab.world import SECOND, Fleet
-from oakbridge.policy.vocabulary import ServerList
+from oakbridge.policy.events import EndpointListReceived
 
 
 def replaced_one_by_one(fleet: Fleet) -> None:
@@ -58,18 +58,18 @@
     fleet.run(seconds + 5)
     assert fleet.ends["served"] >= served * fleet.ends["asked"]
     assert fleet.ends["asked"] == sum(n for how, n in fleet.ends.items() if how != "asked")  # one end each
-    assert cold <= fleet.most_over_cold() < fleet.settings.fall_multiple
+    assert cold <= fleet.most_over_cold() < fleet.settings.overload_factor
     assert fleet.ejected() < 0.02
     held = fleet.connections()
     assert held[-1] < 4 * sum(held) / len(held)  # subsets that are drawn alone crowd no server
     stuck = [name for name, s in fleet.servers.items() if s.connections < 1000]
-    assert all(0 < fleet.results[name, "FULL"] < 0.04 * fleet.ends["asked"] for name in stuck)
+    assert all(0 < fleet.results[name, "REJECTED"] < 0.04 * fleet.ends["asked"] for name in stuck)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_copies_that_ask_together_do_not_keep_discovery_down(seed):
     """It can take one call of every copy in four seconds; all begin at once."""
-    fleet = Fleet(60, 24, seed, must_ask=True)
+    fleet = Fleet(60, 24, seed, poll_discovery=True)
     fleet.turn = 4 * SECOND // 60
     fleet.load(250, 15)
     fleet.run(20)
@@ -80,12 +80,12 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_copies_that_lose_discovery_at_once_all_know_the_list_again_before_news_counts_as_told(seed):
     """It can take one call of every copy in under five seconds, and turns away what would stand in line for longer."""
-    fleet = Fleet(60, 24, seed, must_ask=True)
+    fleet = Fleet(60, 24, seed, poll_discovery=True)
     fleet.turn = 4 * SECOND // 60
     fleet.load(250, 25)
     fleet.run(15)
     versions = [b.version for b in fleet.copies]
     for copy in range(60):
-        fleet.feed(copy, ServerList(lost=True))
+        fleet.feed(copy, EndpointListReceived(failed=True))
     fleet.run(6)
     assert all(b.version > before for b, before in zip(fleet.copies, versions, strict=True))
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -13,9 +13,18 @@
 from oakbridge import Balancer
 from oakbridge.node.listing import PIECE, Entry, Listing, pieces
 from oakbridge.policy import balancer as module
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import SendAttempt
+from oakbridge.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListReceived,
+    EndpointState,
+    RequestReceived,
+    TimerFired,
+)
 from oakbridge.policy.membership import LOOKS, Membership, Server
-from oakbridge.policy.vocabulary import ListedServer, ServerList
+from oakbridge.policy.settings import Prices, RequestClass, Settings, WeightSource
 
 SECOND = 1_000_000
 SIZES = (0.001, 0.5, 1.0, 1.0, 3.0, 1000.0)
@@ -34,9 +43,9 @@
         name=st.integers(0, 5), zone=st.sampled_from("abc"), size=st.sampled_from(SIZES), moved=st.booleans()
     )
     def listed(self, name, zone, size, moved):
-        entry = ListedServer(str(name), zone=zone, cell=name % 7, place="x" if moved else "")
+        entry = Endpoint(str(name), zone=zone, cell=name % 7, address="x" if moved else "")
         if (s := self.model.get(str(name))) is not None:
-            self.m.relist(s, entry, size, self.version if s.place != entry.place else s.joined, self.now)
+            self.m.relist(s, entry, size, self.version if s.place != entry.address else s.joined, self.now)
         else:
             s = self.model[str(name)] = Server(entry, size)
             s.joined = self.version
@@ -118,14 +127,14 @@
 
 def world(count: int, seed: int, **more) -> tuple[Balancer, module.Call]:
     """A balancer whose members differ in size, zone, calls out and health; and a call."""
-    klass = api.RequestClass("look", 2 * SECOND, 6 * SECOND, repeat=more.pop("repeat", "safe"))
-    b = Balancer(api.Settings(classes=(klass,), instances=2, **more), seed)
+    klass = RequestClass("look", 2 * SECOND, 6 * SECOND, idempotency=more.pop("repeat", "safe"))
+    b = Balancer(Settings(classes=(klass,), replica_count=2, **more), seed)
     draw = random.Random(seed)
     entries = [
-        ListedServer(f"s{i}", zone="ab"[i % 2], cell=i // 2, size=draw.choice((0.2, 1.0, 1.0, 4.0)))
+        Endpoint(f"s{i}", zone="ab"[i % 2], cell=i // 2, weight=draw.choice((0.2, 1.0, 1.0, 4.0)))
         for i in range(count)
     ]  # fmt: skip
-    b.handle(SECOND, ServerList(entries))
+    b.handle(SECOND, EndpointListReceived(entries))
     for s in b.servers.values():
         for k in range(draw.choice((0, 0, 1, 2))):
             s.out[-k - 1, 0] = module.Attempt(s, SECOND, 0)
@@ -133,13 +142,15 @@
         if draw.random() < 0.2:
             s.ejected_until = 9 * SECOND
             b.members.judged(s, SECOND)
-    return b, module.Call(api.Request(1, "look", 3 * SECOND), klass, SECOND)
+    return b, module.Call(RequestReceived(1, "look", 3 * SECOND), klass, SECOND)
 
 
-ZONES = {"zone": "a", "zones": ("a", "b"), "prices": api.Prices(cross_zone=1.0)}
+ZONES = {"zone": "a", "zones": ("a", "b"), "prices": Prices(cross_zone=1.0)}
 
 
-@pytest.mark.parametrize("more", [{}, {"size_source": api.NOMINAL}, ZONES | {"size_source": api.NOMINAL}])
+@pytest.mark.parametrize(
+    "more", [{}, {"weight_source": WeightSource.NOMINAL}, ZONES | {"weight_source": WeightSource.NOMINAL}]
+)
 @pytest.mark.parametrize(("count", "seed"), [(2, 1), (5, 2), (12, 3), (60, 4), (300, 5)])
 def test_choices_have_the_distribution_of_the_old_rule(count, seed, more):
     """Each server's part of the pairs, and of the first places, by a chi-square test of two samples (at 1e-4)."""
@@ -186,9 +197,11 @@
 
 def serve(b: Balancer, now: int, number: int) -> int:
     """One request and its good end, if it was sent; how often it was."""
-    sent = [a for a in b.handle(now, api.Request(number, "look", 3 * SECOND)) if isinstance(a, api.Send)]
+    sent = [
+        a for a in b.handle(now, RequestReceived(number, "look", 3 * SECOND)) if isinstance(a, SendAttempt)
+    ]
     for a in sent:
-        b.handle(now + 900, api.AttemptEnded(number, 0, a.server, api.Result.OK, 900, finished=True))
+        b.handle(now + 900, AttemptEnded(number, 0, a.server, AttemptResult.OK, 900, request_finished=True))
     return len(sent)
 
 
@@ -201,9 +214,9 @@
 def cost(count: int, prepare=lambda b, now: None, entries=None, **more) -> tuple[float, int]:
     """Lines a request, and how many of a hundred were sent."""
     b = Balancer(
-        api.Settings(classes=(api.RequestClass("look", 2 * SECOND, 6 * SECOND, repeat="safe"),), **more), 5
+        Settings(classes=(RequestClass("look", 2 * SECOND, 6 * SECOND, idempotency="safe"),), **more), 5
     )
-    b.handle(1, ServerList(entries or [ListedServer(f"s{i}", zone="b") for i in range(count)]))
+    b.handle(1, EndpointListReceived(entries or [Endpoint(f"s{i}", zone="b") for i in range(count)]))
     now = 2 * SECOND
     for i in range(20):
         serve(b, now := now + 1000, i)
@@ -213,16 +226,16 @@
     return lines.count / 100, sent
 
 
-WEIGHTS = [ListedServer(f"s{i}", size=10.0 ** random.Random(i).uniform(-3, 3)) for i in range(10_000)]
+WEIGHTS = [Endpoint(f"s{i}", weight=10.0 ** random.Random(i).uniform(-3, 3)) for i in range(10_000)]
 
 
 @pytest.mark.parametrize(
     ("prepare", "more", "most"),
     [
-        (lambda b, now: None, {"instances": 4}, 1.5),
-        (lambda b, now: None, {"instances": 4, "size_source": api.NOMINAL}, 2.5),
-        (lambda b, now: None, ZONES | {"instances": 2000}, 3),
-        (lambda b, now: eject_all_but(b, now, 3), {"instances": 4}, 3),
+        (lambda b, now: None, {"replica_count": 4}, 1.5),
+        (lambda b, now: None, {"replica_count": 4, "weight_source": WeightSource.NOMINAL}, 2.5),
+        (lambda b, now: None, ZONES | {"replica_count": 2000}, 3),
+        (lambda b, now: eject_all_but(b, now, 3), {"replica_count": 4}, 3),
     ],
     ids=["plain", "weights", "all in another zone", "all but three ejected"],
 )  # fmt: skip
@@ -233,24 +246,24 @@
 
 
 def test_all_cold_at_once_costs_a_bounded_look():
-    entries = [ListedServer(f"s{i}", started=SECOND) for i in range(10_000)]
-    lines, sent = cost(10_000, entries=entries, warm_up=60 * SECOND, cold_from=0.1)
+    entries = [Endpoint(f"s{i}", started_at=SECOND) for i in range(10_000)]
+    lines, sent = cost(10_000, entries=entries, slow_start_window=60 * SECOND, slow_start_minimum=0.1)
     assert lines < 40 * (24 + LOOKS) * 3 and sent > 0
 
 
 def test_a_delta_costs_by_its_size_and_a_long_list_by_its_length():
     def lines(count: int, entries, whole: bool) -> int:
         b = Balancer(
-            api.Settings(classes=(api.RequestClass("x", 10, 20),), instances=100, one_version=True), 3
+            Settings(classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True), 3
         )
-        b.handle(1, ServerList([ListedServer(f"s{i}") for i in range(count)]))
+        b.handle(1, EndpointListReceived([Endpoint(f"s{i}") for i in range(count)]))
         with Lines() as traced:
-            b.handle(2, ServerList(entries, whole=whole))
+            b.handle(2, EndpointListReceived(entries, complete=whole))
         return traced.count
 
-    delta = [ListedServer("new"), ListedServer("s1", state=api.GONE)]
+    delta = [Endpoint("new"), Endpoint("s1", state=EndpointState.GONE)]
     assert lines(10_000, delta, False) < 1.2 * lines(100, delta, False)
-    half = [lines(n, [ListedServer(f"s{i}") for i in range(n // 2, n + n // 2)], True) for n in (200, 2000)]
+    half = [lines(n, [Endpoint(f"s{i}") for i in range(n // 2, n + n // 2)], True) for n in (200, 2000)]
     assert half[1] < 12 * half[0]
 
 
@@ -258,20 +271,22 @@
     """Half of ten thousand replaced, some draining: servers, versions, limits and what is still known, and the cost."""
     draw = random.Random(8)
     listed = [
-        ListedServer(f"s{i}", api.DRAINING if draw.random() < 0.1 else api.UP, started=i)
+        Endpoint(f"s{i}", EndpointState.DRAINING if draw.random() < 0.1 else EndpointState.UP, started_at=i)
         for i in range(5_000, 15_000)
     ]
     listing = Listing(7, True, [Entry(s, ("127.0.0.1", 1)) for s in draw.sample(listed, len(listed))])
     ends, worst = [], 0
     for split in (False, True):
         b = Balancer(
-            api.Settings(classes=(api.RequestClass("x", 10, 20),), instances=100, one_version=True), 3
+            Settings(classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True), 3
         )
-        b.handle(1, ServerList([ListedServer(f"s{i}", started=i) for i in range(10_000)]))
+        b.handle(1, EndpointListReceived([Endpoint(f"s{i}", started_at=i) for i in range(10_000)]))
         b.admission.flow = 500.0
         parts = pieces(listing, b.members.servers) if split else [listing]
         for n, part in enumerate(parts):
-            event = ServerList([e.server for e in part.entries], whole=part.whole, more=n + 1 < len(parts))
+            event = EndpointListReceived(
+                [e.server for e in part.entries], complete=part.whole, more_follow=n + 1 < len(parts)
+            )
             with Lines() as traced:
                 b.handle(2, event)
             worst = max(worst, traced.count) if split else worst
@@ -286,23 +301,25 @@
 
 def test_a_keyed_call_finds_the_one_other_server_of_its_group():
     """Ten thousand servers in groups of two: a repeat may go to one alone, also where that is a spare one."""
-    klass = api.RequestClass(
-        "look", 2 * SECOND, 6 * SECOND, repeat="keyed", group="cell", repeat_window=60 * SECOND
+    klass = RequestClass(
+        "look", 2 * SECOND, 6 * SECOND, idempotency="keyed", dedup_scope="cell", dedup_window=60 * SECOND
     )
-    b = Balancer(api.Settings(classes=(klass,), instances=500), 5)
-    b.handle(1, ServerList([ListedServer(f"s{i}", cell=i // 2) for i in range(10_000)]))
+    b = Balancer(Settings(classes=(klass,), replica_count=500), 5)
+    b.handle(1, EndpointListReceived([Endpoint(f"s{i}", cell=i // 2) for i in range(10_000)]))
     found = 0
     for number in range(20):
         now = SECOND * (2 + number)
         (send,) = [
-            a for a in b.handle(now, api.Request(number, "look", 5 * SECOND)) if isinstance(a, api.Send)
+            a
+            for a in b.handle(now, RequestReceived(number, "look", 5 * SECOND))
+            if isinstance(a, SendAttempt)
         ]
-        b.handle(now + 1000, api.AttemptEnded(number, 0, send.server, api.Result.RESET, 1000))
+        b.handle(now + 1000, AttemptEnded(number, 0, send.server, AttemptResult.RESET, 1000))
         for _ in range(3):
             again = []
             while b.alarms and not again and b.alarms[0][0] < now + SECOND:
-                timer = api.TimerFired(b.timer)
-                again = [a for a in b.handle(b.alarms[0][0], timer) if isinstance(a, api.Send)]
+                timer = TimerFired(b.timer)
+                again = [a for a in b.handle(b.alarms[0][0], timer) if isinstance(a, SendAttempt)]
             found += sum(int(a.server[1:]) // 2 == int(send.server[1:]) // 2 for a in again)
             assert all(a.server != send.server for a in again)
             if again:
--- a/tests/policy/test_streamed.py
+++ b/tests/policy/test_streamed.py
@@ -3,28 +3,34 @@
 import pytest
 from test_balancer import READ, Driver
 
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from oakbridge.policy.balancer import UPLOAD
-from oakbridge.policy.vocabulary import AttemptEnded, Request, Result, Send
+from oakbridge.policy.events import AttemptEnded, AttemptResult, RequestBodySent, RequestReceived
 
 LEFT = 2_000_000
 
 
-def begin(d: Driver, number: int = 1000) -> Send:
-    [send] = [a for a in d.feed(Request(number, "read", LEFT, streamed=True)) if isinstance(a, Send)]
+def begin(d: Driver, number: int = 1000) -> SendAttempt:
+    [send] = [
+        a for a in d.feed(RequestReceived(number, "read", LEFT, streamed=True)) if isinstance(a, SendAttempt)
+    ]
     return send
 
 
-@pytest.mark.parametrize("result", [Result.FULL, Result.CONNECT_FAILED, Result.ERROR, Result.RESET])
+@pytest.mark.parametrize(
+    "result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.ERROR, AttemptResult.RESET]
+)
 def test_it_is_sent_once_and_refused_where_it_never_ran(result):
     """Guards against a second attempt for which there is no body any more."""
     d = Driver(classes=(READ,))
     d.serve(60)
     send = begin(d)
     got = d.end(send, result)
-    assert [type(a) for a in got if isinstance(a, api.Refuse | api.Fail)] == [api.Refuse]  # a safe one
+    assert [type(a) for a in got if isinstance(a, RejectRequest | FailRequest)] == [
+        RejectRequest
+    ]  # a safe one
     d.run_to(d.now + 2_000_000)
-    assert [s.request for s in d.of(Send)].count(send.request) == 1
+    assert [s.request_id for s in d.of(SendAttempt)].count(send.request_id) == 1
 
 
 def test_its_time_counts_from_the_end_of_its_body():
@@ -32,27 +38,27 @@
     send = begin(d)
     assert send.timeout > LEFT
     d.run_to(5_000_000)
-    assert not d.of(api.Refuse)
-    d.feed(api.BodySent(send.request, 0, LEFT))
+    assert not d.of(RejectRequest)
+    d.feed(RequestBodySent(send.request_id, 0, LEFT))
     d.run_to(5_000_000 + LEFT - 100_000)
-    assert not d.of(api.Refuse)
+    assert not d.of(RejectRequest)
     d.run_to(5_000_000 + LEFT)
-    assert [a.request for a in d.of(api.Refuse)] == [send.request]
+    assert [a.request_id for a in d.of(RejectRequest)] == [send.request_id]
 
 
 def test_one_whose_body_never_ends_is_given_up():
     d = Driver(classes=(READ,))
     send = begin(d)
     d.run_to(UPLOAD + 10_000)
-    assert [a.request for a in d.of(api.Refuse)] == [send.request]
+    assert [a.request_id for a in d.of(RejectRequest)] == [send.request_id]
 
 
 def test_a_server_that_takes_a_long_body_does_not_count_as_hanging():
-    d = Driver(servers=2, classes=(READ,), cancel=True)
+    d = Driver(servers=2, classes=(READ,), cancellation_allowed=True)
     send = begin(d)
     d.serve(200)
     assert not d.b.hangs(d.b.known[send.server], d.now)
-    assert not d.of(api.Cancel)
+    assert not d.of(CancelAttempt)
 
 
 def test_an_answer_that_breaks_behind_its_beginning_counts_against_its_server():
@@ -60,6 +66,6 @@
     d.serve(60)
     before = d.b.known["s0"].score
     for i in range(4):
-        d.feed(AttemptEnded(i, 0, "s0", Result.RESET, 0, True))
+        d.feed(AttemptEnded(i, 0, "s0", AttemptResult.RESET, 0, True))
     assert d.b.known["s0"].score > before
-    d.feed(AttemptEnded(9, 0, "nobody", Result.RESET, 0, True))
+    d.feed(AttemptEnded(9, 0, "nobody", AttemptResult.RESET, 0, True))
--- a/tests/pool_bench.py
+++ b/tests/pool_bench.py
@@ -10,7 +10,7 @@
 from oakbridge.node.clock import Clock
 from oakbridge.node.connection_pool import ConnectionPool
 from oakbridge.node.listing import Entry, Listing
-from oakbridge.policy.vocabulary import ListedServer, Result
+from oakbridge.policy.events import AttemptResult, Endpoint
 
 LONG = 60_000_000
 GET = b"GET /api HTTP/1.1\r\nx-request-id: 1\r\n\r\n"
@@ -28,7 +28,7 @@
 
     def list(self, *names: str, started: int = 0) -> None:
         address = "127.0.0.1", self.port
-        entries = [Entry(ListedServer(name, started=started), address) for name in names]
+        entries = [Entry(Endpoint(name, started_at=started), address) for name in names]
         self.pool.update_endpoints(Listing(1, True, entries))
 
     def send(
@@ -39,7 +39,7 @@
         self.pool.send(attempt)
         return attempt, end
 
-    async def result(self, *args, **named) -> Result:
+    async def result(self, *args, **named) -> AttemptResult:
         return (await soon(self.send(*args, **named)[1])).result
 
 
--- a/tests/simhost/test_adapter.py
+++ b/tests/simhost/test_adapter.py
@@ -7,7 +7,21 @@
 
 from oakbridge.node.settings import read_settings
 from oakbridge.policy import balancer as choice
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import (
+    ALL,
+    CancelAttempt,
+    FailRequest,
+    FetchList,
+    Log,
+    Probe,
+    RejectRequest,
+    Release,
+    SendAttempt,
+    SetTimer,
+    Tell,
+    WatchEndpoints,
+)
+from oakbridge.policy.events import Endpoint, EndpointState, RequestReceived
 from oakbridge.simhost import adapter
 
 SETTINGS = {
@@ -152,15 +166,15 @@
 
 
 WIRE = [  # a setting, a value for it, and where the module finds it
-    ("instances", 7, lambda s: s.instances),
+    ("instances", 7, lambda s: s.replica_count),
     ("classes[].aim-stretch", 1.5, lambda s: s.classes[0].aim_stretch),
-    ("classes[].late-worth", 0.5, lambda s: s.classes[0].late_worth),
-    ("classes[].group", "cell", lambda s: s.classes[0].group),
-    ("classes[].repeat-window", 9, lambda s: s.classes[0].repeat_window),
-    ("classes[].importance", 9.5, lambda s: s.classes[0].worth),
+    ("classes[].late-worth", 0.5, lambda s: s.classes[0].late_weight),
+    ("classes[].group", "cell", lambda s: s.classes[0].dedup_scope),
+    ("classes[].repeat-window", 9, lambda s: s.classes[0].dedup_window),
+    ("classes[].importance", 9.5, lambda s: s.classes[0].priority_weight),
     ("classes[].streamed", True, lambda s: s.classes[0].streamed),
     ("client-habits.marks-retry", True, lambda s: s.marks_repeats),
-    ("discovery", "on_request", lambda s: s.must_ask and "on_request"),
+    ("discovery", "on_request", lambda s: s.poll_discovery and "on_request"),
     ("extra.passes-deadline", True, lambda s: s.passes_deadline),
     ("extra.warm-keys", True, lambda s: s.keys_stay_warm),
     ("goal.availability", 0.4, lambda s: s.goal.nines),
@@ -169,20 +183,20 @@
     ("goal.worst-class", 0.3, lambda s: s.goal.worst_class),
     ("goal.worst-tenant", 0.3, lambda s: s.goal.worst_tenant),
     ("goal.worst-window", 0.3, lambda s: s.goal.worst_window),
-    ("allowed.cancelling", False, lambda s: s.cancel),
-    ("allowed.conn-idle", 5, lambda s: s.connection_idle),
+    ("allowed.cancelling", False, lambda s: s.cancellation_allowed),
+    ("allowed.conn-idle", 5, lambda s: s.connection_idle_timeout),
     ("allowed.connect-timeout", 5, lambda s: s.connect_timeout),
     ("allowed.cpu-us-per-request", 5.5, lambda s: s.cpu_per_request),
     ("allowed.cpu-us-per-s", 5, lambda s: s.cpu_per_second),
     ("allowed.max-attempts", 4, lambda s: s.max_attempts),
-    ("allowed.max-open", 5, lambda s: s.max_open),
+    ("allowed.max-open", 5, lambda s: s.max_open_requests),
     ("allowed.max-retry-after", 5, lambda s: s.max_retry_after),
     ("allowed.may-tell", True, lambda s: s.peers),
     ("allowed.probing", True, lambda s: s.probes),
-    ("allowed.second-copies", False, lambda s: s.second_copies),
+    ("allowed.second-copies", False, lambda s: s.hedging_allowed),
     ("allowed.streams-per-conn", 4, lambda s: s.streams_per_connection),
-    ("me", 2, lambda s: s.me),
-    ("over-share-worth", 0.2, lambda s: s.over_share_worth),
+    ("me", 2, lambda s: s.replica_index),
+    ("over-share-worth", 0.2, lambda s: s.over_quota_weight),
     ("prices.connection", 0.1, lambda s: s.prices.connection),
     ("prices.cross-zone", 0.1, lambda s: s.prices.cross_zone),
     ("prices.discovery", 0.1, lambda s: s.prices.discovery),
@@ -194,12 +208,12 @@
     ("report.source", "inline", lambda s: {"answers": "inline"}[s.report_source]),
     ("report.source", "on_probe", lambda s: {"probes": "on_probe"}[s.report_source]),
     ("invariants.answer-slack", 5, lambda s: s.answer_slack),
-    ("invariants.ask-within", 5, lambda s: s.ask_within),
+    ("invariants.ask-within", 5, lambda s: s.poll_interval),
     ("invariants.stop-sending-within", 5, lambda s: s.drain_grace),
     ("resolution", 5, lambda s: s.tick),
-    ("weight-source", "nominal", lambda s: s.size_source),
-    ("weight-source", "rough", lambda s: s.size_source),
-    ("weight-source", "live", lambda s: s.size_source),
+    ("weight-source", "nominal", lambda s: s.weight_source),
+    ("weight-source", "rough", lambda s: s.weight_source),
+    ("weight-source", "live", lambda s: s.weight_source),
     ("worth-by", "work", lambda s: s.worth_by_work and "work"),
     ("zone", "z", lambda s: s.zone),
     ("zones", ["y", "z"], lambda s: list(s.zones)),
@@ -267,26 +281,26 @@
     entry = {"server": "a", "availability": "fading", "locality": "z", "bay": 3, "units": 0, "start-time": 6}
     knock = {**KNOCK, "billing": "t", "entity": "k", "hint": 5, "is-write": True, "again-by-client": True}
     run(SYNC, SPAWN, {**PAGE, "entries": [entry]}, UPDATE, knock, {**KNOCK, "billing": 0, "odd": 1}, END)
-    assert seen[0].servers == [api.ListedServer("a", api.DRAINING, "z", 3, 0, 6)]
-    assert seen[1] == api.Request(9, "read", 4000000, "t", True, "k", 5, True)
-    assert seen[2] == api.Request(9, "read", 4000000)
+    assert seen[0].endpoints == [Endpoint("a", EndpointState.DRAINING, "z", 3, 0, 6)]
+    assert seen[1] == RequestReceived(9, "read", 4000000, "t", True, "k", 5, True)
+    assert seen[2] == RequestReceived(9, "read", 4000000)
 
 
 def test_every_action_has_its_wire_form(monkeypatch):
     actions = [
-        (api.Send(1, 'quo"te', 5), {"msg": "transmit", "op-id": 1, "server": 'quo"te', "cap": 5}),
-        (api.Refuse(1), {"msg": "reject", "op-id": 1}),
-        (api.Refuse(1, 8), {"msg": "reject", "op-id": 1, "hold-off": 8}),
-        (api.Fail(1), {"msg": "surrender", "op-id": 1}),
-        (api.Cancel(1, 2), {"msg": "cancel", "op-id": 1, "send-no": 2}),
-        (api.SetTimer(3, 4), {"msg": "after", "offset": 3, "label": 4}),
-        (api.Watch(), {"msg": "watch", "on": True}),
-        (api.Watch(False), {"msg": "watch", "on": False}),
-        (api.FetchList(), {"msg": "fetch"}),
-        (api.Tell(api.ALL, "hi"), {"msg": "broadcast-to", "to": -1, "data": "hi"}),
-        (api.Probe("a"), {"msg": "inspect", "server": "a"}),
-        (api.Release("a"), {"msg": "release", "server": "a"}),
-        (api.Log("x"), {"msg": "remark", "text": "x"}),
+        (SendAttempt(1, 'quo"te', 5), {"msg": "transmit", "op-id": 1, "server": 'quo"te', "cap": 5}),
+        (RejectRequest(1), {"msg": "reject", "op-id": 1}),
+        (RejectRequest(1, 8), {"msg": "reject", "op-id": 1, "hold-off": 8}),
+        (FailRequest(1), {"msg": "surrender", "op-id": 1}),
+        (CancelAttempt(1, 2), {"msg": "cancel", "op-id": 1, "send-no": 2}),
+        (SetTimer(3, 4), {"msg": "after", "offset": 3, "label": 4}),
+        (WatchEndpoints(), {"msg": "watch", "on": True}),
+        (WatchEndpoints(False), {"msg": "watch", "on": False}),
+        (FetchList(), {"msg": "fetch"}),
+        (Tell(ALL, "hi"), {"msg": "broadcast-to", "to": -1, "data": "hi"}),
+        (Probe("a"), {"msg": "inspect", "server": "a"}),
+        (Release("a"), {"msg": "release", "server": "a"}),
+        (Log("x"), {"msg": "remark", "text": "x"}),
     ]
     monkeypatch.setattr(choice.Balancer, "handle", lambda self, now, event: [a for a, _ in actions])
     _, got, _ = run(SYNC, SPAWN, KNOCK, END)
--- a/tests/sip/network.py
+++ b/tests/sip/network.py
@@ -3,16 +3,19 @@
 import heapq
 import random
 
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy import settings as policy_settings
+from oakbridge.policy.actions import SetTimer
 from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import Endpoint, EndpointListReceived, TimerFired
+from oakbridge.policy.settings import Idempotency, RequestClass
 from oakbridge.sip.proxy import Peer, Post, Proxy, Rule, Settings, Transmit
 from oakbridge.sip.standins import Phone, Server
 
 SECOND = 1_000_000
 PROXY = Peer("UDP", "10.0.0.1", 5060)
 CLASSES = (
-    api.RequestClass("look", SECOND, 8 * SECOND, repeat=api.SAFE),
-    api.RequestClass("book", 2 * SECOND, 20 * SECOND, repeat=api.UNSAFE),
+    RequestClass("look", SECOND, 8 * SECOND, idempotency=Idempotency.IDEMPOTENT),
+    RequestClass("book", 2 * SECOND, 20 * SECOND, idempotency=Idempotency.NOT_IDEMPOTENT),
 )
 RULES = (Rule("look", frozenset({"OPTIONS"})), Rule("book", frozenset({"INVITE", "MESSAGE"})))
 
@@ -27,7 +30,7 @@
         self.lost, self.doubled, self.delay = lost, doubled, delay
         settings = Settings(PROXY.host, PROXY.port, RULES, {c.name: c.deadline for c in CLASSES}, **more)
         self.proxy = Proxy(settings, seed)
-        self.balancer = Balancer(api.Settings(classes=CLASSES, instances=1), seed)
+        self.balancer = Balancer(policy_settings.Settings(classes=CLASSES, replica_count=1), seed)
         self.phones = [Phone(Peer("UDP", "10.1.0.1", 6000 + i), PROXY, seed + i) for i in range(phones)]
         self.servers = {
             f"s{i}": Server(f"s{i}", Peer("UDP", f"10.2.0.{i + 1}", 5060), seed, script)
@@ -36,7 +39,7 @@
         self.nodes = {node.peer: node for node in (*self.phones, *self.servers.values())}
         self.frozen, self.events, self.heap, self.count = set(), [], [], 0
         self.proxy.servers = {name: s.peer for name, s in self.servers.items()}
-        self.module(api.ServerList([api.ListedServer(name) for name in self.servers]))
+        self.module(EndpointListReceived([Endpoint(name) for name in self.servers]))
 
     def at(self, when, what):
         self.count += 1
@@ -46,8 +49,8 @@
         """The module hears something; what it wants is carried out, and so on until it wants no more."""
         self.events.append(event)
         for action in self.balancer.handle(self.now, event):
-            if isinstance(action, api.SetTimer):
-                self.at(self.now + action.delay, lambda t=action.token: self.module(api.TimerFired(t)))
+            if isinstance(action, SetTimer):
+                self.at(self.now + action.delay, lambda t=action.token: self.module(TimerFired(t)))
             else:
                 self.act(self.proxy.carry_out(self.now, action))
 
--- a/tests/sip/test_pure.py
+++ b/tests/sip/test_pure.py
@@ -7,7 +7,8 @@
 from hypothesis import strategies as st
 from network import CLASSES, PROXY, RULES
 
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.actions import SendAttempt
+from oakbridge.policy.events import AttemptResult, RequestReceived
 from oakbridge.sip import message as m
 from oakbridge.sip.framing import Stream
 from oakbridge.sip.proxy import Peer, Post, Proxy, Settings, Transmit
@@ -154,14 +155,14 @@
     done = proxy().received(1, Peer("UDP", "10.1.0.1", 6000), data)
     statuses = [int(a.data.split()[1]) for a in done if isinstance(a, Transmit)]
     assert statuses == ([told] if isinstance(told, int) else [])
-    assert [type(a.event) for a in done if isinstance(a, Post)] == ([api.Request] if told == "on" else [])
+    assert [type(a.event) for a in done if isinstance(a, Post)] == ([RequestReceived] if told == "on" else [])
 
 
 def test_a_hop_answers_where_the_packet_came_from_and_a_loop_is_no_spiral():
     one = proxy()
     (post,) = one.received(1, Peer("UDP", "192.0.2.7", 7777), GOOD.encode())
     one.servers["s0"] = Peer("UDP", "10.2.0.1", 5060)
-    (sent,) = one.carry_out(2, api.Send(post.event.id, "s0", 1_000_000))
+    (sent,) = one.carry_out(2, SendAttempt(post.event.request_id, "s0", 1_000_000))
     out = m.parse(sent.data)
     vias = [m.parse_via(v) for v in out.all("via")]
     assert vias[1].param("received") == "192.0.2.7" and vias[1].param("rport") == "7777"
@@ -172,7 +173,7 @@
     other.uri = "sip:desk2@10.0.0.1"  # changed on its way, by another hop: a spiral
     m.push_via(other, m.parse_via("SIP/2.0/UDP 10.2.0.1;branch=z9hG4bKother"))
     (spiral,) = one.received(4, one.servers["s0"], other.render())
-    assert isinstance(spiral.event, api.Request)
+    assert isinstance(spiral.event, RequestReceived)
     done = one.received(5, one.servers["s0"], m.respond(out, 200, "t").render())
     (answer,) = [a for a in done if isinstance(a, Transmit)]
     assert answer.peer == Peer("UDP", "192.0.2.7", 7777) and len(m.parse(answer.data).all("via")) == 1
@@ -216,7 +217,7 @@
             Stream().feed(bad)
 
 
-@pytest.mark.parametrize(("repeats", "result"), [(0, api.Result.CONNECT_FAILED), (1, api.Result.RESET)])
+@pytest.mark.parametrize(("repeats", "result"), [(0, AttemptResult.CONNECT_FAILED), (1, AttemptResult.RESET)])
 def test_a_refusal_means_never_ran_only_for_the_one_datagram_of_its_own_request(repeats, result):
     """A server may have taken an earlier datagram, or another request's, before it died."""
     one, now = proxy(), 1
@@ -225,9 +226,9 @@
     for number in (1, 2):
         text = changed(("z9hG4bK1", f"z9hG4bK{number}"), ("c1", f"c{number}"))
         (post,) = one.received(now, Peer("UDP", "10.1.0.1", 6000), text)
-        sent += one.carry_out(now, api.Send(post.event.id, "s0", 5_000_000))
+        sent += one.carry_out(now, SendAttempt(post.event.request_id, "s0", 5_000_000))
     if repeats:
         assert len(one.tick(now + T1)) == 2
     ends = [a.event for a in one.refused(now + T1, sent[0].data[:500]) if isinstance(a, Post)]
-    assert [(e.request, e.result) for e in ends] == [(1, result)]
+    assert [(e.request_id, e.result) for e in ends] == [(1, result)]
     assert one.refused(now + T1, b"SIP/2.0 200 OK\r\nVia: x;branch=y") == []
--- a/tests/sources/test_cold.py
+++ b/tests/sources/test_cold.py
@@ -36,7 +36,7 @@
 
         write(WARM)
         cold = SETTINGS["invariants"] | {"cold-from": SHARE, "fall-multiple": MULTIPLE, "warm-up": 60_000_000}
-        settings = World.one_version(read_settings(SETTINGS | {"discovery": "pushed", "invariants": cold}))
+        settings = World.pinned(read_settings(SETTINGS | {"discovery": "pushed", "invariants": cold}))
         config = Config("n", ("127.0.0.1", 0), None, 7, 1024, None, settings)
         node = Node(config, loop, lambda clock: FileSource(FileOptions(path, settle=0.01), clock.now))
         node.source.start()
--- a/tests/sources/test_files.py
+++ b/tests/sources/test_files.py
@@ -12,7 +12,7 @@
 from peers import run, soon
 
 from oakbridge.node.clock import Clock
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources import files
 from oakbridge.sources.files import CantRead, FileOptions, FileSource, load_saved, read_file, save
 from oakbridge.sources.versions import Version
@@ -44,7 +44,7 @@
             self.servers = {}
         for entry in listing.entries:
             self.servers[entry.server.id] = entry
-            if entry.server.state == api.GONE:
+            if entry.server.state == EndpointState.GONE:
                 del self.servers[entry.server.id]
         assert self.servers
         self.versions.put_nowait(frozenset(self.servers))
@@ -289,7 +289,7 @@
 
 
 def saved_version() -> Version:
-    entry = files.Entry(api.ListedServer("a", zone="z", started=5, place="127.0.0.1:1"), ("127.0.0.1", 1))
+    entry = files.Entry(Endpoint("a", zone="z", started_at=5, address="127.0.0.1:1"), ("127.0.0.1", 1))
     return Version(3, "d" * 64, {"a": entry})
 
 
--- a/tests/sources/test_formats.py
+++ b/tests/sources/test_formats.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources.formats import File, checksum_holds, parse, split_checksum
 from oakbridge.sources.locate import located
 
@@ -59,9 +59,9 @@
     got = read(data, name)
     assert got.problems == []
     first, second = got.servers.values()
-    assert first.server == api.ListedServer("s-1", place="127.0.0.1:9001")
-    assert second.server == api.ListedServer(
-        "s-2", api.DRAINING, "b", 3, 2.5, 1_796_040_000_000_000, "127.0.0.1:9002"
+    assert first.server == Endpoint("s-1", address="127.0.0.1:9001")
+    assert second.server == Endpoint(
+        "s-2", EndpointState.DRAINING, "b", 3, 2.5, 1_796_040_000_000_000, "127.0.0.1:9002"
     )
     assert second.address == ("127.0.0.1", 9002)
     assert got.dated == {"s-2"}
@@ -211,7 +211,7 @@
     got = read(json.dumps({"endpoints": [row(**r) for r in rows]}), "f.json")
     assert bool(got.problems) != bool(got.servers)
     for e in got.servers.values():
-        assert e.server.id and 0 < e.server.size <= 1e6 and e.address[1] > 0
+        assert e.server.id and 0 < e.server.weight <= 1e6 and e.address[1] > 0
 
 
 def test_pauses_come_between_batches():
--- a/tests/sources/test_rewrites.py
+++ b/tests/sources/test_rewrites.py
@@ -14,7 +14,7 @@
 from oakbridge.node.config import Config
 from oakbridge.node.node import Node
 from oakbridge.node.settings import read_settings
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.settings import Settings
 from oakbridge.sources.files import FileOptions, FileSource
 from oakbridge.standin.behaviour import Behaviour
 from oakbridge.standin.server import StandIn
@@ -108,7 +108,7 @@
         )
         warm_soon = SETTINGS["invariants"] | {"warm-up": 50_000}  # newcomers get their part at once
         settings = SETTINGS | {"discovery": "pushed", "invariants": warm_soon}
-        config = Config("n", ("127.0.0.1", 0), None, 7, 1024, None, self.one_version(read_settings(settings)))
+        config = Config("n", ("127.0.0.1", 0), None, 7, 1024, None, self.pinned(read_settings(settings)))
         self.node = Node(config, loop, lambda clock: FileSource(options, clock.now))
         self.source = self.node.source
         self.listen_in()
@@ -119,8 +119,8 @@
         return self
 
     @staticmethod
-    def one_version(settings: api.Settings) -> api.Settings:
-        return api.Settings(**{f: getattr(settings, f) for f in settings.__slots__} | {"one_version": True})
+    def pinned(settings: Settings) -> Settings:
+        return Settings(**{f: getattr(settings, f) for f in settings.__slots__} | {"pin_endpoint_list": True})
 
     def listen_in(self) -> None:
         listed, send = self.node.listed, self.node._send
--- a/tests/sources/test_versions.py
+++ b/tests/sources/test_versions.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from oakbridge.node.listing import Entry
-from oakbridge.policy import vocabulary as api
+from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources.formats import Parsed, Problem
 from oakbridge.sources.versions import (
     Apply,
@@ -26,9 +26,9 @@
 SETTLE = 40 * MS
 
 
-def entry(name: str, port: int = 1, state: str = api.UP, started: int = 0) -> Entry:
+def entry(name: str, port: int = 1, state: str = EndpointState.UP, started: int = 0) -> Entry:
     place = f"127.0.0.1:{port}"
-    return Entry(api.ListedServer(name, state, started=started, place=place), ("127.0.0.1", port))
+    return Entry(Endpoint(name, state, started_at=started, address=place), ("127.0.0.1", port))
 
 
 def parsed(*entries: Entry) -> Parsed:
@@ -117,7 +117,9 @@
 
 def test_drains_and_moves_count_as_taken_away():
     base = version(1, "x", entry("a", 1), entry("b", 2), entry("c", 3), entry("d", 4))
-    new = change(base, "y", entry("a", 1), entry("b", 9), entry("c", 3, api.DRAINING), entry("e", 5))
+    new = change(
+        base, "y", entry("a", 1), entry("b", 9), entry("c", 3, EndpointState.DRAINING), entry("e", 5)
+    )
     assert (new.added, new.changed, new.moved, new.gone) == (("e",), ("c",), ("b",), ("d",))
     assert (new.lost, new.of, new.share) == (3, 4, 0.75)
 
@@ -132,16 +134,16 @@
 def test_a_newcomer_without_a_start_counts_as_started_now_but_not_in_the_first_list():
     """Guards cold servers: one that joins by file is not pushed over."""
     first = change(None, "x", entry("a"), now=7)
-    assert first.servers["a"].server.started == 0
+    assert first.servers["a"].server.started_at == 0
     base = Version(1, "x", first.servers)
     second = change(base, "y", entry("a"), entry("b", 2), now=9)
-    assert (second.servers["a"].server.started, second.servers["b"].server.started) == (0, 9)
+    assert (second.servers["a"].server.started_at, second.servers["b"].server.started_at) == (0, 9)
     third = change(Version(2, "y", second.servers), "z", entry("a"), entry("b", 2), now=11)
     assert third.servers["b"] is second.servers["b"]  # its start stays what it was
     told = Parsed({"c": entry("c", 3, started=4)}, dated={"c"})
-    assert compare(base, "q", told, 13, lambda: None).servers["c"].server.started == 4
+    assert compare(base, "q", told, 13, lambda: None).servers["c"].server.started_at == 4
     moved = change(base, "r", entry("a", 8), now=15)
-    assert moved.servers["a"].server.started == 15
+    assert moved.servers["a"].server.started_at == 15
 
 
 def test_a_change_against_a_list_that_is_no_longer_in_use_is_not_applied():
--- a/tests/spread/test_parts.py
+++ b/tests/spread/test_parts.py
@@ -11,8 +11,15 @@
 from oakbridge.cli.main import cli
 from oakbridge.lab.world import SECOND, Fleet
 from oakbridge.peers.view_state import ClusterView, ViewState
-from oakbridge.policy import vocabulary as api
 from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import (
+    Endpoint,
+    EndpointListReceived,
+    EndpointState,
+    SubsetAssignment,
+    ZoneWeights,
+)
+from oakbridge.policy.settings import Idempotency, RequestClass, Settings
 from oakbridge.policy.view import listed
 from oakbridge.spread import outlook
 from oakbridge.spread.core import PARTED_FOR, Copy, Rate, Spread
@@ -132,27 +139,27 @@
 
 
 def test_the_module_uses_its_part_and_keeps_to_it_as_lists_and_zones_change():
-    classes = (api.RequestClass("look", 2_500_000, 6_000_000, 5, 0.3, api.SAFE),)
-    module = Balancer(api.Settings(classes, instances=10), 1)
-    entries = [api.ListedServer(f"s{i:02d}", zone="ab"[i % 2]) for i in range(40)]
-    module.handle(0, api.ServerList(entries))
+    classes = (RequestClass("look", 2_500_000, 6_000_000, 5, 0.3, Idempotency.IDEMPOTENT),)
+    module = Balancer(Settings(classes, replica_count=10), 1)
+    entries = [Endpoint(f"s{i:02d}", zone="ab"[i % 2]) for i in range(40)]
+    module.handle(0, EndpointListReceived(entries))
     parts = {f"s{i:02d}": 1.0 - i / 10 for i in range(6)}
-    module.handle(1, api.Cut(parts))
+    module.handle(1, SubsetAssignment(parts))
 
     def used():
         return {s.id: round(s.size, 6) for s in module.subset.members(True)}
 
     assert used() == {n: round(p, 6) for n, p in parts.items()} and module.least() == 6
-    module.handle(2, api.Zones({"a": 0.5}))
+    module.handle(2, ZoneWeights({"a": 0.5}))
     assert used()["s00"] == 0.5 and used()["s01"] == 0.9
     assert listed(module) == {e.id: (e.zone, 1.0) for e in entries}
-    module.handle(3, api.Zones({}))
-    changed = [api.ListedServer("s00", api.GONE), api.ListedServer("new"), api.ListedServer("s99")]
-    module.handle(4, api.ServerList(changed, whole=False))
+    module.handle(3, ZoneWeights({}))
+    changed = [Endpoint("s00", EndpointState.GONE), Endpoint("new"), Endpoint("s99")]
+    module.handle(4, EndpointListReceived(changed, complete=False))
     assert set(used()) == parts.keys() - {"s00"}
-    module.handle(5, api.Cut({"new": 0.5, "s99": 1.0}))
+    module.handle(5, SubsetAssignment({"new": 0.5, "s99": 1.0}))
     assert used() == {"new": 0.5, "s99": 1.0}
-    module.handle(6, api.Cut({}))
+    module.handle(6, SubsetAssignment({}))
     assert set(listed(module)) == {e.id for e in entries[1:]} | {"new", "s99"}
     assert {round(s.size, 6) for s in module.servers.values()} == {1.0}
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -23,4 +23,4 @@
     lines = [line for name in policy for line in (ROOT / name).read_text().splitlines()]
     assert sum(1 for line in lines if line.strip()) <= 1200
     assert max(map(len, lines)) <= 110
-    assert any("vocabulary.py" in line for line in lines[:5])
+    assert any("events.py" in line for line in lines[:5])
--- a/tests/workers/test_pure.py
+++ b/tests/workers/test_pure.py
@@ -6,8 +6,9 @@
 
 from oakbridge.control.paths import worker_socket_path
 from oakbridge.node.config import Config
-from oakbridge.policy import vocabulary as api
 from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import Endpoint, EndpointListReceived
+from oakbridge.policy.settings import RequestClass, Settings
 from oakbridge.process import supervisor as sup
 from oakbridge.workers import wire
 from oakbridge.workers.crew import Crew, Do, Join, Over, Part, Say
@@ -19,8 +20,10 @@
 
 
 def config(**more):
-    klass = api.RequestClass("look", 2_500_000, 6_000_000, repeat="safe")
-    settings = api.Settings(classes=(klass,), **({"instances": 3, "max_open": 10, "retry_floor": 0.4} | more))
+    klass = RequestClass("look", 2_500_000, 6_000_000, idempotency="safe")
+    settings = Settings(
+        classes=(klass,), **({"replica_count": 3, "max_open_requests": 10, "retry_floor": 0.4} | more)
+    )
     return Config("n", ("127.0.0.1", 1), None, 7, 1024, None, settings)
 
 
@@ -30,9 +33,9 @@
     assert len({p.seed for p in parts}) == len({p.name for p in parts}) == workers
     assert sum(p.sockets for p in parts) <= 1024
     assert sum(p.settings.retry_floor for p in parts) == pytest.approx(0.4)
-    assert all(p.settings.instances == 3 * workers and p.settings.max_open >= 1 for p in parts)
+    assert all(p.settings.replica_count == 3 * workers and p.settings.max_open_requests >= 1 for p in parts)
     # What the module makes of it: least limits and first limits of all workers add up to those of one.
-    listed = api.ServerList([api.ListedServer(f"s{i}") for i in range(60)])
+    listed = EndpointListReceived([Endpoint(f"s{i}") for i in range(60)])
     whole, parted = [Balancer(c.settings, c.seed) for c in (config(), parts[0])]
     for b in (whole, parted):
         b.handle(1, listed)
