--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -74,7 +74,7 @@
         for s in list(b.servers.values())[3:]:
             s.ejected_until = now + 600_000_000
             if hasattr(b, "members"):
-                b.members.judged(s, now)
+                b.members.update_ejection(s, now)
     return min(some(300) for _ in range(3))
 
 
--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -174,7 +174,7 @@
             return
         node = self._node
         load = RemainingLoad(
-            attempts=node.balancer.admission.out,
+            attempts=node.balancer.admission.in_flight,
             connections=node.server.connection_count() + node.pool.connection_count,
         )
         if load != last_report:
@@ -183,5 +183,5 @@
 
     def _resume_serving(self) -> None:
         log.warning("the process that took over is gone: serving again")
-        self._node.balancer.retired = False
+        self._node.balancer.slow_start.retired = False
         self._node.server.take_back()
--- a/oakbridge/lab/ways.py
+++ b/oakbridge/lab/ways.py
@@ -29,7 +29,7 @@
     def __init__(self, choose: Callable[[Plain], str], seed: int) -> None:
         self.choose, self.random = choose, random.Random(seed)
         self.servers: list[str] = []
-        self.calls: dict[int, Call] = {}
+        self.requests: dict[int, Call] = {}
         self.out: Counter[str] = Counter()
         self.turn = seed  # of round robin: each copy begins elsewhere
         self.subset: list[str] = []
@@ -46,20 +46,20 @@
                 self.servers = [*kept, *(new if not event.complete else [s.id for s in event.endpoints])]
                 self.subset = []
             case RequestReceived():
-                self.calls[event.request_id] = Call()
+                self.requests[event.request_id] = Call()
                 return [self._send(event.request_id, event.time_left)]
-            case AttemptEnded() if event.request_id in self.calls:
+            case AttemptEnded() if event.request_id in self.requests:
                 self.out[event.server] -= 1
-                call = self.calls[event.request_id]
+                call = self.requests[event.request_id]
                 if event.request_finished or len(call.attempts) >= TRIES:
-                    del self.calls[event.request_id]
+                    del self.requests[event.request_id]
                     return [] if event.request_finished else [FailRequest(event.request_id)]
                 return [self._send(event.request_id, 1_000_000)]
         return []
 
     def _send(self, request: int, left: int) -> SendAttempt:
         server = self.choose(self)
-        self.calls[request].attempts.append(server)
+        self.requests[request].attempts.append(server)
         self.out[server] += 1
         return SendAttempt(request, server, left)
 
--- a/oakbridge/lab/world.py
+++ b/oakbridge/lab/world.py
@@ -161,7 +161,9 @@
         for copy in range(len(self.plans)):
             self.at(self.random.randrange(LOOK_EVERY), lambda copy=copy: self._look(copy))  # type: ignore[misc]
         self.divided = (
-            [Spread(f"n{i}", module.home, rings) for i, module in enumerate(self.copies)] if rings else []
+            [Spread(f"n{i}", module.members.local_zone, rings) for i, module in enumerate(self.copies)]
+            if rings
+            else []
         )
         self.others: dict[str, Copy] = {}  # what all hold of each other's parts
         for copy, home in enumerate(self.homes if rings else ()):
@@ -252,7 +254,7 @@
     def send(self, copy: int, action: SendAttempt) -> None:
         """An attempt comes to a server."""
         server = self.servers[action.server]
-        key = copy, action.request_id, len(self.copies[copy].calls[action.request_id].attempts) - 1
+        key = copy, action.request_id, len(self.copies[copy].requests[action.request_id].attempts) - 1
         self.results[server.name, "sent"] += 1
         if server.down:
             self.at(
@@ -397,9 +399,9 @@
             for other, (at, about) in self._said.items()
             if other != copy
         ]
-        came = {name: seen.came for name, seen in module.latency.items()}
+        came = {name: seen.arrivals for name, seen in module.latency.items()}
         served, refused, failed = (self._ended[copy, how] for how in ("served", "refuse", "fail"))
-        counts = Counts(now, served, refused, failed, module.turned, came)
+        counts = Counts(now, served, refused, failed, module.shedding.rejected, came)
         own = self._rates[copy].now(counts, zones(module, now, WINDOW))
         everyone = ClusterView(ViewState.COMPLETE, known=len(self.copies), unreachable=0)
         decision = plan.look(now, now // 1000, everyone, heard, own)
--- a/oakbridge/node/discovery.py
+++ b/oakbridge/node/discovery.py
@@ -13,7 +13,7 @@
 
 from oakbridge.node.listing import Address, BadList, Listener, Listing, parse
 from oakbridge.node.observer import NodeObserver
-from oakbridge.policy.balancer import AT_ONCE
+from oakbridge.policy.endpoint_list import AT_ONCE_US
 
 log = logging.getLogger(__name__)
 
@@ -153,7 +153,7 @@
     def _tell_lost(self, waited: float) -> None:
         """Tell that a call has failed, or that a watch broke: one that was on, and for longer than a refusal takes."""
         now, us = self._now(), max(1, int(1e6 * waited))
-        if self._on and us > AT_ONCE:
+        if self._on and us > AT_ONCE_US:
             self._fresh, us = now, 0
         self._on = False
         self._lost(us, int(1e6 * (now - self._fresh)))
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -80,10 +80,10 @@
     def _count_attempt(self, action: SendAttempt, now: int) -> None:
         """The call may be over, or the server gone, by the same event: counting must not depend on either."""
         balancer = self.node.balancer
-        call, server = balancer.calls.get(action.request_id), balancer.known.get(action.server)
+        call, server = balancer.requests.get(action.request_id), balancer.endpoints.known.get(action.server)
         self.counts["sent"] += 1
         self.counts["again"] += call is not None and len(call.attempts) > 1
-        if server is not None and balancer.warmth(server, now) < 1:
+        if server is not None and balancer.slow_start.capacity_share(server, now) < 1:
             self.counts["cold"] += 1
             self._count_end(server.id, "cold")
 
@@ -114,23 +114,23 @@
             "at": now,
             **{name: count for name, count in self.counts.items() if count},
             "limit": round(admission.limit, 2),
-            "flow": round(admission.flow, 2),
-            "out": admission.out,
-            "waiting": admission.waiting,
+            "flow": round(admission.capacity, 2),
+            "out": admission.in_flight,
+            "waiting": admission.waiting.count,
             "credit": round(admission.credit, 2),
-            "open": len(balancer.calls),
+            "open": len(balancer.requests),
             "servers": len(balancer.servers),
-            "subset": len(balancer.subset),
-            "version": balancer.version,
+            "subset": len(balancer.members.subset),
+            "version": balancer.members.version,
             "ejected": [s.id for s in balancer.servers.values() if s.ejected_until > now],
             "list_age": round((now - self.listed_at) / 1e6, 2),
             "retries_left": round(balancer.budget.left(now), 2),
-            "slower": round(admission.slower, 2),
-            "rate": round(balancer.health.rate, 3),
+            "slower": round(admission.latency_ratio, 2),
+            "rate": round(balancer.outliers.failure_rate, 3),
             "processor": round(cpu_s, 4),
-            "known": len(balancer.known),
+            "known": len(balancer.endpoints.known),
             "connections": node.pool.connection_count,
             "idle": {name: len(s.idle) for name, s in node.pool.servers.items() if s.idle},
-            "outs": {s.id: len(s.out) for s in balancer.known.values() if s.out},
+            "outs": {s.id: len(s.in_flight) for s in balancer.endpoints.known.values() if s.in_flight},
             "ends": self.ends,
         }
--- a/oakbridge/policy/__init__.py
+++ b/oakbridge/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: which server, whether to try again, what waits, what is turned away.  No I/O in here."""
+"""The decisions: which server, whether to retry, what waits, what is rejected.  No I/O here."""
--- a/oakbridge/policy/retry_budget.py
+++ b/oakbridge/policy/retry_budget.py
@@ -1,51 +1,28 @@
-"""The windowed retry budget: how many retries a copy may make, as a share of its first attempts."""
+"""The windowed retry budget: how many retries a replica may make, by its first attempts."""
 
-from __future__ import annotations
-
-from collections import deque
-
-SECOND = 1_000_000
+from oakbridge.policy.settings import Settings
+from oakbridge.policy.sliding_window import SlidingWindow
 
 
 class RetryBudget:
-    """Retries in a sliding window stay under ratio x first attempts + floor; tenants share what it allows."""
-
-    def __init__(self, ratio: float, floor: float, window: int) -> None:
-        self.ratio, self.floor, self.window = ratio, floor * window, window
-        self.slots: deque[tuple[int, list[float], dict[str, float]]] = deque()  # second, [firsts, retries]
-        self.firsts = self.retries = 0.0
-        self.by_tenant: dict[str, float] = {}
-
-    def _slot(self, now: int) -> tuple[int, list[float], dict[str, float]]:
-        second = now // SECOND
-        while self.slots and self.slots[0][0] <= second - self.window:
-            _, (firsts, retries), tenants = self.slots.popleft()
-            self.firsts -= firsts
-            self.retries -= retries
-            for name, n in tenants.items():
-                self.by_tenant[name] -= n
-        if not self.slots or self.slots[-1][0] != second:
-            self.slots.append((second, [0.0, 0.0], {}))
-        return self.slots[-1]
+    """Retries in the window stay under ratio x first attempts + floor; tenants share them."""
 
-    def first(self, now: int) -> None:
-        """Count a first attempt."""
-        self._slot(now)[1][0] += 1
-        self.firsts += 1
+    def __init__(self, settings: Settings) -> None:
+        """Begin with an empty window."""
+        self.settings = settings
+        self.window = SlidingWindow(settings.retry_window)
 
     def left(self, now: int) -> float:
-        """How many retries the window still allows."""
-        self._slot(now)
-        return self.ratio * self.firsts + self.floor - self.retries
+        """Return how many retries the window still allows."""
+        self.window.advance(now)
+        floor = self.settings.retry_floor * self.window.seconds
+        return self.settings.retry_ratio * self.window.first + floor - self.window.further
 
     def take(self, now: int, tenant: str, cost: float) -> bool:
-        """Spend a retry if the budget allows it; a tenant may hold as many as are left for the others."""
-        left, held = self.left(now), self.by_tenant.get(tenant, 0)
-        if left < cost or (tenant and held > 0 and held + cost > left):
+        """Spend a retry if the budget allows it; a tenant may spend as many as it leaves."""
+        left = self.left(now)
+        spent = self.window.further_by_name.get(tenant, 0)
+        if left < cost or (tenant and spent > 0 and spent + cost > left):
             return False
-        _, counts, tenants = self._slot(now)
-        counts[1] += cost
-        self.retries += cost
-        tenants[tenant] = tenants.get(tenant, 0) + cost
-        self.by_tenant[tenant] = held + cost
+        self.window.add_further(now, cost, tenant)
         return True
--- a/oakbridge/policy/settings.py
+++ b/oakbridge/policy/settings.py
@@ -68,9 +68,17 @@
         _check(self.deadline > 0, "class.deadline", "a time above 0", self.deadline)
         _check(self.priority_weight >= 0, "class.worth", "a number of 0 or more", self.priority_weight)
         _check(0 <= self.late_weight <= 1, "class.late_worth", "a share from 0 to 1", self.late_weight)
-        _check(self.idempotency in idempotencies, "class.repeat", "safe, keyed or unsafe", self.idempotency)
         _check(
-            self.dedup_scope in ("all", "zone", "cell"), "class.group", "all, zone or cell", self.dedup_scope
+            self.idempotency in idempotencies,
+            "class.repeat",
+            "safe, keyed or unsafe",
+            self.idempotency,
+        )
+        _check(
+            self.dedup_scope in ("all", "zone", "cell"),
+            "class.group",
+            "all, zone or cell",
+            self.dedup_scope,
         )
         _check(self.dedup_window >= 0, "class.repeat_window", "a time of 0 or more", self.dedup_window)
         _check(self.aim_stretch >= 0, "class.aim_stretch", "a multiple of 0 or more", self.aim_stretch)
@@ -176,12 +184,20 @@
     retry_floor: float = 0.1  # and so many a second
     retry_window: int = 10  # seconds
 
+    @property
+    def any_repeatable(self) -> bool:
+        """Whether requests of any class may be repeated once they may have run."""
+        return any(c.idempotency != Idempotency.NOT_IDEMPOTENT for c in self.classes)
+
     def __post_init__(self) -> None:
         """Refuse impossible values."""
         _check(len(self.classes) > 0, "classes", "at least one class", self.classes)
         _check(self.replica_count >= 1, "instances", "a count of 1 or more", self.replica_count)
         _check(
-            0 <= self.tier < self.tier_count, "tier", f"a number from 0 below {self.tier_count}", self.tier
+            0 <= self.tier < self.tier_count,
+            "tier",
+            f"a number from 0 below {self.tier_count}",
+            self.tier,
         )
         _check(self.max_attempts >= 1, "max_attempts", "a count of 1 or more", self.max_attempts)
         _check(self.poll_interval > 0, "ask_within", "a time above 0", self.poll_interval)
@@ -196,7 +212,10 @@
         _check(self.tick > 0, "tick", "a time above 0", self.tick)
         sources = tuple(WeightSource)
         _check(
-            self.weight_source in sources, "size_source", f"one of {', '.join(sources)}", self.weight_source
+            self.weight_source in sources,
+            "size_source",
+            f"one of {', '.join(sources)}",
+            self.weight_source,
         )
         known = self.report_source in tuple(ReportSource)
         _check(known, "report_source", "one of off, answers, probes", self.report_source)
--- a/oakbridge/policy/state.py
+++ b/oakbridge/policy/state.py
@@ -1,101 +1,149 @@
-"""What a module learned, as plain values, for the process that takes over: written by one copy, read by the next.
+"""What a balancer learned, as plain values, for the process that takes over.
 
-No decision is made here.  Both copies are one node: what the next one is given to spend, the first one gives up.
+No decision is made here.  Both processes are one node: what the next one is given to spend, the
+first one gives up.  Values of servers, admission and the node are saved by position.
 """
 
-from __future__ import annotations
-
 import math
-from collections import deque
 from typing import Any
 
-from oakbridge.policy.balancer import Balancer, Latency
-from oakbridge.policy.membership import Server
+from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.latency import LatencyAverage
+from oakbridge.policy.records import Server
+from oakbridge.policy.sliding_window import Slot
 
 Saved = dict[str, Any]
 
-_SERVER = ("started", "place", "score", "scored_at", "ejected_until", "eject_for", "last_sent", "answered", "tokens",
-           "tokens_at", "slowness", "paced", "queued", "reported")  # fmt: skip
-_ADMISSION = ("limit", "credit", "counted", "carried", "slower", "usual", "window", "flow")
-_COPY = ("failed_lately", "carried", "best")
-
-
-def save(b: Balancer, now: int) -> Saved:
-    """All that was learned; half of the retries that are left go along and are given up here.
-
-    The one who saves goes on with what it has out.  It gives up all of its part in cold servers, as the next copy has
-    the whole node's part of them.
+_SERVER_FIELDS = (
+    "started",
+    "address",
+    "score",
+    "scored_at",
+    "ejected_until",
+    "ejection_us",
+    "last_sent_at",
+    "answered_at",
+    "tokens",
+    "tokens_at",
+    "slowness",
+    "slowness_at",
+    "queued",
+    "reported_at",
+)
+
+
+def save(balancer: Balancer, now: int) -> Saved:
+    """Return all that was learned.
+
+    The process that saves goes on with what it has in flight, and gives up half of the retries that
+    are left.  It gives up all of its part in cold servers: the next one has the node's part of them.
     """
-    half = max(0.0, b.budget.left(now) / 2)
-    b.budget.slots[-1][1][1] += half
-    b.budget.retries += half
-    servers = {}
-    for s in b.servers.values():
-        servers[s.id] = [*(getattr(s, name) for name in _SERVER), s.cap if s.cap < math.inf else None,
-                         s.side is b.subset]  # fmt: skip
-        s.tokens = 0.0
-    b.retired = True
+    admission, slow_start, window = balancer.admission, balancer.slow_start, balancer.budget.window
+    window.add_further(now, max(0.0, balancer.budget.left(now) / 2))
+    servers = {server.id: _save_server(balancer, server) for server in balancer.servers.values()}
+    slow_start.retired = True
     return {
         "servers": servers,
-        "latency": {n: [x.mean, x.dev, x.least, x.count] for n, x in b.latency.items()},
-        "admission": [getattr(b.admission, name) for name in _ADMISSION],
-        "due": b.admission.due,
-        "rate": b.health.rate,
-        "copy": [getattr(b, name) for name in _COPY],
-        "slots": [list(slot) for slot in b.budget.slots],
+        "latency": {
+            name: [seen.mean, seen.deviation, seen.least, seen.count]
+            for name, seen in balancer.latency.items()
+        },
+        "admission": [
+            admission.limit,
+            admission.credit,
+            admission.credited_at,
+            admission.window.served_us,
+            admission.latency_ratio,
+            admission.usual_value.mean,
+            admission.window_size,
+            admission.capacity,
+        ],
+        "due": balancer.quotas.due,
+        "rate": balancer.outliers.failure_rate,
+        "copy": [balancer.outliers.recent_failure_rate, slow_start.rate.mean, slow_start.rate.peak],
+        "slots": [[slot.second, [slot.first, slot.further], slot.further_by_name] for slot in window.slots],
     }
 
 
-def restore(b: Balancer, saved: Saved, now: int) -> None:
-    """Go on from what another copy learned; servers that are not listed, or have restarted, are passed over.
+def _save_server(balancer: Balancer, server: Server) -> list[Any]:
+    values = [getattr(server, name) for name in _SERVER_FIELDS]
+    values.append(server.max_in_flight if server.max_in_flight < math.inf else None)
+    values.append(server.partition is balancer.members.subset)
+    server.tokens = 0.0
+    return values
 
-    Raises KeyError, TypeError or ValueError for what no copy of this version saved; then nothing has changed.
+
+def restore(balancer: Balancer, saved: Saved, now: int) -> None:
+    """Go on from what another process learned, but for servers that are not listed or restarted.
+
+    Raise KeyError, TypeError or ValueError for what no process saved; then nothing has changed.
     """
-    latency = {name: _latency(values) for name, values in saved["latency"].items() if name in b.latency}
-    admission = dict(zip(_ADMISSION, map(float, saved["admission"]), strict=True))
-    copy = dict(zip(_COPY, map(float, saved["copy"]), strict=True))
-    slots = [(int(at), [float(x) for x in counts], dict(tenants)) for at, counts, tenants in saved["slots"]]
-    rate, due = float(saved["rate"]), {n: float(at) for n, at in saved["due"].items() if n in b.admission.due}
-    records = [(b.servers[i], values) for i, values in saved["servers"].items() if i in b.servers]
+    latency = {
+        name: _read_latency(values) for name, values in saved["latency"].items() if name in balancer.latency
+    }
+    (
+        limit,
+        credit,
+        credited_at,
+        served_us,
+        latency_ratio,
+        usual_value,
+        window_size,
+        capacity,
+    ) = map(float, saved["admission"])
+    recent_failure_rate, mean_rate, peak_rate = map(float, saved["copy"])
+    slots = [
+        Slot(int(second), float(first), float(further), dict(by_tenant))
+        for second, (first, further), by_tenant in saved["slots"]
+    ]
+    failure_rate = float(saved["rate"])
+    due = {name: float(at) for name, at in saved["due"].items() if name in balancer.quotas.due}
+    records = [
+        (balancer.servers[name], values)
+        for name, values in saved["servers"].items()
+        if name in balancer.servers
+    ]
     for _, values in records:
-        if len(values) != len(_SERVER) + 2:
+        if len(values) != len(_SERVER_FIELDS) + 2:
             raise ValueError("expected a server's record")
     for server, values in records:
-        _restore_server(b, server, values, now)
-    b.latency.update(latency)
-    b.mean = sum(x.mean for x in b.latency.values()) / len(b.latency)
-    for name, value in admission.items():
-        setattr(b.admission, name, int(value) if name in ("counted", "window") else value)
-    b.admission.due.update(due)
-    b.health.rate = rate
-    for name, value in copy.items():
-        setattr(b, name, value)
-    b.reviewed = now
-    b.must_ask = False  # the watch goes on where the other copy's is
-    budget = b.budget
-    budget.slots = deque(slots)
-    budget.firsts = sum(counts[0] for _, counts, _ in slots)
-    budget.retries = sum(counts[1] for _, counts, _ in slots)
-    budget.by_tenant = {}
-    for _, _, tenants in slots:
-        for name, held in tenants.items():
-            budget.by_tenant[name] = budget.by_tenant.get(name, 0.0) + held
-
-
-def _latency(values: list[float]) -> Latency:
-    latency = Latency(0.0)
-    latency.mean, latency.dev, latency.least = (float(x) for x in values[:3])
+        _restore_server(balancer, server, values, now)
+    balancer.latency.update(latency)
+    balancer.latency.update_mean()
+    admission = balancer.admission
+    admission.limit = limit
+    admission.credit = credit
+    admission.credited_at = int(credited_at)
+    admission.window.served_us = served_us
+    admission.latency_ratio = latency_ratio
+    admission.usual_value.mean = usual_value
+    admission.window_size = int(window_size)
+    admission.capacity = capacity
+    balancer.quotas.due.update(due)
+    balancer.outliers.failure_rate = failure_rate
+    balancer.outliers.recent_failure_rate = recent_failure_rate
+    balancer.slow_start.rate.mean = mean_rate
+    balancer.slow_start.rate.peak = peak_rate
+    balancer.reviewed_at = now
+    balancer.must_poll = False  # the watch goes on where the other process's is
+    balancer.budget.window.restore(slots)
+
+
+def _read_latency(values: list[float]) -> LatencyAverage:
+    latency = LatencyAverage(0.0)
+    latency.mean, latency.deviation, latency.least = (float(x) for x in values[:3])
     latency.count = int(values[3])
     return latency
 
 
-def _restore_server(b: Balancer, server: Server, values: list[Any], now: int) -> None:
-    *facts, cap, member = values
-    if facts[:2] != [server.started, server.place]:
+def _restore_server(balancer: Balancer, server: Server, values: list[Any], now: int) -> None:
+    *facts, max_in_flight, in_subset = values
+    if facts[:2] != [server.started, server.address]:
         return  # it has restarted since, or moved: a clean record is right
-    for name, value in zip(_SERVER, facts, strict=True):
+    for name, value in zip(_SERVER_FIELDS, facts, strict=True):
         setattr(server, name, value)
-    server.cap = math.inf if cap is None else float(cap)
-    if member != (server.side is b.subset):
-        b.members.move(server, b.subset if member else b.spare, now)
-    b.members.judged(server, now)
+    server.max_in_flight = math.inf if max_in_flight is None else float(max_in_flight)
+    members = balancer.members
+    if in_subset != (server.partition is members.subset):
+        members.move(server, members.subset if in_subset else members.reserve, now)
+    members.update_ejection(server, now)
--- a/oakbridge/policy/view.py
+++ b/oakbridge/policy/view.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 import heapq
+import math
 from collections.abc import Iterable
 from dataclasses import dataclass
 from itertools import islice
 
 from oakbridge.policy.balancer import Balancer
-from oakbridge.policy.membership import Server
+from oakbridge.policy.records import Server
+
+SECOND_US = 1e6
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,61 +49,91 @@
     rows: list[ServerView]
 
 
-def _row(b: Balancer, s: Server, subset: set[str], now: int) -> ServerView:
-    warmth, ejected = b.warmth(s, now), max(0, s.ejected_until - now) / 1e6
-    listed = s.id in b.servers
-    state = "drains" if not listed else "ejected" if ejected else "cold" if warmth < 1 else "up"
-    cap = None if s.cap == float("inf") else round(s.cap, 1)
+def _row(balancer: Balancer, server: Server, now: int) -> ServerView:
+    warmth = balancer.slow_start.capacity_share(server, now)
+    ejected_for = max(0, server.ejected_until - now) / SECOND_US
+    if server.partition is None:
+        state = "drains"
+    elif ejected_for:
+        state = "ejected"
+    else:
+        state = "cold" if warmth < 1 else "up"
+    limited = server.max_in_flight < math.inf
     return ServerView(
-        s.id, state, s.zone, s.place, s.id in subset, len(s.out), round(ejected, 3), round(warmth, 3),
-        round(b.slowness(s, now), 3), cap, s.joined,
-    )  # fmt: skip
+        name=server.id,
+        state=state,
+        zone=server.zone,
+        address=server.address,
+        subset=server.partition is balancer.members.subset,
+        out=len(server.in_flight),
+        ejected_for=round(ejected_for, 3),
+        warmth=round(warmth, 3),
+        slowness=round(balancer.selection.slowness(server, now), 3),
+        cap=round(server.max_in_flight, 1) if limited else None,
+        since_version=server.listed_since,
+    )
 
 
-def _per_second(b: Balancer, now: int) -> float:
-    """Attempts a second in the budget's window."""
-    budget = b.budget
-    budget.left(now)  # lets go of what is older
-    return (budget.firsts + budget.retries) / max(1.0, now / 1e6 - budget.slots[0][0])
+def _per_second(balancer: Balancer, now: int) -> float:
+    """Return the attempts a second in the budget's window."""
+    window = balancer.budget.window
+    window.advance(now)
+    elapsed = now / SECOND_US - window.slots[0].second
+    return (window.first + window.further) / max(1.0, elapsed)
 
 
-def brief(b: Balancer, now: int, most: int = 8) -> tuple[int, int, tuple[str, ...]]:
-    """What other nodes are told: calls out, servers in the subset, and some of those that are ejected."""
-    failing = (s.id for s in b.servers.values() if s.ejected_until > now)
-    return b.admission.out, sum(1 for _ in b.subset.members(True)), tuple(islice(failing, most))
+def brief(balancer: Balancer, now: int, most: int = 8) -> tuple[int, int, tuple[str, ...]]:
+    """Return what peers are told: attempts in flight, the subset's size, some ejected servers."""
+    ejected = (s.id for s in balancer.servers.values() if s.ejected_until > now)
+    return (
+        balancer.admission.in_flight,
+        len(balancer.members.subset),
+        tuple(islice(ejected, most)),
+    )
 
 
-def view(b: Balancer, now: int, most: int = 200) -> BalancerView:
-    """The state now, with the rows of at most so many servers: those with most to tell first."""
-    subset = {s.id for s in b.subset.members(True)}
-    shown = heapq.nsmallest(
-        most, b.known.values(), key=lambda s: (s.ejected_until <= now, -len(s.out), s.id not in subset, s.id)
-    )
+def view(balancer: Balancer, now: int, most: int = 200) -> BalancerView:
+    """Return the state now, with rows of at most so many servers: those with most to tell."""
+    subset = balancer.members.subset
+
+    def rank(server: Server) -> tuple[bool, int, bool, str]:
+        idle = server.ejected_until <= now
+        return idle, -len(server.in_flight), server.partition is not subset, server.id
+
+    shown = heapq.nsmallest(most, balancer.endpoints.known.values(), key=rank)
     return BalancerView(
-        list_version=b.version,
-        servers=len(b.servers),
+        list_version=balancer.members.version,
+        servers=len(balancer.servers),
         subset=len(subset),
-        ejected=sum(1 for s in b.servers.values() if s.ejected_until > now),
-        out=b.admission.out,
-        limit=round(b.admission.limit, 1),
-        waiting=b.admission.waiting,
-        open_requests=len(b.calls),
-        retries_left=round(b.budget.left(now), 2),
-        attempts_per_s=round(_per_second(b, now), 1),
-        fail_rate=round(b.failed_lately, 4),
-        rows=sorted((_row(b, s, subset, now) for s in shown), key=lambda r: r.name),
+        ejected=sum(server.ejected_until > now for server in balancer.servers.values()),
+        out=balancer.admission.in_flight,
+        limit=round(balancer.admission.limit, 1),
+        waiting=balancer.admission.waiting.count,
+        open_requests=len(balancer.requests),
+        retries_left=round(balancer.budget.left(now), 2),
+        attempts_per_s=round(_per_second(balancer, now), 1),
+        fail_rate=round(balancer.outliers.recent_failure_rate, 4),
+        rows=sorted((_row(balancer, server, now) for server in shown), key=lambda row: row.name),
     )
 
 
-def listed(b: Balancer, names: Iterable[str] | None = None) -> dict[str, tuple[str, float]]:
-    """Zone and size of servers that may be sent to, without what plans make of the size; ``names``: only of these."""
-    found = b.servers.values() if names is None else [b.servers[n] for n in names if n in b.servers]
-    return {s.id: (s.zone, round(s.size / b.part(s.zone, b.parts) / b.cut.get(s.id, 1.0), 6)) for s in found}
+def listed(balancer: Balancer, names: Iterable[str] | None = None) -> dict[str, tuple[str, float]]:
+    """Return zone and size of servers that may be sent to, without what plans make of the size.
+
+    ``names``: only of these.
+    """
+    servers, subset = balancer.servers, balancer.subset
+    sizes: dict[str, tuple[str, float]] = {}
+    for server in servers.values() if names is None else [servers[n] for n in names if n in servers]:
+        size = server.weight / subset.zone_weights.get(server.zone, 1.0)
+        size /= subset.assignment.get(server.id, 1.0)
+        sizes[server.id] = server.zone, round(size, 6)
+    return sizes
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneView:
-    """How a copy finds the servers of one zone: those that it has met lately, by how their last call ended."""
+    """How the servers of one zone that were met lately ended their last attempt."""
 
     zone: str
     listed: int
@@ -109,15 +142,16 @@
     dead: int  # refused, broken off, or answered as failed
 
 
-def zones(b: Balancer, now: int, window: int) -> list[ZoneView]:
-    """All listed zones; ``window``: microseconds that a meeting counts for."""
-    found, since = [], now - window
-    for zone, servers in sorted(b.members.by_zone.items()):
+def zones(balancer: Balancer, now: int, window: int) -> list[ZoneView]:
+    """Return all listed zones; ``window``: microseconds that a meeting counts for."""
+    found: list[ZoneView] = []
+    since = now - window
+    for zone, servers in sorted(balancer.members.by_zone.items()):
         good = mute = dead = 0
-        for s in servers.values():
-            failed = s.failed_at > s.answered and s.failed_at >= since
-            good += not failed and s.answered >= since
-            mute += failed and s.mute
-            dead += failed and not s.mute
+        for server in servers.values():
+            failed = server.failed_at > server.answered_at and server.failed_at >= since
+            good += not failed and server.answered_at >= since
+            mute += failed and server.failed_silently
+            dead += failed and not server.failed_silently
         found.append(ZoneView(zone, len(servers), good, mute, dead))
     return found
--- a/oakbridge/sites/beside.py
+++ b/oakbridge/sites/beside.py
@@ -74,8 +74,8 @@
             return
         node, now = self.node, self.node.clock.now()
         module = node.balancer
-        came = {name: seen.came for name, seen in module.latency.items()}
-        counts = Counts(now, node.served, node.refused, node.failed, module.turned, came)
+        came = {name: seen.arrivals for name, seen in module.latency.items()}
+        counts = Counts(now, node.served, node.refused, node.failed, module.shedding.rejected, came)
         own = self._rates.now(counts, zones(module, now, WINDOW))
         decision = self.sites.look(now, time.time_ns() // 1_000_000, self.peers.view, list(self.heard()), own)
         for change in decision.changes:
--- a/oakbridge/spread/beside.py
+++ b/oakbridge/spread/beside.py
@@ -26,7 +26,7 @@
 
     def __init__(self, node: Node, peers: MembershipService, rings: int) -> None:
         self.node, self.peers = node, peers
-        self.spread = Spread(peers.options.name, node.balancer.home, rings)
+        self.spread = Spread(peers.options.name, node.balancer.members.local_zone, rings)
         self._rate = Rate()
         self._version, self._servers = -1, dict[str, tuple[str, float]]()  # of the list, and who is on it
         self._task: asyncio.Task[None] | None = None
@@ -76,8 +76,8 @@
     async def _listed(self) -> dict[str, tuple[str, float]]:
         """The servers of the list that holds now, read anew only where it is another one, in short turns."""
         module = self.node.balancer
-        if module.version != self._version and not module.in_pieces:
-            version, names = module.version, list(module.servers)
+        if module.members.version != self._version and not module.endpoints.in_pieces:
+            version, names = module.members.version, list(module.servers)
             found = dict[str, tuple[str, float]]()
             for first in range(0, len(names), AT_ONCE):
                 found |= listed(module, names[first : first + AT_ONCE])
--- a/oakbridge/spread/outlook.py
+++ b/oakbridge/spread/outlook.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from oakbridge.policy.balancer import COVER
+from oakbridge.policy.subset import COVERAGE
 from oakbridge.spread.ring import tiles
 
 Uses = dict[str, dict[str, float]]  # by server: each copy's part of all calls there
@@ -55,7 +55,7 @@
     """As each copy draws a subset by itself: as many as cover every server so often together."""
     found: Uses = defaultdict(dict)
     names, total = list(servers), sum(copies.values())
-    many = min(len(names), max(4, math.ceil(COVER * len(names) / len(copies))))
+    many = min(len(names), max(4, math.ceil(COVERAGE * len(names) / len(copies))))
     for copy, part in copies.items():
         rng = random.Random(f"{seed} {copy}")  # the same whoever else there is
         drawn = sorted(names, key=lambda n: rng.expovariate(servers[n]))[:many]
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -26,14 +26,14 @@
     old, new = pair(replica_count=3)
     old.serve(120, latency=30_000, fails=("s1",))
     over(old, new)
-    assert new.b.known["s1"].score == old.b.known["s1"].score
-    assert new.b.known["s1"].ejected_until == old.b.known["s1"].ejected_until
-    assert new.b.members.ejected() == old.b.members.ejected()
-    subsets = [{s.id for s in d.b.subset.members(True)} for d in (old, new)]
+    assert new.b.endpoints.known["s1"].score == old.b.endpoints.known["s1"].score
+    assert new.b.endpoints.known["s1"].ejected_until == old.b.endpoints.known["s1"].ejected_until
+    assert new.b.members.ejected_count() == old.b.members.ejected_count()
+    subsets = [{s.id for s in d.b.members.subset.items(with_inactive=True)} for d in (old, new)]
     assert subsets[0] == subsets[1]
     assert new.b.latency["read"].mean == old.b.latency["read"].mean
     assert new.b.admission.limit == old.b.admission.limit
-    assert new.b.health.rate == old.b.health.rate
+    assert new.b.outliers.failure_rate == old.b.outliers.failure_rate
 
 
 def test_retries_left_are_shared_not_doubled():
@@ -59,7 +59,7 @@
     before = len([a for a in old.of(SendAttempt) if a.server == "s5"])
     old.serve(300, gap=10_000)
     assert len([a for a in old.of(SendAttempt) if a.server == "s5"]) == before
-    assert new.b.known["s5"].tokens_at > 0
+    assert new.b.endpoints.known["s5"].tokens_at > 0
 
 
 def test_a_server_that_restarted_since_starts_with_a_clean_record():
@@ -67,7 +67,7 @@
     old.serve(120, fails=("s1",))
     new = Driver(entries=[Endpoint("s1", address="p1", started_at=7), *ENTRIES[2:]], classes=(READ, PAY))
     over(old, new)
-    assert new.b.known["s1"].score < old.b.known["s1"].score
+    assert new.b.endpoints.known["s1"].score < old.b.endpoints.known["s1"].score
     assert new.ask()
 
 
@@ -77,7 +77,7 @@
     old.serve(120)
     for _ in range(200):
         old.ask()
-    out = old.b.admission.out
+    out = old.b.admission.in_flight
     assert out >= old.b.admission.limit > 4
     over(old, new)
     new.feed(InFlightInOtherProcess(out))
@@ -109,6 +109,6 @@
 def test_one_that_is_back_alone_uses_cold_servers_again():
     old, _ = pair()
     state.save(old.b, old.now)
-    old.b.retired = False
+    old.b.slow_start.retired = False
     old.serve(10)
     assert old.of(SendAttempt)
--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -175,9 +175,9 @@
             assert (await caller.answer())[0] == 404
             assert await caller.ended() == b""
             assert peer.seen.qsize() == 1
-            assert (server.score, server.out) == (score, {})
+            assert (server.score, server.in_flight) == (score, {})
             assert node.node.balancer.budget.left(node.node.clock.now()) >= left
-            assert not node.node.balancer.calls
+            assert not node.node.balancer.requests
 
     run(scenario())
 
@@ -316,4 +316,4 @@
     """Return whether nothing is retained of any request, once the balancer has had all events."""
     await until(lambda: not node.node.requests)
     balancer = node.node.balancer
-    return not node.node.open and not balancer.calls and balancer.admission.out == 0
+    return not node.node.open and not balancer.requests and balancer.admission.in_flight == 0
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -12,7 +12,7 @@
 from oakbridge.node.listing import BadList, parse
 from oakbridge.node.node import parse_report
 from oakbridge.policy.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt
-from oakbridge.policy.balancer import AT_ONCE
+from oakbridge.policy.endpoint_list import AT_ONCE_US
 from oakbridge.policy.events import (
     AttemptEnded,
     AttemptResult,
@@ -334,12 +334,12 @@
             await soon(node.registry.seen.get())
             node.registry.put(reply(503))  # it was not on yet: a call that was turned away, with a young list
             waited, stale = await soon(lost.get())
-            assert 0 < waited < AT_ONCE and stale < AT_ONCE
+            assert 0 < waited < AT_ONCE_US and stale < AT_ONCE_US
             node.node.source.watch(True)
             await soon(node.registry.seen.get())
             node.registry.put(listing(5, whole=False))
             await soon(node.registry.seen.get())
-            await asyncio.sleep(1.2 * AT_ONCE / 1e6)
+            await asyncio.sleep(1.2 * AT_ONCE_US / 1e6)
             node.registry.put("close")
             waited, stale = await soon(lost.get())
             assert (waited, stale) == (0, 0) and node.node.source._watch is None
--- a/tests/node/test_streaming.py
+++ b/tests/node/test_streaming.py
@@ -107,7 +107,7 @@
                 assert await soon(caller.reader.readexactly(5)) == b"0\r\n\r\n"
             if framing == "length" and not old:  # and the connection is kept on both sides
                 await until(
-                    lambda: not node.node.balancer.admission.out
+                    lambda: not node.node.balancer.admission.in_flight
                 )  # the node has read the server's end, too
                 # A connection is idle for so long before it is used again.
                 await asyncio.sleep(2 * MIN_IDLE_US / 1e6)
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -16,7 +16,8 @@
     SetTimer,
     WatchEndpoints,
 )
-from oakbridge.policy.balancer import BURST, START_EACH, START_MANY, WAITING, Balancer, Health, Server
+from oakbridge.policy.admission import BURST, CROWDED_START_LIMIT, MAX_WAITING, START_LIMIT
+from oakbridge.policy.balancer import Balancer
 from oakbridge.policy.events import (
     AttemptEnded,
     AttemptResult,
@@ -29,7 +30,11 @@
     ResponseStarted,
     TimerFired,
 )
-from oakbridge.policy.retry_budget import SECOND, RetryBudget
+from oakbridge.policy.latency import LatencyAverages
+from oakbridge.policy.membership import Membership
+from oakbridge.policy.outlier_detection import OutlierDetection
+from oakbridge.policy.records import Server
+from oakbridge.policy.retry_budget import RetryBudget
 from oakbridge.policy.settings import (
     Idempotency,
     Prices,
@@ -39,8 +44,15 @@
     Tenant,
     WeightSource,
 )
+from oakbridge.policy.timers import SECOND_US as SECOND
 
 RATIO, FLOOR_PER_S, WINDOW_S = 0.2, 0.1, 10  # the settings' own
+BUDGET = Settings(
+    (RequestClass("any", 1, 2),),
+    retry_ratio=RATIO,
+    retry_floor=FLOOR_PER_S,
+    retry_window=WINDOW_S,
+)
 READ = RequestClass("read", 1_000_000, 4_000_000, 1, 0.5, Idempotency.IDEMPOTENT)
 PAY = RequestClass("pay", 1_000_000, 4_000_000, 5, 0.5, Idempotency.NOT_IDEMPOTENT)
 
@@ -95,9 +107,9 @@
 
 
 def test_budget_is_ratio_plus_floor_over_the_window():
-    budget = RetryBudget(RATIO, FLOOR_PER_S, WINDOW_S)
+    budget = RetryBudget(BUDGET)
     for _ in range(50):
-        budget.first(0)
+        budget.window.add_first(0)
     allowed = RATIO * 50 + FLOOR_PER_S * WINDOW_S
     taken = sum(budget.take(0, "", 1.0) for _ in range(50))
     assert taken == int(allowed)
@@ -106,9 +118,9 @@
 
 
 def test_one_tenants_failing_burst_leaves_half_of_the_budget():
-    budget = RetryBudget(RATIO, FLOOR_PER_S, WINDOW_S)
+    budget = RetryBudget(BUDGET)
     for _ in range(100):
-        budget.first(0)
+        budget.window.add_first(0)
     greedy = sum(budget.take(0, "greedy", 1.0) for _ in range(100))
     other = sum(budget.take(0, "other", 1.0) for _ in range(5))
     assert greedy <= (RATIO * 100 + FLOOR_PER_S * WINDOW_S) / 2 + 1
@@ -160,18 +172,18 @@
 def test_subset_widens_under_load_and_narrows_when_quiet():
     d = Driver(servers=40, replica_count=40)
     d.b.admission.limit = 99.0
-    least = len(d.b.subset)
+    least = len(d.b.members.subset)
     assert least < 40
     sent = []
     for _ in range(60):
         d.run_to(d.now + 600_000 // 10)
         sent += [a for a in d.ask() if isinstance(a, SendAttempt)]
-    wide = len(d.b.subset)
+    wide = len(d.b.members.subset)
     assert wide > least
     for send in sent:
         d.end(send, AttemptResult.OK)
     d.serve(40, gap=600_000)
-    assert len(d.b.subset) < wide
+    assert len(d.b.members.subset) < wide
 
 
 # ---- health
@@ -188,7 +200,7 @@
         for n in range(pieces):
             part = new[n * 20 // pieces : (n + 1) * 20 // pieces]
             d.feed(EndpointListReceived(part, complete=False, more_follow=n + 1 < pieces))
-        for s in d.b.subset.members(True):
+        for s in d.b.members.subset.items(with_inactive=True):
             counts["new" if s.id[0] == "n" else "old"] += 1
     assert 0.8 < counts["new"] / 20 / (counts["old"] / 40) < 1.25
 
@@ -201,11 +213,12 @@
 
 
 def test_a_tier_that_fails_as_a_whole_ejects_nobody():
-    health, servers = Health(), [Server(Endpoint(f"s{i}")) for i in range(6)]
+    outliers = OutlierDetection(Membership(""), LatencyAverages())
+    servers = [Server(id=f"s{i}") for i in range(6)]
     now = 0
     for n in range(600):
         now += 50_000
-        health.note(servers[n % 6], n % 5 < 4, now)
+        outliers.update_score(servers[n % 6], n % 5 < 4, now)
     late = [s for s in servers if s.ejected_until > now]
     assert not late
 
@@ -220,7 +233,7 @@
     assert s.id in d.serve(40, gap=20_000) and s.score == before  # used as before
     for _ in range(failures):
         assert not s.ejected_until
-        d.b.health.note(s, True, d.now)
+        d.b.outliers.update_score(s, True, d.now)
     assert s.ejected_until > d.now
 
 
@@ -249,7 +262,7 @@
     d.serve(20)
     for s in d.b.servers.values():
         s.ejected_until = d.now + 10_000_000
-        d.b.members.judged(s, d.now)
+        d.b.members.update_ejection(s, d.now)
     assert [a for a in d.ask() if isinstance(a, SendAttempt)]
 
 
@@ -269,7 +282,12 @@
     d.serve(200)
     d.feed(EndpointListReceived([Endpoint("new", started_at=d.now)], complete=False))
     used = d.serve(100)  # 4.5 s
-    can_do = len(used) / 5 * sum(d.b.warmth(d.b.servers["new"], t) for t in (d.now - 4_500_000, d.now)) / 2
+    can_do = (
+        len(used)
+        / 5
+        * sum(d.b.slow_start.capacity_share(d.b.servers["new"], t) for t in (d.now - 4_500_000, d.now))
+        / 2
+    )
     assert 0 < used.count("new") < 2.5 * can_do
 
 
@@ -291,7 +309,7 @@
     d.serve(10)
     d.feed(EndpointListReceived([Endpoint("s0", EndpointState.DRAINING)], complete=False))
     assert set(d.serve(20)) == {"s1"}
-    d.b.known["s0"].score = 5.0
+    d.b.endpoints.known["s0"].score = 5.0
     d.feed(EndpointListReceived([Endpoint("s0", started_at=1)], complete=False))
     assert d.b.servers["s0"].score < 0
 
@@ -307,11 +325,11 @@
             d.end(sends[0], AttemptResult.OK)
         d.feed(EndpointListReceived([Endpoint(f"new{i}", EndpointState.GONE)], complete=False))
         if out:
-            assert f"new{i}" in d.b.known
+            assert f"new{i}" in d.b.endpoints.known
             d.end(sends[0], AttemptResult.OK)
-    assert d.b.known == d.b.servers == d.b.young == {}
-    assert not d.b.subset
-    assert not d.b.spare
+    assert d.b.endpoints.known == d.b.servers == d.b.slow_start.warming == {}
+    assert not d.b.members.subset
+    assert not d.b.members.reserve
 
 
 @pytest.mark.parametrize(("most", "tier"), [(0, 0), (SECOND, 0), (SECOND, 1)])
@@ -408,7 +426,7 @@
     d.serve(60)
     d.b.admission.limit = 40.0
     out = [a for _ in range(40) for a in d.ask("pay") if isinstance(a, SendAttempt)]
-    room = int(WAITING * 40)
+    room = int(MAX_WAITING * 40)
     waiting = [(d.ask("read"), d.id)[1] for _ in range(room // 2)] + [
         (d.ask("pay"), d.id)[1] for _ in range(room - room // 2)
     ]
@@ -417,7 +435,7 @@
         d.ask("pay")
         assert [a.request_id for a in d.of(RejectRequest)] == waiting[: n + 1]  # reads
     before = len(d.of(RejectRequest))
-    d.b.admission.out = 10  # it is not the limit that they wait for, but servers: all may be served yet
+    d.b.admission.in_flight = 10  # it is not the limit that they wait for, but servers: all may be served yet
     overload(d, room, 1)
     assert len(d.of(RejectRequest)) == before
 
@@ -448,7 +466,7 @@
     d.b.admission.limit = 9.0
     sent = [a for _ in range(4) for a in d.ask() if isinstance(a, SendAttempt)]
     d.end(sent[-1], AttemptResult.REJECTED)
-    assert d.b.servers["s0"].cap == 3
+    assert d.b.servers["s0"].max_in_flight == 3
     assert d.b.servers["s0"].score < 0  # full is not sick
 
 
@@ -458,9 +476,9 @@
     d.serve(30, latency=100_000)
     send = next(a for a in d.ask() if isinstance(a, SendAttempt))
     d.end(send, AttemptResult.TIMEOUT)
-    assert len(d.b.known[send.server].out) == 1
+    assert len(d.b.endpoints.known[send.server].in_flight) == 1
     d.run_to(d.now + 200_000)
-    assert not d.b.known[send.server].out
+    assert not d.b.endpoints.known[send.server].in_flight
 
 
 def test_members_above_their_even_part_are_passed_over():
@@ -571,8 +589,8 @@
 def test_a_second_copy_needs_the_sites_leave(copies, allowed):
     d = Driver(hedging_allowed=copies)
     d.ask()
-    [call] = d.b.calls.values()
-    assert d.b.safety.may_send(call, None, d.now) is allowed
+    [call] = d.b.requests.values()
+    assert d.b.safety.allows_attempt(call, None, d.now) is allowed
 
 
 @pytest.mark.parametrize(("part", "well"), [(0.2, True), (0.4, True), (0.8, False)])
@@ -581,20 +599,20 @@
     d = Driver(servers=4)
     d.serve(40)
     d.serve(100, latency=int(part * READ.latency_objective))
-    assert (d.b.admission.slower <= 1) is well
+    assert (d.b.admission.latency_ratio <= 1) is well
 
 
 def test_the_limit_shrinks_and_grows_with_the_list():
     """Incident i2a22b9: most of a tier was taken away, and the rest got what all had carried."""
     d = Driver(servers=12)
     d.serve(40)
-    d.b.admission.flow, d.b.admission.limit = 24.0, 36.0
+    d.b.admission.capacity, d.b.admission.limit = 24.0, 36.0
     d.feed(
         EndpointListReceived([Endpoint(f"s{i}", EndpointState.GONE) for i in range(4, 12)], complete=False)
     )
-    assert (d.b.admission.flow, d.b.admission.limit) == (8.0, 12.0)
+    assert (d.b.admission.capacity, d.b.admission.limit) == (8.0, 12.0)
     d.feed(EndpointListReceived([Endpoint(f"new{i}") for i in range(8)], complete=False))
-    assert (d.b.admission.flow, d.b.admission.limit) == (24.0, 36.0)
+    assert (d.b.admission.capacity, d.b.admission.limit) == (24.0, 36.0)
     d.feed(EndpointListReceived([]))
     d.feed(EndpointListReceived([Endpoint("s0")]))
     assert len([a for a in d.ask() if isinstance(a, SendAttempt)]) == 1
@@ -607,12 +625,12 @@
     d.run_to(d.now + 2 * SECOND)
     send = next(a for a in d.ask() if isinstance(a, SendAttempt))
     d.end(send, AttemptResult.CONNECT_FAILED)
-    assert d.b.known[send.server].ejected_until > d.now
+    assert d.b.endpoints.known[send.server].ejected_until > d.now
     d = Driver(servers=1)
     d.serve(30)
     sends = [a for _ in range(3) for a in d.ask() if isinstance(a, SendAttempt)]
     d.end(sends[0], AttemptResult.CONNECT_FAILED)
-    assert not d.b.known["s0"].ejected_until and d.b.known["s0"].cap == 2
+    assert not d.b.endpoints.known["s0"].ejected_until and d.b.endpoints.known["s0"].max_in_flight == 2
 
 
 def test_replaced_timers_set_no_further_ones():
@@ -683,7 +701,7 @@
 
 def test_start_is_limited_by_this_copys_part_of_the_servers():
     """Incident i874b61: each copy rushed in before its first answers, and servers turned slow for good."""
-    for servers, instances, each in ((10, 20, START_MANY), (40, 10, START_EACH)):
+    for servers, instances, each in ((10, 20, CROWDED_START_LIMIT), (40, 10, START_LIMIT)):
         d = Driver(servers=servers, replica_count=instances)
         assert d.b.admission.limit == each * servers / instances
         sent = sum(isinstance(a, SendAttempt) for _ in range(90) for a in d.ask())
@@ -693,7 +711,7 @@
 def test_limits_below_a_call_hold_on_average():
     """Day hanoi big-1: hundreds of copies with one call each out filled every server past what it bears."""
     d = Driver(servers=10, replica_count=100)
-    d.b.admission.limit = d.b.admission.least = 0.5
+    d.b.admission.limit = d.b.admission.min_limit = 0.5
     busy, waiting = 0, []
     for tick in range(20_000):  # far more is asked for than the limit lets through
         d.run_to(tick * 1000)
@@ -709,7 +727,7 @@
             if a.request_id in out and a.request_id > d.id - 40
         ]
         d.b.admission.limit = 0.5
-        busy += d.b.admission.out
+        busy += d.b.admission.in_flight
     assert 0.3 < busy / 20_000 < 0.75
 
 
@@ -784,7 +802,7 @@
     d.feed(ResponseStarted(send.request_id, 0))
     d.run_to(d.now + 9 * SECOND)
     assert not d.of(CancelAttempt) + d.of(RejectRequest) + d.of(FailRequest)
-    assert not d.b.calls
+    assert not d.b.requests
 
 
 def test_servers_that_answer_do_not_hang():
@@ -798,9 +816,11 @@
         assert len(sends) == 1  # it did not have to wait
         d.end(sends[0], AttemptResult.OK)
     server = d.b.servers[sends[0].server]
-    assert not d.b.hangs(server, d.now)
-    server.answered = next(iter(server.out.values())).sent  # but one that has answered nothing since does
-    assert d.b.hangs(server, d.now)
+    assert not d.b.outliers.is_hung(server, d.now)
+    server.answered_at = next(
+        iter(server.in_flight.values())
+    ).sent_at  # but one that has answered nothing since does
+    assert d.b.outliers.is_hung(server, d.now)
 
 
 # ---- many copies: what one copy does that is harmless alone
@@ -817,7 +837,9 @@
     used = [d.serve(20, gap=100_000, latency=200_000) for _ in range(4)]  # 24 s in all
     assert [len(part) for part in used[1:]] == [20, 20, 20]
     cold = sum(name.startswith("new") for part in used[:3] for name in part)  # each can do one after another
-    can_do = sum(5 * d.b.warmth(d.b.servers["new0"], d.now - (t + 6) * SECOND) for t in range(18))
+    can_do = sum(
+        5 * d.b.slow_start.capacity_share(d.b.servers["new0"], d.now - (t + 6) * SECOND) for t in range(18)
+    )
     assert 0 < cold < 2.5 * replaced * can_do
 
 
@@ -834,7 +856,7 @@
             d.actions.clear()
             for send in sends:
                 tried += send.server == "s0"
-                number = len(d.b.calls[send.request_id].attempts) - 1
+                number = len(d.b.requests[send.request_id].attempts) - 1
                 d.end(send, AttemptResult.REJECTED if send.server == "s0" else AttemptResult.OK, number)
             d.run_to(d.now + 30_000)
     assert 1 <= tried <= 6
@@ -845,15 +867,15 @@
     d = Driver(servers=4)
     d.serve(60, gap=100_000)
     d.b.admission.limit = 100.0
-    while min(len(s.out) for s in d.b.servers.values()) < 2:
+    while min(len(s.in_flight) for s in d.b.servers.values()) < 2:
         d.ask()
     slow = d.b.servers["s0"]
     d.run_to(d.now + 50_000)
-    for (request, number), attempt in list(slow.out.items())[1:]:
+    for (request, number), attempt in list(slow.in_flight.items())[1:]:
         d.feed(AttemptEnded(request, number, "s0", AttemptResult.OK, 50_000, True))
         assert attempt.result == AttemptResult.OK
-    slow.slowness, slow.paced = 6.0, d.now
-    assert len(slow.out) == 1 < min(len(s.out) for s in d.b.servers.values() if s is not slow)
+    slow.slowness, slow.slowness_at = 6.0, d.now
+    assert len(slow.in_flight) == 1 < min(len(s.in_flight) for s in d.b.servers.values() if s is not slow)
     sent = [a for _ in range(4) for a in d.ask() if isinstance(a, SendAttempt)]
     assert len(sent) == 4 and all(a.server != "s0" for a in sent)
 
@@ -865,16 +887,16 @@
     for _ in range(4):
         sent = next(a for a in d.ask() if isinstance(a, SendAttempt))
         server = d.b.servers[sent.server]
-        before = d.b.slowness(server, d.now)
+        before = d.b.selection.slowness(server, d.now)
         d.run_to(d.now + 200_000)
         d.feed(ClientDisconnected(sent.request_id))
         d.feed(AttemptEnded(sent.request_id, 0, sent.server, AttemptResult.CANCELLED, 200_000))
-        assert d.b.slowness(server, d.now) > before
+        assert d.b.selection.slowness(server, d.now) > before
     quick = next(a for a in d.ask() if isinstance(a, SendAttempt))
     server = d.b.servers[quick.server]
-    before = d.b.slowness(server, d.now)
+    before = d.b.selection.slowness(server, d.now)
     d.feed(AttemptEnded(quick.request_id, 0, quick.server, AttemptResult.CANCELLED, 100))
-    assert d.b.slowness(server, d.now) <= before  # called off at once it tells nothing
+    assert d.b.selection.slowness(server, d.now) <= before  # called off at once it tells nothing
 
 
 @pytest.mark.parametrize(("klass", "goes_on"), [("read", True), ("pay", False)])
@@ -902,28 +924,30 @@
     d = Driver(servers=4, cancellation_allowed=True)
     d.serve(60)
     late = next(a for a in d.ask() if isinstance(a, SendAttempt))
-    d.b.reviewed = d.now
+    d.b.reviewed_at = d.now
     d.serve(12, gap=20_000)  # just under half a second: the answer itself brings the next look
     d.now += 30_000
     d.end(late, AttemptResult.OK, latency=510_000)
-    assert d.b.reviewed == d.now
-    assert not d.of(CancelAttempt) and not d.b.members.ejected()
+    assert d.b.reviewed_at == d.now
+    assert not d.of(CancelAttempt) and not d.b.members.ejected_count()
 
 
 def test_no_more_is_called_off_in_one_look_than_may_be_tried_again():
     d = Driver(servers=4, cancellation_allowed=True, retry_ratio=0.0, retry_floor=0.2)  # two in ten seconds
     d.serve(60)
     d.b.admission.limit = 100.0
-    while sum(len(s.out) for s in d.b.servers.values()) < 16:
+    while sum(len(s.in_flight) for s in d.b.servers.values()) < 16:
         d.ask()
     answered = [s for s in d.b.servers.values() if s.id != "s0"]
-    for (number, _), _ in [item for s in answered for item in list(s.out.items())]:
+    for (number, _), _ in [item for s in answered for item in list(s.in_flight.items())]:
         d.feed(
-            AttemptEnded(number, 0, d.b.calls[number].attempts[0].server.id, AttemptResult.OK, 20_000, True)
+            AttemptEnded(
+                number, 0, d.b.requests[number].attempts[0].server.id, AttemptResult.OK, 20_000, True
+            )
         )
     d.run_to(d.now + SECOND)
     d.ask()
-    assert len(d.b.servers["s0"].out) > 2 == len(d.of(CancelAttempt))
+    assert len(d.b.servers["s0"].in_flight) > 2 == len(d.of(CancelAttempt))
 
 
 def test_nothing_is_called_off_while_all_wait_alike():
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -73,7 +73,7 @@
     fleet.turn = 4 * SECOND // 60
     fleet.load(250, 15)
     fleet.run(20)
-    assert all(b.version > 1 for b in fleet.copies)
+    assert all(b.members.version > 1 for b in fleet.copies)
     assert fleet.lost <= fleet.asked / 2
 
 
@@ -84,8 +84,8 @@
     fleet.turn = 4 * SECOND // 60
     fleet.load(250, 25)
     fleet.run(15)
-    versions = [b.version for b in fleet.copies]
+    versions = [b.members.version for b in fleet.copies]
     for copy in range(60):
         fleet.feed(copy, EndpointListReceived(failed=True))
     fleet.run(6)
-    assert all(b.version > before for b, before in zip(fleet.copies, versions, strict=True))
+    assert all(b.members.version > before for b, before in zip(fleet.copies, versions, strict=True))
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -12,7 +12,6 @@
 
 from oakbridge import Balancer
 from oakbridge.node.listing import PIECE, Entry, Listing, pieces
-from oakbridge.policy import balancer as module
 from oakbridge.policy.actions import SendAttempt
 from oakbridge.policy.events import (
     AttemptEnded,
@@ -23,8 +22,10 @@
     RequestReceived,
     TimerFired,
 )
-from oakbridge.policy.membership import LOOKS, Membership, Server
+from oakbridge.policy.membership import Membership
+from oakbridge.policy.records import Attempt, OpenRequest, Server
 from oakbridge.policy.settings import Prices, RequestClass, Settings, WeightSource
+from oakbridge.policy.weighted_pool import RING_STEP
 
 SECOND = 1_000_000
 SIZES = (0.001, 0.5, 1.0, 1.0, 3.0, 1000.0)
@@ -44,12 +45,14 @@
     )
     def listed(self, name, zone, size, moved):
         entry = Endpoint(str(name), zone=zone, cell=name % 7, address="x" if moved else "")
+        self.m.version = self.version
         if (s := self.model.get(str(name))) is not None:
-            self.m.relist(s, entry, size, self.version if s.place != entry.address else s.joined, self.now)
+            self.m.relist(s, entry, size, self.now)
         else:
-            s = self.model[str(name)] = Server(entry, size)
-            s.joined = self.version
-            self.m.add(s, self.now, self.m.spare)
+            s = self.model[str(name)] = Server(id=entry.id, started=entry.started_at, address=entry.address)
+            self.m.relist(s, entry, size, self.now)
+            s.listed_since = self.version
+            self.m.add(s, self.m.reserve, self.now)
         self.version += 1
 
     @precondition(lambda self: self.model)
@@ -59,36 +62,42 @@
         if what == "remove":
             self.m.remove(self.model.pop(s.id))
         elif what in ("widen", "narrow"):
-            self.m.move(s, self.m.subset if what == "widen" else self.m.spare, self.now)
+            self.m.move(s, self.m.subset if what == "widen" else self.m.reserve, self.now)
         else:
             s.ejected_until = self.now + self.draw.randrange(1, 30) if what == "eject" else 0
-            self.m.judged(s, self.now)
+            self.m.update_ejection(s, self.now)
 
     @rule(by=st.integers(0, 20))
     def wait(self, by):
         self.now += by
-        self.m.come_back(self.now)
+        self.m.readmit(self.now)
 
     @invariant()
     def all_is_where_it_belongs(self):
-        sides = (self.m.subset, self.m.spare)
+        sides = (self.m.subset, self.m.reserve)
         assert (
-            sorted(s.id for side in sides for s in side.members(True))
+            sorted(s.id for side in sides for s in side.items(with_inactive=True))
             == sorted(self.model)
             == sorted(self.m.servers)
         )
-        assert self.m.ejected() == sum(s.ejected_until > self.now for s in self.model.values())
+        assert self.m.ejected_count() == sum(s.ejected_until > self.now for s in self.model.values())
         for side in sides:
-            for pool, near, out in zip(side.pools(True), (1, 0, 1, 0), (0, 0, 1, 1), strict=True):
+            for pool, near, out in zip(
+                side.sets(with_inactive=True), (1, 0, 1, 0), (0, 0, 1, 1), strict=True
+            ):
                 members = [s for group in pool.groups.values() for s in group]
                 assert all((s.zone == "a") == near and (s.ejected_until > self.now) == out for s in members)
                 assert all(pool.groups[rank][s.slot] is s for rank, g in pool.groups.items() for s in g)
                 assert pool.count == len(members)
-                assert math.isclose(pool.total, sum(s.size for s in members), abs_tol=1e-9, rel_tol=1e-9)
+                assert math.isclose(pool.total, sum(s.weight for s in members), abs_tol=1e-9, rel_tol=1e-9)
                 if members:
                     assert pool.draw(self.draw) in members
-        assert self.m.oldest() == min((s.joined for s in self.model.values()), default=math.inf)
-        for index, key in ((self.m.by_zone, "zone"), (self.m.by_cell, "cell"), (self.m.by_version, "joined")):
+        assert self.m.oldest_version() == min((s.listed_since for s in self.model.values()), default=math.inf)
+        for index, key in (
+            (self.m.by_zone, "zone"),
+            (self.m.by_cell, "cell"),
+            (self.m.by_version, "listed_since"),
+        ):
             told = {k: sorted(v) for k, v in index.items()}
             real: dict = {}
             for s in self.model.values():
@@ -103,19 +112,23 @@
 def reference(b: Balancer, call, now) -> list[Server]:
     """The rule before: the whole subset in a weighted random order, then the spare servers."""
     tried = {a.server.id for a in call.attempts}
-    even = math.ceil((b.admission.out + 1) / max(1, len(b.subset)))
-    for members, most in ((b.subset, even), (b.subset, math.inf), (b.spare, math.inf)):
-        order = sorted(members.members(True), key=lambda s: b.random.expovariate(s.size))
-        own = [i for i, s in enumerate(order) if s.zone == b.home and s.ejected_until <= now]
-        near = own[0] if b.home and own else 0
+    even = math.ceil((b.admission.in_flight + 1) / max(1, len(b.members.subset)))
+    for members, most in (
+        (b.members.subset, even),
+        (b.members.subset, math.inf),
+        (b.members.reserve, math.inf),
+    ):
+        order = sorted(members.items(with_inactive=True), key=lambda s: b.random.expovariate(s.weight))
+        own = [i for i, s in enumerate(order) if s.zone == b.members.local_zone and s.ejected_until <= now]
+        near = own[0] if b.members.local_zone and own else 0
         order.insert(0, order.pop(near)) if near else None
         pair = []
         for s in order:
             if (
                 s.id not in tried
-                and len(s.out) < most
-                and b.safety.may_send(call, s, now)
-                and b.usable(s, call, now)
+                and len(s.in_flight) < most
+                and b.safety.allows_attempt(call, s, now)
+                and b.selection.is_usable(s, call, now)
             ):
                 pair.append(s)
                 if len(pair) == 2:
@@ -125,7 +138,7 @@
     return []
 
 
-def world(count: int, seed: int, **more) -> tuple[Balancer, module.Call]:
+def world(count: int, seed: int, **more) -> tuple[Balancer, OpenRequest]:
     """A balancer whose members differ in size, zone, calls out and health; and a call."""
     klass = RequestClass("look", 2 * SECOND, 6 * SECOND, idempotency=more.pop("repeat", "safe"))
     b = Balancer(Settings(classes=(klass,), replica_count=2, **more), seed)
@@ -137,12 +150,12 @@
     b.handle(SECOND, EndpointListReceived(entries))
     for s in b.servers.values():
         for k in range(draw.choice((0, 0, 1, 2))):
-            s.out[-k - 1, 0] = module.Attempt(s, SECOND, 0)
-            b.admission.out += 1
+            s.in_flight[-k - 1, 0] = Attempt(s, SECOND, 0, s.zone, s.cell)
+            b.admission.in_flight += 1
         if draw.random() < 0.2:
             s.ejected_until = 9 * SECOND
-            b.members.judged(s, SECOND)
-    return b, module.Call(RequestReceived(1, "look", 3 * SECOND), klass, SECOND)
+            b.members.update_ejection(s, SECOND)
+    return b, OpenRequest(1, klass, "", SECOND, streamed=False)
 
 
 ZONES = {"zone": "a", "zones": ("a", "b"), "prices": Prices(cross_zone=1.0)}
@@ -157,12 +170,15 @@
     b, call = world(count, seed, **more)
     rounds = 4000
     seen: list[Counter] = []
-    for pick in (lambda: b.pick(call, SECOND), lambda: reference(b, call, SECOND)):
+    for pick in (
+        lambda: b.selection.choose_candidates(call, b.admission.in_flight, SECOND),
+        lambda: reference(b, call, SECOND),
+    ):
         counts: Counter = Counter()
         for _ in range(rounds):
             pair = pick()
             counts.update({s.id: 1 for s in pair})
-            counts["", len(pair), tuple(s.zone for s in pair) if b.home else ""] += 1
+            counts["", len(pair), tuple(s.zone for s in pair) if b.members.local_zone else ""] += 1
         seen.append(counts)
     statistic = freedom = 0.0
     for key in seen[0].keys() | seen[1].keys():
@@ -208,7 +224,7 @@
 def eject_all_but(b: Balancer, now: int, few: int) -> None:
     for s in list(b.servers.values())[few:]:
         s.ejected_until = now + 60 * SECOND
-        b.members.judged(s, now)
+        b.members.update_ejection(s, now)
 
 
 def cost(count: int, prepare=lambda b, now: None, entries=None, **more) -> tuple[float, int]:
@@ -248,7 +264,7 @@
 def test_all_cold_at_once_costs_a_bounded_look():
     entries = [Endpoint(f"s{i}", started_at=SECOND) for i in range(10_000)]
     lines, sent = cost(10_000, entries=entries, slow_start_window=60 * SECOND, slow_start_minimum=0.1)
-    assert lines < 40 * (24 + LOOKS) * 3 and sent > 0
+    assert lines < 40 * (24 + RING_STEP) * 3 and sent > 0
 
 
 def test_a_delta_costs_by_its_size_and_a_long_list_by_its_length():
@@ -281,7 +297,7 @@
             Settings(classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True), 3
         )
         b.handle(1, EndpointListReceived([Endpoint(f"s{i}", started_at=i) for i in range(10_000)]))
-        b.admission.flow = 500.0
+        b.admission.capacity = 500.0
         parts = pieces(listing, b.members.servers) if split else [listing]
         for n, part in enumerate(parts):
             event = EndpointListReceived(
@@ -290,8 +306,10 @@
             with Lines() as traced:
                 b.handle(2, event)
             worst = max(worst, traced.count) if split else worst
-        states = {s.id: (s.joined, s.started, s.gone) for s in b.known.values()}
-        ends.append((set(b.servers), states, b.version, b.admission.flow, b.safety.oldest))
+        states = {s.id: (s.listed_since, s.started, s.delisted) for s in b.endpoints.known.values()}
+        ends.append(
+            (set(b.servers), states, b.members.version, b.admission.capacity, b.safety.oldest_version)
+        )
     assert ends[0] == ends[1] and len(parts) > 20 and worst < 150 * PIECE
     assert (
         pieces(Listing(8, False, listing.entries[:PIECE]), b.members.servers)[0].entries
@@ -317,9 +335,11 @@
         b.handle(now + 1000, AttemptEnded(number, 0, send.server, AttemptResult.RESET, 1000))
         for _ in range(3):
             again = []
-            while b.alarms and not again and b.alarms[0][0] < now + SECOND:
-                timer = TimerFired(b.timer)
-                again = [a for a in b.handle(b.alarms[0][0], timer) if isinstance(a, SendAttempt)]
+            while not again and b.timers.callbacks.next_due < now + SECOND:
+                timer = TimerFired(b.timers.token)
+                again = [
+                    a for a in b.handle(b.timers.callbacks.next_due, timer) if isinstance(a, SendAttempt)
+                ]
             found += sum(int(a.server[1:]) // 2 == int(send.server[1:]) // 2 for a in again)
             assert all(a.server != send.server for a in again)
             if again:
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -277,9 +277,9 @@
 
 def test_the_check_notices_a_broken_rule(monkeypatch):
     """The statement of the rules above can fail: without the one place that guards repeats, it does."""
-    from oakbridge.policy import balancer as choice
+    from oakbridge.policy.retry_safety import RetrySafety
 
-    monkeypatch.setattr(choice.RepeatSafety, "may_send", lambda *a: True)
+    monkeypatch.setattr(RetrySafety, "allows_attempt", lambda *a: True)
     with pytest.raises(AssertionError):
         for seed in range(20):
             world = World(seed, {"max_attempts": 3})
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -72,15 +72,25 @@
 def test_what_was_learned_stays():
     d = Driver(classes=(READ, PAY))
     d.serve(60, latency=50_000, fails=("s1",))
-    before = d.b.latency["read"].mean, d.b.budget.firsts, d.b.known["s1"].score, d.b.admission.limit
+    before = (
+        d.b.latency["read"].mean,
+        d.b.budget.window.first,
+        d.b.endpoints.known["s1"].score,
+        d.b.admission.limit,
+    )
     tenant = Tenant("a", 5.0)
     change(
         d,
         classes=(READ, PAY, RequestClass("k", 1, 2, idempotency=Idempotency.IDEMPOTENT_WITH_KEY)),
         tenants=(tenant,),
     )
-    assert before == (d.b.latency["read"].mean, d.b.budget.firsts, d.b.known["s1"].score, d.b.admission.limit)
-    assert [d.b.admission.within_share("a", d.now) for _ in range(30)].count(False) > 10
+    assert before == (
+        d.b.latency["read"].mean,
+        d.b.budget.window.first,
+        d.b.endpoints.known["s1"].score,
+        d.b.admission.limit,
+    )
+    assert [d.b.quotas.take("a", d.now) for _ in range(30)].count(False) > 10
 
 
 def test_settings_come_and_go_without_a_trace():
--- a/tests/policy/test_streamed.py
+++ b/tests/policy/test_streamed.py
@@ -4,7 +4,7 @@
 from test_balancer import READ, Driver
 
 from oakbridge.policy.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
-from oakbridge.policy.balancer import UPLOAD
+from oakbridge.policy.balancer import UPLOAD_US
 from oakbridge.policy.events import AttemptEnded, AttemptResult, RequestBodySent, RequestReceived
 
 LEFT = 2_000_000
@@ -49,7 +49,7 @@
 def test_one_whose_body_never_ends_is_given_up():
     d = Driver(classes=(READ,))
     send = begin(d)
-    d.run_to(UPLOAD + 10_000)
+    d.run_to(UPLOAD_US + 10_000)
     assert [a.request_id for a in d.of(RejectRequest)] == [send.request_id]
 
 
@@ -57,15 +57,15 @@
     d = Driver(servers=2, classes=(READ,), cancellation_allowed=True)
     send = begin(d)
     d.serve(200)
-    assert not d.b.hangs(d.b.known[send.server], d.now)
+    assert not d.b.outliers.is_hung(d.b.endpoints.known[send.server], d.now)
     assert not d.of(CancelAttempt)
 
 
 def test_an_answer_that_breaks_behind_its_beginning_counts_against_its_server():
     d = Driver(classes=(READ,))
     d.serve(60)
-    before = d.b.known["s0"].score
+    before = d.b.endpoints.known["s0"].score
     for i in range(4):
         d.feed(AttemptEnded(i, 0, "s0", AttemptResult.RESET, 0, True))
-    assert d.b.known["s0"].score > before
+    assert d.b.endpoints.known["s0"].score > before
     d.feed(AttemptEnded(9, 0, "nobody", AttemptResult.RESET, 0, True))
--- a/tests/policy/test_versions.py
+++ b/tests/policy/test_versions.py
@@ -103,4 +103,4 @@
     d.feed(EndpointsAnnounced([Endpoint(n, address=n) for n in ("b", "c")]))
     assert set(d.serve(20)) == {"a"}
     d.feed(EndpointListReceived([Endpoint("b", address="b")], complete=False))
-    assert set(d.b.servers) == set(d.b.known) == {"a", "b"}
+    assert set(d.b.servers) == set(d.b.endpoints.known) == {"a", "b"}
--- a/tests/sip/test_front.py
+++ b/tests/sip/test_front.py
@@ -116,8 +116,8 @@
                 await asyncio.sleep(0.01)
             await until(lambda: all(a.finals for a in asked))
             assert [a.finals for a in asked if a.finals != [200]] == []
-            refused = node.balancer.known["s2"]
-            assert refused.score > -2 and not refused.out  # its refusals were heard of
+            refused = node.balancer.endpoints.known["s2"]
+            assert refused.score > -2 and not refused.in_flight  # its refusals were heard of
             ran = sum(sum(s.node.ran.values()) for s in servers)
             assert ran == 40
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/sip/test_site.py
+++ b/tests/sip/test_site.py
@@ -32,7 +32,9 @@
     assert [key for key, n in ran.items() if n > 1 and "OPTIONS" not in key[1]] == []
     assert sum(s.unacked for s in site.servers.values()) == 0
     assert site.left() == (0, 0, 0, 0)
-    assert site.balancer.calls == {} and not any(s.out for s in site.balancer.known.values())
+    assert site.balancer.requests == {} and not any(
+        s.in_flight for s in site.balancer.endpoints.known.values()
+    )
     if script is answer_soon:
         assert {f for a in asked for f in a.finals} == {200}
 
--- a/tests/sites/test_module.py
+++ b/tests/sites/test_module.py
@@ -89,7 +89,7 @@
     d.b.handle(d.now, LoadSheddingLevel({"look": 0.5}))
     said = [d.ask() for _ in range(400)]
     refused = [a for a in said if isinstance(a, RejectRequest)]
-    assert 150 < len(refused) < 250 and d.b.turned == len(refused)
+    assert 150 < len(refused) < 250 and d.b.shedding.rejected == len(refused)
     waits = [a.retry_after for a in refused]
     assert min(waits) > S // 2 and max(waits) - min(waits) > S // 2  # and not all at once
     d.b.handle(d.now, LoadSheddingLevel({}, over_quota_fraction=1.0))
@@ -132,12 +132,12 @@
         d.ids, number = d.ids + 1, d.ids + 1
         d.now += 1000
         b.handle(d.now, RequestReceived(number, "look", 5 * S))
-        call = b.calls[number]
+        call = b.requests[number]
         sent = call.attempts[0].server
         if sent.id != server:  # as if it had been drawn
-            del sent.out[number, 0]
+            del sent.in_flight[number, 0]
             call.attempts[0].server = b.servers[server]
-            b.servers[server].out[number, 0] = call.attempts[0]
+            b.servers[server].in_flight[number, 0] = call.attempts[0]
         b.handle(d.now, AttemptEnded(number, 0, server, result, 500, result == AttemptResult.OK))
 
     for server in ("a0", "b0", "c5"):
@@ -151,7 +151,7 @@
     assert {s.id for s in b.servers.values() if s.ejected_until > d.now} == rests
     for s in b.servers.values():
         s.ejected_until = 0
-    b.health.rate = 0.5  # half of all fails anyway: three in a row say nothing
+    b.outliers.failure_rate = 0.5  # half of all fails anyway: three in a row say nothing
     for server in ("b1", "b2", "b3"):
         end(server, AttemptResult.RESET)
     assert not any(s.ejected_until for s in b.servers.values() if s.zone == "b")
--- a/tests/sites/test_real.py
+++ b/tests/sites/test_real.py
@@ -123,7 +123,7 @@
             ):
                 done = await asyncio.to_thread(type_in, "sites", *ask, *words)
                 assert done[0] == code and text in done[1], (words, done)
-            while node.balancer.closed != {"b"}:
+            while node.balancer.subset.closed_zones != {"b"}:
                 await asyncio.sleep(0.05)
             assert "held out" in (await asyncio.to_thread(type_in, "sites", *ask))[1]
             assert (await asyncio.to_thread(type_in, "sites", *ask, "return", "b"))[0] == 0
--- a/tests/sources/test_rewrites.py
+++ b/tests/sources/test_rewrites.py
@@ -126,21 +126,21 @@
         listed, send = self.node.listed, self.node._send
 
         def noted_list(listing, saved=False):
-            before = self.versions.get(self.node.balancer.version, {})
+            before = self.versions.get(self.node.balancer.members.version, {})
             listed(listing, saved)
             balancer = self.node.balancer
-            now_is = {s.id: s.place for s in balancer.servers.values()}
-            self.versions[balancer.version] = now_is
+            now_is = {s.id: s.address for s in balancer.servers.values()}
+            self.versions[balancer.members.version] = now_is
             kept, now = set(now_is.values()), self.node.clock.now()
             self.dropped += [(place, now) for place in before.values() if place not in kept]
             self.listed_times.append((now, kept - set(before.values())))
 
         def noted_send(action):
             call, server = (
-                self.node.balancer.calls[action.request_id],
-                self.node.balancer.known[action.server],
+                self.node.balancer.requests[action.request_id],
+                self.node.balancer.endpoints.known[action.server],
             )
-            self.requests.append((call.version, action.server, server.place))
+            self.requests.append((call.list_version, action.server, server.address))
             send(action)
 
         self.node.listed, self.node._send = noted_list, noted_send
--- a/tests/spread/test_parts.py
+++ b/tests/spread/test_parts.py
@@ -147,9 +147,9 @@
     module.handle(1, SubsetAssignment(parts))
 
     def used():
-        return {s.id: round(s.size, 6) for s in module.subset.members(True)}
+        return {s.id: round(s.weight, 6) for s in module.members.subset.items(with_inactive=True)}
 
-    assert used() == {n: round(p, 6) for n, p in parts.items()} and module.least() == 6
+    assert used() == {n: round(p, 6) for n, p in parts.items()} and module.subset.min_size() == 6
     module.handle(2, ZoneWeights({"a": 0.5}))
     assert used()["s00"] == 0.5 and used()["s01"] == 0.9
     assert listed(module) == {e.id: (e.zone, 1.0) for e in entries}
@@ -161,7 +161,7 @@
     assert used() == {"new": 0.5, "s99": 1.0}
     module.handle(6, SubsetAssignment({}))
     assert set(listed(module)) == {e.id for e in entries[1:]} | {"new", "s99"}
-    assert {round(s.size, 6) for s in module.servers.values()} == {1.0}
+    assert {round(s.weight, 6) for s in module.servers.values()} == {1.0}
 
 
 @pytest.mark.parametrize("lost", [0, 3])
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -17,8 +17,16 @@
     policy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
     assert policy == [
         "oakbridge/policy/balancer.py",
+        "oakbridge/policy/admission.py",
+        "oakbridge/policy/endpoint_list.py",
+        "oakbridge/policy/load_shedding.py",
         "oakbridge/policy/membership.py",
+        "oakbridge/policy/outlier_detection.py",
         "oakbridge/policy/retry_budget.py",
+        "oakbridge/policy/retry_safety.py",
+        "oakbridge/policy/server_selection.py",
+        "oakbridge/policy/slow_start.py",
+        "oakbridge/policy/subset.py",
     ]
     lines = [line for name in policy for line in (ROOT / name).read_text().splitlines()]
     assert sum(1 for line in lines if line.strip()) <= 1200
--- a/tests/workers/test_pure.py
+++ b/tests/workers/test_pure.py
@@ -39,11 +39,11 @@
     whole, parted = [Balancer(c.settings, c.seed) for c in (config(), parts[0])]
     for b in (whole, parted):
         b.handle(1, listed)
-    assert parted.admission.least * workers == pytest.approx(whole.admission.least)
+    assert parted.admission.min_limit * workers == pytest.approx(whole.admission.min_limit)
     assert parted.admission.limit * workers == pytest.approx(whole.admission.limit)
     for b, many in ((whole, 1), (parted, workers)):  # and so do their retries: the same traffic, a part each
         for i in range(120 // many):
-            b.budget.first(S + i)
+            b.budget.window.add_first(S + i)
     assert parted.budget.left(2 * S) * workers == pytest.approx(whole.budget.left(2 * S))
 
 
