--- a/oakbridge/node/discovery.py
+++ b/oakbridge/node/discovery.py
@@ -13,7 +13,7 @@
 from oakbridge.node.endpoint_source import EndpointListener
 from oakbridge.node.errors import EndpointListError
 from oakbridge.node.observer import NodeObserver
-from oakbridge.policy.balancer import AT_ONCE
+from oakbridge.policy.endpoint_list import AT_ONCE_US
 
 log = logging.getLogger(__name__)
 
@@ -157,7 +157,7 @@
         """Call the listener: a poll failed, or a watch broke, which was on for longer than a rejection takes."""
         now = self._now()
         waited_us = max(1, int(US_PER_S * waited_s))
-        if self._watching and waited_us > AT_ONCE:
+        if self._watching and waited_us > AT_ONCE_US:
             self._fresh_at = now
             waited_us = 0
         self._watching = False
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -7,7 +7,7 @@
 from peers import SETTINGS, Peer, Registry, Running, endpoint, listing, reply, run, soon, until
 
 from oakbridge.node import discovery
-from oakbridge.policy.balancer import AT_ONCE
+from oakbridge.policy.endpoint_list import AT_ONCE_US
 
 TEN = SETTINGS | {"invariants": SETTINGS["invariants"] | {"ask-within": 10_000_000}}
 
@@ -61,12 +61,12 @@
             await soon(node.registry.seen.get())
             node.registry.put(reply(503))  # it was not on yet: a call that was turned away, with a young list
             waited, stale = await soon(lost.get())
-            assert 0 < waited < AT_ONCE and stale < AT_ONCE
+            assert 0 < waited < AT_ONCE_US and stale < AT_ONCE_US
             node.node.source.watch(True)
             await soon(node.registry.seen.get())
             node.registry.put(listing(5, whole=False))
             await soon(node.registry.seen.get())
-            await asyncio.sleep(1.2 * AT_ONCE / 1e6)
+            await asyncio.sleep(1.2 * AT_ONCE_US / 1e6)
             node.registry.put("close")
             waited, stale = await soon(lost.get())
             assert (waited, stale) == (0, 0) and node.node.source._watch_task is None
