--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -14,7 +14,7 @@
 from oakbridge.cli.common import BadInput, Failed, connect, say_json, socket_options
 from oakbridge.control.errors import RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
-from oakbridge.node.listing import Entry
+from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.policy.events import EndpointState
 from oakbridge.sources.inspection import Inspection, inspect_server_files
 from oakbridge.sources.list_version import ListChange, ListVersion, compare
@@ -163,7 +163,7 @@
     return encoded
 
 
-def _encode_entry(entry: Entry) -> JsonObject:
+def _encode_entry(entry: ListedEndpoint) -> JsonObject:
     server = entry.server
     return {
         "name": server.id,
@@ -187,7 +187,7 @@
     return {name: mark for mark, names in groups.items() for name in names}
 
 
-def _servers_table(entries: list[Entry], marks: dict[str, str]) -> Table:
+def _servers_table(entries: list[ListedEndpoint], marks: dict[str, str]) -> Table:
     table = Table(box=box.SIMPLE_HEAD)
     for column in _COLUMNS:
         table.add_column(column, justify="right" if column in _RIGHT_ALIGNED_COLUMNS else "left")
--- a/oakbridge/fleet/inventory.py
+++ b/oakbridge/fleet/inventory.py
@@ -10,7 +10,8 @@
 from typing import Any
 
 from oakbridge.fleet.errors import InventoryError
-from oakbridge.node.listing import Address, ConfigError, parse_address
+from oakbridge.node.address import Address, parse_address
+from oakbridge.node.errors import ConfigError
 
 INVENTORY_FILE = "fleet.toml"
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
--- a/oakbridge/sources/file_source.py
+++ b/oakbridge/sources/file_source.py
@@ -16,7 +16,9 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from oakbridge.node.listing import ConfigError, Entry, Listener, Listing
+from oakbridge.node.endpoint_list import NO_ADDRESS, EndpointList, ListedEndpoint
+from oakbridge.node.endpoint_source import EndpointListener
+from oakbridge.node.errors import ConfigError
 from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources.change_notifier import ChangeNotifier
 from oakbridge.sources.decoding import SourceFile
@@ -45,7 +47,6 @@
 _THREADS = 4  # one each to poll, to validate, to save, and to verify the watched directories
 _MAX_BYTES_WITH_LINES = 64 * 1024  # longer texts would hold the loop up while a problem's line is found
 _MAX_BYTES_WITHOUT_PAUSES = 16 * 1024
-_NO_ADDRESS = ("0.0.0.0", 0)
 
 logger = logging.getLogger(__name__)
 T = TypeVar("T")
@@ -84,19 +85,21 @@
             find_directories=self._run_in_thread,
             on_change=self._poll_requested.set,
         )
-        self._listener: Listener | None = None
+        self._listener: EndpointListener | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._threads = ThreadPoolExecutor(_THREADS, "server-file")
         self._started = False
 
     # ---- the node's side
 
-    def tell(self, listener: Listener) -> None:
+    def attach(self, listener: EndpointListener) -> None:
         """Name the node that is notified of versions, and notify it of the saved one."""
         self._listener = listener
         saved = self._tracker.current
         if saved is not None:
-            listener.listed(Listing(saved.number, True, list(saved.servers.values())), saved=True)
+            listener.on_endpoint_list(
+                EndpointList(saved.number, True, list(saved.servers.values())), saved=True
+            )
             logger.info("version %d, as saved, is in use until the file is read", saved.number)
 
     async def ready(self) -> None:
@@ -230,9 +233,9 @@
         for start in range(0, len(entries), PREPARED_PER_TURN):
             self._listener.prepare(entries[start : start + PREPARED_PER_TURN])
             await asyncio.sleep(0)
-        removed = [Entry(Endpoint(name, EndpointState.GONE), _NO_ADDRESS) for name in change.removed]
+        removed = [ListedEndpoint(Endpoint(name, EndpointState.GONE), NO_ADDRESS) for name in change.removed]
         is_whole_list = change.base_number == 0
-        self._listener.listed(Listing(action.version.number, is_whole_list, entries + removed))
+        self._listener.on_endpoint_list(EndpointList(action.version.number, is_whole_list, entries + removed))
         self._execute(self._tracker.on_applied(self._now(), action.version.number))
         self.decided.set()
 
--- a/oakbridge/sources/inline_source.py
+++ b/oakbridge/sources/inline_source.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from oakbridge.node.listing import Entry, Listener, Listing
+from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint
+from oakbridge.node.endpoint_source import EndpointListener
 
 _INDEX = 1  # of the only version
 
@@ -10,13 +11,13 @@
 class InlineSource:
     """A list that never changes."""
 
-    def __init__(self, entries: list[Entry]) -> None:
+    def __init__(self, entries: list[ListedEndpoint]) -> None:
         """``entries`` is the whole list."""
         self._entries = entries
 
-    def tell(self, listener: Listener) -> None:
+    def attach(self, listener: EndpointListener) -> None:
         """Notify the node of the whole list."""
-        listener.listed(Listing(_INDEX, True, self._entries))
+        listener.on_endpoint_list(EndpointList(_INDEX, True, self._entries))
 
     def start(self) -> None:
         """Do nothing: the list never changes."""
--- a/oakbridge/sources/list_version.py
+++ b/oakbridge/sources/list_version.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from oakbridge.node.listing import Entry
+from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.policy.events import EndpointState
 from oakbridge.sources.pacing import BATCH_SIZE, no_pause
 from oakbridge.sources.server_row import ParsedServers
@@ -18,7 +18,7 @@
 
     number: int
     digest: str
-    servers: dict[str, Entry]
+    servers: dict[str, ListedEndpoint]
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
     base_number: int  # of the version that it was compared with; 0: there was none
     digest: str
-    servers: dict[str, Entry]  # the whole new list
+    servers: dict[str, ListedEndpoint]  # the whole new list
     added: tuple[str, ...] = ()
     updated: tuple[str, ...] = ()  # still there, with other facts
     moved: tuple[str, ...] = ()  # still there, at another address: another process under the name
@@ -40,7 +40,7 @@
         """The share of the ready servers that this change takes away."""
         return self.lost_ready / self.base_ready if self.base_ready else 0.0
 
-    def delta_entries(self) -> list[Entry]:
+    def delta_entries(self) -> list[ListedEndpoint]:
         """Return the entries to add or replace."""
         return [self.servers[name] for name in (*self.added, *self.updated, *self.moved)]
 
@@ -61,7 +61,7 @@
     base_servers = base.servers if base is not None else {}
     newcomer_started_at_us = now_us if base is not None else 0
     added, updated, moved = [], [], []
-    servers: dict[str, Entry] = {}
+    servers: dict[str, ListedEndpoint] = {}
     for count, (name, listed) in enumerate(parsed.servers.items()):
         if count % BATCH_SIZE == 0:
             pause()
@@ -91,16 +91,18 @@
     )
 
 
-def _with_start_time(entry: Entry, before: Entry | None, newcomer_started_at_us: int) -> Entry:
+def _with_start_time(
+    entry: ListedEndpoint, before: ListedEndpoint | None, newcomer_started_at_us: int
+) -> ListedEndpoint:
     if before is not None and before.address == entry.address:
         started_at_us = before.server.started_at
     else:
         started_at_us = newcomer_started_at_us
-    return Entry(dataclasses.replace(entry.server, started_at=started_at_us), entry.address)
+    return ListedEndpoint(dataclasses.replace(entry.server, started_at=started_at_us), entry.address)
 
 
 def _count_lost(
-    base_servers: dict[str, Entry], servers: dict[str, Entry], pause: Callable[[], None]
+    base_servers: dict[str, ListedEndpoint], servers: dict[str, ListedEndpoint], pause: Callable[[], None]
 ) -> tuple[int, int]:
     """Return how many ready servers are no longer ready at their address, and how many there were."""
     lost_ready = base_ready = 0
--- a/oakbridge/sources/parsing.py
+++ b/oakbridge/sources/parsing.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from oakbridge.node.listing import Address
+from oakbridge.node.address import Address
 from oakbridge.policy.events import EndpointState
 from oakbridge.sources.decoding import SourceFile, decode
 from oakbridge.sources.errors import DecodeError
--- a/oakbridge/sources/saved_copy.py
+++ b/oakbridge/sources/saved_copy.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.node.listing import Entry
+from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.policy.events import Endpoint
 from oakbridge.sources.atomic_file import Write, write_atomically
 from oakbridge.sources.checksum import checksum_line, checksum_matches, split_checksum
@@ -56,7 +56,7 @@
     return content + checksum_line(content)
 
 
-def _encode_entry(entry: Entry) -> list[Any]:
+def _encode_entry(entry: ListedEndpoint) -> list[Any]:
     server = entry.server
     host, port = entry.address
     return [
@@ -83,7 +83,7 @@
     return ListVersion(header["number"], header["digest"], {entry.server.id: entry for entry in entries})
 
 
-def _decode_entry(row: list[Any]) -> Entry:
+def _decode_entry(row: list[Any]) -> ListedEndpoint:
     name, state, zone, group, weight, started_at_us, host, port = row
     server = Endpoint(name, state, zone, group, weight, started_at_us, f"{host}:{port}")
-    return Entry(server, (host, port))
+    return ListedEndpoint(server, (host, port))
--- a/oakbridge/sources/server_row.py
+++ b/oakbridge/sources/server_row.py
@@ -7,7 +7,9 @@
 from datetime import datetime
 from typing import Any
 
-from oakbridge.node.listing import Address, ConfigError, Entry, parse_address
+from oakbridge.node.address import Address, parse_address
+from oakbridge.node.endpoint_list import ListedEndpoint
+from oakbridge.node.errors import ConfigError
 from oakbridge.policy.events import Endpoint, EndpointState
 from oakbridge.sources.problem import FieldPath, Problem
 
@@ -26,7 +28,7 @@
 class ParsedServers:
     """What the files of one version hold: servers by name, or the mistakes; never a part of either."""
 
-    servers: dict[str, Entry] = field(default_factory=dict)
+    servers: dict[str, ListedEndpoint] = field(default_factory=dict)
     problems: list[Problem] = field(default_factory=list)
     with_start_time: set[str] = field(default_factory=set)  # the servers whose row states it
 
@@ -85,7 +87,7 @@
         if name in self._result.servers:
             self.problem((*path, fields.name), f"expected a new name{got(name)} again")
             return
-        self._result.servers[name] = Entry(server, address)
+        self._result.servers[name] = ListedEndpoint(server, address)
         if started_at_us is not None:
             self._result.with_start_time.add(name)
 
