--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -1,4 +1,4 @@
-"""``oakbridge servers``: check a server file, show what it would change, approve a version that is held."""
+"""``oakbridge servers``: check a server file, show its changes, accept a version that is held."""
 
 from __future__ import annotations
 
@@ -47,8 +47,16 @@
 
 @command.command("show")
 @click.argument("path", metavar="FILE", type=click.Path(path_type=Path))
-@click.option("--against", type=click.Path(path_type=Path), help="Another server file: show what changes.")
-@click.option("--saved", type=click.Path(path_type=Path), help="A node's saved copy: show what changes.")
+@click.option(
+    "--against",
+    type=click.Path(path_type=Path),
+    help="Another server file: show what changes.",
+)
+@click.option(
+    "--saved",
+    type=click.Path(path_type=Path),
+    help="A node's saved copy: show what changes.",
+)
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON.")
 def show(path: Path, against: Path | None, saved: Path | None, as_json: bool) -> None:
     """Show the servers of a file, or what it would change."""
--- a/oakbridge/sources/change_notifier.py
+++ b/oakbridge/sources/change_notifier.py
@@ -1,6 +1,7 @@
 """Hear of changes of files by inotify, through watchfiles.
 
-A notification is only a hint to poll: where inotify can't be had, or is lost, polling finds the same.
+A notification is only a hint to poll: where inotify can't be had, or is lost, polling finds the
+same.
 """
 
 from __future__ import annotations
@@ -32,13 +33,14 @@
 
 
 WatchedDirectories = dict[str, DirectoryIdentity]
+RunInThread = Callable[[Callable[[], WatchedDirectories]], Awaitable[WatchedDirectories]]
 
 
 def directories_to_watch(path: Path, *, is_directory: bool) -> WatchedDirectories:
     """Return the directories in which a change can show, by path.
 
-    They are those of the path, of each link on the way, and of their parents.  Guards a mounted directory,
-    whose files are links through ``..data``, and a directory that is replaced.
+    They are those of the path, of each link on the way, and of their parents.  Guards a mounted
+    directory, whose files are links through ``..data``, and a directory that is replaced.
     """
     found: WatchedDirectories = {}
     current = path.absolute()
@@ -74,14 +76,14 @@
         *,
         is_directory: bool,
         poll_interval_s: float,
-        find_directories: Callable[[Callable[[], WatchedDirectories]], Awaitable[WatchedDirectories]],
+        run_in_thread: RunInThread,
         on_change: Callable[[], None],
     ) -> None:
-        """``find_directories`` runs a function that blocks in a thread."""
+        """``run_in_thread`` runs a function that blocks."""
         self._path = path
         self._is_directory = is_directory
         self._verify_interval_s = min(_MAX_VERIFY_INTERVAL_S, poll_interval_s)
-        self._find_directories = find_directories
+        self._run_in_thread = run_in_thread
         self._on_change = on_change
         self.active = False  # whether changes are notified, or found by polling alone
 
@@ -97,13 +99,13 @@
                 await self._watch_once()
             except (OSError, RuntimeError) as error:
                 self.active = False
-                logger.warning(
-                    "changes of %s are found by looking alone for now: %s", self._path, _describe(error)
-                )
+                reason = _describe(error)
+                message = "changes of %s are found by looking alone for now: %s"
+                logger.warning(message, self._path, reason)
                 await asyncio.sleep(_RETRY_S)
 
     async def _watch_once(self) -> None:
-        """Watch until a directory is replaced.  Raises OSError or RuntimeError where inotify fails."""
+        """Watch until a directory is replaced.  Raises OSError or RuntimeError without inotify."""
         from watchfiles import awatch
 
         watched = await self._current_directories()
@@ -135,7 +137,7 @@
                 replaced.set()
 
     async def _current_directories(self) -> WatchedDirectories:
-        return await self._find_directories(
+        return await self._run_in_thread(
             lambda: directories_to_watch(self._path, is_directory=self._is_directory)
         )
 
--- a/oakbridge/sources/checksum.py
+++ b/oakbridge/sources/checksum.py
@@ -10,18 +10,19 @@
 
 
 def split_checksum(data: bytes) -> tuple[bytes, str | None]:
-    """Return the content before the checksum line and the stated digest, None without such a line."""
+    """Return the content before the checksum line, and the digest that the line states."""
     match = _CHECKSUM_LINE.search(data[-_SEARCHED_BYTES:])
     if match is None:
         return data, None
     start = max(0, len(data) - _SEARCHED_BYTES) + match.start()
-    # The line end before the comment belongs to the content: `sha256sum` over the file so far gives the sum.
+    # The line end before the comment belongs to the content: `sha256sum` over the file so far
+    # gives the digest.
     end = start + 1 if data[start : start + 1] == b"\n" else start
     return data[:end], match[1].decode().lower()
 
 
 def checksum_matches(data: bytes) -> bool | None:
-    """Return whether the content has the digest that its checksum line states; None without such a line."""
+    """Return whether the content has the digest that its checksum line states; None without one."""
     content, stated = split_checksum(data)
     if stated is None:
         return None
--- a/oakbridge/sources/decoding.py
+++ b/oakbridge/sources/decoding.py
@@ -71,7 +71,8 @@
     try:
         return json.loads(text, parse_constant=_reject_constant)
     except json.JSONDecodeError as error:
-        raise DecodeError(f"expected JSON: {error.msg}, column {error.colno}", error.lineno) from None
+        expected = f"expected JSON: {error.msg}, column {error.colno}"
+        raise DecodeError(expected, error.lineno) from None
 
 
 def _reject_constant(name: str) -> NoReturn:
--- a/oakbridge/sources/errors.py
+++ b/oakbridge/sources/errors.py
@@ -10,7 +10,7 @@
 
 
 class ReadError(ServerFileError):
-    """The disk has nothing that can be used at ``path``; ``reason`` says what was found or expected."""
+    """Nothing at ``path`` can be read; ``reason`` says what was found or expected."""
 
     def __init__(self, path: Path, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
@@ -21,7 +21,7 @@
 class DecodeError(ServerFileError):
     """A file that can't be decoded.
 
-    ``expected`` says what was expected, ``line`` where the text stops making sense, if that is known.
+    ``expected`` says what was expected, ``line`` where the text stops making sense, if known.
     """
 
     def __init__(self, expected: str, line: int | None = None) -> None:
--- a/oakbridge/sources/field_lines.py
+++ b/oakbridge/sources/field_lines.py
@@ -1,4 +1,4 @@
-"""Find the line of a field in a TOML or JSON text, for messages.  Used only once there is a mistake."""
+"""Find the line of a field in a TOML or JSON text, for messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def field_lines(data: bytes, kind: FileKind) -> FieldLines:
-    """Return the line, from 1, on which each field begins.  Reads as far as the text makes sense."""
+    """Return the line, from 1, on which each field begins, as far as the text makes sense."""
     # Imported late: a node with a correct configuration never needs the parsers.
     from tree_sitter import Language, Parser
 
--- a/oakbridge/sources/file_source.py
+++ b/oakbridge/sources/file_source.py
@@ -1,12 +1,13 @@
-"""Watch server files for one node: poll the disk, validate beside the loop, hand over whole versions.
+"""Watch server files for one node: poll the disk, validate beside the loop, apply whole versions.
 
-Nothing is decided in here: :mod:`oakbridge.sources.version_tracker` decides.  The disk is read in threads,
-since a file on a network mount can take its time.
+Nothing is decided in here: :mod:`oakbridge.sources.version_tracker` decides.  The disk is read in
+threads, since a file on a network mount can take its time.
 """
 
 from __future__ import annotations
 
 import asyncio
+import functools
 import gc
 import logging
 from collections.abc import Callable, Coroutine, Iterator
@@ -45,7 +46,7 @@
 PREPARED_PER_TURN = 200  # servers that are made ready in one turn of the loop
 POLL_INTERVAL_WITHOUT_INOTIFY_S = 0.1
 _THREADS = 4  # one each to poll, to validate, to save, and to verify the watched directories
-_MAX_BYTES_WITH_LINES = 64 * 1024  # longer texts would hold the loop up while a problem's line is found
+_MAX_BYTES_WITH_LINES = 64 * 1024  # finding lines in longer texts would hold the loop up
 _MAX_BYTES_WITHOUT_PAUSES = 16 * 1024
 
 logger = logging.getLogger(__name__)
@@ -82,7 +83,7 @@
             options.path,
             is_directory=options.is_directory,
             poll_interval_s=options.poll_interval_s,
-            find_directories=self._run_in_thread,
+            run_in_thread=self._run_in_thread,
             on_change=self._poll_requested.set,
         )
         self._listener: EndpointListener | None = None
@@ -103,7 +104,7 @@
             logger.info("version %d, as saved, is in use until the file is read", saved.number)
 
     async def ready(self) -> None:
-        """Wait for a version to be in use.  Raises ConfigError where the first poll finds none to use."""
+        """Wait for a version to be in use.  Raises ConfigError where the first poll finds none."""
         while self._tracker.current is None:
             if self._tracker.rejected is not None:
                 raise ConfigError("\n".join(map(str, self._tracker.rejected.problems)))
@@ -113,7 +114,7 @@
             self.decided.clear()
 
     def describe(self) -> JsonObject:
-        """Return which version is in use, and why nothing newer is, in the control socket's form."""
+        """Return which version is in use and why nothing newer is, for the control socket."""
         return encode_status(
             self._tracker,
             self._now(),
@@ -220,22 +221,28 @@
         started_us = self._now()
         result: ValidationResult = None
         if files is not None:
+            validate = functools.partial(_validate_files, files, action, started_us)
             with _garbage_collection_paused():
-                result = await self._run_in_thread(lambda: _validate_files(files, action, started_us))
+                result = await self._run_in_thread(validate)
         self._execute(self._tracker.on_validated(self._now(), action.digest, result))
         self.decided.set()
 
     async def _apply(self, action: ApplyVersion) -> None:
-        """Prepare servers in slices, then change over at once: no request sees a part of a version."""
+        """Prepare servers in slices, then apply all at once: no request sees half a version."""
         assert self._listener is not None
         change = action.change
         entries = change.delta_entries()
         for start in range(0, len(entries), PREPARED_PER_TURN):
             self._listener.prepare(entries[start : start + PREPARED_PER_TURN])
             await asyncio.sleep(0)
-        removed = [ListedEndpoint(Endpoint(name, EndpointState.GONE), NO_ADDRESS) for name in change.removed]
-        is_whole_list = change.base_number == 0
-        self._listener.on_endpoint_list(EndpointList(action.version.number, is_whole_list, entries + removed))
+        gone = [Endpoint(name, EndpointState.GONE) for name in change.removed]
+        removed = [ListedEndpoint(server, NO_ADDRESS) for server in gone]
+        new = EndpointList(
+            index=action.version.number,
+            complete=change.base_number == 0,
+            endpoints=entries + removed,
+        )
+        self._listener.on_endpoint_list(new)
         self._execute(self._tracker.on_applied(self._now(), action.version.number))
         self.decided.set()
 
@@ -260,8 +267,8 @@
 def _garbage_collection_paused() -> Iterator[None]:
     """Put the collector of cycles off while a list is parsed.
 
-    Guards the loop: the tens of thousands of objects that a long list makes set the collector off, and it
-    would hold the interpreter for 20 ms to find that all of them are in use.
+    Guards the loop: the tens of thousands of objects that a long list makes set the collector off,
+    and it would hold the interpreter for 20 ms to find that all of them are in use.
     """
     gc.disable()
     try:
@@ -270,11 +277,17 @@
         gc.enable()
 
 
-def _validate_files(files: list[SourceFile], action: ValidateFiles, now_us: int) -> ValidationResult:
+def _validate_files(
+    files: list[SourceFile],
+    action: ValidateFiles,
+    now_us: int,
+) -> ValidationResult:
     """Parse the files and find what they change; runs in a thread."""
     total_bytes = sum(len(file.data) for file in files)
     pause = let_loop_run if total_bytes > _MAX_BYTES_WITHOUT_PAUSES else no_pause
     parsed = parse(files, pause)
     if not parsed.problems:
         return compare(action.base, action.digest, parsed, now_us, pause)
-    return with_lines(files, parsed.problems) if total_bytes <= _MAX_BYTES_WITH_LINES else parsed.problems
+    if total_bytes > _MAX_BYTES_WITH_LINES:
+        return parsed.problems
+    return with_lines(files, parsed.problems)
--- a/oakbridge/sources/formats.py
+++ b/oakbridge/sources/formats.py
@@ -25,7 +25,8 @@
     elif isinstance(raw, dict) and "server" in raw:
         yield from _read_toml(raw, reader)
     else:
-        reader.problem((), "expected `endpoints` (discovery), `[[server]]` (TOML) or a list (file_sd)")
+        expected = "expected `endpoints` (discovery), `[[server]]` (TOML) or a list (file_sd)"
+        reader.problem((), expected)
 
 
 def _read_discovery(raw: dict[str, Any], reader: ServerRowReader) -> Iterator[None]:
@@ -73,7 +74,8 @@
             continue
         shared = _read_labels(labels, (index, "labels"), reader)
         if "name" in shared and len(targets) != 1:
-            reader.problem((index, "labels", "name"), "expected one target in a group that has a name")
+            expected = "expected one target in a group that has a name"
+            reader.problem((index, "labels", "name"), expected)
         for target_index, target in enumerate(targets):
             row = {"name": target, **shared, "address": target}
             place = f"targets[{target_index}]"
@@ -81,7 +83,11 @@
             yield
 
 
-def _read_labels(labels: dict[str, Any], path: FieldPath, reader: ServerRowReader) -> dict[str, Any]:
+def _read_labels(
+    labels: dict[str, Any],
+    path: FieldPath,
+    reader: ServerRowReader,
+) -> dict[str, Any]:
     """Return the labels that mean something here, as the values that the other forms have."""
     values: dict[str, Any] = {key: labels[key] for key in _TEXT_LABELS if key in labels}
     for key, number_type in _NUMBER_LABELS.items():
--- a/oakbridge/sources/list_version.py
+++ b/oakbridge/sources/list_version.py
@@ -5,7 +5,10 @@
 import dataclasses
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum, auto
+from typing import NamedTuple
 
+from oakbridge.node.address import Address
 from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.policy.events import EndpointState
 from oakbridge.sources.pacing import BATCH_SIZE, no_pause
@@ -54,13 +57,13 @@
 ) -> ListChange:
     """Return what a valid list changes.  A newcomer without a start time counts as started now.
 
-    Guards cold servers: one that joins a running fleet is new far more often than not, and one that is taken
-    for new when it is not only gets its part a little later.  Entries that are equal stay the same objects.
-    ``pause`` is called between batches.
+    Guards cold servers: one that joins a running fleet is new far more often than not, and one that
+    is taken for new when it is not only gets its part a little later.  Entries that are equal stay
+    the same objects.  ``pause`` is called between batches.
     """
     base_servers = base.servers if base is not None else {}
     newcomer_started_at_us = now_us if base is not None else 0
-    added, updated, moved = [], [], []
+    names: dict[_Difference, list[str]] = {difference: [] for difference in _Difference}
     servers: dict[str, ListedEndpoint] = {}
     for count, (name, listed) in enumerate(parsed.servers.items()):
         if count % BATCH_SIZE == 0:
@@ -68,29 +71,40 @@
         before, entry = base_servers.get(name), listed
         if name not in parsed.with_start_time:
             entry = _with_start_time(entry, before, newcomer_started_at_us)
-        if before is None:
-            added.append(name)
-        elif before == entry:
+        difference = _difference(before, entry)
+        names[difference].append(name)
+        if before is not None and difference is _Difference.NONE:
             entry = before
-        elif before.address != entry.address:
-            moved.append(name)
-        else:
-            updated.append(name)
         servers[name] = entry
-    lost_ready, base_ready = _count_lost(base_servers, servers, pause)
+    ready = _count_ready(base_servers, servers, pause)
     return ListChange(
         base_number=base.number if base else 0,
         digest=digest,
         servers=servers,
-        added=tuple(added),
-        updated=tuple(updated),
-        moved=tuple(moved),
+        added=tuple(names[_Difference.ADDED]),
+        updated=tuple(names[_Difference.UPDATED]),
+        moved=tuple(names[_Difference.MOVED]),
         removed=tuple(name for name in base_servers if name not in servers),
-        lost_ready=lost_ready,
-        base_ready=base_ready,
+        lost_ready=ready.lost,
+        base_ready=ready.before,
     )
 
 
+class _Difference(Enum):
+    NONE = auto()
+    ADDED = auto()
+    UPDATED = auto()
+    MOVED = auto()
+
+
+def _difference(before: ListedEndpoint | None, entry: ListedEndpoint) -> _Difference:
+    if before is None:
+        return _Difference.ADDED
+    if before == entry:
+        return _Difference.NONE
+    return _Difference.UPDATED if before.address == entry.address else _Difference.MOVED
+
+
 def _with_start_time(
     entry: ListedEndpoint, before: ListedEndpoint | None, newcomer_started_at_us: int
 ) -> ListedEndpoint:
@@ -98,13 +112,25 @@
         started_at_us = before.server.started_at
     else:
         started_at_us = newcomer_started_at_us
-    return ListedEndpoint(dataclasses.replace(entry.server, started_at=started_at_us), entry.address)
+    server = dataclasses.replace(entry.server, started_at=started_at_us)
+    return ListedEndpoint(server, entry.address)
+
+
+class _ReadyCounts(NamedTuple):
+    lost: int
+    before: int
+
+
+def _is_ready_at(endpoint: ListedEndpoint, address: Address) -> bool:
+    return endpoint.address == address and endpoint.server.state == EndpointState.UP
 
 
-def _count_lost(
-    base_servers: dict[str, ListedEndpoint], servers: dict[str, ListedEndpoint], pause: Callable[[], None]
-) -> tuple[int, int]:
-    """Return how many ready servers are no longer ready at their address, and how many there were."""
+def _count_ready(
+    base_servers: dict[str, ListedEndpoint],
+    servers: dict[str, ListedEndpoint],
+    pause: Callable[[], None],
+) -> _ReadyCounts:
+    """Return how many ready servers are no longer ready at their address, and how many were."""
     lost_ready = base_ready = 0
     for count, (name, before) in enumerate(base_servers.items()):
         if count % BATCH_SIZE == 0:
@@ -113,8 +139,6 @@
             continue
         base_ready += 1
         after = servers.get(name)
-        still_ready = (
-            after is not None and after.server.state == EndpointState.UP and after.address == before.address
-        )
-        lost_ready += not still_ready
-    return lost_ready, base_ready
+        if after is None or not _is_ready_at(after, before.address):
+            lost_ready += 1
+    return _ReadyCounts(lost_ready, base_ready)
--- a/oakbridge/sources/parsing.py
+++ b/oakbridge/sources/parsing.py
@@ -17,9 +17,10 @@
 
 
 def parse(files: list[SourceFile], pause: Callable[[], None] = no_pause) -> ParsedServers:
-    """Return the servers of all files, or the mistakes; names and addresses must differ over all of them.
+    """Return the servers of all files, or the mistakes.
 
-    ``pause`` is called between batches, so that whoever parses beside an event loop can let it run.
+    Names and addresses must differ over all files.  ``pause`` is called between batches, so
+    that whoever parses beside an event loop can let it run.
     """
     parsed = ParsedServers()
     for file in files:
--- a/oakbridge/sources/reading.py
+++ b/oakbridge/sources/reading.py
@@ -14,11 +14,12 @@
 from oakbridge.sources.errors import ReadError
 
 MAX_FILES = 256  # of one directory
-_MAY_CHANGE_AGAIN_NS = 2_000_000_000  # a file changed so lately may change within its time stamp's grain
+# A file changed so lately may change again within its time stamp's grain.
+_MAY_CHANGE_AGAIN_NS = 2_000_000_000
 
 
 def read_regular_file(path: Path) -> bytes:
-    """Return a regular file's bytes, within the bound.  Never blocks on a FIFO.  Raises ReadError."""
+    """Return a regular file's bytes, within the bound; never wait on a FIFO.  Raises ReadError."""
     try:
         fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
         try:
@@ -90,7 +91,7 @@
 
 
 def checksums_match(files: list[SourceFile]) -> bool | None:
-    """Return whether all checksum lines match; None if a file has none, for then it has to stand still."""
+    """Return whether all checksum lines match; None if a file has none."""
     results = [checksum_matches(file.data) for file in files]
     if False in results:
         return False
@@ -113,7 +114,7 @@
 
 
 def fingerprint(path: Path, *, is_directory: bool) -> Fingerprint | None:
-    """Return the fingerprint of all files; None where it can't be relied on yet, or nothing can be read."""
+    """Return the fingerprint of all files; None if a file is missing or has just changed."""
     fingerprints = []
     try:
         for file_path in list_files(path, is_directory=is_directory):
--- a/oakbridge/sources/saved_copy.py
+++ b/oakbridge/sources/saved_copy.py
@@ -1,8 +1,8 @@
 """The saved copy of the version in use: its format, written and read.
 
-The first line is an object of ``format``, ``number`` and ``digest``; each further line is an array of one
-server: name, state, zone, group, weight, start in microseconds of Unix time, host, port.  A checksum line ends
-it.
+The first line is an object of ``format``, ``number`` and ``digest``; each further line is an array
+of one server: name, state, zone, group, weight, start in microseconds of Unix time, host, port.
+A checksum line ends it.
 """
 
 from __future__ import annotations
@@ -80,7 +80,8 @@
     if header["format"] != FORMAT_VERSION:
         raise ValueError(f"expected format {FORMAT_VERSION}, got {header['format']!r}")
     entries = [_decode_entry(row) for row in rows]
-    return ListVersion(header["number"], header["digest"], {entry.server.id: entry for entry in entries})
+    servers = {entry.server.id: entry for entry in entries}
+    return ListVersion(header["number"], header["digest"], servers)
 
 
 def _decode_entry(row: list[Any]) -> ListedEndpoint:
--- a/oakbridge/sources/server_row.py
+++ b/oakbridge/sources/server_row.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class ParsedServers:
-    """What the files of one version hold: servers by name, or the mistakes; never a part of either."""
+    """What the files of one version hold: all servers by name, or the mistakes."""
 
     servers: dict[str, ListedEndpoint] = field(default_factory=dict)
     problems: list[Problem] = field(default_factory=list)
@@ -94,10 +94,12 @@
     def number(self, raw: dict[str, Any], path: FieldPath, key: str, default: float) -> float:
         """Return a finite number, the default after a mistake."""
         value = raw.get(key, default)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
+        is_number = isinstance(value, int | float) and not isinstance(value, bool)
+        if not (is_number and math.isfinite(value)):
             self.problem((*path, key), "expected a number" + got(value))
             return default
-        return value
+        number: float = value
+        return number
 
     def _address(self, raw: dict[str, Any], path: FieldPath) -> Address:
         try:
@@ -109,7 +111,14 @@
             self.problem(path, f"expected a port above 0, got {raw.get('address')!r:.60}")
         return address
 
-    def _text(self, raw: dict[str, Any], path: FieldPath, key: str, *, required: bool = False) -> str:
+    def _text(
+        self,
+        raw: dict[str, Any],
+        path: FieldPath,
+        key: str,
+        *,
+        required: bool = False,
+    ) -> str:
         value = raw.get(key)
         if value is None and not required:
             return ""
@@ -143,7 +152,7 @@
         return _STATES[value]
 
     def _started_at_us(self, raw: dict[str, Any], path: FieldPath) -> int | None:
-        """Return when the server started, in microseconds of Unix time; None if that isn't stated."""
+        """Return the start in microseconds of Unix time; None if the row doesn't state it."""
         value = raw.get("since")
         if value is None:
             return None
--- a/oakbridge/sources/tracker_messages.py
+++ b/oakbridge/sources/tracker_messages.py
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveVersion:
-    """Save a copy that outlives the process; then report it by ``on_saved`` or ``on_save_failed``."""
+    """Save a copy that outlives the process; then call ``on_saved`` or ``on_save_failed``."""
 
     version: ListVersion
 
--- a/oakbridge/sources/version_tracker.py
+++ b/oakbridge/sources/version_tracker.py
@@ -1,14 +1,15 @@
 """Decide which version of the server files is used, and when; no I/O.
 
-The tracker is told what a poll of the disk found, how a validation ended and when a version is in use; it
-answers with the actions to carry out next.  There is at most one version in use and one on its way; a version
-is used as a whole or not at all, and the last good one stays until another one has replaced it.
+The tracker is told what a poll of the disk found, how a validation ended and when a version is in
+use; it answers with the actions to carry out next.  There is at most one version in use and one on
+its way; a version is used as a whole or not at all, and the last good one stays until another one
+has replaced it.
 
     polled -> settling -> validating -> (rejected | pending approval | applying) -> in use -> saved
 
-*Settling* guards against a file caught half written that reads well by chance: it must read the same twice,
-``settle_us`` apart, or state its own checksum.  Where a file never stands still for so long, the wait shrinks,
-so that a hundred rewrites a second can't keep every new version out.
+*Settling* guards against a file caught half written that reads well by chance: it must read the
+same twice, ``settle_us`` apart, or state its own checksum.  Where a file never stands still for so
+long, the wait shrinks, so that a hundred rewrites a second can't keep every new version out.
 """
 
 from __future__ import annotations
@@ -39,11 +40,12 @@
 CHECKSUM_TIMEOUT_US = 2_000_000  # files whose checksum has not matched for so long are rejected
 SAVE_BACKOFF_MIN_US = 1_000_000
 SAVE_BACKOFF_MAX_US = 60_000_000
+SHORT_DIGEST_LENGTH = 12
 
 
 @dataclass(frozen=True, slots=True)
 class PendingApproval:
-    """A valid list that takes too many servers away at once: it waits for an operator to accept it."""
+    """A valid list that takes too many servers away at once, until an operator accepts it."""
 
     change: ListChange
     since_us: int
@@ -75,7 +77,7 @@
         max_lost_share: float = DEFAULT_MAX_LOST_SHARE,
         saved: ListVersion | None = None,
     ) -> None:
-        """``saved`` is the last good version of an earlier run: it is in use until a newer one is."""
+        """Begin with ``saved``, the last good version of an earlier run, in use."""
         self._settle_us = settle_us
         self._max_lost_share = max_lost_share
         self.current = saved
@@ -150,7 +152,8 @@
     def _needed_settle_us(self, busy_us: int, found: FilesRead) -> int:
         if found.checksums_match is None:
             return self._settle_us // (BUSY_SETTLE_DIVISOR if busy_us > BUSY_AFTER_US else 1)
-        return 0 if found.checksums_match else CHECKSUM_TIMEOUT_US  # validation then says what is wrong
+        # After the time-out, validation says what is wrong with the files.
+        return 0 if found.checksums_match else CHECKSUM_TIMEOUT_US
 
     # ---- how a validation ended
 
@@ -187,8 +190,8 @@
         self.pending_approval = PendingApproval(change, now_us)
         text = (
             f"held: it takes {change.lost_ready} of {change.base_ready} ready servers away at once "
-            f"(the most is {self._max_lost_share:.0%}); version {self._current_number()} stays until "
-            "`oakbridge servers accept`"
+            f"(the most is {self._max_lost_share:.0%}); "
+            f"version {self._current_number()} stays until `oakbridge servers accept`"
         )
         return [WriteLog(LogLevel.ERROR, text), PollAfter(0)]
 
@@ -200,7 +203,8 @@
             raise NotAcceptedError("no version is held")
         change = self.pending_approval.change
         if not change.digest.startswith(digest_prefix):
-            raise NotAcceptedError(f"the version that is held is {change.digest[:12]}, not {digest_prefix}")
+            held = change.digest[:SHORT_DIGEST_LENGTH]
+            raise NotAcceptedError(f"the version that is held is {held}, not {digest_prefix}")
         if self.applying is not None or self._validating is not None:
             raise NotAcceptedError("another version is on its way; ask again in a moment")
         text = f"accepted by word: {change.lost_ready} of {change.base_ready} ready servers go"
@@ -224,7 +228,7 @@
     # ---- the saved copy
 
     def _save(self) -> list[Action]:
-        """Save one at a time, and always the newest: a hundred versions a second need no hundred copies."""
+        """Save one copy at a time, of the newest version: not each of a hundred a second."""
         if self._saving or self.current is None or self.saved_number == self.current.number:
             return []
         self._saving = True
@@ -239,7 +243,7 @@
         return self._save()
 
     def on_save_failed(self, number: int, error: str) -> list[Action]:
-        """Note that no copy was saved, and retry with exponential backoff; report each error once."""
+        """Note that no copy was saved; retry with exponential backoff and log each error once."""
         self._saving = False
         actions: list[Action] = []
         if error != self.save_error:
