--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -132,7 +132,7 @@
         return [(whole, {})]
     parts = pieces(Listing(1, True, [Entry(s, ("127.0.0.1", 1)) for s in whole]), b.members.servers)
     return [
-        ([e.server for e in part.entries], {"whole": part.whole, "more": part is not parts[-1]})
+        ([e.server for e in part.entries], {"complete": part.whole, "more_follow": part is not parts[-1]})
         for part in parts
     ]
 
