--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -31,21 +31,21 @@
     from oakbridge.policy.events import (
         AttemptEnded,
         AttemptResult,
+        Endpoint,
         EndpointListReceived,
-        ListedEndpoint,
         RequestReceived,
     )
     from oakbridge.policy.settings import Idempotency, Prices, RequestClass, Settings, WeightSource
 
     more: dict[str, Any] = {}
     draw = random.Random(3)
-    entries = [ListedEndpoint(f"s{i}", zone="b") for i in range(count)]
+    entries = [Endpoint(f"s{i}", zone="b") for i in range(count)]
     if case.startswith("weights"):
         more["weight_source"] = WeightSource.NOMINAL
-        entries = [ListedEndpoint(f"s{i}", weight=10 ** draw.uniform(-3, 3)) for i in range(count)]
+        entries = [Endpoint(f"s{i}", weight=10 ** draw.uniform(-3, 3)) for i in range(count)]
     elif case == "all cold":
         more |= {"slow_start_window": 600_000_000, "slow_start_minimum": 0.2}
-        entries = [ListedEndpoint(f"s{i}", started_at=1_000_000) for i in range(count)]
+        entries = [Endpoint(f"s{i}", started_at=1_000_000) for i in range(count)]
     elif case == "all in another zone":
         more |= {"zone": "a", "zones": ("a", "b"), "prices": Prices(cross_zone=1.0)}
     klass = RequestClass("look", 2_500_000, 6_000_000, idempotency=Idempotency.IDEMPOTENT)
@@ -82,23 +82,23 @@
     """Microseconds for a delta of one server among many; for a whole list, half of it new; for its longest piece."""
     from oakbridge.policy.balancer import Balancer
     from oakbridge.policy.events import (
+        Endpoint,
         EndpointListReceived,
         EndpointsAnnounced,
         EndpointState,
-        ListedEndpoint,
     )
     from oakbridge.policy.settings import RequestClass, Settings
 
     settings = Settings(classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True)
     b = Balancer(settings, 3)
-    b.handle(1, EndpointListReceived([ListedEndpoint(f"s{i}") for i in range(count)]))
+    b.handle(1, EndpointListReceived([Endpoint(f"s{i}") for i in range(count)]))
     took = []
     for i in range(50):
-        change = [ListedEndpoint(f"new{i}"), ListedEndpoint(f"s{i}", state=EndpointState.GONE)]
+        change = [Endpoint(f"new{i}"), Endpoint(f"s{i}", state=EndpointState.GONE)]
         begin = time.perf_counter()
         b.handle(2 + i, EndpointListReceived(change, complete=False))
         took.append((time.perf_counter() - begin) * 1e6)
-    whole = [ListedEndpoint(f"s{i}") for i in range(count // 2, count + count // 2)]
+    whole = [Endpoint(f"s{i}") for i in range(count // 2, count + count // 2)]
     for start in range(0, count, 200):  # records are made ahead, as a node does
         b.handle(100, EndpointsAnnounced(whole[start : start + 200]))
     held = []
@@ -110,29 +110,16 @@
 
 
 def in_pieces(whole: list[Any], b: Any) -> list[tuple[list[Any], dict[str, bool]]]:
-    """A list as the node applies it: in batches, or whole in a program that knows none."""
-    try:
-        from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint, split_into_batches
-    except ImportError:
-        return in_pieces_of_older_program(whole, b)
-    parts = split_into_batches(
-        EndpointList(1, True, [ListedEndpoint(s, ("127.0.0.1", 1)) for s in whole]), b.members.servers
-    )
-    return [
-        ([e.server for e in part.endpoints], {"whole": part.complete, "more": part is not parts[-1]})
-        for part in parts
-    ]
-
+    """Return a list as the node applies it: in batches."""
+    from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint, split_into_batches
 
-def in_pieces_of_older_program(whole: list[Any], b: Any) -> list[tuple[list[Any], dict[str, bool]]]:
-    """The same for a program before endpoint lists had their name."""
-    try:
-        from oakbridge.node.listing import Entry, Listing, pieces  # type: ignore[import-not-found]
-    except ImportError:
-        return [(whole, {})]
-    parts = pieces(Listing(1, True, [Entry(s, ("127.0.0.1", 1)) for s in whole]), b.members.servers)
+    new = EndpointList(1, True, [ListedEndpoint(s, ("127.0.0.1", 1)) for s in whole])
+    parts = split_into_batches(new, b.members.servers)
     return [
-        ([e.server for e in part.entries], {"complete": part.whole, "more_follow": part is not parts[-1]})
+        (
+            [endpoint.server for endpoint in part.endpoints],
+            {"complete": part.complete, "more_follow": part is not parts[-1]},
+        )
         for part in parts
     ]
 
