--- a/oakbridge/node/discovery.py
+++ b/oakbridge/node/discovery.py
@@ -13,7 +13,7 @@
 from oakbridge.node.endpoint_source import EndpointListener
 from oakbridge.node.errors import EndpointListError
 from oakbridge.node.observer import NodeObserver
-from oakbridge.policy.endpoint_list import AT_ONCE_US
+from oakbridge.policy.endpoint_reconciler import AT_ONCE_US
 
 log = logging.getLogger(__name__)
 
--- a/oakbridge/policy/balancer.py
+++ b/oakbridge/policy/balancer.py
@@ -11,7 +11,7 @@
 
 from oakbridge.policy import actions, events
 from oakbridge.policy.admission import AdmissionControl
-from oakbridge.policy.endpoint_list import EndpointList
+from oakbridge.policy.endpoint_reconciler import EndpointReconciler
 from oakbridge.policy.events import NEVER_RAN, AttemptResult
 from oakbridge.policy.latency import LatencyAverages
 from oakbridge.policy.load_shedding import LoadShedding
@@ -62,7 +62,7 @@
         self.subset = Subset(settings, rng, self.members)
         self.slow_start = SlowStart(settings, rng, self.latency)
         self.outliers = OutlierDetection(self.members, self.latency)
-        self.endpoints = EndpointList(settings, rng, self.members, self.subset, self.slow_start)
+        self.endpoints = EndpointReconciler(settings, rng, self.members, self.subset, self.slow_start)
         self.selection = ServerSelection(
             rng, self.members, self.subset, self.safety, self.outliers, self.slow_start
         )
--- a/oakbridge/policy/endpoint_list.py
+++ b/oakbridge/policy/endpoint_reconciler.py
@@ -22,8 +22,8 @@
 
 
 @dataclass(eq=False)
-class EndpointList:
-    """Keeps the members to the list."""
+class EndpointReconciler:
+    """Reconciles the members with the list."""
 
     settings: Settings
     random: random.Random
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -7,7 +7,7 @@
 from peers import SETTINGS, Peer, Registry, Running, endpoint, listing, reply, run, soon, until
 
 from oakbridge.node import discovery
-from oakbridge.policy.endpoint_list import AT_ONCE_US
+from oakbridge.policy.endpoint_reconciler import AT_ONCE_US
 
 TEN = SETTINGS | {"invariants": SETTINGS["invariants"] | {"ask-within": 10_000_000}}
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -18,7 +18,7 @@
     assert policy == [
         "oakbridge/policy/balancer.py",
         "oakbridge/policy/admission.py",
-        "oakbridge/policy/endpoint_list.py",
+        "oakbridge/policy/endpoint_reconciler.py",
         "oakbridge/policy/load_shedding.py",
         "oakbridge/policy/membership.py",
         "oakbridge/policy/outlier_detection.py",
