--- a/oakbridge/policy/balancer.py
+++ b/oakbridge/policy/balancer.py
@@ -62,7 +62,7 @@
         self.subset = Subset(settings, rng, self.members)
         self.slow_start = SlowStart(settings, rng, self.latency)
         self.outliers = OutlierDetection(self.members, self.latency)
-        self.endpoints = EndpointReconciler(settings, rng, self.members, self.subset, self.slow_start)
+        self.endpoints = EndpointReconciler(settings, rng, self.subset, self.slow_start)
         self.selection = ServerSelection(
             rng, self.members, self.subset, self.safety, self.outliers, self.slow_start
         )
--- a/oakbridge/policy/endpoint_reconciler.py
+++ b/oakbridge/policy/endpoint_reconciler.py
@@ -4,7 +4,6 @@
 from dataclasses import dataclass, field
 
 from oakbridge.policy import events
-from oakbridge.policy.membership import Membership
 from oakbridge.policy.records import Server
 from oakbridge.policy.settings import Settings, WeightSource
 from oakbridge.policy.slow_start import SlowStart
@@ -27,7 +26,6 @@
 
     settings: Settings
     random: random.Random
-    members: Membership
     subset: Subset
     slow_start: SlowStart
     in_pieces: bool = False  # more of this version follows
@@ -46,7 +44,7 @@
 
     def apply(self, event: events.EndpointListReceived, now: int) -> None:
         """Keep to the list at once: what drains or is gone gets nothing more."""
-        members = self.members
+        members = self.subset.members
         if not self.in_pieces:
             members.version += 1
             self.size_before = len(members.servers)
@@ -93,7 +91,7 @@
         if (server := self.known.get(entry.id)) is None:
             server = Server(id=entry.id, started=entry.started_at, address=entry.address)
             self.known[entry.id] = server
-        self.members.relist(server, entry, weight, now)
+        self.subset.members.relist(server, entry, weight, now)
         if entry.started_at:
             self.slow_start.warming[entry.id] = server
         if entry.zone in self.subset.closed_zones:
