--- a/oakbridge/cli/check.py
+++ b/oakbridge/cli/check.py
@@ -8,7 +8,8 @@
 
 from oakbridge.cli.common import BadInput, say_json
 from oakbridge.cli.serve import file_options
-from oakbridge.config.load import BadFile, load
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.load import load
 from oakbridge.config.reference import page
 from oakbridge.sources.inspection import inspect_server_files
 
@@ -42,7 +43,7 @@
             from oakbridge.config.sites import sites_of
 
             sites_of(loaded)
-    except BadFile as e:
+    except ConfigFileError as e:
         problems = [*problems, *e.problems]
     if as_json:
         say_json({
--- a/oakbridge/cli/common.py
+++ b/oakbridge/cli/common.py
@@ -66,11 +66,12 @@
     if socket_path is not None:
         return socket_path
     if config is not None:
-        from oakbridge.config.load import BadFile, load
+        from oakbridge.config.errors import ConfigFileError
+        from oakbridge.config.load import load
 
         try:
             found = load(config).control
-        except BadFile as e:
+        except ConfigFileError as e:
             raise BadInput(str(e)) from None
         if found is None:
             raise BadInput(f"{config}: control: enabled is false, so this node has no control socket")
--- a/oakbridge/cli/fleet.py
+++ b/oakbridge/cli/fleet.py
@@ -53,7 +53,7 @@
 
 async def members_by(via: str, secret_file: Path | None, within: float = 5.0) -> list[dict[str, Any]]:
     """Whom the member at this address knows.  Raises BadInput or Failed."""
-    from oakbridge.config.load import BadFile
+    from oakbridge.config.errors import ConfigFileError
     from oakbridge.config.peers import read_secret
     from oakbridge.node.address import parse_address
     from oakbridge.node.errors import ConfigError
@@ -63,7 +63,7 @@
         raise BadInput("--via: expected --secret-file with it")
     try:
         return await query_members(parse_address(via), read_secret(secret_file), within)
-    except BadFile as e:
+    except ConfigFileError as e:
         raise BadInput(str(e)) from None
     except ConfigError as e:
         raise BadInput(f"--via: {e}") from None
--- a/oakbridge/cli/lab.py
+++ b/oakbridge/cli/lab.py
@@ -12,7 +12,7 @@
 import click
 
 from oakbridge.cli.common import BadInput, Failed, say_json
-from oakbridge.config.load import BadFile
+from oakbridge.config.errors import ConfigFileError
 
 if TYPE_CHECKING:
     from oakbridge.lab.plan import Plan
@@ -41,7 +41,7 @@
 
     try:
         plan = load_plan(path)
-    except BadFile as e:
+    except ConfigFileError as e:
         raise BadInput(str(e)) from None
     began = time.monotonic()
     summary = _play(plan, path, seed, out, quick, root)
@@ -108,7 +108,7 @@
     try:
         found = comparing.cases(paths, [comparing.varied(text) for text in vary], roots)
         plans = {case.name: load_plan(case.file, case.changes) for case in found}
-    except BadFile as e:
+    except ConfigFileError as e:
         raise BadInput(str(e)) from None
     except comparing.BadVary as e:
         raise BadInput(str(e)) from None
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -21,8 +21,10 @@
 from oakbridge.__main__ import start_log
 from oakbridge.cli.common import BadInput, Failed
 from oakbridge.cli.logs import JSON, log_option, start_logs
-from oakbridge.config.load import BadFile, Loaded, inline_entries, load
-from oakbridge.config.schema import resolved
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.load import LoadedConfig, load
+from oakbridge.config.node_config import inline_endpoints
+from oakbridge.config.schema import resolve_path
 from oakbridge.control.handler import NodeControlHandler
 from oakbridge.control.paths import default_socket_path, worker_socket_path
 from oakbridge.control.server import ControlServer
@@ -55,10 +57,10 @@
     log_format: str = "text"
     member: tuple[str, str] | None = None  # name and address among members, in place of the file's
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedConfig:
         """The configuration with all that goes before it, a worker's with its part of it.
 
-        Raises BadFile or ConfigError.
+        Raises ConfigFileError or ConfigError.
         """
         loaded = load(self.path)
         config, control = loaded.config, loaded.control
@@ -97,25 +99,25 @@
 FIRST_LOOK_S = 10.0  # in which a server file must have been read at the start
 
 
-def file_options(loaded: Loaded) -> FileOptions | None:
+def file_options(loaded: LoadedConfig) -> FileOptions | None:
     """How the server file or directory of this configuration is watched, if it has one."""
     servers = loaded.file.servers
     path = servers.file or servers.directory
     if path is None:
         return None
     return FileOptions(
-        resolved(path, loaded.path),
+        resolve_path(path, loaded.path),
         is_directory=servers.directory is not None,
         settle_s=servers.settle / 1e6,
         poll_interval_s=servers.poll / 1e6,
         max_lost_share=servers.most_lost,
-        saved_path=resolved(servers.saved, loaded.path) if servers.saved else None,
+        saved_path=resolve_path(servers.saved, loaded.path) if servers.saved else None,
     )
 
 
-def build(loaded: Loaded, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
+def build(loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
     """The node that a configuration tells of, with its source of servers; a worker's is without a door."""
-    options, entries = file_options(loaded), inline_entries(loaded.file)
+    options, entries = file_options(loaded), inline_endpoints(loaded.file)
 
     def source(clock: Clock) -> EndpointSource:
         return FileSource(options, clock.now) if options is not None else InlineSource(entries)
@@ -123,7 +125,7 @@
     return Node(loaded.config, loop, None if loaded.config.discovery else source, listens=door)
 
 
-async def started(loaded: Loaded, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
+async def started(loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
     """The node, once its server file has been read.  Raises ConfigError where there is no list to start from."""
     node = build(loaded, loop, door)
     if isinstance(node.source, FileSource):
@@ -143,7 +145,7 @@
 
 
 @asynccontextmanager
-async def beside(loaded: Loaded, node: Node, channel: socket.socket | None) -> AsyncIterator[None]:
+async def beside(loaded: LoadedConfig, node: Node, channel: socket.socket | None) -> AsyncIterator[None]:
     """What lives as long as the node: its control socket, and a worker's channel to its supervisor."""
     async with (
         members(loaded, node if channel is None else None, channel is None) as held,
@@ -163,7 +165,7 @@
 
 @asynccontextmanager
 async def members(
-    loaded: Loaded, node: Node | None, on: bool = True
+    loaded: LoadedConfig, node: Node | None, on: bool = True
 ) -> AsyncIterator[MembershipService | None]:
     """This node as a member among others, where the file asks for it; of workers the supervisor is it."""
     if loaded.file.peers is None or not on:
@@ -180,7 +182,7 @@
         ties = () if node is None else (load_source(node), failure_report_sink(node))
         held = MembershipService(options, *ties)
         await held.start()
-    except (BadFile, SnapshotError) as e:
+    except (ConfigFileError, SnapshotError) as e:
         raise ConfigError(str(e)) from None
     watched = seeds_file(loaded)
     seeds = SeedFile(watched, held) if watched is not None else None
@@ -194,7 +196,7 @@
 
 @asynccontextmanager
 async def sites(
-    loaded: Loaded, node: Node, held: MembershipService | None
+    loaded: LoadedConfig, node: Node, held: MembershipService | None
 ) -> AsyncIterator[SitesBeside | None]:
     """The plan for lost sites, where the file asks for it."""
     if loaded.file.sites is None or held is None:
@@ -205,7 +207,7 @@
 
     try:
         core = sites_of(loaded)
-    except BadFile as e:
+    except ConfigFileError as e:
         raise ConfigError(str(e)) from None
     assert core is not None
     async with SitesBeside(node, held, core) as plan:
@@ -214,7 +216,7 @@
 
 @asynccontextmanager
 async def spread(
-    loaded: Loaded, node: Node, held: MembershipService | None
+    loaded: LoadedConfig, node: Node, held: MembershipService | None
 ) -> AsyncIterator[SpreadBeside | None]:
     """The servers divided among the nodes of a tier, where the file asks for it."""
     if loaded.file.spread is None or held is None:
@@ -227,7 +229,7 @@
 
 
 @asynccontextmanager
-async def fronts(loaded: Loaded, node: Node) -> AsyncIterator[None]:
+async def fronts(loaded: LoadedConfig, node: Node) -> AsyncIterator[None]:
     """The SIP front, where the file asks for one; what is not used is not imported."""
     if loaded.file.sip is None:
         yield
@@ -239,7 +241,7 @@
         yield
 
 
-async def supervise(given: Given, loaded: Loaded, workers: int) -> int:
+async def supervise(given: Given, loaded: LoadedConfig, workers: int) -> int:
     """Run so many workers; returns the exit code."""
     from oakbridge.workers.door import Door
 
@@ -255,7 +257,7 @@
 
 @asynccontextmanager
 async def control(
-    loaded: Loaded,
+    loaded: LoadedConfig,
     node: Node,
     held: MembershipService | None,
     plan: SitesBeside | None,
@@ -322,7 +324,7 @@
     given = Given(path, name, listen, socket_path, workers, worker, log_format, member)
     try:
         loaded = given.load()
-    except (BadFile, ConfigError) as e:
+    except (ConfigFileError, ConfigError) as e:
         raise BadInput(str(e)) from None
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it: it ends no node
     level = getattr(logging, loaded.file.log.level.upper())
--- a/oakbridge/cli/sites.py
+++ b/oakbridge/cli/sites.py
@@ -14,7 +14,7 @@
 
 from oakbridge.cli.common import BadInput, Failed, connect, look_options, say_json, socket_options
 from oakbridge.cli.looking import show
-from oakbridge.config.load import BadFile
+from oakbridge.config.errors import ConfigFileError
 from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
 
@@ -95,7 +95,7 @@
     try:
         file, digest = load_sites(path)
         made = make(file, digest)
-    except BadFile as e:
+    except ConfigFileError as e:
         raise BadInput(str(e)) from None
     except ArithmeticError as e:
         raise Failed(str(e)) from None
@@ -128,7 +128,7 @@
     try:
         file, digest = load_sites(path)
         wrong = check_plan(load_plan(plan_path), file, digest) if plan_path is not None else []
-    except BadFile as e:
+    except ConfigFileError as e:
         raise BadInput(str(e)) from None
     if wrong:
         raise BadInput("\n".join(f"{plan_path}: {text}" for text in wrong))
--- a/oakbridge/config/peers.py
+++ b/oakbridge/config/peers.py
@@ -5,8 +5,9 @@
 from pathlib import Path
 
 from oakbridge import __version__
-from oakbridge.config.load import BadFile, Loaded
-from oakbridge.config.schema import resolved
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.load import LoadedConfig
+from oakbridge.config.schema import resolve_path
 from oakbridge.peers.messages import MAX_NAME
 from oakbridge.peers.protocol_options import ProtocolOptions
 from oakbridge.peers.service import ServiceOptions
@@ -17,8 +18,8 @@
 MAX_SECRET_BYTES = 4096
 
 
-def peers_options(loaded: Loaded) -> ServiceOptions | None:
-    """Return the member's options, None without ``[peers]``; read its secret.  Raises BadFile."""
+def peers_options(loaded: LoadedConfig) -> ServiceOptions | None:
+    """Return the member's options, None without ``[peers]``; read its secret.  Raises ConfigFileError."""
     table = loaded.file.peers
     if table is None:
         return None
@@ -34,36 +35,38 @@
     name, listen = loaded.member or (loaded.config.name, table.listen)
     if not 1 <= len(name) <= MAX_NAME:  # others would drop all that it says
         text = f"expected a name of 1 to {MAX_NAME} characters among members, got {name!r:.120}"
-        raise BadFile([Problem(str(loaded.path), ("node", "name"), text)])
+        raise ConfigFileError([Problem(str(loaded.path), ("node", "name"), text)])
     return ServiceOptions(
         name=name,
         listen=listen,
-        secret=read_secret(resolved(table.secret_file, loaded.path)),
+        secret=read_secret(resolve_path(table.secret_file, loaded.path)),
         advertise=table.advertise,
         seeds=tuple(table.seeds),
         expects_more_seeds=table.seeds_file is not None,
         tags={name: value for name, value in tags.items() if value},
-        snapshot_path=resolved(table.snapshot, loaded.path) if table.snapshot else None,
+        snapshot_path=resolve_path(table.snapshot, loaded.path) if table.snapshot else None,
         protocol=protocol,
     )
 
 
 def read_secret(path: Path) -> bytes:
-    """Return the shared secret, without blanks around it.  Raises BadFile."""
+    """Return the shared secret, without blanks around it.  Raises ConfigFileError."""
     try:
         with path.open("rb") as file:
             secret = file.read(MAX_SECRET_BYTES + 1).strip()
     except OSError as e:
-        raise BadFile([Problem(str(path), (), f"expected the members' secret: {e.strerror or e}")]) from None
+        raise ConfigFileError(
+            [Problem(str(path), (), f"expected the members' secret: {e.strerror or e}")]
+        ) from None
     if not MIN_SECRET_BYTES <= len(secret) <= MAX_SECRET_BYTES:
         text = f"expected a secret of {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES} bytes, got {len(secret)}"
-        raise BadFile([Problem(str(path), (), text)])
+        raise ConfigFileError([Problem(str(path), (), text)])
     return secret
 
 
-def seeds_file(loaded: Loaded) -> FileOptions | None:
+def seeds_file(loaded: LoadedConfig) -> FileOptions | None:
     """Return how the file of seeds is watched, None without one."""
     table = loaded.file.peers
     if table is None or table.seeds_file is None:
         return None
-    return FileOptions(resolved(table.seeds_file, loaded.path), max_lost_share=1.0)
+    return FileOptions(resolve_path(table.seeds_file, loaded.path), max_lost_share=1.0)
--- a/oakbridge/config/reference.py
+++ b/oakbridge/config/reference.py
@@ -1,4 +1,4 @@
-"""The reference page of the configuration, made from the definitions that check it."""
+"""The reference page of the configuration, made from the definitions that check the file."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from pydantic.fields import FieldInfo
 
 from oakbridge.config import schema
+from oakbridge.config.field_types import Table
 
 HEAD = """# Configuration reference
 
@@ -16,76 +17,110 @@
 folder of the file. A key that is not listed here is a mistake.
 """
 
+_TABLE_HEAD = [
+    "| key | what | kind | default |",
+    "| --- | --- | --- | --- |",
+]
+_ARRAYS_OF_TABLES = ("classes", "tenants")
+_NESTED_ARRAYS: dict[str, dict[str, type[Table]]] = {
+    "servers": {"servers.inline": schema.InlineServer},
+    "sip": {"sip.route": schema.SipRoute},
+}
+
+# The first that is a part of the annotation's text gives the kind.
+_KINDS_BY_ANNOTATION = {
+    "InlineServer": "tables",
+    "SipRoute": "tables",
+    "Annotated[str": "list of texts",
+    "list[": "list of IPv4:port",
+    "tuple": "IPv4:port",
+    "bool": "true or false",
+    "float": "number",
+    "int": "whole number",
+    "str": "text",
+}
+_BOUNDS = {
+    "gt": "above",
+    "ge": "at least",
+    "lt": "below",
+    "le": "at most",
+}
+_TIME_UNITS_US = {
+    "s": 1_000_000,
+    "ms": 1_000,
+    "us": 1,
+}
 
-def _kind(info: FieldInfo) -> str:
-    extra = info.json_schema_extra
+
+def page() -> str:
+    """Return the whole page, as Markdown."""
+    parts = [HEAD]
+    for name, field in schema.File.model_fields.items():
+        # A table, a list of tables, or a table that may be left out.
+        model: Any = getattr(field.annotation, "__args__", (field.annotation,))[0]
+        key = field.alias or name
+        title = f"[[{key}]]" if name in _ARRAYS_OF_TABLES else f"[{key}]"
+        parts += _section(f"## `{title}`", model)
+        for nested_key, nested_model in _NESTED_ARRAYS.get(name, {}).items():
+            parts += _section(f"### `[[{nested_key}]]`", nested_model)
+    return "\n".join(parts)
+
+
+def _section(title: str, model: type[Table]) -> list[str]:
+    rows = [_row(field.alias or name, field) for name, field in model.model_fields.items()]
+    return [
+        f"{title}\n\n{model.__doc__}\n",
+        "\n".join(_TABLE_HEAD + rows) + "\n",
+    ]
+
+
+def _row(key: str, field: FieldInfo) -> str:
+    kind, bounds = _kind(field), _bounds(field)
+    kind_and_bounds = f"{kind}, {bounds}" if bounds else kind
+    return f"| `{key}` | {field.description} | {kind_and_bounds} | {_default(field, kind)} |"
+
+
+def _kind(field: FieldInfo) -> str:
+    extra = field.json_schema_extra
     if isinstance(extra, dict) and "kind" in extra:
         return str(extra["kind"])
-    text = str(info.annotation)
-    if "Literal" in text:
-        return " or ".join(f"`{a}`" for a in getattr(info.annotation, "__args__", ()))
-    if "InlineServer" in text or "SipRoute" in text:
-        return "tables"
-    if "Annotated[str" in text:
-        return "list of texts"
-    for word, kind in (("list[", "list of IPv4:port"), ("tuple", "IPv4:port"), ("bool", "true or false"),
-                       ("float", "number"), ("int", "whole number"), ("str", "text")):  # fmt: skip
-        if word in text:
+    annotation = str(field.annotation)
+    if "Literal" in annotation:
+        return " or ".join(f"`{value}`" for value in getattr(field.annotation, "__args__", ()))
+    for part, kind in _KINDS_BY_ANNOTATION.items():
+        if part in annotation:
             return kind
-    return text
+    return annotation
 
 
-def _bounds(info: FieldInfo) -> str:
-    signs = {"gt": "above", "ge": "at least", "lt": "below", "le": "at most"}
-    found = [f"{signs[k]} {getattr(m, k):g}" for m in info.metadata for k in signs if hasattr(m, k)]
+def _bounds(field: FieldInfo) -> str:
+    found = [
+        f"{words} {getattr(bound, attribute):g}"
+        for bound in field.metadata
+        for attribute, words in _BOUNDS.items()
+        if hasattr(bound, attribute)
+    ]
     return ", ".join(found)
 
 
-def _default(info: FieldInfo, kind: str) -> str:
-    if info.is_required():
+def _default(field: FieldInfo, kind: str) -> str:
+    if field.is_required():
         return "required"
-    value: Any = info.get_default(call_default_factory=True)
+    value: Any = field.get_default(call_default_factory=True)
     if value is None or value == []:
         return "none"
     if kind.startswith("time"):
-        return f'`"{_time(value)}"`'
+        return f'`"{_format_time(value)}"`'
     if isinstance(value, list):
-        return "`[" + ", ".join(f'"{h}:{p}"' for h, p in value) + "]`"
+        return "`[" + ", ".join(f'"{host}:{port}"' for host, port in value) + "]`"
     if isinstance(value, bool):
         return f"`{str(value).lower()}`"
     return f'`"{value}"`' if isinstance(value, str) else f"`{value}`"
 
 
-def _time(micros: int) -> str:
-    for unit, size in (("s", 1_000_000), ("ms", 1_000), ("us", 1)):
-        if micros % size == 0 and (micros or unit == "s"):
-            return f"{micros // size}{unit}"
-    raise AssertionError(micros)
-
-
-def _rows(model: type[schema.Table]) -> list[str]:
-    rows = ["| key | what | kind | default |", "| --- | --- | --- | --- |"]
-    for name, info in model.model_fields.items():
-        kind, bounds = _kind(info), _bounds(info)
-        told = f"{kind}, {bounds}" if bounds else kind
-        rows.append(f"| `{info.alias or name}` | {info.description} | {told} | {_default(info, kind)} |")
-    return rows
-
-
-def page() -> str:
-    """The whole page, as Markdown."""
-    parts = [HEAD]
-    for name, info in schema.File.model_fields.items():
-        many = name in ("classes", "tenants")
-        # A list of tables, or a table that may be left out.
-        model: Any = getattr(info.annotation, "__args__", (info.annotation,))[0]
-        key = info.alias or name
-        parts.append(f"## `{'[[' if many else '['}{key}{']]' if many else ']'}`\n\n{model.__doc__}\n")
-        parts.append("\n".join(_rows(model)) + "\n")
-        if name == "servers":
-            parts.append(f"### `[[servers.inline]]`\n\n{schema.InlineServer.__doc__}\n")
-            parts.append("\n".join(_rows(schema.InlineServer)) + "\n")
-        if name == "sip":
-            parts.append(f"### `[[sip.route]]`\n\n{schema.SipRoute.__doc__}\n")
-            parts.append("\n".join(_rows(schema.SipRoute)) + "\n")
-    return "\n".join(parts)
+def _format_time(time_us: int) -> str:
+    """Return a time in the largest unit that gives a whole number."""
+    for unit, size_us in _TIME_UNITS_US.items():
+        if time_us % size_us == 0:
+            return f"{time_us // size_us}{unit}"
+    raise AssertionError(time_us)
--- a/oakbridge/config/schema.py
+++ b/oakbridge/config/schema.py
@@ -1,66 +1,20 @@
-"""What ``oakbridge.toml`` may hold.  These definitions check it, and the reference page is made from them."""
+"""Define the tables of ``oakbridge.toml``.
+
+The definitions check the file, and the reference page is made from them.  Names of fields are the
+file's keys; :mod:`oakbridge.config.node_config` maps them to the code's terms.
+"""
 
 from __future__ import annotations
 
-import math
-import re
 from pathlib import Path
-from typing import Annotated, Any, Literal
+from typing import Annotated, Literal
 
-from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, StringConstraints, model_validator
+from pydantic import Field, StringConstraints, model_validator
 
-from oakbridge.node.address import parse_address
-from oakbridge.node.errors import ConfigError
+from oakbridge.config.field_types import Address, Duration, Name, Number, Table, Time
 from oakbridge.policy.settings import Idempotency
 
-_UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
-_DURATION = re.compile(r"(\d+(?:\.\d+)?)\s*(us|ms|s|m|h)")
-LONGEST = 24 * 3_600_000_000
-
-
-def duration(value: object) -> int:
-    """``"2.5s"``, ``"250ms"`` and the like, in whole microseconds."""
-    match = _DURATION.fullmatch(value) if isinstance(value, str) else None
-    if match is None:
-        raise ValueError(f'expected a time such as "250ms" or "2.5s", got {value!r:.60}')
-    micros = round(float(match[1]) * _UNITS[match[2]])
-    if micros > LONGEST:
-        raise ValueError(f'expected a time of at most "24h", got {value!r:.60}')
-    return micros
-
-
-def _above_zero(value: object) -> int:
-    if (micros := duration(value)) <= 0:
-        raise ValueError(f"expected a time above 0, got {value!r:.60}")
-    return micros
-
-
-def _address(value: object) -> tuple[str, int]:
-    try:
-        return parse_address(value)
-    except ConfigError as e:
-        raise ValueError(str(e)) from None
-
-
-def _finite(value: object) -> object:
-    if isinstance(value, float) and not math.isfinite(value):
-        raise ValueError(f"expected a finite number, got {value!r}")
-    return value
-
-
-Duration = Annotated[int, BeforeValidator(duration), Field(json_schema_extra={"kind": "time"})]
-Time = Annotated[int, BeforeValidator(_above_zero), Field(json_schema_extra={"kind": "time above 0"})]
-Address = Annotated[
-    tuple[str, int], BeforeValidator(_address), Field(json_schema_extra={"kind": "IPv4:port"})
-]
-Number = Annotated[float, BeforeValidator(_finite)]
-Name = Annotated[str, Field(min_length=1, max_length=100, pattern=r"^[\x21-\x7e]+$")]
-
-
-class Table(BaseModel):
-    """A table of the file: keys that it does not know are mistakes."""
-
-    model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
+MAX_MEMBER_NAME_LENGTH = 64
 
 
 class NodeTable(Table):
@@ -115,18 +69,14 @@
     )
 
     @model_validator(mode="after")
-    def _one_source(self) -> ServersTable:
-        given = [n for n in ("file", "directory", "discovery", "inline") if getattr(self, n)]
+    def _check_source(self) -> ServersTable:
+        given = [key for key in ("file", "directory", "discovery", "inline") if getattr(self, key)]
         if len(given) != 1:
             got = " and ".join(given) or "none"
             raise ValueError(f"expected exactly one of file, directory, discovery and inline, got {got}")
-        for kind in ("name", "address"):
-            seen: set[Any] = set()
-            for server in self.inline:
-                if (value := getattr(server, kind)) in seen:
-                    shown = value if kind == "name" else f"{value[0]}:{value[1]}"
-                    raise ValueError(f"inline: expected each {kind} once, got {shown!r} again")
-                seen.add(value)
+        _require_unique("inline: expected each name once", [server.name for server in self.inline])
+        addresses = [f"{host}:{port}" for host, port in (server.address for server in self.inline)]
+        _require_unique("inline: expected each address once", addresses)
         return self
 
 
@@ -148,7 +98,7 @@
     repeat_window: Duration = Field(0, description="Keyed: for how long repeats are dropped.")
 
     @model_validator(mode="after")
-    def _fits(self) -> ClassTable:
+    def _check_times(self) -> ClassTable:
         if self.aim > self.deadline:
             raise ValueError("aim: expected at most the deadline")
         if Idempotency(self.repeat) == Idempotency.IDEMPOTENT_WITH_KEY and not self.repeat_window:
@@ -253,7 +203,7 @@
     )
 
     @model_validator(mode="after")
-    def _fits(self) -> PeersTable:
+    def _check_times(self) -> PeersTable:
         if self.probe_timeout * 2 > self.period:
             raise ValueError("probe_timeout: expected at most half of the period")
         return self
@@ -313,29 +263,41 @@
     log: LogTable = LogTable()
 
     @model_validator(mode="after")
-    def _names_once(self) -> File:
-        for kind, rows in (("class", self.classes), ("tenant", self.tenants)):
-            seen: set[str] = set()
-            for row in rows:
-                if row.name in seen:
-                    raise ValueError(f"{kind}: expected each name once, got {row.name!r} again")
-                seen.add(row.name)
+    def _check_whole(self) -> File:
+        _require_unique("class: expected each name once", [each.name for each in self.classes])
+        _require_unique("tenant: expected each name once", [each.name for each in self.tenants])
+        class_names = {each.name for each in self.classes}
         for number, route in enumerate(self.sip.routes if self.sip else [], 1):
-            if route.klass not in {c.name for c in self.classes}:
+            if route.klass not in class_names:
                 raise ValueError(
                     f"sip.route {number}: class: expected one of the classes, got {route.klass!r}"
                 )
-        if self.peers is not None and len(self.node.name) > 64:
-            raise ValueError("node.name: expected at most 64 characters where there are peers")
-        if self.sites is not None and (self.peers is None or self.node.workers > 1 or not self.node.zone):
+        self._check_tables_together()
+        return self
+
+    def _check_tables_together(self) -> None:
+        """Check what tables require of each other."""
+        several_workers = self.node.workers > 1
+        if self.peers is not None and len(self.node.name) > MAX_MEMBER_NAME_LENGTH:
+            raise ValueError(
+                f"node.name: expected at most {MAX_MEMBER_NAME_LENGTH} characters where there are peers"
+            )
+        if self.sites is not None and (self.peers is None or several_workers or not self.node.zone):
             raise ValueError("sites: expected [peers], node.zone and node.workers = 1 beside it")
-        if self.spread is not None and (self.peers is None or self.node.workers > 1):
+        if self.spread is not None and (self.peers is None or several_workers):
             raise ValueError("spread: expected [peers] and node.workers = 1 beside it")
-        if self.sip is not None and self.node.workers > 1:
+        if self.sip is not None and several_workers:
             raise ValueError("sip: expected node.workers = 1, as datagrams can't be handed on")
-        return self
 
 
-def resolved(path: str, beside: Path) -> Path:
-    """A path of the file; one that is not absolute is taken from the file's own directory."""
-    return (beside.parent / Path(path).expanduser()).absolute()
+def _require_unique(expected: str, values: list[str]) -> None:
+    seen: set[str] = set()
+    for value in values:
+        if value in seen:
+            raise ValueError(f"{expected}, got {value!r} again")
+        seen.add(value)
+
+
+def resolve_path(path: str, config_path: Path) -> Path:
+    """Return a path that the file names; a relative one starts at the file's own directory."""
+    return (config_path.parent / Path(path).expanduser()).absolute()
--- a/oakbridge/config/sites.py
+++ b/oakbridge/config/sites.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from oakbridge.config.load import Loaded
-from oakbridge.config.schema import resolved
+from oakbridge.config.load import LoadedConfig
+from oakbridge.config.schema import resolve_path
 from oakbridge.sites.core import Options, Sites
 from oakbridge.sites.scheme import load_plan
 
 
-def sites_of(loaded: Loaded) -> Sites | None:
-    """The node's sites, if the file asks for them; its plan is read here.  Raises BadFile."""
+def sites_of(loaded: LoadedConfig) -> Sites | None:
+    """The node's sites, if the file asks for them; its plan is read here.  Raises ConfigFileError."""
     table = loaded.file.sites
     if table is None:
         return None
-    plan = load_plan(resolved(table.plan, loaded.path)) if table.plan else None
+    plan = load_plan(resolve_path(table.plan, loaded.path)) if table.plan else None
     name = loaded.member[0] if loaded.member is not None else loaded.config.name
     settings = loaded.config.settings
     classes = {c.name: c.priority_weight for c in settings.classes}
--- a/oakbridge/lab/plan.py
+++ b/oakbridge/lab/plan.py
@@ -9,10 +9,9 @@
 
 from pydantic import Field, ValidationError, model_validator
 
-from oakbridge.config.load import MAX_BYTES, BadFile, checked
-from oakbridge.config.schema import Duration, Name, Number, Table, Time
+from oakbridge.config.field_types import Duration, Name, Number, Table, Time
+from oakbridge.config.toml_file import parse_tables, read_bounded
 from oakbridge.lab.compare import BadVary, changed
-from oakbridge.sources.problem import Problem
 
 KINDS = (
     "kill", "freeze", "restart", "starve", "cut", "lossy", "slow links", "reset", "servers down", "servers slow",
@@ -190,14 +189,13 @@
 
 
 def load_plan(path: Path, changes: Sequence[tuple[str, Any]] = ()) -> Plan:
-    """Read and check a file, with other values at these dotted paths.  Raises BadFile, or BadVary."""
+    """Read and check a file, with other values at these dotted paths.  Raises ConfigFileError, or BadVary."""
+    data = read_bounded(path)
+    plan = parse_tables(data, str(path), Plan)
+    if not changes:
+        return plan
+    raw = tomllib.loads(data.decode("utf-8-sig"))
     try:
-        if path.stat().st_size > MAX_BYTES:
-            raise BadFile([Problem(str(path), (), f"expected at most {MAX_BYTES} bytes")])
-        plan = checked(path.read_bytes(), str(path), Plan)
-        if not changes:
-            return plan
-        raw = tomllib.loads(path.read_text())
         for key, value in changes:
             changed(raw, key, value)
         return Plan.model_validate(raw)
@@ -205,8 +203,6 @@
         first = e.errors()[0]
         where = ".".join(map(str, first["loc"]))
         raise BadVary(f"vary: {where}: {first['msg']}") from None
-    except OSError as e:
-        raise BadFile([Problem(str(path), (), e.strerror or str(e))]) from None
 
 
 def smaller(plan: Plan) -> Plan:
--- a/oakbridge/sites/scheme.py
+++ b/oakbridge/sites/scheme.py
@@ -10,8 +10,9 @@
 import msgspec
 from pydantic import Field
 
-from oakbridge.config.load import MAX_BYTES, BadFile, checked
-from oakbridge.config.schema import Name, Number, Table
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.field_types import Name, Number, Table
+from oakbridge.config.toml_file import in_file_order, parse_tables, read_bounded
 from oakbridge.sources.atomic_file import write_atomically
 from oakbridge.sources.decoding import FileKind
 from oakbridge.sources.field_lines import field_lines, nearest_line
@@ -91,25 +92,16 @@
 
 
 def load_sites(path: Path) -> tuple[SitesFile, str]:
-    """The file and its digest.  Raises BadFile with every mistake."""
-    data = _read(path)
-    file = checked(data, str(path), SitesFile)
+    """The file and its digest.  Raises ConfigFileError with every mistake."""
+    data = read_bounded(path)
+    file = parse_tables(data, str(path), SitesFile)
     lines = field_lines(data, FileKind.TOML)
     found = [Problem(str(path), at, text, nearest_line(lines, at)) for at, text in _mistakes(file)]
     if found:
-        raise BadFile(sorted(found, key=lambda p: (p.line or 0, p.field_name())))
+        raise ConfigFileError(in_file_order(found))
     return file, hashlib.sha256(data).hexdigest()[:16]
 
 
-def _read(path: Path) -> bytes:
-    try:
-        if path.stat().st_size > MAX_BYTES:
-            raise BadFile([Problem(str(path), (), f"expected at most {MAX_BYTES} bytes")])
-        return path.read_bytes()
-    except OSError as e:
-        raise BadFile([Problem(str(path), (), e.strerror or str(e))]) from None
-
-
 def _mistakes(file: SitesFile) -> Iterator[tuple[tuple[str | int, ...], str]]:
     sites, classes = {s.name for s in file.sites}, {c.name for c in file.classes}
     keys: tuple[tuple[str, list[tuple[str, ...]]], ...] = (
@@ -174,15 +166,15 @@
 
 
 def load_plan(path: Path) -> Plan:
-    """Read and check a plan.  Raises BadFile with every mistake."""
+    """Read and check a plan.  Raises ConfigFileError with every mistake."""
     try:
-        plan = msgspec.json.decode(_read(path), type=Plan)
+        plan = msgspec.json.decode(read_bounded(path), type=Plan)
     except msgspec.DecodeError as e:
-        raise BadFile(
+        raise ConfigFileError(
             [Problem(str(path), (), f"expected a plan made by `oakbridge sites plan`: {e}")]
         ) from None
     if wrong := check_plan(plan):
-        raise BadFile([Problem(str(path), (), text) for text in wrong])
+        raise ConfigFileError([Problem(str(path), (), text) for text in wrong])
     return plan
 
 
--- a/oakbridge/sources/decoding.py
+++ b/oakbridge/sources/decoding.py
@@ -49,16 +49,17 @@
         raise DecodeError(f"expected at most {MAX_FILE_BYTES} bytes, got {len(file.data)}")
     if checksum_matches(file.data) is False:
         raise DecodeError("the content is not what its checksum line says: changed or cut")
-    text = _decode_utf8(file.content())
+    text = decode_utf8(file.content())
     if not text.strip():
         raise DecodeError("expected a list of servers, got an empty file")
     try:
-        return _decode_toml(text) if file.kind is FileKind.TOML else _decode_json(text)
+        return decode_toml(text) if file.kind is FileKind.TOML else _decode_json(text)
     except (ValueError, RecursionError) as error:
         raise DecodeError(f"expected {file.kind.value}: {error}") from None
 
 
-def _decode_utf8(content: bytes) -> str:
+def decode_utf8(content: bytes) -> str:
+    """Return the text.  Raises DecodeError."""
     try:
         return content.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -80,7 +81,8 @@
     raise ValueError(f"{name} is no JSON number")
 
 
-def _decode_toml(text: str) -> Any:
+def decode_toml(text: str) -> dict[str, Any]:
+    """Return the tables of a TOML text.  Raises DecodeError."""
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -4,7 +4,9 @@
 
 import pytest
 
-from oakbridge.config.load import BadFile, check, inline_entries, load
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.load import check, load
+from oakbridge.config.node_config import inline_endpoints
 from oakbridge.config.reference import page
 from oakbridge.control.paths import default_socket_path
 from oakbridge.sources.decoding import FileKind
@@ -45,7 +47,7 @@
 
 
 def problems(text: str) -> list[tuple[int | None, str, str]]:
-    with pytest.raises(BadFile) as e:
+    with pytest.raises(ConfigFileError) as e:
         check(text.encode(), "f.toml")
     return [(p.line, p.field_name(), p.expected) for p in e.value.problems]
 
@@ -125,12 +127,12 @@
 
 
 def test_bytes_that_are_no_text_are_named_by_line():
-    with pytest.raises(BadFile, match="f.toml:2: expected UTF-8, got the byte 0xff"):
+    with pytest.raises(ConfigFileError, match="f.toml:2: expected UTF-8, got the byte 0xff"):
         check(b"# fine\n\xff\n", "f.toml")
 
 
 def test_a_missing_file_is_one_line(tmp_path):
-    with pytest.raises(BadFile, match="No such file"):
+    with pytest.raises(ConfigFileError, match="No such file"):
         load(tmp_path / "nothing.toml")
 
 
@@ -138,7 +140,7 @@
     text = GOOD.replace(
         'file = "servers.toml"', 'inline = [\n{name = "a", address = "127.0.0.1:1", weight = 2},\n]'
     )
-    [entry] = inline_entries(check(text.encode(), "f"))
+    [entry] = inline_endpoints(check(text.encode(), "f"))
     assert (entry.server.id, entry.server.weight, entry.address) == ("a", 2.0, ("127.0.0.1", 1))
     [(line, field, says)] = problems(text.replace('"127.0.0.1:1"', '"x"'))
     assert (line, field) == (8, "servers.inline[0].address") and "IPv4" in says
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from oakbridge.config.load import BadFile
+from oakbridge.config.errors import ConfigFileError
 from oakbridge.lab.bench import Bench
 from oakbridge.lab.checks import FIGURES, NEVER, judge
 from oakbridge.lab.course import Course, course_of, fleet_of
@@ -73,7 +73,7 @@
 def test_mistakes_in_a_plan_are_named_with_their_line(tmp_path, more, told):
     path = tmp_path / "plan.toml"
     path.write_text(PLAN + more)
-    with pytest.raises(BadFile, match=told) as bad:
+    with pytest.raises(ConfigFileError, match=told) as bad:
         load_plan(path)
     assert str(bad.value).startswith(f"{path}:")
 
--- a/tests/members/test_settings.py
+++ b/tests/members/test_settings.py
@@ -5,7 +5,8 @@
 import pytest
 
 from oakbridge.cli.serve import Given
-from oakbridge.config.load import BadFile, load
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.load import load
 from oakbridge.config.peers import peers_options
 
 BASE = """[node]
@@ -36,7 +37,7 @@
     if secret is not None:
         (tmp_path / "secret").write_text(secret)
     (tmp_path / "o.toml").write_text(BASE + more)
-    with pytest.raises(BadFile, match=told.replace("(", r"\(")):
+    with pytest.raises(ConfigFileError, match=told.replace("(", r"\(")):
         peers_options(load(tmp_path / "o.toml"))
 
 
@@ -58,5 +59,5 @@
     given = Given(tmp_path / "o.toml", "n", (), None, member=("h1/n", "127.0.0.9:7946"))
     options = peers_options(given.load())
     assert (options.name, options.listen) == ("h1/n", ("127.0.0.9", 7946))
-    with pytest.raises(BadFile, match="1 to 64 characters"):
+    with pytest.raises(ConfigFileError, match="1 to 64 characters"):
         peers_options(replace(given, member=("h" * 65, "127.0.0.9:7946")).load())
--- a/tests/sip/test_front.py
+++ b/tests/sip/test_front.py
@@ -9,7 +9,8 @@
 from network import SECOND
 from peers import run, until
 
-from oakbridge.config.load import inline_entries, load
+from oakbridge.config.load import load
+from oakbridge.config.node_config import inline_endpoints
 from oakbridge.config.sip import sip_options, sip_settings
 from oakbridge.node.node import Node
 from oakbridge.sip import message as m
@@ -99,7 +100,7 @@
         path = tmp_path / "both.toml"
         path.write_text(CONFIG.format(servers=rows, port=port))
         loaded = load(path)
-        node = Node(loaded.config, loop, lambda clock: InlineSource(inline_entries(loaded.file)))
+        node = Node(loaded.config, loop, lambda clock: InlineSource(inline_endpoints(loaded.file)))
         async with Front(node, sip_settings(loaded.file), sip_options(loaded.file), 1) as front:
             node.start()
             proxy = Peer("UDP", "127.0.0.1", port)
--- a/tests/sites/test_parts.py
+++ b/tests/sites/test_parts.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from site_text import SITES
 
-from oakbridge.config.load import BadFile
+from oakbridge.config.errors import ConfigFileError
 from oakbridge.peers.messages import SiteObservation, SiteOverride, SiteReport
 from oakbridge.peers.view_state import ClusterView, ViewState
 from oakbridge.policy.view import ZoneView
@@ -206,7 +206,7 @@
     text = SITES.replace('site = "c"\nclass = "book"', 'site = "d"\nclass = "cook"').replace(
         'b = "c"', 'b = "a"'
     )
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(ConfigFileError) as caught:
         sites_file(tmp_path, text + '[[site]]\nname = "a"\ncapacity = 1.0\n')
     told = [(p.line, p.field_name(), p.expected[:26]) for p in caught.value.problems]
     assert [where for _, where, _ in told] == ["load[2].site", "load[2].class", "distance[0]", "site[3]"]
@@ -219,7 +219,7 @@
     broken = scheme.msgspec.structs.replace(plan.scenarios[1], shares={"b": {"a": 0.7}}, refused={"x": 1.2})
     plan = scheme.msgspec.structs.replace(plan, scenarios=(broken, *plan.scenarios[2:]))
     scheme.save_plan(tmp_path / "plan.json", plan)
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(ConfigFileError) as caught:
         scheme.load_plan(tmp_path / "plan.json")
     assert len(caught.value.problems) == 5
     assert scheme.check_plan(planning.make(file, digest), file, "another")[0].startswith("version")
