--- a/oakbridge/config/__init__.py
+++ b/oakbridge/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration file of a node without the platform: its definitions, its checks, its reference."""
+"""The configuration file of a node without the platform: definitions, checks and reference."""
--- a/oakbridge/config/load.py
+++ b/oakbridge/config/load.py
@@ -1,4 +1,4 @@
-"""Read ``oakbridge.toml``: every mistake at once, each with its line, field and what was expected."""
+"""Read ``oakbridge.toml``: every mistake at once, with line, field and what was expected."""
 
 from __future__ import annotations
 
--- a/oakbridge/config/reference.py
+++ b/oakbridge/config/reference.py
@@ -11,10 +11,11 @@
 
 HEAD = """# Configuration reference
 
-`oakbridge serve --config FILE` reads one TOML file; `oakbridge check FILE` lists every mistake in it with its
-line. This page is made from the definitions that check the file (`oakbridge check --reference`): edit those,
-not this. Times are texts with a unit (`"250ms"`, `"2.5s"`, `"1m"`). Paths that are not absolute start at the
-folder of the file. A key that is not listed here is a mistake.
+`oakbridge serve --config FILE` reads one TOML file; `oakbridge check FILE` lists every mistake in
+it with its line. This page is made from the definitions that check the file
+(`oakbridge check --reference`): edit those, not this. Times are texts with a unit (`"250ms"`,
+`"2.5s"`, `"1m"`). Paths that are not absolute start at the folder of the file. A key that is not
+listed here is a mistake.
 """
 
 _TABLE_HEAD = [
@@ -69,11 +70,15 @@
 def _section(title: str, model: type[Table]) -> list[str]:
     rows = [_row(field.alias or name, field) for name, field in model.model_fields.items()]
     return [
-        f"{title}\n\n{model.__doc__}\n",
+        f"{title}\n\n{_one_line(model.__doc__ or '')}\n",
         "\n".join(_TABLE_HEAD + rows) + "\n",
     ]
 
 
+def _one_line(text: str) -> str:
+    return " ".join(text.split())
+
+
 def _row(key: str, field: FieldInfo) -> str:
     kind, bounds = _kind(field), _bounds(field)
     kind_and_bounds = f"{kind}, {bounds}" if bounds else kind
--- a/oakbridge/config/schema.py
+++ b/oakbridge/config/schema.py
@@ -25,13 +25,18 @@
         [("127.0.0.1", 8080)], min_length=1, max_length=16, description="Where callers connect."
     )
     instances: int = Field(
-        1, ge=1, le=100_000,
-        description="How many nodes share these servers. Each keeps a subset of them; all together cover all.",
-    )  # fmt: skip
+        1,
+        ge=1,
+        le=100_000,
+        description="How many nodes share these servers. "
+        "Each keeps a subset of them; all together cover all.",
+    )
     workers: int = Field(
-        1, ge=1, le=64,
+        1,
+        ge=1,
+        le=64,
         description="Processes on its port. They divide its limits, and count as so many instances.",
-    )  # fmt: skip
+    )
     zone: str = Field("", max_length=200, description="Its zone; servers of the same one are preferred.")
     seed: int | None = Field(None, ge=0, description="For random choices; a new one at each start if absent.")
 
@@ -47,7 +52,7 @@
 
 
 class ServersTable(Table):
-    """Where the list of servers comes from: exactly one of `file`, `directory`, `discovery`, `inline`."""
+    """The source of the servers: exactly one of `file`, `directory`, `discovery`, `inline`."""
 
     file: str | None = Field(None, min_length=1, description="A server file that is watched.")
     directory: str | None = Field(
@@ -58,12 +63,14 @@
     settle: Time = Field(
         30_000,
         description="A file without a checksum line must read the same twice, so far apart.",
-    )  # fmt: skip
+    )
     poll: Time = Field(1_000_000, description="How often to look even if no change is told.")
     most_lost: Number = Field(
-        0.5, ge=0, le=1,
+        0.5,
+        ge=0,
+        le=1,
         description="A version that takes a larger share of the ready servers away at once is held.",
-    )  # fmt: skip
+    )
     saved: str | None = Field(
         None, min_length=1, description="Where a copy of the last good version is kept for the next start."
     )
@@ -92,7 +99,8 @@
     late_worth: Number = Field(0.0, ge=0, le=1, description="The share of it that a later answer keeps.")
     repeat: Literal["safe", "keyed", "unsafe"] = Field(
         "unsafe",
-        description="`safe` may run twice; `keyed` may be sent again within its window and group; `unsafe` never.",
+        description="`safe` may run twice; `keyed` may be sent again within its window and group; "
+        "`unsafe` never.",
     )
     group: Literal["all", "zone", "cell"] = Field("all", description="Keyed: which servers drop repeats.")
     repeat_window: Duration = Field(0, description="Keyed: for how long repeats are dropped.")
@@ -128,7 +136,7 @@
 
 
 class RetryBudgetTable(Table):
-    """How many retries there may be: `ratio` x first attempts + `floor_per_s` x window, within each window."""
+    """How many retries each window allows: `ratio` x first attempts + `floor_per_s` x window."""
 
     ratio: Number = Field(0.2, ge=0, le=1, description="Retries as a share of first attempts.")
     floor_per_s: Number = Field(0.1, ge=0, le=1000, description="Retries a second that are always allowed.")
@@ -174,7 +182,10 @@
 
 
 class PeersTable(Table):
-    """Membership: the other nodes, who of them is there, and what this node does with that. Off without this table."""
+    """Membership: the other nodes, who of them is there, and what this node does with that.
+
+    Off without this table.
+    """
 
     listen: Address = Field(description="Where other members reach it: UDP, and TCP for full exchanges.")
     advertise: Address | None = Field(None, description="What it tells others, if they reach it elsewhere.")
@@ -210,7 +221,10 @@
 
 
 class SitesTable(Table):
-    """The plan for the loss of a site: zones are sites. Off without this table; it needs `[peers]`."""
+    """The plan for the loss of a site: zones are sites.
+
+    Off without this table; it needs `[peers]`.
+    """
 
     plan: str | None = Field(
         None, min_length=1, description="Made by `oakbridge sites plan`; without it, by free capacity."
@@ -219,7 +233,10 @@
 
 
 class SpreadTable(Table):
-    """How this tier's nodes divide the servers among them. Off without this table; it needs `[peers]`."""
+    """How this tier's nodes divide the servers among them.
+
+    Off without this table; it needs `[peers]`.
+    """
 
     rings: int = Field(
         4,
@@ -234,9 +251,11 @@
 
     enabled: bool = Field(True, description="Whether there is one.")
     socket: str | None = Field(
-        None, min_length=1, max_length=100,
+        None,
+        min_length=1,
+        max_length=100,
         description="Its path; if absent, `oakbridge/NAME.sock` in the user's runtime directory.",
-    )  # fmt: skip
+    )
 
 
 class LogTable(Table):
@@ -279,9 +298,8 @@
         """Check what tables require of each other."""
         several_workers = self.node.workers > 1
         if self.peers is not None and len(self.node.name) > MAX_MEMBER_NAME_LENGTH:
-            raise ValueError(
-                f"node.name: expected at most {MAX_MEMBER_NAME_LENGTH} characters where there are peers"
-            )
+            expected = f"expected at most {MAX_MEMBER_NAME_LENGTH} characters where there are peers"
+            raise ValueError(f"node.name: {expected}")
         if self.sites is not None and (self.peers is None or several_workers or not self.node.zone):
             raise ValueError("sites: expected [peers], node.zone and node.workers = 1 beside it")
         if self.spread is not None and (self.peers is None or several_workers):
--- a/oakbridge/policy/settings.py
+++ b/oakbridge/policy/settings.py
@@ -1,8 +1,8 @@
 """Settings of a :class:`oakbridge.policy.balancer.Balancer`, checked as they are made.
 
-Times are whole microseconds.  The names that the platform and ``oakbridge.toml`` give these settings are mapped by
-their readers alone: ``oakbridge.node.settings`` and ``oakbridge.config.node_config``.  Messages of :class:`SettingsError`
-keep the names that users write.
+Times are whole microseconds.  The names that the platform and ``oakbridge.toml`` give these settings
+are mapped by their readers alone: ``oakbridge.node.settings`` and ``oakbridge.config.node_config``.
+Messages of :class:`SettingsError` keep the names that users write.
 """
 
 from __future__ import annotations
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -1,4 +1,4 @@
-"""The configuration file: what it means, every mistake at once with its line, and a reference that can't drift."""
+"""The configuration file: its meaning, every problem with its line, and its reference page."""
 
 from pathlib import Path
 
@@ -52,7 +52,7 @@
     return [(p.line, p.field_name(), p.expected) for p in e.value.problems]
 
 
-def test_a_file_becomes_a_nodes_configuration(tmp_path):
+def test_file_is_mapped_to_the_node_configuration(tmp_path):
     path = tmp_path / "o.toml"
     path.write_text(GOOD)
     got = load(path)
@@ -64,16 +64,16 @@
     )
     assert (config.seed, config.discovery, settings.pin_endpoint_list) == (5, None, True)
     first, second = settings.classes
-    assert (first.name, first.latency_objective, first.deadline, first.priority_weight, first.idempotency) == (
-        "car-nearby", 2_500_000, 6_000_000, 3.0, "safe",
-    )  # fmt: skip
+    assert first.name == "car-nearby"
+    assert (first.latency_objective, first.deadline) == (2_500_000, 6_000_000)
+    assert (first.priority_weight, first.idempotency) == (3.0, "safe")
     assert (second.idempotency, second.dedup_window, second.dedup_scope) == ("keyed", 30_000_000, "cell")
     assert settings.tenants[0].quota_per_s == 20
     assert (settings.retry_ratio, settings.retry_floor, settings.retry_window) == (0.1, 0.1, 10)
     assert got.control == default_socket_path("n1")
 
 
-def test_every_mistake_is_told_at_once_with_line_and_field():
+def test_every_problem_is_reported_at_once_with_line_and_field():
     text = (
         GOOD.replace('"2.5s"', '"soon"')
         .replace("worth = 3", "wroth = 3")
@@ -86,9 +86,13 @@
     )
     got = problems(text)
     assert [(line, field) for line, field, _ in got] == [
-        (3, "node.listen[1]"), (11, "class[0].aim"), (13, "class[0].wroth"), (14, "class[0].repeat"),
-        (26, "tenant[0].quota_per_s"), (29, "retry_budget.ratio"),
-    ]  # fmt: skip
+        (3, "node.listen[1]"),
+        (11, "class[0].aim"),
+        (13, "class[0].wroth"),
+        (14, "class[0].repeat"),
+        (26, "tenant[0].quota_per_s"),
+        (29, "retry_budget.ratio"),
+    ]
     said = [expected for _, _, expected in got]
     assert said[0].startswith("expected an IPv4 address and a port, got 'here'")
     assert "expected a time such as" in said[1]
@@ -120,46 +124,49 @@
         (GOOD + "[limits]\nsockets = 3\n", 31, "limits.sockets", "of at least 128"),
     ],
 )  # fmt: skip
-def test_a_mistake_is_named(text, line, field, says):
+def test_problem_names_line_field_and_expectation(text, line, field, says):
     [(got_line, got_field, expected), *_] = problems(text)
     assert (got_line, got_field) == (line, field)
     assert says in expected
 
 
-def test_bytes_that_are_no_text_are_named_by_line():
-    with pytest.raises(ConfigFileError, match="f.toml:2: expected UTF-8, got the byte 0xff"):
+def test_invalid_utf8_is_reported_with_its_line():
+    with pytest.raises(ConfigFileError, match=r"f\.toml:2: expected UTF-8, got the byte 0xff"):
         check(b"# fine\n\xff\n", "f.toml")
 
 
-def test_a_missing_file_is_one_line(tmp_path):
+def test_missing_file_is_reported(tmp_path):
     with pytest.raises(ConfigFileError, match="No such file"):
         load(tmp_path / "nothing.toml")
 
 
-def test_inline_servers():
+def test_inline_servers_are_listed():
     text = GOOD.replace(
         'file = "servers.toml"', 'inline = [\n{name = "a", address = "127.0.0.1:1", weight = 2},\n]'
     )
     [entry] = inline_endpoints(check(text.encode(), "f"))
     assert (entry.server.id, entry.server.weight, entry.address) == ("a", 2.0, ("127.0.0.1", 1))
     [(line, field, says)] = problems(text.replace('"127.0.0.1:1"', '"x"'))
-    assert (line, field) == (8, "servers.inline[0].address") and "IPv4" in says
+    assert (line, field) == (8, "servers.inline[0].address")
+    assert "IPv4" in says
 
 
 def test_lines_are_found_in_nested_and_quoted_tables():
     text = b'a."b.c" = 1\n[x.y]\nz = [\n 1,\n 2]\n[[x.w]]\nk = {p = 1}\n[[x.w]]\n[x.w.deep]\nq = 1\n'
     lines = field_lines(text, FileKind.TOML)
-    assert lines["a", "b.c"] == 1 and lines["x", "y", "z", 1] == 5
-    assert lines["x", "w", 0, "k", "p"] == 7 and lines["x", "w", 1] == 8
+    assert lines["a", "b.c"] == 1
+    assert lines["x", "y", "z", 1] == 5
+    assert lines["x", "w", 0, "k", "p"] == 7
+    assert lines["x", "w", 1] == 8
     assert lines["x", "w", 1, "deep", "q"] == 10
 
 
-def test_the_reference_is_made_from_the_definitions():
+def test_reference_page_matches_the_definitions():
     """Guards against a page that drifts: `oakbridge check --reference` writes it."""
     assert (ROOT / "docs/configuration.md").read_text() == page()
 
 
-def test_the_example_of_getting_started_is_good():
+def test_example_of_getting_started_is_valid():
     text = (ROOT / "docs/getting-started.md").read_text()
     example = text.split("```toml\n", 1)[1].split("```", 1)[0]
     assert check(example.encode(), "oakbridge.toml").classes
--- a/tests/sources/test_file_source.py
+++ b/tests/sources/test_file_source.py
@@ -44,7 +44,7 @@
 
 
 def test_mounted_directory_is_followed_through_its_links(tmp_path):
-    """A version is a folder of its own, and a link that is swapped; all files change at one moment."""
+    """A version is a folder of its own behind a replaced link; all files change at one moment."""
     mount = tmp_path / "mount"
     mount.mkdir()
 
--- a/tests/sources/test_list_rewrites.py
+++ b/tests/sources/test_list_rewrites.py
@@ -13,7 +13,7 @@
 
 
 def test_a_thousand_rewrites_under_load(tmp_path, monkeypatch):
-    # A list with a checksum that does not fit is awaited for 2 s; here for less, as there are many of them.
+    # Files with a checksum that doesn't match are awaited for 2 s; here, where there are many, for less.
     monkeypatch.setattr("oakbridge.sources.version_tracker.CHECKSUM_TIMEOUT_US", 20_000)
 
     async def scenario():
--- a/tests/sources/test_parsing.py
+++ b/tests/sources/test_parsing.py
@@ -1,4 +1,4 @@
-"""Server files of all three forms: what is read, what is refused, and where each mistake is said to be."""
+"""Server files of all three forms: what is read, what is rejected, and the place of each problem."""
 
 import hashlib
 import json
--- a/tests/sources/test_slow_start.py
+++ b/tests/sources/test_slow_start.py
@@ -22,7 +22,7 @@
 
 
 def test_server_that_joins_by_file_is_warmed_up(tmp_path):
-    """It may not get more than the multiple of what it can do at its start, over the window; it does get some."""
+    """It gets some requests, but no more than the overload factor allows over the window."""
     path = tmp_path / "servers.json"
 
     async def scenario():
@@ -72,7 +72,7 @@
         most = max(
             sum(1 for t in newcomer.arrived_at if at <= t < at + WINDOW_S * 1e6) for at in newcomer.arrived_at
         )
-        # In one window the platform puts so much down to chance: calls that the machine held up come together.
+        # One window allows for chance as the platform does: calls that the machine held up come together.
         assert most <= allowed_rate * WINDOW_S + 2 * sqrt(allowed_rate * WINDOW_S) + 2
 
     run(scenario())
--- a/tests/sources/test_version_tracker_model.py
+++ b/tests/sources/test_version_tracker_model.py
@@ -26,7 +26,7 @@
 
 
 class DiskModel(RuleBasedStateMachine):
-    """Plays the shell, the disk and its writers in any order; holds the tracker against what it promises."""
+    """Play the source, the disk and its writers in any order; check what the tracker promises."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/sources/watched_source.py
+++ b/tests/sources/watched_source.py
@@ -75,7 +75,7 @@
         self.source.stop()
 
     async def until(self, key: str, text: str = "") -> JsonObject:
-        """Wait until the source's status has a value with this text under the key; return the status."""
+        """Wait until the status has a value with this text under the key; return the status."""
         while not (status := self.source.describe())[key] or text not in str(status[key]):
             self.source.decided.clear()
             await soon(self.source.decided.wait())
