--- a/oakbridge/node/connection_pool.py
+++ b/oakbridge/node/connection_pool.py
@@ -113,11 +113,6 @@
         for server in self.servers.values():
             server.close_idle()
 
-    def close_idle_to(self, name: str) -> None:
-        """Close the idle connections to one server."""
-        if name in self.servers:
-            self.servers[name].close_idle()
-
     # ---- attempts
 
     def send(self, attempt: Attempt) -> None:
--- a/oakbridge/node/dispatcher.py
+++ b/oakbridge/node/dispatcher.py
@@ -9,7 +9,6 @@
 from typing import Protocol
 
 from oakbridge.node.clock import Clock
-from oakbridge.node.connection_pool import ConnectionPool
 from oakbridge.node.endpoint_list import EndpointList
 from oakbridge.node.endpoint_source import EndpointSource
 from oakbridge.node.observer import NodeObserver
@@ -17,10 +16,7 @@
     Action,
     CancelAttempt,
     FailRequest,
-    FetchList,
-    Log,
     RejectRequest,
-    Release,
     SendAttempt,
     SetTimer,
     WatchEndpoints,
@@ -66,12 +62,11 @@
 class Dispatcher:
     """The one place where the balancer meets the sockets."""
 
-    def __init__(self, balancer: Balancer, clock: Clock, pool: ConnectionPool) -> None:
+    def __init__(self, balancer: Balancer, clock: Clock) -> None:
         self.balancer = balancer
         self.observer: NodeObserver | None = None
         self.fronts: list[Front] = []  # beside HTTP
         self._clock = clock
-        self._pool = pool
         self._events: deque[Event] = deque()
         self._handling = False
 
@@ -154,14 +149,6 @@
                 self._requests.cancel(action)
             case WatchEndpoints():
                 self._source.watch(action.on)
-            case FetchList():
-                self._source.fetch()
-            case Release():
-                self._pool.close_idle_to(action.server)
-            case Log():
-                log.info("%s", action.text)
-            case _:  # probes and messages to peers: the balancer uses neither
-                log.warning("no way to carry out %s", action)
 
     def _set_timer(self, action: SetTimer) -> None:
         token = action.token
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -65,7 +65,7 @@
         self.balancer = Balancer(config.settings, config.seed)
         self.pool = self._make_pool(loop)
         self.source = source(self.clock) if source is not None else self._make_discovery()
-        self.dispatcher = Dispatcher(self.balancer, self.clock, self.pool)
+        self.dispatcher = Dispatcher(self.balancer, self.clock)
         self.endpoints = EndpointUpdates(loop, self.clock, self.dispatcher, self.pool, self.outages)
         self.forwarder = RequestForwarder(
             config.settings, self.clock, self.pool, self.endpoints, self.dispatcher.post, self.ids
--- a/oakbridge/policy/actions.py
+++ b/oakbridge/policy/actions.py
@@ -7,8 +7,6 @@
 
 from dataclasses import dataclass
 
-ALL = -1  # every peer, as the receiver of a message
-
 
 @dataclass(slots=True)
 class SendAttempt:
@@ -58,50 +56,4 @@
     on: bool = True
 
 
-@dataclass(slots=True)
-class FetchList:
-    """Ask for the whole server list once; answered by ``EndpointListReceived``."""
-
-
-@dataclass(slots=True)
-class Tell:
-    """Send at most 256 bytes to one peer, or to ``ALL``; it may be lost."""
-
-    to: int
-    text: str
-
-
-@dataclass(slots=True)
-class Probe:
-    """Ask a server for its load."""
-
-    server: str
-
-
-@dataclass(slots=True)
-class Release:
-    """Give back the connections to a server that carry nothing now."""
-
-    server: str
-
-
-@dataclass(slots=True)
-class Log:
-    """A line for whoever reads the logs."""
-
-    text: str
-
-
-Action = (
-    SendAttempt
-    | RejectRequest
-    | FailRequest
-    | CancelAttempt
-    | SetTimer
-    | WatchEndpoints
-    | FetchList
-    | Tell
-    | Probe
-    | Release
-    | Log
-)
+Action = SendAttempt | RejectRequest | FailRequest | CancelAttempt | SetTimer | WatchEndpoints
--- a/oakbridge/policy/events.py
+++ b/oakbridge/policy/events.py
@@ -183,24 +183,6 @@
     token: int
 
 
-@dataclass(slots=True)
-class ProbeAnswered:
-    """The answer to one probe."""
-
-    server: str
-    ok: bool
-    latency: int
-    load_report: dict[str, float] | None = None
-
-
-@dataclass(slots=True)
-class PeerMessage:
-    """Another replica of this tier said something."""
-
-    sender: int
-    text: str
-
-
 Event = (
     EndpointListReceived
     | SettingsChanged
@@ -216,6 +198,4 @@
     | AttemptEnded
     | ClientDisconnected
     | TimerFired
-    | ProbeAnswered
-    | PeerMessage
 )
--- a/oakbridge/simhost/adapter.py
+++ b/oakbridge/simhost/adapter.py
@@ -22,14 +22,9 @@
     Action,
     CancelAttempt,
     FailRequest,
-    FetchList,
-    Log,
-    Probe,
     RejectRequest,
-    Release,
     SendAttempt,
     SetTimer,
-    Tell,
     WatchEndpoints,
 )
 from oakbridge.policy.balancer import Balancer
@@ -41,8 +36,6 @@
     EndpointListReceived,
     EndpointState,
     Event,
-    PeerMessage,
-    ProbeAnswered,
     RequestReceived,
     ResponseStarted,
     TimerFired,
@@ -73,8 +66,6 @@
             "reminder": lambda m, _: TimerFired(m["label"]),
             "client-left": lambda m, _: ClientDisconnected(m["op-id"]),
             "established": lambda m, _: ResponseStarted(m["op-id"], m["send-no"]),
-            "sampled": self._probed,
-            "from-peer": lambda m, _: PeerMessage(m["by"], m["data"]),
             "update": self._list,
         }
 
@@ -113,8 +104,9 @@
             return None
         if node not in self._nodes:
             raise WireError(f"{kind}: node-id: instance {node!r} was never started")
-        if reader is None:
+        if kind == "killed":
             self._nodes[node] = None
+        if reader is None:
             return None
         event = reader(m, node)
         balancer = self._nodes[node]
@@ -175,10 +167,6 @@
             self._report(m, node),
         )
 
-    def _probed(self, m: dict[str, Any], node: int) -> ProbeAnswered:
-        ok = m["disposition"] == AttemptResult.OK
-        return ProbeAnswered(m["server"], ok, m.get("latency") or 0, self._report(m, node))
-
     def _list(self, m: dict[str, Any], _: int) -> EndpointListReceived:
         mode = m["mode"]
         if mode == "lost":
@@ -275,16 +263,6 @@
         m = {"msg": "cancel", "op-id": a.request_id, "send-no": a.attempt}
     elif type(a) is WatchEndpoints:
         m = {"msg": "watch", "on": a.on}
-    elif type(a) is FetchList:
-        m = {"msg": "fetch"}
-    elif type(a) is Tell:
-        m = {"msg": "broadcast-to", "to": a.to, "data": a.text}
-    elif type(a) is Probe:
-        m = {"msg": "inspect", "server": a.server}
-    elif type(a) is Release:
-        m = {"msg": "release", "server": a.server}
-    elif type(a) is Log:
-        m = {"msg": "remark", "text": a.text}
     else:
         raise TypeError(f"no wire form for {a!r}")
     m["node-id"] = node
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -9,9 +9,7 @@
 from oakbridge.policy.actions import (
     CancelAttempt,
     FailRequest,
-    Probe,
     RejectRequest,
-    Release,
     SendAttempt,
     SetTimer,
     WatchEndpoints,
@@ -512,7 +510,8 @@
     """No deployment lets servers report on probes cheaply, and asking first is not the design's choice."""
     d = Driver(report_names=("in_flight",), probes=True)
     d.serve(30)
-    assert not d.of(Probe)
+    kinds = {type(action) for _, action in d.actions}
+    assert kinds <= {SendAttempt, SetTimer, WatchEndpoints}
 
 
 # ---- settings
@@ -677,7 +676,7 @@
     d.end(first, AttemptResult.OK)
     d.end(second, AttemptResult.OK)
     d.serve(20)
-    assert not d.of(Release)
+    assert {type(action) for _, action in d.actions} <= {SendAttempt, SetTimer, WatchEndpoints}
 
 
 def test_limit_does_not_sink_while_answers_come_in_good_time():
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -11,7 +11,6 @@
     Action,
     CancelAttempt,
     FailRequest,
-    Probe,
     RejectRequest,
     SendAttempt,
     SetTimer,
@@ -27,8 +26,6 @@
     EndpointListReceived,
     EndpointState,
     Event,
-    PeerMessage,
-    ProbeAnswered,
     RequestReceived,
     ResponseStarted,
     TimerFired,
@@ -70,7 +67,6 @@
         self.out: list[tuple[int, int, str]] = []
         self.attempts: dict[int, list[dict]] = defaultdict(list)
         self.timers: list[tuple[int, int]] = []
-        self.probes: list[str] = []
         self.told: set[str] = set()  # may be sent to, by the lists this life was given
         self.give_list(saved=True)
 
@@ -121,9 +117,6 @@
         elif isinstance(a, CancelAttempt):
             assert self.settings.cancellation_allowed
             assert a.attempt < len(self.attempts[a.request_id]), "cancelled what was never sent"
-        elif isinstance(a, Probe):
-            assert self.settings.probes and a.server in self.told
-            self.probes.append(a.server)
         elif isinstance(a, WatchEndpoints):
             assert self.settings.poll_discovery
 
@@ -181,17 +174,12 @@
             self.feed(ClientDisconnected(gone))
         elif kind < 0.9:
             self.give_list()
-        elif kind < 0.93 and self.probes:
-            report = rng.choice([None, {"in_flight": float(rng.randrange(5)), "queued": 1.0}])
-            self.feed(ProbeAnswered(self.probes.pop(), report is not None, 500, report))
         elif kind < 0.97:  # stale and unknown things are passed over
             self.feed(AttemptEnded(10**6, 0, "s0", AttemptResult.OK, 5))
             self.feed(AttemptEnded(1, 0, "nobody", AttemptResult.ERROR, 5))
             self.feed(ClientDisconnected(10**6))
             self.feed(TimerFired(10**9))
-            self.feed(ProbeAnswered("nobody", False, 1))
             self.feed(ResponseStarted(10**6, 0))
-            self.feed(PeerMessage(3, "hello"))
             if self.settings.poll_discovery:
                 self.feed(EndpointListReceived(failed=True))
         elif rng.random() < 0.2:
--- a/tests/simhost/test_adapter.py
+++ b/tests/simhost/test_adapter.py
@@ -8,17 +8,11 @@
 from oakbridge.node.settings import read_settings
 from oakbridge.policy import balancer as choice
 from oakbridge.policy.actions import (
-    ALL,
     CancelAttempt,
     FailRequest,
-    FetchList,
-    Log,
-    Probe,
     RejectRequest,
-    Release,
     SendAttempt,
     SetTimer,
-    Tell,
     WatchEndpoints,
 )
 from oakbridge.policy.events import Endpoint, EndpointState, RequestReceived
@@ -296,11 +290,6 @@
         (SetTimer(3, 4), {"msg": "after", "offset": 3, "label": 4}),
         (WatchEndpoints(), {"msg": "watch", "on": True}),
         (WatchEndpoints(False), {"msg": "watch", "on": False}),
-        (FetchList(), {"msg": "fetch"}),
-        (Tell(ALL, "hi"), {"msg": "broadcast-to", "to": -1, "data": "hi"}),
-        (Probe("a"), {"msg": "inspect", "server": "a"}),
-        (Release("a"), {"msg": "release", "server": "a"}),
-        (Log("x"), {"msg": "remark", "text": "x"}),
     ]
     monkeypatch.setattr(choice.Balancer, "handle", lambda self, now, event: [a for a, _ in actions])
     _, got, _ = run(SYNC, SPAWN, KNOCK, END)
