--- a/oakbridge/node/attempt.py
+++ b/oakbridge/node/attempt.py
@@ -46,12 +46,14 @@
     """
 
     server: str
-    # Returns the bytes of the request, made once they can be written: it is given the microseconds that are left then.
+    # Returns the bytes of the request, made once they can be written: it is given the microseconds
+    # that are left then.
     render: Callable[[int], bytes]
     deadline: int
     on_end: Callable[[AttemptOutcome], None]
     number: int = 0
-    # Given a long response's status and headers, its length if known, and the connection; returns where it goes.
+    # Given a long response's status and headers, its length if known, and the connection; returns
+    # where it goes.
     on_response_start: (
         Callable[[AttemptOutcome, int | None, ServerConnection], ResponseSink | None] | None
     ) = None
--- a/oakbridge/node/config.py
+++ b/oakbridge/node/config.py
@@ -40,9 +40,10 @@
 def load_config(environment: Mapping[str, str], before: Config | None = None) -> Config:
     """Read the node's configuration; variables go before the file's own values.  Raise ConfigError.
 
-    Read again, the file is newer than the variables, which a running process can't be told anew: then the address of
-    discovery in it goes first.  A file that lacks a key which the one ``before`` had was cut or is half edited, and is
-    not used: a setting that is missing would silently become its default.
+    Read again, the file is newer than the variables, which a running process can't be told anew:
+    then the address of discovery in it goes first.  A file that lacks a key which the one
+    ``before`` had was cut or is half edited, and is not used: a setting that is missing would
+    silently become its default.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
--- a/oakbridge/node/connection_pool.py
+++ b/oakbridge/node/connection_pool.py
@@ -16,7 +16,8 @@
 
 log = logging.getLogger(__name__)
 
-# A connection is idle for so long before it is used again: what comes behind a response shows by then.
+# A connection is idle for so long before it is used again: what comes behind a response shows by
+# then.
 MIN_IDLE_US = 5_000
 # An idle connection is closed before the server would: by this part of the server's own timeout.
 IDLE_MARGIN_DIVISOR = 10
@@ -25,7 +26,7 @@
 class PooledServer:
     """A server that may be sent to, as discovery last listed it, and the connections to it."""
 
-    __slots__ = ("address", "started", "idle", "busy")
+    __slots__ = ("address", "busy", "idle", "started")
 
     def __init__(self, address: Address, started: int) -> None:
         """``started``: when the server's process started; its connections last no longer."""
@@ -99,7 +100,8 @@
     def _retire(self, server: PooledServer) -> None:
         """Close idle connections; attempts that were written may end, and those that were not fail.
 
-        Guards drains: an attempt that still connects would put its first byte on the wire after the drain.
+        Guards drains: an attempt that still connects would put its first byte on the wire after the
+        drain.
         """
         server.close_idle()
         for connection in list(server.busy):
@@ -193,7 +195,8 @@
     def _checkout_idle(self, server: PooledServer, min_idle: int) -> ServerConnection | None:
         """Take the most recently used connection that was idle for long enough and is still good.
 
-        Guards against a second copy of a response, or noise behind it, that is read as the next one's response.
+        Guards against a second copy of a response, or noise behind it, that is read as the next
+        one's response.
         """
         idle = server.idle
         place = bisect_right(idle, self.clock.now() - min_idle, key=_idle_since)
--- a/oakbridge/node/discovery.py
+++ b/oakbridge/node/discovery.py
@@ -17,24 +17,26 @@
 
 log = logging.getLogger(__name__)
 
-# News counts as told 6 s after discovery had it, whether or not it arrived, once a call was given up.  A watch that has
-# fallen silent looks like one without news, so each ends long before, and what is left is for polling anew: of all
-# nodes at once, and discovery takes one call after another.  Each waits for another while: nodes that heard the same
-# news must not end their watches, or find them silent, together.  To go on with a watch costs discovery nothing.
+# News counts as told 6 s after discovery had it, whether or not it arrived, once a call was given
+# up.  A watch that has fallen silent looks like one without news, so each ends long before, and
+# what is left is for polling anew: of all nodes at once, and discovery takes one call after
+# another.  Each waits for another while: nodes that heard the same news must not end their watches,
+# or find them silent, together.  To go on with a watch costs discovery nothing.
 MIN_WATCH_S = 0.5
 MAX_WATCH_S = 4.0
 # A watch's response may be so late before the watch is given up.
 WATCH_GRACE_S = 0.5
-# What starts a watch may stand in a line: a discovery that rejects calls after one to three seconds says so itself.
+# What starts a watch may stand in a line: a discovery that rejects calls after one to three seconds
+# says so itself.
 RESPONSE_TIMEOUT_S = 3.0
 AGENT_RESPONSE_TIMEOUT_S = 1.0  # an agent on the own machine responds at once
 # Where the settings ask for shorter polls: news counts as told so long after a wait.
 POLL_MARGIN_S = 2.0
 # An agent on the own machine is polled again so soon after it failed.
 AGENT_RETRY_S = 0.1
-# A version before all others: what starts a watch with it is answered with the complete list, and goes on as a watch.
-# To poll for the list first and start a watch behind it would cost discovery two calls, and the second its place in
-# line.
+# A version before all others: what starts a watch with it is answered with the complete list, and
+# goes on as a watch. To poll for the list first and start a watch behind it would cost discovery
+# two calls, and the second its place in line.
 BEFORE_ALL_VERSIONS = -1
 LIST_PATH = "/api/targets"
 US_PER_S = 1e6
@@ -88,10 +90,11 @@
     def move(self, address: Address) -> None:
         """Poll at another address from now on, at once.
 
-        What is in flight to the old one is cancelled, so neither a late response nor its end counts as news.  Where
-        lists are pushed, each agent has versions of its own.  Discovery that is polled is one service for all nodes, so
-        the watch goes on from where it was: the complete list for all nodes, and a second call of each for its watch,
-        would fill its line for longer than news may take.  A lower version has the complete list polled (_apply).
+        What is in flight to the old one is cancelled, so neither a late response nor its end counts
+        as news.  Where lists are pushed, each agent has versions of its own.  Discovery that is
+        polled is one service for all nodes, so the watch goes on from where it was: the complete
+        list for all nodes, and a second call of each for its watch, would fill its line for longer
+        than news may take.  A lower version has the complete list polled (_apply).
         """
         self.stop()
         if self._watching:
--- a/oakbridge/node/discovery_http.py
+++ b/oakbridge/node/discovery_http.py
@@ -37,7 +37,8 @@
 async def poll(address: Address, path: str, timeout_s: float) -> EndpointList:
     """Return the list that discovery responds with; raise EndpointListError, OSError (also TimeoutError).
 
-    Guards against a kept connection that discovery has just closed, which looks like a broken watch.
+    Guards against a kept connection that discovery has just closed, which looks like a broken
+    watch.
     """
     async with asyncio.timeout(timeout_s):
         reader, writer = await asyncio.open_connection(*address)
--- a/oakbridge/node/endpoint_list.py
+++ b/oakbridge/node/endpoint_list.py
@@ -42,8 +42,9 @@
 def split_into_batches(new: EndpointList, known: Collection[str]) -> list[EndpointList]:
     """Split a long list into changes that are applied one after another, so that none holds the loop up.
 
-    A short list stays as it is.  ``known``: the names of all servers that are listed so far.  What is gone or drains
-    comes first, as nothing may be sent there a quarter of a second later, however many others there are to apply.
+    A short list stays as it is.  ``known``: the names of all servers that are listed so far.  What
+    is gone or drains comes first, as nothing may be sent there a quarter of a second later, however
+    many others there are to apply.
     """
     named = {endpoint.server.id: endpoint for endpoint in new.endpoints}
     if len(named) <= BATCH_SIZE and (not new.complete or len(known) <= BATCH_SIZE):
--- a/oakbridge/node/http_framing.py
+++ b/oakbridge/node/http_framing.py
@@ -26,8 +26,9 @@
 def read_framing(headers: Headers) -> Framing:
     """Read a message's framing from its headers (RFC 9112, 6.1 to 6.3), in one pass.
 
-    The error is 413 for a body that is longer than any may be, and 400 for a transfer coding that nobody here uses, so
-    that others may see another end of it.  The parser has let nothing but digits through as a length.
+    The error is 413 for a body that is longer than any may be, and 400 for a transfer coding that
+    nobody here uses, so that others may see another end of it.  The parser has let nothing but
+    digits through as a length.
     """
     content_length = None
     chunked = False
--- a/oakbridge/node/outages.py
+++ b/oakbridge/node/outages.py
@@ -1,7 +1,8 @@
 """Which servers operators hold out: applied between any list and the balancer, so that no list can undo it.
 
-Pure: the caller passes the time and endpoints, and gets endpoints back.  An operator's command goes before discovery: a
-server that is held out is listed as draining, wherever it goes and whatever becomes of it, until it is put back.
+Pure: the caller passes the time and endpoints, and gets endpoints back.  An operator's command goes
+before discovery: a server that is held out is listed as draining, wherever it goes and whatever
+becomes of it, until it is put back.
 """
 
 from __future__ import annotations
@@ -57,8 +58,9 @@
     def put_back(self, name: str, now: int) -> bool:
         """Hold a server out no more, however often it was taken out; return False if it was not out.
 
-        It may have been restarted at any time since it was taken out.  Until a list says when, it counts as started
-        now: the latest that is possible, as a server that gets more than its slow start allows would be overloaded.
+        It may have been restarted at any time since it was taken out.  Until a list says when, it
+        counts as started now: the latest that is possible, as a server that gets more than its slow
+        start allows would be overloaded.
         """
         outage = self._outages.get(name)
         if outage is None or outage.put_back_at:
--- a/oakbridge/node/request_forwarder.py
+++ b/oakbridge/node/request_forwarder.py
@@ -37,7 +37,7 @@
 class ForwardedAttempt:
     """One attempt for one request: what the pool calls as it goes."""
 
-    __slots__ = ("_forwarder", "request", "number", "server", "sent_at")
+    __slots__ = ("_forwarder", "number", "request", "sent_at", "server")
 
     def __init__(
         self, forwarder: RequestForwarder, request: ClientRequest, number: int, server: str, sent_at: int
@@ -144,7 +144,8 @@
         self.open_ids.add(request.header_values[b"x-request-id"])
         body = request.streamed_body
         if body is None or body.complete:
-            # The balancer ends each request before this; it guards against one that it has forgotten.
+            # The balancer ends each request before this; it guards against one that it has
+            # forgotten.
             self._set_overdue_timer(request, max(due, now + 1))
         self._post(
             RequestReceived(
@@ -195,12 +196,14 @@
         """Send an attempt to the server that the balancer picked."""
         request = self.requests.get(action.request_id)
         if request is None or request.attempt is not None:
-            # Guards two rules: nothing is sent for what is over, and no two attempts are in flight at once.
+            # Guards two rules: nothing is sent for what is over, and no two attempts are in flight
+            # at once.
             log.error("not sent: request %d is over or has an attempt out", action.request_id)
             self._end_unsent(request, action)
             return
         if request.client.client_has_closed():
-            # It waited for its turn or a retry, and the end of its connection lies unread: nothing starts for it.
+            # It waited for its turn or a retry, and the end of its connection lies unread: nothing
+            # starts for it.
             request.answered = True
             self._end_unsent(request, action)
             self._forget(request)
@@ -280,7 +283,8 @@
             request.client.respond(request, 200, _end_to_end(outcome.headers), outcome.body)
             self.served += 1
         elif result == AttemptResult.ERROR and _blames_request(outcome.status):
-            # The server has no use for this request; no other will have, and it is no fault of the server.
+            # The server has no use for this request; no other will have, and it is no fault of the
+            # server.
             request.client.respond(request, outcome.status, [], b"")
             result = AttemptResult.NOT_SENT
         if request.answered:
--- a/oakbridge/node/response_parser.py
+++ b/oakbridge/node/response_parser.py
@@ -28,25 +28,26 @@
 class ResponseParser:
     """Parses the response to one request at a time; httptools calls the ``on_`` methods.
 
-    A short body is buffered; a long one is passed on as it comes, to the sink that ``open_sink`` returns.
+    A short body is buffered; a long one is passed on as it comes, to the sink that ``open_sink``
+    returns.
     """
 
     __slots__ = (
-        "status",
-        "headers",
-        "content_length",
-        "started",
-        "complete",
-        "reusable",
-        "sink",
-        "_open_sink",
-        "_parser",
         "_body",
         "_body_bytes",
         "_bytes_read",
-        "_headers_complete",
         "_ends_at_close",
+        "_headers_complete",
+        "_open_sink",
+        "_parser",
         "_unusable",
+        "complete",
+        "content_length",
+        "headers",
+        "reusable",
+        "sink",
+        "started",
+        "status",
     )
 
     def __init__(self, open_sink: Callable[[], ResponseSink | None]) -> None:
--- a/oakbridge/node/run.py
+++ b/oakbridge/node/run.py
@@ -21,7 +21,8 @@
 async def serve(build: BuildNode, reload: Reload, lifespan: Lifespan = lambda _: nullcontext()) -> None:
     """Serve until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads.
 
-    ``lifespan`` is entered before the node listens and left after it has ended: its control socket, for example.
+    ``lifespan`` is entered before the node listens and left after it has ended: its control socket,
+    for example.
     """
     loop = asyncio.get_running_loop()
     stop, hangup = asyncio.Event(), asyncio.Event()
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -1,7 +1,8 @@
 """A connection to a server: carries one attempt at a time, and ends it with its outcome.
 
-The socket is driven by hand, not by a stream or transport: the rules depend on whether a request's last byte was
-*written to the socket*, and on a connection being closed before anything else happens, which buffers hide.
+The socket is driven by hand, not by a stream or transport: the rules depend on whether a request's
+last byte was *written to the socket*, and on a connection being closed before anything else
+happens, which buffers hide.
 """
 
 from __future__ import annotations
@@ -34,25 +35,26 @@
 class ServerConnection:
     """One connection to a server, from its dial to its close.
 
-    The pool owns it: it returns itself to the pool when it is idle, and removes itself when it is closed.
+    The pool owns it: it returns itself to the pool when it is idle, and removes itself when it is
+    closed.
     """
 
     __slots__ = (
-        "server",
-        "attempt",
-        "may_be_reused",
-        "connected",
-        "closed",
-        "idle_since",
+        "_awaits_writable",
+        "_body",
+        "_has_served",
         "_pool",
+        "_response",
         "_sock",
         "_timer",
-        "_response",
         "_unsent",
-        "_body",
-        "_awaits_writable",
+        "attempt",
+        "closed",
+        "connected",
+        "idle_since",
+        "may_be_reused",
         "paused",
-        "_has_served",
+        "server",
     )
 
     def __init__(self, pool: ConnectionPool, server: PooledServer) -> None:
@@ -61,8 +63,8 @@
         self.server = server
         self.attempt: Attempt | None = None
         self.may_be_reused = True
-        # Guards against a connection that a server takes above its limit and rejects for as long as it lasts: kept and
-        # used last, it would be used first, and never serve.
+        # Guards against a connection that a server takes above its limit and rejects for as long as
+        # it lasts: kept and used last, it would be used first, and never serve.
         self._has_served = False
         self.connected = False
         self.closed = False
@@ -123,7 +125,8 @@
     def _start_request(self, attempt: Attempt) -> None:
         now = self._pool.clock.now()
         if attempt.start_by is not None and now > attempt.start_by:
-            # Guards retries: the dial took so long that servers may have forgotten the first attempt.
+            # Guards retries: the dial took so long that servers may have forgotten the first
+            # attempt.
             self._pool.loop.call_soon(self._pool.fail_unsent, attempt)
             return
         self._unsent = memoryview(attempt.render(max(1, attempt.deadline - now)))
@@ -170,7 +173,8 @@
             self._await_writable(self._write)
             return
         except OSError:
-            # In the next round, as in connect(); what arrived before is no response to half a request.
+            # In the next round, as in connect(); what arrived before is no response to half a
+            # request.
             self._pool.loop.call_soon(self._fail)
             return
         self._stop_awaiting_writable()
@@ -287,8 +291,8 @@
     def is_stale(self) -> bool:
         """Return whether the server has closed this idle connection, though the loop has not come to read it.
 
-        Guards against writing a request to a connection that is already closed: it would end as a reset,
-        after which a request that must not run twice can't be retried.
+        Guards against writing a request to a connection that is already closed: it would end as a
+        reset, after which a request that must not run twice can't be retried.
         """
         try:
             self._sock.recv(1, socket.MSG_PEEK)
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -1,7 +1,7 @@
 """What one node did in each second, as one line of its log: for counting across a whole fleet.
 
-A node loads this only where ``OAKBRIDGE_TRACE`` is set, as its observer.  ``benchmarks/fleet_day.py`` adds the lines
-of all nodes up.
+A node loads this only where ``OAKBRIDGE_TRACE`` is set, as its observer.
+``benchmarks/fleet_day.py`` adds the lines of all nodes up.
 """
 
 from __future__ import annotations
--- a/oakbridge/node/trace_format.py
+++ b/oakbridge/node/trace_format.py
@@ -1,6 +1,7 @@
 """The names in a trace's lines: the one place that maps the code's terms to them.
 
-``benchmarks/fleet_day.py`` and readers of old logs go by these names; they stay when the code's terms change.
+``benchmarks/fleet_day.py`` and readers of old logs go by these names; they stay when the code's
+terms change.
 """
 
 from __future__ import annotations
