--- a/benchmarks/connection_spread.py
+++ b/benchmarks/connection_spread.py
@@ -17,7 +17,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from oakbridge.workers.spread import Spread  # noqa: E402
+from oakbridge.workers.connection_balancer import ConnectionBalancer  # noqa: E402
 
 
 def by_kernel(workers: int, connections: int) -> Counter[int]:
@@ -51,7 +51,7 @@
 
 def by_supervisor(workers: int, connections: int) -> Counter[int]:
     """The same by the project's rule, accounts coming after each connection."""
-    spread, got = Spread(), Counter[int]()
+    spread, got = ConnectionBalancer(), Counter[int]()
     for worker in range(workers):
         spread.join(worker, 10**6)
     for _ in range(connections):
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -31,7 +31,7 @@
 from oakbridge.node.node import Node
 from oakbridge.node.run import serve
 from oakbridge.sources.files import FileOptions, FileSource, InlineSource
-from oakbridge.workers.share import BadShare, share
+from oakbridge.workers.limits import WorkerLimitsError, worker_config
 
 if TYPE_CHECKING:
     from oakbridge.peers.service import MembershipService
@@ -71,9 +71,11 @@
             raise ConfigError(f"{self.path}: sip: expected one worker, as datagrams can't be handed on")
         try:
             parts = (
-                [share(config, worker, workers) for worker in range(1, workers + 1)] if workers > 1 else []
+                [worker_config(config, worker, workers) for worker in range(1, workers + 1)]
+                if workers > 1
+                else []
             )
-        except BadShare as e:
+        except WorkerLimitsError as e:
             raise ConfigError(f"{self.path}: {e}") from None
         if self.worker:
             config = parts[self.worker - 1]
@@ -152,9 +154,9 @@
         if channel is None:
             yield
             return
-        from oakbridge.workers.inside import Inside
+        from oakbridge.workers.channel import WorkerChannel
 
-        with Inside(channel).attached(node):
+        with WorkerChannel(channel).attached(node):
             yield
 
 
@@ -238,16 +240,16 @@
 
 async def supervise(given: Given, loaded: Loaded, workers: int) -> int:
     """Run so many workers; returns the exit code."""
-    from oakbridge.workers.door import Door
+    from oakbridge.workers.supervisor import WorkerSupervisor
 
     config = loaded.config
     addresses = (config.listen, *config.also_listen)
-    door = Door(
+    supervisor = WorkerSupervisor(
         config.name, addresses, workers, lambda w, channel: given.command(w, workers, channel), loaded.control
     )
     async with members(loaded, None) as held:
-        door.members = held
-        return await door.run()
+        supervisor.members = held
+        return await supervisor.run()
 
 
 @asynccontextmanager
--- a/oakbridge/workers/inside.py
+++ b/oakbridge/workers/channel.py
@@ -12,14 +12,14 @@
 from contextlib import contextmanager
 
 from oakbridge.node.node import Node
-from oakbridge.workers import wire
+from oakbridge.workers import messages
 
 log = logging.getLogger(__name__)
 
 GATHER_S = 0.002  # accounts of connections that come and go together are one
 
 
-class Inside:
+class WorkerChannel:
     """The channel to the supervisor.  If that one dies, the worker ends in order: nobody hands it anything."""
 
     def __init__(self, channel: socket.socket) -> None:
@@ -36,7 +36,7 @@
         self._node = node
         node.server.limits.on_change = self._changed
         self._loop.add_reader(self._channel, self._readable)
-        self._loop.call_soon(self._tell, wire.Ready(node.server.limits.max_connections))
+        self._loop.call_soon(self._tell, messages.Ready(node.server.limits.max_connections))
         try:
             yield
         finally:
@@ -45,7 +45,7 @@
 
     def _readable(self) -> None:
         try:
-            packet, descriptors, *_ = socket.recv_fds(self._channel, wire.MOST, 1)
+            packet, descriptors, *_ = socket.recv_fds(self._channel, messages.MOST, 1)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
@@ -54,12 +54,12 @@
             log.warning("the supervisor is gone: this worker ends")
             self._loop.remove_reader(self._channel)
             os.kill(os.getpid(), signal.SIGTERM)
-        elif packet == wire.CONNECTION and len(descriptors) == 1:
+        elif packet == messages.CONNECTION and len(descriptors) == 1:
             self._handed.append(socket.socket(fileno=descriptors[0]))
             self._take()
-        elif packet == wire.LEAVE:
+        elif packet == messages.LEAVE:
             os.kill(os.getpid(), signal.SIGTERM)
-        elif packet == wire.RELOAD:
+        elif packet == messages.RELOAD:
             os.kill(os.getpid(), signal.SIGHUP)
         else:
             log.error("not understood from the supervisor: %r", packet[:80])
@@ -69,11 +69,11 @@
     def _take(self) -> None:
         """Account first, then read: what was not accounted for the supervisor hands on if this process dies."""
         assert self._node is not None
-        account = wire.Account(
+        account = messages.LoadReport(
             self._node.server.connection_count() + len(self._handed), self._seen + len(self._handed)
         )
         try:
-            self._channel.send(wire.encode(account))
+            self._channel.send(messages.encode(account))
         except BlockingIOError:
             self._loop.call_later(10 * GATHER_S, self._take)
             return
@@ -90,11 +90,11 @@
     def _account(self) -> None:
         self._telling = None
         if self._node is not None:
-            self._tell(wire.Account(self._node.server.connection_count(), self._seen))
+            self._tell(messages.LoadReport(self._node.server.connection_count(), self._seen))
 
-    def _tell(self, message: wire.Ready | wire.Account) -> None:
+    def _tell(self, message: messages.Ready | messages.LoadReport) -> None:
         try:
-            self._channel.send(wire.encode(message))
+            self._channel.send(messages.encode(message))
         except BlockingIOError:  # the supervisor is behind: what is newer will be told then
             self._telling = self._loop.call_later(10 * GATHER_S, self._account)
         except OSError:
--- a/oakbridge/workers/spread.py
+++ b/oakbridge/workers/connection_balancer.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Load:
+class WorkerLoad:
     """What is known of one worker that takes connections."""
 
     most: int  # that it can hold
@@ -34,16 +34,16 @@
         return self.now() < self.most and self.handed - self.seen < UNSEEN_MOST
 
 
-class Spread:
+class ConnectionBalancer:
     """The machine."""
 
     def __init__(self) -> None:
-        self._loads: dict[int, Load] = {}
+        self._loads: dict[int, WorkerLoad] = {}
         self._turn = 0
 
     def join(self, worker: int, most: int) -> None:
         """A worker takes connections from now on, and has none."""
-        self._loads[worker] = Load(most)
+        self._loads[worker] = WorkerLoad(most)
 
     def leave(self, worker: int) -> None:
         """It takes no more."""
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Handed(Generic[T]):
+class UnacknowledgedConnections(Generic[T]):
     """What one worker was handed in one life and has not accounted for: it never touched these.
 
     A worker accounts for a connection before it reads a byte of it, so that what is left when the worker has died can
--- a/oakbridge/workers/share.py
+++ b/oakbridge/workers/limits.py
@@ -10,7 +10,7 @@
 MOST_WORKERS = 64
 
 
-class BadShare(ValueError):
+class WorkerLimitsError(ValueError):
     """The limits of the node can't be divided so often; the text says which and why."""
 
 
@@ -19,18 +19,18 @@
     return f"{name}.{worker}"
 
 
-def share(config: Config, worker: int, workers: int) -> Config:
-    """The configuration of one worker.  Raises :class:`BadShare`.
+def worker_config(config: Config, worker: int, workers: int) -> Config:
+    """The configuration of one worker.  Raises :class:`WorkerLimitsError`.
 
     A worker is an instance of the tier like any other, so the design's own sums hold: subsets, least limits, cold
     servers' parts and tenants' quotas all go by ``instances``.  What is said for one process is divided: its
     descriptors, its open requests and the floor of its retry budget (the budget's ratio goes by its own traffic).
     """
     if not 1 <= worker <= workers <= MOST_WORKERS:
-        raise BadShare(f"workers: expected 1 to {MOST_WORKERS}, got {workers}")
+        raise WorkerLimitsError(f"workers: expected 1 to {MOST_WORKERS}, got {workers}")
     sockets = config.sockets // workers
     if sockets < LEAST_SOCKETS:
-        raise BadShare(
+        raise WorkerLimitsError(
             f"limits.sockets: expected at least {LEAST_SOCKETS * workers} for {workers} workers, got {config.sockets}"
         )
     s = config.settings
--- a/oakbridge/workers/wire.py
+++ b/oakbridge/workers/messages.py
@@ -16,7 +16,7 @@
 RELOAD = b'{"do":"reload"}'
 
 
-class BadPacket(ValueError):
+class PacketError(ValueError):
     """A packet that nobody here sends; the text says what was expected."""
 
 
@@ -28,32 +28,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Account:
+class LoadReport:
     """How many connections the worker has, and how many it was handed until then."""
 
     had: int
     seen: int
 
 
-def encode(message: Ready | Account) -> bytes:
+def encode(message: Ready | LoadReport) -> bytes:
     """A packet from a worker."""
     if isinstance(message, Ready):
         return json.dumps({"do": "ready", "most": message.most}).encode()
     return json.dumps({"do": "account", "had": message.had, "seen": message.seen}).encode()
 
 
-def decode(packet: bytes) -> Ready | Account:
-    """A packet from a worker, read.  Raises :class:`BadPacket`."""
+def decode(packet: bytes) -> Ready | LoadReport:
+    """A packet from a worker, read.  Raises :class:`PacketError`."""
     try:
         raw = json.loads(packet)
         do = raw["do"]
         numbers = {name: value for name, value in raw.items() if name != "do"}
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
-        raise BadPacket(f"expected a worker's packet, got {packet[:80]!r}") from None
+        raise PacketError(f"expected a worker's packet, got {packet[:80]!r}") from None
     if any(isinstance(n, bool) or not isinstance(n, int) or n < 0 for n in numbers.values()):
-        raise BadPacket(f"expected whole numbers, got {packet[:80]!r}")
+        raise PacketError(f"expected whole numbers, got {packet[:80]!r}")
     if do == "ready" and numbers.keys() == {"most"}:
         return Ready(**numbers)
     if do == "account" and numbers.keys() == {"had", "seen"}:
-        return Account(**numbers)
-    raise BadPacket(f"expected ready or account, got {packet[:80]!r}")
+        return LoadReport(**numbers)
+    raise PacketError(f"expected ready or account, got {packet[:80]!r}")
--- a/oakbridge/workers/crew.py
+++ b/oakbridge/workers/pool.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Do:
+class ActOnProcess:
     """Have one worker's process started, told to leave, killed or looked at later."""
 
     worker: int
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Join:
+class AddToBalancer:
     """This worker takes connections now."""
 
     worker: int
@@ -39,30 +39,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class RemoveFromBalancer:
     """This one takes none any more."""
 
     worker: int
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogWarning:
     """Worth a line in the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class Exit:
     """No worker is left, and none is to be: the supervisor ends, with this exit code."""
 
     code: int
 
 
-Action = Do | Join | Part | Say | Over
+Action = ActOnProcess | AddToBalancer | RemoveFromBalancer | LogWarning | Exit
 
 
-class Crew:
+class WorkerPool:
     """The machine."""
 
     def __init__(self, workers: int) -> None:
@@ -103,7 +103,7 @@
             return []
         self._ever_ready = True
         self.joined.add(worker)
-        found: list[Action] = [Join(worker, most), *self._did(worker, machine.ready(now))]
+        found: list[Action] = [AddToBalancer(worker, most), *self._did(worker, machine.ready(now))]
         if self._rolling and self._rolling[0] == worker:
             self._rolling.popleft()
             found += self._next(now)
@@ -115,7 +115,7 @@
         asked = machine.state is sup.State.STOPPING
         found = self._part(worker)
         if not asked:
-            found.append(Say(f"worker {worker} ended: {how}"))
+            found.append(LogWarning(f"worker {worker} ended: {how}"))
         if code == USAGE_ERROR and not self._ever_ready and not self.ending:
             # None has ever served: it is the configuration, which it has told about, and no crash.
             self._code = USAGE_ERROR
@@ -125,11 +125,13 @@
         found += self._did(worker, machine.exited(now, how))
         if machine.is_crash_looping and not self.ending:
             found.append(
-                Say(f"worker {worker} is in a crash loop; next try in {machine.backoff_us() / 1e6:.0f} s")
+                LogWarning(
+                    f"worker {worker} is in a crash loop; next try in {machine.backoff_us() / 1e6:.0f} s"
+                )
             )
         if self._rolling and self._rolling[0] == worker and not asked:
             self._rolling.clear()
-            found.append(Say(f"the rolling restart stops: worker {worker} did not come back"))
+            found.append(LogWarning(f"the rolling restart stops: worker {worker} did not come back"))
         return found + self._check_over()
 
     def tick(self, worker: int, now: int) -> list[Action]:
@@ -140,7 +142,7 @@
 
     def _next(self, now: int) -> list[Action]:
         if not self._rolling:
-            return [Say("the rolling restart is done")]
+            return [LogWarning("the rolling restart is done")]
         worker = self._rolling[0]
         return self._stop(worker, self.machines[worker].restart(now))
 
@@ -151,14 +153,14 @@
         if worker not in self.joined:
             return []
         self.joined.discard(worker)
-        return [Part(worker)]
+        return [RemoveFromBalancer(worker)]
 
     def _did(self, worker: int, actions: list[sup.Action]) -> list[Action]:
-        return [Do(worker, action) for action in actions]
+        return [ActOnProcess(worker, action) for action in actions]
 
     def _check_over(self) -> list[Action]:
         done = all(machine.state is sup.State.STOPPED for machine in self.machines.values())
         if not self.ending or self.over or not done:
             return []
         self.over = True
-        return [Over(self._code)]
+        return [Exit(self._code)]
--- a/oakbridge/workers/report.py
+++ b/oakbridge/workers/status.py
@@ -20,7 +20,7 @@
 WORST = {"cold": 1, "ejected": 2, "drains": 3}  # a server's state, if workers differ
 
 
-def merge(own: Raw, workers: Mapping[int, Raw | str], rows: int) -> Raw:
+def merge_status(own: Raw, workers: Mapping[int, Raw | str], rows: int) -> Raw:
     """``own``: name, pid and the like, of the supervisor; each worker's account, or why there is none.
 
     Counts add up.  A server's row has the calls that all have out to it, and the worst that any believes of it.
--- a/oakbridge/workers/door.py
+++ b/oakbridge/workers/supervisor.py
@@ -29,10 +29,9 @@
 from oakbridge.node.listener import ACCEPT_BATCH, open_listener
 from oakbridge.node.listing import Address
 from oakbridge.process import supervisor as sup
-from oakbridge.workers import crew as c
-from oakbridge.workers import wire
-from oakbridge.workers.report import merge
-from oakbridge.workers.spread import Handed, Spread
+from oakbridge.workers import messages, pool
+from oakbridge.workers.connection_balancer import ConnectionBalancer, UnacknowledgedConnections
+from oakbridge.workers.status import merge_status
 
 log = logging.getLogger(__name__)
 
@@ -50,7 +49,7 @@
     return time.monotonic_ns() // 1000
 
 
-class Door:
+class WorkerSupervisor:
     """One supervisor."""
 
     def __init__(
@@ -61,9 +60,11 @@
         self.members: PeerDirectory | None = None  # one member for all workers
         self._loop = asyncio.get_running_loop()
         self._command = command
-        self.crew, self.spread = c.Crew(workers), Spread()
+        self.crew, self.spread = pool.WorkerPool(workers), ConnectionBalancer()
         self._channels: dict[int, socket.socket] = {}
-        self._handed: dict[int, Handed[socket.socket]] = {}  # by worker, in its present life
+        self._handed: dict[
+            int, UnacknowledgedConnections[socket.socket]
+        ] = {}  # by worker, in its present life
         self._back: deque[socket.socket] = deque()  # to be handed to another one, once one has room
         self._processes: dict[int, asyncio.subprocess.Process] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -125,19 +126,19 @@
     def reload(self) -> None:
         """Have all workers read the configuration anew."""
         for worker in list(self._channels):
-            self._send(worker, wire.RELOAD)
+            self._send(worker, messages.RELOAD)
 
     # ---- what the crew asks for
 
-    def _do(self, actions: list[c.Action]) -> None:
+    def _do(self, actions: list[pool.Action]) -> None:
         for action in actions:
-            if isinstance(action, c.Do):
+            if isinstance(action, pool.ActOnProcess):
                 self._do_one(action.worker, action.action)
-            elif isinstance(action, c.Join):
+            elif isinstance(action, pool.AddToBalancer):
                 self.spread.join(action.worker, action.most)
-            elif isinstance(action, c.Part):
+            elif isinstance(action, pool.RemoveFromBalancer):
                 self.spread.leave(action.worker)
-            elif isinstance(action, c.Say):
+            elif isinstance(action, pool.LogWarning):
                 log.warning("%s", action.text)
             elif not self._over.done():
                 self._over.set_result(action.code)
@@ -155,7 +156,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         elif isinstance(action, sup.Stop):
-            self._send(worker, wire.LEAVE)
+            self._send(worker, messages.LEAVE)
         elif isinstance(action, sup.Kill):
             if (process := self._processes.get(worker)) is not None:
                 log.warning("worker %d does not end, and is killed", worker)
@@ -181,10 +182,10 @@
         finally:
             theirs.close()
         self._processes[worker], self._channels[worker] = process, ours
-        handed = self._handed[worker] = Handed()
+        handed = self._handed[worker] = UnacknowledgedConnections()
         self._loop.add_reader(ours, self._hear, worker, ours)
         if self.crew.machines[worker].state is sup.State.STOPPING:  # asked for while it was being started
-            self._send(worker, wire.LEAVE)
+            self._send(worker, messages.LEAVE)
         code = await process.wait()
         self._processes.pop(worker, None)
         while self._hear(worker, ours):  # its last accounts
@@ -206,7 +207,7 @@
     def _hear(self, worker: int, channel: socket.socket) -> bool:
         """One packet; returns whether there was one."""
         try:
-            packet = channel.recv(wire.MOST)
+            packet = channel.recv(messages.MOST)
         except BlockingIOError:
             return False
         except OSError:
@@ -215,11 +216,11 @@
             self._loop.remove_reader(channel)
             return False
         try:
-            message = wire.decode(packet)
-        except wire.BadPacket as e:
+            message = messages.decode(packet)
+        except messages.PacketError as e:
             log.error("worker %d: %s", worker, e)
             return True
-        if isinstance(message, wire.Ready):
+        if isinstance(message, messages.Ready):
             log.info("worker %d is ready", worker)
             self._do(self.crew.ready(worker, message.most, now_us()))
         else:
@@ -271,7 +272,7 @@
     def _hand(self, sock: socket.socket) -> None:
         """To the worker with the fewest; one that takes nothing is passed over until its process has ended."""
         while (worker := self.spread.pick()) is not None:
-            if self._send(worker, wire.CONNECTION, sock.fileno()):
+            if self._send(worker, messages.CONNECTION, sock.fileno()):
                 return self._handed[worker].left.append(sock)  # kept until the worker has it in its hands
             self.spread.leave(worker)
         self._back.append(sock)
@@ -286,7 +287,7 @@
         asked = await asyncio.gather(*(asyncio.to_thread(self._ask, w, request) for w in workers))
         told: dict[int, Any] = dict(zip(workers, asked, strict=True))
         if request.command is ControlCommand.STATUS:
-            return merge(self._own(), told, int(request.arguments.get("rows", DEFAULT_STATUS_ROWS)))
+            return merge_status(self._own(), told, int(request.arguments.get("rows", DEFAULT_STATUS_ROWS)))
         refused = [f"worker {w}: {text}" for w, text in told.items() if isinstance(text, str)]
         if refused:
             raise RequestRejectedError("; ".join(refused))
--- a/tests/formats/test_workers.py
+++ b/tests/formats/test_workers.py
@@ -4,12 +4,12 @@
 from pathlib import Path
 
 from oakbridge.control import protocol
-from oakbridge.workers import wire
-from oakbridge.workers.report import merge
+from oakbridge.workers import messages
+from oakbridge.workers.status import merge_status
 
 FIXTURES = Path(__file__).parent / "fixtures"
-TO_WORKER = [wire.CONNECTION, wire.LEAVE, wire.RELOAD]
-FROM_WORKER = [wire.Ready(900), wire.Account(12, 4096)]
+TO_WORKER = [messages.CONNECTION, messages.LEAVE, messages.RELOAD]
+FROM_WORKER = [messages.Ready(900), messages.LoadReport(12, 4096)]
 
 
 def test_packets_to_a_worker_are_the_same_bytes():
@@ -18,8 +18,8 @@
 
 def test_packets_from_a_worker_are_read_and_written():
     packets = (FIXTURES / "workers" / "from_worker.txt").read_bytes().splitlines()
-    assert [wire.encode(message) for message in FROM_WORKER] == packets
-    assert [wire.decode(packet) for packet in packets] == FROM_WORKER
+    assert [messages.encode(message) for message in FROM_WORKER] == packets
+    assert [messages.decode(packet) for packet in packets] == FROM_WORKER
 
 
 def merged():
@@ -30,7 +30,7 @@
         "handed": {1: 7, 2: 8}, "crashes": {1: 0, 2: 0, 3: 4},
     }  # fmt: skip
     account = protocol.decode_response(lines[1].removeprefix(b"< "))
-    return merge(own, {1: account, 2: account, 3: "waiting: no node answers there"}, 1)
+    return merge_status(own, {1: account, 2: account, 3: "waiting: no node answers there"}, 1)
 
 
 def test_the_account_of_all_workers_is_the_same_bytes():
--- a/tests/workers/test_pure.py
+++ b/tests/workers/test_pure.py
@@ -10,11 +10,18 @@
 from oakbridge.policy.events import Endpoint, EndpointListReceived
 from oakbridge.policy.settings import RequestClass, Settings
 from oakbridge.process import supervisor as sup
-from oakbridge.workers import wire
-from oakbridge.workers.crew import Crew, Do, Join, Over, Part, Say
-from oakbridge.workers.report import merge
-from oakbridge.workers.share import BadShare, share
-from oakbridge.workers.spread import UNSEEN_MOST, Handed, Spread
+from oakbridge.workers import messages
+from oakbridge.workers.connection_balancer import UNSEEN_MOST, ConnectionBalancer, UnacknowledgedConnections
+from oakbridge.workers.limits import WorkerLimitsError, worker_config
+from oakbridge.workers.pool import (
+    ActOnProcess,
+    AddToBalancer,
+    Exit,
+    LogWarning,
+    RemoveFromBalancer,
+    WorkerPool,
+)
+from oakbridge.workers.status import merge_status
 
 S = 1_000_000
 
@@ -29,7 +36,7 @@
 
 @pytest.mark.parametrize("workers", [1, 2, 4, 8])
 def test_all_workers_together_may_what_one_node_may(workers, tmp_path):
-    parts = [share(config(), w, workers) for w in range(1, workers + 1)]
+    parts = [worker_config(config(), w, workers) for w in range(1, workers + 1)]
     assert len({p.seed for p in parts}) == len({p.name for p in parts}) == workers
     assert sum(p.sockets for p in parts) <= 1024
     assert sum(p.settings.retry_floor for p in parts) == pytest.approx(0.4)
@@ -51,13 +58,13 @@
     ("workers", "why"), [(0, "expected 1 to 64"), (65, "expected 1 to 64"), (9, "at least 1152")]
 )
 def test_a_share_that_can_not_be(workers, why):
-    with pytest.raises(BadShare, match=why):
-        share(config(), 1, workers)
+    with pytest.raises(WorkerLimitsError, match=why):
+        worker_config(config(), 1, workers)
 
 
 @pytest.mark.parametrize("connections", [3, 8, 10, 257])
 def test_connections_are_even_whether_accounts_come_late_or_not(connections):
-    rng, spread = random.Random(connections), Spread()
+    rng, spread = random.Random(connections), ConnectionBalancer()
     had = dict.fromkeys(range(4), 0)
     for worker in had:
         spread.join(worker, 1000)
@@ -77,7 +84,7 @@
 
 
 def test_a_worker_that_is_frozen_full_or_gone_gets_nothing():
-    spread = Spread()
+    spread = ConnectionBalancer()
     spread.join(1, 100)
     spread.join(2, 5)
     got = [spread.pick() for _ in range(200)]
@@ -95,7 +102,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_what_a_dead_worker_never_accounted_for_is_left_and_nothing_else(seed):
-    draw, handed, given, seen = random.Random(seed), Handed[int](), 0, 0
+    draw, handed, given, seen = random.Random(seed), UnacknowledgedConnections[int](), 0, 0
     for _ in range(200):
         if draw.random() < 0.6:
             handed.left.append(given)
@@ -109,9 +116,9 @@
         assert list(handed.left) == list(range(seen, given))
 
 
-@pytest.mark.parametrize("message", [wire.Ready(7), wire.Account(3, 9)])
+@pytest.mark.parametrize("message", [messages.Ready(7), messages.LoadReport(3, 9)])
 def test_packets_come_back_as_they_were(message):
-    assert wire.decode(wire.encode(message)) == message
+    assert messages.decode(messages.encode(message)) == message
 
 
 @pytest.mark.parametrize(
@@ -120,15 +127,15 @@
      b'{"do":"ready","most":true}', b'{"do":"account","had":1}', b'{"do":"ready","most":1,"more":2}', b"\xff\xfe"],
 )  # fmt: skip
 def test_packets_that_nobody_sends_are_refused(packet):
-    with pytest.raises(wire.BadPacket, match="expected"):
-        wire.decode(packet)
+    with pytest.raises(messages.PacketError, match="expected"):
+        messages.decode(packet)
 
 
 class World:
     """A crew whose processes are played: they start, die, hang and end as a seed says."""
 
     def __init__(self, seed, workers=4):
-        self.rng, self.now, self.crew = random.Random(seed), 0, Crew(workers)
+        self.rng, self.now, self.crew = random.Random(seed), 0, WorkerPool(workers)
         self.alive: dict[int, str] = {}  # worker: starting, up, leaving
         self.joined: set[int] = set()
         self.said: list[str] = []
@@ -138,17 +145,17 @@
     def do(self, actions):
         for a in actions:
             assert self.code is None
-            if isinstance(a, Join):
+            if isinstance(a, AddToBalancer):
                 assert self.alive[a.worker] == "up"
                 self.joined.add(a.worker)
-            elif isinstance(a, Part):
+            elif isinstance(a, RemoveFromBalancer):
                 self.joined.remove(a.worker)
-            elif isinstance(a, Say):
+            elif isinstance(a, LogWarning):
                 self.said.append(a.text)
-            elif isinstance(a, Over):
+            elif isinstance(a, Exit):
                 assert not self.alive
                 self.code = a.code
-            elif isinstance(a, Do):
+            elif isinstance(a, ActOnProcess):
                 self.one(a.worker, a.action)
 
     def one(self, worker, action):
@@ -256,13 +263,13 @@
 
 def test_one_account_of_all_workers():
     told = {1: account(1, 2), 2: account(2, 3, "ejected", ready=False), 3: "waiting: no node answers there"}
-    one = merge({"name": "n", "pid": 99}, told, 10)
+    one = merge_status({"name": "n", "pid": 99}, told, 10)
     assert (one["name"], one["pid"], one["out"], one["callers"], one["limit"]) == ("n", 99, 5, 4, 20.0)
     assert one["answers"]["served"] == 20 and one["ready"] and not one["leaving"]
     assert one["fail_rate"] == pytest.approx((0.1 * 5 + 0.2 * 10) / 15, abs=1e-3)
     assert one["rows"][0]["out"] == 5 and one["rows"][0]["state"] == "ejected"
     assert one["workers"][2] == {"worker": 3, "problem": "waiting: no node answers there"}
-    assert merge({"name": "n"}, {1: "it died"}, 10)["ready"] is False
+    assert merge_status({"name": "n"}, {1: "it died"}, 10)["ready"] is False
 
 
 def test_each_worker_has_a_socket_beside_the_nodes_own(tmp_path):
