--- a/benchmarks/connection_spread.py
+++ b/benchmarks/connection_spread.py
@@ -50,15 +50,16 @@
 
 
 def by_supervisor(workers: int, connections: int) -> Counter[int]:
-    """The same by the project's rule, accounts coming after each connection."""
-    spread, got = ConnectionBalancer(), Counter[int]()
+    """Connections of each worker by the project's rule, a load report coming after each connection."""
+    balancer = ConnectionBalancer()
+    got = Counter[int]()
     for worker in range(workers):
-        spread.join(worker, 10**6)
+        balancer.add(worker, 10**6)
     for _ in range(connections):
-        worker = spread.pick()
+        worker = balancer.choose()
         assert worker is not None
         got[worker] += 1
-        spread.told(worker, got[worker], got[worker])
+        balancer.report(worker, got[worker], got[worker])
     return got
 
 
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -31,7 +31,8 @@
 from oakbridge.node.node import Node
 from oakbridge.node.run import serve
 from oakbridge.sources.files import FileOptions, FileSource, InlineSource
-from oakbridge.workers.limits import WorkerLimitsError, worker_config
+from oakbridge.workers.errors import WorkerLimitsError
+from oakbridge.workers.limits import worker_config
 
 if TYPE_CHECKING:
     from oakbridge.peers.service import MembershipService
@@ -248,8 +249,7 @@
         config.name, addresses, workers, lambda w, channel: given.command(w, workers, channel), loaded.control
     )
     async with members(loaded, None) as held:
-        supervisor.members = held
-        return await supervisor.run()
+        return await supervisor.run(held)
 
 
 @asynccontextmanager
--- a/oakbridge/workers/__init__.py
+++ b/oakbridge/workers/__init__.py
@@ -1,6 +1,10 @@
-"""Several processes on one port, each an instance of the tier, under one supervisor that holds the door.
+"""Several processes on one port, each a replica of the tier, under one supervisor that accepts.
 
-Pure: ``share`` (what one worker may of what all may), ``spread`` (who gets the next connection), ``crew`` (which
-workers run, restarts, rolling restarts), ``wire`` (their messages), ``report`` (one account of all).  Shells:
-``door`` (the supervisor's process), ``inside`` (a worker's).
+Without I/O: ``limits`` (one worker's part of a node's limits), ``connection_balancer`` (which worker
+gets the next connection), ``unacknowledged`` (connections that a worker has not received yet), ``pool``
+(which workers run, restarts, rolling restarts), ``messages`` (the channel's packets), ``status`` (one
+status of all).
+
+In the supervisor's process: ``supervisor``, ``acceptor``, ``worker_process``, ``control_handler``.
+In a worker's: ``channel``.
 """
--- /dev/null
+++ b/oakbridge/workers/acceptor.py
@@ -0,0 +1,99 @@
+"""The supervisor's listening sockets, and the accepting on them while a worker has capacity.
+
+The supervisor accepts, rather than each worker with SO_REUSEPORT: a worker that dies then takes along
+only the connections that it had begun to read, and few long-lived connections are spread evenly
+(docs/design/workers.md).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from collections.abc import Callable, Sequence
+
+from oakbridge.node.listener import ACCEPT_BATCH, open_listener
+from oakbridge.node.listing import Address
+
+log = logging.getLogger(__name__)
+
+OUT_OF_DESCRIPTORS_PAUSE_S = 0.1
+
+
+class Acceptor:
+    """Listen on a node's addresses; owns the sockets."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        addresses: Sequence[Address],
+        *,
+        has_capacity: Callable[[], bool],
+        dispatch: Callable[[socket.socket], None],
+    ) -> None:
+        """Listen, and accept once told to.  Raises OSError with the address in its text.
+
+        ``has_capacity``: whether one more connection can be served; what can't waits in the kernel's
+        queue.  ``dispatch``: called with each accepted connection, which it owns from then on.
+        """
+        self._loop = loop
+        self._has_capacity = has_capacity
+        self._dispatch = dispatch
+        self._accepting = False
+        self._sockets: list[socket.socket] = []
+        try:
+            for address in addresses:
+                self._sockets.append(open_listener(address))
+        except OSError:
+            self.close()
+            raise
+        self.addresses: list[Address] = [sock.getsockname() for sock in self._sockets]
+
+    def accept_while_capacity(self) -> None:
+        """Accept if there is capacity, and stop if there is none."""
+        if self._has_capacity():
+            self._start()
+        else:
+            self._stop()
+
+    def accept_waiting(self) -> None:
+        """Accept what waits in the kernel's queues now."""
+        for sock in self._sockets:
+            self._accept_batch(sock)
+
+    def close(self) -> None:
+        """Close the sockets; what still waits in their queues is reset."""
+        self._stop()
+        for sock in self._sockets:
+            sock.close()
+        self._sockets = []
+
+    def _start(self) -> None:
+        if self._accepting or not self._sockets:
+            return
+        self._accepting = True
+        for sock in self._sockets:
+            self._loop.add_reader(sock, self._accept_batch, sock)
+
+    def _stop(self) -> None:
+        if not self._accepting:
+            return
+        self._accepting = False
+        for sock in self._sockets:
+            self._loop.remove_reader(sock)
+
+    def _accept_batch(self, listening: socket.socket) -> None:
+        for _ in range(ACCEPT_BATCH):
+            if not self._has_capacity():
+                self._stop()
+                return
+            try:
+                connection, _ = listening.accept()
+            except (BlockingIOError, InterruptedError, ConnectionAbortedError):
+                return
+            except OSError as e:  # no descriptor is left
+                log.error("accepting stops for a moment: %s", e)  # noqa: TRY400 - its place is known
+                self._stop()
+                self._loop.call_later(OUT_OF_DESCRIPTORS_PAUSE_S, self.accept_while_capacity)
+                return
+            self._dispatch(connection)
--- a/oakbridge/workers/channel.py
+++ b/oakbridge/workers/channel.py
@@ -1,4 +1,4 @@
-"""A worker's end: takes connections that the supervisor hands over, and tells how many it has."""
+"""A worker's end of the channel to its supervisor: receive connections and commands, send load reports."""
 
 from __future__ import annotations
 
@@ -8,44 +8,60 @@
 import signal
 import socket
 from collections import deque
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from contextlib import contextmanager
 
 from oakbridge.node.node import Node
-from oakbridge.workers import messages
+from oakbridge.workers.errors import PacketError
+from oakbridge.workers.messages import (
+    MAX_PACKET_BYTES,
+    LoadReport,
+    SupervisorCommand,
+    WorkerMessage,
+    WorkerReady,
+    decode_command,
+    encode_message,
+)
 
 log = logging.getLogger(__name__)
 
-GATHER_S = 0.002  # accounts of connections that come and go together are one
+REPORT_DELAY_S = 0.002  # connections that come and go within it are told in one report
+RETRY_DELAY_S = 0.02  # after which a message is sent again that the channel had no space for
 
 
 class WorkerChannel:
-    """The channel to the supervisor.  If that one dies, the worker ends in order: nobody hands it anything."""
+    """The channel to the supervisor, which it owns.
+
+    If the supervisor dies, the worker shuts down: nobody could send it connections, restart or stop it.
+    """
 
     def __init__(self, channel: socket.socket) -> None:
-        self._channel, self._seen = channel, 0
-        channel.setblocking(False)
+        """Take over the socket; it is closed when ``attached`` is left."""
+        self._channel = channel
+        self._channel.setblocking(False)
         self._loop = asyncio.get_running_loop()
-        self._telling: asyncio.TimerHandle | None = None
         self._node: Node | None = None
-        self._handed: deque[socket.socket] = deque()  # not accounted for yet, and not read from
+        self._unacknowledged: deque[socket.socket] = deque()  # not read from yet
+        self._acknowledged = 0  # connections, since the worker's start
+        self._report_timer: asyncio.TimerHandle | None = None
 
     @contextmanager
     def attached(self, node: Node) -> Iterator[None]:
-        """Hand what comes to this node, for a while."""
+        """Have a node serve the connections that arrive, then close the channel."""
         self._node = node
-        node.server.limits.on_change = self._changed
-        self._loop.add_reader(self._channel, self._readable)
-        self._loop.call_soon(self._tell, messages.Ready(node.server.limits.max_connections))
+        node.server.limits.on_change = self._schedule_report
+        self._loop.add_reader(self._channel, self._receive)
+        self._loop.call_soon(self._send, WorkerReady(node.server.limits.max_connections))
         try:
             yield
         finally:
             self._loop.remove_reader(self._channel)
             self._channel.close()
 
-    def _readable(self) -> None:
+    def _receive(self) -> None:
+        """Read one packet and act on it."""
         try:
-            packet, descriptors, *_ = socket.recv_fds(self._channel, messages.MOST, 1)
+            packet, descriptors, *_ = socket.recv_fds(self._channel, MAX_PACKET_BYTES, 1)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
@@ -54,48 +70,62 @@
             log.warning("the supervisor is gone: this worker ends")
             self._loop.remove_reader(self._channel)
             os.kill(os.getpid(), signal.SIGTERM)
-        elif packet == messages.CONNECTION and len(descriptors) == 1:
-            self._handed.append(socket.socket(fileno=descriptors[0]))
-            self._take()
-        elif packet == messages.LEAVE:
-            os.kill(os.getpid(), signal.SIGTERM)
-        elif packet == messages.RELOAD:
-            os.kill(os.getpid(), signal.SIGHUP)
-        else:
-            log.error("not understood from the supervisor: %r", packet[:80])
+            return
+        try:
+            self._execute(packet, descriptors)
+        except PacketError as e:
+            log.error("invalid packet from the supervisor: %s", e)  # noqa: TRY400 - its place is known
             for descriptor in descriptors:
                 os.close(descriptor)
 
-    def _take(self) -> None:
-        """Account first, then read: what was not accounted for the supervisor hands on if this process dies."""
+    def _execute(self, packet: bytes, descriptors: Sequence[int]) -> None:
+        """Carry out a command.  Raises PacketError."""
+        match decode_command(packet):
+            case SupervisorCommand.SERVE_CONNECTION:
+                if len(descriptors) != 1:
+                    raise PacketError("one descriptor", packet)
+                self._unacknowledged.append(socket.socket(fileno=descriptors[0]))
+                self._acknowledge()
+            case SupervisorCommand.SHUT_DOWN:
+                os.kill(os.getpid(), signal.SIGTERM)
+            case SupervisorCommand.RELOAD:
+                os.kill(os.getpid(), signal.SIGHUP)
+
+    def _acknowledge(self) -> None:
+        """Report the connections that have arrived, and only then read from them.
+
+        The supervisor sends what was not acknowledged to another worker if this process dies.
+        """
         assert self._node is not None
-        account = messages.LoadReport(
-            self._node.server.connection_count() + len(self._handed), self._seen + len(self._handed)
+        arrived = len(self._unacknowledged)
+        report = LoadReport(
+            open_connections=self._node.server.connection_count() + arrived,
+            received_connections=self._acknowledged + arrived,
         )
         try:
-            self._channel.send(messages.encode(account))
+            self._channel.send(encode_message(report))
         except BlockingIOError:
-            self._loop.call_later(10 * GATHER_S, self._take)
+            self._loop.call_later(RETRY_DELAY_S, self._acknowledge)
             return
         except OSError:
-            pass  # the supervisor is gone, and with it whoever could hand these to another worker
-        while self._handed:
-            self._seen += 1
-            self._node.server.admit(self._handed.popleft())
+            pass  # the supervisor is gone, and with it whoever could send these to another worker
+        while self._unacknowledged:
+            self._acknowledged += 1
+            self._node.server.admit(self._unacknowledged.popleft())
 
-    def _changed(self) -> None:
-        if self._telling is None:
-            self._telling = self._loop.call_later(GATHER_S, self._account)
+    def _schedule_report(self) -> None:
+        if self._report_timer is None:
+            self._report_timer = self._loop.call_later(REPORT_DELAY_S, self._report)
 
-    def _account(self) -> None:
-        self._telling = None
+    def _report(self) -> None:
+        self._report_timer = None
         if self._node is not None:
-            self._tell(messages.LoadReport(self._node.server.connection_count(), self._seen))
+            self._send(LoadReport(self._node.server.connection_count(), self._acknowledged))
 
-    def _tell(self, message: messages.Ready | messages.LoadReport) -> None:
+    def _send(self, message: WorkerMessage) -> None:
         try:
-            self._channel.send(messages.encode(message))
-        except BlockingIOError:  # the supervisor is behind: what is newer will be told then
-            self._telling = self._loop.call_later(10 * GATHER_S, self._account)
+            self._channel.send(encode_message(message))
+        except BlockingIOError:  # the supervisor is behind: a newer report follows
+            self._report_timer = self._loop.call_later(RETRY_DELAY_S, self._report)
         except OSError:
-            pass  # it is gone, which the reader hears of
+            pass  # the supervisor is gone, which _receive notices
--- a/oakbridge/workers/connection_balancer.py
+++ b/oakbridge/workers/connection_balancer.py
@@ -1,93 +1,94 @@
-"""Which worker gets the next connection: the one with the fewest, so that few and long-lived ones are even too.  Pure.
+"""Choose the worker that gets the next connection: the one with the fewest.  No I/O.
 
-A worker tells how many connections it has and how many it has been handed until then; what was handed to it since
-is added, so that a burst between two accounts does not go to one worker.
+Fewest connections, and not in turn, so that few long-lived connections are even too.  A worker's load
+report says how many connections it has and how many it had received until then; those that were
+dispatched since are added, so that a burst between two reports does not go to one worker.
 """
 
 from __future__ import annotations
 
-from collections import deque
-from dataclasses import dataclass, field
-from typing import Generic, TypeVar
+from dataclasses import dataclass
 
-T = TypeVar("T")
-
-UNSEEN_MOST = 32  # handed and not yet accounted for: a worker that is frozen gets no more than that
+MAX_UNACKNOWLEDGED = 32  # connections at a worker: one that is frozen gets no more
 
 
 @dataclass(slots=True)
 class WorkerLoad:
-    """What is known of one worker that takes connections."""
+    """What the supervisor knows of one worker that takes connections."""
+
+    max_connections: int
+    dispatched: int = 0  # connections, since the worker joined
+    acknowledged: int = 0  # of these, those that its last load report counts
+    reported_connections: int = 0  # open ones, by that report
+    last_turn: int = 0  # the balancer's turn in which it got its last connection
 
-    most: int  # that it can hold
-    handed: int = 0  # connections, since it began
-    seen: int = 0  # of these, those that its last account knows of
-    had: int = 0  # connections by that account
-    turn: int = 0  # of the last connection that it got
+    @property
+    def unacknowledged(self) -> int:
+        """The number of connections that were dispatched and that no report counts yet."""
+        return self.dispatched - self.acknowledged
 
-    def now(self) -> int:
-        """How many it has, as far as can be known here."""
-        return self.had + self.handed - self.seen
+    @property
+    def connections(self) -> int:
+        """The number of open connections, as far as it can be known here."""
+        return self.reported_connections + self.unacknowledged
 
-    def open(self) -> bool:
-        """Whether it can take one more."""
-        return self.now() < self.most and self.handed - self.seen < UNSEEN_MOST
+    @property
+    def has_capacity(self) -> bool:
+        """Whether the worker can take one more connection."""
+        return self.connections < self.max_connections and self.unacknowledged < MAX_UNACKNOWLEDGED
 
 
 class ConnectionBalancer:
-    """The machine."""
+    """The workers that take connections, and what is known of each."""
 
     def __init__(self) -> None:
         self._loads: dict[int, WorkerLoad] = {}
         self._turn = 0
 
-    def join(self, worker: int, most: int) -> None:
-        """A worker takes connections from now on, and has none."""
-        self._loads[worker] = WorkerLoad(most)
+    def add(self, worker: int, max_connections: int) -> None:
+        """Let a worker take connections from now on; it has none yet."""
+        self._loads[worker] = WorkerLoad(max_connections)
 
-    def leave(self, worker: int) -> None:
-        """It takes no more."""
+    def remove(self, worker: int) -> None:
+        """Dispatch nothing more to a worker."""
         self._loads.pop(worker, None)
 
-    def told(self, worker: int, had: int, seen: int) -> None:
-        """A worker's account.  One of a worker that left, or that knows of more than was handed, is not believed."""
-        load = self._loads.get(worker)
-        if load is not None and load.seen <= seen <= load.handed and had >= 0:
-            load.had, load.seen = had, seen
-
-    def room(self) -> bool:
-        """Whether anybody can take one more."""
-        return any(load.open() for load in self._loads.values())
+    def report(self, worker: int, open_connections: int, received_connections: int) -> None:
+        """Take in a worker's load report.
 
-    def pick(self) -> int | None:
-        """Who gets the next one, which counts as handed; None while nobody has room.  Equals take turns."""
-        room = [(load.now(), load.turn, w) for w, load in self._loads.items() if load.open()]
-        if not room:
+        It is ignored if the worker is not here any more, or if it counts more connections than were
+        dispatched.
+        """
+        load = self._loads.get(worker)
+        if load is None or open_connections < 0:
+            return
+        if load.acknowledged <= received_connections <= load.dispatched:
+            load.reported_connections = open_connections
+            load.acknowledged = received_connections
+
+    def has_capacity(self) -> bool:
+        """Return whether any worker can take one more connection."""
+        return any(load.has_capacity for load in self._loads.values())
+
+    def choose(self) -> int | None:
+        """Return the worker that gets the next connection, and count it as dispatched.
+
+        Workers with equally many take turns.  None while no worker has capacity.
+        """
+        candidates = [worker for worker, load in self._loads.items() if load.has_capacity]
+        if not candidates:
             return None
-        worker = min(room)[2]
+        worker = min(candidates, key=self._rank)
         self._turn += 1
         load = self._loads[worker]
-        load.handed, load.turn = load.handed + 1, self._turn
+        load.dispatched += 1
+        load.last_turn = self._turn
         return worker
 
-    def counts(self) -> dict[int, int]:
-        """Connections of each worker."""
-        return {worker: load.now() for worker, load in self._loads.items()}
-
+    def connection_counts(self) -> dict[int, int]:
+        """Return the number of connections of each worker."""
+        return {worker: load.connections for worker, load in self._loads.items()}
 
-@dataclass(slots=True)
-class UnacknowledgedConnections(Generic[T]):
-    """What one worker was handed in one life and has not accounted for: it never touched these.
-
-    A worker accounts for a connection before it reads a byte of it, so that what is left when the worker has died can
-    be handed to another one: no part of a request is lost with the dead one, and none was begun twice.
-    """
-
-    left: deque[T] = field(default_factory=deque)
-    seen: int = 0
-
-    def told(self, seen: int) -> list[T]:
-        """An account of so many seen: those that the worker answers for from now on."""
-        count = min(max(0, seen - self.seen), len(self.left))
-        self.seen += count
-        return [self.left.popleft() for _ in range(count)]
+    def _rank(self, worker: int) -> tuple[int, int, int]:
+        load = self._loads[worker]
+        return load.connections, load.last_turn, worker
--- /dev/null
+++ b/oakbridge/workers/control_handler.py
@@ -0,0 +1,109 @@
+"""Carry out the control socket's commands on all workers of a supervisor."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import time
+from collections.abc import Sequence
+from pathlib import Path
+
+from oakbridge import __version__
+from oakbridge.control.arguments import DEFAULT_STATUS_ROWS
+from oakbridge.control.client import ControlClient
+from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
+from oakbridge.control.paths import worker_socket_path
+from oakbridge.control.peers import PeerDirectory, handle_peer_request
+from oakbridge.control.protocol import PEER_COMMANDS, ControlCommand, JsonObject, Request
+from oakbridge.node.listing import Address
+from oakbridge.workers.connection_balancer import ConnectionBalancer
+from oakbridge.workers.pool import WorkerPool
+from oakbridge.workers.status import WorkerUnavailable, merge_status
+
+WORKER_TIMEOUT_S = 2.0
+
+
+class WorkersControlHandler:
+    """Handle requests for a node of several workers."""
+
+    def __init__(
+        self,
+        name: str,
+        addresses: Sequence[Address],
+        socket_path: Path,
+        pool: WorkerPool,
+        balancer: ConnectionBalancer,
+        peers: PeerDirectory | None,
+        *,
+        started_at: float,
+    ) -> None:
+        """``socket_path``: of the node; the workers' own are beside it.
+
+        ``started_at``: the supervisor's start, in seconds as ``time.time`` tells them.
+        """
+        self._name = name
+        self._addresses = addresses
+        self._socket_path = socket_path
+        self._pool = pool
+        self._balancer = balancer
+        self._peers = peers
+        self._started_at = started_at
+
+    async def handle(self, request: Request) -> JsonObject:
+        """Have all workers carry out a request and return one result.
+
+        Raises RequestRejectedError or ValueError with the reason.
+        """
+        if request.command in PEER_COMMANDS:  # one member for all workers
+            return handle_peer_request(self._peers, request)
+        results = await self._request_all(request)
+        if request.command is ControlCommand.STATUS:
+            # Each worker has checked the argument; where one rejects it, its line says why.
+            max_rows = int(request.arguments.get("rows", DEFAULT_STATUS_ROWS))
+            return merge_status(self._describe_supervisor(), results, max_rows)
+        return _agreed_result(results)
+
+    async def _request_all(self, request: Request) -> dict[int, JsonObject | WorkerUnavailable]:
+        workers = list(self._pool.processes)
+        results = await asyncio.gather(
+            *(asyncio.to_thread(self._request, worker, request) for worker in workers)
+        )
+        return dict(zip(workers, results, strict=True))
+
+    def _request(self, worker: int, request: Request) -> JsonObject | WorkerUnavailable:
+        """Return a worker's result; blocks until it is there."""
+        path = worker_socket_path(self._socket_path, worker)
+        try:
+            with ControlClient(path, WORKER_TIMEOUT_S) as client:
+                result: JsonObject = client.request(request.command, **request.arguments)
+        except (NodeUnreachableError, RequestRejectedError) as e:
+            process = self._pool.processes[worker]
+            last_exit = f"; ended last: {process.last_exit}" if process.last_exit else ""
+            return WorkerUnavailable(f"{process.state.value}: {e}{last_exit}")
+        return result
+
+    def _describe_supervisor(self) -> JsonObject:
+        processes = self._pool.processes
+        return {
+            "name": self._name,
+            "pid": os.getpid(),
+            "version": __version__,
+            "uptime_s": round(time.time() - self._started_at, 1),
+            "listen": [f"{host}:{port}" for host, port in self._addresses],
+            "handed": self._balancer.connection_counts(),
+            "crashes": {worker: process.total_crashes for worker, process in processes.items()},
+        }
+
+
+def _agreed_result(results: dict[int, JsonObject | WorkerUnavailable]) -> JsonObject:
+    """Return the first worker's result.  Raises RequestRejectedError where any worker gave none."""
+    unavailable = [
+        f"worker {worker}: {result.reason}"
+        for worker, result in results.items()
+        if isinstance(result, WorkerUnavailable)
+    ]
+    if unavailable:
+        raise RequestRejectedError("; ".join(unavailable))
+    first_result = next(iter(results.values()))
+    assert not isinstance(first_result, WorkerUnavailable)
+    return first_result
--- a/oakbridge/workers/limits.py
+++ b/oakbridge/workers/limits.py
@@ -1,49 +1,57 @@
-"""What one of several workers may, so that all together may what one node would be allowed.  Pure."""
+"""The limits of one worker, so that all workers together may do what one node would be allowed.  No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 from oakbridge.node.config import Config
+from oakbridge.policy.settings import Settings
+from oakbridge.workers.errors import WorkerLimitsError
 
-LEAST_SOCKETS = 128  # a node can't do with fewer descriptors
-MOST_WORKERS = 64
+MIN_SOCKETS_PER_WORKER = 128  # a node can't do with fewer descriptors
+MAX_WORKERS = 64
 
 
-class WorkerLimitsError(ValueError):
-    """The limits of the node can't be divided so often; the text says which and why."""
+def worker_name(node_name: str, worker: int) -> str:
+    """Return the name of a worker in logs and in ``oakbridge status``; workers count from 1."""
+    return f"{node_name}.{worker}"
 
 
-def worker_name(name: str, worker: int) -> str:
-    """In logs and in ``oakbridge status``; workers count from 1."""
-    return f"{name}.{worker}"
+def worker_config(config: Config, worker: int, worker_count: int) -> Config:
+    """Return the configuration of one worker of a node.
 
-
-def worker_config(config: Config, worker: int, workers: int) -> Config:
-    """The configuration of one worker.  Raises :class:`WorkerLimitsError`.
-
-    A worker is an instance of the tier like any other, so the design's own sums hold: subsets, least limits, cold
-    servers' parts and tenants' quotas all go by ``instances``.  What is said for one process is divided: its
-    descriptors, its open requests and the floor of its retry budget (the budget's ratio goes by its own traffic).
+    Raises WorkerLimitsError where the node's limits are too small for so many workers.
     """
-    if not 1 <= worker <= workers <= MOST_WORKERS:
-        raise WorkerLimitsError(f"workers: expected 1 to {MOST_WORKERS}, got {workers}")
-    sockets = config.sockets // workers
-    if sockets < LEAST_SOCKETS:
-        raise WorkerLimitsError(
-            f"limits.sockets: expected at least {LEAST_SOCKETS * workers} for {workers} workers, got {config.sockets}"
-        )
-    s = config.settings
-    settings = replace(
-        s,
-        replica_count=s.replica_count * workers,
-        retry_floor=s.retry_floor / workers,
-        max_open_requests=max(1, s.max_open_requests // workers) if s.max_open_requests else 0,
-    )
+    if not 1 <= worker <= worker_count <= MAX_WORKERS:
+        raise WorkerLimitsError("workers", f"1 to {MAX_WORKERS}", worker_count)
+    sockets = config.sockets // worker_count
+    if sockets < MIN_SOCKETS_PER_WORKER:
+        min_sockets = MIN_SOCKETS_PER_WORKER * worker_count
+        expected = f"at least {min_sockets} for {worker_count} workers"
+        raise WorkerLimitsError("limits.sockets", expected, config.sockets)
     return replace(
         config,
         name=worker_name(config.name, worker),
         seed=config.seed + worker,
         sockets=sockets,
-        settings=settings,
+        settings=_worker_settings(config.settings, worker_count),
+    )
+
+
+def _worker_settings(settings: Settings, worker_count: int) -> Settings:
+    """Return the balancer's settings of one worker.
+
+    A worker is a replica of the tier like any other: subsets, least limits, warming servers and
+    tenants' quotas all follow from the number of replicas.  What is set for one process is divided:
+    open requests and the floor of the retry budget (the budget's ratio follows from a worker's own
+    traffic).
+    """
+    max_open_requests = settings.max_open_requests  # 0: without a limit
+    if max_open_requests:
+        max_open_requests = max(1, max_open_requests // worker_count)
+    return replace(
+        settings,
+        replica_count=settings.replica_count * worker_count,
+        retry_floor=settings.retry_floor / worker_count,
+        max_open_requests=max_open_requests,
     )
--- a/oakbridge/workers/pool.py
+++ b/oakbridge/workers/pool.py
@@ -1,12 +1,16 @@
-"""All workers of one supervisor: who runs, who takes connections, who is started anew, and when all is over.  Pure.
+"""The state machine of a supervisor's workers: who runs, who takes connections.  No I/O.
 
-Each worker has a process machine of its own (``process.supervisor``); this one goes by what they say:
+The caller reports what happened and carries out the actions that come back.  Each worker's process
+has a state machine of its own (``process.supervisor``); this one goes by their states:
 
-- a worker takes connections from when it is ready until it is told to leave or has ended;
-- one that dies is started again, with waits that grow while it dies in its start; the others carry on;
-- a rolling restart takes one at a time: leave, end, start, ready, and only then the next; it stops, and says why,
-  where one does not come back, so that a program that can't start costs one worker and not all;
-- to end, all leave at once; what asks for a start after that is not heard.
+- a worker takes connections from when it is ready until it is told to shut down or has ended;
+- one that dies is started again, with a backoff while it dies in its start; the others carry on;
+- a rolling restart takes one worker at a time: shut down, ended, started, ready, and only then the
+  next.  It stops where one does not come back, so that a program that can't start costs one worker
+  and not all;
+- at the end all shut down at once, and no restart is begun after that.
+
+All times are in microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,47 +18,50 @@
 from collections import deque
 from dataclasses import dataclass
 
-from oakbridge.process import supervisor as sup
+from oakbridge.process.supervisor import SECOND_US
+from oakbridge.process.supervisor import Action as ProcessAction
+from oakbridge.process.supervisor import State as ProcessState
+from oakbridge.process.supervisor import Supervisor as ProcessSupervisor
 
-SERVED = (
-    sup.SECOND_US
-)  # a worker that took connections for so long has not failed to start, whatever ended it
-USAGE_ERROR = 2  # the exit code of a worker that can't use its configuration
+# A worker that took connections for so long has not failed to start, whatever ended it.
+RESET_BACKOFF_AFTER_US = SECOND_US
+EXIT_SUCCESS = 0
+EXIT_USAGE_ERROR = 2  # of a worker that can't use its configuration
 
 
 @dataclass(frozen=True, slots=True)
 class ActOnProcess:
-    """Have one worker's process started, told to leave, killed or looked at later."""
+    """Start, stop or kill a worker's process, or set its timer."""
 
     worker: int
-    action: sup.Action
+    action: ProcessAction
 
 
 @dataclass(frozen=True, slots=True)
 class AddToBalancer:
-    """This worker takes connections now."""
+    """Dispatch connections to a worker."""
 
     worker: int
-    most: int
+    max_connections: int
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveFromBalancer:
-    """This one takes none any more."""
+    """Dispatch no more connections to a worker."""
 
     worker: int
 
 
 @dataclass(frozen=True, slots=True)
 class LogWarning:
-    """Worth a line in the log."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """No worker is left, and none is to be: the supervisor ends, with this exit code."""
+    """End the supervisor: no worker is left, and none will be started."""
 
     code: int
 
@@ -63,104 +70,131 @@
 
 
 class WorkerPool:
-    """The machine."""
-
-    def __init__(self, workers: int) -> None:
-        self.machines = {worker: sup.Supervisor(SERVED) for worker in range(1, workers + 1)}
-        self.joined: set[int] = set()
-        self.ending = self.over = False
-        self._rolling: deque[int] = deque()  # the first one is being restarted
+    """The workers of one supervisor, counted from 1."""
+
+    def __init__(self, worker_count: int) -> None:
+        self.processes = {
+            worker: ProcessSupervisor(RESET_BACKOFF_AFTER_US) for worker in range(1, worker_count + 1)
+        }
+        self.is_shutting_down = False
+        self._in_balancer: set[int] = set()
+        # The first is being restarted; the others wait for their turn.
+        self._rolling_restart: deque[int] = deque()
         self._ever_ready = False
-        self._code = 0
+        self._exit_code = EXIT_SUCCESS
+        self._has_exited = False
 
-    # ---- what is wanted
+    # ---- what should be
 
     def start(self, now: int) -> list[Action]:
-        """Have all run."""
-        return [a for w, machine in self.machines.items() for a in self._did(w, machine.start(now))]
-
-    def end(self, now: int) -> list[Action]:
-        """Have all leave, and end.  Until a worker has ended it takes what still comes to the door."""
-        self.ending = True
-        self._rolling.clear()
-        found = [a for w, machine in self.machines.items() for a in self._did(w, machine.stop(now))]
-        return found + self._check_over()
-
-    def roll(self, now: int) -> list[Action]:
-        """Restart all, one after the other.  Asked again meanwhile, all have their turn once more."""
-        if self.ending:
+        """Start all workers."""
+        actions: list[Action] = []
+        for worker, process in self.processes.items():
+            actions += _on_process(worker, process.start(now))
+        return actions
+
+    def shut_down(self, now: int) -> list[Action]:
+        """Shut all workers down, and exit once all have ended.
+
+        A worker takes the connections that still come until it has ended.
+        """
+        self.is_shutting_down = True
+        self._rolling_restart.clear()
+        actions: list[Action] = []
+        for worker, process in self.processes.items():
+            actions += _on_process(worker, process.stop(now))
+        return [*actions, *self._exit_if_all_ended()]
+
+    def rolling_restart(self, now: int) -> list[Action]:
+        """Restart all workers, one after the other.
+
+        Where a rolling restart goes on already, all have their turn once more after its present worker.
+        """
+        if self.is_shutting_down:
             return []
-        first = list(self._rolling)[:1]
-        self._rolling = deque([*first, *self.machines])
-        return [] if first else self._next(now)
+        if self._rolling_restart:
+            present_worker = self._rolling_restart[0]
+            self._rolling_restart = deque([present_worker, *self.processes])
+            return []
+        self._rolling_restart = deque(self.processes)
+        return self._restart_next(now)
 
     # ---- what happened
 
-    def ready(self, worker: int, most: int, now: int) -> list[Action]:
-        """A worker serves."""
-        machine = self.machines[worker]
-        if machine.state is not sup.State.STARTING:
+    def ready(self, worker: int, max_connections: int, now: int) -> list[Action]:
+        """Note that a worker serves."""
+        process = self.processes[worker]
+        if process.state is not ProcessState.STARTING:
             return []
         self._ever_ready = True
-        self.joined.add(worker)
-        found: list[Action] = [AddToBalancer(worker, most), *self._did(worker, machine.ready(now))]
-        if self._rolling and self._rolling[0] == worker:
-            self._rolling.popleft()
-            found += self._next(now)
-        return found
+        self._in_balancer.add(worker)
+        actions: list[Action] = [AddToBalancer(worker, max_connections)]
+        actions += _on_process(worker, process.ready(now))
+        if self._is_restarting(worker):
+            self._rolling_restart.popleft()
+            actions += self._restart_next(now)
+        return actions
 
     def exited(self, worker: int, how: str, code: int | None, now: int) -> list[Action]:
-        """A worker has ended, or could not be started (``code`` None: by a signal or not at all)."""
-        machine = self.machines[worker]
-        asked = machine.state is sup.State.STOPPING
-        found = self._part(worker)
-        if not asked:
-            found.append(LogWarning(f"worker {worker} ended: {how}"))
-        if code == USAGE_ERROR and not self._ever_ready and not self.ending:
-            # None has ever served: it is the configuration, which it has told about, and no crash.
-            self._code = USAGE_ERROR
-            machine.stop(now)
-            found += self._did(worker, machine.exited(now, how)) + self.end(now)
-            return found
-        found += self._did(worker, machine.exited(now, how))
-        if machine.is_crash_looping and not self.ending:
-            found.append(
-                LogWarning(
-                    f"worker {worker} is in a crash loop; next try in {machine.backoff_us() / 1e6:.0f} s"
-                )
-            )
-        if self._rolling and self._rolling[0] == worker and not asked:
-            self._rolling.clear()
-            found.append(LogWarning(f"the rolling restart stops: worker {worker} did not come back"))
-        return found + self._check_over()
+        """Note that a worker has ended, or could not be started.
+
+        ``how``: for people.  ``code``: its exit code, None if a signal ended it or it was not started.
+        """
+        process = self.processes[worker]
+        expected = process.state is ProcessState.STOPPING
+        actions = self._remove_from_balancer(worker)
+        if not expected:
+            actions.append(LogWarning(f"worker {worker} ended: {how}"))
+        if code == EXIT_USAGE_ERROR and not self._ever_ready and not self.is_shutting_down:
+            return [*actions, *self._shut_down_for_usage_error(worker, how, now)]
+        actions += _on_process(worker, process.exited(now, how))
+        if process.is_crash_looping and not self.is_shutting_down:
+            backoff_s = process.backoff_us() / SECOND_US
+            actions.append(LogWarning(f"worker {worker} is in a crash loop; next try in {backoff_s:.0f} s"))
+        if self._is_restarting(worker) and not expected:
+            self._rolling_restart.clear()
+            actions.append(LogWarning(f"the rolling restart stops: worker {worker} did not come back"))
+        return [*actions, *self._exit_if_all_ended()]
 
     def tick(self, worker: int, now: int) -> list[Action]:
-        """A time that a worker's machine asked for has come."""
-        return self._did(worker, self.machines[worker].tick(now))
+        """Note that the time of a worker's timer has come."""
+        return _on_process(worker, self.processes[worker].tick(now))
+
+    # ---- transitions
 
-    # ---- parts
+    def _shut_down_for_usage_error(self, worker: int, how: str, now: int) -> list[Action]:
+        """End as one node would: no worker has ever served, so it is the configuration and no crash."""
+        self._exit_code = EXIT_USAGE_ERROR
+        process = self.processes[worker]
+        process.stop(now)
+        actions = _on_process(worker, process.exited(now, how))
+        return [*actions, *self.shut_down(now)]
 
-    def _next(self, now: int) -> list[Action]:
-        if not self._rolling:
+    def _restart_next(self, now: int) -> list[Action]:
+        if not self._rolling_restart:
             return [LogWarning("the rolling restart is done")]
-        worker = self._rolling[0]
-        return self._stop(worker, self.machines[worker].restart(now))
+        worker = self._rolling_restart[0]
+        actions = self._remove_from_balancer(worker)
+        return [*actions, *_on_process(worker, self.processes[worker].restart(now))]
 
-    def _stop(self, worker: int, actions: list[sup.Action]) -> list[Action]:
-        return [*self._part(worker), *self._did(worker, actions)]
+    def _is_restarting(self, worker: int) -> bool:
+        """Return whether a rolling restart is at this worker."""
+        return bool(self._rolling_restart) and self._rolling_restart[0] == worker
 
-    def _part(self, worker: int) -> list[Action]:
-        if worker not in self.joined:
+    def _remove_from_balancer(self, worker: int) -> list[Action]:
+        if worker not in self._in_balancer:
             return []
-        self.joined.discard(worker)
+        self._in_balancer.discard(worker)
         return [RemoveFromBalancer(worker)]
 
-    def _did(self, worker: int, actions: list[sup.Action]) -> list[Action]:
-        return [ActOnProcess(worker, action) for action in actions]
-
-    def _check_over(self) -> list[Action]:
-        done = all(machine.state is sup.State.STOPPED for machine in self.machines.values())
-        if not self.ending or self.over or not done:
+    def _exit_if_all_ended(self) -> list[Action]:
+        if not self.is_shutting_down or self._has_exited:
+            return []
+        if any(process.state is not ProcessState.STOPPED for process in self.processes.values()):
             return []
-        self.over = True
-        return [Exit(self._code)]
+        self._has_exited = True
+        return [Exit(self._exit_code)]
+
+
+def _on_process(worker: int, actions: list[ProcessAction]) -> list[Action]:
+    return [ActOnProcess(worker, action) for action in actions]
--- a/oakbridge/workers/status.py
+++ b/oakbridge/workers/status.py
@@ -1,13 +1,17 @@
-"""One account of all workers, in the form of a single node's, so that whoever reads one reads the other.  Pure."""
+"""Merge the workers' statuses into one of a single node's form, for readers of either.  No I/O.
+
+The statuses stay JSON objects: after a rolling restart the workers may run another version of the
+program than the supervisor, and a field that only they know is passed on as it is.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
-from typing import Any
+from collections.abc import Iterable, Mapping, Sequence
+from dataclasses import dataclass
 
-Raw = dict[str, Any]
+from oakbridge.control.protocol import JsonObject
 
-SUMS = (
+SUMMED_FIELDS = (
     "callers",
     "connections",
     "out",
@@ -17,52 +21,90 @@
     "retries_left",
     "attempts_per_s",
 )
-WORST = {"cold": 1, "ejected": 2, "drains": 3}  # a server's state, if workers differ
+LARGEST_FIELDS = ("servers", "subset", "ejected", "list_version")
+RESPONSE_KINDS = ("served", "refused", "failed")
+WORKER_FIELDS = (
+    "pid",
+    "uptime_s",
+    "ready",
+    "leaving",
+    "callers",
+    "out",
+    "limit",
+    "waiting",
+    "answers",
+)
+# A server's state where workers differ: the worst that any of them believes.
+SERVER_STATE_SEVERITY = {"cold": 1, "ejected": 2, "drains": 3}
+SUM_DIGITS = 2
+RATE_DIGITS = 4
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerUnavailable:
+    """A worker that gave no result."""
 
+    reason: str
 
-def merge_status(own: Raw, workers: Mapping[int, Raw | str], rows: int) -> Raw:
-    """``own``: name, pid and the like, of the supervisor; each worker's account, or why there is none.
 
-    Counts add up.  A server's row has the calls that all have out to it, and the worst that any believes of it.
+def merge_status(
+    supervisor: JsonObject, workers: Mapping[int, JsonObject | WorkerUnavailable], max_rows: int
+) -> JsonObject:
+    """Return the status of all workers as that of one node.
+
+    ``supervisor``: fields that stand in place of a worker's, such as name and pid.  Counts add up.  A
+    server's row has the attempts that all workers have in flight to it.
     """
-    told = {worker: account for worker, account in workers.items() if not isinstance(account, str)}
-    accounts = list(told.values())
-    merged: Raw = {**(accounts[0] if accounts else {}), **own}
-    for name in SUMS:
-        merged[name] = round(sum(a[name] for a in accounts), 2)
-    merged["answers"] = {
-        what: sum(a["answers"][what] for a in accounts) for what in ("served", "refused", "failed")
-    }
-    for name in ("servers", "subset", "ejected", "list_version"):
-        merged[name] = max((a[name] for a in accounts), default=0)
-    rates = [(a["fail_rate"], a["attempts_per_s"]) for a in accounts]
-    weight = sum(w for _, w in rates)
-    merged["fail_rate"] = round(sum(r * w for r, w in rates) / weight, 4) if weight else 0.0
-    merged["ready"] = any(a["ready"] for a in accounts)
-    merged["leaving"] = bool(accounts) and all(a["leaving"] for a in accounts)
+    statuses = [status for status in workers.values() if not isinstance(status, WorkerUnavailable)]
+    merged: JsonObject = {**(statuses[0] if statuses else {}), **supervisor}
+    for field in SUMMED_FIELDS:
+        merged[field] = round(sum(status[field] for status in statuses), SUM_DIGITS)
+    merged["answers"] = {kind: sum(status["answers"][kind] for status in statuses) for kind in RESPONSE_KINDS}
+    for field in LARGEST_FIELDS:
+        merged[field] = max((status[field] for status in statuses), default=0)
+    merged["fail_rate"] = _merge_failure_rates(statuses)
+    merged["ready"] = any(status["ready"] for status in statuses)
+    merged["leaving"] = bool(statuses) and all(status["leaving"] for status in statuses)
     merged.setdefault("source", {"kind": "unknown"})
-    merged["rows"] = _rows(a["rows"] for a in accounts)[:rows]
-    merged["workers"] = [_line(worker, account) for worker, account in sorted(workers.items())]
+    merged["rows"] = _merge_rows(status["rows"] for status in statuses)[:max_rows]
+    merged["workers"] = [_summarize(worker, status) for worker, status in sorted(workers.items())]
     return merged
 
 
-def _line(worker: int, account: Raw | str) -> Raw:
-    if isinstance(account, str):
-        return {"worker": worker, "problem": account}
-    keys = ("pid", "uptime_s", "ready", "leaving", "callers", "out", "limit", "waiting", "answers")
-    return {"worker": worker, **{key: account[key] for key in keys}}
+def _merge_failure_rates(statuses: Sequence[JsonObject]) -> float:
+    """Return the mean of the failure rates, weighted by attempts."""
+    attempts = sum(status["attempts_per_s"] for status in statuses)
+    if not attempts:
+        return 0.0
+    failures = sum(status["fail_rate"] * status["attempts_per_s"] for status in statuses)
+    return float(round(failures / attempts, RATE_DIGITS))
+
 
+def _summarize(worker: int, status: JsonObject | WorkerUnavailable) -> JsonObject:
+    if isinstance(status, WorkerUnavailable):
+        return {"worker": worker, "problem": status.reason}
+    return {"worker": worker, **{field: status[field] for field in WORKER_FIELDS}}
 
-def _rows(accounts: Iterable[list[Raw]]) -> list[Raw]:
-    found: dict[str, Raw] = {}
-    for rows in accounts:
+
+def _merge_rows(rows_by_worker: Iterable[list[JsonObject]]) -> list[JsonObject]:
+    """Return one row for each server, by name."""
+    merged: dict[str, JsonObject] = {}
+    for rows in rows_by_worker:
         for row in rows:
-            known = found.setdefault(row["name"], {**row, "out": 0, "subset": False})
-            known["out"] += row["out"]
-            known["subset"] = known["subset"] or row["subset"]
-            if WORST.get(row["state"], 0) > WORST.get(known["state"], 0):
-                known["state"] = row["state"]
-            known["ejected_for"] = max(known["ejected_for"], row["ejected_for"])
-            known["warmth"] = min(known["warmth"], row["warmth"])
-            known["slowness"] = max(known["slowness"], row["slowness"])
-    return [found[name] for name in sorted(found)]
+            merged_row = merged.setdefault(row["name"], {**row, "out": 0, "subset": False})
+            _add_row(merged_row, row)
+    return [merged[name] for name in sorted(merged)]
+
+
+def _add_row(merged: JsonObject, row: JsonObject) -> None:
+    merged["out"] += row["out"]
+    merged["subset"] = merged["subset"] or row["subset"]
+    if _severity(row) > _severity(merged):
+        merged["state"] = row["state"]
+    merged["ejected_for"] = max(merged["ejected_for"], row["ejected_for"])
+    merged["warmth"] = min(merged["warmth"], row["warmth"])
+    merged["slowness"] = max(merged["slowness"], row["slowness"])
+
+
+def _severity(row: JsonObject) -> int:
+    return SERVER_STATE_SEVERITY.get(row["state"], 0)
--- a/oakbridge/workers/supervisor.py
+++ b/oakbridge/workers/supervisor.py
@@ -1,317 +1,271 @@
-"""The supervisor's process: holds the listening sockets, starts workers, and hands each connection to one of them.
+"""The supervisor of several worker processes on one port: run them, and dispatch each connection to one.
 
-It accepts by itself, rather than each worker by SO_REUSEPORT: a worker that dies then takes along what it held and
-nothing that still waits to be accepted, and few long-lived connections are spread evenly (docs/design/workers.md).
+It carries out what the state machines decide: ``pool`` which workers run, ``connection_balancer`` which
+of them gets a connection.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import os
 import signal
 import socket
 import time
 from collections import deque
-from collections.abc import Callable, Sequence
-from contextlib import suppress
+from collections.abc import Iterator, Sequence
+from contextlib import AbstractAsyncContextManager, contextmanager, nullcontext
 from pathlib import Path
-from typing import Any
+from typing import assert_never
 
-from oakbridge import __version__
-from oakbridge.control.arguments import DEFAULT_STATUS_ROWS
-from oakbridge.control.client import ControlClient
-from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
-from oakbridge.control.paths import worker_socket_path
-from oakbridge.control.peers import PeerDirectory, handle_peer_request
-from oakbridge.control.protocol import PEER_COMMANDS, ControlCommand, Request
+from oakbridge.control.peers import PeerDirectory
 from oakbridge.control.server import ControlServer
-from oakbridge.node.listener import ACCEPT_BATCH, open_listener
 from oakbridge.node.listing import Address
-from oakbridge.process import supervisor as sup
-from oakbridge.workers import messages, pool
-from oakbridge.workers.connection_balancer import ConnectionBalancer, UnacknowledgedConnections
-from oakbridge.workers.status import merge_status
-
-log = logging.getLogger(__name__)
-
-CHANGEOVER_S = (
-    0.4  # new connections go on coming for a while after a stop; workers wait 0.1 s longer for them
+from oakbridge.process.supervisor import Action as ProcessAction
+from oakbridge.process.supervisor import Kill, SetTimer, Start, Stop
+from oakbridge.process.supervisor import State as ProcessState
+from oakbridge.workers.acceptor import Acceptor
+from oakbridge.workers.connection_balancer import ConnectionBalancer
+from oakbridge.workers.control_handler import WorkersControlHandler
+from oakbridge.workers.errors import PacketError
+from oakbridge.workers.messages import LoadReport, SupervisorCommand, WorkerReady
+from oakbridge.workers.pool import (
+    Action,
+    ActOnProcess,
+    AddToBalancer,
+    Exit,
+    LogWarning,
+    RemoveFromBalancer,
+    WorkerPool,
+)
+from oakbridge.workers.worker_process import (
+    ChannelClosedError,
+    CommandLine,
+    WorkerProcess,
+    describe_exit,
 )
-ASK_WITHIN_S = 2.0  # for a worker's account
-NO_DESCRIPTORS_S = 0.1
-
-Command = Callable[[int, int], Sequence[str]]  # a worker's number and its channel's descriptor
 
+log = logging.getLogger(__name__)
 
-def now_us() -> int:
-    """Monotonic time."""
-    return time.monotonic_ns() // 1000
+# Connections still come for a while after a stop; workers wait 0.1 s longer for them.
+ACCEPT_AFTER_STOP_S = 0.4
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 class WorkerSupervisor:
-    """One supervisor."""
+    """Run the workers of one node; owns the listening sockets and the workers' processes."""
 
     def __init__(
-        self, name: str, addresses: Sequence[Address], workers: int, command: Command, control: Path | None
+        self,
+        name: str,
+        addresses: Sequence[Address],
+        worker_count: int,
+        command_line: CommandLine,
+        control_socket: Path | None,
     ) -> None:
         """Listen.  Raises OSError with the address in its text."""
-        self.name, self.control = name, control
-        self.members: PeerDirectory | None = None  # one member for all workers
+        self.name = name
         self._loop = asyncio.get_running_loop()
-        self._command = command
-        self.crew, self.spread = pool.WorkerPool(workers), ConnectionBalancer()
-        self._channels: dict[int, socket.socket] = {}
-        self._handed: dict[
-            int, UnacknowledgedConnections[socket.socket]
-        ] = {}  # by worker, in its present life
-        self._back: deque[socket.socket] = deque()  # to be handed to another one, once one has room
-        self._processes: dict[int, asyncio.subprocess.Process] = {}
-        self._tasks: set[asyncio.Task[None]] = set()
-        self._accepting = False
-        self._over: asyncio.Future[int] = self._loop.create_future()
-        self._socks: list[socket.socket] = []
-        self.started = time.time()
-        try:
-            for address in addresses:
-                self._socks.append(open_listener(address))
-        except OSError:
-            self._close_door()
-            raise
-        self.addresses: list[Address] = [sock.getsockname() for sock in self._socks]
-
-    def _close_door(self) -> None:
-        self._accept_on(False)
-        for sock in self._socks:
-            sock.close()
-        self._socks = []
-
-    async def run(self) -> int:
-        """Serve until told to end (SIGTERM, SIGINT); SIGHUP reloads, SIGUSR1 restarts one after the other."""
+        self._started_at = time.time()
+        self._command_line = command_line
+        self._control_socket = control_socket
+        self._pool = WorkerPool(worker_count)
+        self._balancer = ConnectionBalancer()
+        self._processes: dict[int, WorkerProcess] = {}
+        self._tasks: set[asyncio.Task[None]] = set()  # one for each process
+        # Accepted, and waiting for a worker with capacity.
+        self._undispatched: deque[socket.socket] = deque()
+        self._exit_code: asyncio.Future[int] = self._loop.create_future()
+        self._acceptor = Acceptor(
+            self._loop, addresses, has_capacity=self._balancer.has_capacity, dispatch=self._dispatch
+        )
+
+    async def run(self, peers: PeerDirectory | None = None) -> int:
+        """Serve until all workers have ended, and return the exit code.
+
+        SIGTERM and SIGINT shut down, SIGHUP reloads, SIGUSR1 begins a rolling restart.  ``peers``: the
+        other nodes, None where the configuration has no such table.
+        """
         for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self.end)
+            self._loop.add_signal_handler(number, self.shut_down)
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
-        self._loop.add_signal_handler(signal.SIGUSR1, lambda: self._do(self.crew.roll(now_us())))
-        server = ControlServer(self.control, self._answer) if self.control is not None else None
-        if server is not None:
-            await server.start()
+        self._loop.add_signal_handler(signal.SIGUSR1, self.rolling_restart)
         try:
-            where = ", ".join(f"{h}:{p}" for h, p in self.addresses)
-            log.info("%s listens on %s with %d workers", self.name, where, len(self.crew.machines))
-            self._do(self.crew.start(now_us()))
-            return await self._over
+            async with self._control_server(peers):
+                addresses = ", ".join(f"{host}:{port}" for host, port in self._acceptor.addresses)
+                workers = len(self._pool.processes)
+                log.info("%s listens on %s with %d workers", self.name, addresses, workers)
+                self._execute(self._pool.start(_now_us()))
+                return await self._exit_code
         finally:
-            if server is not None:
-                server.close()
-            self._close_door()
-            for sock in (*self._back, *(sock for handed in self._handed.values() for sock in handed.left)):
-                sock.close()
-            for process in self._processes.values():
-                with suppress(ProcessLookupError):
-                    process.kill()
-
-    def end(self) -> None:
-        """Have all workers serve who is there, and end; new connections are handed on for a moment."""
-        if not self.crew.ending:
-            log.info("%s ends", self.name)
-            self._loop.call_later(CHANGEOVER_S, self._last_call)
-            self._do(self.crew.end(now_us()))
+            self._close()
 
-    def _last_call(self) -> None:
-        """Hand the last that wait outside on, then close the door."""
-        for sock in self._socks:
-            self._accept(sock)
-        self._close_door()
+    def shut_down(self) -> None:
+        """Shut all workers down gracefully; new connections are dispatched for a moment more."""
+        if self._pool.is_shutting_down:
+            return
+        log.info("%s ends", self.name)
+        self._loop.call_later(ACCEPT_AFTER_STOP_S, self._accept_last)
+        self._execute(self._pool.shut_down(_now_us()))
 
     def reload(self) -> None:
         """Have all workers read the configuration anew."""
-        for worker in list(self._channels):
-            self._send(worker, messages.RELOAD)
-
-    # ---- what the crew asks for
-
-    def _do(self, actions: list[pool.Action]) -> None:
+        for process in list(self._processes.values()):
+            process.send(SupervisorCommand.RELOAD)
+
+    def rolling_restart(self) -> None:
+        """Restart the workers one after the other."""
+        self._execute(self._pool.rolling_restart(_now_us()))
+
+    def _control_server(
+        self, peers: PeerDirectory | None
+    ) -> AbstractAsyncContextManager[ControlServer | None]:
+        if self._control_socket is None:
+            return nullcontext()
+        handler = WorkersControlHandler(
+            self.name,
+            self._acceptor.addresses,
+            self._control_socket,
+            self._pool,
+            self._balancer,
+            peers,
+            started_at=self._started_at,
+        )
+        return ControlServer(self._control_socket, handler.handle)
+
+    def _accept_last(self) -> None:
+        self._acceptor.accept_waiting()
+        self._acceptor.close()
+
+    def _close(self) -> None:
+        """Close what is open; after a graceful shutdown nothing but the listening sockets is."""
+        self._acceptor.close()
+        for connection in self._undispatched:
+            connection.close()
+        for process in self._processes.values():
+            process.kill()
+        for task in self._tasks:
+            task.cancel()
+
+    # ---- actions of the pool
+
+    def _execute(self, actions: Sequence[Action]) -> None:
         for action in actions:
-            if isinstance(action, pool.ActOnProcess):
-                self._do_one(action.worker, action.action)
-            elif isinstance(action, pool.AddToBalancer):
-                self.spread.join(action.worker, action.most)
-            elif isinstance(action, pool.RemoveFromBalancer):
-                self.spread.leave(action.worker)
-            elif isinstance(action, pool.LogWarning):
-                log.warning("%s", action.text)
-            elif not self._over.done():
-                self._over.set_result(action.code)
-        self._room()
+            match action:
+                case ActOnProcess():
+                    self._act_on_process(action.worker, action.action)
+                case AddToBalancer():
+                    self._balancer.add(action.worker, action.max_connections)
+                case RemoveFromBalancer():
+                    self._balancer.remove(action.worker)
+                case LogWarning():
+                    log.warning("%s", action.text)
+                case Exit():
+                    if not self._exit_code.done():
+                        self._exit_code.set_result(action.code)
+                case _:
+                    assert_never(action)
+        self._dispatch_waiting()
+
+    def _act_on_process(self, worker: int, action: ProcessAction) -> None:
+        process = self._processes.get(worker)  # None while it is being started
+        match action:
+            case Start():
+                task = self._loop.create_task(self._run_worker(worker))
+                self._tasks.add(task)
+                task.add_done_callback(self._tasks.discard)
+            case Stop():
+                if process is not None:
+                    process.send(SupervisorCommand.SHUT_DOWN)
+            case Kill():
+                if process is not None:
+                    log.warning("worker %d does not end, and is killed", worker)
+                    process.kill()
+            case SetTimer():
+                delay_s = max(0, action.at - _now_us()) / MICROSECONDS_PER_SECOND
+                self._loop.call_later(delay_s, self._tick, worker)
+            case _:
+                assert_never(action)
 
-    def _room(self) -> None:
-        """Hand on what came back from the dead, then accept while somebody has room."""
-        while self._back and self.spread.room():
-            self._hand(self._back.popleft())
-        self._accept_on(self.spread.room())
+    def _tick(self, worker: int) -> None:
+        self._execute(self._pool.tick(worker, _now_us()))
 
-    def _do_one(self, worker: int, action: sup.Action) -> None:
-        if isinstance(action, sup.Start):
-            task = self._loop.create_task(self._run(worker))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
-        elif isinstance(action, sup.Stop):
-            self._send(worker, messages.LEAVE)
-        elif isinstance(action, sup.Kill):
-            if (process := self._processes.get(worker)) is not None:
-                log.warning("worker %d does not end, and is killed", worker)
-                with suppress(ProcessLookupError):
-                    process.kill()
-        else:
-            wait = max(0, action.at - now_us()) / 1e6
-            self._loop.call_later(wait, lambda: self._do(self.crew.tick(worker, now_us())))
+    # ---- workers' processes
 
-    async def _run(self, worker: int) -> None:
-        """One life of a worker's process."""
-        ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        ours.setblocking(False)
+    async def _run_worker(self, worker: int) -> None:
+        """Run a worker's process once, from its start to its end."""
         try:
-            process = await asyncio.create_subprocess_exec(
-                *self._command(worker, theirs.fileno()),
-                pass_fds=[theirs.fileno()],
-                stdin=asyncio.subprocess.DEVNULL,
-            )
+            process = await WorkerProcess.start(worker, self._command_line)
         except OSError as e:
-            ours.close()
-            return self._do(self.crew.exited(worker, f"could not be started: {e}", None, now_us()))
+            how = f"could not be started: {e}"
+            self._execute(self._pool.exited(worker, how, None, _now_us()))
+            return
+        with self._attached(process):
+            if self._pool.processes[worker].state is ProcessState.STOPPING:  # since it was begun
+                process.send(SupervisorCommand.SHUT_DOWN)
+            code = await process.wait()
+            while self._receive(process):  # its last load reports
+                pass
+            self._undispatched.extend(process.unacknowledged.take_all())
+        exit_code = code if code >= 0 else None
+        self._execute(self._pool.exited(worker, describe_exit(code), exit_code, _now_us()))
+
+    @contextmanager
+    def _attached(self, process: WorkerProcess) -> Iterator[None]:
+        """Receive a worker's messages, and close the channel at the end."""
+        self._processes[process.worker] = process
+        self._loop.add_reader(process.channel, self._receive, process)
+        try:
+            yield
         finally:
-            theirs.close()
-        self._processes[worker], self._channels[worker] = process, ours
-        handed = self._handed[worker] = UnacknowledgedConnections()
-        self._loop.add_reader(ours, self._hear, worker, ours)
-        if self.crew.machines[worker].state is sup.State.STOPPING:  # asked for while it was being started
-            self._send(worker, messages.LEAVE)
-        code = await process.wait()
-        self._processes.pop(worker, None)
-        while self._hear(worker, ours):  # its last accounts
-            pass
-        self._hang_up(worker, ours)
-        self._back.extend(handed.left)
-        handed.left.clear()
-        how = f"exit code {code}" if code >= 0 else signal.Signals(-code).name
-        self._do(self.crew.exited(worker, how, code if code >= 0 else None, now_us()))
-
-    def _hang_up(self, worker: int, channel: socket.socket) -> None:
-        self._loop.remove_reader(channel)
-        channel.close()
-        if self._channels.get(worker) is channel:
-            del self._channels[worker]
-
-    # ---- the channels
+            self._loop.remove_reader(process.channel)
+            del self._processes[process.worker]
+            process.close()
 
-    def _hear(self, worker: int, channel: socket.socket) -> bool:
-        """One packet; returns whether there was one."""
+    def _receive(self, process: WorkerProcess) -> bool:
+        """Read one message and act on it; return whether more may wait."""
         try:
-            packet = channel.recv(messages.MOST)
-        except BlockingIOError:
-            return False
-        except OSError:
-            packet = b""
-        if not packet:  # its end is told by its process
-            self._loop.remove_reader(channel)
-            return False
-        try:
-            message = messages.decode(packet)
-        except messages.PacketError as e:
-            log.error("worker %d: %s", worker, e)
+            message = process.receive()
+        except PacketError as e:
+            log.error("worker %d: %s", process.worker, e)  # noqa: TRY400 - its place is known
             return True
-        if isinstance(message, messages.Ready):
-            log.info("worker %d is ready", worker)
-            self._do(self.crew.ready(worker, message.most, now_us()))
-        else:
-            for sock in self._handed[worker].told(message.seen):
-                sock.close()
-            self.spread.told(worker, message.had, message.seen)
-            self._room()
-        return True
-
-    def _send(self, worker: int, packet: bytes, *descriptors: int) -> bool:
-        channel = self._channels.get(worker)
-        if channel is None:
-            return False
-        try:
-            socket.send_fds(channel, [packet], list(descriptors))
-        except OSError as e:  # it is frozen and its queue is full, or it has just died
-            log.warning("worker %d takes nothing: %s", worker, e)
+        except ChannelClosedError:  # the end of the process is told by the process itself
+            self._loop.remove_reader(process.channel)
             return False
+        match message:
+            case None:
+                return False
+            case WorkerReady():
+                log.info("worker %d is ready", process.worker)
+                self._execute(self._pool.ready(process.worker, message.max_connections, _now_us()))
+            case LoadReport():
+                process.acknowledge(message.received_connections)
+                self._balancer.report(process.worker, message.open_connections, message.received_connections)
+                self._dispatch_waiting()
+            case _:
+                assert_never(message)
         return True
 
-    # ---- the door
-
-    def _accept_on(self, on: bool) -> None:
-        on = on and bool(self._socks)
-        if on == self._accepting:
-            return
-        self._accepting = on
-        for sock in self._socks:
-            if on:
-                self._loop.add_reader(sock, self._accept, sock)
-            else:
-                self._loop.remove_reader(sock)
+    # ---- connections
 
-    def _accept(self, door: socket.socket) -> None:
-        for _ in range(ACCEPT_BATCH):
-            if not self.spread.room():
-                return self._accept_on(False)
-            try:
-                sock, _ = door.accept()
-            except (BlockingIOError, InterruptedError, ConnectionAbortedError):
-                return
-            except OSError as e:  # no descriptor is left
-                log.error("accepting stops for a moment: %s", e)
-                self._accept_on(False)
-                self._loop.call_later(NO_DESCRIPTORS_S, lambda: self._accept_on(self.spread.room()))
-                return
-            self._hand(sock)
+    def _dispatch_waiting(self) -> None:
+        """Dispatch what dead workers have left, then accept while a worker has capacity."""
+        while self._undispatched and self._balancer.has_capacity():
+            self._dispatch(self._undispatched.popleft())
+        self._acceptor.accept_while_capacity()
 
-    def _hand(self, sock: socket.socket) -> None:
-        """To the worker with the fewest; one that takes nothing is passed over until its process has ended."""
-        while (worker := self.spread.pick()) is not None:
-            if self._send(worker, messages.CONNECTION, sock.fileno()):
-                return self._handed[worker].left.append(sock)  # kept until the worker has it in its hands
-            self.spread.leave(worker)
-        self._back.append(sock)
+    def _dispatch(self, connection: socket.socket) -> None:
+        """Send a connection to the worker with the fewest.
 
-    # ---- the control socket
-
-    async def _answer(self, request: Request) -> Any:
-        assert self.control is not None
-        if request.command in PEER_COMMANDS:
-            return handle_peer_request(self.members, request)
-        workers = list(self.crew.machines)
-        asked = await asyncio.gather(*(asyncio.to_thread(self._ask, w, request) for w in workers))
-        told: dict[int, Any] = dict(zip(workers, asked, strict=True))
-        if request.command is ControlCommand.STATUS:
-            return merge_status(self._own(), told, int(request.arguments.get("rows", DEFAULT_STATUS_ROWS)))
-        refused = [f"worker {w}: {text}" for w, text in told.items() if isinstance(text, str)]
-        if refused:
-            raise RequestRejectedError("; ".join(refused))
-        return told[workers[0]]
+        A worker that takes nothing is out of the balancer until its process has ended.
+        """
+        while (worker := self._balancer.choose()) is not None:
+            process = self._processes.get(worker)
+            if process is not None and process.send_connection(connection):
+                return
+            self._balancer.remove(worker)
+        self._undispatched.append(connection)
 
-    def _ask(self, worker: int, request: Request) -> Any:
-        """A worker's answer, or a text that says why there is none."""
-        assert self.control is not None
-        try:
-            with ControlClient(worker_socket_path(self.control, worker), ASK_WITHIN_S) as client:
-                return client.request(request.command, **request.arguments)
-        except (NodeUnreachableError, RequestRejectedError) as e:
-            machine = self.crew.machines[worker]
-            return f"{machine.state.value}: {e}" + (
-                f"; ended last: {machine.last_exit}" * bool(machine.last_exit)
-            )
 
-    def _own(self) -> dict[str, Any]:
-        return {
-            "name": self.name,
-            "pid": os.getpid(),
-            "version": __version__,
-            "uptime_s": round(time.time() - self.started, 1),
-            "listen": ["{}:{}".format(*address) for address in self.addresses],
-            "handed": self.spread.counts(),
-            "crashes": {w: machine.total_crashes for w, machine in self.crew.machines.items()},
-        }
+def _now_us() -> int:
+    """Return the monotonic time."""
+    return time.monotonic_ns() // 1000
--- /dev/null
+++ b/tests/workers/test_limits.py
@@ -0,0 +1,66 @@
+"""The limits of one worker: those of all workers add up to the node's."""
+
+import pytest
+
+from oakbridge.control.paths import worker_socket_path
+from oakbridge.node.config import Config
+from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import Endpoint, EndpointListReceived
+from oakbridge.policy.settings import RequestClass, Settings
+from oakbridge.workers.errors import WorkerLimitsError
+from oakbridge.workers.limits import worker_config
+
+SECOND_US = 1_000_000
+
+
+def node_config():
+    request_class = RequestClass("look", 2_500_000, 6_000_000, idempotency="safe")
+    settings = Settings(classes=(request_class,), replica_count=3, max_open_requests=10, retry_floor=0.4)
+    return Config("n", ("127.0.0.1", 1), None, 7, 1024, None, settings)
+
+
+def balancer_of(config):
+    """A balancer with these settings and sixty servers."""
+    balancer = Balancer(config.settings, config.seed)
+    balancer.handle(1, EndpointListReceived([Endpoint(f"s{i}") for i in range(60)]))
+    return balancer
+
+
+@pytest.mark.parametrize("worker_count", [1, 2, 4, 8])
+def test_limits_of_all_workers_add_up_to_those_of_the_node(worker_count):
+    configs = [worker_config(node_config(), worker, worker_count) for worker in range(1, worker_count + 1)]
+    assert len({config.seed for config in configs}) == worker_count
+    assert len({config.name for config in configs}) == worker_count
+    assert sum(config.sockets for config in configs) <= 1024
+    assert sum(config.settings.retry_floor for config in configs) == pytest.approx(0.4)
+    assert all(config.settings.replica_count == 3 * worker_count for config in configs)
+    assert all(config.settings.max_open_requests >= 1 for config in configs)
+    # What the balancer makes of them: the least and the first limits add up, and so does the retry
+    # budget for the same traffic, of which each worker has its part.
+    node, worker = balancer_of(node_config()), balancer_of(configs[0])
+    assert worker.admission.least * worker_count == pytest.approx(node.admission.least)
+    assert worker.admission.limit * worker_count == pytest.approx(node.admission.limit)
+    for balancer, replicas in ((node, 1), (worker, worker_count)):
+        for i in range(120 // replicas):
+            balancer.budget.first(SECOND_US + i)
+    node_budget, worker_budget = (b.budget.left(2 * SECOND_US) for b in (node, worker))
+    assert worker_budget * worker_count == pytest.approx(node_budget)
+
+
+@pytest.mark.parametrize(
+    ("worker_count", "field", "message"),
+    [
+        (0, "workers", "workers: expected 1 to 64, got 0"),
+        (65, "workers", "workers: expected 1 to 64, got 65"),
+        (9, "limits.sockets", "limits.sockets: expected at least 1152 for 9 workers, got 1024"),
+    ],
+)
+def test_too_many_workers_for_the_limits_are_rejected(worker_count, field, message):
+    with pytest.raises(WorkerLimitsError) as rejected:
+        worker_config(node_config(), 1, worker_count)
+    assert rejected.value.field == field
+    assert str(rejected.value) == message
+
+
+def test_each_worker_has_a_socket_beside_the_nodes_own(tmp_path):
+    assert worker_socket_path(tmp_path / "n.sock", 3) == tmp_path / "n.3.sock"
