--- a/oakbridge/workers/acceptor.py
+++ b/oakbridge/workers/acceptor.py
@@ -1,8 +1,8 @@
 """The supervisor's listening sockets, and the accepting on them while a worker has capacity.
 
-The supervisor accepts, rather than each worker with SO_REUSEPORT: a worker that dies then takes along
-only the connections that it had begun to read, and few long-lived connections are spread evenly
-(docs/design/workers.md).
+The supervisor accepts, rather than each worker with SO_REUSEPORT: a worker that dies then takes
+along only the connections that it had begun to read, and few long-lived connections are spread
+evenly (docs/design/workers.md).
 """
 
 from __future__ import annotations
@@ -33,8 +33,9 @@
     ) -> None:
         """Listen, and accept once told to.  Raises OSError with the address in its text.
 
-        ``has_capacity``: whether one more connection can be served; what can't waits in the kernel's
-        queue.  ``dispatch``: called with each accepted connection, which it owns from then on.
+        ``has_capacity``: whether one more connection can be served; until then connections wait in
+        the kernel's queues.  ``dispatch``: called with each accepted connection, which it owns from
+        then on.
         """
         self._loop = loop
         self._has_capacity = has_capacity
--- a/oakbridge/workers/channel.py
+++ b/oakbridge/workers/channel.py
@@ -1,4 +1,4 @@
-"""A worker's end of the channel to its supervisor: receive connections and commands, send load reports."""
+"""A worker's end of the channel to its supervisor: receive connections, send load reports."""
 
 from __future__ import annotations
 
@@ -32,7 +32,8 @@
 class WorkerChannel:
     """The channel to the supervisor, which it owns.
 
-    If the supervisor dies, the worker shuts down: nobody could send it connections, restart or stop it.
+    If the supervisor dies, the worker shuts down: nobody could send it connections, restart it or
+    stop it.
     """
 
     def __init__(self, channel: socket.socket) -> None:
--- a/oakbridge/workers/connection_balancer.py
+++ b/oakbridge/workers/connection_balancer.py
@@ -1,8 +1,8 @@
 """Choose the worker that gets the next connection: the one with the fewest.  No I/O.
 
-Fewest connections, and not in turn, so that few long-lived connections are even too.  A worker's load
-report says how many connections it has and how many it had received until then; those that were
-dispatched since are added, so that a burst between two reports does not go to one worker.
+Fewest connections, and not in turn, so that few long-lived connections are even too.  A worker's
+load report says how many connections it has and how many it had received until then; those that
+were dispatched since are added, so that a burst between two reports does not go to one worker.
 """
 
 from __future__ import annotations
--- a/oakbridge/workers/limits.py
+++ b/oakbridge/workers/limits.py
@@ -1,4 +1,4 @@
-"""The limits of one worker, so that all workers together may do what one node would be allowed.  No I/O."""
+"""The limits of one worker, which add up to those of its node over all workers.  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/workers/pool.py
+++ b/oakbridge/workers/pool.py
@@ -108,7 +108,8 @@
     def rolling_restart(self, now: int) -> list[Action]:
         """Restart all workers, one after the other.
 
-        Where a rolling restart goes on already, all have their turn once more after its present worker.
+        Where a rolling restart goes on already, all have their turn once more after its present
+        worker.
         """
         if self.is_shutting_down:
             return []
@@ -138,7 +139,8 @@
     def exited(self, worker: int, how: str, code: int | None, now: int) -> list[Action]:
         """Note that a worker has ended, or could not be started.
 
-        ``how``: for people.  ``code``: its exit code, None if a signal ended it or it was not started.
+        ``how``: for people.  ``code``: its exit code, None if a signal ended it or if it was not
+        started.
         """
         process = self.processes[worker]
         expected = process.state is ProcessState.STOPPING
@@ -163,7 +165,10 @@
     # ---- transitions
 
     def _shut_down_for_usage_error(self, worker: int, how: str, now: int) -> list[Action]:
-        """End as one node would: no worker has ever served, so it is the configuration and no crash."""
+        """End as one node would.
+
+        No worker has ever served, so the configuration is at fault; this is no crash.
+        """
         self._exit_code = EXIT_USAGE_ERROR
         process = self.processes[worker]
         process.stop(now)
--- a/oakbridge/workers/status.py
+++ b/oakbridge/workers/status.py
@@ -52,8 +52,8 @@
 ) -> JsonObject:
     """Return the status of all workers as that of one node.
 
-    ``supervisor``: fields that stand in place of a worker's, such as name and pid.  Counts add up.  A
-    server's row has the attempts that all workers have in flight to it.
+    ``supervisor``: fields that stand in place of a worker's, such as name and pid.  Counts add up.
+    A server's row has the attempts that all workers have in flight to it.
     """
     statuses = [status for status in workers.values() if not isinstance(status, WorkerUnavailable)]
     merged: JsonObject = {**(statuses[0] if statuses else {}), **supervisor}
--- a/oakbridge/workers/supervisor.py
+++ b/oakbridge/workers/supervisor.py
@@ -1,7 +1,7 @@
-"""The supervisor of several worker processes on one port: run them, and dispatch each connection to one.
+"""The supervisor of several worker processes on one port: run them, and dispatch connections.
 
-It carries out what the state machines decide: ``pool`` which workers run, ``connection_balancer`` which
-of them gets a connection.
+It carries out what the state machines decide: ``pool`` which workers run, ``connection_balancer``
+which of them gets a connection.
 """
 
 from __future__ import annotations
@@ -82,8 +82,8 @@
     async def run(self, peers: PeerDirectory | None = None) -> int:
         """Serve until all workers have ended, and return the exit code.
 
-        SIGTERM and SIGINT shut down, SIGHUP reloads, SIGUSR1 begins a rolling restart.  ``peers``: the
-        other nodes, None where the configuration has no such table.
+        SIGTERM and SIGINT shut down, SIGHUP reloads, SIGUSR1 begins a rolling restart.  ``peers``:
+        the other nodes, None where the configuration has no such table.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self.shut_down)
--- a/oakbridge/workers/unacknowledged.py
+++ b/oakbridge/workers/unacknowledged.py
@@ -12,7 +12,7 @@
     """The connections that one worker's process was sent and has never touched, oldest first.
 
     A worker acknowledges a connection before it reads a byte of it.  What is left when the worker
-    has died can therefore go to another one: no part of a request is lost, and none was begun twice.
+    has died can therefore go to another: no part of a request is lost, and none was begun twice.
     """
 
     def __init__(self) -> None:
--- a/tests/workers/test_pool.py
+++ b/tests/workers/test_pool.py
@@ -117,7 +117,8 @@
     assert simulated.in_balancer == WORKERS
 
     simulated.execute(pool.shut_down(simulated.now))
-    assert simulated.in_balancer == set(simulated.alive)  # until they have ended they take what still comes
+    # Until they have ended they take the connections that still come.
+    assert simulated.in_balancer == set(simulated.alive)
     simulated.settle()
     assert simulated.exit_code == 0
     assert not simulated.in_balancer
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Real workers under load: killed, restarted one by one, reloaded, frozen; each request gets one response."""
+"""Real workers under load: killed, restarted, reloaded, frozen; each request gets one response."""
 
 import asyncio
 import os
@@ -39,7 +39,7 @@
 
 
 class Deployment:
-    """A supervisor with its workers, stand-in servers, and clients that send one request after another."""
+    """A supervisor with its workers, stand-in servers, and clients that send requests."""
 
     def __init__(self, directory: Path, workers: int = 4):
         self.directory = directory
@@ -134,7 +134,7 @@
 
 
 async def send_request(reader, writer):
-    """Return the status code, and whether the connection closes; None if it ended before the response."""
+    """Return the status code and whether the connection closes; None if there is no response."""
     writer.write(b"GET /x HTTP/1.1\r\nx-request-id: %x\r\nx-priority-class: look\r\n\r\n" % next(IDS))
     try:
         head = (await soon(reader.readuntil(b"\r\n\r\n"))).lower()
