--- a/benchmarks/connection_spread.py
+++ b/benchmarks/connection_spread.py
@@ -22,45 +22,45 @@
 
 def by_kernel(workers: int, connections: int) -> Counter[int]:
     """Connections of each listener on one port."""
-    doors = []
+    listeners = []
     port = 0
     for _ in range(workers):
-        door = socket.socket()
-        door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        door.bind(("127.0.0.1", port))
-        port = door.getsockname()[1]
-        door.listen(1024)
-        door.setblocking(False)
-        doors.append(door)
-    callers = [socket.create_connection(("127.0.0.1", port)) for _ in range(connections)]
-    got: Counter[int] = Counter()
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        listener.bind(("127.0.0.1", port))
+        port = listener.getsockname()[1]
+        listener.listen(1024)
+        listener.setblocking(False)
+        listeners.append(listener)
+    clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(connections)]
+    counts: Counter[int] = Counter()
     with selectors.DefaultSelector() as selector:
-        for number, door in enumerate(doors):
-            selector.register(door, selectors.EVENT_READ, number)
-        while got.total() < connections:
+        for number, listener in enumerate(listeners):
+            selector.register(listener, selectors.EVENT_READ, number)
+        while counts.total() < connections:
             for key, _ in selector.select(1):
                 try:
                     key.fileobj.accept()[0].close()  # type: ignore[union-attr]
                 except BlockingIOError:
                     continue
-                got[key.data] += 1
-    for sock in (*callers, *doors):
+                counts[key.data] += 1
+    for sock in (*clients, *listeners):
         sock.close()
-    return got
+    return counts
 
 
 def by_supervisor(workers: int, connections: int) -> Counter[int]:
     """Connections of each worker by the project's rule, a load report coming after each connection."""
     balancer = ConnectionBalancer()
-    got = Counter[int]()
+    counts = Counter[int]()
     for worker in range(workers):
         balancer.add(worker, 10**6)
     for _ in range(connections):
         worker = balancer.choose()
         assert worker is not None
-        got[worker] += 1
-        balancer.report(worker, got[worker], got[worker])
-    return got
+        counts[worker] += 1
+        balancer.report(worker, counts[worker], counts[worker])
+    return counts
 
 
 def main() -> None:
