--- a/oakbridge/workers/supervisor.py
+++ b/oakbridge/workers/supervisor.py
@@ -20,8 +20,8 @@
 from oakbridge.control.peers import PeerDirectory
 from oakbridge.control.server import ControlServer
 from oakbridge.node.listing import Address
+from oakbridge.process.supervisor import SECOND_US, Kill, SetTimer, Start, Stop
 from oakbridge.process.supervisor import Action as ProcessAction
-from oakbridge.process.supervisor import Kill, SetTimer, Start, Stop
 from oakbridge.process.supervisor import State as ProcessState
 from oakbridge.workers.acceptor import Acceptor
 from oakbridge.workers.connection_balancer import ConnectionBalancer
@@ -48,7 +48,6 @@
 
 # Connections still come for a while after a stop; workers wait 0.1 s longer for them.
 ACCEPT_AFTER_STOP_S = 0.4
-MICROSECONDS_PER_SECOND = 1_000_000
 
 
 class WorkerSupervisor:
@@ -181,7 +180,7 @@
                     log.warning("worker %d does not end, and is killed", worker)
                     process.kill()
             case SetTimer():
-                delay_s = max(0, action.at - _now_us()) / MICROSECONDS_PER_SECOND
+                delay_s = max(0, action.at - _now_us()) / SECOND_US
                 self._loop.call_later(delay_s, self._tick, worker)
             case _:
                 assert_never(action)
