--- a/oakbridge/workers/errors.py
+++ b/oakbridge/workers/errors.py
@@ -28,3 +28,11 @@
         self.expected = expected
         self.packet = packet
         super().__init__(f"expected {expected}, got {packet[:MAX_SHOWN_BYTES]!r}")
+
+
+class ChannelClosedError(WorkerError):
+    """The worker's end of its channel is closed; its process has ended or is about to."""
+
+    def __init__(self, worker: int) -> None:
+        self.worker = worker
+        super().__init__(f"worker {worker}: its channel is closed")
--- a/oakbridge/workers/supervisor.py
+++ b/oakbridge/workers/supervisor.py
@@ -26,7 +26,7 @@
 from oakbridge.workers.acceptor import Acceptor
 from oakbridge.workers.connection_balancer import ConnectionBalancer
 from oakbridge.workers.control_handler import WorkersControlHandler
-from oakbridge.workers.errors import PacketError
+from oakbridge.workers.errors import ChannelClosedError, PacketError
 from oakbridge.workers.messages import LoadReport, SupervisorCommand, WorkerReady
 from oakbridge.workers.pool import (
     Action,
@@ -38,7 +38,6 @@
     WorkerPool,
 )
 from oakbridge.workers.worker_process import (
-    ChannelClosedError,
     CommandLine,
     WorkerProcess,
     describe_exit,
--- a/oakbridge/workers/worker_process.py
+++ b/oakbridge/workers/worker_process.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable, Sequence
 from contextlib import suppress
 
+from oakbridge.workers.errors import ChannelClosedError
 from oakbridge.workers.messages import (
     MAX_PACKET_BYTES,
     SupervisorCommand,
@@ -24,14 +25,6 @@
 CommandLine = Callable[[int, int], Sequence[str]]
 
 
-class ChannelClosedError(Exception):
-    """The worker's end of its channel is closed; its process has ended or is about to."""
-
-    def __init__(self, worker: int) -> None:
-        self.worker = worker
-        super().__init__(f"worker {worker}: its channel is closed")
-
-
 class WorkerProcess:
     """A process that runs, its channel, and the connections that it has not acknowledged.
 
