--- a/oakbridge/policy/admission.py
+++ b/oakbridge/policy/admission.py
@@ -115,8 +115,8 @@
 
     def excess_request(self) -> OpenRequest | None:
         """Return the oldest of least priority, if more wait than will have a turn."""
-        most = max(2 * BURST, MAX_WAITING * self.limit)
-        if self.waiting.count <= most or self.in_flight < self.limit:
+        max_waiting = max(2 * BURST, MAX_WAITING * self.limit)
+        if self.waiting.count <= max_waiting or self.in_flight < self.limit:
             return None
         queues = sorted(self.waiting.queues(), key=self._priority)
         waiting = (request for queue in queues for request in queue)
--- a/oakbridge/policy/balancer.py
+++ b/oakbridge/policy/balancer.py
@@ -43,7 +43,7 @@
         """Begin without servers; ``seed``: of all random draws."""
         rng = self.random = random.Random(seed)
         self.requests: dict[int, OpenRequest] = {}
-        self.in_flight_elsewhere = 0  # in the other process of this node
+        self.in_flight_in_other_process = 0  # in the other process of this node
         self.reviewed_at = 0
         self.must_poll = settings.poll_discovery
         self._resuming = False
@@ -69,20 +69,20 @@
         self.timers = Timers(settings.tick, self.requests, self._set_timer, self._reject_or_fail)
         self._configure(0, events.SettingsChanged(settings))
         self._handlers: dict[type, Callable[[int, Any], None]] = {
-            events.RequestReceived: self._on_request,
-            events.RequestBodySent: self._on_body_sent,
+            events.RequestReceived: self._on_request_received,
+            events.RequestBodySent: self._on_request_body_sent,
             events.ResponseStarted: self._on_response_started,
             events.ClientDisconnected: self._on_client_disconnected,
             events.AttemptEnded: self._on_attempt_ended,
             events.TimerFired: lambda now, event: self.timers.fire(now, event.token),
-            events.EndpointListReceived: self._on_server_list,
+            events.EndpointListReceived: self._on_endpoint_list,
             events.EndpointsAnnounced: self.endpoints.announce,
             events.SettingsChanged: self._configure,
-            events.InFlightInOtherProcess: self._on_elsewhere,
+            events.InFlightInOtherProcess: self._on_in_flight_in_other_process,
             events.PeerFailureReports: self.outliers.take_peer_reports,
-            events.ZoneWeights: self._on_zones,
-            events.LoadSheddingLevel: self._on_turned_away,
-            events.SubsetAssignment: self._on_cut,
+            events.ZoneWeights: self._on_zone_weights,
+            events.LoadSheddingLevel: self._on_load_shedding_level,
+            events.SubsetAssignment: self._on_subset_assignment,
         }
 
     def handle(self, now: int, event: events.Event) -> list[actions.Action]:
@@ -114,7 +114,7 @@
     def _poll_after(self, now: int, delay: float) -> None:
         self.timers.call_later(now, delay, lambda _: self._actions.append(actions.WatchEndpoints()))
 
-    def _on_server_list(self, now: int, event: events.EndpointListReceived) -> None:
+    def _on_endpoint_list(self, now: int, event: events.EndpointListReceived) -> None:
         if event.failed:
             self._poll_after(now, self.endpoints.poll_delay(event))
             return
@@ -133,21 +133,21 @@
             if request.list_version < oldest:
                 self._reject_or_fail(request)
 
-    def _on_zones(self, now: int, event: events.ZoneWeights) -> None:
+    def _on_zone_weights(self, now: int, event: events.ZoneWeights) -> None:
         self.subset.weigh_zones(event, now)
         self._dispatch(now)
 
-    def _on_cut(self, now: int, event: events.SubsetAssignment) -> None:
+    def _on_subset_assignment(self, now: int, event: events.SubsetAssignment) -> None:
         self.subset.assign(event.weights, now)
         self._dispatch(now)
 
-    def _on_turned_away(self, _: int, event: events.LoadSheddingLevel) -> None:
+    def _on_load_shedding_level(self, _: int, event: events.LoadSheddingLevel) -> None:
         self.shedding.level = event
 
-    def _on_elsewhere(self, now: int, event: events.InFlightInOtherProcess) -> None:
+    def _on_in_flight_in_other_process(self, now: int, event: events.InFlightInOtherProcess) -> None:
         """Count what the other process has in flight: it is within the same limit."""
-        self.admission.change_in_flight(event.count - self.in_flight_elsewhere, now)
-        self.in_flight_elsewhere = event.count
+        self.admission.change_in_flight(event.count - self.in_flight_in_other_process, now)
+        self.in_flight_in_other_process = event.count
         self._dispatch(now)
 
     def _review(self, now: int) -> None:
@@ -169,7 +169,7 @@
                 left -= 1
                 self._actions.append(actions.CancelAttempt(request.id, len(request.attempts) - 1))
 
-    def _on_request(self, now: int, event: events.RequestReceived) -> None:
+    def _on_request_received(self, now: int, event: events.RequestReceived) -> None:
         if (klass := self.classes.get(event.class_name)) is None:
             self._actions.append(actions.FailRequest(event.request_id))
             return
@@ -205,7 +205,7 @@
         request.expires_at = now + max(0, left)
         request.objective_at = now + int(klass.latency_objective * self.time_share)
 
-    def _on_body_sent(self, now: int, event: events.RequestBodySent) -> None:
+    def _on_request_body_sent(self, now: int, event: events.RequestBodySent) -> None:
         """Count the time of a request whose body went on as it came from now."""
         if (request := self.requests.get(event.request_id)) and request.in_flight:
             request.attempts[-1].sent_at = now
--- a/oakbridge/policy/endpoint_reconciler.py
+++ b/oakbridge/policy/endpoint_reconciler.py
@@ -37,10 +37,10 @@
     def poll_delay(self, event: events.EndpointListReceived) -> float:
         """Return when to poll again, in microseconds, after a poll failed."""
         scale, stale = min(1.0, self.settings.poll_interval / TOLD_US), event.staleness / SECOND_US
-        least, most = max(0.3, 2.5 - stale if event.waited else 0.0), max(1.0, 4.5 - stale)
+        earliest, latest = max(0.3, 2.5 - stale if event.waited else 0.0), max(1.0, 4.5 - stale)
         if event.waited >= AT_ONCE_US:
-            least, most = REPOLL_MIN_S, REPOLL_MAX_S
-        return scale * SECOND_US * self.random.uniform(least, most) - event.waited
+            earliest, latest = REPOLL_MIN_S, REPOLL_MAX_S
+        return scale * SECOND_US * self.random.uniform(earliest, latest) - event.waited
 
     def apply(self, event: events.EndpointListReceived, now: int) -> None:
         """Keep to the list at once: what drains or is gone gets nothing more."""
--- a/oakbridge/policy/server_selection.py
+++ b/oakbridge/policy/server_selection.py
@@ -61,9 +61,9 @@
         return pair or self._last_resort(request, confined, now)
 
     def _first_two(
-        self, servers: Iterable[Server], request: OpenRequest, most: float, now: int
+        self, servers: Iterable[Server], request: OpenRequest, busy_at: float, now: int
     ) -> tuple[list[Server], bool]:
-        """Return the first two that may be used, and whether any with ``most`` was passed over."""
+        """Return the first two that may be used, and whether busy ones were passed over."""
         tried = {a.server.id for a in request.attempts} if request.attempts else ()
         pair: list[Server] = []
         passed_over = False
@@ -72,7 +72,7 @@
                 continue
             if tried and not self.safety.allows_attempt(request, server, now):
                 continue
-            if self.weighted_in_flight(server, now) >= most:
+            if self.weighted_in_flight(server, now) >= busy_at:
                 passed_over = True
             elif server not in pair and self.is_usable(server, request, now):
                 pair.append(server)
@@ -83,9 +83,9 @@
     def _last_resort(self, request: OpenRequest, confined: Confined, now: int) -> list[Server]:
         """Return an ejected or tried server, where that is better than none."""
         closed = self.subset.closed_zones
-        shut = sum(len(self.members.by_zone.get(zone, ())) for zone in closed)
-        most = MAX_EJECTED_SHARE * (len(self.members.servers) - shut)
-        if not request.attempts and self.members.ejected_count() - shut <= most:
+        closed_count = sum(len(self.members.by_zone.get(zone, ())) for zone in closed)
+        max_ejected = MAX_EJECTED_SHARE * (len(self.members.servers) - closed_count)
+        if not request.attempts and self.members.ejected_count() - closed_count <= max_ejected:
             return []
         for server in self._offer(self.members.subset, confined, with_ejected=True):
             allowed = self.safety.allows_attempt(request, server, now)
--- a/oakbridge/policy/view.py
+++ b/oakbridge/policy/view.py
@@ -82,25 +82,25 @@
     return (window.first + window.further) / max(1.0, elapsed)
 
 
-def brief(balancer: Balancer, now: int, most: int = 8) -> tuple[int, int, tuple[str, ...]]:
+def brief(balancer: Balancer, now: int, max_ejected: int = 8) -> tuple[int, int, tuple[str, ...]]:
     """Return what peers are told: attempts in flight, the subset's size, some ejected servers."""
     ejected = (s.id for s in balancer.servers.values() if s.ejected_until > now)
     return (
         balancer.admission.in_flight,
         len(balancer.members.subset),
-        tuple(islice(ejected, most)),
+        tuple(islice(ejected, max_ejected)),
     )
 
 
-def view(balancer: Balancer, now: int, most: int = 200) -> BalancerView:
-    """Return the state now, with rows of at most so many servers: those with most to tell."""
+def view(balancer: Balancer, now: int, max_rows: int = 200) -> BalancerView:
+    """Return the state now, with rows of the servers that have most to tell."""
     subset = balancer.members.subset
 
     def rank(server: Server) -> tuple[bool, int, bool, str]:
         idle = server.ejected_until <= now
         return idle, -len(server.in_flight), server.partition is not subset, server.id
 
-    shown = heapq.nsmallest(most, balancer.endpoints.known.values(), key=rank)
+    shown = heapq.nsmallest(max_rows, balancer.endpoints.known.values(), key=rank)
     return BalancerView(
         list_version=balancer.members.version,
         servers=len(balancer.servers),
--- a/tests/simhost/test_adapter.py
+++ b/tests/simhost/test_adapter.py
@@ -149,7 +149,7 @@
     def fail(self, now, event):
         raise RuntimeError("lost its way")
 
-    monkeypatch.setattr(choice.Balancer, "_on_request", fail)
+    monkeypatch.setattr(choice.Balancer, "_on_request_received", fail)
     other = {**SPAWN, "node-id": 2}
     code, got, _ = run(SYNC, SPAWN, other, PAGE, UPDATE, KNOCK, {**UPDATE, "node-id": 2}, END)
     assert code == 0
