--- a/oakbridge/policy/state.py
+++ b/oakbridge/policy/state.py
@@ -5,8 +5,10 @@
 """
 
 import math
+from dataclasses import dataclass
 from typing import Any
 
+from oakbridge.policy.admission import AdmissionControl
 from oakbridge.policy.balancer import Balancer
 from oakbridge.policy.latency import LatencyAverage
 from oakbridge.policy.records import Server
@@ -14,6 +16,8 @@
 
 Saved = dict[str, Any]
 
+ADMISSION_VALUES = 8
+
 _SERVER_FIELDS = (
     "started",
     "address",
@@ -38,7 +42,7 @@
     The process that saves goes on with what it has in flight, and gives up half of the retries that
     are left.  It gives up all of its part in cold servers: the next one has the node's part of them.
     """
-    admission, slow_start, window = balancer.admission, balancer.slow_start, balancer.budget.window
+    slow_start, window = balancer.slow_start, balancer.budget.window
     window.add_further(now, max(0.0, balancer.budget.left(now) / 2))
     servers = {server.id: _save_server(balancer, server) for server in balancer.servers.values()}
     slow_start.retired = True
@@ -48,16 +52,7 @@
             name: [seen.mean, seen.deviation, seen.least, seen.count]
             for name, seen in balancer.latency.items()
         },
-        "admission": [
-            admission.limit,
-            admission.credit,
-            admission.credited_at,
-            admission.window.served_us,
-            admission.latency_ratio,
-            admission.usual_value.mean,
-            admission.window_size,
-            admission.capacity,
-        ],
+        "admission": _save_admission(balancer.admission),
         "due": balancer.quotas.due,
         "rate": balancer.outliers.failure_rate,
         "copy": [balancer.outliers.recent_failure_rate, slow_start.rate.mean, slow_start.rate.peak],
@@ -73,60 +68,73 @@
     return values
 
 
+@dataclass(frozen=True, slots=True)
+class _Learned:
+    """A saved state, read and not yet applied."""
+
+    servers: list[tuple[Server, list[Any]]]
+    latency: dict[str, LatencyAverage]
+    admission: list[float]
+    quotas_due: dict[str, float]
+    failure_rate: float
+    recent_failure_rate: float
+    mean_rate: float
+    peak_rate: float
+    slots: list[Slot]
+
+
 def restore(balancer: Balancer, saved: Saved, now: int) -> None:
     """Go on from what another process learned, but for servers that are not listed or restarted.
 
     Raise KeyError, TypeError or ValueError for what no process saved; then nothing has changed.
     """
-    latency = {
-        name: _read_latency(values) for name, values in saved["latency"].items() if name in balancer.latency
-    }
-    (
-        limit,
-        credit,
-        credited_at,
-        served_us,
-        latency_ratio,
-        usual_value,
-        window_size,
-        capacity,
-    ) = map(float, saved["admission"])
-    recent_failure_rate, mean_rate, peak_rate = map(float, saved["copy"])
-    slots = [
-        Slot(int(second), float(first), float(further), dict(by_tenant))
-        for second, (first, further), by_tenant in saved["slots"]
-    ]
-    failure_rate = float(saved["rate"])
-    due = {name: float(at) for name, at in saved["due"].items() if name in balancer.quotas.due}
-    records = [
+    learned = _read(balancer, saved)
+    for server, values in learned.servers:
+        _restore_server(balancer, server, values, now)
+    balancer.latency.update(learned.latency)
+    balancer.latency.update_mean()
+    _restore_admission(balancer.admission, learned.admission)
+    balancer.quotas.due.update(learned.quotas_due)
+    balancer.outliers.failure_rate = learned.failure_rate
+    balancer.outliers.recent_failure_rate = learned.recent_failure_rate
+    balancer.slow_start.rate.mean = learned.mean_rate
+    balancer.slow_start.rate.peak = learned.peak_rate
+    balancer.budget.window.restore(learned.slots)
+    balancer.reviewed_at = now
+    balancer.must_poll = False  # the watch goes on where the other process's is
+
+
+def _read(balancer: Balancer, saved: Saved) -> _Learned:
+    servers = [
         (balancer.servers[name], values)
         for name, values in saved["servers"].items()
         if name in balancer.servers
     ]
-    for _, values in records:
+    admission = [float(value) for value in saved["admission"]]
+    recent_failure_rate, mean_rate, peak_rate = map(float, saved["copy"])
+    if len(admission) != ADMISSION_VALUES:
+        raise ValueError(f"expected {ADMISSION_VALUES} values of admission")
+    for _, values in servers:
         if len(values) != len(_SERVER_FIELDS) + 2:
             raise ValueError("expected a server's record")
-    for server, values in records:
-        _restore_server(balancer, server, values, now)
-    balancer.latency.update(latency)
-    balancer.latency.update_mean()
-    admission = balancer.admission
-    admission.limit = limit
-    admission.credit = credit
-    admission.credited_at = int(credited_at)
-    admission.window.served_us = served_us
-    admission.latency_ratio = latency_ratio
-    admission.usual_value.mean = usual_value
-    admission.window_size = int(window_size)
-    admission.capacity = capacity
-    balancer.quotas.due.update(due)
-    balancer.outliers.failure_rate = failure_rate
-    balancer.outliers.recent_failure_rate = recent_failure_rate
-    balancer.slow_start.rate.mean = mean_rate
-    balancer.slow_start.rate.peak = peak_rate
-    balancer.reviewed_at = now
-    balancer.must_poll = False  # the watch goes on where the other process's is
-    balancer.budget.window.restore(slots)
+    return _Learned(
+        servers=servers,
+        latency={
+            name: _read_latency(values)
+            for name, values in saved["latency"].items()
+            if name in balancer.latency
+        },
+        admission=admission,
+        quotas_due={n: float(at) for n, at in saved["due"].items() if n in balancer.quotas.due},
+        failure_rate=float(saved["rate"]),
+        recent_failure_rate=recent_failure_rate,
+        mean_rate=mean_rate,
+        peak_rate=peak_rate,
+        slots=[
+            Slot(int(second), float(first), float(further), dict(by_tenant))
+            for second, (first, further), by_tenant in saved["slots"]
+        ],
+    )
 
 
 def _read_latency(values: list[float]) -> LatencyAverage:
@@ -136,6 +144,31 @@
     return latency
 
 
+def _save_admission(admission: AdmissionControl) -> list[float]:
+    return [
+        admission.limit,
+        admission.credit,
+        admission.credited_at,
+        admission.window.served_us,
+        admission.latency_ratio,
+        admission.usual_value.mean,
+        admission.window_size,
+        admission.capacity,
+    ]
+
+
+def _restore_admission(admission: AdmissionControl, values: list[float]) -> None:
+    """Take over what ``_save_admission`` returned."""
+    admission.limit = values[0]
+    admission.credit = values[1]
+    admission.credited_at = int(values[2])
+    admission.window.served_us = values[3]
+    admission.latency_ratio = values[4]
+    admission.usual_value.mean = values[5]
+    admission.window_size = int(values[6])
+    admission.capacity = values[7]
+
+
 def _restore_server(balancer: Balancer, server: Server, values: list[Any], now: int) -> None:
     *facts, max_in_flight, in_subset = values
     if facts[:2] != [server.started, server.address]:
