--- a/oakbridge/cli/fleet.py
+++ b/oakbridge/cli/fleet.py
@@ -3,27 +3,30 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import itertools
 import json
-import time
-from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 import click
-from rich import box
 from rich.console import Console, Group
 from rich.live import Live
-from rich.table import Table
-from rich.text import Text
 
 from oakbridge.cli.common import BadInput, Failed, say_json
-from oakbridge.cli.peers import STYLE
+from oakbridge.cli.fleet_view import (
+    agent_row,
+    fleet_view,
+    health_by_name,
+    health_changes,
+    instance_rows,
+    members_view,
+)
 from oakbridge.fleet import messages, pki
-from oakbridge.fleet.client import AgentResponse, FleetClient
+from oakbridge.fleet.client import FleetClient
 from oakbridge.fleet.errors import InventoryError, PkiError
-from oakbridge.fleet.health import instance_health, is_healthy
+from oakbridge.fleet.health import is_healthy
 from oakbridge.fleet.identity import Identity, IdentityKind, Role
 from oakbridge.fleet.inventory import (
     INVENTORY_FILE,
@@ -42,7 +45,7 @@
 
 
 def via_options(function: Callable[..., Any]) -> Callable[..., Any]:
-    """One member that tells of all of them, and the secret to ask it with."""
+    """Add the options for a member that is asked for all that it knows, and for its secret."""
     function = click.option(
         "--secret-file", type=click.Path(path_type=Path), help="The members' secret, for --via."
     )(function)
@@ -52,7 +55,7 @@
 
 
 async def members_by(via: str, secret_file: Path | None, within: float = 5.0) -> list[dict[str, Any]]:
-    """Whom the member at this address knows.  Raises BadInput or Failed."""
+    """Return the members that the member at an address knows.  Raises BadInput or Failed."""
     from oakbridge.config.load import BadFile
     from oakbridge.config.peers import read_secret
     from oakbridge.node.listing import ConfigError, parse_address
@@ -164,7 +167,11 @@
 
 
 def operator_of(folder: Path, name: str, within_s: float) -> FleetClient:
-    """An operator's end of the protocol, by the fleet's folder and the name of its certificate."""
+    """Return the client of an operator, by the fleet's folder and the name of the certificate.
+
+    Raises:
+        BadInput: if the inventory or the certificate can't be used, or there are no agents.
+    """
     inventory = _read(folder)
     if not inventory.agents:
         raise BadInput(
@@ -201,14 +208,14 @@
         if any(m["state"] in ("suspect", "failed") for m in members):
             raise click.exceptions.Exit(1)
         return
-    asker = operator_of(folder, operator, within)
-    heard = asyncio.run(asker.call_all(messages.StatusRequest()))
-    rows = [row for h in heard for row in instances(h)]
+    client = operator_of(folder, operator, within)
+    responses = asyncio.run(client.call_all(messages.StatusRequest()))
+    rows = instance_rows(responses)
     if as_json:
-        say_json({"agents": [agent_row(h) for h in heard], "instances": rows})
+        say_json({"agents": [agent_row(r) for r in responses], "instances": rows})
     else:
-        Console().print(fleet_view(heard, rows))
-    if any(h.status != 200 for h in heard) or not all(is_healthy(r["health"]) for r in rows):
+        Console().print(fleet_view(responses, rows))
+    if not all(r.ok for r in responses) or not all(is_healthy(row["health"]) for row in rows):
         raise click.exceptions.Exit(1)
 
 
@@ -222,104 +229,31 @@
 )
 def watch(folder: Path, operator: str, every: float, count: int, as_json: bool) -> None:
     """Show the fleet as it is, again and again; what is well is summed up, what is not has a line."""
-    asker = operator_of(folder, operator, max(1.0, every))
+    client = operator_of(folder, operator, max(1.0, every))
     console = Console()
-
-    async def run(live: Live | None) -> None:
-        before: dict[str, str] = {}
-        for number in itertools.count(1):
-            heard = await asker.call_all(messages.StatusRequest())
-            rows = [row for h in heard for row in instances(h)]
-            if live is not None:
-                live.update(fleet_view(heard, rows, all_rows=False), refresh=True)
-            elif as_json:
-                before = _say_changes(heard, rows, before)
-            else:
-                console.print(fleet_view(heard, rows, all_rows=False))
-            if number == count:
-                return
-            await asyncio.sleep(every)
-
     if as_json or not console.is_terminal:
-        asyncio.run(run(None))
+        asyncio.run(_watch(client, every, count, None if as_json else console.print))
     else:
         with Live(console=console, auto_refresh=False) as live:
-            asyncio.run(run(live))
-
-
-def _say_changes(
-    heard: list[AgentResponse], rows: list[dict[str, Any]], before: dict[str, str]
-) -> dict[str, str]:
-    """A line for each name whose word is another than before."""
-    now = {h.agent: "unknown" for h in heard if h.status != 200}
-    now |= {f"{row['agent']}/{row['name']}": str(row["health"]) for row in rows}
-    for name in sorted(now.keys() | before.keys()):
-        if now.get(name) != before.get(name):
-            click.echo(json.dumps({
-                "time": round(time.time(), 3), "name": name, "was": before.get(name), "is": now.get(name),
-            }))  # fmt: skip
-    return now
-
-
-def agent_row(heard: AgentResponse) -> dict[str, Any]:
-    """What is known of an agent; without an answer nothing is claimed."""
-    if heard.status != 200:
-        return {
-            "agent": heard.agent,
-            "state": "unknown",
-            "error": heard.error or heard.body.get("error", ""),
-        }
-    told = heard.body
-    return {
-        "agent": heard.agent, "state": "answers", "pid": told["pid"], "lease": told["lease"],
-        "zone": told.get("zone", ""), "version": told.get("version", ""),
-        "instances": len(told["instances"]), "clock_off_s": round(told["time"] - time.time(), 3),
-    }  # fmt: skip
-
-
-def instances(heard: AgentResponse) -> list[dict[str, Any]]:
-    """What is known of an agent's instances, with one word for how each is."""
-    if heard.status != 200:
-        return []
-    return [{"agent": heard.agent, "health": instance_health(row), **row} for row in heard.body["instances"]]
-
-
-def members_view(members: list[dict[str, Any]]) -> Group:
-    """What one member knows of all, for people."""
-    table = Table(box=box.SIMPLE_HEAD, pad_edge=False)
-    for name in ("member", "site", "state", "by", "address", "version"):
-        table.add_column(name, no_wrap=True, overflow="ellipsis", max_width=28)
-    for row in members:
-        state = Text(row["state"], style=STYLE.get(row["state"], ""))
-        table.add_row(row["name"], row["site"], state, row["by"], row["address"], row["version"])
-    counts = Counter(row["state"] for row in members)
-    return Group(table, Text(", ".join(f"{n} {word}" for word, n in counts.most_common())))
-
-
-def fleet_view(heard: list[AgentResponse], rows: list[dict[str, Any]], all_rows: bool = True) -> Group:
-    """The fleet for people, within 80 columns: instances, then agents that do not answer, then the sum."""
-    table = Table(box=box.SIMPLE_HEAD, pad_edge=False)
-    table.add_column("instance", no_wrap=True, overflow="ellipsis", max_width=28)
-    table.add_column("health", no_wrap=True)
-    for name in ("gen", "servers", "req/s"):
-        table.add_column(name, justify="right", no_wrap=True)
-    table.add_column("crashes, last words", no_wrap=True, overflow="ellipsis", max_width=26)
-    for row in rows:
-        if all_rows or not is_healthy(row["health"]):
-            node, crashes = row["node"], row["crashes"]
-            words = f"{crashes}: {row['last_exit']}" if crashes else ""
-            table.add_row(
-                f"{row['agent']}/{row['name']}",
-                Text(row["health"], style="green" if is_healthy(row["health"]) else "red"),
-                str(row["generation"]), str(node.get("servers", "")), str(node.get("attempts_per_s", "")), words,
-            )  # fmt: skip
-    lines = [
-        Text(f"{h.agent}: unknown: {agent_row(h)['error']}", style="yellow", no_wrap=True, overflow="ellipsis")
-        for h in heard if h.status != 200
-    ]  # fmt: skip
-    counts = Counter(row["health"] for row in rows)
-    told = ", ".join(f"{n} {word}" for word, n in counts.most_common()) or "no instances"
-    generations = Counter(row["generation"] for row in rows)
-    runs = ", ".join(f"{n} at {number}" for number, n in sorted(generations.items(), reverse=True)[:4])
-    total = Text(f"{told}; {len(lines)} of {len(heard)} agents unknown; generations: {runs or 'none'}")
-    return Group(*([table] if table.row_count else []), *lines, total)
+            show = functools.partial(live.update, refresh=True)
+            asyncio.run(_watch(client, every, count, show))
+
+
+async def _watch(
+    client: FleetClient, every_s: float, count: int, show: Callable[[Group], object] | None
+) -> None:
+    """Poll the fleet ``count`` times (0: for ever); without ``show``, write changes as lines of JSON."""
+    before: dict[str, str] = {}
+    for number in itertools.count(1):
+        responses = await client.call_all(messages.StatusRequest())
+        rows = instance_rows(responses)
+        if show is not None:
+            show(fleet_view(responses, rows, all_rows=False))
+        else:
+            now = health_by_name(responses, rows)
+            for change in health_changes(before, now):
+                click.echo(json.dumps(change))
+            before = now
+        if number == count:
+            return
+        await asyncio.sleep(every_s)
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -240,13 +240,35 @@
     assert host.step(2, "n9", 1).status == 404
 
 
-def test_fleet_commands_from_init_to_status(tmp_path):
+@pytest.fixture
+def call(tmp_path):
+    """Calls a command of ``oakbridge fleet`` in a folder of its own."""
+
     def call(*words: str):
         command = [sys.executable, "-m", "oakbridge.cli", "fleet", *words]
         return subprocess.run(
             command, cwd=tmp_path, env=environment(), capture_output=True, text=True, timeout=LIMIT
         )
 
+    return call
+
+
+def test_fleet_watch_writes_each_change_of_health_once(call):
+    port = free_ports(1)[0]
+    call("init", "bergen")
+    call("add-agent", "h1", f"127.0.0.1:{port}")
+    done = call("watch", "--every", "0.2", "--count", "2", "--json")
+    assert (done.returncode, done.stderr) == (0, "")
+    [line] = done.stdout.splitlines()
+    change = json.loads(line)
+    assert change.pop("time") > 0
+    assert change == {"name": "h1", "was": None, "is": "unknown"}
+    done = call("watch", "--every", "0.2", "--count", "2")
+    assert done.returncode == 0
+    assert done.stdout.count("no instances; 1 of 1 agents unknown; generations: none") == 2
+
+
+def test_fleet_commands_from_init_to_status(call, tmp_path):
     assert call("status").returncode == 2
     assert call("init", "bergen").returncode == 0
     assert "there is one already" in call("init", "bergen").stderr
