--- a/oakbridge/agent/config.py
+++ b/oakbridge/agent/config.py
@@ -9,7 +9,8 @@
 
 from oakbridge.agent.errors import AgentConfigError, StoreError
 from oakbridge.agent.generations import check_name
-from oakbridge.node.listing import Address, ConfigError, parse_address
+from oakbridge.node.address import Address, parse_address
+from oakbridge.node.errors import ConfigError
 
 MAX_INSTANCES = 200
 KEYS = (
--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -158,7 +158,7 @@
             again = await node.caller()
             again.send(X_Request_ID="same")
             assert (await again.answer())[0] == 200
-            assert not node.node.open
+            assert not node.node.forwarder.open_ids
 
     run(scenario())
 
@@ -175,9 +175,9 @@
             assert (await caller.answer())[0] == 404
             assert await caller.ended() == b""
             assert peer.seen.qsize() == 1
-            assert (server.score, server.out) == (score, {})
+            assert (server.score, server.in_flight) == (score, {})
             assert node.node.balancer.budget.left(node.node.clock.now()) >= left
-            assert not node.node.balancer.calls
+            assert not node.node.balancer.requests
 
     run(scenario())
 
@@ -314,6 +314,6 @@
 
 async def node_is_empty(node) -> bool:
     """Return whether nothing is retained of any request, once the balancer has had all events."""
-    await until(lambda: not node.node.requests)
+    await until(lambda: not node.node.forwarder.requests)
     balancer = node.node.balancer
-    return not node.node.open and not balancer.calls and balancer.admission.out == 0
+    return not node.node.forwarder.open_ids and not balancer.requests and balancer.admission.in_flight == 0
