--- a/oakbridge/cli/rollout/commands.py
+++ b/oakbridge/cli/rollout/commands.py
@@ -16,12 +16,11 @@
     CALL_TIMEOUT_S,
     RolloutSession,
     find_targets,
-    open_journal,
+    read_journal,
     rollback_sources,
 )
 from oakbridge.rollout.change import Drain, RollBackRollout, Undrain
 from oakbridge.rollout.coordinator import RolloutOptions
-from oakbridge.rollout.journal import JournalError
 
 undo_option = click.option("--undo", is_flag=True, help="Take it back everywhere if it has to be halted.")
 why_option = click.option("--why", default="", help="What it is for, for the history.")
@@ -161,10 +160,7 @@
 ) -> None:
     """Roll out what each instance ran before a rollout that it took."""
     change = RollBackRollout(rollout)
-    try:
-        sources = rollback_sources(open_journal(folder), change)
-    except JournalError as error:
-        raise BadInput(str(error)) from None
+    sources = read_journal(folder, lambda journal: rollback_sources(journal, change))
     if not sources:
         raise BadInput(f"rollout {rollout}: no instance took it that ran anything before")
     session = RolloutSession(folder, operator, options, as_json)
@@ -181,8 +177,5 @@
 @timing_options
 def resume(folder: Path, operator: str, rollout: int, options: RolloutOptions, as_json: bool) -> None:
     """Resume a rollout from the journal."""
-    try:
-        open_journal(folder).entry(rollout)
-    except JournalError as error:
-        raise BadInput(str(error)) from None
+    read_journal(folder, lambda journal: journal.entry(rollout))  # before the lease is acquired
     RolloutSession(folder, operator, options, as_json).resume(rollout)
--- a/oakbridge/cli/rollout/doctor_command.py
+++ b/oakbridge/cli/rollout/doctor_command.py
@@ -37,18 +37,18 @@
     """
     members = None if via is None else asyncio.run(members_by(via, secret_file))
     client = operator_of(folder, operator, CALL_TIMEOUT_S)
-    journal = open_journal(folder)
-    responses = asyncio.run(client.call_all(messages.StatusRequest()))
+    with open_journal(folder) as journal:
+        responses = asyncio.run(client.call_all(messages.StatusRequest()))
+        try:
+            entries = journal.entries()
+        except JournalError as error:
+            raise BadInput(str(error)) from None
     answers: dict[str, dict[str, Any] | str] = {
         response.agent: response.body
         if response.status == 200
         else response.error or str(response.body.get("error", ""))
         for response in responses
     }
-    try:
-        entries = journal.entries()
-    except JournalError as error:
-        raise BadInput(str(error)) from None
     findings = diagnose(answers, entries, time.time(), _days_left(folder), members)
     bad_count = sum(1 for finding in findings if finding.severity is Severity.BAD)
     if as_json:
--- a/oakbridge/cli/rollout/journal_commands.py
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -13,13 +13,13 @@
 from rich.console import Console
 from rich.table import Table
 
-from oakbridge.cli.common import BadInput, say_json
+from oakbridge.cli.common import say_json
 from oakbridge.cli.fleet import command, folder_option, operator_of, operator_option
-from oakbridge.cli.rollout.session import CALL_TIMEOUT_S, open_journal
+from oakbridge.cli.rollout.session import CALL_TIMEOUT_S, open_journal, read_journal
 from oakbridge.fleet import messages
 from oakbridge.fleet.client import FleetClient
 from oakbridge.rollout.change import ReplaceFiles
-from oakbridge.rollout.journal import Journal, JournalEntry, JournalError
+from oakbridge.rollout.journal import Journal, JournalEntry
 from oakbridge.rollout.rebuild import RebuiltRollout, rebuild
 
 ALL_ENTRIES = 1_000_000
@@ -30,10 +30,7 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def history(folder: Path, as_json: bool) -> None:
     """Show past rollouts, and those that stand still."""
-    try:
-        entries = open_journal(folder).entries()
-    except JournalError as error:
-        raise BadInput(str(error)) from None
+    entries = read_journal(folder, Journal.entries)
     if as_json:
         say_json([_entry_json(entry) for entry in entries])
     else:
@@ -81,10 +78,10 @@
 def rebuild_journal(folder: Path, operator: str, as_json: bool) -> None:
     """Add the rollouts that the journal lacks and agents remember."""
     client = operator_of(folder, operator, CALL_TIMEOUT_S)
-    journal = open_journal(folder)
-    entries, silent = asyncio.run(_missing_entries(client, journal))
-    for entry in entries:
-        journal.add(entry)
+    with open_journal(folder) as journal:
+        entries, silent = asyncio.run(_missing_entries(client, journal))
+        for entry in entries:
+            journal.add(entry)
     if as_json:
         say_json({"rebuilt": [entry.id for entry in entries], "silent": silent})
         return
--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 import click
 from rich.console import Console
@@ -32,6 +32,8 @@
 REFRESH_S = 0.25  # the least time between two pictures of the live view
 CALL_TIMEOUT_S = 5.0  # of one call to an agent
 
+Result = TypeVar("Result")
+
 
 @dataclass(frozen=True, slots=True)
 class RolloutResult:
@@ -96,9 +98,8 @@
     ) -> RolloutResult:
         """Run under the lease, which is released however the run ends."""
         operator = operator_of(self.folder, self.operator_name, CALL_TIMEOUT_S)
-        journal = open_journal(self.folder)
 
-        async def run_and_release() -> RolloutResult:
+        async def run_and_release(journal: Journal) -> RolloutResult:
             held = await acquire_lease(operator)
             result: RolloutResult | None = None
             try:
@@ -108,10 +109,11 @@
                 await operator.release_lease(held if result is None else result.coordinator.held)
                 operator.close()
 
-        try:
-            return asyncio.run(run_and_release())
-        except JournalError as error:
-            raise BadInput(str(error)) from None
+        with open_journal(self.folder) as journal:
+            try:
+                return asyncio.run(run_and_release(journal))
+            except JournalError as error:
+                raise BadInput(str(error)) from None
 
     async def _coordinate(
         self,
@@ -238,6 +240,15 @@
     }
 
 
+def read_journal(folder: Path, read: Callable[[Journal], Result]) -> Result:
+    """Return what ``read`` reads in the fleet's journal.  Raise BadInput if it cannot be read."""
+    try:
+        with Journal(folder) as journal:
+            return read(journal)
+    except JournalError as error:
+        raise BadInput(str(error)) from None
+
+
 def open_journal(folder: Path) -> Journal:
     """Return the fleet's journal.  Raise BadInput if it cannot be used."""
     try:
--- a/oakbridge/rollout/journal.py
+++ b/oakbridge/rollout/journal.py
@@ -15,7 +15,7 @@
 import time
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, Self
 
 from oakbridge.rollout.change import Change, decode_change, encode_change
 from oakbridge.rollout.record import RolloutRecord, decode_record, encode_record
@@ -55,13 +55,23 @@
 
 
 class Journal:
-    """The file ``journal.db`` of a fleet's folder."""
+    """The file ``journal.db`` of a fleet's folder; ``with`` closes it."""
 
     def __init__(self, folder: Path) -> None:
         """Open it, or create it.  Raise :class:`JournalError` if it has another format."""
         path = folder / "journal.db"
         try:
             self._db = sqlite3.connect(path, isolation_level=None, timeout=BUSY_TIMEOUT_S)
+        except sqlite3.DatabaseError as error:
+            raise JournalError(str(error), str(path)) from None
+        try:
+            self._prepare(path)
+        except BaseException:
+            self._db.close()
+            raise
+
+    def _prepare(self, path: Path) -> None:
+        try:
             self._db.execute("PRAGMA journal_mode = WAL")
             self._db.execute("PRAGMA synchronous = FULL")
             version = self._db.execute("PRAGMA user_version").fetchone()[0]
@@ -72,6 +82,14 @@
         except sqlite3.DatabaseError as error:
             raise JournalError(str(error), str(path)) from None
 
+    def __enter__(self) -> Self:
+        """Return the journal itself."""
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        """Close the file."""
+        self.close()
+
     def close(self) -> None:
         """Close the file."""
         self._db.close()
