--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -23,7 +23,7 @@
 from oakbridge.rollout.change import Change, RollBackRollout
 from oakbridge.rollout.coordinator import Coordinator, RolloutOptions
 from oakbridge.rollout.journal import Journal, JournalEntry, JournalError
-from oakbridge.rollout.lease_keeper import LEASE_S
+from oakbridge.rollout.lease_holder import LEASE_S
 from oakbridge.rollout.plan import Target
 from oakbridge.rollout.record import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
 
--- a/oakbridge/rollout/__init__.py
+++ b/oakbridge/rollout/__init__.py
@@ -5,6 +5,6 @@
 ``record`` and ``actions``; ``change`` (what is changed), ``step_report`` (what agents report),
 ``rebuild`` and ``doctor``.
 
-Input and output: ``coordinator`` carries out one rollout with ``lease_keeper``, ``step_sender``
+Input and output: ``coordinator`` carries out one rollout with ``lease_holder``, ``step_sender``
 and ``agent_watcher``; ``journal`` is the operator's record of rollouts on disk.
 """
--- a/oakbridge/rollout/coordinator.py
+++ b/oakbridge/rollout/coordinator.py
@@ -1,7 +1,7 @@
 """The coordinator of a rollout: feeds the state machine with reports and carries out its actions.
 
 It makes no decisions: those are the state machine's and the gate's.  Sending is the
-``StepSender``'s, polling the ``AgentWatcher``'s, and the lease the ``LeaseKeeper``'s part.
+``StepSender``'s, polling the ``AgentWatcher``'s, and the lease the ``LeaseHolder``'s part.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from oakbridge.rollout.gate import GateResult, GateRules, ResponseCounts, Verdict
 from oakbridge.rollout.gate_window import FleetView, GateWindow
 from oakbridge.rollout.journal import Journal, JournalEntry
-from oakbridge.rollout.lease_keeper import LeaseKeeper
+from oakbridge.rollout.lease_holder import LeaseHolder
 from oakbridge.rollout.machine import RolloutMachine
 from oakbridge.rollout.plan import Target
 from oakbridge.rollout.record import InstanceOutcome, Phase
@@ -75,7 +75,7 @@
         self._targets = {target.name: target for wave in entry.record.waves for target in wave}
         self._names_by_agent = _names_by_agent(self._targets)
         self._watcher = AgentWatcher(operator, tuple(self._names_by_agent), self._poll_interval_s)
-        self._lease = LeaseKeeper(operator, held, on_granted=self._watcher.request_poll, on_lost=self._stop)
+        self._lease = LeaseHolder(operator, held, on_granted=self._watcher.request_poll, on_lost=self._stop)
         self._sender = StepSender(
             operator,
             self._lease,
--- a/oakbridge/rollout/lease_keeper.py
+++ b/oakbridge/rollout/lease_holder.py
@@ -13,7 +13,7 @@
 _LEASE_US = int(LEASE_S * 1e6)
 
 
-class LeaseKeeper:
+class LeaseHolder:
     """The lease of one tool; ``on_lost`` is called with the reason once it is lost."""
 
     def __init__(
--- a/oakbridge/rollout/step_sender.py
+++ b/oakbridge/rollout/step_sender.py
@@ -11,7 +11,7 @@
 from oakbridge.rollout.agent_watcher import AgentWatcher
 from oakbridge.rollout.change import Change, Drain, Files, ReplaceFiles
 from oakbridge.rollout.change_error import ChangeError
-from oakbridge.rollout.lease_keeper import LeaseKeeper
+from oakbridge.rollout.lease_holder import LeaseHolder
 from oakbridge.rollout.plan import Target
 
 RETRY_S = 0.5  # before a step without an answer is sent again
@@ -31,7 +31,7 @@
     def __init__(
         self,
         operator: FleetClient,
-        lease: LeaseKeeper,
+        lease: LeaseHolder,
         watcher: AgentWatcher,
         rollout: int,
         change: Change,
--- a/tests/rollout/test_simulated_fleet.py
+++ b/tests/rollout/test_simulated_fleet.py
@@ -269,7 +269,7 @@
 
 
 def test_a_lease_is_lost_when_another_tool_takes_it_and_nothing_more_is_sent(tmp_path, monkeypatch):
-    monkeypatch.setattr("oakbridge.rollout.lease_keeper.RENEW_S", 0.05)
+    monkeypatch.setattr("oakbridge.rollout.lease_holder.RENEW_S", 0.05)
 
     async def test():
         async with SimulatedFleet(tmp_path, 3) as fleet:
