--- a/tests/rollout/test_protocol.py
+++ b/tests/rollout/test_protocol.py
@@ -315,7 +315,7 @@
 
     def _arrive_step(self, who, host, step, problem):
         if refused := self.agents[host].order(self.now, step, who, problem):
-            self.in_transit.append(("refused", who, host, (step.id, refused)))
+            self.in_transit.append(("refused", who, host, (step.step_id, refused)))
 
     def _arrive_refused(self, who, host, refusal):
         tool = self.tools[who]
