--- a/oakbridge/cli/check.py
+++ b/oakbridge/cli/check.py
@@ -8,9 +8,10 @@
 
 from oakbridge.cli.common import BadInput, say_json
 from oakbridge.cli.serve import file_options
-from oakbridge.config.load import BadFile, load
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.load import load
 from oakbridge.config.reference import page
-from oakbridge.sources.inspect import inspect
+from oakbridge.sources.inspection import inspect_server_files
 
 
 @click.command("check")
@@ -29,7 +30,7 @@
         options = file_options(loaded)
         told = f"{len(loaded.file.classes)} classes, {len(loaded.file.tenants)} tenants"
         if options is not None:
-            found = inspect(options.path, options.directory)
+            found = inspect_server_files(options.path, options.is_directory)
             problems = found.problems
             told += f", {len(found.parsed.servers)} servers in {options.path}"
         elif loaded.file.servers.inline:
@@ -42,13 +43,13 @@
             from oakbridge.config.sites import sites_of
 
             sites_of(loaded)
-    except BadFile as e:
+    except ConfigFileError as e:
         problems = [*problems, *e.problems]
     if as_json:
         say_json({
             "ok": not problems,
             "problems": [
-                {"file": p.file, "line": p.line, "field": p.where(), "expected": p.expected} for p in problems
+                {"file": p.file, "line": p.line, "field": p.field_name(), "expected": p.expected} for p in problems
             ],
         })  # fmt: skip
     elif problems:
--- a/oakbridge/sites/scheme.py
+++ b/oakbridge/sites/scheme.py
@@ -10,11 +10,13 @@
 import msgspec
 from pydantic import Field
 
-from oakbridge.config.load import MAX_BYTES, BadFile, checked
-from oakbridge.config.schema import Name, Number, Table
-from oakbridge.sources.files import write_whole
-from oakbridge.sources.formats import Problem
-from oakbridge.sources.locate import lines_of, nearest
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.field_types import Name, Number, Table
+from oakbridge.config.toml_file import in_file_order, parse_tables, read_bounded
+from oakbridge.sources.atomic_file import write_atomically
+from oakbridge.sources.decoding import FileKind
+from oakbridge.sources.field_lines import field_lines, nearest_line
+from oakbridge.sources.problem import Problem
 
 MOST_SITES = 64
 AT_ONCE = 2  # sites whose loss together is planned for
@@ -90,25 +92,16 @@
 
 
 def load_sites(path: Path) -> tuple[SitesFile, str]:
-    """The file and its digest.  Raises BadFile with every mistake."""
-    data = _read(path)
-    file = checked(data, str(path), SitesFile)
-    lines = lines_of(data, "toml")
-    found = [Problem(str(path), at, text, nearest(lines, at)) for at, text in _mistakes(file)]
+    """The file and its digest.  Raises ConfigFileError with every mistake."""
+    data = read_bounded(path)
+    file = parse_tables(data, str(path), SitesFile)
+    lines = field_lines(data, FileKind.TOML)
+    found = [Problem(str(path), at, text, nearest_line(lines, at)) for at, text in _mistakes(file)]
     if found:
-        raise BadFile(sorted(found, key=lambda p: (p.line or 0, p.where())))
+        raise ConfigFileError(in_file_order(found))
     return file, hashlib.sha256(data).hexdigest()[:16]
 
 
-def _read(path: Path) -> bytes:
-    try:
-        if path.stat().st_size > MAX_BYTES:
-            raise BadFile([Problem(str(path), (), f"expected at most {MAX_BYTES} bytes")])
-        return path.read_bytes()
-    except OSError as e:
-        raise BadFile([Problem(str(path), (), e.strerror or str(e))]) from None
-
-
 def _mistakes(file: SitesFile) -> Iterator[tuple[tuple[str | int, ...], str]]:
     sites, classes = {s.name for s in file.sites}, {c.name for c in file.classes}
     keys: tuple[tuple[str, list[tuple[str, ...]]], ...] = (
@@ -173,18 +166,18 @@
 
 
 def load_plan(path: Path) -> Plan:
-    """Read and check a plan.  Raises BadFile with every mistake."""
+    """Read and check a plan.  Raises ConfigFileError with every mistake."""
     try:
-        plan = msgspec.json.decode(_read(path), type=Plan)
+        plan = msgspec.json.decode(read_bounded(path), type=Plan)
     except msgspec.DecodeError as e:
-        raise BadFile(
+        raise ConfigFileError(
             [Problem(str(path), (), f"expected a plan made by `oakbridge sites plan`: {e}")]
         ) from None
     if wrong := check_plan(plan):
-        raise BadFile([Problem(str(path), (), text) for text in wrong])
+        raise ConfigFileError([Problem(str(path), (), text) for text in wrong])
     return plan
 
 
 def save_plan(path: Path, plan: Plan) -> None:
     """Write it whole.  Raises OSError."""
-    write_whole(path, msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n")
+    write_atomically(path, msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n")
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -4,10 +4,13 @@
 
 import pytest
 
-from oakbridge.config.load import BadFile, check, inline_entries, load
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.load import check, load
+from oakbridge.config.node_config import inline_endpoints
 from oakbridge.config.reference import page
 from oakbridge.control.paths import default_socket_path
-from oakbridge.sources.locate import lines_of
+from oakbridge.sources.decoding import FileKind
+from oakbridge.sources.field_lines import field_lines
 
 ROOT = Path(__file__).parents[2]
 GOOD = """\
@@ -44,9 +47,9 @@
 
 
 def problems(text: str) -> list[tuple[int | None, str, str]]:
-    with pytest.raises(BadFile) as e:
+    with pytest.raises(ConfigFileError) as e:
         check(text.encode(), "f.toml")
-    return [(p.line, p.where(), p.expected) for p in e.value.problems]
+    return [(p.line, p.field_name(), p.expected) for p in e.value.problems]
 
 
 def test_a_file_becomes_a_nodes_configuration(tmp_path):
@@ -124,12 +127,12 @@
 
 
 def test_bytes_that_are_no_text_are_named_by_line():
-    with pytest.raises(BadFile, match="f.toml:2: expected UTF-8, got the byte 0xff"):
+    with pytest.raises(ConfigFileError, match="f.toml:2: expected UTF-8, got the byte 0xff"):
         check(b"# fine\n\xff\n", "f.toml")
 
 
 def test_a_missing_file_is_one_line(tmp_path):
-    with pytest.raises(BadFile, match="No such file"):
+    with pytest.raises(ConfigFileError, match="No such file"):
         load(tmp_path / "nothing.toml")
 
 
@@ -137,7 +140,7 @@
     text = GOOD.replace(
         'file = "servers.toml"', 'inline = [\n{name = "a", address = "127.0.0.1:1", weight = 2},\n]'
     )
-    [entry] = inline_entries(check(text.encode(), "f"))
+    [entry] = inline_endpoints(check(text.encode(), "f"))
     assert (entry.server.id, entry.server.weight, entry.address) == ("a", 2.0, ("127.0.0.1", 1))
     [(line, field, says)] = problems(text.replace('"127.0.0.1:1"', '"x"'))
     assert (line, field) == (8, "servers.inline[0].address") and "IPv4" in says
@@ -145,7 +148,7 @@
 
 def test_lines_are_found_in_nested_and_quoted_tables():
     text = b'a."b.c" = 1\n[x.y]\nz = [\n 1,\n 2]\n[[x.w]]\nk = {p = 1}\n[[x.w]]\n[x.w.deep]\nq = 1\n'
-    lines = lines_of(text, "toml")
+    lines = field_lines(text, FileKind.TOML)
     assert lines["a", "b.c"] == 1 and lines["x", "y", "z", 1] == 5
     assert lines["x", "w", 0, "k", "p"] == 7 and lines["x", "w", 1] == 8
     assert lines["x", "w", 1, "deep", "q"] == 10
--- a/tests/workers/test_limits.py
+++ b/tests/workers/test_limits.py
@@ -38,7 +38,7 @@
     # What the balancer makes of them: the least and the first limits add up, and so does the retry
     # budget for the same traffic, of which each worker has its part.
     node, worker = balancer_of(node_config()), balancer_of(configs[0])
-    assert worker.admission.min_limit * worker_count == pytest.approx(node.admission.least)
+    assert worker.admission.min_limit * worker_count == pytest.approx(node.admission.min_limit)
     assert worker.admission.limit * worker_count == pytest.approx(node.admission.limit)
     for balancer, replicas in ((node, 1), (worker, worker_count)):
         for i in range(120 // replicas):
