--- a/oakbridge/sources/list_version.py
+++ b/oakbridge/sources/list_version.py
@@ -5,7 +5,6 @@
 import dataclasses
 from collections.abc import Callable
 from dataclasses import dataclass
-from enum import Enum, auto
 from typing import NamedTuple
 
 from oakbridge.node.address import Address
@@ -63,7 +62,7 @@
     """
     base_servers = base.servers if base is not None else {}
     newcomer_started_at_us = now_us if base is not None else 0
-    names: dict[_Difference, list[str]] = {difference: [] for difference in _Difference}
+    added, updated, moved = [], [], []
     servers: dict[str, ListedEndpoint] = {}
     for count, (name, listed) in enumerate(parsed.servers.items()):
         if count % BATCH_SIZE == 0:
@@ -71,40 +70,29 @@
         before, entry = base_servers.get(name), listed
         if name not in parsed.with_start_time:
             entry = _with_start_time(entry, before, newcomer_started_at_us)
-        difference = _difference(before, entry)
-        names[difference].append(name)
-        if before is not None and difference is _Difference.NONE:
+        if before is None:
+            added.append(name)
+        elif before == entry:
             entry = before
+        elif before.address == entry.address:
+            updated.append(name)
+        else:
+            moved.append(name)
         servers[name] = entry
     ready = _count_ready(base_servers, servers, pause)
     return ListChange(
         base_number=base.number if base else 0,
         digest=digest,
         servers=servers,
-        added=tuple(names[_Difference.ADDED]),
-        updated=tuple(names[_Difference.UPDATED]),
-        moved=tuple(names[_Difference.MOVED]),
+        added=tuple(added),
+        updated=tuple(updated),
+        moved=tuple(moved),
         removed=tuple(name for name in base_servers if name not in servers),
         lost_ready=ready.lost,
         base_ready=ready.before,
     )
 
 
-class _Difference(Enum):
-    NONE = auto()
-    ADDED = auto()
-    UPDATED = auto()
-    MOVED = auto()
-
-
-def _difference(before: ListedEndpoint | None, entry: ListedEndpoint) -> _Difference:
-    if before is None:
-        return _Difference.ADDED
-    if before == entry:
-        return _Difference.NONE
-    return _Difference.UPDATED if before.address == entry.address else _Difference.MOVED
-
-
 def _with_start_time(
     entry: ListedEndpoint, before: ListedEndpoint | None, newcomer_started_at_us: int
 ) -> ListedEndpoint:
--- a/oakbridge/sources/server_row.py
+++ b/oakbridge/sources/server_row.py
@@ -72,7 +72,7 @@
             self.problem(path, "expected a table of one server" + got(raw))
             return
         name = self._text(raw, path, "name", required=True)
-        address = self._address(raw, (*path, fields.address))
+        address = self._address(raw, path, fields.address)
         if started_at_us is None:
             started_at_us = self._started_at_us(raw, path)
         server = Endpoint(
@@ -101,14 +101,14 @@
         number: float = value
         return number
 
-    def _address(self, raw: dict[str, Any], path: FieldPath) -> Address:
+    def _address(self, raw: dict[str, Any], path: FieldPath, key: str) -> Address:
         try:
             address = parse_address(raw.get("address"))
         except ConfigError as error:
-            self.problem(path, str(error))
+            self.problem((*path, key), str(error))
             return "", 0
         if not address[1]:
-            self.problem(path, f"expected a port above 0, got {raw.get('address')!r:.60}")
+            self.problem((*path, key), "expected a port above 0" + got(raw.get("address")))
         return address
 
     def _text(
