--- a/tests/formats/test_policy_state.py
+++ b/tests/formats/test_policy_state.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from pathlib import Path
 
-from test_balancer import Driver
+from driver import Driver
 
 from oakbridge.policy import state
 from oakbridge.policy.actions import SendAttempt
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from test_balancer import PAY, READ, Driver
+from driver import PAY, READ, Driver
 
 from oakbridge.policy import state
 from oakbridge.policy.actions import SendAttempt
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -1,7 +1,7 @@
 """New settings in a running module, and servers that operators take out and put back."""
 
 import pytest
-from test_balancer import PAY, READ, Driver
+from driver import PAY, READ, Driver
 
 from oakbridge.policy.actions import FailRequest, RejectRequest, SendAttempt
 from oakbridge.policy.events import (
--- a/tests/policy/test_streamed.py
+++ b/tests/policy/test_streamed.py
@@ -1,7 +1,7 @@
 """Requests whose body goes on as it comes, and answers that break behind their beginning."""
 
 import pytest
-from test_balancer import READ, Driver
+from driver import READ, Driver
 
 from oakbridge.policy.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from oakbridge.policy.balancer import UPLOAD_US
--- a/tests/policy/test_versions.py
+++ b/tests/policy/test_versions.py
@@ -1,6 +1,6 @@
 """A request keeps to the list by which its first attempt was sent."""
 
-from test_balancer import Driver
+from driver import Driver
 
 from oakbridge.policy.actions import RejectRequest, SendAttempt
 from oakbridge.policy.events import (
