--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -13,6 +13,7 @@
     RejectRequest,
     SendAttempt,
     SetTimer,
+    WatchEndpoints,
 )
 from oakbridge.policy.events import (
     AttemptResult,
