--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -34,35 +34,37 @@
 PARTS = {"look": 0.5, "status": 0.35, "book": 0.15}
 
 
-def random_file(rng: random.Random, many: int) -> Any:
+def random_topology(rng: random.Random, many: int) -> Any:
     """Sites of unequal size, loads and distances."""
-    from oakbridge.sites.scheme import SitesFile
+    from oakbridge.config.sites_file import SitesFile, topology_of
 
     names, classes = [f"s{n}" for n in range(many)], ["look", "status", "book", "close"]
     whole = {n: rng.uniform(50, 500) for n in names}
     busy = rng.uniform(0.5, 0.95) * sum(whole.values()) / (many * len(classes))
-    return SitesFile.model_validate({
+    file = SitesFile.model_validate({
         "version": 1,
         "site": [{"name": n, "capacity": whole[n], "keep_free": rng.uniform(0, 0.15)} for n in names],
         "class": [{"name": c, "worth": rng.uniform(0.5, 10), "work": rng.uniform(0.5, 2)} for c in classes],
         "load": [{"site": n, "class": c, "rate": rng.uniform(0, 2) * busy} for n in names for c in classes],
         "distance": [{"a": a, "b": b, "cost": rng.uniform(0.1, 5)} for a in names for b in names if a < b],
     })  # fmt: skip
+    return topology_of(file, "")
 
 
 def plans(fleets: int, sites: int) -> int:
     """Worth kept, and time."""
-    from oakbridge.sites.planning import Problem, make, proportional, solve
-    from oakbridge.sites.scheme import losses
+    from oakbridge.sites.plan_file import planned_losses
+    from oakbridge.sites.planning import SiteFigures, compute_plan, solve
+    from oakbridge.sites.proportional_routing import proportional_weight
 
     gains, worse = [], 0
     for seed in range(fleets):
-        problem = Problem(random_file(random.Random(seed), sites))
-        for lost in losses(problem.sites):
-            best, rule = solve(problem, lost), proportional(problem, lost)
-            if lost and best.offered:
-                gains.append((best.worth - rule) / best.offered)
-                worse += best.worth < rule - 1e-6 * best.offered
+        figures = SiteFigures(random_topology(random.Random(seed), sites))
+        for lost in planned_losses(figures.sites):
+            best, rule = solve(figures, lost), proportional_weight(figures, lost)
+            if lost and best.offered_weight:
+                gains.append((best.served_weight - rule) / best.offered_weight)
+                worse += best.served_weight < rule - 1e-6 * best.offered_weight
     gains.sort()
     print(
         f"{fleets} fleets of {sites} sites, {len(gains)} losses: worth kept beyond the rule's, of what is offered: "
@@ -71,9 +73,9 @@
     )
     times = []
     for seed in range(5):
-        file = random_file(random.Random(seed), 10)
+        topology = random_topology(random.Random(seed), 10)
         began = time.perf_counter()
-        plan = make(file, "")
+        plan = compute_plan(topology)
         times.append(time.perf_counter() - began)
     print(f"ten sites, {len(plan.scenarios)} losses planned: {statistics.median(times):.2f} s (median of 5)")
     return 1 if worse else 0
--- a/oakbridge/cli/check.py
+++ b/oakbridge/cli/check.py
@@ -39,9 +39,9 @@
 
             peers_options(loaded)
         if loaded.file.sites is not None:
-            from oakbridge.config.sites import sites_of
+            from oakbridge.config.sites import node_sites
 
-            sites_of(loaded)
+            node_sites(loaded)
     except BadFile as e:
         problems = [*problems, *e.problems]
     if as_json:
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -35,7 +35,7 @@
 
 if TYPE_CHECKING:
     from oakbridge.peers.service import MembershipService
-    from oakbridge.sites.beside import SitesBeside
+    from oakbridge.sites.runner import SitesRunner
     from oakbridge.spread.beside import SpreadBeside
 
 
@@ -192,20 +192,20 @@
 @asynccontextmanager
 async def sites(
     loaded: Loaded, node: Node, held: MembershipService | None
-) -> AsyncIterator[SitesBeside | None]:
+) -> AsyncIterator[SitesRunner | None]:
     """The plan for lost sites, where the file asks for it."""
     if loaded.file.sites is None or held is None:
         yield None
         return
-    from oakbridge.config.sites import sites_of
-    from oakbridge.sites.beside import SitesBeside
+    from oakbridge.config.sites import node_sites
+    from oakbridge.sites.runner import SitesRunner
 
     try:
-        core = sites_of(loaded)
+        core = node_sites(loaded)
     except BadFile as e:
         raise ConfigError(str(e)) from None
     assert core is not None
-    async with SitesBeside(node, held, core) as plan:
+    async with SitesRunner(node, held, core) as plan:
         yield plan
 
 
@@ -255,7 +255,7 @@
     loaded: Loaded,
     node: Node,
     held: MembershipService | None,
-    plan: SitesBeside | None,
+    plan: SitesRunner | None,
     divided: SpreadBeside | None,
 ) -> AsyncIterator[None]:
     """The node's control socket, for as long as it runs."""
--- a/oakbridge/cli/sites.py
+++ b/oakbridge/cli/sites.py
@@ -4,7 +4,7 @@
 
 import getpass
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 from rich import box
@@ -18,8 +18,13 @@
 from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
 
+if TYPE_CHECKING:
+    from oakbridge.sites.plan_file import LossScenario, SitePlan
+
 STYLE = {"well": "green", "lost": "red", "cut off": "red", "doubted": "yellow", "held out": "dim"}
 PATH = click.Path(path_type=Path)
+LEAST_SHOWN = 0.0005  # of a class, rejected
+MAX_OTHER_PLANS = 5
 
 
 @click.group("sites", invoke_without_command=True)
@@ -39,8 +44,8 @@
     with connect(*where) as client:
         try:
             return client.request(command, **arguments)
-        except (NodeUnreachableError, RequestRejectedError) as e:
-            raise Failed(str(e)) from None
+        except (NodeUnreachableError, RequestRejectedError) as error:
+            raise Failed(str(error)) from None
 
 
 @command.command("why")
@@ -51,7 +56,8 @@
     """Tell how a site came into its state, oldest first."""
     told = _ask(where, ControlCommand.SITE_HISTORY, site=site)
     if as_json:
-        return say_json(told)
+        say_json(told)
+        return
     for change in told["history"]:
         by = f", by the word of {', '.join(change['by'])}" if change["by"] else ""
         click.echo(
@@ -64,18 +70,18 @@
 @click.pass_obj
 def drain(where: tuple[Path | None, Path | None], site: str) -> None:
     """Take a site's load away in steps; `return` at any moment brings it back."""
-    _operate(where, site, True)
+    _operate(where, site, out=True)
 
 
 @command.command("return")
 @click.argument("site")
 @click.pass_obj
-def back(where: tuple[Path | None, Path | None], site: str) -> None:
+def return_site(where: tuple[Path | None, Path | None], site: str) -> None:
     """Bring a drained site back in steps."""
-    _operate(where, site, False)
+    _operate(where, site, out=False)
 
 
-def _operate(where: tuple[Path | None, Path | None], site: str, out: bool) -> None:
+def _operate(where: tuple[Path | None, Path | None], site: str, *, out: bool) -> None:
     told = _ask(where, ControlCommand.DRAIN_OR_RETURN_SITE, site=site, out=out, by=getpass.getuser())
     what = "drained" if told["out"] else "returned"
     click.echo(f"site {site} is to be {what}, by {told['by']}; the other nodes hear of it in seconds")
@@ -89,33 +95,57 @@
     """Compute what to do at the loss of each site and of each pair."""
     import msgspec
 
-    from oakbridge.sites.planning import make
-    from oakbridge.sites.scheme import check_plan, load_sites, save_plan
-
-    try:
-        file, digest = load_sites(path)
-        made = make(file, digest)
-    except BadFile as e:
-        raise BadInput(str(e)) from None
-    except ArithmeticError as e:
-        raise Failed(str(e)) from None
-    if wrong := check_plan(made, file, digest):
-        raise Failed("\n".join(wrong))
+    made = _compute(path)
     if out is not None:
-        try:
-            save_plan(out, made)
-        except OSError as e:
-            raise Failed(f"{out}: {e.strerror or e}") from None
+        _save(out, made)
     if as_json:
-        return say_json(msgspec.to_builtins(made))
+        say_json(msgspec.to_builtins(made))
+        return
     for scenario in made.scenarios:
-        kept = scenario.worth / scenario.offered if scenario.offered else 1.0
-        cut = ", ".join(f"{name} {part:.0%}" for name, part in scenario.refused.items() if part > 0.0005)
-        used = ", ".join(f"{name} {part:.0%}" for name, part in sorted(scenario.used.items()))
-        lost = " and ".join(scenario.lost) or "nothing"
-        click.echo(
-            f"{lost} lost: {kept:.1%} of the worth kept; used {used or 'nothing'}; refused {cut or 'nothing'}"
-        )
+        click.echo(_scenario_line(scenario))
+
+
+def _compute(path: Path) -> SitePlan:
+    from oakbridge.config.sites_file import load_topology
+    from oakbridge.sites.errors import PlanningError
+    from oakbridge.sites.plan_file import check_plan
+    from oakbridge.sites.planning import compute_plan
+
+    try:
+        topology = load_topology(path)
+        made = compute_plan(topology)
+    except BadFile as error:
+        raise BadInput(str(error)) from None
+    except PlanningError as error:
+        raise Failed(str(error)) from None
+    if mistakes := check_plan(made, topology):
+        raise Failed("\n".join(mistakes))
+    return made
+
+
+def _save(path: Path, made: SitePlan) -> None:
+    from oakbridge.sites.plan_file import save_plan
+
+    try:
+        save_plan(path, made)
+    except OSError as error:
+        raise Failed(f"{path}: {error.strerror or error}") from None
+
+
+def _scenario_line(scenario: LossScenario) -> str:
+    offered = scenario.offered_weight
+    kept = scenario.served_weight / offered if offered else 1.0
+    rejected = ", ".join(
+        f"{name} {fraction:.0%}"
+        for name, fraction in scenario.rejected_fractions.items()
+        if fraction > LEAST_SHOWN
+    )
+    used = ", ".join(f"{name} {fraction:.0%}" for name, fraction in sorted(scenario.utilization.items()))
+    lost = " and ".join(scenario.lost_sites) or "nothing"
+    return (
+        f"{lost} lost: {kept:.1%} of the worth kept; used {used or 'nothing'}; "
+        f"refused {rejected or 'nothing'}"
+    )
 
 
 @command.command("check")
@@ -123,42 +153,62 @@
 @click.argument("plan_path", metavar="[PLAN]", required=False, type=PATH)
 def check(path: Path, plan_path: Path | None) -> None:
     """Check a sites.toml, and that a plan was made from it; exit code 2 with every mistake."""
-    from oakbridge.sites.scheme import check_plan, load_plan, load_sites
+    from oakbridge.config.sites import load_plan
+    from oakbridge.config.sites_file import load_topology
+    from oakbridge.sites.plan_file import check_plan
 
     try:
-        file, digest = load_sites(path)
-        wrong = check_plan(load_plan(plan_path), file, digest) if plan_path is not None else []
-    except BadFile as e:
-        raise BadInput(str(e)) from None
-    if wrong:
-        raise BadInput("\n".join(f"{plan_path}: {text}" for text in wrong))
-    click.echo(f"{path}: good ({len(file.sites)} sites, {len(file.classes)} classes, version {file.version})")
+        topology = load_topology(path)
+        mistakes = check_plan(load_plan(plan_path), topology) if plan_path is not None else []
+    except BadFile as error:
+        raise BadInput(str(error)) from None
+    if mistakes:
+        raise BadInput("\n".join(f"{plan_path}: {mistake}" for mistake in mistakes))
+    counts = f"{len(topology.sites)} sites, {len(topology.classes)} classes"
+    click.echo(f"{path}: good ({counts}, version {topology.version})")
 
 
 def picture(told: dict[str, Any]) -> Group:
-    """A node's view of the sites as a table."""
-    head = Table.grid(padding=(0, 2))
-    refused = ", ".join(f"{name} {part:.0%}" for name, part in told["refused"].items()) or "nothing"
-    for name, value in (
+    """Return a node's view of the sites as tables."""
+    return Group(_summary(told), _site_table(told["sites"]))
+
+
+def _summary(told: dict[str, Any]) -> Table:
+    rejected = ", ".join(f"{name} {part:.0%}" for name, part in told["refused"].items()) or "nothing"
+    rows = (
         ("node", f"{told['name']} in {told['home'] or 'no site'}"),
-        ("refused", f"{refused} (level {told['level']:g}, set by {told['level_by'] or 'nobody'})"),
+        ("refused", f"{rejected} (level {told['level']:g}, set by {told['level_by'] or 'nobody'})"),
         ("pressure", f"{told['pressure']:.1%} of all calls found no room"),
         ("plan", f"version {told['plan']}" if told["plan"] else "none: by size and by who is less busy"),
-    ):
-        head.add_row(Text(name, style="bold"), value)
+    )
+    table = Table.grid(padding=(0, 2))
+    for name, value in rows:
+        table.add_row(Text(name, style="bold"), value)
     if told["other_plans"]:
-        others = ", ".join(f"{name} {version}" for name, version in list(told["other_plans"].items())[:5])
-        head.add_row(Text("other plans", style="yellow"), others)
+        shown = list(told["other_plans"].items())[:MAX_OTHER_PLANS]
+        others = ", ".join(f"{name} {version}" for name, version in shown)
+        table.add_row(Text("other plans", style="yellow"), others)
+    return table
+
+
+def _site_table(sites: list[dict[str, Any]]) -> Table:
     table = Table(box=box.SIMPLE_HEAD)
     for column in ("site", "state", "since", "part", "servers good/silent/refusing", "by", "note"):
         table.add_column(column, justify="right" if column in ("since", "part") else "left")
-    for row in told["sites"]:
-        note = f"drained by {row['held_by']}" if row["held_by"] else ""
-        if row["again_in_s"]:
-            note = f"no return for {row['again_in_s']:.0f} s, after {row['flaps']} losses"
+    for row in sites:
         table.add_row(
-            row["site"] + (" (own)" if row["own"] else ""), Text(row["state"], style=STYLE.get(row["state"], "")),
-            f"{row['since_s']:.0f} s", f"{row['part']:.0%}", f"{row['good']}/{row['mute']}/{row['dead']}",
-            ", ".join(row["by"]), note,
-        )  # fmt: skip
-    return Group(head, table)
+            row["site"] + (" (own)" if row["own"] else ""),
+            Text(row["state"], style=STYLE.get(row["state"], "")),
+            f"{row['since_s']:.0f} s",
+            f"{row['part']:.0%}",
+            f"{row['good']}/{row['mute']}/{row['dead']}",
+            ", ".join(row["by"]),
+            _note(row),
+        )
+    return table
+
+
+def _note(row: dict[str, Any]) -> str:
+    if row["again_in_s"]:
+        return f"no return for {row['again_in_s']:.0f} s, after {row['flaps']} losses"
+    return f"drained by {row['held_by']}" if row["held_by"] else ""
--- a/oakbridge/config/sites.py
+++ b/oakbridge/config/sites.py
@@ -1,23 +1,38 @@
-"""What ``[sites]`` means for a node."""
+"""Map the settings of ``[sites]`` to a node's sites, and read the plan that they name."""
 
 from __future__ import annotations
 
-from oakbridge.config.load import Loaded
+from pathlib import Path
+
+from oakbridge.config.load import BadFile, Loaded
 from oakbridge.config.schema import resolved
-from oakbridge.sites.core import Options, Sites
-from oakbridge.sites.scheme import load_plan
+from oakbridge.config.sites_file import read_limited
+from oakbridge.sites.errors import SitePlanError
+from oakbridge.sites.node_sites import NodeSites, SitesOptions
+from oakbridge.sites.plan_file import SitePlan, decode_plan
+from oakbridge.sources.formats import Problem
 
 
-def sites_of(loaded: Loaded) -> Sites | None:
-    """The node's sites, if the file asks for them; its plan is read here.  Raises BadFile."""
+def node_sites(loaded: Loaded) -> NodeSites | None:
+    """Return the node's sites, None without ``[sites]``; read its plan.  Raises BadFile."""
     table = loaded.file.sites
     if table is None:
         return None
-    plan = load_plan(resolved(table.plan, loaded.path)) if table.plan else None
-    name = loaded.member[0] if loaded.member is not None else loaded.config.name
     settings = loaded.config.settings
-    classes = {c.name: c.priority_weight for c in settings.classes}
-    options = Options(warm_up=settings.slow_start_window, step=table.step)
-    return Sites(
-        name, loaded.config.settings.zone, classes, bool(settings.tenants), loaded.config.seed, options, plan
+    return NodeSites(
+        loaded.member[0] if loaded.member is not None else loaded.config.name,
+        settings.zone,
+        {each.name: each.priority_weight for each in settings.classes},
+        loaded.config.seed,
+        has_quotas=bool(settings.tenants),
+        options=SitesOptions(warm_up_us=settings.slow_start_window, min_step_us=table.step),
+        plan=load_plan(resolved(table.plan, loaded.path)) if table.plan else None,
     )
+
+
+def load_plan(path: Path) -> SitePlan:
+    """Read and check a plan.  Raises BadFile with every mistake."""
+    try:
+        return decode_plan(read_limited(path))
+    except SitePlanError as error:
+        raise BadFile([Problem(str(path), (), mistake) for mistake in error.mistakes]) from None
--- a/oakbridge/lab/world.py
+++ b/oakbridge/lab/world.py
@@ -43,7 +43,8 @@
 )
 from oakbridge.policy.settings import Idempotency, Prices, RequestClass, Settings
 from oakbridge.policy.view import listed, zones
-from oakbridge.sites.core import WINDOW, Counts, Heard, Rates, Sites
+from oakbridge.sites.node_sites import OBSERVATION_WINDOW_US, NodeSites, ReceivedReport
+from oakbridge.sites.request_rates import RequestCounts, RequestRates
 from oakbridge.spread.core import Copy, Spread
 
 SECOND = 1_000_000
@@ -152,11 +153,11 @@
             self.feed(copy, EndpointListReceived(listed))
         worth = {c.name: c.priority_weight for c in classes}
         self.plans = (
-            [Sites(f"n{i}", home, worth, False, seed * 1000 + i) for i, home in enumerate(self.homes)]
+            [NodeSites(f"n{i}", home, worth, seed * 1000 + i) for i, home in enumerate(self.homes)]
             if with_sites else []
         )  # fmt: skip
         self._said: dict[int, tuple[int, SiteReport]] = {}  # of each copy, and when
-        self._rates = [Rates() for _ in self.plans]
+        self._rates = [RequestRates() for _ in self.plans]
         self._ended: Counter[tuple[int, str]] = Counter()  # by copy
         for copy in range(len(self.plans)):
             self.at(self.random.randrange(LOOK_EVERY), lambda copy=copy: self._look(copy))  # type: ignore[misc]
@@ -393,20 +394,20 @@
         """One copy's look at the sites: others' words reach it up to two seconds and a half after they were said."""
         module, plan, now = self.copies[copy], self.plans[copy], self.now
         heard = [
-            Heard(f"n{other}", self.homes[other], now - at + SECOND // 2, about)
+            ReceivedReport(f"n{other}", self.homes[other], now - at + SECOND // 2, about)
             for other, (at, about) in self._said.items()
             if other != copy
         ]
         came = {name: seen.came for name, seen in module.latency.items()}
         served, refused, failed = (self._ended[copy, how] for how in ("served", "refuse", "fail"))
-        counts = Counts(now, served, refused, failed, module.turned, came)
-        own = self._rates[copy].now(counts, zones(module, now, WINDOW))
+        counts = RequestCounts(now, served, refused, failed, module.turned, came)
+        own = self._rates[copy].update(counts, zones(module, now, OBSERVATION_WINDOW_US))
         everyone = ClusterView(ViewState.COMPLETE, known=len(self.copies), unreachable=0)
-        decision = plan.look(now, now // 1000, everyone, heard, own)
-        if copy not in self._said or now - self._said[copy][0] >= TELL_EVERY // (1 + plan.urgent):
-            self._said[copy] = now, plan.say()
-        self.feed(copy, ZoneWeights(decision.parts, decision.look))
-        self.feed(copy, LoadSheddingLevel(dict(decision.away), 0.0, decision.salt))
+        decision = plan.update(now, now // 1000, everyone, heard, own)
+        if copy not in self._said or now - self._said[copy][0] >= TELL_EVERY // (1 + plan.is_urgent):
+            self._said[copy] = now, plan.report()
+        self.feed(copy, ZoneWeights(decision.zone_weights, decision.probe_zones))
+        self.feed(copy, LoadSheddingLevel(dict(decision.rejected_fractions), 0.0, decision.salt))
         self.at(now + LOOK_EVERY, lambda: self._look(copy))
 
     def divide(self, copy: int, copies: dict[str, Copy] | None = None) -> None:
--- a/oakbridge/sites/__init__.py
+++ b/oakbridge/sites/__init__.py
@@ -1,6 +1,9 @@
-"""Sites: which of them are lost, where their load goes, what is refused meanwhile, how they come back.
+"""Sites: which are lost, where their requests go, what is rejected meanwhile, how they recover.
 
-Pure: ``words`` (what nodes see of servers, pooled by site), ``machine`` (a site's state), ``pace`` (the way back, and
-a drain), ``level`` (what is refused, fleet-wide), ``scheme`` (a plan: read, checked, kept), ``planning`` (a plan
-computed), ``core`` (one node's part in all of this).  Shell: ``beside``.
+Pure: ``evidence`` (what nodes observe of servers, pooled by site), ``site_state`` (a site's state machine),
+``recovery_ramp`` and ``drain_ramp`` (the way back, and out of use), ``load_shedding`` (what all nodes
+reject alike), ``operator_overrides`` (drains and returns), ``topology`` (what operators know of sites),
+``planning`` (plans computed from it), ``plan_file`` (a plan as it is kept), ``zone_weights`` (a plan
+applied), ``request_rates`` (a node's own load), ``node_sites`` (one node's part in all of this),
+``operator_view`` (what operators are told).  Shell: ``runner``.
 """
--- a/oakbridge/sites/planning.py
+++ b/oakbridge/sites/planning.py
@@ -1,140 +1,199 @@
-"""A plan for the loss of each site and of each pair, as linear programmes (HiGHS, by scipy).  Pure.
+"""A plan for the loss of each site and of each pair, as linear programs (HiGHS, by scipy).  Pure.
 
-For each loss: what comes in at each site that is left (its own callers, and its part of those of the lost ones) is
-divided among the sites that are left, so that the worth served is the most that their capacity allows, less what must
-stay free; of equal worth the shorter way, then the evener load.  What does not fit is refused, least worth for its work
-first: that falls out of the optimum and is no rule of its own.
-
-Beside it the rule that holds without a plan: each site serves its own and passes the rest on by free capacity.
+For each loss: what arrives at each remaining site (from its own clients, and its share of those of
+the lost ones) is divided among the remaining sites, so that the priority weight served is the most
+that their capacity allows, less what must stay free; of equal weight the shorter way, then the
+evener load.  What does not fit is rejected, least weight for its work first: that follows from the
+optimum and is no rule of its own.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import Any
 
 import numpy as np
 from scipy.optimize import linprog
 from scipy.sparse import coo_array, vstack
 
-from oakbridge.sites.scheme import Plan, Scenario, SitesFile, losses
-
-FAR, UNEVEN = 1e-3, 1e-4  # of the least worth: what the longest way, and full load, count against an answer
-
-
-class Problem:
-    """A file's figures as arrays."""
-
-    def __init__(self, file: SitesFile) -> None:
-        self.sites = [s.name for s in file.sites]
-        self.classes = [c.name for c in file.classes]
-        at = {name: n for n, name in enumerate(self.sites)}
-        klass = {name: n for n, name in enumerate(self.classes)}
-        self.capacity = np.array([s.capacity * (1 - s.keep_free) for s in file.sites])
-        self.whole = np.array([s.capacity for s in file.sites])
-        self.worth = np.array([c.worth for c in file.classes])
-        self.work = np.array([c.work for c in file.classes])
-        self.load = np.zeros((len(at), len(klass)))
-        for row in file.loads:
-            self.load[at[row.site], klass[row.klass]] = row.rate
-        self.far = np.ones((len(at), len(at))) - np.eye(len(at))
-        for way in file.distances:
-            self.far[at[way.a], at[way.b]] = self.far[at[way.b], at[way.a]] = way.cost
-
-    def arrivals(self, lost: Iterable[str]) -> np.ndarray:
-        """What comes in at each site that is left; callers of lost ones go to the others as their own callers do."""
-        gone = np.array([s in set(lost) for s in self.sites])
-        own = np.where(gone[:, None], 0.0, self.load)
-        weight = own.sum(axis=1)
-        if not weight.sum():
-            weight = np.where(gone, 0.0, self.capacity)
-        if not weight.sum():
+from oakbridge.sites.errors import PlanningError
+from oakbridge.sites.plan_file import LossScenario, SitePlan, planned_losses
+from oakbridge.sites.topology import Topology
+
+DISTANCE_COST = 1e-3  # of the least weight: what the longest way counts against an answer
+IMBALANCE_COST = 1e-4  # of the least weight: what full load counts against an answer
+MIN_DISTANCE = 1e-9
+MIN_FLOW = 1e-9
+
+
+class SiteFigures:
+    """A topology's figures as arrays, indexed by site and class."""
+
+    def __init__(self, topology: Topology) -> None:
+        """Fill the arrays."""
+        self.sites = [site.name for site in topology.sites]
+        self.classes = [each.name for each in topology.classes]
+        site_index = {name: n for n, name in enumerate(self.sites)}
+        class_index = {name: n for n, name in enumerate(self.classes)}
+        self.capacity = np.array([s.requests_per_s for s in topology.sites])
+        self.usable = np.array([s.requests_per_s * (1 - s.reserved_fraction) for s in topology.sites])
+        self.weight = np.array([each.priority_weight for each in topology.classes])
+        self.work = np.array([each.work for each in topology.classes])
+        self.load = np.zeros((len(self.sites), len(self.classes)))
+        for load in topology.loads:
+            self.load[site_index[load.site], class_index[load.class_name]] = load.requests_per_s
+        self.distance = np.ones((len(self.sites), len(self.sites))) - np.eye(len(self.sites))
+        for distance in topology.distances:
+            first, second = site_index[distance.first], site_index[distance.second]
+            self.distance[first, second] = self.distance[second, first] = distance.cost
+
+    def arrivals(self, lost_sites: Iterable[str]) -> np.ndarray:
+        """Return what arrives at each site; clients of lost ones spread as the others' own load."""
+        lost = np.array([site in set(lost_sites) for site in self.sites])
+        own = np.where(lost[:, None], 0.0, self.load)
+        attraction = own.sum(axis=1)
+        if not attraction.sum():
+            attraction = np.where(lost, 0.0, self.usable)
+        if not attraction.sum():
             return own
-        return np.asarray(own + np.outer(weight / weight.sum(), self.load[gone].sum(axis=0)))
-
-
-def solve(problem: Problem, lost: tuple[str, ...]) -> Scenario:
-    """The best that can be done without these sites.  Raises ArithmeticError if the solver gives up."""
-    left = [n for n, name in enumerate(problem.sites) if name not in lost]
-    to = [n for n in left if problem.capacity[n] > 0]
-    arrivals = problem.arrivals(lost)
-    rows = [(i, k) for i in left for k in range(len(problem.classes)) if arrivals[i, k] > 0]
-    offered = float((arrivals * problem.worth).sum())
-    names, many = problem.sites, len(to)
-    if not rows or not to:
-        return Scenario(lost, {}, {c: 1.0 for c in problem.classes if not to}, {}, 0.0, offered)
-    least = min((w for w in problem.worth if w > 0), default=1.0)
-    farthest = max(problem.far.max(), 1e-9)
-    i_of, k_of = (np.array(column) for column in zip(*rows, strict=True))
-    # One variable for each row and target, and the highest load of any site.
-    cost = (FAR * least * problem.far[i_of][:, to] / farthest - problem.worth[k_of, None]).ravel()
-    total = float((arrivals * problem.work).sum())
-    cost = np.append(cost, UNEVEN * least * total)
-    columns = np.arange(len(rows) * many)
-    row, target = columns // many, columns % many
-    work = problem.work[k_of][row]
-    ones = np.ones(len(columns))
-    fits = coo_array((ones, (row, columns)), shape=(len(rows), len(columns) + 1))
-    bears = coo_array((work, (target, columns)), shape=(many, len(columns) + 1))
-    even = coo_array(
-        (np.append(work, -problem.capacity[to]), (np.append(target, np.arange(many)),
-                                                  np.append(columns, np.full(many, len(columns))))),
-        shape=(many, len(columns) + 1),
-    )  # fmt: skip
-    found = linprog(
-        cost, A_ub=vstack([fits, bears, even], format="csr"),
-        b_ub=np.concatenate([arrivals[i_of, k_of], problem.capacity[to], np.zeros(many)]),
-        bounds=(0, None), method="highs",
-    )  # fmt: skip
-    if found.x is None:
-        raise ArithmeticError(f"no plan without {', '.join(lost) or 'any loss'}: {found.message}")
-    flow = np.maximum(found.x[:-1].reshape(len(rows), many), 0.0)
-    served = np.zeros((len(names), len(problem.classes)))
-    served[i_of, k_of] = flow.sum(axis=1)
-    shares = {}
-    for i in left:
-        given = (flow[i_of == i] * problem.work[k_of[i_of == i], None]).sum(axis=0)
-        if given.sum() > 0:
-            shares[names[i]] = {names[to[j]]: float(x / given.sum()) for j, x in enumerate(given) if x > 1e-9}
-    came = arrivals.sum(axis=0)
-    refused = {
-        name: float(min(1.0, max(0.0, 1 - served[:, k].sum() / came[k])))
-        for k, name in enumerate(problem.classes)
-        if came[k] > 0
-    }
-    used = {
-        names[j]: float((flow[:, n] * problem.work[k_of]).sum() / problem.whole[j]) for n, j in enumerate(to)
-    }
-    return Scenario(lost, shares, refused, used, float((served * problem.worth).sum()), offered)
-
-
-def make(file: SitesFile, digest: str) -> Plan:
-    """The whole plan."""
-    problem = Problem(file)
-    scenarios = tuple(solve(problem, lost) for lost in losses(problem.sites))
-    return Plan(
-        file.version, digest, {s.name: s.capacity for s in file.sites}, tuple(problem.classes), scenarios
+        moved = np.outer(attraction / attraction.sum(), self.load[lost].sum(axis=0))
+        return np.asarray(own + moved)
+
+
+def compute_plan(topology: Topology) -> SitePlan:
+    """Return the plan for all losses.  Raises PlanningError if the solver gives up."""
+    figures = SiteFigures(topology)
+    return SitePlan(
+        topology.version,
+        topology.digest,
+        {site.name: site.requests_per_s for site in topology.sites},
+        tuple(figures.classes),
+        tuple(solve(figures, lost) for lost in planned_losses(figures.sites)),
     )
 
 
-def proportional(problem: Problem, lost: tuple[str, ...]) -> float:
-    """The worth a second that is kept without a plan."""
-    gone = np.array([s in lost for s in problem.sites])
-    room = np.where(gone, 0.0, problem.capacity)
-    arrivals = problem.arrivals(lost)
-    order = np.argsort(-problem.worth / problem.work, kind="stable")
-    kept, over = 0.0, np.zeros_like(problem.worth)
-    for i in range(len(room)):  # its own, most worth first
-        for k in order:
-            taken = min(arrivals[i, k], room[i] / problem.work[k])
-            room[i] -= taken * problem.work[k]
-            kept += taken * problem.worth[k]
-            over[k] += arrivals[i, k] - taken
-    if room.sum() <= 0:
-        return float(kept)
-    for part in room / room.sum():  # and the others', by free capacity
-        left = part * room.sum()
-        for k in order:
-            taken = min(over[k] * part, left / problem.work[k])
-            left -= taken * problem.work[k]
-            kept += taken * problem.worth[k]
-    return float(kept)
+def solve(figures: SiteFigures, lost_sites: tuple[str, ...]) -> LossScenario:
+    """Return the best that can be done without these sites.  Raises PlanningError if the solver gives up."""
+    program = _RoutingProgram(figures, lost_sites)
+    if not program.flows or not program.targets:
+        return program.nothing_to_route()
+    return program.scenario(program.solve())
+
+
+class _RoutingProgram:
+    """The linear program for one loss.
+
+    One variable for each flow (what arrives at a site in a class) and target (a site that serves),
+    and a last one for the highest load of any site.
+    """
+
+    def __init__(self, figures: SiteFigures, lost_sites: tuple[str, ...]) -> None:
+        """Find flows and targets."""
+        self.figures = figures
+        self.lost_sites = lost_sites
+        self.arrivals = figures.arrivals(lost_sites)
+        self.offered_weight = float((self.arrivals * figures.weight).sum())
+        self.remaining = [n for n, name in enumerate(figures.sites) if name not in lost_sites]
+        self.targets = [n for n in self.remaining if figures.usable[n] > 0]
+        self.flows = [
+            (site, each)
+            for site in self.remaining
+            for each in range(len(figures.classes))
+            if self.arrivals[site, each] > 0
+        ]
+
+    def nothing_to_route(self) -> LossScenario:
+        """Return the scenario without any flow, or without any site to serve it."""
+        rejected = {name: 1.0 for name in self.figures.classes if not self.targets}
+        return LossScenario(self.lost_sites, {}, rejected, {}, 0.0, self.offered_weight)
+
+    def solve(self) -> np.ndarray:
+        """Return the requests a second of each flow at each target."""
+        found = linprog(self._costs(), **self._constraints(), bounds=(0, None), method="highs")
+        if found.x is None:
+            raise PlanningError(self.lost_sites, found.message)
+        routed: np.ndarray = np.maximum(found.x[:-1].reshape(len(self.flows), len(self.targets)), 0.0)
+        return routed
+
+    @property
+    def _flow_sites(self) -> np.ndarray:
+        return np.array([site for site, _ in self.flows])
+
+    @property
+    def _flow_classes(self) -> np.ndarray:
+        return np.array([each for _, each in self.flows])
+
+    def _costs(self) -> np.ndarray:
+        figures = self.figures
+        least_weight = min((weight for weight in figures.weight if weight > 0), default=1.0)
+        farthest = max(figures.distance.max(), MIN_DISTANCE)
+        distances = figures.distance[self._flow_sites][:, self.targets]
+        weights = figures.weight[self._flow_classes, None]
+        costs = (DISTANCE_COST * least_weight * distances / farthest - weights).ravel()
+        total_work = float((self.arrivals * figures.work).sum())
+        return np.append(costs, IMBALANCE_COST * least_weight * total_work)
+
+    def _constraints(self) -> dict[str, Any]:
+        """Serve no more than arrives, and than targets have capacity for; bound the highest load."""
+        target_count = len(self.targets)
+        variables = np.arange(len(self.flows) * target_count)
+        flow, target = variables // target_count, variables % target_count
+        highest_load = len(variables)
+        work = self.figures.work[self._flow_classes][flow]
+        usable = self.figures.usable[self.targets]
+        flow_shape = (len(self.flows), len(variables) + 1)
+        target_shape = (target_count, len(variables) + 1)
+        served = coo_array((np.ones(len(variables)), (flow, variables)), shape=flow_shape)
+        carried = coo_array((work, (target, variables)), shape=target_shape)
+        rows = np.append(target, np.arange(target_count))
+        columns = np.append(variables, np.full(target_count, highest_load))
+        balanced = coo_array((np.append(work, -usable), (rows, columns)), shape=target_shape)
+        arriving = self.arrivals[self._flow_sites, self._flow_classes]
+        return {
+            "A_ub": vstack([served, carried, balanced], format="csr"),
+            "b_ub": np.concatenate([arriving, usable, np.zeros(target_count)]),
+        }
+
+    def scenario(self, routed: np.ndarray) -> LossScenario:
+        """Return what the solution means."""
+        figures = self.figures
+        served = np.zeros((len(figures.sites), len(figures.classes)))
+        served[self._flow_sites, self._flow_classes] = routed.sum(axis=1)
+        return LossScenario(
+            self.lost_sites,
+            self._routing(routed),
+            self._rejected_fractions(served),
+            self._utilization(routed),
+            float((served * figures.weight).sum()),
+            self.offered_weight,
+        )
+
+    def _routing(self, routed: np.ndarray) -> dict[str, dict[str, float]]:
+        figures = self.figures
+        routing = {}
+        for site in self.remaining:
+            from_site = self._flow_sites == site
+            work = figures.work[self._flow_classes[from_site], None]
+            by_target = (routed[from_site] * work).sum(axis=0)
+            if by_target.sum() > 0:
+                routing[figures.sites[site]] = {
+                    figures.sites[target]: float(amount / by_target.sum())
+                    for target, amount in zip(self.targets, by_target, strict=True)
+                    if amount > MIN_FLOW
+                }
+        return routing
+
+    def _rejected_fractions(self, served: np.ndarray) -> dict[str, float]:
+        arrived = self.arrivals.sum(axis=0)
+        return {
+            name: float(min(1.0, max(0.0, 1 - served[:, n].sum() / arrived[n])))
+            for n, name in enumerate(self.figures.classes)
+            if arrived[n] > 0
+        }
+
+    def _utilization(self, routed: np.ndarray) -> dict[str, float]:
+        work = self.figures.work[self._flow_classes]
+        return {
+            self.figures.sites[target]: float((routed[:, n] * work).sum() / self.figures.capacity[target])
+            for n, target in enumerate(self.targets)
+        }
--- /dev/null
+++ b/oakbridge/sites/runner.py
@@ -0,0 +1,165 @@
+"""Run the plan for lost sites beside a node and its member: update twice a second, apply what it decides.
+
+It decides nothing itself.  The node serves on, by its own balancer alone, whatever becomes of this.
+"""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Iterator
+from typing import Any
+
+from oakbridge.control.errors import RequestRejectedError
+from oakbridge.node.node import Node
+from oakbridge.peers.periodic_update import PeriodicUpdate
+from oakbridge.peers.service import MembershipService
+from oakbridge.policy.events import LoadSheddingLevel, ZoneWeights
+from oakbridge.policy.view import zones
+from oakbridge.sites import operator_view
+from oakbridge.sites.errors import SiteOverrideError
+from oakbridge.sites.load_shedding import OVER_QUOTA
+from oakbridge.sites.node_sites import (
+    OBSERVATION_WINDOW_US,
+    UPDATES_PER_S,
+    NodeSites,
+    ReceivedReport,
+    SitesDecision,
+)
+from oakbridge.sites.request_rates import LocalObservations, RequestCounts, RequestRates
+from oakbridge.sites.site_state import SiteState, SiteTransition
+
+log = logging.getLogger(__name__)
+
+NS_PER_US = 1_000
+NS_PER_MS = 1_000_000
+
+
+class SitesRunner:
+    """One node's sites, while the context lasts."""
+
+    def __init__(self, node: Node, membership: MembershipService, sites: NodeSites) -> None:
+        """Begin nothing yet."""
+        self._node = node
+        self._membership = membership
+        self._sites = sites
+        self._rates = RequestRates()
+        self._applied: SitesDecision | None = None
+        self._updates = PeriodicUpdate(self._update, 1 / UPDATES_PER_S, "a look at the sites failed")
+
+    async def __aenter__(self) -> SitesRunner:
+        """Report sites to other members, and begin to update."""
+        self._membership.site_report = self._sites.report
+        self._membership.is_urgent = lambda: self._sites.is_urgent
+        self._membership.direct_recipients = self._direct_recipients
+        self._updates.start()
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        """End; the node's zones keep what was decided last."""
+        self._membership.site_report = None
+        self._membership.is_urgent = lambda: False
+        self._membership.direct_recipients = list
+        await self._updates.stop()
+
+    def describe(self) -> dict[str, Any]:
+        """Return all that operators see of sites."""
+        now_us = self._node.clock.now()
+        described = operator_view.describe(self._sites, now_us, list(self._received_reports()))
+        return {"name": self._membership.options.name, **described}
+
+    def why(self, name: str) -> list[dict[str, Any]]:
+        """Return how one site came into its state.  Raises KeyError."""
+        return operator_view.history(self._sites.sites[name], self._node.clock.now())
+
+    def operate(self, name: str, out: bool, by: str) -> dict[str, Any]:
+        """Drain a site, or return it.  Raises RequestRejectedError."""
+        try:
+            override = self._sites.override(_clock_ms(), name, by, drained=out)
+        except SiteOverrideError as error:
+            raise RequestRejectedError(str(error)) from None
+        order = "drained" if out else "returned"
+        log.warning("operators: site %s is to be %s, by %s", name, order, by or "somebody")
+        self.update()
+        return {
+            "site": name,
+            "out": override.drained,
+            "stamp": override.stamp_ms,
+            "by": override.operator,
+        }
+
+    def update(self) -> None:
+        """Take in what is known now, and apply what it decides."""
+        view = self._membership.view
+        if view is None:
+            return
+        now_us = self._node.clock.now()
+        local = self._local_observations(now_us)
+        decision = self._sites.update(now_us, _clock_ms(), view, list(self._received_reports()), local)
+        for transition in decision.transitions:
+            _log_transition(transition)
+        self._apply(decision)
+
+    async def _update(self) -> None:
+        self.update()
+
+    def _apply(self, decision: SitesDecision) -> None:
+        before = self._applied
+        weights = decision.zone_weights
+        if before is None or weights != before.zone_weights or decision.probe_zones:
+            self._node.post(ZoneWeights(weights, decision.probe_zones))
+        rejected = decision.rejected_fractions
+        if before is None or (rejected, decision.salt) != (before.rejected_fractions, before.salt):
+            by_class = dict(rejected)
+            over_quota = by_class.pop(OVER_QUOTA, 0.0)
+            self._node.post(LoadSheddingLevel(by_class, over_quota, decision.salt))
+        self._applied = decision
+
+    def _direct_recipients(self) -> list[str]:
+        return self._sites.direct_recipients(self._membership.member.live_names())
+
+    def _received_reports(self) -> Iterator[ReceivedReport]:
+        """Yield what each reachable member reported last of sites."""
+        member = self._membership.member
+        now_us = time.monotonic_ns() // NS_PER_US
+        for name in member.live_names():
+            found = member.report(name, now_us)
+            if found is not None and found.report.site_report is not None:
+                site = member.members[name].record.tags.get("site", "")
+                yield ReceivedReport(name, site, found.age_us, found.report.site_report)
+
+    def _local_observations(self, now_us: int) -> LocalObservations:
+        node, balancer = self._node, self._node.balancer
+        counts = RequestCounts(
+            now_us,
+            served=node.served,
+            rejected=node.refused,
+            failed=node.failed,
+            shed=balancer.turned,
+            arrived={name: latency.came for name, latency in balancer.latency.items()},
+        )
+        return self._rates.update(counts, zones(balancer, now_us, OBSERVATION_WINDOW_US))
+
+
+def _clock_ms() -> int:
+    return time.time_ns() // NS_PER_MS
+
+
+def _log_transition(transition: SiteTransition) -> None:
+    is_good = transition.after in (SiteState.HEALTHY, SiteState.WARMING_UP)
+    log.log(
+        logging.INFO if is_good else logging.WARNING,
+        "site %s is %s (was %s): %s",
+        transition.site,
+        transition.after.value,
+        transition.before.value,
+        transition.cause,
+        extra={
+            "at_us": time.time_ns() // NS_PER_US,
+            "site": transition.site,
+            "was": transition.before.value,
+            "state": transition.after.value,
+            "cause": transition.cause,
+            "by": ", ".join(transition.reporters),
+        },
+    )
--- a/tests/formats/test_sites.py
+++ b/tests/formats/test_sites.py
@@ -15,11 +15,16 @@
 from oakbridge.cli.main import cli
 from oakbridge.cli.sites import picture
 from oakbridge.config.load import BadFile
+from oakbridge.config.sites import load_plan
+from oakbridge.config.sites_file import load_topology
 from oakbridge.peers.messages import SiteObservation, SiteReport
 from oakbridge.peers.view_state import ClusterView, ViewState
 from oakbridge.policy.view import ZoneView
-from oakbridge.sites.core import Heard, Own, Sites, UnknownSite
-from oakbridge.sites.scheme import load_plan, load_sites, save_plan
+from oakbridge.sites import operator_view
+from oakbridge.sites.errors import SiteOverrideError
+from oakbridge.sites.node_sites import NodeSites, ReceivedReport
+from oakbridge.sites.plan_file import save_plan
+from oakbridge.sites.request_rates import LocalObservations
 
 FIXTURES = Path(__file__).parent / "fixtures" / "sites"
 SECOND_US = 1_000_000
@@ -32,26 +37,26 @@
     observations = tuple(SiteObservation(site, *counts) for site, counts in observed.items())
     age_us = SECOND_US // 2
     return [
-        Heard(f"n{n}", "a", age_us, SiteReport(observations, 50, 120, 1400, f"n{n}", plan_version=6))
+        ReceivedReport(f"n{n}", "a", age_us, SiteReport(observations, 50, 120, 1400, f"n{n}", plan_version=6))
         for n in range(2, 6)
     ]
 
 
 def play(sites, since_s, until_s, observed, overload=0.0):
-    """Look twice a second."""
+    """Update twice a second."""
     for half in range(2 * since_s, 2 * until_s):
         zones = [ZoneView(zone, 3, *counts) for zone, counts in observed.items()]
-        own = Own(zones, 50.0, overload, {"look": 0.7, "book": 0.3})
+        local = LocalObservations(zones, 50.0, overload, {"look": 0.7, "book": 0.3})
         now_us = half * SECOND_US // 2
-        sites.look(now_us, 10_000 + now_us // 1000, WHOLE, reported(**observed), own)
+        sites.update(now_us, 10_000 + now_us // 1000, WHOLE, reported(**observed), local)
 
 
 def refusals(sites):
     """What operators are told that ask for what can't be."""
     texts = []
     for site, drained in (("nowhere", True), ("b", False), ("x" * 80, True)):
-        with pytest.raises(UnknownSite) as caught:
-            sites.operate(12_000, site, drained, "kim")
+        with pytest.raises(SiteOverrideError) as caught:
+            sites.override(12_000, site, "kim", drained=drained)
         texts.append(str(caught.value))
     return texts
 
@@ -59,15 +64,15 @@
 def course():
     """A site is lost, another one drained, and the lost one returns; what is told at each point."""
     plan = load_plan(FIXTURES / "plan.json")
-    sites = Sites("n1", "a", {"look": 1.0, "book": 5.0}, True, 7, plan=plan)
+    sites = NodeSites("n1", "a", {"look": 1.0, "book": 5.0}, 7, has_quotas=True, plan=plan)
     told = []
 
     def tell(now_s):
         told.append({
             "at_s": now_s,
-            "sites": {"name": "n1", **sites.describe(now_s * SECOND_US, reported(**ALL_ANSWER))},
-            "sites.why c": sites.why("c", now_s * SECOND_US),
-            "report": msgspec.msgpack.encode(sites.say()).hex(),
+            "sites": {"name": "n1", **operator_view.describe(sites, now_s * SECOND_US, reported(**ALL_ANSWER))},
+            "sites.why c": operator_view.history(sites.sites["c"], now_s * SECOND_US),
+            "report": msgspec.msgpack.encode(sites.report()).hex(),
         })  # fmt: skip
 
     play(sites, 0, 2, ALL_ANSWER)
@@ -75,10 +80,10 @@
     tell(2)
     play(sites, 2, 6, {**ALL_ANSWER, "c": (0, 1, 2)}, overload=0.2)
     tell(6)
-    sites.operate(16_000, "b", True, "kim")
+    sites.override(16_000, "b", "kim", drained=True)
     play(sites, 6, 10, {**ALL_ANSWER, "c": (0, 3, 0)})
     tell(10)
-    sites.operate(20_000, "b", False, "ola")
+    sites.override(20_000, "b", "ola", drained=False)
     play(sites, 10, 60, ALL_ANSWER)
     tell(60)
     return told
@@ -95,8 +100,8 @@
     """The messages of a sites.toml and of plans with mistakes."""
     texts = []
     for read, name in (
-        (load_sites, "mistakes.toml"),
-        (load_sites, "missing.toml"),
+        (load_topology, "mistakes.toml"),
+        (load_topology, "missing.toml"),
         (load_plan, "plan_mistakes.json"),
         (load_plan, "sites.toml"),
     ):
--- /dev/null
+++ b/tests/sites/test_load_shedding.py
@@ -0,0 +1,38 @@
+"""The load-shedding level: the order of rejection, and the feedback that sets it."""
+
+import pytest
+from example_sites import SECOND_US
+
+from oakbridge.sites import load_shedding
+from oakbridge.sites.load_shedding import LoadShedding, level_of, rank_classes, rejected_at
+
+RANKS = rank_classes({"look": 1.0, "status": 2.0, "book": 5.0}, has_quotas=True)
+MIX = [0.1, 0.4, 0.3, 0.2]
+
+
+def test_the_level_rejects_in_order_of_priority_weight():
+    assert [rank.class_name for rank in RANKS] == ["", "look", "status", "book"]
+    assert load_shedding.rejected_fractions(RANKS, 0.0) == {}
+    rejected = load_shedding.rejected_fractions(RANKS, 2.25)
+    assert rejected == {"": 1.0, "look": 1.0, "status": 0.25}
+    for fraction in (0.0, 0.05, 0.1, 0.3, 0.65, 0.9):
+        assert rejected_at(level_of(fraction, MIX), MIX) == pytest.approx(fraction)
+
+
+@pytest.mark.parametrize("offered_load", [1.0, 1.2, 2.0, 5.0])
+def test_feedback_finds_what_does_not_fit_and_lets_go_of_it(offered_load):
+    """Of capacity only its lack is known: within 20 s rejections by the level leave under 10% to chance."""
+    shedding, now_us = LoadShedding(RANKS), 0
+    overloads, rejected = [], []
+    for second in range(150):
+        now_us += SECOND_US
+        offered = offered_load if second < 100 else 0.8
+        admitted = offered * (1 - rejected_at(shedding.level, MIX))
+        overload = max(0.0, 1 - 1 / admitted) if admitted else 0.0
+        overloads.append(overload)
+        rejected.append(rejected_at(shedding.level, MIX))
+        shedding.adjust(now_us, "me", overload, MIX)
+    assert max(overloads[40:100]) < 1.2 * load_shedding.TARGET_OVERLOAD
+    assert rejected[-1] < 0.02
+    steps = [abs(b - a) for a, b in zip(rejected[30:100], rejected[31:100], strict=False)]
+    assert max(steps, default=0) < 0.1  # no class comes and goes by the second
--- a/tests/sites/test_real.py
+++ b/tests/sites/test_sites_real_processes.py
@@ -5,7 +5,7 @@
 
 import pytest
 from click.testing import CliRunner
-from site_text import SITES
+from example_sites import SITES_TOML
 
 from oakbridge.cli.main import cli
 from oakbridge.cli.serve import Given, beside, started
@@ -91,7 +91,7 @@
 @pytest.fixture
 def files(tmp_path):
     (tmp_path / "secret").write_text("s" * 16)
-    (tmp_path / "sites.toml").write_text(SITES)
+    (tmp_path / "sites.toml").write_text(SITES_TOML)
     return tmp_path
 
 
@@ -139,7 +139,7 @@
     assert type_in("sites", "check", files / "sites.toml", files / "plan.json")[0] == 0
     (files / "node.toml").write_text(NODE.format(files, 22_072, 'plan = "plan.json"'))
     assert type_in("check", files / "node.toml")[0] == 0
-    (files / "sites.toml").write_text(SITES.replace("rate = 60.0", "rate = 61.0"))
+    (files / "sites.toml").write_text(SITES_TOML.replace("rate = 60.0", "rate = 61.0"))
     assert type_in("sites", "check", files / "sites.toml", files / "plan.json")[0] == 2
     (files / "plan.json").write_text("{}")
     for words in (
