--- a/oakbridge/cli/sites.py
+++ b/oakbridge/cli/sites.py
@@ -32,8 +32,13 @@
 @look_options
 @click.pass_context
 def command(
-    ctx: click.Context, socket_path: Path | None, config: Path | None, as_json: bool, watch: bool, every: float
-) -> None:  # fmt: skip
+    ctx: click.Context,
+    socket_path: Path | None,
+    config: Path | None,
+    as_json: bool,
+    watch: bool,
+    every: float,
+) -> None:
     """Show each site's state, by whose word, its part of the calls, and what is refused meanwhile."""
     ctx.obj = (socket_path, config)
     if ctx.invoked_subcommand is None:
@@ -60,9 +65,8 @@
         return
     for change in told["history"]:
         by = f", by the word of {', '.join(change['by'])}" if change["by"] else ""
-        click.echo(
-            f"{change['ago_s']:>9.1f} s ago  {change['before']} -> {change['after']}: {change['cause']}{by}"
-        )
+        states = f"{change['before']} -> {change['after']}"
+        click.echo(f"{change['ago_s']:>9.1f} s ago  {states}: {change['cause']}{by}")
 
 
 @command.command("drain")
@@ -82,9 +86,11 @@
 
 
 def _operate(where: tuple[Path | None, Path | None], site: str, *, out: bool) -> None:
-    told = _ask(where, ControlCommand.DRAIN_OR_RETURN_SITE, site=site, out=out, by=getpass.getuser())
+    operator = getpass.getuser()
+    told = _ask(where, ControlCommand.DRAIN_OR_RETURN_SITE, site=site, out=out, by=operator)
     what = "drained" if told["out"] else "returned"
-    click.echo(f"site {site} is to be {what}, by {told['by']}; the other nodes hear of it in seconds")
+    order = f"site {site} is to be {what}, by {told['by']}"
+    click.echo(f"{order}; the other nodes hear of it in seconds")
 
 
 @command.command("plan")
@@ -140,7 +146,8 @@
         for name, fraction in scenario.rejected_fractions.items()
         if fraction > LEAST_SHOWN
     )
-    used = ", ".join(f"{name} {fraction:.0%}" for name, fraction in sorted(scenario.utilization.items()))
+    utilization = sorted(scenario.utilization.items())
+    used = ", ".join(f"{name} {fraction:.0%}" for name, fraction in utilization)
     lost = " and ".join(scenario.lost_sites) or "nothing"
     return (
         f"{lost} lost: {kept:.1%} of the worth kept; used {used or 'nothing'}; "
@@ -174,12 +181,15 @@
 
 
 def _summary(told: dict[str, Any]) -> Table:
-    rejected = ", ".join(f"{name} {part:.0%}" for name, part in told["refused"].items()) or "nothing"
+    fractions = told["refused"].items()
+    rejected = ", ".join(f"{name} {part:.0%}" for name, part in fractions) or "nothing"
+    level = f"level {told['level']:g}, set by {told['level_by'] or 'nobody'}"
+    no_plan = "none: by size and by who is less busy"
     rows = (
         ("node", f"{told['name']} in {told['home'] or 'no site'}"),
-        ("refused", f"{rejected} (level {told['level']:g}, set by {told['level_by'] or 'nobody'})"),
+        ("refused", f"{rejected} ({level})"),
         ("pressure", f"{told['pressure']:.1%} of all calls found no room"),
-        ("plan", f"version {told['plan']}" if told["plan"] else "none: by size and by who is less busy"),
+        ("plan", f"version {told['plan']}" if told["plan"] else no_plan),
     )
     table = Table.grid(padding=(0, 2))
     for name, value in rows:
--- a/oakbridge/config/sites_file.py
+++ b/oakbridge/config/sites_file.py
@@ -31,8 +31,14 @@
 class SiteTable(Table):
     """A site."""
 
-    name: Name = Field(max_length=MAX_SITE_NAME, description="Its name: the zone of its servers and nodes.")
-    capacity: Number = Field(ge=0, description="Requests a second that its servers can do, of work 1.")
+    name: Name = Field(
+        max_length=MAX_SITE_NAME,
+        description="Its name: the zone of its servers and nodes.",
+    )
+    capacity: Number = Field(
+        ge=0,
+        description="Requests a second that its servers can do, of work 1.",
+    )
     keep_free: Number = Field(0.1, ge=0, lt=1, description="Of it, that must stay free.")
 
 
--- a/oakbridge/sites/errors.py
+++ b/oakbridge/sites/errors.py
@@ -39,7 +39,8 @@
 
     def __init__(self, site: str, known: Iterable[str]) -> None:
         self.known = tuple(sorted(known))
-        super().__init__(site, f"expected one of {', '.join(self.known) or 'none yet'}, got {site!r:.60}")
+        expected = ", ".join(self.known) or "none yet"
+        super().__init__(site, f"expected one of {expected}, got {site!r:.60}")
 
 
 class SiteNotDrainedError(SiteOverrideError):
--- a/oakbridge/sites/evidence.py
+++ b/oakbridge/sites/evidence.py
@@ -1,9 +1,10 @@
-"""What nodes observe of each site's servers, pooled: many nodes that each called a few know together.
+"""What nodes observe of each site's servers, pooled.  Pure.
 
-Pure.  An observation counts servers, not calls: a single slow server can't condemn its site,
-however many calls it spoils.  Whoever holds a site for lost sends nothing there and soon has no
-fresh observation: its verdict then stands for one failed server, to those that have no verdict of
-their own yet.  Whether a site is back is decided by fresh observations alone.
+Many nodes that each called a few servers know together how a site is.  An observation counts
+servers, not calls: a single slow server can't condemn its site, however many calls it spoils.
+Whoever holds a site for lost sends nothing there and soon has no fresh observation: its verdict
+then stands for one failed server, to those that have no verdict of their own yet.  Whether a site
+is back is decided by fresh observations alone.
 """
 
 from __future__ import annotations
@@ -30,8 +31,9 @@
 
     def of_site(self, site: str, *, with_verdicts: bool) -> MemberObservations:
         """Return only what concerns one site."""
-        kept = (_with_verdict(o) if with_verdicts else o for o in self.observations if o.site == site)
-        return replace(self, observations=tuple(kept))
+        kept = (o for o in self.observations if o.site == site)
+        counted = (_with_verdict(o) for o in kept) if with_verdicts else kept
+        return replace(self, observations=tuple(counted))
 
     @property
     def has_called(self) -> bool:
@@ -126,6 +128,7 @@
     responding, timed_out, failed = _sums(counted)
     third_responding, third_timed_out, third_failed = _sums(from_third_sites)
     third_sites_reach_it = third_responding > third_timed_out + third_failed
+    home_does_not = bool(from_home) and timed_out + failed > responding
     return Evidence(
         responding,
         timed_out,
@@ -133,7 +136,7 @@
         reporters=len(counted),
         fresh_members=fresh_members,
         failure_reporters=tuple(sorted(m.name for m in counted if m.blames)[:MAX_REPORTERS_NAMED]),
-        reachable_elsewhere=bool(from_home) and third_sites_reach_it and timed_out + failed > responding,
+        reachable_elsewhere=third_sites_reach_it and home_does_not,
         is_unreachable=is_unreachable,
         listed_servers=listed_servers,
     )
--- a/oakbridge/sites/load_shedding.py
+++ b/oakbridge/sites/load_shedding.py
@@ -2,8 +2,8 @@
 
 Classes are ranked by priority weight; what exceeds tenants' quotas comes before all of them.  At
 level 1.4 the first rank is rejected whole and 0.4 of the second.  One member, the leader (the first
-by hash of those that are reachable), sets the level by feedback from all members' counts; the others
-follow it, and each part of a partitioned fleet has a leader of its own.
+by hash of those that are reachable), sets the level by feedback from all members' counts; the
+others follow it, and each part of a partitioned fleet has a leader of its own.
 
 The level is set by what became of the requests that it admitted, whatever clients of rejected ones
 do: where more than a small part of them finds no capacity, less is admitted; where less does, more.
@@ -37,19 +37,19 @@
 
 
 def rank_classes(priority_weights: Mapping[str, float], *, has_quotas: bool) -> tuple[SheddingRank, ...]:
-    """Return the order of rejection, least weight first; equal ones by name, the same at all nodes."""
+    """Return the order of rejection, least weight first, by name where weights are equal."""
     ranks = [SheddingRank(name, weight) for name, weight in priority_weights.items()]
     ranks.sort(key=lambda rank: (rank.priority_weight, rank.class_name))
     return (SheddingRank(OVER_QUOTA, 0.0), *ranks) if has_quotas else tuple(ranks)
 
 
 def rejected_fractions(ranks: Sequence[SheddingRank], level: float) -> dict[str, float]:
-    """Return the fraction of each class that is rejected at a level; those of which nothing is left out."""
+    """Return the fraction of each class that is rejected at a level, where there is any."""
     return {rank.class_name: min(1.0, level - n) for n, rank in enumerate(ranks) if level > n}
 
 
 def level_of(rejected: float, mix: Sequence[float]) -> float:
-    """Return the level at which this fraction of the work is rejected; ``mix``: that of each rank."""
+    """Return the level that rejects this fraction of the work; ``mix``: each rank's part of it."""
     left = min(MAX_REJECTED, max(0.0, rejected))
     for n, fraction in enumerate(mix):
         if left < fraction:
--- a/oakbridge/sites/node_sites.py
+++ b/oakbridge/sites/node_sites.py
@@ -1,9 +1,10 @@
-"""One node's part in the plan for lost sites: observations and reports in, zone weights and rejections out.
+"""One node's part in the plan for lost sites.  Pure.
 
-Pure.  It rejects nothing by itself and closes nothing for good: whatever it decides is a fraction of
-the usual, decided anew at each update; with no site reachable but lost ones all are used again.  A
-node that is isolated, or in the smaller part of a partitioned fleet, doubts itself first: it goes on
-with its own site's servers and pours its load over no other one.
+Observations and reports come in, zone weights and rejections go out.  It rejects nothing by itself
+and closes nothing for good: whatever it decides is a fraction of the usual, decided anew at each
+update; with no site reachable but lost ones all are used again.  A node that is isolated, or in the
+smaller part of a partitioned fleet, doubts itself first: it goes on with its own site's servers and
+pours its load over no other one.
 """
 
 from __future__ import annotations
@@ -70,6 +71,11 @@
         """Whether it says anything of the present."""
         return self.age_us <= MAX_AGE_US
 
+    @property
+    def observations(self) -> MemberObservations:
+        """What it tells of sites."""
+        return MemberObservations(self.name, self.site, self.age_us, self.report.observations)
+
     @property
     def led_level(self) -> float | None:
         """The load-shedding level, if the member set it itself."""
@@ -136,7 +142,7 @@
     # ---- operators
 
     def override(self, clock_ms: int, site: str, operator: str, *, drained: bool) -> SiteOverride:
-        """Drain a site, or return it; the same order again changes nothing.  Raises SiteOverrideError."""
+        """Drain a site, or return it; the same again changes nothing.  Raises SiteOverrideError."""
         if site not in self.sites:
             raise UnknownSiteError(site, self.sites)
         before = self.overrides.by_site.get(site)
@@ -153,16 +159,19 @@
     # ---- what other members are told
 
     def direct_recipients(self, reachable: Sequence[str]) -> list[str]:
-        """Return who should get reports directly: the leader from all members, and all from the leader."""
+        """Return who gets reports directly: the leader from all members, and all from the leader."""
         if not self.is_urgent or not reachable:
             return []
         leader = elect_leader([self.name, *reachable])
         return list(reachable) if leader == self.name else [leader]
 
     def report(self) -> SiteReport:
-        """Return this node's report: observations of lost sites first, then of those with most failures."""
+        """Return this node's report, lost sites first, then those with most failures."""
         verdicts = {name: _verdict(site) for name, site in self.sites.items() if site.is_lost}
-        zones = sorted(self._local.zones, key=lambda z: (z.zone not in verdicts, -(z.mute + z.dead)))
+        zones = sorted(
+            self._local.zones,
+            key=lambda zone: (zone.zone not in verdicts, -(zone.mute + zone.dead)),
+        )
         observations = tuple(
             _observation(zone, verdicts.get(zone.zone, SiteVerdict.NONE))
             for zone in zones
@@ -218,7 +227,7 @@
             )
 
     def _fleet_overload(self, reports: Sequence[ReceivedReport]) -> float:
-        """Leave out old reports: a level that goes by them goes on rising long after it was enough."""
+        """Leave out old reports: a level that goes by them rises long after it was enough."""
         fresh = [received.report for received in reports if received.is_fresh]
         others = ((report.overload_per_mille / PER_MILLE, report.calls_per_s) for report in fresh)
         return fleet_overload([(self._local.overload, self._local.calls_per_s), *others])
@@ -242,7 +251,7 @@
     def _update_states(
         self, now_us: int, view: ClusterView, reports: Sequence[ReceivedReport]
     ) -> tuple[SiteTransition, ...]:
-        members = [MemberObservations(r.name, r.site, r.age_us, r.report.observations) for r in reports]
+        members = [received.observations for received in reports]
         own = tuple(SiteObservation(z.zone, z.good, z.mute, z.dead) for z in self._local.zones)
         members.append(MemberObservations(self.name, self.home, 0, own))
         listed = {zone.zone: zone.listed for zone in self._local.zones}
@@ -280,15 +289,19 @@
         scenario = self.plan.scenario(lost) if self.plan is not None and lost > self._lost else None
         if scenario is not None:
             mix = self._mix()
-            planned = (scenario.rejected_fractions.get(r.class_name, 0.0) for r in self.shedding.ranks)
-            rejected = sum(part * fraction for part, fraction in zip(mix, planned, strict=True))
+            planned = scenario.rejected_fractions
+            rejected = sum(
+                part * planned.get(rank.class_name, 0.0)
+                for rank, part in zip(self.shedding.ranks, mix, strict=True)
+            )
             self.shedding.raise_to(rejected, mix)
         self._lost = lost
 
     def _mix(self) -> list[float]:
         """Return the fraction of the requests that each rank of load shedding has."""
         mix = self._local.class_mix
-        fractions = [max(MIN_MIX_FRACTION, mix.get(rank.class_name, 0.0)) for rank in self.shedding.ranks]
+        names = [rank.class_name for rank in self.shedding.ranks]
+        fractions = [max(MIN_MIX_FRACTION, mix.get(name, 0.0)) for name in names]
         return [fraction / sum(fractions) for fraction in fractions]
 
     def _zone_weights(self, view: ClusterView) -> dict[str, float]:
--- a/oakbridge/sites/plan_file.py
+++ b/oakbridge/sites/plan_file.py
@@ -35,7 +35,7 @@
     """What to do while these sites are lost."""
 
     lost_sites: tuple[str, ...]
-    routing: dict[str, dict[str, float]]  # of what arrives at a site, by the site that serves it; sums to 1
+    routing: dict[str, dict[str, float]]  # by where requests arrive and where they go; sums to 1
     rejected_fractions: dict[str, float]  # of each class, all sites together
     utilization: dict[str, float]  # of each site's capacity
     served_weight: float  # priority weight a second
@@ -55,6 +55,10 @@
     classes: tuple[str, ...]
     scenarios: tuple[LossScenario, ...]
 
+    def is_made_from(self, topology: Topology) -> bool:
+        """Return whether the plan was computed from this file's content."""
+        return (self.version, self.source_digest) == (topology.version, topology.digest)
+
     def scenario(self, lost_sites: Iterable[str]) -> LossScenario | None:
         """Return the one for exactly these sites; sites that the plan does not know don't count."""
         wanted = tuple(sorted(set(lost_sites) & self.capacities.keys()))
@@ -85,9 +89,9 @@
 
 
 def check_plan(plan: SitePlan, topology: Topology | None = None) -> list[str]:
-    """Return all mistakes of a plan, with itself and against the topology that it should come from."""
+    """Return all mistakes of a plan, in itself and against the topology that it is to come from."""
     mistakes = []
-    if topology is not None and (plan.version, plan.source_digest) != (topology.version, topology.digest):
+    if topology is not None and not plan.is_made_from(topology):
         expected = f"expected {topology.version} with this content"
         mistakes.append(f"version: made from version {plan.version}, {expected}")
     wanted = planned_losses(plan.capacities)
--- a/oakbridge/sites/planning.py
+++ b/oakbridge/sites/planning.py
@@ -36,7 +36,8 @@
         site_index = {name: n for n, name in enumerate(self.sites)}
         class_index = {name: n for n, name in enumerate(self.classes)}
         self.capacity = np.array([s.requests_per_s for s in topology.sites])
-        self.usable = np.array([s.requests_per_s * (1 - s.reserved_fraction) for s in topology.sites])
+        reserved = np.array([s.reserved_fraction for s in topology.sites])
+        self.usable = self.capacity * (1 - reserved)
         self.weight = np.array([each.priority_weight for each in topology.classes])
         self.work = np.array([each.work for each in topology.classes])
         self.load = np.zeros((len(self.sites), len(self.classes)))
@@ -73,7 +74,7 @@
 
 
 def solve(figures: SiteFigures, lost_sites: tuple[str, ...]) -> LossScenario:
-    """Return the best that can be done without these sites.  Raises PlanningError if the solver gives up."""
+    """Return the best without these sites.  Raises PlanningError if the solver gives up."""
     program = _RoutingProgram(figures, lost_sites)
     if not program.flows or not program.targets:
         return program.nothing_to_route()
@@ -112,7 +113,8 @@
         found = linprog(self._costs(), **self._constraints(), bounds=(0, None), method="highs")
         if found.x is None:
             raise PlanningError(self.lost_sites, found.message)
-        routed: np.ndarray = np.maximum(found.x[:-1].reshape(len(self.flows), len(self.targets)), 0.0)
+        by_flow = found.x[:-1].reshape(len(self.flows), len(self.targets))
+        routed: np.ndarray = np.maximum(by_flow, 0.0)
         return routed
 
     @property
@@ -134,7 +136,7 @@
         return np.append(costs, IMBALANCE_COST * least_weight * total_work)
 
     def _constraints(self) -> dict[str, Any]:
-        """Serve no more than arrives, and than targets have capacity for; bound the highest load."""
+        """Serve no more than arrives, and than there is capacity for; bound the highest load."""
         target_count = len(self.targets)
         variables = np.arange(len(self.flows) * target_count)
         flow, target = variables // target_count, variables % target_count
@@ -192,8 +194,9 @@
         }
 
     def _utilization(self, routed: np.ndarray) -> dict[str, float]:
-        work = self.figures.work[self._flow_classes]
+        figures = self.figures
+        work = figures.work[self._flow_classes]
         return {
-            self.figures.sites[target]: float((routed[:, n] * work).sum() / self.figures.capacity[target])
+            figures.sites[target]: float((routed[:, n] * work).sum() / figures.capacity[target])
             for n, target in enumerate(self.targets)
         }
--- a/oakbridge/sites/proportional_routing.py
+++ b/oakbridge/sites/proportional_routing.py
@@ -1,4 +1,8 @@
-"""The rule that holds without a plan, to compare plans with: serve the own, pass on by free capacity.  Pure."""
+"""The rule that holds without a plan, to compare plans with.  Pure.
+
+Each site serves what arrives there, most weight for its work first, and passes the rest on by free
+capacity.
+"""
 
 from __future__ import annotations
 
--- a/oakbridge/sites/request_rates.py
+++ b/oakbridge/sites/request_rates.py
@@ -1,4 +1,4 @@
-"""What a node observes itself: how it finds each zone, its requests a second, its overload, their mix.  Pure."""
+"""What a node observes itself: its zones, its requests a second, its overload, their mix.  Pure."""
 
 from __future__ import annotations
 
@@ -51,8 +51,11 @@
         seconds = max(MIN_WINDOW_S, (counts.at_us - earlier.at_us) / US_PER_S)
         shed = counts.shed - earlier.shed
         without_capacity = max(0, counts.rejected - earlier.rejected - shed)
-        admitted = counts.served - earlier.served + counts.failed - earlier.failed + without_capacity
-        arrived = {name: count - earlier.arrived.get(name, 0) for name, count in counts.arrived.items()}
+        served = counts.served - earlier.served
+        failed = counts.failed - earlier.failed
+        admitted = served + failed + without_capacity
+        before = earlier.arrived
+        arrived = {name: count - before.get(name, 0) for name, count in counts.arrived.items()}
         total = max(1, sum(arrived.values()))
         return LocalObservations(
             zones,
--- a/oakbridge/sites/runner.py
+++ b/oakbridge/sites/runner.py
@@ -1,6 +1,7 @@
-"""Run the plan for lost sites beside a node and its member: update twice a second, apply what it decides.
+"""Run the plan for lost sites beside a node and its member.
 
-It decides nothing itself.  The node serves on, by its own balancer alone, whatever becomes of this.
+It updates the plan twice a second and applies what that decides; it decides nothing itself.  The
+node serves on, by its own balancer alone, whatever becomes of this.
 """
 
 from __future__ import annotations
@@ -45,7 +46,8 @@
         self._sites = sites
         self._rates = RequestRates()
         self._applied: SitesDecision | None = None
-        self._updates = PeriodicUpdate(self._update, 1 / UPDATES_PER_S, "a look at the sites failed")
+        interval_s = 1 / UPDATES_PER_S
+        self._updates = PeriodicUpdate(self._update, interval_s, "a look at the sites failed")
 
     async def __aenter__(self) -> SitesRunner:
         """Report sites to other members, and begin to update."""
@@ -95,7 +97,8 @@
             return
         now_us = self._node.clock.now()
         local = self._local_observations(now_us)
-        decision = self._sites.update(now_us, _clock_ms(), view, list(self._received_reports()), local)
+        reports = list(self._received_reports())
+        decision = self._sites.update(now_us, _clock_ms(), view, reports, local)
         for transition in decision.transitions:
             _log_transition(transition)
         self._apply(decision)
--- a/oakbridge/sites/site_state.py
+++ b/oakbridge/sites/site_state.py
@@ -3,8 +3,8 @@
     HEALTHY -> SUSPECT -> LOST | CUT_OFF -> RECOVERING -> WARMING_UP -> HEALTHY
     any -> DRAINING (then without requests) -> RECOVERING
 
-The servers of a LOST site refuse; those of one that is CUT_OFF time out, or others reach it and we do
-not.  Silence needs longer than refusal to be believed: it also comes from a moment's packet loss.
+The servers of a LOST site refuse; those of one that is CUT_OFF time out, or others reach it and we
+do not.  Silence needs longer than refusal to be believed: it also comes from a moment's packet loss.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 FAILED_VERDICT_AFTER_US = 500_000  # of suspicion, where servers refuse
 SILENT_VERDICT_AFTER_US = 1_500_000  # where they time out
 HEALTHY_AFTER_US = 1_000_000  # of good observations
-SUSPICION_TIMEOUT_US = 8_000_000  # without enough evidence: twice the age to which observations count
+SUSPICION_TIMEOUT_US = 8_000_000  # without enough evidence: twice as long as observations count
 SUSPECT_FRACTION = 0.25  # of its usual requests
 MIN_PROBE_RESPONSES = 2  # servers that must answer health checks before the ramp begins
-# Observations from before the return count for some seconds more: it begins only well below the fraction
-# that would end it at once.
+# Observations from before the return count for some seconds more: it begins only well below the
+# fraction that would end it at once.
 RECOVER_BELOW = FAULT_FRACTION / 2
 DRAIN_ABORTED_ABOVE = 0.3  # servers that kept such a fraction of their requests are warm
 MAX_HISTORY = 32
@@ -109,7 +109,13 @@
                 return 1.0
 
     def update(
-        self, now_us: int, evidence: Evidence, *, drained: bool, other_site_faulty: bool, is_overloaded: bool
+        self,
+        now_us: int,
+        evidence: Evidence,
+        *,
+        drained: bool,
+        other_site_faulty: bool,
+        is_overloaded: bool,
     ) -> None:
         """Take in what is known now.
 
@@ -193,7 +199,8 @@
 
     def _try_recovery(self, now_us: int, evidence: Evidence) -> None:
         answered = evidence.has_responses(MIN_PROBE_RESPONSES)
-        if answered and evidence.unhealthy_fraction <= RECOVER_BELOW and self.recovery.begin(now_us):
+        is_well = answered and evidence.unhealthy_fraction <= RECOVER_BELOW
+        if is_well and self.recovery.begin(now_us):
             cause = f"{evidence.responding} servers answered calls that looked"
             self._become(now_us, SiteState.RECOVERING, cause, evidence.failure_reporters)
 
--- a/tests/sites/test_balancer_zone_weights.py
+++ b/tests/sites/test_balancer_zone_weights.py
@@ -1,4 +1,4 @@
-"""What the module does with parts of zones and with classes that are turned away."""
+"""What the balancer does with zone weights and with a load-shedding level."""
 
 from collections import Counter
 
@@ -18,102 +18,110 @@
 from oakbridge.policy.settings import Idempotency, Prices, RequestClass, Settings, Tenant
 from oakbridge.policy.view import zones
 
-S = 1_000_000
-SAFE = RequestClass("look", 2 * S, 5 * S, 1.0, idempotency=Idempotency.IDEMPOTENT)
-ONCE = RequestClass("book", 2 * S, 5 * S, 5.0, idempotency=Idempotency.NOT_IDEMPOTENT)
+SECOND_US = 1_000_000
+IDEMPOTENT = RequestClass("look", 2 * SECOND_US, 5 * SECOND_US, 1.0, idempotency=Idempotency.IDEMPOTENT)
+NOT_REPEATED = RequestClass("book", 2 * SECOND_US, 5 * SECOND_US, 5.0, idempotency=Idempotency.NOT_IDEMPOTENT)
 
 
-class Driver:
+class BalancerDriver:
     def __init__(self, servers=None, **more):
-        self.b = Balancer(Settings((SAFE, ONCE), max_retry_after=2 * S, cancellation_allowed=True, **more), 3)
-        self.now, self.ids = S, 0
+        settings = Settings(
+            (IDEMPOTENT, NOT_REPEATED),
+            max_retry_after=2 * SECOND_US,
+            cancellation_allowed=True,
+            **more,
+        )
+        self.balancer = Balancer(settings, 3)
+        self.now, self.ids = SECOND_US, 0
         listed = servers or [Endpoint(f"{z}{n}", zone=z) for z in "abc" for n in range(6)]
-        self.b.handle(self.now, EndpointListReceived(listed))
+        self.balancer.handle(self.now, EndpointListReceived(listed))
 
-    def ask(self, klass="look"):
+    def request(self, klass="look"):
         """One request; where it is sent, or what is said of it."""
         self.ids += 1
-        done = self.b.handle(self.now, RequestReceived(self.ids, klass, 5 * S))
+        done = self.balancer.handle(self.now, RequestReceived(self.ids, klass, 5 * SECOND_US))
         return next(a for a in done if isinstance(a, SendAttempt | RejectRequest | FailRequest))
 
-    def serve(self, many=300, klass="look", result=AttemptResult.OK):
+    def serve(self, count=300, klass="look", result=AttemptResult.OK):
         """So many requests, one after another; which zones they were sent to."""
         went = Counter()
-        for _ in range(many):
-            sent = self.ask(klass)
+        for _ in range(count):
+            sent = self.request(klass)
             went[sent.server[0]] += 1
             self.now += 20_000
-            self.b.handle(self.now, AttemptEnded(self.ids, 0, sent.server, result, 10_000, True))
+            self.balancer.handle(self.now, AttemptEnded(self.ids, 0, sent.server, result, 10_000, True))
         return went
 
 
 @pytest.mark.parametrize("home", ["", "a", "c"])
-def test_a_closed_zone_gets_only_calls_that_look(home):
+def test_a_zone_of_weight_0_gets_only_probes(home):
     more = {"zone": home, "zones": ("a", "b", "c"), "prices": Prices(cross_zone=0.02)} if home else {}
-    d = Driver(**more)
-    assert d.serve()[home or "c"]
-    d.b.handle(d.now, ZoneWeights({"c": 0.0}))
-    assert set(d.serve()) <= {"a", "b"}
+    driver = BalancerDriver(**more)
+    assert driver.serve()[home or "c"]
+    driver.balancer.handle(driver.now, ZoneWeights({"c": 0.0}))
+    assert set(driver.serve()) <= {"a", "b"}
     for n in range(5):
-        d.b.handle(d.now, ZoneWeights({"c": 0.0}, ("c",)))
-        assert d.ask("book").server[0] != "c"  # never by a call that may not be repeated
-        assert d.serve(10) - Counter(a=10, b=10) == Counter(c=1), n
-    d.b.handle(d.now, ZoneWeights({}))
-    assert d.serve()[home or "c"] > 30
+        driver.balancer.handle(driver.now, ZoneWeights({"c": 0.0}, ("c",)))
+        assert driver.request("book").server[0] != "c"  # never by a call that may not be repeated
+        assert driver.serve(10) - Counter(a=10, b=10) == Counter(c=1), n
+    driver.balancer.handle(driver.now, ZoneWeights({}))
+    assert driver.serve()[home or "c"] > 30
 
 
-def test_nothing_but_open_zones_is_left_when_these_are_full_or_sick():
-    d = Driver()
-    d.b.handle(d.now, ZoneWeights({"b": 0.0, "c": 0.0}))
-    sent = [d.ask() for _ in range(200)]
+def test_only_open_zones_are_used_also_when_these_are_full_or_unhealthy():
+    driver = BalancerDriver()
+    driver.balancer.handle(driver.now, ZoneWeights({"b": 0.0, "c": 0.0}))
+    sent = [driver.request() for _ in range(200)]
     assert {s.server[0] for s in sent if isinstance(s, SendAttempt)} == {"a"}
-    d = Driver()
-    d.b.handle(d.now, ZoneWeights({"b": 0.0, "c": 0.0}))
-    assert set(d.serve(60, result=AttemptResult.CONNECT_FAILED)) == {"a"}
+    driver = BalancerDriver()
+    driver.balancer.handle(driver.now, ZoneWeights({"b": 0.0, "c": 0.0}))
+    assert set(driver.serve(60, result=AttemptResult.CONNECT_FAILED)) == {"a"}
 
 
-def test_a_part_is_about_kept_and_new_servers_of_a_zone_have_its_part():
-    d = Driver()
-    d.b.handle(d.now, ZoneWeights({"c": 0.2}))
-    went = d.serve(3000)
+def test_a_weight_is_about_kept_and_applies_to_new_servers_of_a_zone():
+    driver = BalancerDriver()
+    driver.balancer.handle(driver.now, ZoneWeights({"c": 0.2}))
+    went = driver.serve(3000)
     assert 0.02 < went["c"] / went["a"] < 0.6
     for part, most in ((0.0, 0), (1.0, 1000)):
-        d.b.handle(d.now, ZoneWeights({"c": part} if part < 1 else {}))
+        driver.balancer.handle(driver.now, ZoneWeights({"c": part} if part < 1 else {}))
         new = [Endpoint(f"c9{part:g}{n}", zone="c") for n in range(6)]
-        d.b.handle(d.now, EndpointListReceived(new, complete=False))
-        assert (d.serve(300)["c"] > 0) == (most > 0)
+        driver.balancer.handle(driver.now, EndpointListReceived(new, complete=False))
+        assert (driver.serve(300)["c"] > 0) == (most > 0)
 
 
-def test_a_class_is_turned_away_in_part_and_told_to_come_late():
-    d = Driver(tenants=(Tenant("t", 0.01),))
-    d.b.handle(d.now, LoadSheddingLevel({"look": 0.5}))
-    said = [d.ask() for _ in range(400)]
+def test_a_class_is_rejected_in_part_with_spread_retry_after():
+    driver = BalancerDriver(tenants=(Tenant("t", 0.01),))
+    driver.balancer.handle(driver.now, LoadSheddingLevel({"look": 0.5}))
+    said = [driver.request() for _ in range(400)]
     refused = [a for a in said if isinstance(a, RejectRequest)]
-    assert 150 < len(refused) < 250 and d.b.turned == len(refused)
+    assert 150 < len(refused) < 250
+    assert driver.balancer.turned == len(refused)
     waits = [a.retry_after for a in refused]
-    assert min(waits) > S // 2 and max(waits) - min(waits) > S // 2  # and not all at once
-    d.b.handle(d.now, LoadSheddingLevel({}, over_quota_fraction=1.0))
-    assert not isinstance(d.ask("book"), RejectRequest)
+    assert min(waits) > SECOND_US // 2
+    assert max(waits) - min(waits) > SECOND_US // 2  # and not all at once
+    driver.balancer.handle(driver.now, LoadSheddingLevel({}, over_quota_fraction=1.0))
+    assert not isinstance(driver.request("book"), RejectRequest)
 
 
-def test_a_view_tells_how_each_zone_was_found():
-    d = Driver()
-    d.serve(100)
-    before = {z.zone: (z.good > 0, z.mute, z.dead) for z in zones(d.b, d.now, 4 * S)}
+def test_a_zone_view_counts_servers_by_how_their_last_attempt_ended():
+    driver = BalancerDriver()
+    driver.serve(100)
+    before = {z.zone: (z.good > 0, z.mute, z.dead) for z in zones(driver.balancer, driver.now, 4 * SECOND_US)}
     assert before == dict.fromkeys("abc", (True, 0, 0))
     for result, mute in (
         (AttemptResult.CONNECT_FAILED, 0),
         (AttemptResult.TIMEOUT, 1),
         (AttemptResult.REJECTED, 0),
     ):
-        d = Driver([Endpoint("a1", zone="a")])
-        d.serve(1, result=result)
-        (found,) = zones(d.b, d.now, 4 * S)
+        driver = BalancerDriver([Endpoint("a1", zone="a")])
+        driver.serve(1, result=result)
+        (found,) = zones(driver.balancer, driver.now, 4 * SECOND_US)
         assert (found.mute, found.dead) == (mute, int(result == AttemptResult.CONNECT_FAILED))
 
 
 @pytest.mark.parametrize(
-    ("failed", "answers", "rests"),
+    ("failed", "answers", "ejected"),
     [
         (("c0", "c1"), (), set()),
         (("c0", "c0", "c0", "c0"), (), {"c0"}),  # one server, however often, is one
@@ -124,21 +132,21 @@
         (("c0", "c1", "c2"), ("c5 failed",), set()),  # nor is one gone that answers, whatever it says
     ],
 )
-def test_what_several_servers_of_a_zone_show_counts_for_those_not_met_yet(failed, answers, rests):
-    d = Driver()
-    b = d.b
+def test_failures_of_several_servers_of_a_zone_eject_its_other_ones(failed, answers, ejected):
+    driver = BalancerDriver()
+    balancer = driver.balancer
 
     def end(server, result):
-        d.ids, number = d.ids + 1, d.ids + 1
-        d.now += 1000
-        b.handle(d.now, RequestReceived(number, "look", 5 * S))
-        call = b.calls[number]
+        driver.ids, number = driver.ids + 1, driver.ids + 1
+        driver.now += 1000
+        balancer.handle(driver.now, RequestReceived(number, "look", 5 * SECOND_US))
+        call = balancer.calls[number]
         sent = call.attempts[0].server
         if sent.id != server:  # as if it had been drawn
             del sent.out[number, 0]
-            call.attempts[0].server = b.servers[server]
-            b.servers[server].out[number, 0] = call.attempts[0]
-        b.handle(d.now, AttemptEnded(number, 0, server, result, 500, result == AttemptResult.OK))
+            call.attempts[0].server = balancer.servers[server]
+            balancer.servers[server].out[number, 0] = call.attempts[0]
+        balancer.handle(driver.now, AttemptEnded(number, 0, server, result, 500, result == AttemptResult.OK))
 
     for server in ("a0", "b0", "c5"):
         end(server, AttemptResult.OK)
@@ -148,10 +156,10 @@
         end(server.split()[0], AttemptResult.ERROR if " " in server else AttemptResult.OK)
     for server in failed[2:]:
         end(server, AttemptResult.RESET)
-    assert {s.id for s in b.servers.values() if s.ejected_until > d.now} == rests
-    for s in b.servers.values():
+    assert {s.id for s in balancer.servers.values() if s.ejected_until > driver.now} == ejected
+    for s in balancer.servers.values():
         s.ejected_until = 0
-    b.health.rate = 0.5  # half of all fails anyway: three in a row say nothing
+    balancer.health.rate = 0.5  # half of all fails anyway: three in a row say nothing
     for server in ("b1", "b2", "b3"):
         end(server, AttemptResult.RESET)
-    assert not any(s.ejected_until for s in b.servers.values() if s.zone == "b")
+    assert not any(s.ejected_until for s in balancer.servers.values() if s.zone == "b")
--- a/tests/sites/test_load_shedding.py
+++ b/tests/sites/test_load_shedding.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("offered_load", [1.0, 1.2, 2.0, 5.0])
 def test_feedback_finds_what_does_not_fit_and_lets_go_of_it(offered_load):
-    """Of capacity only its lack is known: within 20 s rejections by the level leave under 10% to chance."""
+    """Of capacity only its lack is known: within 20 s the level leaves under 10% to chance."""
     shedding, now_us = LoadShedding(RANKS), 0
     overloads, rejected = [], []
     for second in range(150):
--- a/tests/sites/test_node_sites.py
+++ b/tests/sites/test_node_sites.py
@@ -44,7 +44,15 @@
     return [ReceivedReport(sites.name, "a", age_us, sites.report()) for sites in nodes]
 
 
-def update(sites, seconds, cluster=None, received=(), observed=ALL_RESPOND, start_us=0, overload=0.0):
+def update(
+    sites,
+    seconds,
+    cluster=None,
+    received=(),
+    observed=ALL_RESPOND,
+    start_us=0,
+    overload=0.0,
+):
     """Update for so many seconds; return the last decision."""
     for n in range(2 * seconds):
         decision = sites.update(
@@ -66,8 +74,18 @@
     assert history[-1]["after"] == SiteState.LOST
 
 
-LARGER_PART = view(ViewState.PARTITIONED, unreachable=3, is_larger_part=True, unreachable_sites=("c",))
-SMALLER_PART = view(ViewState.PARTITIONED, unreachable=6, is_larger_part=False, unreachable_sites=("b", "c"))
+LARGER_PART = view(
+    ViewState.PARTITIONED,
+    unreachable=3,
+    is_larger_part=True,
+    unreachable_sites=("c",),
+)
+SMALLER_PART = view(
+    ViewState.PARTITIONED,
+    unreachable=6,
+    is_larger_part=False,
+    unreachable_sites=("b", "c"),
+)
 ISOLATED = view(ViewState.ISOLATED, unreachable=8, is_larger_part=False)
 
 
@@ -90,7 +108,7 @@
 
 
 def test_a_verdict_goes_on_counting_once_nobody_calls_the_site_any_more():
-    """Who closes a site early has no fresh observation of it: late ones would never be three that called it."""
+    """Who closes a site early has no fresh observation: late ones would never be three with one."""
     early = [node(name=name) for name in ("n2", "n3")]
     for sites in early:
         update(sites, 3, received=reports("m1 m2 m3", c=(0, 0, 4)))
@@ -116,7 +134,8 @@
     update(sites, 1)
     received = reports(" ".join(f"m{n}" for n in range(49)), c=(0, 0, 4))
     for n in range(400):
-        decision = update(sites, 1, received=received, observed=C_NOT_CALLED, start_us=n * SECOND_US)
+        start_us = n * SECOND_US
+        decision = update(sites, 1, received=received, observed=C_NOT_CALLED, start_us=start_us)
         probes += len(decision.probe_zones)
     # 50 nodes, 5 a second by all: 40 in 400 s by each (of every second update one is seen here)
     assert 15 < probes < 70
@@ -184,12 +203,14 @@
     assert sites.shedding.level == 0
 
 
-def test_a_plan_says_where_a_lost_sites_load_goes_and_what_is_rejected_from_the_first_moment(tmp_path):
+def test_a_plan_says_where_load_goes_and_what_is_rejected_from_the_first_moment(tmp_path):
     plan = compute_plan(topology_from(tmp_path))
     sites = node(plan)
     update(sites, 1)
-    decision = update(sites, 3, received=reports(a=(0, 0, 4)), observed={**ALL_RESPOND, "a": (0, 0, 3)})
+    a_fails = {**ALL_RESPOND, "a": (0, 0, 3)}
+    decision = update(sites, 3, received=reports(a=(0, 0, 4)), observed=a_fails)
     assert decision.zone_weights["a"] == 0
-    assert "a" not in plan.scenario(["a"]).routing  # its nodes have no part of their own in the plan then
+    # Its nodes have no part of their own in the plan then.
+    assert "a" not in plan.scenario(["a"]).routing
     assert decision.rejected_fractions.get("look", 0) > 0
     assert operator_view.describe(sites, 0)["plan"] == 7
--- a/tests/sites/test_site_state.py
+++ b/tests/sites/test_site_state.py
@@ -17,8 +17,13 @@
 from oakbridge.sites.recovery_ramp import RecoveryRamp
 from oakbridge.sites.site_state import SiteState, SiteStateMachine
 
-HEALTHY, SUSPECT, LOST, CUT_OFF = SiteState.HEALTHY, SiteState.SUSPECT, SiteState.LOST, SiteState.CUT_OFF
-RECOVERING, WARMING_UP, DRAINING = SiteState.RECOVERING, SiteState.WARMING_UP, SiteState.DRAINING
+HEALTHY = SiteState.HEALTHY
+SUSPECT = SiteState.SUSPECT
+LOST = SiteState.LOST
+CUT_OFF = SiteState.CUT_OFF
+RECOVERING = SiteState.RECOVERING
+WARMING_UP = SiteState.WARMING_UP
+DRAINING = SiteState.DRAINING
 
 
 class Course:
@@ -128,7 +133,9 @@
     assert site.state == (HEALTHY if fractions[-1] >= 0.3 else RECOVERING)
 
 
-EVIDENCE = st.sampled_from([ALL_RESPOND, ALL_FAIL, ALL_TIME_OUT, ONE_IN_FIVE_TIMES_OUT, NO_EVIDENCE])
+EVIDENCE = st.sampled_from(
+    [ALL_RESPOND, ALL_FAIL, ALL_TIME_OUT, ONE_IN_FIVE_TIMES_OUT, NO_EVIDENCE],
+)
 
 
 @settings(max_examples=200, deadline=None)
--- a/tests/sites/test_sites_real_processes.py
+++ b/tests/sites/test_sites_real_processes.py
@@ -1,4 +1,4 @@
-"""A site lost and back with real processes, small; and what operators type."""
+"""A site lost and recovered with real processes, small; and what operators type."""
 
 import asyncio
 import json
@@ -43,7 +43,7 @@
 """ + "".join(f'[[site]]\nname = "{name}"\nnodes = 2\nservers = 3\n' for name in "abc")
 
 
-def test_a_site_is_lost_for_all_and_comes_back(tmp_path):
+def test_a_site_is_lost_for_all_and_recovers(tmp_path):
     (tmp_path / "plan.toml").write_text(PLAN)
     out = tmp_path / "out"
     result = CliRunner().invoke(cli, ["lab", "run", str(tmp_path / "plan.toml"), "--out", str(out)])
@@ -56,7 +56,8 @@
         told[log.name] = [line["state"] for line in lines if line["site"] == "c"]
     # A node that meets none of its servers in these seconds needs no verdict.
     held = [states for states in told.values() if "lost" in states]
-    assert len(told) == 6 and len(held) >= 4, told
+    assert len(told) == 6, told
+    assert len(held) >= 4, told
     assert all(states.index("returning") > states.index("lost") for states in held), told
 
 
@@ -95,13 +96,13 @@
     return tmp_path
 
 
-def type_in(*words):
+def run_command(*words):
     result = CliRunner().invoke(cli, [str(word) for word in words])
     assert "Traceback" not in result.output
     return result.exit_code, result.output
 
 
-def test_operators_look_drain_and_return(files):
+def test_operators_show_drain_and_return_sites(files):
     (files / "node.toml").write_text(NODE.format(files, 22_071, ""))
     ask = ("--socket", files / "n1.sock")
 
@@ -110,7 +111,7 @@
         loaded = Given(files / "node.toml", None, (), None).load()
         node = await started(loaded, loop)
         async with asyncio.timeout(60), beside(loaded, node, None):
-            while "well" not in (await asyncio.to_thread(type_in, "sites", *ask))[1]:
+            while "well" not in (await asyncio.to_thread(run_command, "sites", *ask))[1]:
                 await asyncio.sleep(0.05)
             for words, code, text in (
                 (("drain", "nowhere"), 1, "expected one of a, b"),
@@ -121,35 +122,41 @@
                 (("why", "b"), 0, "operators drain it"),
                 (("why", "x"), 1, "no site of the name"),
             ):
-                done = await asyncio.to_thread(type_in, "sites", *ask, *words)
-                assert done[0] == code and text in done[1], (words, done)
+                done = await asyncio.to_thread(run_command, "sites", *ask, *words)
+                assert done[0] == code, (words, done)
+                assert text in done[1], (words, done)
             while node.balancer.closed != {"b"}:
                 await asyncio.sleep(0.05)
-            assert "held out" in (await asyncio.to_thread(type_in, "sites", *ask))[1]
-            assert (await asyncio.to_thread(type_in, "sites", *ask, "return", "b"))[0] == 0
-            assert "returning" in (await asyncio.to_thread(type_in, "sites", *ask))[1]
+            assert "held out" in (await asyncio.to_thread(run_command, "sites", *ask))[1]
+            assert (await asyncio.to_thread(run_command, "sites", *ask, "return", "b"))[0] == 0
+            assert "returning" in (await asyncio.to_thread(run_command, "sites", *ask))[1]
         node.close()
 
     asyncio.run(played())
 
 
 def test_plans_are_made_checked_and_refused_with_every_mistake(files):
-    made = type_in("sites", "plan", files / "sites.toml", "--out", files / "plan.json")
-    assert made[0] == 0 and "a lost: 9" in made[1] and "a and b lost" in made[1]
-    assert type_in("sites", "check", files / "sites.toml", files / "plan.json")[0] == 0
+    made = run_command("sites", "plan", files / "sites.toml", "--out", files / "plan.json")
+    assert made[0] == 0
+    assert "a lost: 9" in made[1]
+    assert "a and b lost" in made[1]
+    assert run_command("sites", "check", files / "sites.toml", files / "plan.json")[0] == 0
     (files / "node.toml").write_text(NODE.format(files, 22_072, 'plan = "plan.json"'))
-    assert type_in("check", files / "node.toml")[0] == 0
+    assert run_command("check", files / "node.toml")[0] == 0
     (files / "sites.toml").write_text(SITES_TOML.replace("rate = 60.0", "rate = 61.0"))
-    assert type_in("sites", "check", files / "sites.toml", files / "plan.json")[0] == 2
+    assert run_command("sites", "check", files / "sites.toml", files / "plan.json")[0] == 2
     (files / "plan.json").write_text("{}")
     for words in (
         ("check", files / "node.toml"),
         ("sites", "check", files / "sites.toml", files / "plan.json"),
     ):
-        code, said = type_in(*words)
-        assert code == 2 and "plan.json" in said and "expected a plan" in said
+        code, said = run_command(*words)
+        assert code == 2
+        assert "plan.json" in said
+        assert "expected a plan" in said
     (files / "node.toml").write_text(
         NODE.format(files, 22_073, "step = 5").replace('zone = "a"\nlisten', "listen")
     )
-    code, said = type_in("check", files / "node.toml")
-    assert code == 2 and "sites.step" in said
+    code, said = run_command("check", files / "node.toml")
+    assert code == 2
+    assert "sites.step" in said
--- a/tests/spread/test_parts.py
+++ b/tests/spread/test_parts.py
@@ -55,16 +55,20 @@
             assert weight / sum(weights.values()) == pytest.approx(
                 mine[name] / sum(mine.values()), abs=0.03 * rings
             )
-        assert max(parts.values()) == 1.0 and set(parts) <= {n for n, length in mine.items() if length > 0}
+        assert max(parts.values()) == 1.0
+        assert set(parts) <= {n for n, length in mine.items() if length > 0}
 
 
 @pytest.mark.parametrize(("nodes", "servers"), [(300, 300), (200, 10), (10, 1000), (1, 5), (2, 2)])
 def test_outlooks_by_members_are_even_at_any_size(nodes, servers):
     by_members, by_chance = outlook.outlook(nodes, servers, nodes + 1, servers, 4, 0.5, 1)
-    assert by_members.most == pytest.approx(1) and by_members.least == pytest.approx(1)
-    assert by_members.copies_most <= max(nodes, 1) and by_chance.most >= by_members.most - 1e-9
+    assert by_members.most == pytest.approx(1)
+    assert by_members.least == pytest.approx(1)
+    assert by_members.copies_most <= max(nodes, 1)
+    assert by_chance.most >= by_members.most - 1e-9
     if nodes == 300:
-        assert by_chance.p99 > 1.8 and by_members.moved < 0.75
+        assert by_chance.p99 > 1.8
+        assert by_members.moved < 0.75
 
 
 def test_views_that_differ_a_little_cost_a_little_evenness():
@@ -90,8 +94,10 @@
     for second in range(1200):
         count += sum(rng.random() < 0.1 for _ in range(100)) * (1 if second < 600 else 4)
         told.append(rate.note(second * SECOND, count))
-    assert len(set(told[60:600])) <= 2 and len(set(told[900:])) <= 2
-    assert 2.5 < told[-1] / told[599] < 6 and min(told) >= 1
+    assert len(set(told[60:600])) <= 2
+    assert len(set(told[900:])) <= 2
+    assert 2.5 < told[-1] / told[599] < 6
+    assert min(told) >= 1
 
 
 def whole(state=ViewState.COMPLETE, **more):
@@ -106,7 +112,8 @@
     spread = Spread("n1", "", 2)
     assert spread.look(0, whole(ViewState.STARTING), COPIES, SERVERS) is None
     first = spread.look(SECOND, whole(), COPIES, SERVERS)
-    assert first and set(first) < set(SERVERS)
+    assert first
+    assert set(first) < set(SERVERS)
     fewer = {n: c for n, c in COPIES.items() if n != "n2"}
     assert spread.look(2 * SECOND, whole(), fewer, SERVERS) is None  # not yet: they come and go in groups
     assert (
@@ -122,7 +129,8 @@
     assert (
         spread.look(60 * SECOND, whole(ViewState.ISOLATED), {"n1": COPIES["n1"]}, SERVERS) is None
     )  # it may be cut off
-    assert spread.look(90 * SECOND, whole(), {"n1": COPIES["n1"]}, SERVERS) == {} and spread.moves
+    assert spread.look(90 * SECOND, whole(), {"n1": COPIES["n1"]}, SERVERS) == {}
+    assert spread.moves
 
 
 def test_with_zones_each_zones_servers_are_divided_among_its_own_copies_and_among_the_others():
@@ -132,10 +140,12 @@
         parts = spread.look(0, whole(), COPIES, SERVERS)
         seen[me] = {n for n in parts if SERVERS[n][0] == copy.site}
     for one, other in (("n0", "n2"), ("n1", "n3")):
-        assert len(seen[one] | seen[other]) == 6 and len(seen[one] & seen[other]) <= 1
+        assert len(seen[one] | seen[other]) == 6
+        assert len(seen[one] & seen[other]) <= 1
     told = spread.describe()
     assert all(row["load_over_fair"] == pytest.approx(1) and row["copies"] <= 2 for row in told["servers"])
-    assert told["divided"] and not told["stand_out"]
+    assert told["divided"]
+    assert not told["stand_out"]
 
 
 def test_the_module_uses_its_part_and_keeps_to_it_as_lists_and_zones_change():
@@ -149,9 +159,11 @@
     def used():
         return {s.id: round(s.size, 6) for s in module.subset.members(True)}
 
-    assert used() == {n: round(p, 6) for n, p in parts.items()} and module.least() == 6
+    assert used() == {n: round(p, 6) for n, p in parts.items()}
+    assert module.least() == 6
     module.handle(2, ZoneWeights({"a": 0.5}))
-    assert used()["s00"] == 0.5 and used()["s01"] == 0.9
+    assert used()["s00"] == 0.5
+    assert used()["s01"] == 0.9
     assert listed(module) == {e.id: (e.zone, 1.0) for e in entries}
     module.handle(3, ZoneWeights({}))
     changed = [Endpoint("s00", EndpointState.GONE), Endpoint("new"), Endpoint("s99")]
@@ -184,6 +196,9 @@
 
 def test_operators_reckon_a_size_before_it_is_so():
     told = CliRunner().invoke(cli, ["spread", "plan", "--nodes", "30", "--servers", "30", "--to-nodes", "33"])
-    assert told.exit_code == 0 and "by members" in told.output and "moved by the change" in told.output
+    assert told.exit_code == 0
+    assert "by members" in told.output
+    assert "moved by the change" in told.output
     wrong = CliRunner().invoke(cli, ["spread", "plan", "--nodes", "20000", "--servers", "20000"])
-    assert wrong.exit_code == 2 and "pairs" in wrong.output
+    assert wrong.exit_code == 2
+    assert "pairs" in wrong.output
--- a/tests/spread/test_real.py
+++ b/tests/spread/test_real.py
@@ -50,7 +50,8 @@
     killed = next(
         s for s in json.loads((out / "summary.json").read_text())["checks"] if s["name"] == "changes"
     )
-    assert killed["figure"] > 0 and len(cuts) == 6
+    assert killed["figure"] > 0
+    assert len(cuts) == 6
     assert all(lines and "of 8 for this node" in lines[-1] for lines in cuts.values()), cuts
     assert sum(len(lines) >= 2 for lines in cuts.values()) >= 3, cuts  # some arcs may stay where they are
 
@@ -96,4 +97,5 @@
     asyncio.run(played("node.toml", ((), 0, "each node draws its own"), (("--json",), 0, '"divided": false')))
     asyncio.run(played("plain.toml", ((), 1, "no [spread]")))
     refused = CliRunner().invoke(cli, ["check", str(tmp_path / "alone.toml")])
-    assert refused.exit_code == 2 and "[peers]" in refused.output
+    assert refused.exit_code == 2
+    assert "[peers]" in refused.output
