--- a/benchmarks/even.py
+++ b/benchmarks/even.py
@@ -31,9 +31,9 @@
 
 from oakbridge.lab import even, ways
 from oakbridge.lab.world import SECOND, WORK, Fleet
-from oakbridge.spread.core import STEPS_EACH
-from oakbridge.spread.outlook import named
-from oakbridge.spread.ring import cut
+from oakbridge.spread.arcs import subset_weights
+from oakbridge.spread.capacity_forecast import numbered_names
+from oakbridge.spread.request_rate import STEPS_PER_DOUBLING
 
 WORKERS, QUEUE = 1, 16
 SETTLED, LASTS = 15, 40
@@ -116,9 +116,9 @@
 def aged(item: tuple[int, float, float, int]) -> dict[str, Any]:
     """Copies that tell another step now and then; each holds the others' words as they were up to 2 ``age`` ago."""
     copies, age, often, seed = item
-    rng, names = random.Random(seed), named("copy", copies)
-    servers = dict.fromkeys(named("server", copies), 1.0)
-    base = {name: 2 ** (round(STEPS_EACH * rng.gauss(0, 0.7)) / STEPS_EACH) for name in names}
+    rng, names = random.Random(seed), numbered_names("copy", copies)
+    servers = dict.fromkeys(numbered_names("server", copies), 1.0)
+    base = {name: 2 ** (round(STEPS_PER_DOUBLING * rng.gauss(0, 0.7)) / STEPS_PER_DOUBLING) for name in names}
     span = max(60.0, 2 * age)
     changes: dict[str, list[tuple[float, float]]] = {
         name: [] for name in names
@@ -126,7 +126,7 @@
     for name in names:
         at = rng.expovariate(often / 60) if often else span
         while at < span:
-            changes[name].append((at, 2 ** (rng.choice((-1, 1)) / STEPS_EACH)))
+            changes[name].append((at, 2 ** (rng.choice((-1, 1)) / STEPS_PER_DOUBLING)))
             at += rng.expovariate(often / 60)
 
     def word(name: str, ago: float) -> float:
@@ -136,7 +136,7 @@
     load = Counter[str]()
     for me in names:
         held = {n: truth[n] if n == me else word(n, rng.uniform(0, 2 * age)) for n in names}
-        parts = cut(me, held, servers, RINGS)
+        parts = subset_weights(me, held, servers, RINGS)
         for name, part in parts.items():
             load[name] += truth[me] * part / sum(parts.values())
     mean = sum(truth.values()) / copies
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from oakbridge.peers.service import MembershipService
     from oakbridge.sites.runner import SitesRunner
-    from oakbridge.spread.beside import SpreadBeside
+    from oakbridge.spread.runner import SubsetRunner
 
 
 @dataclass(frozen=True, slots=True)
@@ -212,14 +212,14 @@
 @asynccontextmanager
 async def spread(
     loaded: Loaded, node: Node, held: MembershipService | None
-) -> AsyncIterator[SpreadBeside | None]:
+) -> AsyncIterator[SubsetRunner | None]:
     """The servers divided among the nodes of a tier, where the file asks for it."""
     if loaded.file.spread is None or held is None:
         yield None
         return
-    from oakbridge.spread.beside import SpreadBeside
+    from oakbridge.spread.runner import SubsetRunner
 
-    async with SpreadBeside(node, held, loaded.file.spread.rings) as divided:
+    async with SubsetRunner(node, held, loaded.file.spread.rings) as divided:
         yield divided
 
 
@@ -256,7 +256,7 @@
     node: Node,
     held: MembershipService | None,
     plan: SitesRunner | None,
-    divided: SpreadBeside | None,
+    divided: SubsetRunner | None,
 ) -> AsyncIterator[None]:
     """The node's control socket, for as long as it runs."""
     if loaded.control is None:
--- a/oakbridge/cli/spread.py
+++ b/oakbridge/cli/spread.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from dataclasses import asdict
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 from rich import box
@@ -15,10 +14,15 @@
 from oakbridge.cli.common import BadInput, look_options, say_json, socket_options
 from oakbridge.cli.looking import show
 from oakbridge.control.protocol import ControlCommand
+from oakbridge.spread.arcs import MAX_RINGS
 
-MOST = 20_000  # nodes, and servers, that are reckoned with
+if TYPE_CHECKING:
+    from oakbridge.spread.capacity_forecast import Forecast
+
+MAX_SIZE = 20_000  # nodes, and servers
+MAX_PAIRS = 1000 * MAX_SIZE  # of node and server
 UNEVEN = 1.25  # times the fair share, beyond which a row stands out
-ROWS = 40
+MAX_ROWS = 40
 
 
 @click.group("spread", invoke_without_command=True)
@@ -26,19 +30,28 @@
 @look_options
 @click.pass_context
 def command(
-    ctx: click.Context, socket_path: Path | None, config: Path | None, as_json: bool, watch: bool, every: float
-) -> None:  # fmt: skip
+    ctx: click.Context,
+    socket_path: Path | None,
+    config: Path | None,
+    as_json: bool,
+    watch: bool,
+    every: float,
+) -> None:
     """Show for each server how many nodes use it and its load over its fair share, and which nodes stand out."""
     if ctx.invoked_subcommand is None:
         show(socket_path, config, ControlCommand.SPREAD, picture, as_json, watch, every)
 
 
 @command.command("plan")
-@click.option("--nodes", required=True, type=click.IntRange(1, MOST), help="Nodes of the tier.")
-@click.option("--servers", required=True, type=click.IntRange(1, MOST), help="Servers that they use.")
-@click.option("--to-nodes", type=click.IntRange(1, MOST), help="Nodes after the change; one more if absent.")
-@click.option("--to-servers", type=click.IntRange(1, MOST), help="Servers after it; as many if absent.")
-@click.option("--rings", default=4, type=click.IntRange(1, 8), help="As `spread.rings` in the configuration.")
+@click.option("--nodes", required=True, type=click.IntRange(1, MAX_SIZE), help="Nodes of the tier.")
+@click.option("--servers", required=True, type=click.IntRange(1, MAX_SIZE), help="Servers that they use.")
+@click.option(
+    "--to-nodes", type=click.IntRange(1, MAX_SIZE), help="Nodes after the change; one more if absent."
+)
+@click.option("--to-servers", type=click.IntRange(1, MAX_SIZE), help="Servers after it; as many if absent.")
+@click.option(
+    "--rings", default=4, type=click.IntRange(1, MAX_RINGS), help="As `spread.rings` in the configuration."
+)
 @click.option(
     "--uneven", default=0.0, type=click.FloatRange(0, 3), help="How unequal the nodes' calls are: a sigma."
 )
@@ -55,44 +68,69 @@
     as_json: bool,
 ) -> None:
     """Tell how even and how costly a size will be, with members and without, and what a change of it moves."""
-    from oakbridge.spread.outlook import outlook
+    from oakbridge.spread.capacity_forecast import TierSize, forecast
+    from oakbridge.spread.operator_view import forecast_row
 
-    if nodes * servers > MOST * 1000:
-        raise BadInput(f"spread plan: expected at most {MOST * 1000} pairs of node and server")
-    then = to_nodes or nodes + (to_servers is None), to_servers or servers
-    rows = outlook(nodes, servers, *then, rings, uneven, seed)
+    if nodes * servers > MAX_PAIRS:
+        raise BadInput(f"spread plan: expected at most {MAX_PAIRS} pairs of node and server")
+    before = TierSize(nodes, servers)
+    after = TierSize(to_nodes or nodes + (to_servers is None), to_servers or servers)
+    forecasts = forecast(before, after, rings=rings, sigma=uneven, seed=seed)
     if as_json:
-        return say_json([asdict(row) for row in rows])
-    click.echo(f"{nodes} nodes, {servers} servers; then {then[0]} and {then[1]}")
-    for row in rows:
-        click.echo(
-            f"{row.way:<11} load over fair share: p99 {row.p99:.2f}, most {row.most:.2f}, least {row.least:.2f}; "
-            f"nodes at a server: {row.copies_each:.1f}, most {row.copies_most}; "
-            f"servers of a node: {row.servers_each:.1f}; moved by the change: {row.moved:.0%}"
-        )
+        say_json([forecast_row(each) for each in forecasts])
+        return
+    click.echo(f"{nodes} nodes, {servers} servers; then {after.replicas} and {after.servers}")
+    for each in forecasts:
+        click.echo(_forecast_line(each))
+
+
+def _forecast_line(forecast: Forecast) -> str:
+    load = f"p99 {forecast.p99_load:.2f}, most {forecast.max_load:.2f}, least {forecast.min_load:.2f}"
+    nodes = f"{forecast.mean_replicas:.1f}, most {forecast.max_replicas}"
+    return (
+        f"{forecast.method:<11} load over fair share: {load}; nodes at a server: {nodes}; "
+        f"servers of a node: {forecast.mean_servers:.1f}; moved by the change: {forecast.moved:.0%}"
+    )
 
 
 def picture(told: dict[str, Any]) -> Group:
-    """A node's view as a table: servers that stand out first."""
-    head = Table.grid(padding=(0, 2))
+    """Return a node's view as tables: servers that stand out first."""
+    servers = sorted(told["servers"], key=lambda row: -abs((row["load_over_fair"] or 1.0) - 1.0))
+    hidden = len(servers) - MAX_ROWS
+    more = f"and {hidden} more; --json has all" if hidden > 0 else ""
+    return Group(_summary(told), _server_table(servers[:MAX_ROWS]), Text(more))
+
+
+def _summary(told: dict[str, Any]) -> Table:
     state = f"divided among {told['copies']} nodes" if told["divided"] else "each node draws its own"
-    rows = [("node", told["name"]), ("servers", state), ("moves", f"{told['moves']} since the start")]
+    rows = (("node", told["name"]), ("servers", state), ("moves", f"{told['moves']} since the start"))
+    table = Table.grid(padding=(0, 2))
     for name, value in rows:
-        head.add_row(Text(name, style="bold"), value)
-    for one in told["stand_out"]:
-        head.add_row(
-            Text("stands out", style="yellow"), f"{one['name']}: {one['over_mean']:g} times the mean"
-        )
+        table.add_row(Text(name, style="bold"), value)
+    for node in told["stand_out"]:
+        text = f"{node['name']}: {node['over_mean']:g} times the mean"
+        table.add_row(Text("stands out", style="yellow"), text)
+    return table
+
+
+def _server_table(servers: list[dict[str, Any]]) -> Table:
     table = Table(box=box.SIMPLE_HEAD)
     for column in ("server", "zone", "size", "nodes", "load over fair share", "this node's part"):
         table.add_column(column, justify="left" if column in ("server", "zone") else "right")
-    servers = sorted(told["servers"], key=lambda s: -abs((s["load_over_fair"] or 1.0) - 1.0))
-    for row in servers[:ROWS]:
-        load = row["load_over_fair"]
-        style = "yellow" if load is not None and not 1 / UNEVEN <= load <= UNEVEN else ""
+    for row in servers:
         table.add_row(
-            row["name"], row["zone"], f"{row['size']:g}", str(row["copies"]),
-            Text("-" if load is None else f"{load:.2f}", style=style), f"{row['own_part']:.0%}",
-        )  # fmt: skip
-    more = Text(f"and {len(servers) - ROWS} more; --json has all") if len(servers) > ROWS else Text("")
-    return Group(head, table, more)
+            row["name"],
+            row["zone"],
+            f"{row['size']:g}",
+            str(row["copies"]),
+            _load(row["load_over_fair"]),
+            f"{row['own_part']:.0%}",
+        )
+    return table
+
+
+def _load(over_fair_share: float | None) -> Text:
+    if over_fair_share is None:
+        return Text("-")
+    is_even = 1 / UNEVEN <= over_fair_share <= UNEVEN
+    return Text(f"{over_fair_share:.2f}", style="" if is_even else "yellow")
--- a/oakbridge/lab/world.py
+++ b/oakbridge/lab/world.py
@@ -45,7 +45,7 @@
 from oakbridge.policy.view import listed, zones
 from oakbridge.sites.node_sites import OBSERVATION_WINDOW_US, NodeSites, ReceivedReport
 from oakbridge.sites.request_rates import RequestCounts, RequestRates
-from oakbridge.spread.core import Copy, Spread
+from oakbridge.spread.subset_assigner import Replica, SubsetAssigner
 
 SECOND = 1_000_000
 WORK = 200_000  # of a call, at a warm server, give or take
@@ -162,12 +162,14 @@
         for copy in range(len(self.plans)):
             self.at(self.random.randrange(LOOK_EVERY), lambda copy=copy: self._look(copy))  # type: ignore[misc]
         self.divided = (
-            [Spread(f"n{i}", module.home, rings) for i, module in enumerate(self.copies)] if rings else []
+            [SubsetAssigner(f"n{i}", module.home, rings) for i, module in enumerate(self.copies)]
+            if rings
+            else []
         )
-        self.others: dict[str, Copy] = {}  # what all hold of each other's parts
+        self.others: dict[str, Replica] = {}  # what all hold of each other's parts
         for copy, home in enumerate(self.homes if rings else ()):
             part = self.parts[copy] if uneven else 1.0
-            self.others[f"n{copy}"] = Copy(home, max(1, round(100 * part)))
+            self.others[f"n{copy}"] = Replica(home, max(1, round(100 * part)))
         for copy in range(len(self.divided)):
             self.divide(copy)
 
@@ -410,11 +412,11 @@
         self.feed(copy, LoadSheddingLevel(dict(decision.rejected_fractions), 0.0, decision.salt))
         self.at(now + LOOK_EVERY, lambda: self._look(copy))
 
-    def divide(self, copy: int, copies: dict[str, Copy] | None = None) -> None:
+    def divide(self, copy: int, copies: dict[str, Replica] | None = None) -> None:
         """Have one copy look at how the servers are divided, by what it holds of the others."""
         held = copies or self.others
         everyone = ClusterView(ViewState.COMPLETE, known=len(held), unreachable=0)
-        found = self.divided[copy].look(self.now, everyone, held, listed(self.copies[copy]))
+        found = self.divided[copy].update(self.now, everyone, held, listed(self.copies[copy]))
         if found is not None:
             self.feed(copy, SubsetAssignment(found))
 
--- a/oakbridge/spread/__init__.py
+++ b/oakbridge/spread/__init__.py
@@ -1,1 +1,6 @@
-"""Even load among copies that know each other: which servers each one uses, and what a change of size will mean."""
+"""Deterministic subsetting: which servers each replica of a tier uses, and what a change of size means.
+
+Pure: ``arcs`` (replicas and servers on rings), ``request_rate`` (what a replica reports of its
+load), ``subset_assigner`` (one replica's subset), ``capacity_forecast`` (figures for a size before
+it is so), ``operator_view`` (what operators are told).  Shell: ``runner``.
+"""
--- /dev/null
+++ b/oakbridge/spread/operator_view.py
@@ -0,0 +1,84 @@
+"""What operators are told: the JSON of ``oakbridge spread`` and ``oakbridge spread plan``.
+
+The names of its fields are mapped here, and only here, to the program's own terms.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from typing import Any
+
+from oakbridge.spread.arcs import overlaps
+from oakbridge.spread.capacity_forecast import Forecast
+from oakbridge.spread.subset_assigner import SubsetAssigner, request_shares
+
+MAX_OUTLIERS = 5
+OUTLIER_FACTOR = 2  # times the mean of requests
+
+
+def describe(assigner: SubsetAssigner) -> dict[str, Any]:
+    """Return servers with how many replicas use them and their load, and replicas that stand out."""
+    return {
+        "name": assigner.name,
+        "rings": assigner.rings,
+        "divided": bool(assigner.weights),
+        "copies": len(assigner.replicas),
+        "moves": assigner.moves,
+        "servers": _server_rows(assigner),
+        "stand_out": _outliers(request_shares(assigner.replicas)),
+    }
+
+
+def forecast_row(forecast: Forecast) -> dict[str, Any]:
+    """Return one way of dividing, at one size."""
+    return {
+        "way": forecast.method,
+        "most": forecast.max_load,
+        "p99": forecast.p99_load,
+        "least": forecast.min_load,
+        "copies_each": forecast.mean_replicas,
+        "copies_most": forecast.max_replicas,
+        "servers_each": forecast.mean_servers,
+        "moved": forecast.moved,
+    }
+
+
+def _server_rows(assigner: SubsetAssigner) -> list[dict[str, Any]]:
+    users, load = _users_and_load(assigner)
+    total_weight = sum(weight for _, weight in assigner.servers.values())
+    return [
+        {
+            "name": name,
+            "zone": zone,
+            "size": weight,
+            "copies": len(users[name]),
+            "load_over_fair": round(load[name] * total_weight / weight, 3) if assigner.replicas else None,
+            "own_part": round(assigner.weights.get(name, 0.0), 3),
+        }
+        for name, (zone, weight) in sorted(assigner.servers.items())
+    ]
+
+
+def _users_and_load(assigner: SubsetAssigner) -> tuple[dict[str, set[str]], dict[str, float]]:
+    """Return the replicas that use each server, and its share of all requests while nothing fails."""
+    users: defaultdict[str, set[str]] = defaultdict(set)
+    load: defaultdict[str, float] = defaultdict(float)
+    if not assigner.replicas:
+        return users, load
+    all_requests = sum(request_shares(assigner.replicas).values())
+    for group in assigner.groups(only_preferred=True):
+        share = sum(group.replicas.values()) / all_requests
+        for overlap in overlaps(group.replicas, group.servers, assigner.rings):
+            users[overlap.server].add(overlap.replica)
+            load[overlap.server] += overlap.length * share
+    return users, load
+
+
+def _outliers(shares: dict[str, float]) -> list[dict[str, Any]]:
+    mean = sum(shares.values()) / len(shares) if shares else 0.0
+    busiest = sorted(shares.items(), key=lambda item: -item[1])[:MAX_OUTLIERS]
+    return [
+        {"name": name, "over_mean": round(share / mean, 2)}
+        for name, share in busiest
+        if share > OUTLIER_FACTOR * mean
+    ]
--- a/tests/formats/test_spread.py
+++ b/tests/formats/test_spread.py
@@ -14,7 +14,9 @@
 from oakbridge.cli.main import cli
 from oakbridge.cli.spread import picture
 from oakbridge.peers.view_state import ClusterView, ViewState
-from oakbridge.spread.core import Copy, Rate, Spread
+from oakbridge.spread import operator_view
+from oakbridge.spread.request_rate import ReportedRate
+from oakbridge.spread.subset_assigner import Replica, SubsetAssigner
 
 FIXTURES = Path(__file__).parent / "fixtures" / "spread"
 SECOND_US = 1_000_000
@@ -24,13 +26,13 @@
 
 def course():
     """Before members are known, divided in two zones, and after one is gone; what is told and used."""
-    spread = Spread("n1", "a", 3)
+    assigner = SubsetAssigner("n1", "a", 3)
     servers = {f"s{n:02}": ("a" if n % 2 else "b", 1.0 + n % 3) for n in range(12)}
-    copies = {f"n{n}": Copy("a" if n % 2 else "b", (0, 10, 10, 60)[n % 4]) for n in range(5)}
-    told = [{"spread": spread.describe()}]
+    copies = {f"n{n}": Replica("a" if n % 2 else "b", (0, 10, 10, 60)[n % 4]) for n in range(5)}
+    told = [{"spread": operator_view.describe(assigner)}]
     for now_s, there in ((1, copies), (9, {n: c for n, c in copies.items() if n != "n3"})):
-        used = spread.look(now_s * SECOND_US, WHOLE, there, servers)
-        told.append({"used": dict(sorted(used.items())), "spread": spread.describe()})
+        used = assigner.update(now_s * SECOND_US, WHOLE, there, servers)
+        told.append({"used": dict(sorted(used.items())), "spread": operator_view.describe(assigner)})
     return told
 
 
@@ -66,9 +68,9 @@
 
 def rates_told():
     """What is told of a rate that is 0, then steady, then eight times as much."""
-    rate = Rate()
+    rate = ReportedRate()
     counts = (0, 0, 50, 100, 150, 550, 950, 1350)
-    told = [rate.note(10 * n * SECOND_US, count) for n, count in enumerate(counts)]
+    told = [rate.update(10 * n * SECOND_US, count) for n, count in enumerate(counts)]
     return json.dumps(told) + "\n"
 
 
--- /dev/null
+++ b/tests/spread/test_balancer_subset.py
@@ -0,0 +1,65 @@
+"""What the balancer does with the subset that it is assigned, alone and among many in simulated time."""
+
+from collections import Counter
+
+import pytest
+
+from oakbridge.lab.world import SECOND, Fleet
+from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import (
+    Endpoint,
+    EndpointListReceived,
+    EndpointState,
+    SubsetAssignment,
+    ZoneWeights,
+)
+from oakbridge.policy.settings import Idempotency, RequestClass, Settings
+from oakbridge.policy.view import listed
+
+
+def test_the_balancer_uses_its_subset_and_keeps_to_it_as_lists_and_zones_change():
+    classes = (RequestClass("look", 2_500_000, 6_000_000, 5, 0.3, Idempotency.IDEMPOTENT),)
+    balancer = Balancer(Settings(classes, replica_count=10), 1)
+    endpoints = [Endpoint(f"s{i:02d}", zone="ab"[i % 2]) for i in range(40)]
+    balancer.handle(0, EndpointListReceived(endpoints))
+    weights = {f"s{i:02d}": 1.0 - i / 10 for i in range(6)}
+    balancer.handle(1, SubsetAssignment(weights))
+
+    def used():
+        return {s.id: round(s.size, 6) for s in balancer.subset.members(True)}
+
+    assert used() == {name: round(weight, 6) for name, weight in weights.items()}
+    assert balancer.least() == 6
+    balancer.handle(2, ZoneWeights({"a": 0.5}))
+    assert used()["s00"] == 0.5
+    assert used()["s01"] == 0.9
+    assert listed(balancer) == {e.id: (e.zone, 1.0) for e in endpoints}
+    balancer.handle(3, ZoneWeights({}))
+    changed = [Endpoint("s00", EndpointState.GONE), Endpoint("new"), Endpoint("s99")]
+    balancer.handle(4, EndpointListReceived(changed, complete=False))
+    assert set(used()) == weights.keys() - {"s00"}
+    balancer.handle(5, SubsetAssignment({"new": 0.5, "s99": 1.0}))
+    assert used() == {"new": 0.5, "s99": 1.0}
+    balancer.handle(6, SubsetAssignment({}))
+    assert set(listed(balancer)) == {e.id for e in endpoints[1:]} | {"new", "s99"}
+    assert {round(s.size, 6) for s in balancer.servers.values()} == {1.0}
+
+
+def variance_over_poissons(rings, lost):
+    """Play sixty replicas and servers, a request each other second at a replica."""
+    fleet = Fleet(60, 60, 5, rings=rings)
+    replaced = {f"s{n}" for n in range(lost)}
+    for n in range(lost):
+        fleet.replace(f"s{n}", f"new{n}")
+    fleet.load(40, 60)
+    fleet.run(60)
+    counts = Counter(server for server, came, _ in fleet.visits if came > 10 * SECOND)
+    kept = [counts[fleet.numbers[name]] for name in fleet.servers if name not in replaced]
+    assert fleet.ends["served"] > 0.99 * fleet.ends["asked"]
+    mean = sum(kept) / len(kept)
+    return sum((count - mean) ** 2 for count in kept) / len(kept) / mean
+
+
+@pytest.mark.parametrize("lost", [0, 3])
+def test_thin_traffic_is_even_by_members_and_is_not_by_chance(lost):
+    assert variance_over_poissons(rings=4, lost=lost) < 2.0 < variance_over_poissons(rings=0, lost=lost)
