--- a/oakbridge/cli/spread.py
+++ b/oakbridge/cli/spread.py
@@ -1,4 +1,4 @@
-"""``oakbridge spread``: how the servers are divided among the nodes, and what another size will mean."""
+"""``oakbridge spread``: how servers are divided among nodes, and what another size will mean."""
 
 from __future__ import annotations
 
@@ -23,9 +23,15 @@
 MAX_PAIRS = 1000 * MAX_SIZE  # of node and server
 UNEVEN = 1.25  # times the fair share, beyond which a row stands out
 MAX_ROWS = 40
+COUNT = click.IntRange(1, MAX_SIZE)
 
 
-@click.group("spread", invoke_without_command=True)
+@click.group(
+    "spread",
+    invoke_without_command=True,
+    help="Show for each server how many nodes use it and its load over its fair share, "
+    "and which nodes stand out.",
+)
 @socket_options
 @look_options
 @click.pass_context
@@ -37,23 +43,31 @@
     watch: bool,
     every: float,
 ) -> None:
-    """Show for each server how many nodes use it and its load over its fair share, and which nodes stand out."""
+    """Show how the servers are divided, unless a subcommand is given."""
     if ctx.invoked_subcommand is None:
         show(socket_path, config, ControlCommand.SPREAD, picture, as_json, watch, every)
 
 
-@command.command("plan")
-@click.option("--nodes", required=True, type=click.IntRange(1, MAX_SIZE), help="Nodes of the tier.")
-@click.option("--servers", required=True, type=click.IntRange(1, MAX_SIZE), help="Servers that they use.")
-@click.option(
-    "--to-nodes", type=click.IntRange(1, MAX_SIZE), help="Nodes after the change; one more if absent."
+@command.command(
+    "plan",
+    help="Tell how even and how costly a size will be, with members and without, "
+    "and what a change of it moves.",
 )
-@click.option("--to-servers", type=click.IntRange(1, MAX_SIZE), help="Servers after it; as many if absent.")
+@click.option("--nodes", required=True, type=COUNT, help="Nodes of the tier.")
+@click.option("--servers", required=True, type=COUNT, help="Servers that they use.")
+@click.option("--to-nodes", type=COUNT, help="Nodes after the change; one more if absent.")
+@click.option("--to-servers", type=COUNT, help="Servers after it; as many if absent.")
 @click.option(
-    "--rings", default=4, type=click.IntRange(1, MAX_RINGS), help="As `spread.rings` in the configuration."
+    "--rings",
+    default=4,
+    type=click.IntRange(1, MAX_RINGS),
+    help="As `spread.rings` in the configuration.",
 )
 @click.option(
-    "--uneven", default=0.0, type=click.FloatRange(0, 3), help="How unequal the nodes' calls are: a sigma."
+    "--uneven",
+    default=0.0,
+    type=click.FloatRange(0, 3),
+    help="How unequal the nodes' calls are: a sigma.",
 )
 @click.option("--seed", default=1, type=click.IntRange(0))
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
@@ -67,7 +81,7 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Tell how even and how costly a size will be, with members and without, and what a change of it moves."""
+    """Print the forecast for a size and for the size after a change."""
     from oakbridge.spread.capacity_forecast import TierSize, forecast
     from oakbridge.spread.operator_view import forecast_row
 
@@ -85,7 +99,8 @@
 
 
 def _forecast_line(forecast: Forecast) -> str:
-    load = f"p99 {forecast.p99_load:.2f}, most {forecast.max_load:.2f}, least {forecast.min_load:.2f}"
+    highest = f"p99 {forecast.p99_load:.2f}, most {forecast.max_load:.2f}"
+    load = f"{highest}, least {forecast.min_load:.2f}"
     nodes = f"{forecast.mean_replicas:.1f}, most {forecast.max_replicas}"
     return (
         f"{forecast.method:<11} load over fair share: {load}; nodes at a server: {nodes}; "
@@ -102,8 +117,12 @@
 
 
 def _summary(told: dict[str, Any]) -> Table:
-    state = f"divided among {told['copies']} nodes" if told["divided"] else "each node draws its own"
-    rows = (("node", told["name"]), ("servers", state), ("moves", f"{told['moves']} since the start"))
+    divided = f"divided among {told['copies']} nodes"
+    rows = (
+        ("node", told["name"]),
+        ("servers", divided if told["divided"] else "each node draws its own"),
+        ("moves", f"{told['moves']} since the start"),
+    )
     table = Table.grid(padding=(0, 2))
     for name, value in rows:
         table.add_row(Text(name, style="bold"), value)
--- a/oakbridge/sites/evidence.py
+++ b/oakbridge/sites/evidence.py
@@ -126,9 +126,7 @@
     home_is_enough = len(from_home) >= MIN_REPORTERS or not from_third_sites
     counted = from_home if home_is_enough else from_home + from_third_sites
     responding, timed_out, failed = _sums(counted)
-    third_responding, third_timed_out, third_failed = _sums(from_third_sites)
-    third_sites_reach_it = third_responding > third_timed_out + third_failed
-    home_does_not = bool(from_home) and timed_out + failed > responding
+    home_fails = bool(from_home) and timed_out + failed > responding
     return Evidence(
         responding,
         timed_out,
@@ -136,7 +134,7 @@
         reporters=len(counted),
         fresh_members=fresh_members,
         failure_reporters=tuple(sorted(m.name for m in counted if m.blames)[:MAX_REPORTERS_NAMED]),
-        reachable_elsewhere=third_sites_reach_it and home_does_not,
+        reachable_elsewhere=home_fails and _is_reached_by(from_third_sites),
         is_unreachable=is_unreachable,
         listed_servers=listed_servers,
     )
@@ -154,6 +152,11 @@
     )
 
 
+def _is_reached_by(members: Iterable[MemberObservations]) -> bool:
+    responding, timed_out, failed = _sums(members)
+    return responding > timed_out + failed
+
+
 def _sums(members: Iterable[MemberObservations]) -> tuple[int, int, int]:
     """Return how many servers responded, timed out and failed."""
     observations = [o for member in members for o in member.observations]
--- a/oakbridge/sites/node_sites.py
+++ b/oakbridge/sites/node_sites.py
@@ -159,7 +159,7 @@
     # ---- what other members are told
 
     def direct_recipients(self, reachable: Sequence[str]) -> list[str]:
-        """Return who gets reports directly: the leader from all members, and all from the leader."""
+        """Return who gets reports directly: the leader from all, and all from the leader."""
         if not self.is_urgent or not reachable:
             return []
         leader = elect_leader([self.name, *reachable])
--- a/oakbridge/sites/site_state.py
+++ b/oakbridge/sites/site_state.py
@@ -4,7 +4,7 @@
     any -> DRAINING (then without requests) -> RECOVERING
 
 The servers of a LOST site refuse; those of one that is CUT_OFF time out, or others reach it and we
-do not.  Silence needs longer than refusal to be believed: it also comes from a moment's packet loss.
+do not.  Silence needs longer to be believed: it also comes from a moment's packet loss.
 """
 
 from __future__ import annotations
--- a/oakbridge/sites/zone_weights.py
+++ b/oakbridge/sites/zone_weights.py
@@ -12,7 +12,7 @@
 def planned_weights(
     plan: SitePlan, home: str, lost_sites: Iterable[str], fractions: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return zones' weights by the plan for this loss; ``fractions``: what each may have at most."""
+    """Return zones' weights by the plan; ``fractions``: what each may have at most."""
     scenario = plan.scenario(lost_sites)
     routing = scenario.routing.get(home, {}) if scenario is not None else {}
     by_capacity = {
--- a/oakbridge/spread/__init__.py
+++ b/oakbridge/spread/__init__.py
@@ -1,4 +1,4 @@
-"""Deterministic subsetting: which servers each replica of a tier uses, and what a change of size means.
+"""Deterministic subsetting: which servers each replica uses, and what a change of size means.
 
 Pure: ``arcs`` (replicas and servers on rings), ``request_rate`` (what a replica reports of its
 load), ``subset_assigner`` (one replica's subset), ``capacity_forecast`` (figures for a size before
--- a/oakbridge/spread/arcs.py
+++ b/oakbridge/spread/arcs.py
@@ -1,16 +1,16 @@
 """Deterministic subsetting: which servers each replica uses, so that all are used alike.  Pure.
 
-On each of K rings lie all servers, each on an arc as long as its weight, and over them all replicas,
-each on an arc as long as its share of the requests; the orders are by hash and differ from ring to
-ring.  A replica uses the servers under its arcs, each by the length that they have in common.  Every
-point of a ring belongs to one replica and to one server, so each server gets its weight's share of
-all requests, whatever the replicas' shares are: as exactly as the replicas agree on these, and as
-each divides its requests.  Subsets drawn at random are uneven by one over the root of the replicas
-at a server.
+On each of K rings lie all servers, each on an arc as long as its weight, and over them all
+replicas, each on an arc as long as its share of the requests; the orders are by hash and differ
+from ring to ring. A replica uses the servers under its arcs, each by the length that they have in
+common. Every point of a ring belongs to one replica and to one server, so each server gets its
+weight's share of all requests, whatever the replicas' shares are: as exactly as the replicas agree
+on these, and as each divides its requests. Subsets drawn at random are uneven by one over the root
+of the replicas at a server.
 
 Source: one ring with equal arcs is the deterministic aperture of Finagle (Twitter, 2019); several
-rings are ours: with one, a replica that fails takes its load from the same few servers, and unequal
-shares do not fit.
+rings are ours: with one, a replica that fails takes its load from the same few servers, and
+unequal shares do not fit.
 """
 
 from __future__ import annotations
@@ -45,6 +45,7 @@
     ends: list[float]
 
     def start(self, n: int) -> float:
+        """Return where the arc of the name at a position starts."""
         return self.ends[n - 1] if n else 0.0
 
 
--- a/oakbridge/spread/capacity_forecast.py
+++ b/oakbridge/spread/capacity_forecast.py
@@ -1,7 +1,8 @@
-"""What a number of replicas and servers will mean: evenness, connections, what a change moves.  Pure.
+"""What a number of replicas and servers will mean, before it is so.  Pure.
 
-Computed, not measured: each replica's requests are divided exactly as its draws are weighted.  What
-chance adds in a window comes on top, and is told beside it.
+Evenness, connections, and what a change of size moves. Computed, not measured: each replica's
+requests are divided exactly as its draws are weighted. What chance adds in a window comes on top,
+and is told beside it.
 """
 
 from __future__ import annotations
@@ -49,8 +50,10 @@
 
     ``sigma``: how unequal the replicas' requests are.
     """
-    replicas, servers = random_shares(before.replicas, sigma, seed), equal_weights(before.servers)
-    later_replicas, later_servers = random_shares(after.replicas, sigma, seed), equal_weights(after.servers)
+    replicas = random_shares(before.replicas, sigma, seed)
+    servers = equal_weights(before.servers)
+    later_replicas = random_shares(after.replicas, sigma, seed)
+    later_servers = equal_weights(after.servers)
     by_members = (
         divide_by_members(replicas, servers, rings),
         divide_by_members(later_replicas, later_servers, rings),
@@ -92,10 +95,11 @@
 
 
 def divide_by_chance(replicas: Mapping[str, float], servers: Mapping[str, float], seed: int) -> RequestShares:
-    """Divide as each replica draws a subset by itself, so large that together they cover each server often."""
+    """Divide as each replica draws a subset; all subsets cover each server ``COVER`` times."""
     shares: RequestShares = defaultdict(dict)
     names, total = list(servers), sum(replicas.values())
-    subset_size = min(len(names), max(MIN_RANDOM_SUBSET, math.ceil(COVER * len(names) / len(replicas))))
+    covering = math.ceil(COVER * len(names) / len(replicas))
+    subset_size = min(len(names), max(MIN_RANDOM_SUBSET, covering))
     for replica, requests in replicas.items():
         rng = random.Random(f"{seed} {replica}")  # the same whoever else there is
         drawn = sorted(names, key=lambda name: rng.expovariate(servers[name]))[:subset_size]
--- a/oakbridge/spread/operator_view.py
+++ b/oakbridge/spread/operator_view.py
@@ -17,7 +17,7 @@
 
 
 def describe(assigner: SubsetAssigner) -> dict[str, Any]:
-    """Return servers with how many replicas use them and their load, and replicas that stand out."""
+    """Return servers with their replicas and their load, and replicas that stand out."""
     return {
         "name": assigner.name,
         "rings": assigner.rings,
@@ -46,13 +46,16 @@
 def _server_rows(assigner: SubsetAssigner) -> list[dict[str, Any]]:
     users, load = _users_and_load(assigner)
     total_weight = sum(weight for _, weight in assigner.servers.values())
+    over_fair = {
+        name: round(load[name] * total_weight / weight, 3) for name, (_, weight) in assigner.servers.items()
+    }
     return [
         {
             "name": name,
             "zone": zone,
             "size": weight,
             "copies": len(users[name]),
-            "load_over_fair": round(load[name] * total_weight / weight, 3) if assigner.replicas else None,
+            "load_over_fair": over_fair[name] if assigner.replicas else None,
             "own_part": round(assigner.weights.get(name, 0.0), 3),
         }
         for name, (zone, weight) in sorted(assigner.servers.items())
@@ -60,7 +63,7 @@
 
 
 def _users_and_load(assigner: SubsetAssigner) -> tuple[dict[str, set[str]], dict[str, float]]:
-    """Return the replicas that use each server, and its share of all requests while nothing fails."""
+    """Return each server's replicas, and its share of all requests while nothing fails."""
     users: defaultdict[str, set[str]] = defaultdict(set)
     load: defaultdict[str, float] = defaultdict(float)
     if not assigner.replicas:
--- a/oakbridge/spread/request_rate.py
+++ b/oakbridge/spread/request_rate.py
@@ -26,7 +26,7 @@
         self._step: int | None = None
 
     def update(self, now_us: int, count: int) -> int:
-        """Take in the requests since the start of the process; return what to report, at least 1."""
+        """Take in the requests since the process began; return what to report, at least 1."""
         if self._counted_at_us is not None and now_us > self._counted_at_us:
             elapsed_us = now_us - self._counted_at_us
             rate = US_PER_S * (count - self._count) / elapsed_us
--- a/oakbridge/spread/runner.py
+++ b/oakbridge/spread/runner.py
@@ -93,7 +93,7 @@
         return replicas
 
     async def _listed_servers(self) -> dict[str, ZoneAndWeight]:
-        """Return the listed servers, read anew only where the list is another one, in short turns."""
+        """Return the listed servers; read another list in short turns."""
         balancer = self._node.balancer
         if balancer.version == self._list_version or balancer.in_pieces:
             return self._servers
--- a/oakbridge/spread/subset_assigner.py
+++ b/oakbridge/spread/subset_assigner.py
@@ -80,7 +80,7 @@
         if reaction == Reaction.MOVE and self._may_follow(now_us, replicas):
             self.replicas = dict(replicas)
             self._assigned_at_us = now_us
-        elif reaction not in (Reaction.MOVE, Reaction.KEEP) or not self.replicas or servers == self.servers:
+        elif not self._may_reassign(reaction) or servers == self.servers:
             return None
         self.servers = dict(servers)
         return self._replace(self._assign())
@@ -95,7 +95,9 @@
             yield ZoneGroup(shares, {name: weight for name, (_, weight) in self.servers.items()})
             return
         for zone in {zone for zone, _ in self.servers.values()}:
-            servers = {name: weight for name, (where, weight) in self.servers.items() if where == zone}
+            servers = {
+                name: weight for name, (server_zone, weight) in self.servers.items() if server_zone == zone
+            }
             own = {n: share for n, share in shares.items() if self.replicas[n].site == zone}
             others = {n: share for n, share in shares.items() if n not in own}
             if own:
@@ -112,8 +114,12 @@
             return Reaction.MOVE
         return REPLICA_INDEX.reaction(state)
 
+    def _may_reassign(self, reaction: Reaction) -> bool:
+        """Return whether new servers may be divided among the replicas that the subset goes by."""
+        return bool(self.replicas) and reaction in (Reaction.MOVE, Reaction.KEEP)
+
     def _may_follow(self, now_us: int, replicas: Mapping[str, Replica]) -> bool:
-        """Return whether replicas have changed, and are not followed too soon after the last time."""
+        """Return whether replicas have changed, and long enough after the last assignment."""
         has_settled = not self.replicas or now_us - self._assigned_at_us >= SETTLE_US
         return replicas != self.replicas and has_settled
 
--- a/tests/formats/test_sites.py
+++ b/tests/formats/test_sites.py
@@ -36,10 +36,11 @@
     """What four other members report, half a second old."""
     observations = tuple(SiteObservation(site, *counts) for site, counts in observed.items())
     age_us = SECOND_US // 2
-    return [
-        ReceivedReport(f"n{n}", "a", age_us, SiteReport(observations, 50, 120, 1400, f"n{n}", plan_version=6))
-        for n in range(2, 6)
-    ]
+    reports = {
+        name: SiteReport(observations, 50, 120, 1400, name, plan_version=6)
+        for name in ("n2", "n3", "n4", "n5")
+    }
+    return [ReceivedReport(name, "a", age_us, report) for name, report in reports.items()]
 
 
 def play(sites, since_s, until_s, observed, overload=0.0):
@@ -68,10 +69,12 @@
     told = []
 
     def tell(now_s):
+        now_us = now_s * SECOND_US
+        described = operator_view.describe(sites, now_us, reported(**ALL_ANSWER))
         told.append({
             "at_s": now_s,
-            "sites": {"name": "n1", **operator_view.describe(sites, now_s * SECOND_US, reported(**ALL_ANSWER))},
-            "sites.why c": operator_view.history(sites.sites["c"], now_s * SECOND_US),
+            "sites": {"name": "n1", **described},
+            "sites.why c": operator_view.history(sites.sites["c"], now_us),
             "report": msgspec.msgpack.encode(sites.report()).hex(),
         })  # fmt: skip
 
--- a/tests/formats/test_spread.py
+++ b/tests/formats/test_spread.py
@@ -25,7 +25,7 @@
 
 
 def course():
-    """Before members are known, divided in two zones, and after one is gone; what is told and used."""
+    """What is told and used before members are known, divided in two zones, and without one."""
     assigner = SubsetAssigner("n1", "a", 3)
     servers = {f"s{n:02}": ("a" if n % 2 else "b", 1.0 + n % 3) for n in range(12)}
     copies = {f"n{n}": Replica("a" if n % 2 else "b", (0, 10, 10, 60)[n % 4]) for n in range(5)}
--- a/tests/sites/test_balancer_zone_weights.py
+++ b/tests/sites/test_balancer_zone_weights.py
@@ -129,7 +129,7 @@
         (("c0", "c1", "a0"), (), set()),
         (("c0", "c1", "c2"), ("c5",), set()),  # it answered between: the zone is there
         (("c0", "c1", "c2"), ("a5",), {f"c{n}" for n in range(6)}),
-        (("c0", "c1", "c2"), ("c5 failed",), set()),  # nor is one gone that answers, whatever it says
+        (("c0", "c1", "c2"), ("c5 failed",), set()),  # so it is by an error
     ],
 )
 def test_failures_of_several_servers_of_a_zone_eject_its_other_ones(failed, answers, ejected):
--- a/tests/sites/test_load_shedding.py
+++ b/tests/sites/test_load_shedding.py
@@ -1,5 +1,7 @@
 """The load-shedding level: the order of rejection, and the feedback that sets it."""
 
+from itertools import pairwise
+
 import pytest
 from example_sites import SECOND_US
 
@@ -34,5 +36,5 @@
         shedding.adjust(now_us, "me", overload, MIX)
     assert max(overloads[40:100]) < 1.2 * load_shedding.TARGET_OVERLOAD
     assert rejected[-1] < 0.02
-    steps = [abs(b - a) for a, b in zip(rejected[30:100], rejected[31:100], strict=False)]
+    steps = [abs(later - earlier) for earlier, later in pairwise(rejected[30:100])]
     assert max(steps, default=0) < 0.1  # no class comes and goes by the second
--- a/tests/sites/test_site_state.py
+++ b/tests/sites/test_site_state.py
@@ -1,5 +1,7 @@
 """A site's state machine, its recovery ramp and its drain."""
 
+from itertools import pairwise
+
 import pytest
 from example_sites import (
     ALL_FAIL,
@@ -97,7 +99,7 @@
         course.play((ALL_FAIL, 0.5))
         assert site.state == LOST
         assert site.fraction() == 0
-    for earlier, later in zip(backoffs[1:], backoffs[2:], strict=False):
+    for earlier, later in pairwise(backoffs[1:]):
         assert 2 * earlier - SECOND_US <= later <= 2 * earlier + SECOND_US
 
 
--- a/tests/spread/test_arcs.py
+++ b/tests/spread/test_arcs.py
@@ -45,7 +45,7 @@
 
 
 def test_views_that_differ_a_little_cost_a_little_evenness():
-    """Each holds the others' shares as they were: one in ten a step off, one in a hundred unknown."""
+    """Of the others' shares each holds one in ten a step off, and one in a hundred not at all."""
     rng = random.Random(3)
     truth, servers = random_shares(200, 0.5, 1), dict.fromkeys(numbered_names("s", 200), 1.0)
     load, exact_load = Counter(), Counter()
--- a/tests/spread/test_balancer_subset.py
+++ b/tests/spread/test_balancer_subset.py
@@ -1,4 +1,4 @@
-"""What the balancer does with the subset that it is assigned, alone and among many in simulated time."""
+"""What the balancer does with an assigned subset, alone and among many in simulated time."""
 
 from collections import Counter
 
@@ -62,4 +62,6 @@
 
 @pytest.mark.parametrize("lost", [0, 3])
 def test_thin_traffic_is_even_by_members_and_is_not_by_chance(lost):
-    assert variance_over_poissons(rings=4, lost=lost) < 2.0 < variance_over_poissons(rings=0, lost=lost)
+    by_members = variance_over_poissons(rings=4, lost=lost)
+    by_chance = variance_over_poissons(rings=0, lost=lost)
+    assert by_members < 2.0 < by_chance
--- a/tests/spread/test_spread_real_processes.py
+++ b/tests/spread/test_spread_real_processes.py
@@ -43,17 +43,18 @@
     out = tmp_path / "out"
     result = CliRunner().invoke(cli, ["lab", "run", str(tmp_path / "plan.toml"), "--out", str(out)])
     assert result.exit_code == 0, result.output
-    cuts = {}
+    divisions = {}
     for log in (out / "nodes").glob("*.log"):
         lines = [json.loads(line) for line in log.read_text().splitlines() if "servers divided" in line]
-        cuts[log.name] = [line["event"] for line in lines]
+        divisions[log.name] = [line["event"] for line in lines]
     killed = next(
         s for s in json.loads((out / "summary.json").read_text())["checks"] if s["name"] == "changes"
     )
     assert killed["figure"] > 0
-    assert len(cuts) == 6
-    assert all(lines and "of 8 for this node" in lines[-1] for lines in cuts.values()), cuts
-    assert sum(len(lines) >= 2 for lines in cuts.values()) >= 3, cuts  # some arcs may stay where they are
+    assert len(divisions) == 6
+    assert all(lines and "of 8 for this node" in lines[-1] for lines in divisions.values()), divisions
+    # Some arcs may stay where they are.
+    assert sum(len(lines) >= 2 for lines in divisions.values()) >= 3, divisions
 
 
 NODE = """
@@ -79,7 +80,11 @@
 
 def test_an_operator_sees_who_uses_which_server(tmp_path):
     (tmp_path / "secret").write_text("s" * 16)
-    files = {"node": PEERS.format(22_081) + "[spread]", "plain": PEERS.format(22_082), "alone": "[spread]"}
+    files = {
+        "node": PEERS.format(22_081) + "[spread]",
+        "plain": PEERS.format(22_082),
+        "alone": "[spread]",
+    }
     for name, more in files.items():
         (tmp_path / f"{name}.toml").write_text(NODE.format(tmp_path, more, SERVERS))
     ask = ("spread", "--socket", str(tmp_path / "n1.sock"))
@@ -94,7 +99,8 @@
                 assert (found.exit_code, text in found.output) == (code, True), found.output
         node.close()
 
-    asyncio.run(played("node.toml", ((), 0, "each node draws its own"), (("--json",), 0, '"divided": false')))
+    divided = (((), 0, "each node draws its own"), (("--json",), 0, '"divided": false'))
+    asyncio.run(played("node.toml", *divided))
     asyncio.run(played("plain.toml", ((), 1, "no [spread]")))
     refused = CliRunner().invoke(cli, ["check", str(tmp_path / "alone.toml")])
     assert refused.exit_code == 2
