--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -74,14 +74,19 @@
         for s in list(b.servers.values())[3:]:
             s.ejected_until = now + 600_000_000
             if hasattr(b, "members"):
-                b.members.judged(s, now)
+                b.members.update_ejection(s, now)
     return min(some(300) for _ in range(3))
 
 
 def lists(count: int) -> tuple[float, float, float]:
     """Microseconds for a delta of one server among many; for a whole list, half of it new; for its longest piece."""
     from oakbridge.policy.balancer import Balancer
-    from oakbridge.policy.events import Endpoint, EndpointListReceived, EndpointsAnnounced, EndpointState
+    from oakbridge.policy.events import (
+        Endpoint,
+        EndpointListReceived,
+        EndpointsAnnounced,
+        EndpointState,
+    )
     from oakbridge.policy.settings import RequestClass, Settings
 
     settings = Settings(classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True)
@@ -105,14 +110,16 @@
 
 
 def in_pieces(whole: list[Any], b: Any) -> list[tuple[list[Any], dict[str, bool]]]:
-    """A list as the node takes it: in pieces, or whole in a program that knows none."""
-    try:
-        from oakbridge.node.listing import Entry, Listing, pieces
-    except ImportError:
-        return [(whole, {})]
-    parts = pieces(Listing(1, True, [Entry(s, ("127.0.0.1", 1)) for s in whole]), b.members.servers)
+    """Return a list as the node applies it: in batches."""
+    from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint, split_into_batches
+
+    new = EndpointList(1, True, [ListedEndpoint(s, ("127.0.0.1", 1)) for s in whole])
+    parts = split_into_batches(new, b.members.servers)
     return [
-        ([e.server for e in part.entries], {"whole": part.whole, "more": part is not parts[-1]})
+        (
+            [endpoint.server for endpoint in part.endpoints],
+            {"complete": part.complete, "more_follow": part is not parts[-1]},
+        )
         for part in parts
     ]
 
--- a/benchmarks/server_files.py
+++ b/benchmarks/server_files.py
@@ -24,7 +24,7 @@
 from oakbridge.node.config import Config
 from oakbridge.node.node import Node
 from oakbridge.policy.settings import Idempotency, RequestClass, Settings, WeightSource
-from oakbridge.sources.files import FileOptions, FileSource
+from oakbridge.sources.file_source import FileOptions, FileSource
 
 CLASSES = (RequestClass("look", 1_000_000, 2_000_000, idempotency=Idempotency.IDEMPOTENT),)
 
@@ -74,18 +74,18 @@
             classes=CLASSES, replica_count=200, pin_endpoint_list=True, weight_source=WeightSource.NOMINAL
         )
         config = Config("bench", ("127.0.0.1", 0), None, 1, 1024, None, settings)
-        options = FileOptions(path, saved=Path(folder) / "saved")
+        options = FileOptions(path, saved_path=Path(folder) / "saved")
         node = Node(config, loop, lambda clock: FileSource(options, clock.now))
         source = node.source
         assert isinstance(source, FileSource)
         used: asyncio.Queue[float] = asyncio.Queue()
-        listed = node.listed
+        listed = node.endpoints.on_endpoint_list
 
-        def noted(listing: Any, saved: bool = False) -> None:
-            listed(listing, saved)
+        def noted(new: Any, *, saved: bool = False) -> None:
+            listed(new, saved=saved)
             used.put_nowait(time.monotonic())
 
-        node.listed = noted  # type: ignore[method-assign]
+        node.endpoints.on_endpoint_list = noted  # type: ignore[method-assign]
         source.start()
         await source.ready()
         used.get_nowait()
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -21,17 +21,23 @@
 from oakbridge.__main__ import start_log
 from oakbridge.cli.common import BadInput, Failed
 from oakbridge.cli.logs import JSON, log_option, start_logs
-from oakbridge.config.load import BadFile, Loaded, inline_entries, load
-from oakbridge.config.schema import resolved
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.load import LoadedConfig, load
+from oakbridge.config.node_config import inline_endpoints
+from oakbridge.config.schema import resolve_path
 from oakbridge.control.handler import NodeControlHandler
 from oakbridge.control.paths import default_socket_path, worker_socket_path
 from oakbridge.control.server import ControlServer
+from oakbridge.node.address import parse_address
 from oakbridge.node.clock import Clock
-from oakbridge.node.listing import ConfigError, Source, parse_address
+from oakbridge.node.endpoint_source import EndpointSource
+from oakbridge.node.errors import ConfigError
 from oakbridge.node.node import Node
 from oakbridge.node.run import serve
-from oakbridge.sources.files import FileOptions, FileSource, InlineSource
-from oakbridge.workers.share import BadShare, share
+from oakbridge.sources.file_source import FileOptions, FileSource
+from oakbridge.sources.inline_source import InlineSource
+from oakbridge.workers.errors import WorkerLimitsError
+from oakbridge.workers.limits import worker_config
 
 if TYPE_CHECKING:
     from oakbridge.peers.service import MembershipService
@@ -52,10 +58,10 @@
     log_format: str = "text"
     member: tuple[str, str] | None = None  # name and address among members, in place of the file's
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedConfig:
         """The configuration with all that goes before it, a worker's with its part of it.
 
-        Raises BadFile or ConfigError.
+        Raises ConfigFileError or ConfigError.
         """
         loaded = load(self.path)
         config, control = loaded.config, loaded.control
@@ -71,9 +77,11 @@
             raise ConfigError(f"{self.path}: sip: expected one worker, as datagrams can't be handed on")
         try:
             parts = (
-                [share(config, worker, workers) for worker in range(1, workers + 1)] if workers > 1 else []
+                [worker_config(config, worker, workers) for worker in range(1, workers + 1)]
+                if workers > 1
+                else []
             )
-        except BadShare as e:
+        except WorkerLimitsError as e:
             raise ConfigError(f"{self.path}: {e}") from None
         if self.worker:
             config = parts[self.worker - 1]
@@ -94,33 +102,33 @@
 FIRST_LOOK_S = 10.0  # in which a server file must have been read at the start
 
 
-def file_options(loaded: Loaded) -> FileOptions | None:
+def file_options(loaded: LoadedConfig) -> FileOptions | None:
     """How the server file or directory of this configuration is watched, if it has one."""
     servers = loaded.file.servers
     path = servers.file or servers.directory
     if path is None:
         return None
     return FileOptions(
-        resolved(path, loaded.path),
-        directory=servers.directory is not None,
-        settle=servers.settle / 1e6,
-        poll=servers.poll / 1e6,
-        most_lost=servers.most_lost,
-        saved=resolved(servers.saved, loaded.path) if servers.saved else None,
+        resolve_path(path, loaded.path),
+        is_directory=servers.directory is not None,
+        settle_s=servers.settle / 1e6,
+        poll_interval_s=servers.poll / 1e6,
+        max_lost_share=servers.most_lost,
+        saved_path=resolve_path(servers.saved, loaded.path) if servers.saved else None,
     )
 
 
-def build(loaded: Loaded, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
+def build(loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
     """The node that a configuration tells of, with its source of servers; a worker's is without a door."""
-    options, entries = file_options(loaded), inline_entries(loaded.file)
+    options, entries = file_options(loaded), inline_endpoints(loaded.file)
 
-    def source(clock: Clock) -> Source:
+    def source(clock: Clock) -> EndpointSource:
         return FileSource(options, clock.now) if options is not None else InlineSource(entries)
 
-    return Node(loaded.config, loop, None if loaded.config.discovery else source, door)
+    return Node(loaded.config, loop, None if loaded.config.discovery else source, listens=door)
 
 
-async def started(loaded: Loaded, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
+async def started(loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
     """The node, once its server file has been read.  Raises ConfigError where there is no list to start from."""
     node = build(loaded, loop, door)
     if isinstance(node.source, FileSource):
@@ -140,7 +148,7 @@
 
 
 @asynccontextmanager
-async def beside(loaded: Loaded, node: Node, channel: socket.socket | None) -> AsyncIterator[None]:
+async def beside(loaded: LoadedConfig, node: Node, channel: socket.socket | None) -> AsyncIterator[None]:
     """What lives as long as the node: its control socket, and a worker's channel to its supervisor."""
     async with (
         members(loaded, node if channel is None else None, channel is None) as held,
@@ -152,15 +160,15 @@
         if channel is None:
             yield
             return
-        from oakbridge.workers.inside import Inside
+        from oakbridge.workers.channel import WorkerChannel
 
-        with Inside(channel).attached(node):
+        with WorkerChannel(channel).attached(node):
             yield
 
 
 @asynccontextmanager
 async def members(
-    loaded: Loaded, node: Node | None, on: bool = True
+    loaded: LoadedConfig, node: Node | None, on: bool = True
 ) -> AsyncIterator[MembershipService | None]:
     """This node as a member among others, where the file asks for it; of workers the supervisor is it."""
     if loaded.file.peers is None or not on:
@@ -177,7 +185,7 @@
         ties = () if node is None else (load_source(node), failure_report_sink(node))
         held = MembershipService(options, *ties)
         await held.start()
-    except (BadFile, SnapshotError) as e:
+    except (ConfigFileError, SnapshotError) as e:
         raise ConfigError(str(e)) from None
     watched = seeds_file(loaded)
     seeds = SeedFile(watched, held) if watched is not None else None
@@ -191,7 +199,7 @@
 
 @asynccontextmanager
 async def sites(
-    loaded: Loaded, node: Node, held: MembershipService | None
+    loaded: LoadedConfig, node: Node, held: MembershipService | None
 ) -> AsyncIterator[SitesRunner | None]:
     """The plan for lost sites, where the file asks for it."""
     if loaded.file.sites is None or held is None:
@@ -202,7 +210,7 @@
 
     try:
         core = node_sites(loaded)
-    except BadFile as e:
+    except ConfigFileError as e:
         raise ConfigError(str(e)) from None
     assert core is not None
     async with SitesRunner(node, held, core) as plan:
@@ -211,7 +219,7 @@
 
 @asynccontextmanager
 async def spread(
-    loaded: Loaded, node: Node, held: MembershipService | None
+    loaded: LoadedConfig, node: Node, held: MembershipService | None
 ) -> AsyncIterator[SubsetRunner | None]:
     """The servers divided among the nodes of a tier, where the file asks for it."""
     if loaded.file.spread is None or held is None:
@@ -224,7 +232,7 @@
 
 
 @asynccontextmanager
-async def fronts(loaded: Loaded, node: Node) -> AsyncIterator[None]:
+async def fronts(loaded: LoadedConfig, node: Node) -> AsyncIterator[None]:
     """The SIP front, where the file asks for one; what is not used is not imported."""
     if loaded.file.sip is None:
         yield
@@ -236,23 +244,22 @@
         yield
 
 
-async def supervise(given: Given, loaded: Loaded, workers: int) -> int:
+async def supervise(given: Given, loaded: LoadedConfig, workers: int) -> int:
     """Run so many workers; returns the exit code."""
-    from oakbridge.workers.door import Door
+    from oakbridge.workers.supervisor import WorkerSupervisor
 
     config = loaded.config
     addresses = (config.listen, *config.also_listen)
-    door = Door(
+    supervisor = WorkerSupervisor(
         config.name, addresses, workers, lambda w, channel: given.command(w, workers, channel), loaded.control
     )
     async with members(loaded, None) as held:
-        door.members = held
-        return await door.run()
+        return await supervisor.run(held)
 
 
 @asynccontextmanager
 async def control(
-    loaded: Loaded,
+    loaded: LoadedConfig,
     node: Node,
     held: MembershipService | None,
     plan: SitesRunner | None,
@@ -319,7 +326,7 @@
     given = Given(path, name, listen, socket_path, workers, worker, log_format, member)
     try:
         loaded = given.load()
-    except (BadFile, ConfigError) as e:
+    except (ConfigFileError, ConfigError) as e:
         raise BadInput(str(e)) from None
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it: it ends no node
     level = getattr(logging, loaded.file.log.level.upper())
--- a/oakbridge/cli/sites.py
+++ b/oakbridge/cli/sites.py
@@ -14,7 +14,7 @@
 
 from oakbridge.cli.common import BadInput, Failed, connect, look_options, say_json, socket_options
 from oakbridge.cli.looking import show
-from oakbridge.config.load import BadFile
+from oakbridge.config.errors import ConfigFileError
 from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
 
@@ -120,7 +120,7 @@
     try:
         topology = load_topology(path)
         made = compute_plan(topology)
-    except BadFile as error:
+    except ConfigFileError as error:
         raise BadInput(str(error)) from None
     except PlanningError as error:
         raise Failed(str(error)) from None
@@ -167,7 +167,7 @@
     try:
         topology = load_topology(path)
         mistakes = check_plan(load_plan(plan_path), topology) if plan_path is not None else []
-    except BadFile as error:
+    except ConfigFileError as error:
         raise BadInput(str(error)) from None
     if mistakes:
         raise BadInput("\n".join(f"{plan_path}: {mistake}" for mistake in mistakes))
--- a/oakbridge/config/sites.py
+++ b/oakbridge/config/sites.py
@@ -4,17 +4,18 @@
 
 from pathlib import Path
 
-from oakbridge.config.load import BadFile, Loaded
-from oakbridge.config.schema import resolved
-from oakbridge.config.sites_file import read_limited
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.load import LoadedConfig
+from oakbridge.config.schema import resolve_path
+from oakbridge.config.toml_file import read_bounded
 from oakbridge.sites.errors import SitePlanError
 from oakbridge.sites.node_sites import NodeSites, SitesOptions
 from oakbridge.sites.plan_file import SitePlan, decode_plan
-from oakbridge.sources.formats import Problem
+from oakbridge.sources.problem import Problem
 
 
-def node_sites(loaded: Loaded) -> NodeSites | None:
-    """Return the node's sites, None without ``[sites]``; read its plan.  Raises BadFile."""
+def node_sites(loaded: LoadedConfig) -> NodeSites | None:
+    """Return the node's sites, None without ``[sites]``; read its plan.  Raises ConfigFileError."""
     table = loaded.file.sites
     if table is None:
         return None
@@ -26,13 +27,13 @@
         loaded.config.seed,
         has_quotas=bool(settings.tenants),
         options=SitesOptions(warm_up_us=settings.slow_start_window, min_step_us=table.step),
-        plan=load_plan(resolved(table.plan, loaded.path)) if table.plan else None,
+        plan=load_plan(resolve_path(table.plan, loaded.path)) if table.plan else None,
     )
 
 
 def load_plan(path: Path) -> SitePlan:
-    """Read and check a plan.  Raises BadFile with every mistake."""
+    """Read and check a plan.  Raises ConfigFileError with every mistake."""
     try:
-        return decode_plan(read_limited(path))
+        return decode_plan(read_bounded(path))
     except SitePlanError as error:
-        raise BadFile([Problem(str(path), (), mistake) for mistake in error.mistakes]) from None
+        raise ConfigFileError([Problem(str(path), (), mistake) for mistake in error.mistakes]) from None
--- a/oakbridge/config/sites_file.py
+++ b/oakbridge/config/sites_file.py
@@ -11,11 +11,13 @@
 
 from pydantic import Field
 
-from oakbridge.config.load import MAX_BYTES, BadFile, checked
-from oakbridge.config.schema import Name, Number, Table
+from oakbridge.config.errors import ConfigFileError
+from oakbridge.config.field_types import Name, Number, Table
+from oakbridge.config.toml_file import in_file_order, parse_tables, read_bounded
 from oakbridge.sites.topology import ClassDemand, SiteCapacity, SiteDistance, SiteLoad, Topology
-from oakbridge.sources.formats import Problem
-from oakbridge.sources.locate import lines_of, nearest
+from oakbridge.sources.decoding import FileKind
+from oakbridge.sources.field_lines import field_lines, nearest_line
+from oakbridge.sources.problem import Problem
 
 MAX_SITES = 64
 MAX_SITE_NAME = 48
@@ -77,15 +79,15 @@
 
 
 def load_topology(path: Path) -> Topology:
-    """Read and check a file.  Raises BadFile with every mistake."""
-    data = read_limited(path)
-    file = checked(data, str(path), SitesFile)
-    lines = lines_of(data, "toml")
+    """Read and check a file.  Raises ConfigFileError with every mistake."""
+    data = read_bounded(path)
+    file = parse_tables(data, str(path), SitesFile)
+    lines = field_lines(data, FileKind.TOML)
     problems = [
-        Problem(str(path), field, expected, nearest(lines, field)) for field, expected in _mistakes(file)
+        Problem(str(path), field, expected, nearest_line(lines, field)) for field, expected in _mistakes(file)
     ]
     if problems:
-        raise BadFile(sorted(problems, key=lambda p: (p.line or 0, p.where())))
+        raise ConfigFileError(in_file_order(problems))
     return topology_of(file, hashlib.sha256(data).hexdigest()[:DIGEST_DIGITS])
 
 
@@ -101,16 +103,6 @@
     )
 
 
-def read_limited(path: Path) -> bytes:
-    """Return a file's bytes.  Raises BadFile if it can't be read, or is too large."""
-    try:
-        if path.stat().st_size > MAX_BYTES:
-            raise BadFile([Problem(str(path), (), f"expected at most {MAX_BYTES} bytes")])
-        return path.read_bytes()
-    except OSError as error:
-        raise BadFile([Problem(str(path), (), error.strerror or str(error))]) from None
-
-
 def _mistakes(file: SitesFile) -> Iterator[Mistake]:
     yield from _repeated("site", [(s.name,) for s in file.sites])
     yield from _repeated("class", [(c.name,) for c in file.classes])
--- a/oakbridge/control/handler.py
+++ b/oakbridge/control/handler.py
@@ -15,7 +15,8 @@
 from oakbridge.control.status import NodeStatus, ResponseCounts, encode_status
 from oakbridge.node.node import Node
 from oakbridge.policy.view import view
-from oakbridge.sources.files import FileSource, InlineSource
+from oakbridge.sources.file_source import FileSource
+from oakbridge.sources.inline_source import InlineSource
 
 
 class SpreadReporter(Protocol):
@@ -82,7 +83,7 @@
             is_shutting_down=node.server.shutting_down,
             client_connections=node.server.connection_count(),
             server_connections=node.pool.connection_count,
-            responses=ResponseCounts(node.served, node.refused, node.failed),
+            responses=ResponseCounts(node.served, node.rejected, node.failed),
             balancer=view(node.balancer, node.clock.now(), max_rows),
             server_source=self._describe_source(),
         )
--- a/oakbridge/lab/world.py
+++ b/oakbridge/lab/world.py
@@ -162,7 +162,10 @@
         for copy in range(len(self.plans)):
             self.at(self.random.randrange(LOOK_EVERY), lambda copy=copy: self._look(copy))  # type: ignore[misc]
         self.divided = (
-            [SubsetAssigner(f"n{i}", module.home, rings) for i, module in enumerate(self.copies)]
+            [
+                SubsetAssigner(f"n{i}", module.members.local_zone, rings)
+                for i, module in enumerate(self.copies)
+            ]
             if rings
             else []
         )
@@ -255,7 +258,7 @@
     def send(self, copy: int, action: SendAttempt) -> None:
         """An attempt comes to a server."""
         server = self.servers[action.server]
-        key = copy, action.request_id, len(self.copies[copy].calls[action.request_id].attempts) - 1
+        key = copy, action.request_id, len(self.copies[copy].requests[action.request_id].attempts) - 1
         self.results[server.name, "sent"] += 1
         if server.down:
             self.at(
@@ -400,9 +403,9 @@
             for other, (at, about) in self._said.items()
             if other != copy
         ]
-        came = {name: seen.came for name, seen in module.latency.items()}
+        came = {name: seen.arrivals for name, seen in module.latency.items()}
         served, refused, failed = (self._ended[copy, how] for how in ("served", "refuse", "fail"))
-        counts = RequestCounts(now, served, refused, failed, module.turned, came)
+        counts = RequestCounts(now, served, refused, failed, module.shedding.rejected, came)
         own = self._rates[copy].update(counts, zones(module, now, OBSERVATION_WINDOW_US))
         everyone = ClusterView(ViewState.COMPLETE, known=len(self.copies), unreachable=0)
         decision = plan.update(now, now // 1000, everyone, heard, own)
--- a/oakbridge/sites/plan_file.py
+++ b/oakbridge/sites/plan_file.py
@@ -13,7 +13,7 @@
 
 from oakbridge.sites.errors import SitePlanError
 from oakbridge.sites.topology import Topology
-from oakbridge.sources.files import write_whole
+from oakbridge.sources.atomic_file import write_atomically
 
 MAX_SITES_LOST = 2  # at once, that are planned for
 TOLERANCE = 1e-6
@@ -85,7 +85,7 @@
 
 def save_plan(path: Path, plan: SitePlan) -> None:
     """Write the file whole.  Raises OSError."""
-    write_whole(path, msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n")
+    write_atomically(path, msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n")
 
 
 def check_plan(plan: SitePlan, topology: Topology | None = None) -> list[str]:
--- a/oakbridge/sites/runner.py
+++ b/oakbridge/sites/runner.py
@@ -136,10 +136,10 @@
         counts = RequestCounts(
             now_us,
             served=node.served,
-            rejected=node.refused,
+            rejected=node.rejected,
             failed=node.failed,
-            shed=balancer.turned,
-            arrived={name: latency.came for name, latency in balancer.latency.items()},
+            shed=balancer.shedding.rejected,
+            arrived={name: latency.arrivals for name, latency in balancer.latency.items()},
         )
         return self._rates.update(counts, zones(balancer, now_us, OBSERVATION_WINDOW_US))
 
--- a/oakbridge/spread/capacity_forecast.py
+++ b/oakbridge/spread/capacity_forecast.py
@@ -13,7 +13,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from oakbridge.policy.balancer import COVER
+from oakbridge.policy.subset import COVERAGE
 from oakbridge.spread.arcs import overlaps
 
 MIN_RANDOM_SUBSET = 4
@@ -95,10 +95,10 @@
 
 
 def divide_by_chance(replicas: Mapping[str, float], servers: Mapping[str, float], seed: int) -> RequestShares:
-    """Divide as each replica draws a subset; all subsets cover each server ``COVER`` times."""
+    """Divide as each replica draws a subset; all subsets cover each server ``COVERAGE`` times."""
     shares: RequestShares = defaultdict(dict)
     names, total = list(servers), sum(replicas.values())
-    covering = math.ceil(COVER * len(names) / len(replicas))
+    covering = math.ceil(COVERAGE * len(names) / len(replicas))
     subset_size = min(len(names), max(MIN_RANDOM_SUBSET, covering))
     for replica, requests in replicas.items():
         rng = random.Random(f"{seed} {replica}")  # the same whoever else there is
--- a/oakbridge/spread/runner.py
+++ b/oakbridge/spread/runner.py
@@ -34,7 +34,7 @@
         """Begin nothing yet."""
         self._node = node
         self._membership = membership
-        self._assigner = SubsetAssigner(membership.options.name, node.balancer.home, rings)
+        self._assigner = SubsetAssigner(membership.options.name, node.balancer.members.local_zone, rings)
         self._rate = ReportedRate()
         self._list_version = NO_LIST
         self._servers: dict[str, ZoneAndWeight] = {}
@@ -60,7 +60,7 @@
     def requests_per_10s(self) -> int:
         """Return what this node reports of its requests."""
         node = self._node
-        return self._rate.update(node.clock.now(), node.served + node.refused + node.failed)
+        return self._rate.update(node.clock.now(), node.served + node.rejected + node.failed)
 
     async def update(self) -> None:
         """Take in what is known now, and apply what it changes."""
@@ -95,9 +95,9 @@
     async def _listed_servers(self) -> dict[str, ZoneAndWeight]:
         """Return the listed servers; read another list in short turns."""
         balancer = self._node.balancer
-        if balancer.version == self._list_version or balancer.in_pieces:
+        if balancer.members.version == self._list_version or balancer.endpoints.in_pieces:
             return self._servers
-        version, names = balancer.version, list(balancer.servers)
+        version, names = balancer.members.version, list(balancer.servers)
         servers: dict[str, ZoneAndWeight] = {}
         for first in range(0, len(names), SERVERS_PER_TURN):
             servers |= listed(balancer, names[first : first + SERVERS_PER_TURN])
--- a/tests/formats/test_sites.py
+++ b/tests/formats/test_sites.py
@@ -14,7 +14,7 @@
 
 from oakbridge.cli.main import cli
 from oakbridge.cli.sites import picture
-from oakbridge.config.load import BadFile
+from oakbridge.config.errors import ConfigFileError
 from oakbridge.config.sites import load_plan
 from oakbridge.config.sites_file import load_topology
 from oakbridge.peers.messages import SiteObservation, SiteReport
@@ -108,7 +108,7 @@
         (load_plan, "plan_mistakes.json"),
         (load_plan, "sites.toml"),
     ):
-        with pytest.raises(BadFile) as caught:
+        with pytest.raises(ConfigFileError) as caught:
             read(FIXTURES / name)
         texts.append(str(caught.value).replace(f"{FIXTURES}/", ""))
     return "\n".join(texts) + "\n"
--- a/tests/sites/test_balancer_zone_weights.py
+++ b/tests/sites/test_balancer_zone_weights.py
@@ -96,7 +96,7 @@
     said = [driver.request() for _ in range(400)]
     refused = [a for a in said if isinstance(a, RejectRequest)]
     assert 150 < len(refused) < 250
-    assert driver.balancer.turned == len(refused)
+    assert driver.balancer.shedding.rejected == len(refused)
     waits = [a.retry_after for a in refused]
     assert min(waits) > SECOND_US // 2
     assert max(waits) - min(waits) > SECOND_US // 2  # and not all at once
@@ -140,12 +140,12 @@
         driver.ids, number = driver.ids + 1, driver.ids + 1
         driver.now += 1000
         balancer.handle(driver.now, RequestReceived(number, "look", 5 * SECOND_US))
-        call = balancer.calls[number]
+        call = balancer.requests[number]
         sent = call.attempts[0].server
         if sent.id != server:  # as if it had been drawn
-            del sent.out[number, 0]
+            del sent.in_flight[number, 0]
             call.attempts[0].server = balancer.servers[server]
-            balancer.servers[server].out[number, 0] = call.attempts[0]
+            balancer.servers[server].in_flight[number, 0] = call.attempts[0]
         balancer.handle(driver.now, AttemptEnded(number, 0, server, result, 500, result == AttemptResult.OK))
 
     for server in ("a0", "b0", "c5"):
@@ -159,7 +159,7 @@
     assert {s.id for s in balancer.servers.values() if s.ejected_until > driver.now} == ejected
     for s in balancer.servers.values():
         s.ejected_until = 0
-    balancer.health.rate = 0.5  # half of all fails anyway: three in a row say nothing
+    balancer.outliers.failure_rate = 0.5  # half of all fails anyway: three in a row say nothing
     for server in ("b1", "b2", "b3"):
         end(server, AttemptResult.RESET)
     assert not any(s.ejected_until for s in balancer.servers.values() if s.zone == "b")
--- a/tests/sites/test_site_plans.py
+++ b/tests/sites/test_site_plans.py
@@ -7,7 +7,7 @@
 import pytest
 from example_sites import SITES_TOML, topology_from
 
-from oakbridge.config.load import BadFile
+from oakbridge.config.errors import ConfigFileError
 from oakbridge.config.sites import load_plan
 from oakbridge.config.sites_file import SitesFile, topology_of
 from oakbridge.sites.plan_file import check_plan, planned_losses, save_plan
@@ -34,10 +34,10 @@
 def test_all_mistakes_of_a_sites_file_are_told_at_once_with_their_lines(tmp_path):
     text = SITES_TOML.replace('site = "c"\nclass = "book"', 'site = "d"\nclass = "cook"')
     text = text.replace('b = "c"', 'b = "a"') + '[[site]]\nname = "a"\ncapacity = 1.0\n'
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(ConfigFileError) as caught:
         topology_from(tmp_path, text)
     problems = caught.value.problems
-    fields = [problem.where() for problem in problems]
+    fields = [problem.field_name() for problem in problems]
     assert fields == ["load[2].site", "load[2].class", "distance[0]", "site[3]"]
     assert all(problem.line for problem in problems)
 
@@ -50,7 +50,7 @@
     )
     plan = msgspec.structs.replace(plan, scenarios=(broken, *plan.scenarios[2:]))
     save_plan(tmp_path / "plan.json", plan)
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(ConfigFileError) as caught:
         load_plan(tmp_path / "plan.json")
     assert len(caught.value.problems) == 5
     other_file = replace(topology, digest="another")
--- a/tests/sites/test_sites_real_processes.py
+++ b/tests/sites/test_sites_real_processes.py
@@ -125,7 +125,7 @@
                 done = await asyncio.to_thread(run_command, "sites", *ask, *words)
                 assert done[0] == code, (words, done)
                 assert text in done[1], (words, done)
-            while node.balancer.closed != {"b"}:
+            while node.balancer.subset.closed_zones != {"b"}:
                 await asyncio.sleep(0.05)
             assert "held out" in (await asyncio.to_thread(run_command, "sites", *ask))[1]
             assert (await asyncio.to_thread(run_command, "sites", *ask, "return", "b"))[0] == 0
--- a/tests/spread/test_balancer_subset.py
+++ b/tests/spread/test_balancer_subset.py
@@ -26,10 +26,10 @@
     balancer.handle(1, SubsetAssignment(weights))
 
     def used():
-        return {s.id: round(s.size, 6) for s in balancer.subset.members(True)}
+        return {s.id: round(s.weight, 6) for s in balancer.members.subset.items(with_inactive=True)}
 
     assert used() == {name: round(weight, 6) for name, weight in weights.items()}
-    assert balancer.least() == 6
+    assert balancer.subset.min_size() == 6
     balancer.handle(2, ZoneWeights({"a": 0.5}))
     assert used()["s00"] == 0.5
     assert used()["s01"] == 0.9
@@ -42,7 +42,7 @@
     assert used() == {"new": 0.5, "s99": 1.0}
     balancer.handle(6, SubsetAssignment({}))
     assert set(listed(balancer)) == {e.id for e in endpoints[1:]} | {"new", "s99"}
-    assert {round(s.size, 6) for s in balancer.servers.values()} == {1.0}
+    assert {round(s.weight, 6) for s in balancer.servers.values()} == {1.0}
 
 
 def variance_over_poissons(rings, lost):
