--- a/oakbridge/policy/balancer.py
+++ b/oakbridge/policy/balancer.py
@@ -165,7 +165,7 @@
         for request in self.requests.values():
             if left < 1 or not request.in_flight or not request.repeatable:
                 continue
-            if self.outliers.gives_up(request.attempts[-1], now):
+            if self.outliers.eject_if_hung(request.attempts[-1], now):
                 left -= 1
                 self._actions.append(actions.CancelAttempt(request.id, len(request.attempts) - 1))
 
--- a/oakbridge/policy/outlier_detection.py
+++ b/oakbridge/policy/outlier_detection.py
@@ -125,8 +125,8 @@
         late = now - max(oldest.sent_at, server.answered_at) > HUNG_MEANS * self.latency.mean
         return late and self.answers - oldest.answers_before >= HUNG_ANSWERS
 
-    def gives_up(self, attempt: Attempt, now: int) -> bool:
-        """Whether to cancel an attempt, as its server hangs; ejects the server if so."""
+    def eject_if_hung(self, attempt: Attempt, now: int) -> bool:
+        """Eject the server of an attempt if it hangs; returns whether to cancel the attempt."""
         server = attempt.server
         late = now - attempt.sent_at > HUNG_MEANS * self.latency.mean
         if attempt.cancelled_as_hung or not late or not self.is_hung(server, now):
--- a/oakbridge/policy/settings.py
+++ b/oakbridge/policy/settings.py
@@ -180,7 +180,7 @@
     max_open_requests: int = 0  # requests that a replica may hold; 0: not told
     cpu_per_second: int = 0  # this replica's share of CPU; 0: not told
     cpu_per_request: float = 0.0  # 0: no such limit
-    pin_endpoint_list: bool = False  # retries keep to the list of the first attempt; see RepeatSafety
+    pin_endpoint_list: bool = False  # retries keep to the list of the first attempt; see RetrySafety
     retry_ratio: float = 0.2  # retries in the window stay under this share of its first attempts,
     retry_floor: float = 0.1  # and so many a second
     retry_window: int = 10  # seconds
