--- a/benchmarks/sip_faults.py
+++ b/benchmarks/sip_faults.py
@@ -27,15 +27,15 @@
     assert spec is not None and spec.loader is not None
     tests = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(tests)
-    network = {"lost": 0.1, "doubled": 0.05, "delay": (200, 300_000)}
-    site, asked = tests.play(seed, EACH, tests.answer_as_drawn, **network)
-    told = Counter(f"{len(a.finals)} final answers" for a in asked)
-    told.update(f"answer {status}" for a in asked for status in a.finals)
+    network = {"loss": 0.1, "duplication": 0.05, "delay_us": (200, 300_000)}
+    site, sent = tests.play(seed, EACH, tests.answer_at_random, **network)
+    told = Counter(f"{len(request.final_statuses)} final answers" for request in sent)
+    told.update(f"answer {status}" for request in sent for status in request.final_statuses)
     for server in site.servers.values():
-        told["unsafe run"] += sum(1 for key in server.ran if "OPTIONS" not in key[1])
-    ran: Counter[tuple[str, str]] = sum((s.ran for s in site.servers.values()), start=Counter())
+        told["unsafe run"] += sum(1 for key in server.runs if "OPTIONS" not in key[1])
+    ran: Counter[tuple[str, str]] = sum((s.runs for s in site.servers.values()), start=Counter())
     told["unsafe run twice"] += sum(n > 1 for key, n in ran.items() if "OPTIONS" not in key[1])
-    told["left in the proxy"] += sum(site.left())
+    told["left in the proxy"] += sum(site.proxy_state_sizes())
     return told
 
 
--- a/oakbridge/config/sip.py
+++ b/oakbridge/config/sip.py
@@ -3,32 +3,34 @@
 from __future__ import annotations
 
 from oakbridge.config import schema
-from oakbridge.sip.front import Options
-from oakbridge.sip.proxy import Rule, Settings
+from oakbridge.sip.front import FrontOptions
+from oakbridge.sip.settings import ClassRule, ProxySettings
 
 
-def sip_settings(file: schema.File) -> Settings:
+def sip_settings(file: schema.File) -> ProxySettings:
     """Return the proxy's settings; the file must have ``[sip]``."""
     sip = _required_table(file)
     host, port = sip.listen
-    rules = tuple(Rule(route.klass, frozenset(route.methods), route.user_prefix) for route in sip.routes)
-    deadlines = {request_class.name: request_class.deadline for request_class in file.classes}
-    return Settings(
-        host,
-        port,
-        rules,
-        deadlines,
-        sip.tenant_header.lower(),
-        sip.key_header.lower(),
-        sip.transactions,
-        sip.transactions_each,
+    return ProxySettings(
+        host=host,
+        port=port,
+        rules=tuple(_class_rule(route) for route in sip.routes),
+        deadlines_us={request_class.name: request_class.deadline for request_class in file.classes},
+        tenant_header=sip.tenant_header.lower(),
+        key_header=sip.key_header.lower(),
+        max_server_transactions=sip.transactions,
+        max_server_transactions_per_host=sip.transactions_each,
     )
 
 
-def sip_options(file: schema.File) -> Options:
+def sip_options(file: schema.File) -> FrontOptions:
     """Return the front's sockets; the file must have ``[sip]``."""
     sip = _required_table(file)
-    return Options(sip.listen, sip.server_port, sip.tcp)
+    return FrontOptions(sip.listen, sip.server_port, sip.tcp)
+
+
+def _class_rule(route: schema.SipRoute) -> ClassRule:
+    return ClassRule(route.klass, frozenset(route.methods), route.user_prefix)
 
 
 def _required_table(file: schema.File) -> schema.SipTable:
--- a/oakbridge/sip/framing.py
+++ b/oakbridge/sip/framing.py
@@ -1,4 +1,4 @@
-"""Messages on a stream: where one ends and the next begins, by Content-Length.  Pure.
+"""Framing of messages on a stream by Content-Length. Pure.
 
 RFC 3261, 18.3; keep-alives of RFC 5626, 4.4.1.
 """
@@ -8,66 +8,75 @@
 import re
 
 from oakbridge.sip.errors import SipMessageError
-from oakbridge.sip.parser import MAX_MESSAGE_BYTES
+from oakbridge.sip.parser import CRLF, END_OF_HEADERS, MAX_MESSAGE_BYTES
 
-MAX_HEAD = 16 * 1024
-_LENGTH = re.compile(rb"(?:^|\r\n)(?:content-length|l)[ \t]*:[ \t]*([^\r\n]*)", re.IGNORECASE)
-CRLF = b"\r\n"
-PING, PONG = CRLF + CRLF, CRLF
+MAX_HEADER_BYTES = 16 * 1024
+PING = CRLF + CRLF
+PONG = CRLF
 
+_CONTENT_LENGTH = re.compile(rb"(?:^|\r\n)(?:content-length|l)[ \t]*:[ \t]*([^\r\n]*)", re.IGNORECASE)
 
-class Stream:
-    """The bytes of one connection, as whole messages.  It holds one message at most, and what one read brought.
 
-    After :class:`SipMessageError` nothing more can be told apart: the connection has to be closed.
+class MessageStream:
+    """Splits the bytes of one connection into messages.
+
+    It buffers one message at most, and what one read brought. After :class:`SipMessageError` the
+    start of the next message is unknown, and the connection has to be closed.
     """
 
     def __init__(self) -> None:
-        self._held = bytearray()
-        self.pings = 0  # keep-alives that are owed an answer
+        self._buffer = bytearray()
+        self.pending_pongs = 0  # keep-alives without a response yet
 
     def __len__(self) -> int:
-        """Bytes of a message that is not whole yet."""
-        return len(self._held)
+        """Return how many bytes of an incomplete message are buffered."""
+        return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes; returns the messages that are whole now."""
-        self._held += data
-        found = list[bytes]()
-        while (message := self._next()) is not None:
-            found.append(message)
-        return found
-
-    def _next(self) -> bytes | None:
-        while self._held.startswith(CRLF):  # between messages: keep-alive, or noise that is to be let pass
-            if self._held.startswith(PING):
-                self.pings += 1
-                del self._held[:4]
-            elif len(self._held) == 2 or self._held[2:3] != b"\r":
-                if len(self._held) == 2:
-                    return None  # the second half of a ping may follow
-                del self._held[:2]
-            else:
-                return None
-        end = self._held.find(b"\r\n\r\n")
-        if end < 0:
-            if len(self._held) > MAX_HEAD:
-                raise SipMessageError(f"expected headers of at most {MAX_HEAD} bytes", 513)
+        """Add bytes, and return the messages that are complete."""
+        self._buffer += data
+        messages: list[bytes] = []
+        while (message := self._next_message()) is not None:
+            messages.append(message)
+        return messages
+
+    def _next_message(self) -> bytes | None:
+        if not self._skip_keep_alives():
+            return None
+        header_length = self._buffer.find(END_OF_HEADERS)
+        complete = header_length >= 0
+        if (header_length if complete else len(self._buffer)) > MAX_HEADER_BYTES:
+            raise SipMessageError(f"expected headers of at most {MAX_HEADER_BYTES} bytes", 513)
+        if not complete:
             return None
-        if end > MAX_HEAD:
-            raise SipMessageError(f"expected headers of at most {MAX_HEAD} bytes", 513)
-        lengths = set(_LENGTH.findall(bytes(self._held[:end])))
-        if len(lengths) != 1:
-            raise SipMessageError("Content-Length: expected one on a stream")
-        (said,) = lengths
-        said = said.strip()
-        if not said.isdigit() or len(said) > 9:
-            raise SipMessageError(f"Content-Length: expected a number, got {said[:20]!r}")
-        whole = end + 4 + int(said)
-        if whole > MAX_MESSAGE_BYTES:
-            raise SipMessageError(f"expected at most {MAX_MESSAGE_BYTES} bytes, got {whole}", 513)
-        if len(self._held) < whole:
+        content_length = _content_length(bytes(self._buffer[:header_length]))
+        length = header_length + len(END_OF_HEADERS) + content_length
+        if length > MAX_MESSAGE_BYTES:
+            raise SipMessageError(f"expected at most {MAX_MESSAGE_BYTES} bytes, got {length}", 513)
+        if len(self._buffer) < length:
             return None
-        message = bytes(self._held[:whole])
-        del self._held[:whole]
+        message = bytes(self._buffer[:length])
+        del self._buffer[:length]
         return message
+
+    def _skip_keep_alives(self) -> bool:
+        """Remove line breaks between messages; return False if more bytes are needed to tell."""
+        while self._buffer.startswith(CRLF):
+            if self._buffer.startswith(PING):
+                self.pending_pongs += 1
+                del self._buffer[: len(PING)]
+            elif len(self._buffer) == len(CRLF) or self._buffer[2:3] == b"\r":
+                return False  # the second half of a ping may follow
+            else:
+                del self._buffer[: len(CRLF)]
+        return True
+
+
+def _content_length(headers: bytes) -> int:
+    values = set(_CONTENT_LENGTH.findall(headers))
+    if len(values) != 1:
+        raise SipMessageError("Content-Length: expected one on a stream")
+    value = values.pop().strip()
+    if not value.isdigit() or len(value) > 9:
+        raise SipMessageError(f"Content-Length: expected a number, got {value[:20]!r}")
+    return int(value)
--- a/oakbridge/sip/message.py
+++ b/oakbridge/sip/message.py
@@ -1,8 +1,8 @@
 """SIP messages and their bytes on the wire. Pure.
 
 A proxy forwards header fields that it does not know unchanged, so a message keeps its header fields
-in order and their values unparsed; ``header_values``, ``via`` and ``uri`` parse what the proxy needs.
-Bytes that are not UTF-8 survive as surrogate escapes. RFC 3261, sections 7, 18.3, 20 and 25.
+in order and their values unparsed; ``header_values``, ``via`` and ``uri`` parse what the proxy
+needs. Bytes that are not UTF-8 survive as surrogate escapes. RFC 3261, sections 7, 18.3, 20 and 25.
 """
 
 from __future__ import annotations
--- /dev/null
+++ b/oakbridge/sip/request_builder.py
@@ -0,0 +1,111 @@
+"""Requests that the proxy sends: forwarded copies, ACK, CANCEL and BYE."""
+
+from __future__ import annotations
+
+import random
+
+from oakbridge.sip.errors import SipMessageError
+from oakbridge.sip.header_values import cseq, max_forwards, parse_address
+from oakbridge.sip.message import Headers, Message, Request, Response
+from oakbridge.sip.peer import Peer
+from oakbridge.sip.routing import SERVER_PARAM, routing_fingerprint
+from oakbridge.sip.settings import ProxySettings
+from oakbridge.sip.transaction_store import BRANCH_COOKIE
+from oakbridge.sip.via import Via, push_via, top_via
+
+# They may form a dialog, and the proxy stays on the path of its requests by Record-Route.
+DIALOG_FORMING_METHODS = frozenset({"INVITE", "SUBSCRIBE", "REFER", "NOTIFY"})
+
+_ACK_HEADERS = frozenset({"from", "call-id", "route", "max-forwards"})
+_CANCEL_HEADERS = frozenset({"from", "to", "call-id", "route", "max-forwards"})
+_DIALOG_HEADERS = frozenset({"from", "call-id"})
+
+
+class RequestBuilder:
+    """Builds requests, with tags and branch parameters drawn from ``rng``."""
+
+    def __init__(self, settings: ProxySettings, rng: random.Random) -> None:
+        self._settings = settings
+        self._rng = rng
+
+    def new_tag(self) -> str:
+        """Draw a tag for the To of our own responses."""
+        return f"{self._rng.getrandbits(48):012x}"
+
+    def forwarded(self, request: Request) -> Request:
+        """Build the copy that is forwarded: one hop fewer, and our Via (section 16.6)."""
+        return self._forwarded(request, [])
+
+    def attempt(self, request: Request, server: str) -> Request:
+        """Build the copy that is sent to a server, with our Record-Route if it may form a dialog."""
+        if request.method not in DIALOG_FORMING_METHODS:
+            return self._forwarded(request, [])
+        host, port = self._settings.host, self._settings.port
+        record_route = f"<sip:{host}:{port};lr;{SERVER_PARAM}={server}>"
+        return self._forwarded(request, [("record-route", record_route)])
+
+    def ack_of_failure(self, invite: Request, response: Response) -> Request:
+        """Build the ACK of a final response that is not 2xx, on the INVITE's branch (17.1.1.3)."""
+        number, _ = cseq(invite)
+        headers = [
+            ("via", str(top_via(invite))),
+            *_copied(invite, _ACK_HEADERS),
+            ("to", response.get("to")),
+            ("cseq", f"{number} ACK"),
+        ]
+        return Request(headers, b"", "ACK", invite.uri)
+
+    def cancel(self, invite: Request) -> Request:
+        """Build the CANCEL of an INVITE that was sent (section 9.1)."""
+        number, _ = cseq(invite)
+        headers = [
+            ("via", str(top_via(invite))),
+            *_copied(invite, _CANCEL_HEADERS),
+            ("cseq", f"{number} CANCEL"),
+        ]
+        return Request(headers, b"", "CANCEL", invite.uri)
+
+    def ack_of_success(self, invite: Request, response: Response, peer: Peer) -> Request:
+        """Build the ACK of a 2xx that the proxy acknowledges itself (section 13.2.2.4)."""
+        number, _ = cseq(invite)
+        return self._in_dialog("ACK", number, invite, response, peer)
+
+    def bye(self, invite: Request, response: Response, peer: Peer) -> Request:
+        """Build the BYE that ends the dialog of a 2xx."""
+        number, _ = cseq(invite)
+        return self._in_dialog("BYE", number + 1, invite, response, peer)
+
+    def _in_dialog(
+        self, method: str, sequence: int, invite: Request, response: Response, peer: Peer
+    ) -> Request:
+        headers = [
+            ("via", str(self._new_via(peer.transport, ""))),
+            *_copied(invite, _DIALOG_HEADERS),
+            ("to", response.get("to")),
+            ("max-forwards", "70"),
+            ("cseq", f"{sequence} {method}"),
+        ]
+        return Request(headers, b"", method, _remote_target(response, invite))
+
+    def _forwarded(self, request: Request, record_route: Headers) -> Request:
+        headers = [*record_route, *((n, v) for n, v in request.headers if n != "max-forwards")]
+        headers.append(("max-forwards", str(max_forwards(request) - 1)))
+        copy = Request(headers, request.body, request.method, request.uri)
+        push_via(copy, self._new_via("UDP", routing_fingerprint(request)))
+        return copy
+
+    def _new_via(self, transport: str, fingerprint: str) -> Via:
+        """Draw a branch that is unique in time and space (8.1.1.7); its end detects loops."""
+        branch = f"{BRANCH_COOKIE}{self._rng.getrandbits(64):016x}.{fingerprint}"
+        return Via(transport, self._settings.host, self._settings.port, (("branch", branch),))
+
+
+def _copied(message: Message, names: frozenset[str]) -> Headers:
+    return [(name, value) for name, value in message.headers if name in names]
+
+
+def _remote_target(response: Response, invite: Request) -> str:
+    try:
+        return parse_address(response.get("contact"), "Contact")[0]
+    except SipMessageError:
+        return invite.uri
--- /dev/null
+++ b/oakbridge/sip/routing.py
@@ -0,0 +1,101 @@
+"""Where a request goes: its class, its dialog's server, and whether it is in a loop."""
+
+from __future__ import annotations
+
+import hashlib
+from dataclasses import dataclass, field
+
+from oakbridge.sip.errors import SipMessageError
+from oakbridge.sip.header_values import cseq, parse_address
+from oakbridge.sip.message import Request
+from oakbridge.sip.peer import Peer
+from oakbridge.sip.settings import ProxySettings
+from oakbridge.sip.uri import SipUri, parse_uri
+from oakbridge.sip.via import parse_via
+
+SERVER_PARAM = "srv"  # of our Record-Route: the dialog's server
+_FINGERPRINT_BYTES = 6
+
+
+@dataclass(slots=True)
+class Router:
+    """Routes requests to the servers that are up or draining."""
+
+    settings: ProxySettings
+    servers: dict[str, Peer] = field(default_factory=dict)
+
+    def class_of(self, request: Request, uri: SipUri) -> str | None:
+        """Return the request's class, or None if no rule matches."""
+        for rule in self.settings.rules:
+            if rule.matches(request, uri):
+                return rule.class_name
+        return None
+
+    def pop_own_route(self, request: Request) -> str | None:
+        """Remove the proxy's own entry from the Route (16.4 and 16.6, step 6).
+
+        Returns the name of the dialog's server, if the entry has one.
+        """
+        routes = request.get_all("route")
+        if not routes:
+            return None
+        uri = parse_uri(parse_address(routes[0], "Route")[0])
+        if not self._names_proxy(uri):
+            return None
+        request.headers = [(n, v) for n, v in request.headers if n != "route"]
+        if remaining := routes[1:]:
+            request.headers.append(("route", ", ".join(remaining)))
+        return uri.params.get(SERVER_PARAM)
+
+    def dialog_target(self, uri: SipUri, server_name: str | None, source: Peer) -> Peer | None:
+        """Return where a request inside a dialog goes, or None if its dialog is gone.
+
+        It goes to the dialog's server; what comes from that server goes to the Request-URI.
+        """
+        if server_name is not None:
+            server = self.servers.get(server_name)
+            if server is None:
+                return None
+            if (source.host, source.port) != (server.host, server.port):
+                return server
+        if self._names_proxy(uri):
+            return None  # forwarded to ourselves it would return until Max-Forwards is used up
+        if uri.host.replace(".", "").isdigit():
+            return Peer("UDP", *uri.host_port)
+        return None  # names are not resolved
+
+    def is_loop(self, request: Request) -> bool:
+        """Whether the request was here before with the same fingerprint (RFC 5393, 4.2)."""
+        suffix = ""
+        for value in request.get_all("via"):
+            try:
+                via = parse_via(value)
+            except SipMessageError:
+                continue
+            if via.sent_by == self.settings.sent_by:
+                suffix = suffix or "." + routing_fingerprint(request)
+                if via.branch.endswith(suffix):
+                    return True
+        return False
+
+    def _names_proxy(self, uri: SipUri) -> bool:
+        return uri.host_port == (self.settings.host, self.settings.port)
+
+
+def routing_fingerprint(request: Request) -> str:
+    """Return a hash of what decides the request's route here (RFC 5393, 4.2.1).
+
+    A request that returns with it unchanged would be routed in the same way for ever.
+    """
+    number, _ = cseq(request)
+    fields = (
+        request.uri,
+        request.get("to"),
+        request.get("from"),
+        request.get("call-id"),
+        str(number),
+        ",".join(request.get_all("route")),
+        request.get("proxy-require"),
+    )
+    data = "\n".join(fields).encode("utf-8", "surrogateescape")
+    return hashlib.blake2s(data, digest_size=_FINGERPRINT_BYTES).hexdigest()
--- /dev/null
+++ b/oakbridge/sip/standins/__init__.py
@@ -0,0 +1,1 @@
+"""SIP user agents for tests and measurements: pure, driven by the caller's clock."""
--- /dev/null
+++ b/oakbridge/sip/standins/scripts.py
@@ -0,0 +1,36 @@
+"""Scripts of the stand-in server: how it responds to a new request."""
+
+from __future__ import annotations
+
+from oakbridge.sip.standins.user_agent_server import ReceivedRequest, UserAgentServer
+
+RING_US = (50_000, 400_000)  # from ringing to the 200
+WORK_US = (1_000, 60_000)  # of a request that is not an INVITE
+FAILURE_DELAY_US = 30_000
+
+
+def answer_normally(server: UserAgentServer, request: ReceivedRequest, now: int) -> None:
+    """Run the request and respond with 200; a call rings first."""
+    server.run(request)
+    if request.request.method == "INVITE":
+        server.respond(request, 180, now)
+        server.respond_at(request, 200, now + server.rng.randrange(*RING_US))
+    else:
+        server.respond_at(request, 200, now + server.rng.randrange(*WORK_US))
+
+
+def answer_at_random(server: UserAgentServer, request: ReceivedRequest, now: int) -> None:
+    """Serve, be busy, be full, fail before or after the work, or go silent."""
+    draw = server.rng.random()
+    if draw < 0.7:
+        answer_normally(server, request, now)
+    elif draw < 0.78:
+        server.respond(request, 486, now)
+    elif draw < 0.86:
+        server.respond(request, 503, now)
+    else:
+        server.run(request)
+        if draw < 0.92:
+            server.respond_at(request, 500, now + FAILURE_DELAY_US)
+        elif draw < 0.96:
+            server.respond(request, 100, now)
--- a/oakbridge/sip/transaction.py
+++ b/oakbridge/sip/transaction.py
@@ -1,230 +1,163 @@
-"""The four transaction machines of RFC 3261, section 17, with RFC 6026's Accepted, as tables.  Pure.
-
-Each machine is a table: in this state, on this event, go to that state and do these things.  What is done is a list of
-verbs, told to whoever drives the machine:
-
-=============  ===========================================================================
-``send``       send again what was sent last (the request, or the last response)
-``put``        send the response that the event brought, and keep it as the last
-``pass``       hand the event's message to the transaction's user
-``ack``        acknowledge a final answer that is not 2xx (section 17.1.1.3)
-``timeout``    tell the user that no answer came (or no ACK)
-``error``      tell the user that the transport failed
-``+X``, ``-X``  start timer X anew, stop it; ``X*2`` starts it with twice its last time (at most T2)
-=============  ===========================================================================
-
-Timers are A to M of the RFCs.  Where the transport is reliable, A, E and G never run, and D, I, J and K take no time at
-all (sections 17.1.1.2 and on); L, M (RFC 6026), B, F and H always run.
+"""Transactions: the state machines of RFC 3261, section 17, with their timers. Pure.
+
+On a reliable transport timers A, E and G never run, and D, I, J and K take no time (sections
+17.1.1.2 and on); B, F, H, L and M always run.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum
-
-T1, T2, T4 = 500_000, 4_000_000, 5_000_000  # microseconds; section 17, table 4
-LONG = 64 * T1
-DURATION = {
-    "A": T1, "B": LONG, "D": LONG, "E": T1, "F": LONG, "G": T1, "H": LONG, "I": T4, "J": LONG, "K": T4,
-    "L": LONG, "M": LONG,
-}  # fmt: skip
-UNRELIABLE_ONLY = frozenset("AEG")  # retransmissions
-AT_ONCE_IF_RELIABLE = frozenset("DIJK")  # waits for what a network may still bring
-CAPPED = frozenset("EG")  # these grow to T2 at most; A grows for as long as B lets it
-
-
-class State(Enum):
-    """Where a transaction stands."""
-
-    CALLING = "calling"
-    TRYING = "trying"
-    PROCEEDING = "proceeding"
-    COMPLETED = "completed"
-    CONFIRMED = "confirmed"
-    ACCEPTED = "accepted"
-    TERMINATED = "terminated"
-
-
-class Kind(Enum):
-    """Which machine."""
-
-    CLIENT_INVITE = "client invite"
-    CLIENT_OTHER = "client other"
-    SERVER_INVITE = "server invite"
-    SERVER_OTHER = "server other"
-
-
-Table = dict[tuple[State, str], tuple[State, tuple[str, ...]]]
-_S = State
-
-# Figure 5, as RFC 6026 (7.2, 8.4) has it: a 2xx leads to Accepted, in which further ones are passed on.
-_CLIENT_INVITE: Table = {
-    (_S.CALLING, "A"): (_S.CALLING, ("send", "A*2")),
-    (_S.CALLING, "B"): (_S.TERMINATED, ("timeout",)),
-    (_S.CALLING, "failed"): (_S.TERMINATED, ("error",)),
-    (_S.CALLING, "1xx"): (_S.PROCEEDING, ("-A", "-B", "pass")),
-    (_S.CALLING, "2xx"): (_S.ACCEPTED, ("-A", "-B", "+M", "pass")),
-    (_S.CALLING, "3-6xx"): (_S.COMPLETED, ("-A", "-B", "+D", "ack", "pass")),
-    (_S.PROCEEDING, "1xx"): (_S.PROCEEDING, ("pass",)),
-    (_S.PROCEEDING, "2xx"): (_S.ACCEPTED, ("+M", "pass")),
-    (_S.PROCEEDING, "3-6xx"): (_S.COMPLETED, ("+D", "ack", "pass")),
-    (_S.PROCEEDING, "failed"): (_S.TERMINATED, ("error",)),
-    (_S.ACCEPTED, "2xx"): (_S.ACCEPTED, ("pass",)),
-    (_S.ACCEPTED, "M"): (_S.TERMINATED, ()),
-    (_S.COMPLETED, "3-6xx"): (_S.COMPLETED, ("ack",)),
-    (_S.COMPLETED, "failed"): (_S.TERMINATED, ("error",)),
-    (_S.COMPLETED, "D"): (_S.TERMINATED, ()),
-}
-# Figure 6.
-_CLIENT_OTHER: Table = {
-    (_S.TRYING, "E"): (_S.TRYING, ("send", "E*2")),
-    (_S.TRYING, "F"): (_S.TERMINATED, ("-E", "timeout")),
-    (_S.TRYING, "failed"): (_S.TERMINATED, ("error",)),
-    (_S.TRYING, "1xx"): (_S.PROCEEDING, ("pass",)),
-    (_S.TRYING, "2xx"): (_S.COMPLETED, ("-E", "-F", "+K", "pass")),
-    (_S.TRYING, "3-6xx"): (_S.COMPLETED, ("-E", "-F", "+K", "pass")),
-    (_S.PROCEEDING, "E"): (_S.PROCEEDING, ("send", "E=T2")),
-    (_S.PROCEEDING, "F"): (_S.TERMINATED, ("-E", "timeout")),
-    (_S.PROCEEDING, "failed"): (_S.TERMINATED, ("error",)),
-    (_S.PROCEEDING, "1xx"): (_S.PROCEEDING, ("pass",)),
-    (_S.PROCEEDING, "2xx"): (_S.COMPLETED, ("-E", "-F", "+K", "pass")),
-    (_S.PROCEEDING, "3-6xx"): (_S.COMPLETED, ("-E", "-F", "+K", "pass")),
-    (_S.COMPLETED, "K"): (_S.TERMINATED, ()),
-}
-# Figure 7, as RFC 6026 (7.1, 8.5 to 8.8) has it: Accepted absorbs retransmissions, and a transport that fails is told
-# to the user but ends nothing, as the client may well still ask.
-_SERVER_INVITE: Table = {
-    (_S.PROCEEDING, "request"): (_S.PROCEEDING, ("send",)),
-    (_S.PROCEEDING, "put 1xx"): (_S.PROCEEDING, ("put",)),
-    (_S.PROCEEDING, "put 2xx"): (_S.ACCEPTED, ("put", "+L")),
-    (_S.PROCEEDING, "put 3-6xx"): (_S.COMPLETED, ("put", "+G", "+H")),
-    (_S.PROCEEDING, "failed"): (_S.PROCEEDING, ("error",)),
-    (_S.ACCEPTED, "request"): (_S.ACCEPTED, ()),
-    (_S.ACCEPTED, "put 2xx"): (_S.ACCEPTED, ("put",)),
-    (_S.ACCEPTED, "ack"): (_S.ACCEPTED, ("pass",)),
-    (_S.ACCEPTED, "failed"): (_S.ACCEPTED, ("error",)),
-    (_S.ACCEPTED, "L"): (_S.TERMINATED, ()),
-    (_S.COMPLETED, "request"): (_S.COMPLETED, ("send",)),
-    (_S.COMPLETED, "G"): (_S.COMPLETED, ("send", "G*2")),
-    (_S.COMPLETED, "H"): (_S.TERMINATED, ("-G", "timeout")),
-    (_S.COMPLETED, "ack"): (_S.CONFIRMED, ("-G", "-H", "+I")),
-    (_S.COMPLETED, "failed"): (_S.COMPLETED, ("error",)),
-    (_S.CONFIRMED, "request"): (_S.CONFIRMED, ()),
-    (_S.CONFIRMED, "ack"): (_S.CONFIRMED, ()),
-    (_S.CONFIRMED, "I"): (_S.TERMINATED, ()),
-}
-# Figure 8.
-_SERVER_OTHER: Table = {
-    (_S.TRYING, "request"): (_S.TRYING, ()),
-    (_S.TRYING, "put 1xx"): (_S.PROCEEDING, ("put",)),
-    (_S.TRYING, "put 2xx"): (_S.COMPLETED, ("put", "+J")),
-    (_S.TRYING, "put 3-6xx"): (_S.COMPLETED, ("put", "+J")),
-    (_S.TRYING, "failed"): (_S.TRYING, ("error",)),
-    (_S.PROCEEDING, "request"): (_S.PROCEEDING, ("send",)),
-    (_S.PROCEEDING, "put 1xx"): (_S.PROCEEDING, ("put",)),
-    (_S.PROCEEDING, "put 2xx"): (_S.COMPLETED, ("put", "+J")),
-    (_S.PROCEEDING, "put 3-6xx"): (_S.COMPLETED, ("put", "+J")),
-    (_S.PROCEEDING, "failed"): (_S.TERMINATED, ("error",)),
-    (_S.COMPLETED, "request"): (_S.COMPLETED, ("send",)),
-    (_S.COMPLETED, "failed"): (_S.TERMINATED, ("error",)),
-    (_S.COMPLETED, "J"): (_S.TERMINATED, ()),
-}
-TABLES: dict[Kind, Table] = {
-    Kind.CLIENT_INVITE: _CLIENT_INVITE, Kind.CLIENT_OTHER: _CLIENT_OTHER,
-    Kind.SERVER_INVITE: _SERVER_INVITE, Kind.SERVER_OTHER: _SERVER_OTHER,
-}  # fmt: skip
-_BEGIN = {
-    Kind.CLIENT_INVITE: (_S.CALLING, ("send", "+A", "+B")),
-    Kind.CLIENT_OTHER: (_S.TRYING, ("send", "+E", "+F")),
-    Kind.SERVER_INVITE: (_S.PROCEEDING, ("pass",)),
-    Kind.SERVER_OTHER: (_S.TRYING, ("pass",)),
+
+from oakbridge.sip.transaction_tables import (
+    INITIAL,
+    TABLES,
+    Event,
+    Output,
+    State,
+    Step,
+    Timer,
+    TimerOperation,
+    TimerStep,
+    TransactionType,
+)
+
+# Section 17, table 4.
+T1_US = 500_000
+T2_US = 4_000_000
+T4_US = 5_000_000
+TRANSACTION_TIMEOUT_US = 64 * T1_US
+
+_DURATIONS_US = {
+    Timer.A: T1_US,
+    Timer.B: TRANSACTION_TIMEOUT_US,
+    Timer.D: TRANSACTION_TIMEOUT_US,
+    Timer.E: T1_US,
+    Timer.F: TRANSACTION_TIMEOUT_US,
+    Timer.G: T1_US,
+    Timer.H: TRANSACTION_TIMEOUT_US,
+    Timer.I: T4_US,
+    Timer.J: TRANSACTION_TIMEOUT_US,
+    Timer.K: T4_US,
+    Timer.L: TRANSACTION_TIMEOUT_US,
+    Timer.M: TRANSACTION_TIMEOUT_US,
 }
+_CLIENT_RETRANSMISSIONS = (Timer.A, Timer.E)
+_RETRANSMISSIONS = frozenset({Timer.A, Timer.E, Timer.G})
+# They wait for retransmissions of the peer's, which a reliable transport has none of.
+_ZERO_IF_RELIABLE = frozenset({Timer.D, Timer.I, Timer.J, Timer.K})
+_CAPPED_AT_T2 = frozenset({Timer.E, Timer.G})  # Timer A doubles until Timer B fires
 
 
 @dataclass(slots=True)
 class Transaction:
-    """One transaction.  ``now`` is in microseconds; verbs come back in order, timers are kept in here.
+    """One transaction. Times are in microseconds; methods return the outputs in order.
 
-    ``due``: when a timer is to be told by :meth:`tick`; the driver needs one timer, for the earliest.
+    The owner calls :meth:`fire_timers` at :meth:`next_timer`.
     """
 
-    kind: Kind
+    type: TransactionType
     reliable: bool
     state: State = State.TERMINATED
-    timers: dict[str, int] = field(default_factory=dict)
-    _last: dict[str, int] = field(default_factory=dict)  # the time that each was last started with
-
-    def begin(self, now: int) -> list[str]:
-        """The first request was received, or is to be sent."""
-        self.state, verbs = _BEGIN[self.kind]
-        return self._do(verbs, now)
-
-    def on(self, event: str, now: int) -> list[str]:
-        """Take an event; one that the table has no line for changes nothing and does nothing.
-
-        Events: a client's ``1xx``, ``2xx``, ``3-6xx``; a server's ``request``, ``ack``, ``put 1xx``, ``put 2xx`` and
-        ``put 3-6xx``; either's ``failed``, and timers by their letter.
-        """
-        row = TABLES[self.kind].get((self.state, event))
-        if row is None:
+    timers: dict[Timer, int] = field(default_factory=dict)
+    _last_durations: dict[Timer, int] = field(default_factory=dict)
+
+    def begin(self, now: int) -> list[Output]:
+        """Start: the request was received, or is to be sent."""
+        self.state, steps = INITIAL[self.type]
+        return self._take(steps, now)
+
+    def handle(self, event: Event, now: int) -> list[Output]:
+        """Handle an event; an event without an entry in the table is ignored."""
+        transition = TABLES[self.type].get((self.state, event))
+        if transition is None:
             return []
-        self.state, verbs = row
-        done = self._do(verbs, now)
-        if self.state is State.TERMINATED:
+        self.state, steps = transition
+        outputs = self._take(steps, now)
+        if self.terminated:
             self.timers.clear()
-        return done
+        return outputs
 
-    def quiet(self) -> None:
-        """Send nothing again, but go on to take what comes: whoever waited has given up."""
-        for timer in ("A", "E"):
+    def stop_retransmissions(self) -> None:
+        """Retransmit the request no more, but still handle responses."""
+        for timer in _CLIENT_RETRANSMISSIONS:
             self.timers.pop(timer, None)
 
-    def due(self) -> int | None:
-        """When the next timer fires."""
+    def next_timer(self) -> int | None:
+        """Return when the next timer fires."""
         return min(self.timers.values(), default=None)
 
-    def tick(self, now: int) -> list[str]:
-        """Fire what is due, in order."""
-        done = list[str]()
-        while self.timers and (first := min(self.timers, key=lambda t: (self.timers[t], t))) is not None:
-            if self.timers[first] > now:
+    def fire_timers(self, now: int) -> list[Output]:
+        """Fire the timers that are due, in order."""
+        outputs: list[Output] = []
+        while self.timers:
+            timer, fires_at = min(self.timers.items(), key=lambda entry: (entry[1], entry[0].value))
+            if fires_at > now:
                 break
-            at = self.timers.pop(first)
-            # By when it was due, not by when it was told: a late driver does not stretch the retransmissions.
-            done += self.on(first, at)
-        return done
+            del self.timers[timer]
+            # With the time at which it was due: a late owner does not stretch the retransmissions.
+            outputs += self.handle(Event(timer.value), fires_at)
+        return outputs
 
     @property
-    def over(self) -> bool:
-        """Whether it is done with."""
+    def terminated(self) -> bool:
+        """Whether the transaction has ended."""
         return self.state is State.TERMINATED
 
-    def _do(self, verbs: tuple[str, ...], now: int) -> list[str]:
-        done = list[str]()
-        for verb in verbs:
-            if verb[0] == "+":
-                self._start(verb[1], DURATION[verb[1]], now)
-            elif verb[0] == "-":
-                self.timers.pop(verb[1], None)
-            elif verb[1:] == "*2":
-                twice = 2 * self._last[verb[0]]
-                self._start(verb[0], min(T2, twice) if verb[0] in CAPPED else twice, now)
-            elif verb == "E=T2":
-                self._start("E", T2, now)
+    def _take(self, steps: tuple[Step, ...], now: int) -> list[Output]:
+        outputs: list[Output] = []
+        for step in steps:
+            if isinstance(step, TimerStep):
+                self._apply(step, now)
             else:
-                done.append(verb)
-        return done
-
-    def _start(self, timer: str, after: int, now: int) -> None:
-        if self.reliable and timer in UNRELIABLE_ONLY:
+                outputs.append(step)
+        return outputs
+
+    def _apply(self, step: TimerStep, now: int) -> None:
+        timer = step.timer
+        match step.operation:
+            case TimerOperation.START:
+                self._start(timer, _DURATIONS_US[timer], now)
+            case TimerOperation.STOP:
+                self.timers.pop(timer, None)
+            case TimerOperation.DOUBLE:
+                doubled = 2 * self._last_durations[timer]
+                self._start(timer, min(T2_US, doubled) if timer in _CAPPED_AT_T2 else doubled, now)
+            case TimerOperation.START_AT_T2:
+                self._start(timer, T2_US, now)
+
+    def _start(self, timer: Timer, duration: int, now: int) -> None:
+        if self.reliable and timer in _RETRANSMISSIONS:
             return
-        if self.reliable and timer in AT_ONCE_IF_RELIABLE:
+        if self.reliable and timer in _ZERO_IF_RELIABLE:
             self.state = State.TERMINATED
             return
-        self._last[timer] = after
-        self.timers[timer] = now + after
+        self._last_durations[timer] = duration
+        self.timers[timer] = now + duration
+
+
+def client_transaction(method: str, reliable: bool) -> Transaction:
+    """Return a new client transaction for a request of this method."""
+    is_invite = method == "INVITE"
+    kind = TransactionType.INVITE_CLIENT if is_invite else TransactionType.NON_INVITE_CLIENT
+    return Transaction(kind, reliable)
+
+
+def server_transaction(method: str, reliable: bool) -> Transaction:
+    """Return a new server transaction for a request of this method."""
+    is_invite = method == "INVITE"
+    kind = TransactionType.INVITE_SERVER if is_invite else TransactionType.NON_INVITE_SERVER
+    return Transaction(kind, reliable)
+
+
+def received_event(status: int) -> Event:
+    """Return a client transaction's event for a response of this status."""
+    if status < 200:
+        return Event.PROVISIONAL
+    return Event.SUCCESS if status < 300 else Event.FAILURE
 
 
-def group(status: int) -> str:
-    """A response's event, by its status."""
-    return "1xx" if status < 200 else "2xx" if status < 300 else "3-6xx"
+def sent_event(status: int) -> Event:
+    """Return a server transaction's event for sending a response of this status."""
+    if status < 200:
+        return Event.SEND_PROVISIONAL
+    return Event.SEND_SUCCESS if status < 300 else Event.SEND_FAILURE
--- a/tests/sip/network.py
+++ b/tests/sip/network.py
@@ -1,4 +1,4 @@
-"""A whole SIP site in simulated time: phones, the proxy with the real module, servers, and a faulty network."""
+"""A SIP site in simulated time: phones, the proxy with the real balancer, servers, a faulty network."""
 
 import heapq
 import random
@@ -8,110 +8,151 @@
 from oakbridge.policy.balancer import Balancer
 from oakbridge.policy.events import Endpoint, EndpointListReceived, TimerFired
 from oakbridge.policy.settings import Idempotency, RequestClass
-from oakbridge.sip.proxy import Peer, Post, Proxy, Rule, Settings, Transmit
-from oakbridge.sip.standins import Phone, Server
+from oakbridge.sip.outbox import PostEvent
+from oakbridge.sip.peer import Peer
+from oakbridge.sip.proxy import Proxy
+from oakbridge.sip.settings import ClassRule, ProxySettings
+from oakbridge.sip.standins.scripts import answer_normally
+from oakbridge.sip.standins.user_agent_client import UserAgentClient
+from oakbridge.sip.standins.user_agent_server import UserAgentServer
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 PROXY = Peer("UDP", "10.0.0.1", 5060)
 CLASSES = (
-    RequestClass("look", SECOND, 8 * SECOND, idempotency=Idempotency.IDEMPOTENT),
-    RequestClass("book", 2 * SECOND, 20 * SECOND, idempotency=Idempotency.NOT_IDEMPOTENT),
+    RequestClass("look", SECOND_US, 8 * SECOND_US, idempotency=Idempotency.IDEMPOTENT),
+    RequestClass("book", 2 * SECOND_US, 20 * SECOND_US, idempotency=Idempotency.NOT_IDEMPOTENT),
 )
-RULES = (Rule("look", frozenset({"OPTIONS"})), Rule("book", frozenset({"INVITE", "MESSAGE"})))
+RULES = (
+    ClassRule("look", frozenset({"OPTIONS"})),
+    ClassRule("book", frozenset({"INVITE", "MESSAGE"})),
+)
+
+
+def proxy_settings(**limits):
+    deadlines_us = {request_class.name: request_class.deadline for request_class in CLASSES}
+    return ProxySettings(PROXY.host, PROXY.port, RULES, deadlines_us, **limits)
 
 
 class Site:
-    """Drives everything by one clock; the network loses, doubles, delays and so reorders by its seed."""
+    """Drives all by one clock; the network loses, duplicates, delays and so reorders by its seed."""
 
     def __init__(
-        self, seed, phones=4, servers=5, script=None, lost=0.0, doubled=0.0, delay=(200, 2_000), **more
+        self,
+        seed,
+        phones=4,
+        servers=5,
+        script=answer_normally,
+        loss=0.0,
+        duplication=0.0,
+        delay_us=(200, 2_000),
+        **limits,
     ):
-        self.draw, self.now = random.Random(seed), SECOND
-        self.lost, self.doubled, self.delay = lost, doubled, delay
-        settings = Settings(PROXY.host, PROXY.port, RULES, {c.name: c.deadline for c in CLASSES}, **more)
-        self.proxy = Proxy(settings, seed)
+        self.rng = random.Random(seed)
+        self.now = SECOND_US
+        self.loss = loss
+        self.duplication = duplication
+        self.delay_us = delay_us
+        self.proxy = Proxy(proxy_settings(**limits), seed)
         self.balancer = Balancer(policy_settings.Settings(classes=CLASSES, replica_count=1), seed)
-        self.phones = [Phone(Peer("UDP", "10.1.0.1", 6000 + i), PROXY, seed + i) for i in range(phones)]
+        self.phones = [
+            UserAgentClient(Peer("UDP", "10.1.0.1", 6000 + i), PROXY, seed + i) for i in range(phones)
+        ]
         self.servers = {
-            f"s{i}": Server(f"s{i}", Peer("UDP", f"10.2.0.{i + 1}", 5060), seed, script)
+            f"s{i}": UserAgentServer(f"s{i}", Peer("UDP", f"10.2.0.{i + 1}", 5060), seed, script)
             for i in range(servers)
         }
-        self.nodes = {node.peer: node for node in (*self.phones, *self.servers.values())}
-        self.frozen, self.events, self.heap, self.count = set(), [], [], 0
-        self.proxy.servers = {name: s.peer for name, s in self.servers.items()}
-        self.module(EndpointListReceived([Endpoint(name) for name in self.servers]))
-
-    def at(self, when, what):
-        self.count += 1
-        heapq.heappush(self.heap, (when, self.count, what))
-
-    def module(self, event):
-        """The module hears something; what it wants is carried out, and so on until it wants no more."""
-        self.events.append(event)
+        self.user_agents = {agent.peer: agent for agent in (*self.phones, *self.servers.values())}
+        self.frozen = set()
+        self._schedule = []
+        self._scheduled = 0
+        self.proxy.servers.update({name: server.peer for name, server in self.servers.items()})
+        self.handle_event(EndpointListReceived([Endpoint(name) for name in self.servers]))
+
+    def call_at(self, when, callback):
+        self._scheduled += 1
+        heapq.heappush(self._schedule, (when, self._scheduled, callback))
+
+    def handle_event(self, event):
+        """Hand an event to the balancer, and carry out its actions and what follows from them."""
         for action in self.balancer.handle(self.now, event):
             if isinstance(action, SetTimer):
-                self.at(self.now + action.delay, lambda t=action.token: self.module(TimerFired(t)))
+                fired = TimerFired(action.token)
+                self.call_at(self.now + action.delay, lambda fired=fired: self.handle_event(fired))
             else:
-                self.act(self.proxy.carry_out(self.now, action))
+                self.carry_out(self.proxy.carry_out(self.now, action))
 
-    def act(self, actions):
+    def carry_out(self, actions):
         for action in actions:
-            if isinstance(action, Post):
-                self.module(action.event)
-            elif isinstance(action, Transmit):
-                self.post(PROXY, action.peer, action.data)
-
-    def post(self, sender, to, data):
-        for _ in range(1 + (self.draw.random() < self.doubled)):
-            if self.draw.random() >= self.lost:
-                self.at(self.now + self.draw.randrange(*self.delay), lambda: self.deliver(sender, to, data))
-
-    def deliver(self, sender, to, data):
-        if to == PROXY:
-            return self.act(self.proxy.received(self.now, sender, data))
-        node = self.nodes.get(to)
-        if isinstance(node, Server) and node.name not in self.frozen:
-            node.received(self.now, sender, data)
-        elif isinstance(node, Phone):
-            node.received(self.now, data)
-        self.drain(node)
-
-    def drain(self, node):
-        if node is not None:
-            packets, node.out = node.out, []
-            for to, data in packets:
-                self.post(node.peer, to, data)
+            if isinstance(action, PostEvent):
+                self.handle_event(action.event)
+            else:
+                self.transmit(PROXY, action.peer, action.data)
+
+    def transmit(self, source, destination, data):
+        for _ in range(1 + (self.rng.random() < self.duplication)):
+            if self.rng.random() >= self.loss:
+                self.call_at(
+                    self.now + self.rng.randrange(*self.delay_us),
+                    lambda: self.deliver(source, destination, data),
+                )
+
+    def deliver(self, source, destination, data):
+        if destination == PROXY:
+            self.carry_out(self.proxy.message_received(self.now, source, data))
+            return
+        agent = self.user_agents.get(destination)
+        if isinstance(agent, UserAgentServer) and agent.name not in self.frozen:
+            agent.received(self.now, source, data)
+        elif isinstance(agent, UserAgentClient):
+            agent.received(self.now, data)
+        self.flush(agent)
+
+    def flush(self, agent):
+        """Transmit what a user agent has to send."""
+        if agent is not None:
+            packets, agent.outgoing = agent.outgoing, []
+            for destination, data in packets:
+                self.transmit(agent.peer, destination, data)
 
     def run(self, seconds):
         """Go on for so long."""
-        end = self.now + int(seconds * SECOND)
+        end = self.now + int(seconds * SECOND_US)
         while True:
-            wakes = [when for n in self.nodes.values() if (when := n.clock.due()) is not None]
-            first = self.heap[0][0] if self.heap else None
-            due = [when for when in (first, self.proxy.due(), *wakes) if when is not None]
-            if not due or min(due) > end:
+            due = self._next_due()
+            if due is None or due > end:
                 self.now = end
                 return
-            self.now = max(self.now, min(due))
-            if self.heap and self.heap[0][0] <= self.now:
-                heapq.heappop(self.heap)[2]()
-            if (when := self.proxy.due()) is not None and when <= self.now:
-                self.act(self.proxy.tick(self.now))
-            for node in self.nodes.values():
-                if (when := node.clock.due()) is not None and when <= self.now:
-                    node.clock.tick(self.now)
-                    self.drain(node)
-
-    def ask(self, phone, method, call_id):
-        asked = phone.ask(phone.request(method, "sip:desk@10.0.0.1", call_id), self.now)
-        self.drain(phone)
-        return asked
-
-    def left(self):
-        """What the proxy still holds."""
+            self.now = max(self.now, due)
+            self._run_due()
+
+    def _next_due(self):
+        times = [agent.scheduler.due() for agent in self.user_agents.values()]
+        times.append(self.proxy.next_timer())
+        times.append(self._schedule[0][0] if self._schedule else None)
+        return min((when for when in times if when is not None), default=None)
+
+    def _run_due(self):
+        if self._schedule and self._schedule[0][0] <= self.now:
+            heapq.heappop(self._schedule)[2]()
+        if (when := self.proxy.next_timer()) is not None and when <= self.now:
+            self.carry_out(self.proxy.fire_timers(self.now))
+        for agent in self.user_agents.values():
+            if (when := agent.scheduler.due()) is not None and when <= self.now:
+                agent.scheduler.run_due(self.now)
+                self.flush(agent)
+
+    def send_request(self, phone, method, call_id):
+        request = phone.build_request(method, "sip:desk@10.0.0.1", call_id)
+        sent = phone.send(request, self.now)
+        self.flush(phone)
+        return sent
+
+    def proxy_state_sizes(self):
+        """How much the proxy still holds."""
+        store = self.proxy.store
         return (
-            len(self.proxy.calls),
-            len(self.proxy.clients),
-            len(self.proxy.by_id),
-            sum(self.proxy.each.values()),
+            len(store.contexts),
+            len(store.branches),
+            len(store.contexts_by_request_id),
+            sum(store.contexts_per_host.values()),
         )
--- a/tests/sip/test_front.py
+++ b/tests/sip/test_front.py
@@ -1,23 +1,25 @@
-"""The front on real sockets: a node with HTTP and SIP, one module."""
+"""The front on real sockets: a node with HTTP and SIP, one balancer."""
 
 import asyncio
 import os
 import random
 import socket
-from contextlib import suppress
+from contextlib import asynccontextmanager, suppress
 
-from network import SECOND
+from network import SECOND_US
 from peers import run, until
 
 from oakbridge.config.load import load
 from oakbridge.config.node_config import inline_endpoints
 from oakbridge.config.sip import sip_options, sip_settings
 from oakbridge.node.node import Node
-from oakbridge.sip.framing import Stream
+from oakbridge.sip.framing import MessageStream
 from oakbridge.sip.front import Front
 from oakbridge.sip.parser import parse_message
-from oakbridge.sip.proxy import Peer
-from oakbridge.sip.standins import Phone, Server
+from oakbridge.sip.peer import Peer
+from oakbridge.sip.standins.scripts import answer_normally
+from oakbridge.sip.standins.user_agent_client import UserAgentClient
+from oakbridge.sip.standins.user_agent_server import UserAgentServer
 from oakbridge.sources.inline_source import InlineSource
 
 CONFIG = """
@@ -39,106 +41,154 @@
 """
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class UserAgentSocket(asyncio.DatagramProtocol):
     """A stand-in on a real socket, driven by the loop's clock."""
 
-    def __init__(self, make):
-        self.make, self.told = make, asyncio.Event()
+    def __init__(self, create_agent):
+        self._create_agent = create_agent
 
     def connection_made(self, transport):
-        self.transport = transport
-        self.node = self.make(Peer("UDP", *transport.get_extra_info("sockname")[:2]))
-        self.task = asyncio.create_task(self.wake())
-
-    async def wake(self):
-        while True:
-            await asyncio.sleep(0.005)
-            self.node.clock.tick(now())
-            self.flush()
+        self._transport = transport
+        self.agent = self._create_agent(Peer("UDP", *transport.get_extra_info("sockname")[:2]))
+        self._task = asyncio.create_task(self._run())
 
     def datagram_received(self, data, address):
-        if isinstance(self.node, Server):
-            self.node.received(now(), Peer("UDP", *address), data)
+        if isinstance(self.agent, UserAgentServer):
+            self.agent.received(now(), Peer("UDP", *address), data)
         else:
-            self.node.received(now(), data)
+            self.agent.received(now(), data)
         self.flush()
-        self.told.set()
 
     def flush(self):
-        packets, self.node.out = self.node.out, []
+        packets, self.agent.outgoing = self.agent.outgoing, []
         for peer, data in packets:
-            self.transport.sendto(data, (peer.host, peer.port))
+            self._transport.sendto(data, (peer.host, peer.port))
+
+    def send_request(self, method, uri, call_id):
+        sent = self.agent.send(self.agent.build_request(method, uri, call_id), now())
+        self.flush()
+        return sent
+
+    def close(self):
+        self._task.cancel()
+        self._transport.close()
+
+    async def _run(self):
+        while True:
+            await asyncio.sleep(0.005)
+            self.agent.scheduler.run_due(now())
+            self.flush()
+
+
+@asynccontextmanager
+async def user_agent(create_agent):
+    """A stand-in on a socket of its own."""
+    loop = asyncio.get_running_loop()
+    _, agent_socket = await loop.create_datagram_endpoint(
+        lambda: UserAgentSocket(create_agent), local_addr=("127.0.0.1", 0)
+    )
+    try:
+        yield agent_socket
+    finally:
+        agent_socket.close()
+
+
+@asynccontextmanager
+async def node_with_front(tmp_path, sip_port, server_ports):
+    """A node with the front, and endpoints ``s0``, ``s1`` and so on at these ports."""
+    endpoints = ", ".join(
+        f'{{name = "s{number}", address = "127.0.0.1:{port}"}}' for number, port in enumerate(server_ports)
+    )
+    path = tmp_path / "both.toml"
+    path.write_text(CONFIG.format(servers=endpoints, port=sip_port))
+    loaded = load(path)
+    node = Node(
+        loaded.config,
+        asyncio.get_running_loop(),
+        lambda clock: InlineSource(inline_endpoints(loaded.file)),
+    )
+    async with Front(node, sip_settings(loaded.file), sip_options(loaded.file), 1) as front:
+        node.start()
+        yield node, front
+    node.close()
 
 
 def now():
-    return int(asyncio.get_running_loop().time() * SECOND)
+    return int(asyncio.get_running_loop().time() * SECOND_US)
 
 
 def free_port():
-    """For datagrams and streams, below those that outgoing connections of other tests are given."""
-    draw = random.Random(os.getpid())
+    """A port for datagrams and streams, below those that outgoing connections of other tests get."""
+    rng = random.Random(os.getpid())
     while True:
-        port = draw.randrange(15_000, 32_000)
-        kinds = socket.SOCK_DGRAM, socket.SOCK_STREAM
-        with socket.socket(type=kinds[0]) as one, socket.socket(type=kinds[1]) as other, suppress(OSError):
-            one.bind(("127.0.0.1", port))
-            other.bind(("127.0.0.1", port))
+        port = rng.randrange(15_000, 32_000)
+        with (
+            socket.socket(type=socket.SOCK_DGRAM) as datagrams,
+            socket.socket(type=socket.SOCK_STREAM) as streams,
+            suppress(OSError),
+        ):
+            datagrams.bind(("127.0.0.1", port))
+            streams.bind(("127.0.0.1", port))
             return port
 
 
-def test_both_fronts_on_one_module_a_refused_server_and_streams(tmp_path):
-    """Calls over UDP and TCP; nobody listens at one of three servers, which is known at once and costs no answer."""
-
+async def check_calls(phone, node, servers, port):
+    """All calls succeed though nobody listens at ``s2``, which costs no response."""
+    sent = []
+    for number in range(40):
+        method = ("OPTIONS", "INVITE")[number % 2]
+        sent.append(phone.send_request(method, f"sip:d@127.0.0.1:{port}", f"c{number}"))
+        await asyncio.sleep(0.01)
+    await until(lambda: all(request.final_statuses for request in sent))
+    assert [request.final_statuses for request in sent if request.final_statuses != [200]] == []
+    refused = node.balancer.endpoints.known["s2"]
+    assert refused.score > -2
+    assert not refused.in_flight  # its refusals were reported
+    assert sum(sum(server.agent.runs.values()) for server in servers) == 40
+
+
+async def check_stream(proxy):
+    """A request over TCP after a keep-alive, in pieces and then repeated, gets its response."""
+    reader, writer = await asyncio.open_connection(proxy.host, proxy.port)
+    caller = UserAgentClient(Peer("TCP", "127.0.0.1", 9), proxy, 6)
+    request = caller.build_request("OPTIONS", "sip:d@x", "tcp").to_bytes()
+    writer.write(b"\r\n\r\n" + request[:50])
+    await asyncio.sleep(0)
+    writer.write(request[50:] * 2)  # the second is a retransmission
+    stream = MessageStream()
+    responses = []
+    while not responses:
+        responses += stream.feed((await reader.read(4096)).removeprefix(b"\r\n"))
+    assert parse_message(responses[0]).status == 200
+    writer.close()
+
+
+async def check_draining(phone, front):
+    """A draining proxy rejects new requests."""
+    front.proxy.start_draining()
+    rejected = phone.send_request("OPTIONS", "sip:d@x", "late")
+    await until(lambda: rejected.final_statuses)
+    assert rejected.final_statuses == [503]
+    assert rejected.retry_after == "1"
+
+
+def test_front_serves_udp_and_tcp_beside_a_refused_server_and_drains(tmp_path):
     async def test():
-        loop, port, dead = asyncio.get_running_loop(), free_port(), 1
-        servers = [
-            (await loop.create_datagram_endpoint(lambda i=i: Datagrams(lambda p: Server(f"s{i}", p, i)),
-                                                 local_addr=("127.0.0.1", 0)))[1] for i in range(2)
-        ]  # fmt: skip
-        ports = [s.node.peer.port for s in servers] + [dead]
-        rows = ", ".join(f'{{name = "s{i}", address = "127.0.0.1:{p}"}}' for i, p in enumerate(ports))
-        path = tmp_path / "both.toml"
-        path.write_text(CONFIG.format(servers=rows, port=port))
-        loaded = load(path)
-        node = Node(loaded.config, loop, lambda clock: InlineSource(inline_endpoints(loaded.file)))
-        async with Front(node, sip_settings(loaded.file), sip_options(loaded.file), 1) as front:
-            node.start()
-            proxy = Peer("UDP", "127.0.0.1", port)
-            _, phone = await loop.create_datagram_endpoint(
-                lambda: Datagrams(lambda p: Phone(p, proxy, 5)), local_addr=("127.0.0.1", 0)
-            )
-            asked = []
-            for number in range(40):
-                method = ("OPTIONS", "INVITE")[number % 2]
-                asked.append(
-                    phone.node.ask(phone.node.request(method, f"sip:d@127.0.0.1:{port}", f"c{number}"), now())
-                )
-                phone.flush()
-                await asyncio.sleep(0.01)
-            await until(lambda: all(a.finals for a in asked))
-            assert [a.finals for a in asked if a.finals != [200]] == []
-            refused = node.balancer.endpoints.known["s2"]
-            assert refused.score > -2 and not refused.in_flight  # its refusals were heard of
-            ran = sum(sum(s.node.ran.values()) for s in servers)
-            assert ran == 40
-            reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            stream, got = Stream(), []
-            one = Phone(Peer("TCP", "127.0.0.1", 9), proxy, 6).request("OPTIONS", "sip:d@x", "tcp").to_bytes()
-            writer.write(b"\r\n\r\n" + one[:50])
-            await asyncio.sleep(0)
-            writer.write(one[50:] * 2)  # the second is a retransmission: absorbed, or answered with the same
-            while not got:
-                got += stream.feed((await reader.read(4096)).removeprefix(b"\r\n"))
-            assert parse_message(got[0]).status == 200
-            front.proxy.leaving = True
-            late = phone.node.ask(phone.node.request("OPTIONS", "sip:d@x", "late"), now())
-            phone.flush()
-            await until(lambda: late.finals)
-            assert late.finals == [503] and late.retry_after == "1"
-            for each in (*servers, phone):
-                each.task.cancel()
-                each.transport.close()
-            writer.close()
-        node.close()
+        port, closed_port = free_port(), 1
+        proxy = Peer("UDP", "127.0.0.1", port)
+
+        def create_server(number):
+            return lambda peer: UserAgentServer(f"s{number}", peer, number, answer_normally)
+
+        async with (
+            user_agent(create_server(0)) as first,
+            user_agent(create_server(1)) as second,
+            user_agent(lambda peer: UserAgentClient(peer, proxy, 5)) as phone,
+        ):
+            server_ports = [first.agent.peer.port, second.agent.peer.port, closed_port]
+            async with node_with_front(tmp_path, port, server_ports) as (node, front):
+                await check_calls(phone, node, (first, second), port)
+                await check_stream(proxy)
+                await check_draining(phone, front)
 
     run(test())
--- a/tests/sip/test_site.py
+++ b/tests/sip/test_site.py
@@ -1,91 +1,117 @@
-"""The proxy with the real module between phones and servers, in simulated time and by seed."""
+"""The proxy with the real balancer between phones and servers, in simulated time and by seed."""
+
+from collections import Counter
 
 import pytest
 from network import Site
 
-from oakbridge.sip.standins import answer_as_drawn, answer_soon
+from oakbridge.sip.standins.scripts import answer_at_random, answer_normally
+
+EMPTY = (0, 0, 0, 0)
+CALL_INTERVAL_US = 40_000
 
 
 def play(seed, requests, script, **network):
+    """Play a site with a new request every 40 ms; return it and its sent requests."""
     site = Site(seed, script=script, **network)
-    asked = []
+    sent = []
     for number in range(requests):
-        phone = site.draw.choice(site.phones)
-        method = site.draw.choice(("INVITE", "MESSAGE", "OPTIONS"))
-        at = site.now + number * 40_000
-        site.at(at, lambda p=phone, n=number, k=method: asked.append(site.ask(p, k, f"call-{n}")))
+        phone = site.rng.choice(site.phones)
+        method = site.rng.choice(("INVITE", "MESSAGE", "OPTIONS"))
+
+        def send(phone=phone, method=method, number=number):
+            sent.append(site.send_request(phone, method, f"call-{number}"))
+
+        site.call_at(site.now + number * CALL_INTERVAL_US, send)
     site.run(requests * 0.04 + 120)
-    return site, asked
+    return site, sent
 
 
 @pytest.mark.parametrize(
     ("script", "network"),
-    [(answer_soon, {}), (answer_as_drawn, {}),
-     (answer_as_drawn, {"lost": 0.1, "doubled": 0.05, "delay": (200, 300_000)})],
-)  # fmt: skip
+    [
+        (answer_normally, {}),
+        (answer_at_random, {}),
+        (answer_at_random, {"loss": 0.1, "duplication": 0.05, "delay_us": (200, 300_000)}),
+    ],
+)
 @pytest.mark.parametrize("seed", range(4))
-def test_each_transaction_has_one_final_answer_and_what_is_unsafe_runs_once(script, network, seed):
-    site, asked = play(seed, 170, script, **network)
-    assert len(asked) == 170
-    assert [a.finals for a in asked if len(a.finals) != 1] == []
-    ran = sum((s.ran for s in site.servers.values()), start=type(site.servers["s0"].ran)())
-    assert [key for key, n in ran.items() if n > 1 and "OPTIONS" not in key[1]] == []
-    assert sum(s.unacked for s in site.servers.values()) == 0
-    assert site.left() == (0, 0, 0, 0)
-    assert site.balancer.requests == {} and not any(
-        s.in_flight for s in site.balancer.endpoints.known.values()
-    )
-    if script is answer_soon:
-        assert {f for a in asked for f in a.finals} == {200}
+def test_each_transaction_gets_one_final_response_and_non_idempotent_requests_run_once(script, network, seed):
+    site, sent = play(seed, 170, script, **network)
+    assert len(sent) == 170
+    assert [request.final_statuses for request in sent if len(request.final_statuses) != 1] == []
+    runs = sum((server.runs for server in site.servers.values()), start=Counter())
+    assert [key for key, count in runs.items() if count > 1 and "OPTIONS" not in key[1]] == []
+    assert sum(server.unacknowledged for server in site.servers.values()) == 0
+    assert site.proxy_state_sizes() == EMPTY
+    assert site.balancer.requests == {}
+    assert not any(endpoint.in_flight for endpoint in site.balancer.endpoints.known.values())
+    if script is answer_normally:
+        assert {status for request in sent for status in request.final_statuses} == {200}
 
 
 @pytest.mark.parametrize("part", range(5))
-def test_a_cancel_that_races_the_answer_gets_the_one_or_the_other(part):
-    """Offsets from before the first provisional to behind the final answer: 200 calls a part."""
-    site = Site(part, script=answer_soon, delay=(100, 5_000))
-    pairs = []
+def test_cancel_that_races_the_response_gets_the_one_or_the_other(part):
+    """Offsets from before the first provisional to after the final response: 200 calls a part."""
+    site = Site(part, script=answer_normally, delay_us=(100, 5_000))
+    invites = []
+    cancels = []
 
-    def call(number, offset):
+    def call(number):
         phone = site.phones[number % 4]
-        asked = site.ask(phone, "INVITE", f"call-{number}")
-        site.at(
-            site.now + offset,
-            lambda: (pairs.append((asked, phone.cancel(asked, site.now))), site.drain(phone)),
-        )
+        invite = site.send_request(phone, "INVITE", f"call-{number}")
+
+        def cancel():
+            invites.append(invite)
+            cancels.append(phone.cancel(invite, site.now))
+            site.flush(phone)
+
+        site.call_at(site.now + number * 2_200 + part * 440, cancel)
 
     for number in range(200):
-        site.at(site.now + number * 50_000, lambda n=number: call(n, n * 2_200 + part * 440))
+        site.call_at(site.now + number * 50_000, lambda number=number: call(number))
     site.run(120)
-    assert len(pairs) == 200
-    assert [a.finals for a, _ in pairs if a.finals not in ([200], [487])] == []
-    assert [c.finals for _, c in pairs if c.finals not in ([200], [481])] == []
-    ends = [a.finals[0] for a, _ in pairs]
-    assert 20 < ends.count(487) < 180 and site.left() == (0, 0, 0, 0)
+    assert len(invites) == 200
+    unexpected = [i.final_statuses for i in invites if i.final_statuses not in ([200], [487])]
+    assert unexpected == []
+    unexpected = [c.final_statuses for c in cancels if c.final_statuses not in ([200], [481])]
+    assert unexpected == []
+    final_statuses = [invite.final_statuses[0] for invite in invites]
+    assert 20 < final_statuses.count(487) < 180
+    assert site.proxy_state_sizes() == EMPTY
 
 
-def test_a_drain_a_full_tier_and_a_frozen_server():
-    """Nothing new goes to what drains; what is refused says when to come back; a frozen server costs one attempt."""
-    site = Site(3, script=lambda s, w, now: s.answer(w, 503, now))
-    refused = site.ask(site.phones[0], "MESSAGE", "full")
+def test_full_tier_is_rejected_with_retry_after():
+    site = Site(3, script=lambda server, request, now: server.respond(request, 503, now))
+    rejected = site.send_request(site.phones[0], "MESSAGE", "full")
     site.run(30)
-    assert refused.finals == [503] and int(refused.retry_after) >= 1
+    assert rejected.final_statuses == [503]
+    assert int(rejected.retry_after) >= 1
+
+
+def test_frozen_servers_cost_an_attempt_and_not_the_request():
     site = Site(4)
     site.frozen = {"s0", "s1"}
-    asked = []
+    sent = []
+
+    def send(number):
+        sent.append(site.send_request(site.phones[0], "OPTIONS", f"c{number}"))
+
     for number in range(60):
-        site.at(
-            site.now + number * 100_000,
-            lambda n=number: asked.append(site.ask(site.phones[0], "OPTIONS", f"c{n}")),
-        )
+        site.call_at(site.now + number * 100_000, lambda number=number: send(number))
     site.run(60)
-    assert sum(a.finals == [200] for a in asked) >= 55 and all(len(a.finals) == 1 for a in asked)
+    assert sum(request.final_statuses == [200] for request in sent) >= 55
+    assert all(len(request.final_statuses) == 1 for request in sent)
 
 
-def test_a_flood_from_one_address_is_bounded_and_others_are_served():
-    site = Site(5, script=lambda s, w, now: None, most_each=100)
-    flood = [site.ask(site.phones[0], "INVITE", f"flood-{n}") for n in range(1_000)]
+def test_flood_from_one_address_is_bounded():
+    site = Site(5, script=lambda server, request, now: None, max_server_transactions_per_host=100)
+    flood = [site.send_request(site.phones[0], "INVITE", f"flood-{n}") for n in range(1_000)]
     site.run(0.1)
-    refused = sum(a.finals == [503] for a in flood)  # and of the hundred, what would have no turn
-    assert len(site.proxy.calls) == 100 and 900 <= refused < 950
+    # Besides the 900 over the bound, some of the hundred: those that can't be served in time.
+    rejected = sum(request.final_statuses == [503] for request in flood)
+    assert len(site.proxy.store.contexts) == 100
+    assert 900 <= rejected < 950
     site.run(120)
-    assert all(len(a.finals) == 1 for a in flood) and site.left() == (0, 0, 0, 0)
+    assert all(len(request.final_statuses) == 1 for request in flood)
+    assert site.proxy_state_sizes() == EMPTY
