--- a/oakbridge/sip/__init__.py
+++ b/oakbridge/sip/__init__.py
@@ -1,1 +1,1 @@
-"""SIP (RFC 3261): a stateful proxy as a second front on the same decisions."""
+"""SIP (RFC 3261): a stateful proxy, as a second front on a node's balancer."""
--- a/oakbridge/sip/attempts.py
+++ b/oakbridge/sip/attempts.py
@@ -30,12 +30,12 @@
 _UNKNOWN_PEER = Peer("UDP", "", 0)
 
 
-def attempt_result(status: int, first_response: bool) -> AttemptResult | None:
+def attempt_result(status: int, *, first_response: bool) -> AttemptResult | None:
     """Return what a final response means to the balancer.
 
-    None: it is the response to the request, and says nothing about the server. ``first_response``:
-    no provisional response came before. A 503 that comes first says that the server did not
-    accept the request (21.5.4); after a provisional response it may have run it.
+    None: it is the response to the request, and says nothing about the server. With
+    ``first_response`` no provisional response came before: then a 503 says that the server did not
+    accept the request (21.5.4). After a provisional response it may have run it.
     """
     if status < 300:
         return AttemptResult.OK
@@ -126,7 +126,7 @@
             server=action.server,
             peer=peer,
             request=request,
-            transaction=client_transaction(request.method, peer.reliable),
+            transaction=client_transaction(request.method, reliable=peer.reliable),
             sent_at=now,
             deadline=now + action.timeout,
         )
--- a/oakbridge/sip/client_transactions.py
+++ b/oakbridge/sip/client_transactions.py
@@ -56,7 +56,7 @@
         self, request: Request, peer: Peer, now: int, context: ResponseContext | None = None
     ) -> None:
         """Send a request without the balancer; its responses are for ``context``."""
-        transaction = client_transaction(request.method, peer.reliable)
+        transaction = client_transaction(request.method, reliable=peer.reliable)
         branch = DirectBranch(peer, request, request.to_bytes(), transaction, context)
         self.start(branch, now)
 
--- a/oakbridge/sip/request_handler.py
+++ b/oakbridge/sip/request_handler.py
@@ -75,7 +75,7 @@
                 key=key,
                 request=request,
                 peer=response_destination(via, source),
-                transaction=server_transaction(request.method, source.reliable),
+                transaction=server_transaction(request.method, reliable=source.reliable),
                 to_tag=self._builder.new_tag(),
             )
             self._store.add_context(context)
--- a/oakbridge/sip/standins/user_agent_client.py
+++ b/oakbridge/sip/standins/user_agent_client.py
@@ -71,7 +71,7 @@
 
     def send(self, request: Request, now: int) -> SentRequest:
         """Send a request, and count its responses."""
-        transaction = client_transaction(request.method, self.peer.reliable)
+        transaction = client_transaction(request.method, reliable=self.peer.reliable)
         sent = SentRequest(request, transaction)
         self.sent[top_via(request).branch, request.method] = sent
         self._perform(sent, transaction.begin(now), None)
--- a/oakbridge/sip/standins/user_agent_server.py
+++ b/oakbridge/sip/standins/user_agent_server.py
@@ -73,7 +73,7 @@
             self._handle(known, Event.REQUEST, now)
             return
         to_tag = f"{self.name}{self.rng.getrandbits(32):08x}"
-        transaction = server_transaction(message.method, peer.reliable)
+        transaction = server_transaction(message.method, reliable=peer.reliable)
         request = ReceivedRequest(message, transaction, peer, to_tag)
         self.requests[branch, message.method] = request
         transaction.begin(now)
--- a/oakbridge/sip/transaction.py
+++ b/oakbridge/sip/transaction.py
@@ -135,14 +135,14 @@
         self.timers[timer] = now + duration
 
 
-def client_transaction(method: str, reliable: bool) -> Transaction:
+def client_transaction(method: str, *, reliable: bool) -> Transaction:
     """Return a new client transaction for a request of this method."""
     is_invite = method == "INVITE"
     kind = TransactionType.INVITE_CLIENT if is_invite else TransactionType.NON_INVITE_CLIENT
     return Transaction(kind, reliable)
 
 
-def server_transaction(method: str, reliable: bool) -> Transaction:
+def server_transaction(method: str, *, reliable: bool) -> Transaction:
     """Return a new server transaction for a request of this method."""
     is_invite = method == "INVITE"
     kind = TransactionType.INVITE_SERVER if is_invite else TransactionType.NON_INVITE_SERVER
