--- a/oakbridge/lab/checks.py
+++ b/oakbridge/lab/checks.py
@@ -28,6 +28,17 @@
     note: str = ""
 
 
+def encode_check(check: Check) -> dict[str, Any]:
+    """Return a check as ``summary.json`` stores it."""
+    return {
+        "name": check.name,
+        "figure": check.figure,
+        "wanted": check.wanted,
+        "holds": check.holds,
+        "note": check.note,
+    }
+
+
 def in_course(history: History) -> list[dict[str, Any]]:
     """Requests that were due in the course, without the repeats of callers."""
     return [r for r in history.requests if 0 <= r["due"] - history.begin < history.lasts and r["tries"] == 1]
--- a/oakbridge/lab/compare.py
+++ b/oakbridge/lab/compare.py
@@ -93,6 +93,22 @@
     verdict: str = ""  # higher, lower, or that nothing can be said
 
 
+COMPARED_COLUMNS = ("figure", "case", "median", "difference", "low", "high", "verdict")
+
+
+def encode_compared(row: Compared) -> tuple[str | float | None, ...]:
+    """Return a row of ``compared.parquet``, in the order of :data:`COMPARED_COLUMNS`."""
+    return (
+        row.figure,
+        row.case,
+        row.median,
+        row.difference,
+        row.low,
+        row.high,
+        row.verdict,
+    )
+
+
 def interval(differences: Sequence[float], seed: int = 1) -> tuple[float, float]:
     """The bootstrap interval of the median of paired differences (Efron's percentile method)."""
     rng = random.Random(seed)
--- a/oakbridge/lab/compare_report.py
+++ b/oakbridge/lab/compare_report.py
@@ -3,13 +3,12 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from dataclasses import astuple, fields
 from pathlib import Path
 
 import matplotlib
 
 from oakbridge.lab import table
-from oakbridge.lab.compare import Compared
+from oakbridge.lab.compare import COMPARED_COLUMNS, Compared, encode_compared
 
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt  # noqa: E402
@@ -20,7 +19,7 @@
 
 def write(out: Path, rows: Sequence[Compared], figures: Figures) -> None:
     """``compared.parquet``, ``runs.parquet`` and ``compared.png``."""
-    table.write(out / "compared.parquet", tuple(f.name for f in fields(Compared)), [astuple(r) for r in rows])
+    table.write(out / "compared.parquet", COMPARED_COLUMNS, [encode_compared(row) for row in rows])
     runs = [
         (case, seed, name, value)
         for case, seeds in figures.items()
--- a/oakbridge/lab/links.py
+++ b/oakbridge/lab/links.py
@@ -4,7 +4,7 @@
 
 import random
 from collections.abc import Iterable
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from typing import Any
 
 
@@ -27,13 +27,36 @@
         return (a in self.ours and b in self.others) or (self.both and a in self.others and b in self.ours)
 
     def as_json(self) -> dict[str, Any]:
-        """For the wire to a switch."""
-        return {**asdict(self), "ours": sorted(self.ours), "others": sorted(self.others)}
+        """Return the rule as the message to a switch process holds it."""
+        return {
+            "number": self.number,
+            "ours": sorted(self.ours),
+            "others": sorted(self.others),
+            "both": self.both,
+            "cut": self.cut,
+            "loss": self.loss,
+            "doubled": self.doubled,
+            "delay": self.delay,
+            "jitter": self.jitter,
+        }
 
     @staticmethod
     def from_json(raw: dict[str, Any]) -> Rule:
-        """The reverse."""
-        return Rule(**{**raw, "ours": frozenset(raw["ours"]), "others": frozenset(raw["others"])})
+        """Return the rule that :meth:`as_json` wrote.
+
+        Raise KeyError where a field is missing.
+        """
+        return Rule(
+            number=raw["number"],
+            ours=frozenset(raw["ours"]),
+            others=frozenset(raw["others"]),
+            both=raw["both"],
+            cut=raw["cut"],
+            loss=raw["loss"],
+            doubled=raw["doubled"],
+            delay=raw["delay"],
+            jitter=raw["jitter"],
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/oakbridge/lab/report.py
+++ b/oakbridge/lab/report.py
@@ -5,7 +5,6 @@
 import base64
 import json
 from collections import Counter, defaultdict
-from dataclasses import asdict
 from pathlib import Path
 from typing import Any
 
@@ -14,7 +13,7 @@
 
 from oakbridge import __version__
 from oakbridge.lab import site_checks, table
-from oakbridge.lab.checks import Check, in_course, percentile
+from oakbridge.lab.checks import Check, encode_check, in_course, percentile
 from oakbridge.lab.history import History
 
 matplotlib.use("Agg")
@@ -38,7 +37,7 @@
         "servers": len(history.fleet.servers),
         "seconds": history.lasts / 1e6,
         "ok": all(c.holds for c in checks),
-        "checks": [asdict(c) for c in checks],
+        "checks": [encode_check(c) for c in checks],
         "requests": len(rows),
         "status": {str(k): n for k, n in sorted(Counter(r["status"] for r in rows).items())},
         "latency_ms": _latencies(out, rows, classes),
