--- a/benchmarks/even.py
+++ b/benchmarks/even.py
@@ -30,7 +30,10 @@
 from typing import Any
 
 from oakbridge.lab import even, ways
-from oakbridge.lab.world import SECOND, WORK, Fleet
+from oakbridge.lab.simulation.clients import Outcome
+from oakbridge.lab.simulation.event_queue import SECOND_US
+from oakbridge.lab.simulation.fleet import SimulatedFleet
+from oakbridge.lab.simulation.server_pool import MEAN_WORK_US
 from oakbridge.spread.core import STEPS_EACH
 from oakbridge.spread.outlook import named
 from oakbridge.spread.ring import cut
@@ -47,19 +50,21 @@
 WAYS = ("by members", "module alone", *PLAIN)
 
 
-def made(way: str, copies: int, servers: int, seed: int, uneven: float) -> Fleet:
+def made(way: str, copies: int, servers: int, seed: int, uneven: float) -> SimulatedFleet:
     """A fleet that goes by one way, its servers of one worker each."""
     plain = partial(ways.Plain, PLAIN[way]) if way in PLAIN else None
     rings = RINGS if way == "by members" else 0
-    fleet = Fleet(copies, servers, seed, rings=rings, uneven=uneven, way=plain)
+    fleet = SimulatedFleet(copies, servers, seed, subset_rings=rings, load_sigma=uneven, make_replica=plain)
     for server in fleet.servers.values():
-        server.workers, server.queue = WORKERS, QUEUE
+        server.workers, server.queue_limit = WORKERS, QUEUE
     return fleet
 
 
-def figures(fleet: Fleet, since: int, servers: int) -> dict[str, float | None]:
+def figures(fleet: SimulatedFleet, since: int, servers: int) -> dict[str, float | None]:
     """Of the time from then on."""
-    rows = [(s, came - since, done - since) for s, came, done in fleet.visits if done > since and s < servers]
+    rows = [
+        (s, came - since, done - since) for s, came, done in fleet.pool.visits if done > since and s < servers
+    ]
     v = even.Visits(rows, [1 / servers] * servers, WORKERS, fleet.now - since)
     return {
         "p99": even.over_fair(v), "over chance": even.over_chance(v), "variation": even.variation(v),
@@ -71,10 +76,11 @@
     """One way at one load."""
     way, copies, servers, load, seed, uneven = item
     fleet = made(way, copies, servers, seed, uneven)
-    fleet.load(load * servers * WORKERS * SECOND / WORK, SETTLED + LASTS)
+    fleet.schedule_requests(load * servers * WORKERS * SECOND_US / MEAN_WORK_US, SETTLED + LASTS)
     fleet.run(SETTLED + LASTS)
-    found = figures(fleet, SETTLED * SECOND, servers)
-    served = fleet.ends["served"] / max(1, sum(fleet.ends[k] for k in ("served", "late", "refuse", "fail")))
+    found = figures(fleet, SETTLED * SECOND_US, servers)
+    outcomes = fleet.clients.outcomes
+    served = outcomes[Outcome.SERVED] / max(1, outcomes.total())
     return {"way": way, "copies": copies, "servers": servers, "load": load, "seed": seed, "uneven": uneven,
             **found, "served in time": served}  # fmt: skip
 
@@ -83,22 +89,24 @@
     """Two common events."""
     way, copies, seed = item
     fleet = made(way, copies, copies, seed, 0.5)
-    fleet.load(0.5 * copies * WORKERS * SECOND / WORK, 60)
+    fleet.schedule_requests(0.5 * copies * WORKERS * SECOND_US / MEAN_WORK_US, 60)
     fleet.run(20)
     found: dict[str, Any] = {"way": way, "copies": copies, "seed": seed}
     back = [f"s{n}" for n in range(0, copies, 10)]
     for name in back:
-        fleet.servers[name].down = True
+        fleet.servers[name].is_down = True
     fleet.run(10)
     for name in back:
-        fleet.servers[name].down = False
+        fleet.servers[name].is_down = False
     at = fleet.now
     fleet.run(10)
     found["a tenth is back"] = most(fleet, at, list(fleet.servers))
     for n in range(1, copies, 2):
-        fleet.replace(f"s{n}", f"new{n}", told_after=0)
-        fleet.servers[f"new{n}"].workers, fleet.servers[f"new{n}"].queue = WORKERS, QUEUE
-        fleet.servers[f"new{n}"].started = 0  # warm: the herd alone is asked for
+        fleet.replace_server(f"s{n}", f"new{n}", announced_after_us=0)
+        server = fleet.servers[f"new{n}"]
+        server.workers = WORKERS
+        server.queue_limit = QUEUE
+        server.started_at_us = 0  # warm: the herd alone is asked for
     at = fleet.now
     fleet.run(10)
     there = [name for name in fleet.servers if name.startswith("new") or int(name[1:]) % 2 == 0]
@@ -106,10 +114,10 @@
     return found
 
 
-def most(fleet: Fleet, at: int, names: list[str]) -> float | None:
+def most(fleet: SimulatedFleet, at: int, names: list[str]) -> float | None:
     """The most load at one of these servers in the 2 s from then on, over what chance gives the busiest."""
-    place = {fleet.numbers[name]: n for n, name in enumerate(names)}
-    rows = [(place[s], came, done) for s, came, done in fleet.visits if s in place]
+    place = {fleet.pool.server_indexes[name]: n for n, name in enumerate(names)}
+    rows = [(place[s], came, done) for s, came, done in fleet.pool.visits if s in place]
     return even.herd(even.Visits(rows, [1 / len(names)] * len(names), WORKERS, fleet.now), [at])
 
 
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -20,9 +20,13 @@
 import sys
 import time
 from concurrent.futures import ProcessPoolExecutor
+from functools import partial
 from typing import Any
 
-from oakbridge.lab.world import SECOND, WORK, Fleet
+from oakbridge.lab.simulation.clients import SecondTotals
+from oakbridge.lab.simulation.event_queue import SECOND_US
+from oakbridge.lab.simulation.fleet import SimulatedFleet
+from oakbridge.lab.simulation.server_pool import MEAN_WORK_US
 from oakbridge.policy.settings import Idempotency, RequestClass
 
 BEFORE, LOST, AFTER = 15, 20, 60
@@ -83,24 +87,34 @@
     """One course."""
     seed, with_sites, copies, flaps, lost = item
     servers = 3 * copies // 2
-    fleet = Fleet(
-        copies, servers, seed, CLASSES, ("a", "b", "c"), with_sites, repeats=5, max_retry_after=2 * SECOND,
-        slow_start_window=12 * SECOND, slow_start_minimum=0.25,
-    )  # fmt: skip
-    rate = 0.75 * servers * 4 * SECOND / WORK
+    fleet = SimulatedFleet(
+        copies,
+        servers,
+        seed,
+        classes=CLASSES,
+        sites=("a", "b", "c"),
+        with_site_plans=with_sites,
+        max_client_retries=5,
+        max_retry_after=2 * SECOND_US,
+        slow_start_window=12 * SECOND_US,
+        slow_start_minimum=0.25,
+    )
+    rate = 0.75 * servers * 4 * SECOND_US / MEAN_WORK_US
     total = BEFORE + LOST + AFTER
     for name, part in PARTS.items():
-        fleet.load(rate * part, total, name)
+        fleet.schedule_requests(rate * part, total, name)
     fleet.run(BEFORE)
     for flap in range(flaps):
         span = LOST / flaps
-        fleet.at(
-            fleet.now + flap * span * SECOND,
-            lambda s=span / (1 if flaps == 1 else 2): fleet.lose(["c", "b"][:lost], s),
-        )  # type: ignore[misc]
+        down_for_s = span / (1 if flaps == 1 else 2)
+        fleet.events.schedule(
+            fleet.now + flap * span * SECOND_US,
+            partial(fleet.fail_sites, ["c", "b"][:lost], down_for_s),
+        )
     fleet.run(LOST + AFTER + 6)
-    seconds = [fleet.by_second.get(s, {}) for s in range(total)]
-    parts = [s["served"] / s["asked"] if s and s["asked"] else 1.0 for s in seconds]
+    by_second = fleet.clients.by_second
+    seconds = [by_second.get(second, SecondTotals()) for second in range(total)]
+    parts = [s.served_weight / s.offered_weight if s.offered_weight else 1.0 for s in seconds]
     usual = statistics.fmean(parts[5:BEFORE])
     back = BEFORE + LOST
     smooth = [statistics.fmean(parts[s : s + 3]) for s in range(back, total - 2)]
@@ -109,7 +123,8 @@
         "usual": usual, "lost": statistics.fmean(parts[BEFORE:back]),
         "after": statistics.fmean(parts[back:]), "back": (late[-1] + 1) if late else 0,
         "never": bool(late) and late[-1] >= len(smooth) - 3,
-        "tries": sum(s["tries"] for s in seconds[BEFORE:back]) / max(1, sum(s["asked"] > 0 for s in seconds)),
+        "tries": sum(s.tries for s in seconds[BEFORE:back])
+        / max(1, sum(s.offered_weight > 0 for s in seconds)),
     }  # fmt: skip
 
 
--- /dev/null
+++ b/oakbridge/lab/simulation/server.py
@@ -0,0 +1,89 @@
+"""One simulated server: its limits, its state and the attempts that it holds."""
+
+from __future__ import annotations
+
+from collections import Counter, deque
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+
+class AttemptKey(NamedTuple):
+    """Which attempt of which request, sent by which replica."""
+
+    replica: int
+    request_id: int
+    attempt: int
+
+
+class Visit(NamedTuple):
+    """One attempt's time at a server."""
+
+    server_index: int
+    arrived_us: int
+    left_us: int
+
+
+@dataclass
+class SimulatedServer:
+    """Workers that take one attempt each, behind a bounded queue; a hung server answers nothing."""
+
+    name: str
+    started_at_us: int = 0  # as discovery tells it; 0: warm from the begin
+    workers: int = 4
+    queue_limit: int = 8
+    connection_limit: int = 1000
+    is_hung: bool = False
+    is_down: bool = False
+    site: str = ""
+    unannounced_start_us: int = -1  # a start that discovery does not tell of; -1: none
+    running: set[AttemptKey] = field(default_factory=set)
+    waiting: deque[AttemptKey] = field(default_factory=deque)
+    connections: Counter[int] = field(default_factory=Counter)  # by replica
+    sent_at_us: list[int] = field(default_factory=list)
+    arrived_us: dict[AttemptKey, int] = field(default_factory=dict)  # of each attempt held
+
+    def holds(self, key: AttemptKey) -> bool:
+        """Return whether the attempt is running or waiting here."""
+        return key in self.running or key in self.waiting
+
+    def accepts(self, replica: int) -> bool:
+        """Return whether the queue and the connection limit leave room for one more attempt."""
+        return len(self.waiting) < self.queue_limit and not self._connections_exceeded(replica)
+
+    def _connections_exceeded(self, replica: int) -> bool:
+        """Return whether one more attempt needs a connection beyond the limit.
+
+        A replica holds a connection for each attempt in flight, and keeps its last one.
+        """
+        in_flight = self.in_flight_of(replica)
+        open_connections = sum(max(1, count) for count in self.connections.values())
+        needs_connection = in_flight + 1 > self.connections[replica]
+        return needs_connection and open_connections + 1 > self.connection_limit
+
+    def in_flight_of(self, replica: int) -> int:
+        """Return the number of this replica's attempts running or waiting here."""
+        return sum(1 for key in (*self.running, *self.waiting) if key.replica == replica)
+
+    def enqueue(self, key: AttemptKey, now: int) -> None:
+        """Take in an attempt, over a new connection if none of its replica's is free."""
+        needed = self.in_flight_of(key.replica) + 1
+        self.connections[key.replica] = max(self.connections[key.replica], needed)
+        self.waiting.append(key)
+        self.arrived_us[key] = now
+
+    def remove(self, key: AttemptKey) -> None:
+        """Forget an attempt, whether it is running or waiting."""
+        self.running.discard(key)
+        if key in self.waiting:
+            self.waiting.remove(key)
+
+    def speed(self, at_us: int, slow_start_minimum: float, slow_start_window_us: int) -> float:
+        """Return the speed at a time as a fraction of that of a warm server.
+
+        It rises linearly from the minimum to 1 within the slow-start window.
+        """
+        since = self.started_at_us or self.unannounced_start_us
+        if since <= 0:
+            return 1.0
+        progress = (at_us - since) / slow_start_window_us
+        return min(1.0, slow_start_minimum + (1 - slow_start_minimum) * progress)
--- /dev/null
+++ b/oakbridge/lab/simulation/server_pool.py
@@ -0,0 +1,157 @@
+"""The servers of a simulated fleet, the attempts at them and their faults."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+from collections.abc import Callable, Iterable
+from functools import partial
+
+from oakbridge.lab.simulation.event_queue import SECOND_US, EventQueue
+from oakbridge.lab.simulation.server import AttemptKey, SimulatedServer, Visit
+from oakbridge.policy.events import AttemptResult
+from oakbridge.policy.settings import Settings
+
+MEAN_WORK_US = 200_000  # of an attempt, at a warm server
+WORK_SPREAD = (0.7, 1.3)  # factors of it
+REFUSAL_DELAY_US = 1000  # until a replica hears that a server is full or down
+
+OnResult = Callable[[AttemptKey, str, AttemptResult, int], None]  # key, server, result, begun at
+
+
+class ServerPool:
+    """Servers by name, and what becomes of the attempts at them."""
+
+    def __init__(
+        self,
+        events: EventQueue,
+        rng: random.Random,
+        settings: Settings,
+        servers: Iterable[SimulatedServer],
+        on_result: OnResult,
+    ) -> None:
+        """``on_result`` is called once an attempt has ended, with the time at which it began."""
+        self.servers = {server.name: server for server in servers}
+        self.server_indexes = {name: index for index, name in enumerate(self.servers)}
+        self.visits: list[Visit] = []
+        self.results: Counter[tuple[str, AttemptResult]] = Counter()  # by server
+        self._events = events
+        self._random = rng
+        self._settings = settings
+        self._on_result = on_result
+        self._cancelled: set[AttemptKey] = set()  # ended by their replica, each reported once
+
+    def add(self, server: SimulatedServer) -> None:
+        """Add a server that no replica knows yet."""
+        self.servers[server.name] = server
+        self.server_indexes[server.name] = len(self.server_indexes)
+
+    def speed(self, server: SimulatedServer, at_us: int) -> float:
+        """Return a server's speed at a time as a fraction of that of a warm one."""
+        settings = self._settings
+        return server.speed(at_us, settings.slow_start_minimum, settings.slow_start_window)
+
+    # ---- attempts
+
+    def receive(self, key: AttemptKey, server_name: str, timeout_us: int) -> None:
+        """Take in an attempt, or refuse it."""
+        server, now = self.servers[server_name], self._events.now
+        if server.is_down:
+            self._refuse(key, server, AttemptResult.CONNECT_FAILED)
+            return
+        server.sent_at_us.append(now)
+        if not server.accepts(key.replica):
+            self._refuse(key, server, AttemptResult.REJECTED)
+            return
+        server.enqueue(key, now)
+        self._start_waiting(server)
+        self._events.schedule(now + timeout_us, lambda: self.end(key, AttemptResult.TIMEOUT))
+
+    def _refuse(self, key: AttemptKey, server: SimulatedServer, result: AttemptResult) -> None:
+        now = self._events.now
+        at_us = now + REFUSAL_DELAY_US
+        self._events.schedule(at_us, lambda: self._report(key, server, result, now))
+
+    def _start_waiting(self, server: SimulatedServer) -> None:
+        """Have free workers begin what waits."""
+        now = self._events.now
+        while server.waiting and len(server.running) < server.workers:
+            key = server.waiting.popleft()
+            server.running.add(key)
+            work_us = MEAN_WORK_US * self._random.uniform(*WORK_SPREAD) / self.speed(server, now)
+            if not server.is_hung:
+                self._events.schedule(now + work_us, partial(self._complete, server, key, now))
+
+    def _complete(self, server: SimulatedServer, key: AttemptKey, begun_us: int) -> None:
+        if key in server.running and not server.is_hung:
+            self._remove(server, key)
+            self._report(key, server, AttemptResult.OK, begun_us)
+
+    def _remove(self, server: SimulatedServer, key: AttemptKey) -> None:
+        """Have a server drop an attempt, and its worker begin the next."""
+        arrived_us = server.arrived_us.pop(key, None)
+        if arrived_us is not None:
+            index = self.server_indexes[server.name]
+            self.visits.append(Visit(index, arrived_us, self._events.now))
+        server.remove(key)
+        self._start_waiting(server)
+
+    def end(self, key: AttemptKey, result: AttemptResult) -> None:
+        """End an attempt from its replica's side; a hung server does not notice."""
+        now = self._events.now
+        for server in self.servers.values():
+            if not server.holds(key):
+                continue
+            if not server.is_hung:
+                self._remove(server, key)
+            if key not in self._cancelled:
+                self._cancelled.add(key)
+                self._events.schedule(now, partial(self._report, key, server, result, now))
+
+    def _report(self, key: AttemptKey, server: SimulatedServer, result: AttemptResult, begun_us: int) -> None:
+        self.results[server.name, result] += 1
+        self._on_result(key, server.name, result, begun_us)
+
+    # ---- faults
+
+    def fail_sites(self, sites: Iterable[str], seconds: float, *, hang: bool) -> None:
+        """Take all servers of these sites down for a time, after which they come back cold.
+
+        With ``hang`` they stop answering instead, and come back as they were.
+        """
+        failed_sites = set(sites)
+        failed = [server for server in self.servers.values() if server.site in failed_sites]
+        now = self._events.now
+        stop = self._hang if hang else self._take_down
+        resume = self._resume_hung if hang else self._bring_up
+        self._events.schedule(now, partial(self._for_each, stop, failed))
+        self._events.schedule(now + seconds * SECOND_US, partial(self._for_each, resume, failed))
+
+    @staticmethod
+    def _for_each(change: Callable[[SimulatedServer], None], servers: Iterable[SimulatedServer]) -> None:
+        for server in servers:
+            change(server)
+
+    def _hang(self, server: SimulatedServer) -> None:
+        server.is_hung = True
+
+    def _take_down(self, server: SimulatedServer) -> None:
+        server.is_down = True
+        now = self._events.now
+        for key in (*server.running, *server.waiting):
+            self._events.schedule(now, partial(self._report, key, server, AttemptResult.RESET, now))
+        server.running.clear()
+        server.waiting.clear()
+
+    def _resume_hung(self, server: SimulatedServer) -> None:
+        self._end_faults(server)
+        server.running.clear()
+        self._start_waiting(server)
+
+    def _bring_up(self, server: SimulatedServer) -> None:
+        self._end_faults(server)
+        server.unannounced_start_us = self._events.now
+
+    def _end_faults(self, server: SimulatedServer) -> None:
+        server.is_hung = False
+        server.is_down = False
--- /dev/null
+++ b/oakbridge/lab/simulation/site_control.py
@@ -0,0 +1,91 @@
+"""Site plans in a simulated fleet: every replica runs the sites core on the others' reports."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Sequence
+from functools import partial
+
+from oakbridge.lab.simulation.clients import Outcome, SimulatedClients
+from oakbridge.lab.simulation.event_queue import SECOND_US, EventQueue
+from oakbridge.peers.messages import SiteReport
+from oakbridge.peers.view_state import ClusterView, ViewState
+from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import Event, LoadSheddingLevel, ZoneWeights
+from oakbridge.policy.settings import RequestClass
+from oakbridge.policy.view import zones
+from oakbridge.sites.core import WINDOW, Counts, Heard, Rates, Sites
+
+REPORT_INTERVAL_US = 2 * SECOND_US  # half of it while a report is urgent
+UPDATE_INTERVAL_US = SECOND_US // 2
+REPORT_DELAY_US = SECOND_US // 2  # on its way between replicas
+
+
+class SiteControl:
+    """Update each replica's site plan twice a second, by reports up to 2.5 s old."""
+
+    def __init__(
+        self,
+        events: EventQueue,
+        balancers: Sequence[Balancer],
+        homes: Sequence[str],
+        classes: Sequence[RequestClass],
+        seed: int,
+        clients: SimulatedClients,
+        deliver: Callable[[int, Event], None],
+    ) -> None:
+        """``homes``: the site of each replica."""
+        self._events = events
+        self._balancers = balancers
+        self._homes = homes
+        self._clients = clients
+        self._deliver = deliver
+        weights = {c.name: c.priority_weight for c in classes}
+        self._plans = [
+            Sites(f"n{replica}", home, weights, False, seed * 1000 + replica)
+            for replica, home in enumerate(homes)
+        ]
+        self._rates = [Rates() for _ in homes]
+        self._reports: dict[int, tuple[int, SiteReport]] = {}  # of each replica, with its time
+
+    def start(self, rng: random.Random) -> None:
+        """Schedule each replica's first update at a random time within the interval."""
+        for replica in range(len(self._plans)):
+            self._events.schedule(rng.randrange(UPDATE_INTERVAL_US), partial(self._update, replica))
+
+    def _update(self, replica: int) -> None:
+        plan, now = self._plans[replica], self._events.now
+        own = self._rates[replica].now(
+            self._request_counts(replica), zones(self._balancers[replica], now, WINDOW)
+        )
+        everyone = ClusterView(ViewState.COMPLETE, known=len(self._balancers), unreachable=0)
+        decision = plan.look(now, now // 1000, everyone, self._received_reports(replica), own)
+        if self._is_report_due(replica, is_urgent=plan.urgent):
+            self._reports[replica] = now, plan.say()
+        self._deliver(replica, ZoneWeights(decision.parts, decision.look))
+        self._deliver(replica, LoadSheddingLevel(dict(decision.away), 0.0, decision.salt))
+        self._events.schedule(now + UPDATE_INTERVAL_US, lambda: self._update(replica))
+
+    def _received_reports(self, replica: int) -> list[Heard]:
+        now = self._events.now
+        return [
+            Heard(f"n{other}", self._homes[other], now - sent_us + REPORT_DELAY_US, report)
+            for other, (sent_us, report) in self._reports.items()
+            if other != replica
+        ]
+
+    def _request_counts(self, replica: int) -> Counts:
+        balancer = self._balancers[replica]
+        arrivals = {name: seen.arrivals for name, seen in balancer.latency.items()}
+        served, rejected, failed = (
+            self._clients.by_replica[replica, outcome]
+            for outcome in (Outcome.SERVED, Outcome.REJECTED, Outcome.FAILED)
+        )
+        shed = balancer.shedding.rejected
+        return Counts(self._events.now, served, rejected, failed, shed, arrivals)
+
+    def _is_report_due(self, replica: int, *, is_urgent: bool) -> bool:
+        if replica not in self._reports:
+            return True
+        sent_us, _ = self._reports[replica]
+        return self._events.now - sent_us >= REPORT_INTERVAL_US // (2 if is_urgent else 1)
--- /dev/null
+++ b/oakbridge/lab/simulation/subset_division.py
@@ -0,0 +1,54 @@
+"""Deterministic subsetting in a simulated fleet: replicas divide the servers among them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+from oakbridge.lab.simulation.event_queue import EventQueue
+from oakbridge.peers.view_state import ClusterView, ViewState
+from oakbridge.policy.balancer import Balancer
+from oakbridge.policy.events import Event, SubsetAssignment
+from oakbridge.policy.view import listed
+from oakbridge.spread.core import Copy, Spread
+
+LOAD_SCALE = 100  # of a replica's load as the others are told it, an integer
+
+
+class SubsetDivision:
+    """Each replica's subset, by what all are told of each other's load."""
+
+    def __init__(
+        self,
+        events: EventQueue,
+        balancers: Sequence[Balancer],
+        homes: Sequence[str],
+        loads: Sequence[float],
+        rings: int,
+        deliver: Callable[[int, Event], None],
+    ) -> None:
+        """``homes``, ``loads``: of each replica; no loads: all the same."""
+        self._events = events
+        self._balancers = balancers
+        self._deliver = deliver
+        self._assigners = [
+            Spread(f"n{replica}", balancer.members.local_zone, rings)
+            for replica, balancer in enumerate(balancers)
+        ]
+        self._replicas = {
+            f"n{replica}": Copy(home, max(1, round(LOAD_SCALE * load)))
+            for replica, (home, load) in enumerate(zip(homes, loads or [1.0] * len(homes), strict=True))
+        }
+
+    def assign_all(self) -> None:
+        """Assign every replica's subset."""
+        for replica in range(len(self._balancers)):
+            self.assign(replica)
+
+    def assign(self, replica: int) -> None:
+        """Assign one replica's subset of the servers that it has listed."""
+        everyone = ClusterView(ViewState.COMPLETE, known=len(self._replicas), unreachable=0)
+        weights = self._assigners[replica].look(
+            self._events.now, everyone, self._replicas, listed(self._balancers[replica])
+        )
+        if weights is not None:
+            self._deliver(replica, SubsetAssignment(weights))
--- a/tests/policy/decision_digest.py
+++ b/tests/policy/decision_digest.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from oakbridge.lab.world import Fleet
+from oakbridge.lab.simulation.fleet import SimulatedFleet
 from oakbridge.policy import state, view
 from oakbridge.policy.actions import (
     Action,
@@ -102,15 +102,15 @@
         return self._hash.hexdigest()[:20]
 
 
-def record_fleet(fleet: Fleet) -> Digest:
+def record_fleet(fleet: SimulatedFleet) -> Digest:
     """Have all actions of a fleet's balancers enter a digest from now on."""
     digest = Digest()
-    for number, balancer in enumerate(fleet.copies):
+    for number, balancer in enumerate(fleet.replicas):
         balancer.handle = _recorder(fleet, digest, number, balancer.handle)
     return digest
 
 
-def _recorder(fleet: Fleet, digest: Digest, number: int, handle: Any) -> Callable[[int, Any], Any]:
+def _recorder(fleet: SimulatedFleet, digest: Digest, number: int, handle: Any) -> Callable[[int, Any], Any]:
     def recording(now: int, event: Any) -> Any:
         actions = handle(now, event)
         digest.add(number, fleet.now, actions)
@@ -512,27 +512,29 @@
 
 
 def sites_are_lost(seed: int) -> Digest:
-    """Copies that go by plans for the loss of sites: zones get less, classes are turned away."""
-    fleet = Fleet(6, 12, seed, sites=ZONES, with_sites=True, repeats=2, max_retry_after=2 * SECOND_US)
+    """Replicas with plans for the loss of sites: zones get less, classes are shed."""
+    fleet = SimulatedFleet(
+        6, 12, seed, sites=ZONES, with_site_plans=True, max_client_retries=2, max_retry_after=2 * SECOND_US
+    )
     digest = record_fleet(fleet)
-    fleet.load(80, 20)
+    fleet.schedule_requests(80, 20)
     fleet.run(5)
-    fleet.lose(["b"], 6)
+    fleet.fail_sites(["b"], 6)
     fleet.run(9)
-    fleet.lose(["a", "c"], 4, silent=True)
+    fleet.fail_sites(["a", "c"], 4, hang=True)
     fleet.run(12)
     return digest
 
 
 def servers_are_divided(seed: int) -> Digest:
-    """Copies that divide the servers among them, while servers are replaced."""
-    fleet = Fleet(8, 16, seed, rings=4, uneven=0.5, poll_discovery=True)
+    """Replicas that divide the servers among them, while servers are replaced."""
+    fleet = SimulatedFleet(8, 16, seed, subset_rings=4, load_sigma=0.5, poll_discovery=True)
     digest = record_fleet(fleet)
-    fleet.turn = SECOND_US // 20
-    fleet.load(100, 15)
+    fleet.discovery.time_per_poll_us = SECOND_US // 20
+    fleet.schedule_requests(100, 15)
     for i in range(6):
         fleet.run(2)
-        fleet.replace(f"s{i}", f"new{i}")
+        fleet.replace_server(f"s{i}", f"new{i}")
     fleet.run(8)
     return digest
 
--- a/tests/spread/test_parts.py
+++ b/tests/spread/test_parts.py
@@ -9,7 +9,9 @@
 from hypothesis import strategies as st
 
 from oakbridge.cli.main import cli
-from oakbridge.lab.world import SECOND, Fleet
+from oakbridge.lab.simulation.clients import Outcome
+from oakbridge.lab.simulation.event_queue import SECOND_US as SECOND
+from oakbridge.lab.simulation.fleet import SimulatedFleet
 from oakbridge.peers.view_state import ClusterView, ViewState
 from oakbridge.policy.balancer import Balancer
 from oakbridge.policy.events import (
@@ -169,16 +171,20 @@
     """Sixty copies and servers, a request each other second at a copy: the same world with and without."""
     spreads = {}
     for rings in (4, 0):
-        fleet = Fleet(60, 60, 5, rings=rings)
+        fleet = SimulatedFleet(60, 60, 5, subset_rings=rings)
         for n in range(lost):
-            fleet.replace(f"s{n}", f"new{n}")
-        fleet.load(40, 60)
+            fleet.replace_server(f"s{n}", f"new{n}")
+        fleet.schedule_requests(40, 60)
         fleet.run(60)
-        counts = Counter(server for server, came, _ in fleet.visits if came > 10 * SECOND)
-        ours = [counts[fleet.numbers[n]] for n in fleet.servers if n not in {f"s{i}" for i in range(lost)}]
+        counts = Counter(server for server, came, _ in fleet.pool.visits if came > 10 * SECOND)
+        ours = [
+            counts[fleet.pool.server_indexes[n]]
+            for n in fleet.servers
+            if n not in {f"s{i}" for i in range(lost)}
+        ]
         mean = sum(ours) / len(ours)
         spreads[rings] = sum((c - mean) ** 2 for c in ours) / len(ours) / mean  # over Poisson's
-        assert fleet.ends["served"] > 0.99 * fleet.ends["asked"]
+        assert fleet.clients.outcomes[Outcome.SERVED] > 0.99 * fleet.clients.sent
     assert spreads[4] < 2.0 < spreads[0]
 
 
