--- a/benchmarks/even.py
+++ b/benchmarks/even.py
@@ -29,11 +29,13 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.lab import even, ways
+from oakbridge.lab import load_distribution
+from oakbridge.lab.simulation import strategies
 from oakbridge.lab.simulation.clients import Outcome
 from oakbridge.lab.simulation.event_queue import SECOND_US
 from oakbridge.lab.simulation.fleet import SimulatedFleet
 from oakbridge.lab.simulation.server_pool import MEAN_WORK_US
+from oakbridge.lab.simulation.strategies import StrategyReplica
 from oakbridge.spread.core import STEPS_EACH
 from oakbridge.spread.outlook import named
 from oakbridge.spread.ring import cut
@@ -41,18 +43,18 @@
 WORKERS, QUEUE = 1, 16
 SETTLED, LASTS = 15, 40
 RINGS = 4
-PLAIN: dict[str, Callable[[ways.Plain], str]] = {
-    "random subsets": ways.random_subset(5),
-    "any server": ways.at_random,
-    "round robin": ways.round_robin,
-    "least loaded of all": ways.least_loaded,
+PLAIN: dict[str, strategies.Strategy] = {
+    "random subsets": strategies.select_from_random_subset(5),
+    "any server": strategies.select_random,
+    "round robin": strategies.select_round_robin,
+    "least loaded of all": strategies.select_least_loaded,
 }
 WAYS = ("by members", "module alone", *PLAIN)
 
 
 def made(way: str, copies: int, servers: int, seed: int, uneven: float) -> SimulatedFleet:
     """A fleet that goes by one way, its servers of one worker each."""
-    plain = partial(ways.Plain, PLAIN[way]) if way in PLAIN else None
+    plain = partial(StrategyReplica, PLAIN[way]) if way in PLAIN else None
     rings = RINGS if way == "by members" else 0
     fleet = SimulatedFleet(copies, servers, seed, subset_rings=rings, load_sigma=uneven, make_replica=plain)
     for server in fleet.servers.values():
@@ -65,11 +67,14 @@
     rows = [
         (s, came - since, done - since) for s, came, done in fleet.pool.visits if done > since and s < servers
     ]
-    v = even.Visits(rows, [1 / servers] * servers, WORKERS, fleet.now - since)
+    v = load_distribution.Visits(rows, [1 / servers] * servers, WORKERS, fleet.now - since)
     return {
-        "p99": even.over_fair(v), "over chance": even.over_chance(v), "variation": even.variation(v),
-        "idle beyond chance s": even.idle_beyond_chance(v), "idle while waiting": even.idle_while_waiting(v),
-    }  # fmt: skip
+        "p99": load_distribution.load_ratio_percentile(v),
+        "over chance": load_distribution.load_ratio_over_chance(v),
+        "variation": load_distribution.load_variation(v),
+        "idle beyond chance s": load_distribution.idle_beyond_chance(v),
+        "idle while waiting": load_distribution.idle_while_waiting(v),
+    }
 
 
 def play(item: tuple[str, int, int, float, int, float]) -> dict[str, Any]:
@@ -118,7 +123,9 @@
     """The most load at one of these servers in the 2 s from then on, over what chance gives the busiest."""
     place = {fleet.pool.server_indexes[name]: n for n, name in enumerate(names)}
     rows = [(place[s], came, done) for s, came, done in fleet.pool.visits if s in place]
-    return even.herd(even.Visits(rows, [1 / len(names)] * len(names), WORKERS, fleet.now), [at])
+    return load_distribution.herd_peak(
+        load_distribution.Visits(rows, [1 / len(names)] * len(names), WORKERS, fleet.now), [at]
+    )
 
 
 def aged(item: tuple[int, float, float, int]) -> dict[str, Any]:
--- a/oakbridge/lab/checks.py
+++ b/oakbridge/lab/checks.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from oakbridge.lab import even_checks, site_checks
+from oakbridge.lab import load_distribution_checks, site_checks
 from oakbridge.lab.history import History, MemberChange
 from oakbridge.lab.schedule import StepKind
 
@@ -331,7 +331,7 @@
     "uneven": uneven,
     "attempts": attempts,
     **site_checks.FIGURES,
-    **even_checks.FIGURES,
+    **load_distribution_checks.FIGURES,
 }
 
 
