--- a/tests/spread/test_balancer_subset.py
+++ b/tests/spread/test_balancer_subset.py
@@ -4,7 +4,9 @@
 
 import pytest
 
-from oakbridge.lab.world import SECOND, Fleet
+from oakbridge.lab.simulation.clients import Outcome
+from oakbridge.lab.simulation.event_queue import SECOND_US
+from oakbridge.lab.simulation.fleet import SimulatedFleet
 from oakbridge.policy.balancer import Balancer
 from oakbridge.policy.events import (
     Endpoint,
@@ -47,15 +49,15 @@
 
 def variance_over_poissons(rings, lost):
     """Play sixty replicas and servers, a request each other second at a replica."""
-    fleet = Fleet(60, 60, 5, rings=rings)
+    fleet = SimulatedFleet(60, 60, 5, subset_rings=rings)
     replaced = {f"s{n}" for n in range(lost)}
     for n in range(lost):
-        fleet.replace(f"s{n}", f"new{n}")
-    fleet.load(40, 60)
+        fleet.replace_server(f"s{n}", f"new{n}")
+    fleet.schedule_requests(40, 60)
     fleet.run(60)
-    counts = Counter(server for server, came, _ in fleet.visits if came > 10 * SECOND)
-    kept = [counts[fleet.numbers[name]] for name in fleet.servers if name not in replaced]
-    assert fleet.ends["served"] > 0.99 * fleet.ends["asked"]
+    counts = Counter(server for server, came, _ in fleet.pool.visits if came > 10 * SECOND_US)
+    kept = [counts[fleet.pool.server_indexes[name]] for name in fleet.servers if name not in replaced]
+    assert fleet.clients.outcomes[Outcome.SERVED] > 0.99 * fleet.clients.sent
     mean = sum(kept) / len(kept)
     return sum((count - mean) ** 2 for count in kept) / len(kept) / mean
 
