--- a/oakbridge/control/handler.py
+++ b/oakbridge/control/handler.py
@@ -79,7 +79,7 @@
             config_digest=self._config_digest,
             uptime_s=round(time.time() - self._started_at, 1),
             listen_addresses=tuple(node.server.addresses),
-            is_ready=node.serving() and not node.server.shutting_down,
+            is_ready=node.has_usable_server() and not node.server.shutting_down,
             is_shutting_down=node.server.shutting_down,
             client_connections=node.server.connection_count(),
             server_connections=node.pool.connection_count,
--- a/oakbridge/node/http_server.py
+++ b/oakbridge/node/http_server.py
@@ -28,7 +28,7 @@
 class RequestHandler(Protocol):
     """What gets the requests: the node."""
 
-    def serving(self) -> bool:
+    def has_usable_server(self) -> bool:
         """Return whether requests can be served."""
 
     def knows_class(self, name: str) -> bool:
@@ -137,7 +137,7 @@
         """Answer the readiness check and what is rejected; hand the rest to the handler."""
         client = request.client
         if request.target.split(b"?", 1)[0] == READINESS_PATH:
-            ready = self.handler.serving() and self.lifecycle.ready
+            ready = self.handler.has_usable_server() and self.lifecycle.ready
             status, body = (200, b"ready\n") if ready else (503, b"not ready\n")
             return client.respond(request, status, [], body)
         timeout = request.header_values.get(b"x-timeout")
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -136,7 +136,7 @@
         self.pool.configure(settings.connect_timeout, _idle_timeout(settings))
         self.dispatcher.post(SettingsChanged(settings))
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Shut down gracefully, as a planned restart asks for: answer what was accepted, then close."""
         await self.server.shut_down(max(one.deadline for one in self.settings.classes))
         self.forwarder.abandon_all()
@@ -150,7 +150,7 @@
 
     # ---- for what runs beside it
 
-    def serving(self) -> bool:
+    def has_usable_server(self) -> bool:
         """Return whether a server is known that may be sent to."""
         return self.endpoints.has_usable()
 
--- a/oakbridge/node/request_forwarder.py
+++ b/oakbridge/node/request_forwarder.py
@@ -115,7 +115,7 @@
 
     # ---- requests in
 
-    def serving(self) -> bool:
+    def has_usable_server(self) -> bool:
         """Return whether requests can be served: a server is known that may be sent to."""
         return self._endpoints.has_usable()
 
--- a/oakbridge/node/run.py
+++ b/oakbridge/node/run.py
@@ -40,7 +40,7 @@
             reloading = loop.create_task(_reload_on_hangup(node, hangup, reload))
             await stop.wait()
             log.info("%s ends", name)
-            await node.leave()
+            await node.shut_down()
             reloading.cancel()
     except BaseException:
         node.close()
--- a/oakbridge/operators/executor.py
+++ b/oakbridge/operators/executor.py
@@ -56,7 +56,7 @@
         if not self.is_started:
             raise CommandRejectedError("this process does not serve yet")
         taken_out = node.outages.out()
-        if not node.serving() and not taken_out:
+        if not node.has_usable_server() and not taken_out:
             raise CommandRejectedError("no server is known yet")
         suffix = f", {len(taken_out)} held out" if taken_out else ""
         return f"{node.server.lifecycle.phase.value}, {len(node.pool.endpoints)} servers in use{suffix}"
