--- a/oakbridge/node/settings.py
+++ b/oakbridge/node/settings.py
@@ -1,4 +1,7 @@
-"""The platform's settings object as the module's settings: its one reader, for nodes and simulator alike."""
+"""Read the platform's settings object: the only place that maps its keys to the code's terms.
+
+Nodes and the simulator use the same reader.
+"""
 
 from __future__ import annotations
 
@@ -18,26 +21,39 @@
     WeightSource,
 )
 
-_REPEAT = {
+_IDEMPOTENCY = {
     "pure": Idempotency.IDEMPOTENT,
     "token": Idempotency.IDEMPOTENT_WITH_KEY,
     "side_effect": Idempotency.NOT_IDEMPOTENT,
 }
-_REPORT = {
-    "rif": "in_flight", "q": "queued", "busy": "utilisation", "lat_ms": "latency_ms", "rate": "rate",
+_REPORT_FIELDS = {
+    "rif": "in_flight",
+    "q": "queued",
+    "busy": "utilisation",
+    "lat_ms": "latency_ms",
+    "rate": "rate",
     "fail_rate": "fail_rate",
-}  # fmt: skip
-_SIZE = {
+}
+_WEIGHT_SOURCES = {
     "off": WeightSource.OFF,
     "nominal": WeightSource.NOMINAL,
     "rough": WeightSource.ROUGH,
     "live": WeightSource.LIVE,
 }
-_SOURCE = {"off": ReportSource.OFF, "inline": ReportSource.RESPONSES, "on_probe": ReportSource.PROBES}
+_REPORT_SOURCES = {
+    "off": ReportSource.OFF,
+    "inline": ReportSource.RESPONSES,
+    "on_probe": ReportSource.PROBES,
+}
+_POLLS_DISCOVERY = {"pushed": False, "on_request": True}
+_WEIGHS_BY_WORK = {"request": False, "work": True}
 
 
 def _get(where: dict[str, Any], path: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-    """One setting by its dotted path; without a default it must be there, and it must be of the kind."""
+    """Return the setting at a dotted path, or ``default``.
+
+    Raises SettingsError if it is missing and there is no default, or if it is not of the kind.
+    """
     value: Any = where
     for part in path.split("."):
         value = value.get(part) if isinstance(value, dict) else None
@@ -51,14 +67,14 @@
 
 
 def is_kind(value: Any, kind: type | tuple[type, ...]) -> bool:
-    """Whether a value is of the kind: true is no number, and a number is finite."""
+    """Return whether a value is of the kind; a boolean is no number, and a number must be finite."""
     if isinstance(value, bool) != (kind is bool) or not isinstance(value, kind):
         return False
     return not isinstance(value, float) or math.isfinite(value)
 
 
 def kind_name(kind: type | tuple[type, ...]) -> str:
-    """What a kind is called in a message."""
+    """Return the name of a kind for an error message."""
     names = {int: "a whole number", bool: "true or false", str: "a string", list: "a list", dict: "an object"}
     if isinstance(kind, tuple):
         return "a string" if str in kind else "a number"
@@ -82,24 +98,24 @@
     return choices[name]
 
 
-# Keys that a file may leave out at any time; all others stay once they were there.
-MAY_GO = frozenset({
+# Keys that a file may leave out at any time; all others must stay once they were there.
+REMOVABLE_KEYS = frozenset({
     "known", "seed", "peers", "peers_all", "peer_listen", "control", "settings.extra.passes-deadline",
     "settings.extra.warm-keys", "settings.classes.aim-stretch", "settings.prices.fleet",
 })  # fmt: skip
 
 
 def missing_key(before: Any, now: Any, where: str = "") -> str:
-    """The first key that a file had before and lacks now, by its dotted path, or an empty text.
+    """Return the dotted path of the first key that a file had before and lacks now; "" if none.
 
-    Entries of a list count by what all of its entries had before: they come and go, but each is whole.
+    Entries of a list may come and go.  Each of them must have the keys that all had before.
     """
     if isinstance(before, dict):
         if not isinstance(now, dict):
             return where if before else ""
         for name, value in before.items():
             path = f"{where}.{name}" if where else name
-            if path in MAY_GO:
+            if path in REMOVABLE_KEYS:
                 continue
             if name not in now:
                 return path
@@ -109,13 +125,13 @@
         shared = set.intersection(*(set(e) for e in before)) if before else set()
         for i, entry in enumerate(now):
             have = set(entry) if isinstance(entry, dict) else set()
-            if lacking := sorted(n for n in shared - have if f"{where}.{n}" not in MAY_GO):
+            if lacking := sorted(n for n in shared - have if f"{where}.{n}" not in REMOVABLE_KEYS):
                 return f"{where}[{i}].{lacking[0]}"
     return ""
 
 
-# Settings that a running replica can't change, as its servers' records and its budget are made for them: their names
-# in the code, and those that operators are told.
+# Settings that a running replica can't change, since its servers' records and its retry budget are
+# made for them: by name in the code, the name in messages to operators.
 FIXED_SETTINGS = {
     "replica_index": "me",
     "tier": "tier",
@@ -131,86 +147,170 @@
 
 
 def in_place(old: Settings, new: Settings) -> tuple[Settings, list[str]]:
-    """Return the new settings as far as a running replica can change, and the names of those that have to wait."""
+    """Return the new settings as far as a running replica can apply them.
+
+    Also return the names of those that wait for its next start.
+    """
     kept = {name: getattr(old, name) for name in FIXED_SETTINGS if getattr(old, name) != getattr(new, name)}
     return replace(new, **kept), [FIXED_SETTINGS[name] for name in kept]
 
 
 def read_settings(raw: Any) -> Settings:
-    """The wire's settings as the module's; unknown keys are passed over."""
+    """Return the settings that the platform's settings object describes; ignore unknown keys.
+
+    Raises SettingsError with the path of the key and what was expected there.
+    """
     if not isinstance(raw, dict):
         raise SettingsError(f"settings: expected an object, got {raw!r}")
-    classes = []
-    for i, c in enumerate(_get(raw, "classes", list)):
-        try:
-            classes.append(
-                RequestClass(
-                    name=_get(c, "name", str),
-                    latency_objective=_get(c, "aim", int),
-                    deadline=_get(c, "deadline", int),
-                    priority_weight=_get(c, "importance", NUMBER, 1.0),
-                    late_weight=_get(c, "late-worth", NUMBER, 0.0),
-                    idempotency=_choice(c, "idempotency", _REPEAT),
-                    dedup_scope=_get(c, "group", str, "all"),
-                    dedup_window=_get(c, "repeat-window", int, 0),
-                    streamed=_get(c, "streamed", bool, False),
-                    aim_stretch=_get(c, "aim-stretch", NUMBER, 0.0),
-                )
-            )
-        except SettingsError as e:
-            raise SettingsError(f"settings.classes[{i}]: {e}") from None
-    tenants = tuple(
-        Tenant(_get(t, "name", str), _get(t, "quota-per-s", NUMBER), _get(t, "fraction", NUMBER, 0.0))
-        for t in _get(raw, "parties", list, [])
-    )
-    retry_after = _get(raw, "allowed.retry-after", bool, False)
     return Settings(
-        classes=tuple(classes),
-        tenants=tenants,
-        replica_count=_get(raw, "instances", int),
-        replica_index=_get(raw, "me", int, 0),
-        tier=_get(raw, "stage", int, 0),
-        tier_count=max(1, len(_names(raw, "layers"))),
-        zone=_get(raw, "zone", str, ""),
-        zones=_names(raw, "zones"),
-        tick=_get(raw, "resolution", int, 1000),
-        max_attempts=_get(raw, "allowed.max-attempts", int),
-        cancellation_allowed=_get(raw, "allowed.cancelling", bool, False),
-        hedging_allowed=_get(raw, "allowed.second-copies", bool, False),
-        probes=_get(raw, "allowed.probing", bool, False),
-        peers=_get(raw, "allowed.may-tell", bool, False),
-        max_retry_after=_get(raw, "allowed.max-retry-after", int, 0) if retry_after else 0,
-        poll_discovery=_choice(raw, "discovery", {"pushed": False, "on_request": True}, "pushed"),
-        poll_interval=_get(raw, "invariants.ask-within", int, 10_000_000),
-        weight_source=_choice(raw, "weight-source", _SIZE, "off"),
+        classes=_read_classes(raw),
+        tenants=_read_tenants(raw),
+        **_read_replica(raw),
+        **_read_attempts(raw),
+        **_read_discovery(raw),
+        weight_source=_choice(raw, "weight-source", _WEIGHT_SOURCES, "off"),
         passes_deadline=_get(raw, "extra.passes-deadline", bool, False),
         answer_slack=_get(raw, "invariants.answer-slack", int, 0),
         drain_grace=_get(raw, "invariants.stop-sending-within", int, 0),
-        slow_start_minimum=_get(raw, "invariants.cold-from", NUMBER),
-        slow_start_window=_get(raw, "invariants.warm-up", int),
-        overload_factor=_get(raw, "invariants.fall-multiple", NUMBER),
-        overload_window=_get(raw, "invariants.fall", int),
+        **_read_slow_start(raw),
+        **_read_overload(raw),
         over_quota_weight=_get(raw, "over-share-worth", NUMBER, 1.0),
-        goal=Goal(
-            whole=_get(raw, "goal.whole", NUMBER, 1.0),
-            worst_window=_get(raw, "goal.worst-window", NUMBER, 0.0),
-            worst_class=_get(raw, "goal.worst-class", NUMBER, 0.0),
-            worst_tenant=_get(raw, "goal.worst-tenant", NUMBER, 0.0),
-            nines=_get(raw, "goal.availability", NUMBER, 0.0),
-            nines_full=_get(raw, "goal.top-nines", NUMBER, 3.0),
-        ),
-        prices=Prices(
-            **{name: _get(raw, f"prices.{name.replace('_', '-')}", NUMBER, 0.0) for name in Prices.__slots__}
-        ),
-        report_source=_choice(raw, "report.source", _SOURCE, "off"),
-        report_names=tuple(_REPORT.get(n, n) for n in _names(raw, "report.names")),
+        goal=_read_goal(raw),
+        prices=_read_prices(raw),
+        **_read_load_reports(raw),
         marks_repeats=_get(raw, "client-habits.marks-retry", bool, False),
         keys_stay_warm=_get(raw, "extra.warm-keys", bool, False),
-        worth_by_work=_choice(raw, "worth-by", {"request": False, "work": True}, "request"),
-        connection_idle_timeout=_get(raw, "allowed.conn-idle", int, 0),
-        connect_timeout=_get(raw, "allowed.connect-timeout", int, 0),
-        streams_per_connection=_get(raw, "allowed.streams-per-conn", int, 1),
-        max_open_requests=_get(raw, "allowed.max-open", int, 0),
+        worth_by_work=_choice(raw, "worth-by", _WEIGHS_BY_WORK, "request"),
+        **_read_connections(raw),
         cpu_per_second=_get(raw, "allowed.cpu-us-per-s", int, 0),
         cpu_per_request=_get(raw, "allowed.cpu-us-per-request", NUMBER, 0.0),
     )
+
+
+def _read_classes(raw: dict[str, Any]) -> tuple[RequestClass, ...]:
+    classes = []
+    for i, entry in enumerate(_get(raw, "classes", list)):
+        try:
+            classes.append(_read_class(entry))
+        except SettingsError as e:
+            raise SettingsError(f"settings.classes[{i}]: {e}") from None
+    return tuple(classes)
+
+
+def _read_class(entry: dict[str, Any]) -> RequestClass:
+    return RequestClass(
+        name=_get(entry, "name", str),
+        latency_objective=_get(entry, "aim", int),
+        deadline=_get(entry, "deadline", int),
+        priority_weight=_get(entry, "importance", NUMBER, 1.0),
+        late_weight=_get(entry, "late-worth", NUMBER, 0.0),
+        idempotency=_choice(entry, "idempotency", _IDEMPOTENCY),
+        dedup_scope=_get(entry, "group", str, "all"),
+        dedup_window=_get(entry, "repeat-window", int, 0),
+        streamed=_get(entry, "streamed", bool, False),
+        aim_stretch=_get(entry, "aim-stretch", NUMBER, 0.0),
+    )
+
+
+def _read_tenants(raw: dict[str, Any]) -> tuple[Tenant, ...]:
+    return tuple(
+        Tenant(
+            name=_get(entry, "name", str),
+            quota_per_s=_get(entry, "quota-per-s", NUMBER),
+            share=_get(entry, "fraction", NUMBER, 0.0),
+        )
+        for entry in _get(raw, "parties", list, [])
+    )
+
+
+# Each of the following returns some of the fields of Settings, by name.
+
+
+def _read_replica(raw: dict[str, Any]) -> dict[str, Any]:
+    """Return which replica this is, and of how many."""
+    return {
+        "replica_count": _get(raw, "instances", int),
+        "replica_index": _get(raw, "me", int, 0),
+        "tier": _get(raw, "stage", int, 0),
+        "tier_count": max(1, len(_names(raw, "layers"))),
+        "zone": _get(raw, "zone", str, ""),
+        "zones": _names(raw, "zones"),
+        "tick": _get(raw, "resolution", int, 1000),
+    }
+
+
+def _read_attempts(raw: dict[str, Any]) -> dict[str, Any]:
+    """Return what the replica may do besides forwarding each request once."""
+    retry_after = _get(raw, "allowed.retry-after", bool, False)
+    return {
+        "max_attempts": _get(raw, "allowed.max-attempts", int),
+        "cancellation_allowed": _get(raw, "allowed.cancelling", bool, False),
+        "hedging_allowed": _get(raw, "allowed.second-copies", bool, False),
+        "probes": _get(raw, "allowed.probing", bool, False),
+        "peers": _get(raw, "allowed.may-tell", bool, False),
+        "max_retry_after": _get(raw, "allowed.max-retry-after", int, 0) if retry_after else 0,
+    }
+
+
+def _read_discovery(raw: dict[str, Any]) -> dict[str, Any]:
+    return {
+        "poll_discovery": _choice(raw, "discovery", _POLLS_DISCOVERY, "pushed"),
+        "poll_interval": _get(raw, "invariants.ask-within", int, 10_000_000),
+    }
+
+
+def _read_slow_start(raw: dict[str, Any]) -> dict[str, Any]:
+    return {
+        "slow_start_minimum": _get(raw, "invariants.cold-from", NUMBER),
+        "slow_start_window": _get(raw, "invariants.warm-up", int),
+    }
+
+
+def _read_overload(raw: dict[str, Any]) -> dict[str, Any]:
+    return {
+        "overload_factor": _get(raw, "invariants.fall-multiple", NUMBER),
+        "overload_window": _get(raw, "invariants.fall", int),
+    }
+
+
+def _read_goal(raw: dict[str, Any]) -> Goal:
+    return Goal(
+        whole=_get(raw, "goal.whole", NUMBER, 1.0),
+        worst_window=_get(raw, "goal.worst-window", NUMBER, 0.0),
+        worst_class=_get(raw, "goal.worst-class", NUMBER, 0.0),
+        worst_tenant=_get(raw, "goal.worst-tenant", NUMBER, 0.0),
+        nines=_get(raw, "goal.availability", NUMBER, 0.0),
+        nines_full=_get(raw, "goal.top-nines", NUMBER, 3.0),
+    )
+
+
+def _read_prices(raw: dict[str, Any]) -> Prices:
+    def price(key: str) -> Any:
+        return _get(raw, f"prices.{key}", NUMBER, 0.0)
+
+    return Prices(
+        cross_zone=price("cross-zone"),
+        waste=price("waste"),
+        late_fail=price("late-fail"),
+        handshake=price("handshake"),
+        connection=price("connection"),
+        probe=price("probe"),
+        peer=price("peer"),
+        discovery=price("discovery"),
+    )
+
+
+def _read_load_reports(raw: dict[str, Any]) -> dict[str, Any]:
+    return {
+        "report_source": _choice(raw, "report.source", _REPORT_SOURCES, "off"),
+        "report_names": tuple(_REPORT_FIELDS.get(name, name) for name in _names(raw, "report.names")),
+    }
+
+
+def _read_connections(raw: dict[str, Any]) -> dict[str, Any]:
+    return {
+        "connection_idle_timeout": _get(raw, "allowed.conn-idle", int, 0),
+        "connect_timeout": _get(raw, "allowed.connect-timeout", int, 0),
+        "streams_per_connection": _get(raw, "allowed.streams-per-conn", int, 1),
+        "max_open_requests": _get(raw, "allowed.max-open", int, 0),
+    }
--- a/tests/node/test_listener.py
+++ b/tests/node/test_listener.py
@@ -18,11 +18,11 @@
             socks = [raw_client(node) for _ in range(3 * listener.ACCEPT_BATCH)]
             for i, sock in enumerate(socks):
                 sock.sendall(REQUEST % b"r-%d" % i + b"Connection: close\r\n\r\n")
-            leaving = asyncio.create_task(node.node.shut_down())
+            shutting_down = asyncio.create_task(node.node.shut_down())
             # At its start the balancer admits a few only; each has its response all the same.
             for sock in socks:
                 assert (await received(sock)).startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 "))
                 sock.close()
-            await soon(leaving)
+            await soon(shutting_down)
 
     run(scenario())
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -243,10 +243,10 @@
             caller = await node.caller()
             caller.send()
             await soon(peer.seen.get())
-            leaving = asyncio.ensure_future(node.node.shut_down())
+            shutting_down = asyncio.ensure_future(node.node.shut_down())
             silent = await node.caller()
             assert await silent.ended() == b""
             assert (await caller.answer())[0] == 500
-            await soon(leaving)
+            await soon(shutting_down)
 
     run(scenario())
