--- a/oakbridge/node/discovery.py
+++ b/oakbridge/node/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery as a source of endpoint lists: polls it, watches for changes, and notices when either fails."""
+"""Discovery as a source of endpoint lists: poll it, watch it for changes, and report when either fails."""
 
 from __future__ import annotations
 
@@ -17,26 +17,28 @@
 
 log = logging.getLogger(__name__)
 
-# News counts as told 6 s after discovery had it, whether or not it arrived, once a call was given
-# up.  A watch that has fallen silent looks like one without news, so each ends long before, and
-# what is left is for polling anew: of all nodes at once, and discovery takes one call after
-# another.  Each waits for another while: nodes that heard the same news must not end their watches,
-# or find them silent, together.  To go on with a watch costs discovery nothing.
+# Every change must reach a node within its propagation deadline: 6 s after discovery has it, or less
+# where the settings ask for shorter poll intervals.  The deadline also holds while a node can't reach
+# discovery.
+#
+# A watch that has broken silently looks like one without changes, so each watch is short: what is
+# left of the deadline is for a new poll.  All nodes may poll at the same time then, and discovery
+# handles its request queue one request at a time.  The length of a watch has jitter, so that nodes
+# that got the same change do not end their watches, or time out, together.  Renewing a watch costs
+# discovery nothing.
 MIN_WATCH_S = 0.5
 MAX_WATCH_S = 4.0
-# A watch's response may be so late before the watch is given up.
+# Left of a shorter propagation deadline after the longest watch.
+POLL_MARGIN_S = 2.0
+# A response may be so much later than the end of its watch.
 WATCH_GRACE_S = 0.5
-# What starts a watch may stand in a line: a discovery that rejects calls after one to three seconds
-# says so itself.
+# The request that starts a watch may wait in discovery's request queue.  Discovery itself rejects
+# requests that have waited there for one to three seconds.
 RESPONSE_TIMEOUT_S = 3.0
-AGENT_RESPONSE_TIMEOUT_S = 1.0  # an agent on the own machine responds at once
-# Where the settings ask for shorter polls: news counts as told so long after a wait.
-POLL_MARGIN_S = 2.0
-# An agent on the own machine is polled again so soon after it failed.
-AGENT_RETRY_S = 0.1
-# A version before all others: what starts a watch with it is answered with the complete list, and
-# goes on as a watch. To poll for the list first and start a watch behind it would cost discovery
-# two calls, and the second its place in line.
+AGENT_RESPONSE_TIMEOUT_S = 1.0  # an agent on the same machine responds at once
+AGENT_RETRY_S = 0.1  # after a request to it failed
+# A version before all others.  A watch from here is answered with the complete list at once and then
+# goes on as a watch; a poll for the list and a watch after it would be two requests in the queue.
 BEFORE_ALL_VERSIONS = -1
 LIST_PATH = "/api/targets"
 US_PER_S = 1e6
@@ -46,9 +48,10 @@
     """Polls discovery; calls the listener with lists, and with polls that failed."""
 
     def __init__(self, address: Address, *, pushed: bool, poll_interval_us: int, seed: int = 0) -> None:
-        """``pushed``: an agent on the own machine pushes lists; else the balancer starts watches.
+        """Make a source that is idle until :meth:`start` or :meth:`watch`.
 
-        ``poll_interval_us``: after which a node that has not polled counts as told of all changes.
+        ``pushed``: an agent on the same machine pushes lists; else the balancer starts watches.
+        ``poll_interval_us``: the propagation deadline of a change.
         """
         self._address = address
         self._pushed = pushed
@@ -57,8 +60,9 @@
         self._response_timeout_s = AGENT_RESPONSE_TIMEOUT_S if pushed else RESPONSE_TIMEOUT_S
         self._random = random.Random(f"discovery {seed}")
         self.index = BEFORE_ALL_VERSIONS
-        self._watching = False  # whether a watch is on, so that the list is up to date
-        self._fresh_at = 0.0  # when the list was last known to be, in the loop's time
+        # Whether the current watch has had a response, so that the list is up to date.
+        self._watch_established = False
+        self._fresh_at = 0.0  # when the list was last known to be up to date, in the loop's time
         self._watch_task: asyncio.Task[None] | None = None
         self._fetch_tasks: set[asyncio.Task[None]] = set()
         self.observer: NodeObserver | None = None
@@ -74,7 +78,7 @@
             self.watch(True)
 
     def watch(self, on: bool) -> None:
-        """Start or stop a watch; one that is on, or on its way, keeps its place in discovery's line."""
+        """Start or stop a watch; one that runs, or is being started, keeps its place in the request queue."""
         if not on and self._watch_task is not None:
             self._watch_task.cancel()
             self._watch_task = None
@@ -88,16 +92,18 @@
         task.add_done_callback(self._fetch_tasks.discard)
 
     def move(self, address: Address) -> None:
-        """Poll at another address from now on, at once.
+        """Use another address from now on, and poll it at once.
+
+        Requests to the old address are cancelled, so their responses and failures are ignored.
 
-        What is in flight to the old one is cancelled, so neither a late response nor its end counts
-        as news.  Where lists are pushed, each agent has versions of its own.  Discovery that is
-        polled is one service for all nodes, so the watch goes on from where it was: the complete
-        list for all nodes, and a second call of each for its watch, would fill its line for longer
-        than news may take.  A lower version has the complete list polled (_apply).
+        Where lists are pushed, each agent has versions of its own, so the complete list is read
+        anew.  Where discovery is polled, it is one service for all nodes, and the watch continues
+        from the current version: complete lists for all nodes at once would occupy the request
+        queue for longer than the propagation deadline.  If the new address has a lower version, the
+        complete list is polled all the same (see _apply).
         """
         self.stop()
-        if self._watching:
+        if self._watch_established:
             self._fresh_at = self._now()
         self._address = address
         if self._pushed:
@@ -120,30 +126,42 @@
             self._report_failure(self._now() - started_at)
 
     async def _watch(self) -> None:
-        """Start a watch, and go on with it as soon as a response is applied; one that falls silent is started anew."""
-        self._watching = False
+        """Renew the watch after each response, until it fails.
+
+        A failure is handled by what it leaves uncertain:
+
+        - An established watch times out: discovery may only have lost the connection, so the watch
+          is started anew at once, and nothing is reported yet.
+        - Anything else, also a time-out of the first response: the agent is tried again after a
+          pause; with discovery, the watch ends and the listener is called, which decides when to poll.
+        """
+        self._watch_established = False
         while True:
             started_at = self._now()
-            wait_s = self._random.uniform(MIN_WATCH_S, self._max_watch_s)
-            path = f"{LIST_PATH}?since={self.index}&timeout_ms={int(1000 * wait_s)}"
-            grace_s = WATCH_GRACE_S if self._watching else self._response_timeout_s
             try:
-                new = await self._poll(path, wait_s + grace_s)
-                self._apply(new, first=not self._watching)
-                self._watching = True
-            except Exception as e:  # whatever it was: a watch that ends unnoticed would hide every drain
-                if self._watching and isinstance(e, TimeoutError):
+                await self._watch_once()
+            except Exception as e:  # of any kind: a watch that ended unnoticed would hide every drain
+                if self._watch_established and isinstance(e, TimeoutError):
                     log.warning("a watch has fallen silent: asking anew")
-                    self._watching = False
+                    self._watch_established = False
                     continue
                 self._log_failure(e)
                 if not self._pushed:
                     self._watch_task = None
                     self._report_failure(self._now() - started_at)
                     return
-                self._watching = False
+                self._watch_established = False
                 await asyncio.sleep(AGENT_RETRY_S)
 
+    async def _watch_once(self) -> None:
+        """Wait for changes since the current version, and apply them."""
+        watch_s = self._random.uniform(MIN_WATCH_S, self._max_watch_s)
+        path = f"{LIST_PATH}?since={self.index}&timeout_ms={int(1000 * watch_s)}"
+        grace_s = WATCH_GRACE_S if self._watch_established else self._response_timeout_s
+        new = await self._poll(path, watch_s + grace_s)
+        self._apply(new, first=not self._watch_established)
+        self._watch_established = True
+
     async def _poll(self, path: str, timeout_s: float) -> EndpointList:
         if self.observer is not None:
             self.observer.on_poll(complete_list="?" not in path)
@@ -157,13 +175,17 @@
         return asyncio.get_running_loop().time()
 
     def _report_failure(self, waited_s: float) -> None:
-        """Call the listener: a poll failed, or a watch broke, which was on for longer than a rejection takes."""
+        """Tell the listener that a poll or a watch failed, for how long it waited, and how old the list is.
+
+        An established watch that breaks late was up to date until now; one that breaks at once was
+        rejected by discovery, and the list is as old as it was.
+        """
         now = self._now()
         waited_us = max(1, int(US_PER_S * waited_s))
-        if self._watching and waited_us > AT_ONCE_US:
+        if self._watch_established and waited_us > AT_ONCE_US:
             self._fresh_at = now
             waited_us = 0
-        self._watching = False
+        self._watch_established = False
         self._on_poll_failed(waited_us, int(US_PER_S * (now - self._fresh_at)))
 
     @staticmethod
@@ -172,10 +194,14 @@
         log.warning("discovery is lost: %s", str(e) or type(e).__name__, exc_info=None if expected else e)
 
     def _apply(self, new: EndpointList, *, first: bool) -> None:
-        """Hand a list on; a watch's first response also where nothing has changed: it answers the poll."""
+        """Pass a list to the listener, unless it is a watch's response without changes.
+
+        ``first``: it answers a poll or starts a watch; it is passed on also without changes.
+        """
         before = self.index
         if not new.complete and new.index < before:
-            self.index = BEFORE_ALL_VERSIONS  # who responds counts anew: the complete list is polled
+            # The versions of whoever responds begin anew: the next request reads the complete list.
+            self.index = BEFORE_ALL_VERSIONS
             raise EndpointListError(f"index: expected changes since {before}, got {new.index}")
         self.index = new.index
         self._fresh_at = self._now()
