--- a/tests/sites/test_sites_real_processes.py
+++ b/tests/sites/test_sites_real_processes.py
@@ -6,6 +6,7 @@
 import pytest
 from click.testing import CliRunner
 from example_sites import SITES_TOML
+from peers import free_ports
 
 from oakbridge.cli.main import cli
 from oakbridge.cli.serve import Given, beside, started
@@ -103,7 +104,7 @@
 
 
 def test_operators_show_drain_and_return_sites(files):
-    (files / "node.toml").write_text(NODE.format(files, 22_071, ""))
+    (files / "node.toml").write_text(NODE.format(files, *free_ports(1), ""))
     ask = ("--socket", files / "n1.sock")
 
     async def played() -> None:
@@ -141,7 +142,7 @@
     assert "a lost: 9" in made[1]
     assert "a and b lost" in made[1]
     assert run_command("sites", "check", files / "sites.toml", files / "plan.json")[0] == 0
-    (files / "node.toml").write_text(NODE.format(files, 22_072, 'plan = "plan.json"'))
+    (files / "node.toml").write_text(NODE.format(files, *free_ports(1), 'plan = "plan.json"'))
     assert run_command("check", files / "node.toml")[0] == 0
     (files / "sites.toml").write_text(SITES_TOML.replace("rate = 60.0", "rate = 61.0"))
     assert run_command("sites", "check", files / "sites.toml", files / "plan.json")[0] == 2
@@ -155,7 +156,7 @@
         assert "plan.json" in said
         assert "expected a plan" in said
     (files / "node.toml").write_text(
-        NODE.format(files, 22_073, "step = 5").replace('zone = "a"\nlisten', "listen")
+        NODE.format(files, *free_ports(1), "step = 5").replace('zone = "a"\nlisten', "listen")
     )
     code, said = run_command("check", files / "node.toml")
     assert code == 2
--- a/tests/spread/test_spread_real_processes.py
+++ b/tests/spread/test_spread_real_processes.py
@@ -4,6 +4,7 @@
 import json
 
 from click.testing import CliRunner
+from peers import free_ports
 
 from oakbridge.cli.main import cli
 from oakbridge.cli.serve import Given, beside, started
@@ -80,9 +81,10 @@
 
 def test_an_operator_sees_who_uses_which_server(tmp_path):
     (tmp_path / "secret").write_text("s" * 16)
+    node_port, plain_port = free_ports(2)
     files = {
-        "node": PEERS.format(22_081) + "[spread]",
-        "plain": PEERS.format(22_082),
+        "node": PEERS.format(node_port) + "[spread]",
+        "plain": PEERS.format(plain_port),
         "alone": "[spread]",
     }
     for name, more in files.items():
