--- a/oakbridge/config/sites_file.py
+++ b/oakbridge/config/sites_file.py
@@ -30,7 +30,7 @@
 Mistake = tuple[FieldPath, str]
 
 
-class SiteTable(Table):
+class SiteCapacityTable(Table):
     """A site."""
 
     name: Name = Field(
@@ -44,7 +44,7 @@
     keep_free: Number = Field(0.1, ge=0, lt=1, description="Of it, that must stay free.")
 
 
-class ClassTable(Table):
+class ClassDemandTable(Table):
     """A class of requests."""
 
     name: Name
@@ -52,7 +52,7 @@
     work: Number = Field(1.0, gt=0, description="What one costs a server, against others.")
 
 
-class LoadTable(Table):
+class SiteLoadTable(Table):
     """What comes in at a site."""
 
     site: Name
@@ -60,7 +60,7 @@
     rate: Number = Field(ge=0, description="Requests a second.")
 
 
-class DistanceTable(Table):
+class SiteDistanceTable(Table):
     """How far two sites are from each other, both ways; 1 where it is not told."""
 
     a: Name
@@ -72,10 +72,10 @@
     """The whole file."""
 
     version: int = Field(ge=1, description="Raised with each change.")
-    sites: list[SiteTable] = Field(alias="site", min_length=1, max_length=MAX_SITES)
-    classes: list[ClassTable] = Field(alias="class", min_length=1, max_length=MAX_CLASSES)
-    loads: list[LoadTable] = Field(alias="load", min_length=1, max_length=MAX_LOADS)
-    distances: list[DistanceTable] = Field([], alias="distance", max_length=MAX_DISTANCES)
+    sites: list[SiteCapacityTable] = Field(alias="site", min_length=1, max_length=MAX_SITES)
+    classes: list[ClassDemandTable] = Field(alias="class", min_length=1, max_length=MAX_CLASSES)
+    loads: list[SiteLoadTable] = Field(alias="load", min_length=1, max_length=MAX_LOADS)
+    distances: list[SiteDistanceTable] = Field([], alias="distance", max_length=MAX_DISTANCES)
 
 
 def load_topology(path: Path) -> Topology:
--- a/oakbridge/sites/evidence.py
+++ b/oakbridge/sites/evidence.py
@@ -110,19 +110,11 @@
     reach their servers says nothing about the way from here.  Where nodes of this home have called
     it, theirs go before those of third sites: the way from there may be another one.
     """
-    from_home, from_third_sites = list[MemberObservations](), list[MemberObservations]()
-    fresh_members = 0
-    for member in members:
-        if member.age_us > MAX_AGE_US:
-            continue
-        fresh_members += 1
-        found = member.of_site(site, with_verdicts=with_verdicts)
-        if not found.has_called:
-            continue
-        if member.site == home:
-            from_home.append(found)
-        elif member.site != site:
-            from_third_sites.append(found)
+    fresh = [member for member in members if member.age_us <= MAX_AGE_US]
+    observed = [member.of_site(site, with_verdicts=with_verdicts) for member in fresh]
+    callers = [member for member in observed if member.has_called]
+    from_home = [member for member in callers if member.site == home]
+    from_third_sites = [member for member in callers if member.site not in (home, site)]
     home_is_enough = len(from_home) >= MIN_REPORTERS or not from_third_sites
     counted = from_home if home_is_enough else from_home + from_third_sites
     responding, timed_out, failed = _sums(counted)
@@ -132,7 +124,7 @@
         timed_out,
         failed,
         reporters=len(counted),
-        fresh_members=fresh_members,
+        fresh_members=len(fresh),
         failure_reporters=tuple(sorted(m.name for m in counted if m.blames)[:MAX_REPORTERS_NAMED]),
         reachable_elsewhere=home_fails and _is_reached_by(from_third_sites),
         is_unreachable=is_unreachable,
--- a/oakbridge/sites/load_shedding.py
+++ b/oakbridge/sites/fleet_load_shedding.py
@@ -79,7 +79,7 @@
     return sum(overload * calls_per_s for overload, calls_per_s in rows) / calls if calls else 0.0
 
 
-class LoadShedding:
+class FleetLoadShedding:
     """The load-shedding level as one member holds it."""
 
     def __init__(self, ranks: Sequence[SheddingRank]) -> None:
--- a/oakbridge/sites/node_sites.py
+++ b/oakbridge/sites/node_sites.py
@@ -31,7 +31,7 @@
 from oakbridge.policy.view import ZoneView
 from oakbridge.sites.errors import LastSiteError, UnknownSiteError
 from oakbridge.sites.evidence import MAX_AGE_US, Evidence, MemberObservations, pool_evidence
-from oakbridge.sites.load_shedding import LoadShedding, elect_leader, fleet_overload, rank_classes
+from oakbridge.sites.fleet_load_shedding import FleetLoadShedding, elect_leader, fleet_overload, rank_classes
 from oakbridge.sites.operator_overrides import OperatorOverrides
 from oakbridge.sites.plan_file import SitePlan
 from oakbridge.sites.recovery_ramp import MIN_STEP_US
@@ -118,7 +118,7 @@
         self.options = options or SitesOptions()
         self.plan = plan
         self.sites: dict[str, SiteStateMachine] = {}
-        self.shedding = LoadShedding(rank_classes(priority_weights, has_quotas=has_quotas))
+        self.shedding = FleetLoadShedding(rank_classes(priority_weights, has_quotas=has_quotas))
         self.overrides = OperatorOverrides()
         self.evidence: dict[str, Evidence] = {}
         self.overload = 0.0  # of the fleet
--- a/oakbridge/sites/operator_view.py
+++ b/oakbridge/sites/operator_view.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from oakbridge.sites.evidence import Evidence
-from oakbridge.sites.load_shedding import OVER_QUOTA
+from oakbridge.sites.fleet_load_shedding import OVER_QUOTA
 from oakbridge.sites.site_state import SiteStateMachine
 
 if TYPE_CHECKING:
--- a/oakbridge/sites/runner.py
+++ b/oakbridge/sites/runner.py
@@ -19,7 +19,7 @@
 from oakbridge.policy.view import zones
 from oakbridge.sites import operator_view
 from oakbridge.sites.errors import SiteOverrideError
-from oakbridge.sites.load_shedding import OVER_QUOTA
+from oakbridge.sites.fleet_load_shedding import OVER_QUOTA
 from oakbridge.sites.node_sites import (
     OBSERVATION_WINDOW_US,
     UPDATES_PER_S,
--- a/tests/sites/test_load_shedding.py
+++ b/tests/sites/test_fleet_load_shedding.py
@@ -5,8 +5,8 @@
 import pytest
 from example_sites import SECOND_US
 
-from oakbridge.sites import load_shedding
-from oakbridge.sites.load_shedding import LoadShedding, level_of, rank_classes, rejected_at
+from oakbridge.sites import fleet_load_shedding
+from oakbridge.sites.fleet_load_shedding import FleetLoadShedding, level_of, rank_classes, rejected_at
 
 RANKS = rank_classes({"look": 1.0, "status": 2.0, "book": 5.0}, has_quotas=True)
 MIX = [0.1, 0.4, 0.3, 0.2]
@@ -14,8 +14,8 @@
 
 def test_the_level_rejects_in_order_of_priority_weight():
     assert [rank.class_name for rank in RANKS] == ["", "look", "status", "book"]
-    assert load_shedding.rejected_fractions(RANKS, 0.0) == {}
-    rejected = load_shedding.rejected_fractions(RANKS, 2.25)
+    assert fleet_load_shedding.rejected_fractions(RANKS, 0.0) == {}
+    rejected = fleet_load_shedding.rejected_fractions(RANKS, 2.25)
     assert rejected == {"": 1.0, "look": 1.0, "status": 0.25}
     for fraction in (0.0, 0.05, 0.1, 0.3, 0.65, 0.9):
         assert rejected_at(level_of(fraction, MIX), MIX) == pytest.approx(fraction)
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("offered_load", [1.0, 1.2, 2.0, 5.0])
 def test_feedback_finds_what_does_not_fit_and_lets_go_of_it(offered_load):
     """Of capacity only its lack is known: within 20 s the level leaves under 10% to chance."""
-    shedding, now_us = LoadShedding(RANKS), 0
+    shedding, now_us = FleetLoadShedding(RANKS), 0
     overloads, rejected = [], []
     for second in range(150):
         now_us += SECOND_US
@@ -34,7 +34,7 @@
         overloads.append(overload)
         rejected.append(rejected_at(shedding.level, MIX))
         shedding.adjust(now_us, "me", overload, MIX)
-    assert max(overloads[40:100]) < 1.2 * load_shedding.TARGET_OVERLOAD
+    assert max(overloads[40:100]) < 1.2 * fleet_load_shedding.TARGET_OVERLOAD
     assert rejected[-1] < 0.02
     steps = [abs(later - earlier) for earlier, later in pairwise(rejected[30:100])]
     assert max(steps, default=0) < 0.1  # no class comes and goes by the second
--- a/tests/sites/test_node_sites.py
+++ b/tests/sites/test_node_sites.py
@@ -9,7 +9,7 @@
 from oakbridge.sites import operator_view
 from oakbridge.sites.errors import LastSiteError, UnknownSiteError
 from oakbridge.sites.evidence import MAX_AGE_US
-from oakbridge.sites.load_shedding import elect_leader
+from oakbridge.sites.fleet_load_shedding import elect_leader
 from oakbridge.sites.node_sites import NodeSites, ReceivedReport
 from oakbridge.sites.planning import compute_plan
 from oakbridge.sites.request_rates import LocalObservations
