--- a/oakbridge/cli/lab.py
+++ b/oakbridge/cli/lab.py
@@ -74,9 +74,10 @@
         raise Failed(str(e)) from None
     except KeyboardInterrupt:
         raise click.Abort from None
-    from oakbridge.lab import checks, report
+    from oakbridge.lab import report
+    from oakbridge.lab.checks.judge import judge
 
-    return report.write(out, history, checks.judge(history), results, seed, _commit(checkout))
+    return report.write(out, history, judge(history), results, seed, _commit(checkout))
 
 
 @command.command("compare")
--- a/oakbridge/lab/load_distribution_checks.py
+++ b/oakbridge/lab/checks/load_distribution.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 
 from oakbridge.lab import load_distribution
+from oakbridge.lab.checks.ground_truth import GroundTruth
 from oakbridge.lab.history import History
 from oakbridge.lab.load_distribution import Visits
 from oakbridge.lab.schedule import Span, StepKind
-from oakbridge.lab.site_checks import Truth
 
 # Steps that many nodes see at once.
 COMMON_STEPS = frozenset(
@@ -35,7 +35,7 @@
         for row in history.executions
         if row["ended"] > begin_us and row["came"] < begin_us + duration_us
     ]
-    sizes = Truth(history).sizes
+    sizes = GroundTruth(history).sizes
     return Visits(
         rows,
         [size / sum(sizes) for size in sizes],
--- a/oakbridge/lab/report.py
+++ b/oakbridge/lab/report.py
@@ -12,8 +12,11 @@
 from hdrh.histogram import HdrHistogram
 
 from oakbridge import __version__
-from oakbridge.lab import site_checks, table
-from oakbridge.lab.checks import Check, encode_check, in_course, percentile
+from oakbridge.lab import table
+from oakbridge.lab.checks.check import Check, encode_check
+from oakbridge.lab.checks.server_load import percentile
+from oakbridge.lab.checks.service import first_tries
+from oakbridge.lab.checks.site_loss import site_load_by_second
 from oakbridge.lab.helper_process import Results
 from oakbridge.lab.history import (
     MEMBER_CHANGE_COLUMNS,
@@ -35,7 +38,7 @@
     out: Path, history: History, checks: list[Check], results: Results, seed: int, commit: str
 ) -> dict[str, Any]:
     """Write all of it; returns the summary."""
-    rows = in_course(history)
+    rows = first_tries(history)
     classes = [c.name for c in history.plan.classes]
     summary = {
         "seed": seed,
@@ -101,7 +104,7 @@
     _answers(axes[0], history, classes, seconds)
     _views(axes[1], history, seconds)
     _loads(axes[2], history, seconds)
-    for site, rates in site_checks.seconds_of(history, [s.name for s in history.plan.sites]).items():
+    for site, rates in site_load_by_second(history, [s.name for s in history.plan.sites]).items():
         axes[3].plot(range(seconds), rates, label=f"site {site}")
     axes[3].set(xlabel="s", ylabel="requests a second", title="Load at each site's servers", ylim=(0, None))
     axes[3].legend(fontsize=7)
--- a/tests/formats/test_lab.py
+++ b/tests/formats/test_lab.py
@@ -10,7 +10,7 @@
 from hdrh.histogram import HdrHistogram
 
 from oakbridge.lab import compare_report, report, table
-from oakbridge.lab.checks import Check
+from oakbridge.lab.checks.check import Check
 from oakbridge.lab.compare import Compared
 from oakbridge.lab.fleet import build_fleet
 from oakbridge.lab.history import History, MemberChange, PerformedStep, SiteChange, read_changes
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -7,7 +7,8 @@
 
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.lab.bench import Bench
-from oakbridge.lab.checks import FIGURES, NEVER, judge
+from oakbridge.lab.checks.check import NEVER_S
+from oakbridge.lab.checks.judge import FIGURES, judge
 from oakbridge.lab.fleet import build_fleet
 from oakbridge.lab.front import Front
 from oakbridge.lab.history import History, MemberChange, PerformedStep, SiteChange, read_changes
@@ -288,8 +289,8 @@
 @pytest.mark.parametrize(
     ("fault", "name", "figure"),
     [
-        (one_late, "last learns", 15), (one_never, "last learns", NEVER), (slander, "healthy called failed", 1),
-        (slander, "views right", 22), (never_healed, "views right", NEVER),
+        (one_late, "last learns", 15), (one_never, "last learns", NEVER_S), (slander, "healthy called failed", 1),
+        (slander, "views right", 22), (never_healed, "views right", NEVER_S),
     ],
 )  # fmt: skip
 def test_a_wrong_view_is_caught(plan, fault, name, figure):
--- a/tests/lab/test_site_checks.py
+++ b/tests/lab/test_site_loss.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from oakbridge.lab import site_checks
+from oakbridge.lab.checks import site_loss
+from oakbridge.lab.checks.ground_truth import GroundTruth
 from oakbridge.lab.fleet import build_fleet
 from oakbridge.lab.history import History, SiteChange
 from oakbridge.lab.plan import load_plan
@@ -59,7 +60,7 @@
 
 
 def figures(history):
-    return {name: figure(history) for name, figure in site_checks.FIGURES.items()}
+    return {name: figure(history) for name, figure in site_loss.FIGURES.items()}
 
 
 def test_all_went_well(history):
@@ -113,8 +114,8 @@
     (tmp_path / "plan.toml").write_text(PLAN.replace("servers down", "cut"))
     plan = load_plan(tmp_path / "plan.toml")
     fleet = build_fleet(plan)
-    truth = site_checks.Truth(History(plan, fleet, draw_schedule(plan, fleet, 1), 0, 40 * S))
-    assert truth.parts(5 * S) == [frozenset("abc")] and set(truth.parts(15 * S)) == {
+    truth = GroundTruth(History(plan, fleet, draw_schedule(plan, fleet, 1), 0, 40 * S))
+    assert truth.reachable_groups(5 * S) == [frozenset("abc")] and set(truth.reachable_groups(15 * S)) == {
         frozenset("ab"),
         frozenset("c"),
     }
