--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 from oakbridge.lab.addresses import MEMBER, NODE_NET, SERVER, SERVER_NET, claim, host
-from oakbridge.lab.load import Answer
+from oakbridge.lab.client_connection import ClientConnection
 from oakbridge.lab.plan import ServersTable
 from oakbridge.lab.servers import Helper
 from oakbridge.peers.service import MembershipService, ServiceOptions
@@ -91,11 +91,11 @@
 
     async def one() -> None:
         nonlocal count, sent
-        _, connection = await asyncio.get_running_loop().create_connection(Answer, *where)
+        _, connection = await asyncio.get_running_loop().create_connection(ClientConnection, *where)
         while time.perf_counter() < end:
             sent += 1
-            status, _ = await connection.ask(HEAD % sent)
-            count += status == 200  # one that is turned away is no request served
+            answer = await connection.send_request(HEAD % sent)
+            count += answer.status == 200  # one that is turned away is no request served
         assert connection.transport is not None
         connection.transport.close()
 
--- a/benchmarks/switch.py
+++ b/benchmarks/switch.py
@@ -31,7 +31,7 @@
     claim,
     host,
 )
-from oakbridge.lab.load import Answer
+from oakbridge.lab.client_connection import ClientConnection
 from oakbridge.lab.plan import ServersTable
 
 HEAD = b"GET /read HTTP/1.1\r\nHost: lab\r\nX-Request-ID: 1\r\nX-Priority-Class: read\r\nX-Timeout: 5000m\r\n\r\n"
@@ -56,11 +56,11 @@
     end = time.perf_counter() + seconds
 
     async def one() -> None:
-        _, connection = await asyncio.get_running_loop().create_connection(Answer, *where)
+        _, connection = await asyncio.get_running_loop().create_connection(ClientConnection, *where)
         while time.perf_counter() < end:
             began = time.perf_counter()
-            status, _ = await connection.ask(HEAD)
-            assert status == 200, status
+            answer = await connection.send_request(HEAD)
+            assert answer.status == 200, answer
             times.append(time.perf_counter() - began)
             if pause:
                 await asyncio.sleep(pause * random.random())
--- a/oakbridge/lab/load.py
+++ b/oakbridge/lab/load.py
@@ -1,4 +1,7 @@
-"""Callers, in open loop: a request is sent when it is due, whatever became of others, and its time counts from then."""
+"""The helper process that sends requests in open loop: each when it is due, whatever else happens.
+
+Latency counts from the due time.
+"""
 
 from __future__ import annotations
 
@@ -7,198 +10,257 @@
 import random
 import time
 from collections import defaultdict
-from contextlib import suppress
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-import httptools
-
 from oakbridge.lab import table
 from oakbridge.lab.addresses import CALLERS, NODE_NET, Slot, host
-from oakbridge.lab.front import Front
-
-LOST, NOBODY = 0, -1  # in place of a status: no answer; no node took the connection
-PATIENCE_S = 1.0  # beyond the deadline
-MOST_OUT = 20_000
-REFUSED = (429, 503)
-
-
-class Answer(asyncio.Protocol):
-    """One connection to a node."""
-
-    def __init__(self) -> None:
-        self.transport: asyncio.Transport | None = None
-        self._parser: Any = None
-        self._waiting: asyncio.Future[tuple[int, float]] | None = None
-        self.extra = 0  # answers that nobody asked for
-        self.after = 0.0
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """It is gone."""
-        self.transport = None
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_exception(ConnectionResetError())
-
-    def data_received(self, data: bytes) -> None:
-        """Bytes of an answer."""
-        if self._waiting is None or self._waiting.done():
-            self.extra += 1
-            return
-        try:
-            self._parser.feed_data(data)
-        except httptools.HttpParserError:
-            self._waiting.set_exception(ConnectionResetError())
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        """A header."""
-        if name.lower() == b"retry-after":
-            with suppress(ValueError):
-                self.after = float(value)
-
-    def on_message_complete(self) -> None:
-        """It is whole."""
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_result((int(self._parser.get_status_code()), self.after))
-
-    async def ask(self, head: bytes) -> tuple[int, float]:
-        """Send; returns the status and when to come back.  Raises OSError."""
-        if self.transport is None:
-            raise ConnectionResetError
-        self._parser, self.after = httptools.HttpResponseParser(self), 0.0
-        self._waiting = asyncio.get_running_loop().create_future()
-        self.transport.write(head)
-        return await self._waiting
+from oakbridge.lab.client_connection import Answer, ClientConnection
+from oakbridge.lab.node_selector import NodeSelector
+
+LOST = Answer(0)  # in place of an answer: none came
+NOT_ACCEPTED = Answer(-1)  # no node took the connection
+NO_NODE = -1
+ANSWER_TIMEOUT_S = 1.0  # beyond the deadline
+MIN_TIMEOUT_S = 0.001
+MAX_IN_FLIGHT = 20_000
+MAX_NODES_TRIED = 4
+LATE_S = 0.05
+END_TIMEOUT_S = 10
+REJECTED_STATUSES = (429, 503)
+RETRY_WITHIN_DEADLINES = 3  # since the due time, in multiples of the deadline
+MIN_RETRY_DELAY_S = 0.05
+RETRY_JITTER = (0.9, 1.3)  # factors of the delay
+COLUMNS = ("due", "class", "site", "node", "status", "took", "tries", "request", "aim")
+
+Row = tuple[int, int, int, int, int, int, int, str, int]
+
+
+@dataclass(frozen=True, slots=True)
+class Stream:
+    """Requests of one class from one site's clients."""
+
+    class_number: int
+    site_number: int
+    rate_per_s: float
 
 
 class Helper:
-    """One load process."""
+    """All streams of one load process."""
 
     def __init__(self, config: dict[str, Any]) -> None:
-        self.slot, self.seed, self.part = Slot(config["base"]), config["seed"], config["part"]
-        self.classes, self.sites, self.nodes = config["classes"], config["sites"], config["nodes"]
-        self.repeats, self._out = config["repeats"], Path(config["out"])
-        self.rng = random.Random(f"load {self.seed} {self.part}")
-        weights = random.Random(f"weights {self.seed}")  # the same in all load processes
-        self._weights = {n: weights.lognormvariate(0, config["spread"]) for n in range(len(self.nodes))}
-        self._idle: dict[int, list[Answer]] = defaultdict(list)
-        self._shunned: dict[int, float] = {}
-        self._rows: list[tuple[int, int, int, int, int, int, int, str, int]] = []
-        self._tasks: set[asyncio.Task[None]] = set()
+        """``config``: as ``helper_configs.load_configs`` makes it."""
+        self._slot = Slot(config["base"])
+        self._seed = config["seed"]
+        self._part = config["part"]
+        self._classes = config["classes"]
+        self._sites = config["sites"]
+        self._nodes = config["nodes"]
+        self._max_retries = config["repeats"]
+        self._out = Path(config["out"])
+        self._random = random.Random(f"load {self._seed} {self._part}")
+        weights = random.Random(f"weights {self._seed}")  # the same in all load processes
+        self._weights = {
+            node: weights.lognormvariate(0, config["spread"]) for node in range(len(self._nodes))
+        }
+        self._idle: dict[int, list[ClientConnection]] = defaultdict(list)  # by node
+        self._avoided_until_s: dict[int, float] = {}
+        self._rows: list[Row] = []
+        self._requests: set[asyncio.Task[None]] = set()
+        self._streams: list[asyncio.Task[None]] = []
         self._ids = itertools.count()
-        self._extra = self._late = 0
-        self._running: list[asyncio.Task[None]] = []
+        self._unsolicited_answers = 0
+        self._sent_late = 0
 
     async def start(self) -> None:
-        """Nothing is sent until told."""
+        """Do nothing: requests begin at ``go``."""
 
     def do(self, command: dict[str, Any]) -> None:
-        """``go``, and ``stop``."""
+        """``go``, as one of so many ``parts``, and ``stop``."""
         if command["do"] == "go":
-            loop = asyncio.get_running_loop()
-            total = sum(load for _, load in self.sites)
-            for k, klass in enumerate(self.classes):
-                for s, (_, load) in enumerate(self.sites):
-                    rate = klass["rate"] * load / total / command["parts"]
-                    if rate > 0:
-                        self._running.append(loop.create_task(self._stream(k, s, rate)))
+            self._start_streams(command["parts"])
         else:
-            for task in self._running:
-                task.cancel()
+            self._stop_streams()
 
-    async def end(self) -> dict[str, Any]:
-        """Wait for what is out, and keep the table."""
-        for task in self._running:
+    def _start_streams(self, parts: int) -> None:
+        loop = asyncio.get_running_loop()
+        total = sum(load for _, load in self._sites)
+        for class_number, request_class in enumerate(self._classes):
+            for site_number, (_, load) in enumerate(self._sites):
+                rate_per_s = request_class["rate"] * load / total / parts
+                if rate_per_s > 0:
+                    stream = Stream(class_number, site_number, rate_per_s)
+                    self._streams.append(loop.create_task(self._run_stream(stream)))
+
+    def _stop_streams(self) -> None:
+        for task in self._streams:
             task.cancel()
-        if self._tasks:
-            await asyncio.wait(self._tasks, timeout=10)
-        columns = ("due", "class", "site", "node", "status", "took", "tries", "request", "aim")
-        await asyncio.to_thread(table.write, self._out, columns, self._rows)
-        return {"requests": len(self._rows), "unasked answers": self._extra, "sent late": self._late}
+
+    async def end(self) -> dict[str, Any]:
+        """Wait for requests in flight, and write the table."""
+        self._stop_streams()
+        if self._requests:
+            await asyncio.wait(self._requests, timeout=END_TIMEOUT_S)
+        await asyncio.to_thread(table.write, self._out, COLUMNS, self._rows)
+        return {
+            "requests": len(self._rows),
+            "unasked answers": self._unsolicited_answers,
+            "sent late": self._sent_late,
+        }
 
     def abandon(self) -> None:
-        """Nothing outlives the process."""
+        """Do nothing: nothing outlives the process."""
 
-    async def _stream(self, k: int, s: int, rate: float) -> None:
+    async def _run_stream(self, stream: Stream) -> None:
+        """Send requests as a Poisson process."""
         loop = asyncio.get_running_loop()
-        rng = random.Random(f"{self.seed} {self.part} {k} {s}")
-        nodes = [n for n, (_, site) in enumerate(self.nodes) if site == self.sites[s][0]]
-        # a site without nodes uses the others'
-        front = Front(nodes or range(len(self.nodes)), self._weights, self._shunned)
-        due = loop.time()
+        rng = random.Random(f"{self._seed} {self._part} {stream.class_number} {stream.site_number}")
+        selector = self._make_selector(stream)
+        due_s = loop.time()
         while True:
-            due += rng.expovariate(rate)
-            wait = due - loop.time()
-            if wait > 0:
-                await asyncio.sleep(wait)
-            self._late += wait < -0.05
-            if len(self._tasks) >= MOST_OUT:  # told as one that nobody took, not left out
-                at = time.time_ns() // 1000
-                self._rows.append((at, k, s, NOBODY, NOBODY, 0, 1, "", self.classes[k]["aim"]))
+            due_s += rng.expovariate(stream.rate_per_s)
+            wait_s = due_s - loop.time()
+            if wait_s > 0:
+                await asyncio.sleep(wait_s)
+            self._sent_late += wait_s < -LATE_S
+            if len(self._requests) >= MAX_IN_FLIGHT:
+                self._note_not_sent(stream)
                 continue
-            task = loop.create_task(self._one(k, s, front, due))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
+            task = loop.create_task(self._send_with_retries(stream, selector, due_s))
+            self._requests.add(task)
+            task.add_done_callback(self._requests.discard)
 
-    async def _one(self, k: int, s: int, front: Front, due: float) -> None:
+    def _make_selector(self, stream: Stream) -> NodeSelector:
+        """Return the choice among the site's nodes, or among all if it has none."""
+        site, _ = self._sites[stream.site_number]
+        nodes = [number for number, (_, home) in enumerate(self._nodes) if home == site]
+        return NodeSelector(nodes or range(len(self._nodes)), self._weights, self._avoided_until_s)
+
+    def _note_not_sent(self, stream: Stream) -> None:
+        """Count a request beyond the limit as one that no node took, not leave it out."""
+        due_us = time.time_ns() // 1000
+        objective_us = self._classes[stream.class_number]["aim"]
+        self._rows.append(
+            (
+                due_us,
+                stream.class_number,
+                stream.site_number,
+                NO_NODE,
+                NOT_ACCEPTED.status,
+                0,
+                1,
+                "",
+                objective_us,
+            )
+        )
+
+    async def _send_with_retries(self, stream: Stream, selector: NodeSelector, due_s: float) -> None:
+        """Send a request, and retry it while it is rejected; write a row for each try."""
         loop = asyncio.get_running_loop()
-        klass = self.classes[k]
-        began = time.time_ns() // 1000 - round((loop.time() - due) * 1e6)
-        deadline = klass["deadline"] / 1e6
-        about = f"{self.part}-{next(self._ids)}"  # the same each time that it comes
-        for again in itertools.count():
-            request = f"{self.part}-{next(self._ids)}"
-            first = loop.time() if again else due
-            node, status, after, tries = NOBODY, NOBODY, 0.0, set[int]()
-            while status == NOBODY and len(tries) < 4:
-                found = front.pick(time.monotonic(), tries, self.rng)
-                if found is None:
-                    break
-                tries.add(node := found)
-                status, after = await self._ask(node, klass, request, about, first + deadline)
-                if status in (NOBODY, LOST):
-                    front.shun(node, time.monotonic())
-            took = round((loop.time() - due) * 1e6)
-            row = (began, k, s, node, status, took, again + 1, request, klass["aim"])
-            self._rows.append(row)
-            if status not in REFUSED or again >= self.repeats or loop.time() - due > 3 * deadline:
+        request_class = self._classes[stream.class_number]
+        due_us = time.time_ns() // 1000 - round((loop.time() - due_s) * 1e6)
+        deadline_s = request_class["deadline"] / 1e6
+        route_key = f"{self._part}-{next(self._ids)}"  # the same in all tries
+        for retries in itertools.count():
+            request_id = f"{self._part}-{next(self._ids)}"
+            sent_s = loop.time() if retries else due_s
+            head = RequestHead(request_class, request_id, route_key)
+            node, answer = await self._send_to_any(selector, head, sent_s + deadline_s)
+            self._rows.append(
+                (
+                    due_us,
+                    stream.class_number,
+                    stream.site_number,
+                    node,
+                    answer.status,
+                    round((loop.time() - due_s) * 1e6),
+                    retries + 1,
+                    request_id,
+                    request_class["aim"],
+                )
+            )
+            is_too_late = loop.time() - due_s > RETRY_WITHIN_DEADLINES * deadline_s
+            is_rejected = answer.status in REJECTED_STATUSES
+            if not is_rejected or retries >= self._max_retries or is_too_late:
                 return
-            await asyncio.sleep(max(0.05, after) * self.rng.uniform(0.9, 1.3))
+            delay_s = max(MIN_RETRY_DELAY_S, answer.retry_after_s)
+            await asyncio.sleep(delay_s * self._random.uniform(*RETRY_JITTER))
 
-    async def _ask(
-        self, node: int, klass: dict[str, Any], request: str, about: str, until: float
-    ) -> tuple[int, float]:
-        loop = asyncio.get_running_loop()
-        left = max(0.001, until - loop.time())
-        method = b"GET" if klass["repeat"] == "safe" else b"POST"
-        head = method + (
-            f" /{klass['name']} HTTP/1.1\r\nHost: lab\r\nX-Request-ID: {request}\r\n"
-            f"X-Priority-Class: {klass['name']}\r\nX-Timeout: {round(left * 1000)}m\r\nX-Route-Key: {about}\r\n"
-        ).encode() + (b"\r\n" if method == b"GET" else b"Content-Length: 0\r\n\r\n")  # fmt: skip
-        connection: Answer | None = None
+    async def _send_to_any(
+        self, selector: NodeSelector, head: RequestHead, until_s: float
+    ) -> tuple[int, Answer]:
+        """Send to the first node that takes the connection; return it and the answer."""
+        node, answer = NO_NODE, NOT_ACCEPTED
+        tried: set[int] = set()
+        while answer is NOT_ACCEPTED and len(tried) < MAX_NODES_TRIED:
+            selected = selector.select(time.monotonic(), tried, self._random)
+            if selected is None:
+                break
+            node = selected
+            tried.add(node)
+            answer = await self._send(node, head, until_s)
+            if answer is NOT_ACCEPTED or answer is LOST:
+                selector.avoid(node, time.monotonic())
+        return node, answer
+
+    async def _send(self, node: int, head: RequestHead, until_s: float) -> Answer:
+        left_s = max(MIN_TIMEOUT_S, until_s - asyncio.get_running_loop().time())
+        connection: ClientConnection | None = None
         try:
-            async with asyncio.timeout(left + PATIENCE_S):
-                idle = self._idle[node]
-                while idle and connection is None:
-                    connection = idle.pop()
-                    if connection.transport is None or connection.transport.is_closing():
-                        connection = None
+            async with asyncio.timeout(left_s + ANSWER_TIMEOUT_S):
+                connection = self._take_idle(node) or await self._connect(node)
                 if connection is None:
-                    address = host(NODE_NET, node), self.slot.port(CALLERS)
-                    try:
-                        _, connection = await loop.create_connection(Answer, *address)
-                    except OSError:
-                        return NOBODY, 0.0
-                status, after = await connection.ask(head)
-                self._extra += connection.extra
-                connection.extra = 0
-                idle.append(connection)
-                return status, after
+                    return NOT_ACCEPTED
+                answer = await connection.send_request(head.encode(left_s))
         except (OSError, TimeoutError):
             if connection is not None and connection.transport is not None:
                 connection.transport.abort()
-            return LOST, 0.0
+            return LOST
+        self._unsolicited_answers += connection.unsolicited_answers
+        connection.unsolicited_answers = 0
+        self._idle[node].append(connection)
+        return answer
+
+    def _take_idle(self, node: int) -> ClientConnection | None:
+        idle = self._idle[node]
+        while idle:
+            connection = idle.pop()
+            if connection.is_open:
+                return connection
+        return None
+
+    async def _connect(self, node: int) -> ClientConnection | None:
+        """Open a connection; return None where the node does not take it."""
+        address, port = host(NODE_NET, node), self._slot.port(CALLERS)
+        loop = asyncio.get_running_loop()
+        try:
+            _, connection = await loop.create_connection(ClientConnection, address, port)
+        except OSError:
+            return None
+        return connection
+
+
+@dataclass(frozen=True, slots=True)
+class RequestHead:
+    """What a request tells of itself."""
+
+    request_class: dict[str, Any]
+    request_id: str
+    route_key: str
+
+    def encode(self, timeout_s: float) -> bytes:
+        """Return the request's bytes; those that are not safe to repeat are an empty POST."""
+        name = self.request_class["name"]
+        is_safe = self.request_class["repeat"] == "safe"
+        lines = [
+            f"{'GET' if is_safe else 'POST'} /{name} HTTP/1.1",
+            "Host: lab",
+            f"X-Request-ID: {self.request_id}",
+            f"X-Priority-Class: {name}",
+            f"X-Timeout: {round(timeout_s * 1000)}m",
+            f"X-Route-Key: {self.route_key}",
+        ]
+        if not is_safe:
+            lines.append("Content-Length: 0")
+        return "\r\n".join([*lines, "", ""]).encode()
--- a/oakbridge/lab/servers.py
+++ b/oakbridge/lab/servers.py
@@ -1,4 +1,4 @@
-"""Many stand-in servers in one process: workers, a queue, a limit of connections, speeds, a cold start."""
+"""The helper process of stand-in servers: workers, queues, connections, speeds, cold starts."""
 
 from __future__ import annotations
 
@@ -9,109 +9,130 @@
 
 from oakbridge.lab import table
 from oakbridge.lab.addresses import SERVER, SERVER_NET, Slot, host
-from oakbridge.lab.bench import Bench
 from oakbridge.lab.plan import ServersTable
+from oakbridge.lab.server_queue import ServerQueue
 from oakbridge.standin.server import Connection
 
-TURNED_AWAY, CLOSED = 503, 0
+STATUS_OK = 200
+STATUS_REJECTED = 503
+STATUS_DISCONNECTED = 0  # in place of a status: the node closed the connection, or it was reset
+CLOSE_DELAY_S = 0.05  # until lost connections have written their rows
+COLUMNS = ("server", "request", "came", "ended", "status", "begun")
+
+Row = tuple[int, str, int, int, int, bool]
 
 
 class StandIn:
     """One server."""
 
     def __init__(self, helper: Helper, number: int, name: str) -> None:
-        self.helper, self.number = helper, number
+        """``number``: of its address and its size."""
+        self.helper = helper
+        self.number = number
+        self.connections: set[NodeConnection] = set()
         sizes = helper.plan.sizes
-        self.bench: Bench[Call] = Bench(helper.plan, sizes[number % len(sizes)], f"{helper.seed} {name}")
-        self.connections: set[FromNode] = set()
-        self._door: asyncio.Server | None = None
+        self.queue: ServerQueue[Execution] = ServerQueue(
+            helper.plan, sizes[number % len(sizes)], f"{helper.seed} {name}"
+        )
+        self._listener: asyncio.Server | None = None
 
     async def open(self) -> None:
         """Listen."""
-        self._door = await asyncio.get_running_loop().create_server(
-            lambda: FromNode(self), host(SERVER_NET, self.number), self.helper.slot.port(SERVER),
-            backlog=1024, reuse_address=True,
-        )  # fmt: skip
+        self._listener = await asyncio.get_running_loop().create_server(
+            lambda: NodeConnection(self),
+            host(SERVER_NET, self.number),
+            self.helper.slot.port(SERVER),
+            backlog=1024,
+            reuse_address=True,
+        )
 
     def close(self) -> None:
-        """As a process that dies: connections are reset, and new ones refused."""
-        if self._door is not None:
-            self._door.close()
-            self._door = None
+        """Reset connections and refuse new ones, as a process that dies."""
+        if self._listener is not None:
+            self._listener.close()
+            self._listener = None
         for connection in list(self.connections):
             connection.abort()
-        self.bench.waiting.clear()
-
-    def come(self, call: Call) -> None:
-        """A request has come whole."""
-        takes = self.bench.come(call, time.monotonic())
-        if takes is None:
-            call.answer(TURNED_AWAY)
-        elif takes:
-            self._work(call, takes)
-
-    def _work(self, call: Call, takes: float) -> None:
-        call.began = True
-        asyncio.get_running_loop().call_later(takes, self._done, call)
-
-    def _done(self, call: Call) -> None:
-        call.answer(200)
-        following = self.bench.done(time.monotonic(), lambda waited: waited.over)
+        self.queue.clear_waiting()
+
+    def execute(self, execution: Execution) -> None:
+        """Work on a request, queue it, or reject it."""
+        work_s = self.queue.add(execution, time.monotonic())
+        if work_s is None:
+            execution.finish(STATUS_REJECTED)
+        elif work_s:
+            self._begin(execution, work_s)
+
+    def _begin(self, execution: Execution, work_s: float) -> None:
+        execution.is_begun = True
+        asyncio.get_running_loop().call_later(work_s, self._complete, execution)
+
+    def _complete(self, execution: Execution) -> None:
+        execution.finish(STATUS_OK)
+        following = self.queue.complete(time.monotonic(), lambda waiting: waiting.is_finished)
         if following is not None:
-            self._work(*following)
+            self._begin(*following)
 
 
-class Call:
+class Execution:
     """One request at one server."""
 
-    __slots__ = ("at", "began", "connection", "over", "request")
+    __slots__ = ("_arrived_us", "_connection", "_request", "is_begun", "is_finished")
 
-    def __init__(self, connection: FromNode, request: str) -> None:
-        self.connection, self.request = connection, request
-        self.at = time.time_ns() // 1000
-        self.began = self.over = False
+    def __init__(self, connection: NodeConnection, request: str) -> None:
+        """``request``: its identifier."""
+        self.is_begun = False
+        self.is_finished = False
+        self._connection = connection
+        self._request = request
+        self._arrived_us = time.time_ns() // 1000
 
-    def answer(self, status: int) -> None:
-        """Its end, once: 200, turned away, or the connection went."""
-        if self.over:
+    def finish(self, status: int) -> None:
+        """End it, the first time that this is called: write its row, and answer."""
+        if self.is_finished:
             return
-        self.over = True
-        standin = self.connection.standin
-        standin.helper.row(standin.number, self.request, self.at, time.time_ns() // 1000, status, self.began)
-        if status != CLOSED:
-            self.connection.reply(status, b"ok")
+        self.is_finished = True
+        standin = self._connection.standin
+        ended_us = time.time_ns() // 1000
+        standin.helper.add_row(
+            (standin.number, self._request, self._arrived_us, ended_us, status, self.is_begun)
+        )
+        if status != STATUS_DISCONNECTED:
+            self._connection.reply(status, b"ok")
 
 
-class FromNode(Connection):
+class NodeConnection(Connection):
     """One connection from a node."""
 
     def __init__(self, standin: StandIn) -> None:
+        """``standin``: the server that it came to."""
         super().__init__()
         self.standin = standin
-        self._call: Call | None = None
+        self._execution: Execution | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """One more than it may have is closed."""
+        """Close a connection beyond the server's limit."""
         super().connection_made(transport)
         if len(self.standin.connections) >= self.standin.helper.plan.connections:
-            return transport.close()
+            transport.close()
+            return
         self.standin.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The node has given up, or it is over."""
+        """Finish the request under way without an answer."""
         super().connection_lost(exc)
         self.standin.connections.discard(self)
-        if self._call is not None:
-            self._call.answer(CLOSED)
+        if self._execution is not None:
+            self._execution.finish(STATUS_DISCONNECTED)
 
     def come(self, request: bytes) -> None:
-        """Work on it, or not."""
-        self._call = Call(self, request.decode("latin-1"))
-        self.standin.come(self._call)
+        """Take in a complete request."""
+        self._execution = Execution(self, request.decode("latin-1"))
+        self.standin.execute(self._execution)
 
     def reply(self, status: int, body: bytes) -> None:
-        """Answer."""
-        self._call = None
+        """Answer the request under way."""
+        self._execution = None
         super().reply(status, body)
 
 
@@ -119,43 +140,50 @@
     """The servers of one process."""
 
     def __init__(self, config: dict[str, Any]) -> None:
-        self.slot, self.plan = Slot(config["base"]), ServersTable.model_construct(**config["plan"])
+        """``config``: as ``helper_configs.server_configs`` makes it."""
+        self.slot = Slot(config["base"])
+        self.plan = ServersTable.model_construct(**config["plan"])
         self.seed = config["seed"]
         self._out = Path(config["out"])
-        self.servers = {name: StandIn(self, number, name) for number, name in config["servers"]}
-        self._rows: list[tuple[int, str, int, int, int, bool]] = []
+        self._servers = {name: StandIn(self, number, name) for number, name in config["servers"]}
+        self._rows: list[Row] = []
+        self._openings: set[asyncio.Task[None]] = set()
 
-    def row(self, *row: Any) -> None:
-        """One request at one server: server, request, came, ended, status, whether it was begun."""
+    def add_row(self, row: Row) -> None:
+        """Keep one execution, in the order of the table's columns."""
         self._rows.append(row)
 
     async def start(self) -> None:
         """Listen."""
-        for server in self.servers.values():
+        for server in self._servers.values():
             await server.open()
 
     def do(self, command: dict[str, Any]) -> None:
         """Servers ``down``, ``up`` (cold) and their ``speed``."""
         for name in command.get("names", ()):
-            server = self.servers.get(name)
-            if server is None:
-                continue
-            if command["do"] == "down":
+            server = self._servers.get(name)
+            if server is not None:
+                self._change(server, command)
+
+    def _change(self, server: StandIn, command: dict[str, Any]) -> None:
+        match command["do"]:
+            case "down":
                 server.close()
-            elif command["do"] == "up":
-                server.bench.cold_since = time.monotonic()
-                self._opening = asyncio.get_running_loop().create_task(server.open())
-            elif command["do"] == "speed":
-                server.bench.speed = command["speed"]
+            case "up":
+                server.queue.cold_since_s = time.monotonic()
+                task = asyncio.get_running_loop().create_task(server.open())
+                self._openings.add(task)
+                task.add_done_callback(self._openings.discard)
+            case "speed":
+                server.queue.speed = command["speed"]
 
     async def end(self) -> dict[str, Any]:
-        """Keep the table."""
-        for server in self.servers.values():
+        """Close all servers, and write the table."""
+        for server in self._servers.values():
             server.close()
-        await asyncio.sleep(0.05)
-        columns = ("server", "request", "came", "ended", "status", "begun")
-        await asyncio.to_thread(table.write, self._out, columns, self._rows)
+        await asyncio.sleep(CLOSE_DELAY_S)
+        await asyncio.to_thread(table.write, self._out, COLUMNS, self._rows)
         return {"executions": len(self._rows)}
 
     def abandon(self) -> None:
-        """Nothing outlives the process."""
+        """Do nothing: nothing outlives the process."""
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -6,15 +6,15 @@
 import pytest
 
 from oakbridge.config.errors import ConfigFileError
-from oakbridge.lab.bench import Bench
 from oakbridge.lab.checks.check import NEVER_S
 from oakbridge.lab.checks.judge import FIGURES, judge
 from oakbridge.lab.fleet import build_fleet
-from oakbridge.lab.front import Front
 from oakbridge.lab.history import History, MemberChange, PerformedStep, SiteChange, read_changes
 from oakbridge.lab.links import Links, Rule
+from oakbridge.lab.node_selector import NodeSelector
 from oakbridge.lab.plan import load_plan, smaller
 from oakbridge.lab.schedule import Schedule, Span, StepKind, draw_schedule
+from oakbridge.lab.server_queue import ServerQueue
 
 S = 1_000_000
 PLAN = """
@@ -342,24 +342,24 @@
     assert read_changes(lines, "n0", 2 * S) == found
 
 
-def test_a_bench_works_queues_and_turns_away(plan):
+def test_a_server_works_queues_and_rejects(plan):
     servers = plan.servers.model_copy(update={"workers": 2, "queue": 2, "cold": 0.25, "cold_for": 4 * S})
-    bench: Bench[str] = Bench(servers, 1.0, "seed")
-    came = [bench.come(job, 0.0) for job in "abcde"]
+    queue: ServerQueue[str] = ServerQueue(servers, 1.0, "seed")
+    came = [queue.add(job, 0.0) for job in "abcde"]
     assert [t if t is None else bool(t) for t in came] == [True, True, False, False, None]
-    job, takes = bench.done(1.0, lambda waited: waited == "c")
+    job, takes = queue.complete(1.0, lambda waited: waited == "c")
     assert job == "d" and takes > 0
-    assert bench.done(1.0, lambda _: False) is None
-    bench.cold_since = 10.0
-    assert [bench.warmth(at) for at in (10.0, 12.0, 14.0, 99.0)] == [0.25, 0.625, 1.0, 1.0]
+    assert queue.complete(1.0, lambda _: False) is None
+    queue.cold_since_s = 10.0
+    assert [queue.warmth(at) for at in (10.0, 12.0, 14.0, 99.0)] == [0.25, 0.625, 1.0, 1.0]
 
 
-def test_a_front_deals_by_weight_and_shuns_for_a_while():
-    rng, shunned = random.Random(1), {}
-    front = Front([0, 1, 2], {0: 1.0, 1: 3.0, 2: 0.0}, shunned)
-    picks = [front.pick(0.0, (), rng) for _ in range(4000)]
+def test_nodes_are_selected_by_weight_and_avoided_for_a_while():
+    rng, avoided_until_s = random.Random(1), {}
+    selector = NodeSelector([0, 1, 2], {0: 1.0, 1: 3.0, 2: 0.0}, avoided_until_s)
+    picks = [selector.select(0.0, (), rng) for _ in range(4000)]
     assert 2.6 < picks.count(1) / picks.count(0) < 3.4 and 2 not in picks
-    front.shun(1, 0.0)
-    assert {front.pick(1.0, (), rng) for _ in range(50)} == {0}
-    assert front.pick(1.0, {0, 2}, rng) is None
-    assert front.pick(3.0, {0}, rng) == 1
+    selector.avoid(1, 0.0)
+    assert {selector.select(1.0, (), rng) for _ in range(50)} == {0}
+    assert selector.select(1.0, {0, 2}, rng) is None
+    assert selector.select(3.0, {0}, rng) == 1
