--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -20,9 +20,13 @@
 import sys
 import time
 from concurrent.futures import ProcessPoolExecutor
+from functools import partial
 from typing import Any
 
-from oakbridge.lab.world import SECOND, WORK, Fleet
+from oakbridge.lab.simulation.clients import SecondTotals
+from oakbridge.lab.simulation.event_queue import SECOND_US
+from oakbridge.lab.simulation.fleet import SimulatedFleet
+from oakbridge.lab.simulation.server_pool import MEAN_WORK_US
 from oakbridge.policy.settings import Idempotency, RequestClass
 
 BEFORE, LOST, AFTER = 15, 20, 60
@@ -34,35 +38,37 @@
 PARTS = {"look": 0.5, "status": 0.35, "book": 0.15}
 
 
-def random_file(rng: random.Random, many: int) -> Any:
+def random_topology(rng: random.Random, many: int) -> Any:
     """Sites of unequal size, loads and distances."""
-    from oakbridge.sites.scheme import SitesFile
+    from oakbridge.config.sites_file import SitesFile, topology_of
 
     names, classes = [f"s{n}" for n in range(many)], ["look", "status", "book", "close"]
     whole = {n: rng.uniform(50, 500) for n in names}
     busy = rng.uniform(0.5, 0.95) * sum(whole.values()) / (many * len(classes))
-    return SitesFile.model_validate({
+    file = SitesFile.model_validate({
         "version": 1,
         "site": [{"name": n, "capacity": whole[n], "keep_free": rng.uniform(0, 0.15)} for n in names],
         "class": [{"name": c, "worth": rng.uniform(0.5, 10), "work": rng.uniform(0.5, 2)} for c in classes],
         "load": [{"site": n, "class": c, "rate": rng.uniform(0, 2) * busy} for n in names for c in classes],
         "distance": [{"a": a, "b": b, "cost": rng.uniform(0.1, 5)} for a in names for b in names if a < b],
     })  # fmt: skip
+    return topology_of(file, "")
 
 
 def plans(fleets: int, sites: int) -> int:
     """Worth kept, and time."""
-    from oakbridge.sites.planning import Problem, make, proportional, solve
-    from oakbridge.sites.scheme import losses
+    from oakbridge.sites.plan_file import planned_losses
+    from oakbridge.sites.planning import SiteFigures, compute_plan, solve
+    from oakbridge.sites.proportional_routing import proportional_weight
 
     gains, worse = [], 0
     for seed in range(fleets):
-        problem = Problem(random_file(random.Random(seed), sites))
-        for lost in losses(problem.sites):
-            best, rule = solve(problem, lost), proportional(problem, lost)
-            if lost and best.offered:
-                gains.append((best.worth - rule) / best.offered)
-                worse += best.worth < rule - 1e-6 * best.offered
+        figures = SiteFigures(random_topology(random.Random(seed), sites))
+        for lost in planned_losses(figures.sites):
+            best, rule = solve(figures, lost), proportional_weight(figures, lost)
+            if lost and best.offered_weight:
+                gains.append((best.served_weight - rule) / best.offered_weight)
+                worse += best.served_weight < rule - 1e-6 * best.offered_weight
     gains.sort()
     print(
         f"{fleets} fleets of {sites} sites, {len(gains)} losses: worth kept beyond the rule's, of what is offered: "
@@ -71,9 +77,9 @@
     )
     times = []
     for seed in range(5):
-        file = random_file(random.Random(seed), 10)
+        topology = random_topology(random.Random(seed), 10)
         began = time.perf_counter()
-        plan = make(file, "")
+        plan = compute_plan(topology)
         times.append(time.perf_counter() - began)
     print(f"ten sites, {len(plan.scenarios)} losses planned: {statistics.median(times):.2f} s (median of 5)")
     return 1 if worse else 0
@@ -83,24 +89,34 @@
     """One course."""
     seed, with_sites, copies, flaps, lost = item
     servers = 3 * copies // 2
-    fleet = Fleet(
-        copies, servers, seed, CLASSES, ("a", "b", "c"), with_sites, repeats=5, max_retry_after=2 * SECOND,
-        slow_start_window=12 * SECOND, slow_start_minimum=0.25,
-    )  # fmt: skip
-    rate = 0.75 * servers * 4 * SECOND / WORK
+    fleet = SimulatedFleet(
+        copies,
+        servers,
+        seed,
+        classes=CLASSES,
+        sites=("a", "b", "c"),
+        with_site_plans=with_sites,
+        max_client_retries=5,
+        max_retry_after=2 * SECOND_US,
+        slow_start_window=12 * SECOND_US,
+        slow_start_minimum=0.25,
+    )
+    rate = 0.75 * servers * 4 * SECOND_US / MEAN_WORK_US
     total = BEFORE + LOST + AFTER
     for name, part in PARTS.items():
-        fleet.load(rate * part, total, name)
+        fleet.schedule_requests(rate * part, total, name)
     fleet.run(BEFORE)
     for flap in range(flaps):
         span = LOST / flaps
-        fleet.at(
-            fleet.now + flap * span * SECOND,
-            lambda s=span / (1 if flaps == 1 else 2): fleet.lose(["c", "b"][:lost], s),
-        )  # type: ignore[misc]
+        down_for_s = span / (1 if flaps == 1 else 2)
+        fleet.events.schedule(
+            fleet.now + flap * span * SECOND_US,
+            partial(fleet.fail_sites, ["c", "b"][:lost], down_for_s),
+        )
     fleet.run(LOST + AFTER + 6)
-    seconds = [fleet.by_second.get(s, {}) for s in range(total)]
-    parts = [s["served"] / s["asked"] if s and s["asked"] else 1.0 for s in seconds]
+    by_second = fleet.clients.by_second
+    seconds = [by_second.get(second, SecondTotals()) for second in range(total)]
+    parts = [s.served_weight / s.offered_weight if s.offered_weight else 1.0 for s in seconds]
     usual = statistics.fmean(parts[5:BEFORE])
     back = BEFORE + LOST
     smooth = [statistics.fmean(parts[s : s + 3]) for s in range(back, total - 2)]
@@ -109,7 +125,8 @@
         "usual": usual, "lost": statistics.fmean(parts[BEFORE:back]),
         "after": statistics.fmean(parts[back:]), "back": (late[-1] + 1) if late else 0,
         "never": bool(late) and late[-1] >= len(smooth) - 3,
-        "tries": sum(s["tries"] for s in seconds[BEFORE:back]) / max(1, sum(s["asked"] > 0 for s in seconds)),
+        "tries": sum(s.tries for s in seconds[BEFORE:back])
+        / max(1, sum(s.offered_weight > 0 for s in seconds)),
     }  # fmt: skip
 
 
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -41,8 +41,8 @@
 
 if TYPE_CHECKING:
     from oakbridge.peers.service import MembershipService
-    from oakbridge.sites.beside import SitesBeside
-    from oakbridge.spread.beside import SpreadBeside
+    from oakbridge.sites.runner import SitesRunner
+    from oakbridge.spread.runner import SubsetRunner
 
 
 @dataclass(frozen=True, slots=True)
@@ -200,34 +200,34 @@
 @asynccontextmanager
 async def sites(
     loaded: LoadedConfig, node: Node, held: MembershipService | None
-) -> AsyncIterator[SitesBeside | None]:
+) -> AsyncIterator[SitesRunner | None]:
     """The plan for lost sites, where the file asks for it."""
     if loaded.file.sites is None or held is None:
         yield None
         return
-    from oakbridge.config.sites import sites_of
-    from oakbridge.sites.beside import SitesBeside
+    from oakbridge.config.sites import node_sites
+    from oakbridge.sites.runner import SitesRunner
 
     try:
-        core = sites_of(loaded)
+        core = node_sites(loaded)
     except ConfigFileError as e:
         raise ConfigError(str(e)) from None
     assert core is not None
-    async with SitesBeside(node, held, core) as plan:
+    async with SitesRunner(node, held, core) as plan:
         yield plan
 
 
 @asynccontextmanager
 async def spread(
     loaded: LoadedConfig, node: Node, held: MembershipService | None
-) -> AsyncIterator[SpreadBeside | None]:
+) -> AsyncIterator[SubsetRunner | None]:
     """The servers divided among the nodes of a tier, where the file asks for it."""
     if loaded.file.spread is None or held is None:
         yield None
         return
-    from oakbridge.spread.beside import SpreadBeside
+    from oakbridge.spread.runner import SubsetRunner
 
-    async with SpreadBeside(node, held, loaded.file.spread.rings) as divided:
+    async with SubsetRunner(node, held, loaded.file.spread.rings) as divided:
         yield divided
 
 
@@ -262,8 +262,8 @@
     loaded: LoadedConfig,
     node: Node,
     held: MembershipService | None,
-    plan: SitesBeside | None,
-    divided: SpreadBeside | None,
+    plan: SitesRunner | None,
+    divided: SubsetRunner | None,
 ) -> AsyncIterator[None]:
     """The node's control socket, for as long as it runs."""
     if loaded.control is None:
