--- a/oakbridge/control/status.py
+++ b/oakbridge/control/status.py
@@ -68,13 +68,13 @@
         "servers": balancer.servers,
         "subset": balancer.subset,
         "ejected": balancer.ejected,
-        "out": balancer.out,
+        "out": balancer.in_flight,
         "limit": balancer.limit,
         "waiting": balancer.waiting,
         "open_requests": balancer.open_requests,
         "retries_left": balancer.retries_left,
         "attempts_per_s": balancer.attempts_per_s,
-        "fail_rate": balancer.fail_rate,
+        "fail_rate": balancer.failure_rate,
     }
 
 
@@ -85,10 +85,10 @@
         "zone": server.zone,
         "address": server.address,
         "subset": server.subset,
-        "out": server.out,
+        "out": server.in_flight,
         "ejected_for": server.ejected_for,
-        "warmth": server.warmth,
+        "warmth": server.capacity_share,
         "slowness": server.slowness,
-        "cap": server.cap,
+        "cap": server.max_in_flight,
         "since_version": server.since_version,
     }
--- a/oakbridge/policy/view.py
+++ b/oakbridge/policy/view.py
@@ -16,48 +16,48 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerView:
-    """What one copy knows of one server; times in seconds."""
+    """What one replica knows of one server; times in seconds."""
 
     name: str
-    state: str  # up, cold, ejected, drains (may not be sent to, and has calls out)
+    state: str  # up, cold, ejected, drains (may not be sent to, and has attempts in flight)
     zone: str
     address: str
     subset: bool
-    out: int
+    in_flight: int
     ejected_for: float
-    warmth: float
+    capacity_share: float  # below 1 in slow start
     slowness: float
-    cap: float | None  # own calls that it takes, once it has turned one away
+    max_in_flight: float | None  # attempts that it accepts, once it has rejected one
     since_version: int
 
 
 @dataclass(frozen=True, slots=True)
 class BalancerView:
-    """What one copy knows as a whole."""
+    """What one replica knows as a whole."""
 
     list_version: int
     servers: int
     subset: int
     ejected: int
-    out: int
+    in_flight: int
     limit: float
     waiting: int
     open_requests: int
     retries_left: float
     attempts_per_s: float
-    fail_rate: float
+    failure_rate: float
     rows: list[ServerView]
 
 
 def _row(balancer: Balancer, server: Server, now: int) -> ServerView:
-    warmth = balancer.slow_start.capacity_share(server, now)
+    capacity_share = balancer.slow_start.capacity_share(server, now)
     ejected_for = max(0, server.ejected_until - now) / SECOND_US
     if server.partition is None:
         state = "drains"
     elif ejected_for:
         state = "ejected"
     else:
-        state = "cold" if warmth < 1 else "up"
+        state = "cold" if capacity_share < 1 else "up"
     limited = server.max_in_flight < math.inf
     return ServerView(
         name=server.id,
@@ -65,11 +65,11 @@
         zone=server.zone,
         address=server.address,
         subset=server.partition is balancer.members.subset,
-        out=len(server.in_flight),
+        in_flight=len(server.in_flight),
         ejected_for=round(ejected_for, 3),
-        warmth=round(warmth, 3),
+        capacity_share=round(capacity_share, 3),
         slowness=round(balancer.selection.slowness(server, now), 3),
-        cap=round(server.max_in_flight, 1) if limited else None,
+        max_in_flight=round(server.max_in_flight, 1) if limited else None,
         since_version=server.listed_since,
     )
 
@@ -106,13 +106,13 @@
         servers=len(balancer.servers),
         subset=len(subset),
         ejected=sum(server.ejected_until > now for server in balancer.servers.values()),
-        out=balancer.admission.in_flight,
+        in_flight=balancer.admission.in_flight,
         limit=round(balancer.admission.limit, 1),
         waiting=balancer.admission.waiting.count,
         open_requests=len(balancer.requests),
         retries_left=round(balancer.budget.left(now), 2),
         attempts_per_s=round(_per_second(balancer, now), 1),
-        fail_rate=round(balancer.outliers.recent_failure_rate, 4),
+        failure_rate=round(balancer.outliers.recent_failure_rate, 4),
         rows=sorted((_row(balancer, server, now) for server in shown), key=lambda row: row.name),
     )
 
@@ -133,25 +133,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneView:
-    """How the servers of one zone that were met lately ended their last attempt."""
+    """How the last attempts at the servers of one zone ended, for those that had one lately."""
 
     zone: str
     listed: int
-    good: int
-    mute: int  # silence
-    dead: int  # refused, broken off, or answered as failed
+    responding: int
+    timed_out: int
+    failed: int  # refused, reset, or answered with an error
 
 
 def zones(balancer: Balancer, now: int, window: int) -> list[ZoneView]:
-    """Return all listed zones; ``window``: microseconds that a meeting counts for."""
+    """Return all listed zones; ``window``: how recent an outcome must be, in microseconds."""
     found: list[ZoneView] = []
     since = now - window
     for zone, servers in sorted(balancer.members.by_zone.items()):
-        good = mute = dead = 0
+        responding = timed_out = failed = 0
         for server in servers.values():
-            failed = server.failed_at > server.answered_at and server.failed_at >= since
-            good += not failed and server.answered_at >= since
-            mute += failed and server.failed_silently
-            dead += failed and not server.failed_silently
-        found.append(ZoneView(zone, len(servers), good, mute, dead))
+            has_failed = server.failed_at > server.answered_at and server.failed_at >= since
+            responding += not has_failed and server.answered_at >= since
+            timed_out += has_failed and server.failed_silently
+            failed += has_failed and not server.failed_silently
+        found.append(ZoneView(zone, len(servers), responding, timed_out, failed))
     return found
--- a/oakbridge/sites/node_sites.py
+++ b/oakbridge/sites/node_sites.py
@@ -170,12 +170,12 @@
         verdicts = {name: _verdict(site) for name, site in self.sites.items() if site.is_lost}
         zones = sorted(
             self._local.zones,
-            key=lambda zone: (zone.zone not in verdicts, -(zone.mute + zone.dead)),
+            key=lambda zone: (zone.zone not in verdicts, -(zone.timed_out + zone.failed)),
         )
         observations = tuple(
             _observation(zone, verdicts.get(zone.zone, SiteVerdict.NONE))
             for zone in zones
-            if zone.good + zone.mute + zone.dead or zone.zone in verdicts
+            if zone.responding + zone.timed_out + zone.failed or zone.zone in verdicts
         )
         return SiteReport(
             observations[:MAX_SITES],
@@ -252,7 +252,7 @@
         self, now_us: int, view: ClusterView, reports: Sequence[ReceivedReport]
     ) -> tuple[SiteTransition, ...]:
         members = [received.observations for received in reports]
-        own = tuple(SiteObservation(z.zone, z.good, z.mute, z.dead) for z in self._local.zones)
+        own = tuple(SiteObservation(z.zone, z.responding, z.timed_out, z.failed) for z in self._local.zones)
         members.append(MemberObservations(self.name, self.home, 0, own))
         listed = {zone.zone: zone.listed for zone in self._local.zones}
         transitions = []
@@ -340,4 +340,4 @@
 
 
 def _observation(zone: ZoneView, verdict: SiteVerdict) -> SiteObservation:
-    return SiteObservation(zone.zone[:MAX_TEXT], zone.good, zone.mute, zone.dead, verdict)
+    return SiteObservation(zone.zone[:MAX_TEXT], zone.responding, zone.timed_out, zone.failed, verdict)
--- a/tests/policy/decision_digest.py
+++ b/tests/policy/decision_digest.py
@@ -400,7 +400,7 @@
         """
         saved = json.loads(json.dumps(state.save(self.balancer, self.now)))
         seen = [
-            [z.zone, z.listed, z.good, z.mute, z.dead] for z in view.zones(self.balancer, self.now, SECOND_US)
+            [z.zone, z.listed, z.responding, z.timed_out, z.failed] for z in view.zones(self.balancer, self.now, SECOND_US)
         ]
         self.digest.add_values([saved, seen, view.listed(self.balancer), view.brief(self.balancer, self.now)])
         held = len(self.out)
--- a/tests/sites/test_balancer_zone_weights.py
+++ b/tests/sites/test_balancer_zone_weights.py
@@ -107,7 +107,7 @@
 def test_a_zone_view_counts_servers_by_how_their_last_attempt_ended():
     driver = BalancerDriver()
     driver.serve(100)
-    before = {z.zone: (z.good > 0, z.mute, z.dead) for z in zones(driver.balancer, driver.now, 4 * SECOND_US)}
+    before = {z.zone: (z.responding > 0, z.timed_out, z.failed) for z in zones(driver.balancer, driver.now, 4 * SECOND_US)}
     assert before == dict.fromkeys("abc", (True, 0, 0))
     for result, mute in (
         (AttemptResult.CONNECT_FAILED, 0),
@@ -117,7 +117,7 @@
         driver = BalancerDriver([Endpoint("a1", zone="a")])
         driver.serve(1, result=result)
         (found,) = zones(driver.balancer, driver.now, 4 * SECOND_US)
-        assert (found.mute, found.dead) == (mute, int(result == AttemptResult.CONNECT_FAILED))
+        assert (found.timed_out, found.failed) == (mute, int(result == AttemptResult.CONNECT_FAILED))
 
 
 @pytest.mark.parametrize(
