--- a/oakbridge/cli/agent.py
+++ b/oakbridge/cli/agent.py
@@ -15,7 +15,7 @@
 from oakbridge.agent.errors import AgentConfigError, StoreError
 from oakbridge.agent.operator_api import OperatorApi
 from oakbridge.agent.store import Store
-from oakbridge.cli.common import BadInput, Failed
+from oakbridge.cli.common import CommandFailedError, InvalidInputError
 from oakbridge.cli.logs import log_option, start_logs
 from oakbridge.fleet.errors import PkiError
 from oakbridge.fleet.pki import tls_context
@@ -62,6 +62,6 @@
         tls = tls_context(config.authority, config.certificate, server=True)
         asyncio.run(run(config, Store(config.state), tls))
     except (AgentConfigError, StoreError, PkiError) as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     except OSError as e:
-        raise Failed(f"can't start: {e}") from None
+        raise CommandFailedError(f"can't start: {e}") from None
--- a/oakbridge/cli/check.py
+++ b/oakbridge/cli/check.py
@@ -6,7 +6,7 @@
 
 import click
 
-from oakbridge.cli.common import BadInput, say_json
+from oakbridge.cli.common import InvalidInputError, say_json
 from oakbridge.cli.serve import file_options
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.config.load import load
@@ -23,7 +23,7 @@
     if reference:
         return click.echo(page(), nl=False)
     if path is None:
-        raise BadInput("check: expected the configuration's FILE")
+        raise InvalidInputError("check: expected the configuration's FILE")
     problems, told = [], ""
     try:
         loaded = load(path)
@@ -53,7 +53,7 @@
             ],
         })  # fmt: skip
     elif problems:
-        raise BadInput("\n".join(map(str, problems)))
+        raise InvalidInputError("\n".join(map(str, problems)))
     else:
         click.echo(f"{path}: good ({told})")
     if problems:
--- a/oakbridge/cli/common.py
+++ b/oakbridge/cli/common.py
@@ -14,7 +14,7 @@
 from oakbridge.control.paths import runtime_directory
 
 
-class Failed(click.ClickException):
+class CommandFailedError(click.ClickException):
     """It did not work: exit code 1."""
 
     exit_code = 1
@@ -24,7 +24,7 @@
         print(*(f"oakbridge: {line}" for line in self.message.splitlines()), sep="\n", file=sys.stderr)
 
 
-class BadInput(Failed):
+class InvalidInputError(CommandFailedError):
     """A mistake in a file or in how the command was called: exit code 2."""
 
     exit_code = 2
@@ -58,7 +58,7 @@
     try:
         return ControlClient(find_socket(socket_path, config))
     except NodeUnreachableError as e:
-        raise Failed(str(e)) from None
+        raise CommandFailedError(str(e)) from None
 
 
 def find_socket(socket_path: Path | None, config: Path | None) -> Path:
@@ -72,17 +72,21 @@
         try:
             found = load(config).control
         except ConfigFileError as e:
-            raise BadInput(str(e)) from None
+            raise InvalidInputError(str(e)) from None
         if found is None:
-            raise BadInput(f"{config}: control: enabled is false, so this node has no control socket")
+            raise InvalidInputError(
+                f"{config}: control: enabled is false, so this node has no control socket"
+            )
         return found
     folder = runtime_directory()
     sockets = sorted(folder.glob("*.sock"))
     if len(sockets) == 1:
         return sockets[0]
     if not sockets:
-        raise Failed(f"no control socket in {folder}: is a node running? (--socket or --config names one)")
+        raise CommandFailedError(
+            f"no control socket in {folder}: is a node running? (--socket or --config names one)"
+        )
     names = ", ".join(s.stem for s in sockets)
-    raise BadInput(
+    raise InvalidInputError(
         f"several nodes have control sockets in {folder} ({names}): name one with --socket or --config"
     )
--- a/oakbridge/cli/demo.py
+++ b/oakbridge/cli/demo.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from oakbridge.cli.common import Failed, say_json
+from oakbridge.cli.common import CommandFailedError, say_json
 from oakbridge.cli.status import STATE_STYLE
 from oakbridge.demo.play import DemoFailed, Scene, play
 
@@ -35,14 +35,16 @@
             with Live(console=console, refresh_per_second=4) as live:
                 scene = asyncio.run(play(rate, seconds, seed, lambda s: live.update(picture(s))))
     except DemoFailed as e:
-        raise Failed(str(e)) from None
+        raise CommandFailedError(str(e)) from None
     if as_json:
         say_json(result(scene))
     elif not console.is_terminal:
         console.print(picture(scene))
     tally = scene.tally
     if tally.lost or tally.done != tally.sent:
-        raise Failed(f"{tally.sent - sum(tally.answered.values())} of {tally.sent} requests have no answer")
+        raise CommandFailedError(
+            f"{tally.sent - sum(tally.answered.values())} of {tally.sent} requests have no answer"
+        )
     if not as_json:
         console.print(f"Every one of {tally.sent} requests had exactly one answer.")
 
--- a/oakbridge/cli/fleet.py
+++ b/oakbridge/cli/fleet.py
@@ -14,7 +14,7 @@
 from rich.console import Console, Group
 from rich.live import Live
 
-from oakbridge.cli.common import BadInput, Failed, say_json
+from oakbridge.cli.common import CommandFailedError, InvalidInputError, say_json
 from oakbridge.cli.fleet_view import (
     agent_row,
     fleet_view,
@@ -55,7 +55,7 @@
 
 
 async def members_by(via: str, secret_file: Path | None, within: float = 5.0) -> list[dict[str, Any]]:
-    """Return the members that the member at an address knows.  Raises BadInput or Failed."""
+    """Return the members that the member at an address knows.  Raises InvalidInputError or CommandFailedError."""
     from oakbridge.config.errors import ConfigFileError
     from oakbridge.config.peers import read_secret
     from oakbridge.node.address import parse_address
@@ -63,15 +63,15 @@
     from oakbridge.peers.member_query import MemberQueryError, query_members
 
     if secret_file is None:
-        raise BadInput("--via: expected --secret-file with it")
+        raise InvalidInputError("--via: expected --secret-file with it")
     try:
         return await query_members(parse_address(via), read_secret(secret_file), within)
     except ConfigFileError as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     except ConfigError as e:
-        raise BadInput(f"--via: {e}") from None
+        raise InvalidInputError(f"--via: {e}") from None
     except MemberQueryError as e:
-        raise Failed(str(e)) from None
+        raise CommandFailedError(str(e)) from None
 
 
 @click.group("fleet")
@@ -81,7 +81,7 @@
 
 def _named(text: str, what: str) -> str:
     if not is_valid_name(text):
-        raise BadInput(
+        raise InvalidInputError(
             f"{what}: expected up to 63 letters, digits, dots, dashes and underscores, got {text!r:.80}"
         )
     return text
@@ -91,7 +91,7 @@
     try:
         return read_inventory(folder)
     except InventoryError as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
 
 
 @command.command("init")
@@ -106,9 +106,9 @@
             folder, Identity(name, IdentityKind.OPERATOR, "admin", Role.WRITE), folder / "operators" / "admin"
         )
     except PkiError as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     except OSError as e:
-        raise Failed(f"{folder}: {e.strerror}") from None
+        raise CommandFailedError(f"{folder}: {e.strerror}") from None
     write_inventory(folder, Inventory(name))
     click.echo(
         f"fleet {name}: {folder / INVENTORY_FILE}; keep {folder / 'ca.key'} where nobody else can read it"
@@ -133,7 +133,7 @@
     inventory = _read(folder)
     _named(name, "NAME")
     if name in inventory.agents:
-        raise BadInput(f"NAME: there is an agent {name} already")
+        raise InvalidInputError(f"NAME: there is an agent {name} already")
     try:
         inventory.agents[name] = parse_address(address)
         stem = folder / "agents" / name
@@ -141,7 +141,7 @@
             folder, Identity(inventory.name, IdentityKind.AGENT, name, Role.READ), stem, days
         )
     except (ConfigError, PkiError) as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     write_inventory(folder, inventory)
     click.echo(f"agent {name}: take {stem}.crt, {stem}.key and {folder / 'ca.crt'} to its host")
 
@@ -164,7 +164,7 @@
     try:
         pki.issue_certificate(folder, Identity(inventory.name, IdentityKind.OPERATOR, name, role), stem, days)
     except PkiError as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     click.echo(f"operator {name} may {role}: {stem}.crt, {stem}.key")
 
 
@@ -172,17 +172,17 @@
     """Return the client of an operator, by the fleet's folder and the name of the certificate.
 
     Raises:
-        BadInput: if the inventory or the certificate can't be used, or there are no agents.
+        InvalidInputError: if the inventory or the certificate can't be used, or there are no agents.
     """
     inventory = _read(folder)
     if not inventory.agents:
-        raise BadInput(
+        raise InvalidInputError(
             f"{folder / INVENTORY_FILE}: the fleet has no agents yet (`oakbridge fleet add-agent`)"
         )
     try:
         tls = pki.tls_context(folder / "ca.crt", folder / "operators" / _named(name, "--as"), server=False)
     except PkiError as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     return FleetClient(inventory, tls, within_s, name)
 
 
--- a/oakbridge/cli/lab.py
+++ b/oakbridge/cli/lab.py
@@ -11,7 +11,7 @@
 
 import click
 
-from oakbridge.cli.common import BadInput, Failed, say_json
+from oakbridge.cli.common import CommandFailedError, InvalidInputError, say_json
 from oakbridge.config.errors import ConfigFileError
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
     try:
         plan = load_plan(path)
     except ConfigFileError as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     began = time.monotonic()
     summary = _play(plan, path, seed, out, quick, root)
     _show(summary, as_json)
@@ -60,7 +60,7 @@
     from oakbridge.lab.runner import LabRun
 
     if out.exists() and (not out.is_dir() or (any(out.iterdir()) and not (out / MARK).exists())):
-        raise BadInput(f"{out}: expected an empty folder, or one of an earlier run")
+        raise InvalidInputError(f"{out}: expected an empty folder, or one of an earlier run")
     out.mkdir(parents=True, exist_ok=True)
     (out / MARK).write_text(json.dumps({"file": path.name, "seed": seed, "quick": quick}) + "\n")
     for old in [*out.glob("*.parquet"), *out.glob(LATEST)]:
@@ -71,7 +71,7 @@
     try:
         history, results = asyncio.run(lab_run.play())
     except (RunFailedError, NoSlot) as e:
-        raise Failed(str(e)) from None
+        raise CommandFailedError(str(e)) from None
     except KeyboardInterrupt:
         raise click.Abort from None
     from oakbridge.lab import checks, report
@@ -111,9 +111,9 @@
         found = comparing.cases(paths, [comparing.varied(text) for text in vary], roots)
         plans = {case.name: load_plan(case.file, case.changes) for case in found}
     except ConfigFileError as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     except comparing.BadVary as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     figures: dict[str, dict[int, dict[str, float | None]]] = {case.name: {} for case in found}
     for seed in range(1, seeds + 1):
         for number, case in enumerate(found):
@@ -153,9 +153,9 @@
         found = json.loads(path.read_text())
         found["checks"], found["latency_ms"], found["seed"]
     except OSError as e:
-        raise BadInput(f"{path}: {e.strerror or e}") from None
+        raise InvalidInputError(f"{path}: {e.strerror or e}") from None
     except (ValueError, KeyError, TypeError):
-        raise BadInput(f"{path}: expected the summary of a run") from None
+        raise InvalidInputError(f"{path}: expected the summary of a run") from None
     assert isinstance(found, dict)
     return found
 
--- a/oakbridge/cli/looking.py
+++ b/oakbridge/cli/looking.py
@@ -10,7 +10,7 @@
 from rich.console import Console, Group
 from rich.live import Live
 
-from oakbridge.cli.common import Failed, connect, say_json
+from oakbridge.cli.common import CommandFailedError, connect, say_json
 from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
 
@@ -27,7 +27,7 @@
 ) -> None:
     """Send a command to a node and show its result as JSON or by ``render``.
 
-    ``watch``: again every so many seconds until Ctrl-C.  Raises Failed.
+    ``watch``: again every so many seconds until Ctrl-C.  Raises CommandFailedError.
     """
     with connect(socket_path, config) as client:
         try:
@@ -41,6 +41,6 @@
                     live.update(render(client.request(command, **arguments)), refresh=True)
                     time.sleep(every)
         except (NodeUnreachableError, RequestRejectedError) as e:
-            raise Failed(str(e)) from None
+            raise CommandFailedError(str(e)) from None
         except KeyboardInterrupt:
             return
--- a/oakbridge/cli/peers.py
+++ b/oakbridge/cli/peers.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from oakbridge.cli.common import Failed, connect, look_options, say_json, socket_options
+from oakbridge.cli.common import CommandFailedError, connect, look_options, say_json, socket_options
 from oakbridge.cli.looking import show
 from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
@@ -48,7 +48,7 @@
         try:
             report = client.request(ControlCommand.PEER_HISTORY, name=name)
         except (NodeUnreachableError, RequestRejectedError) as e:
-            raise Failed(str(e)) from None
+            raise CommandFailedError(str(e)) from None
     if as_json:
         return say_json(report)
     for change in report["history"]:
--- a/oakbridge/cli/rollout/change_options.py
+++ b/oakbridge/cli/rollout/change_options.py
@@ -6,7 +6,7 @@
 
 from oakbridge.agent.errors import StoreError
 from oakbridge.agent.generations import check_files
-from oakbridge.cli.common import BadInput
+from oakbridge.cli.common import InvalidInputError
 from oakbridge.rollout.change import (
     CONFIG_FILE,
     DRAIN_MARKER,
@@ -21,9 +21,9 @@
 
 
 def read_change(files: Path | None, servers: Path | None, values: tuple[str, ...]) -> Change:
-    """Return the change of the options, exactly one of which must be given.  Raise BadInput."""
+    """Return the change of the options, exactly one of which must be given.  Raise InvalidInputError."""
     if sum(1 for given in (files, servers, values) if given) != 1:
-        raise BadInput("apply: expected one of --files, --servers or --set")
+        raise InvalidInputError("apply: expected one of --files, --servers or --set")
     if files is not None:
         return ReplaceFiles(_read_files(files))
     if servers is not None:
@@ -31,7 +31,7 @@
     try:
         return SetValues(dict(parse_setting(value) for value in values))
     except ChangeError as error:
-        raise BadInput(str(error)) from None
+        raise InvalidInputError(str(error)) from None
 
 
 def _read_files(folder: Path) -> Files:
@@ -44,13 +44,13 @@
         }
         check_files(files)
     except OSError as error:
-        raise BadInput(f"{folder}: {error.strerror}") from None
+        raise InvalidInputError(f"{folder}: {error.strerror}") from None
     except (UnicodeDecodeError, StoreError) as error:
-        raise BadInput(f"{folder}: {error}") from None
+        raise InvalidInputError(f"{folder}: {error}") from None
     if CONFIG_FILE not in files:
-        raise BadInput(f"{folder}: expected a file {CONFIG_FILE}")
+        raise InvalidInputError(f"{folder}: expected a file {CONFIG_FILE}")
     if DRAIN_MARKER in files:
-        raise BadInput(f"{folder}: {DRAIN_MARKER}: this name is kept for `fleet drain`")
+        raise InvalidInputError(f"{folder}: {DRAIN_MARKER}: this name is kept for `fleet drain`")
     return files
 
 
@@ -58,6 +58,6 @@
     try:
         return path.read_text("utf-8")
     except OSError as error:
-        raise BadInput(f"{path}: {error.strerror}") from None
+        raise InvalidInputError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise BadInput(f"{path}: {error}") from None
+        raise InvalidInputError(f"{path}: {error}") from None
--- a/oakbridge/cli/rollout/commands.py
+++ b/oakbridge/cli/rollout/commands.py
@@ -8,7 +8,7 @@
 
 import click
 
-from oakbridge.cli.common import BadInput, say_json
+from oakbridge.cli.common import InvalidInputError, say_json
 from oakbridge.cli.fleet import command, folder_option, operator_of, operator_option
 from oakbridge.cli.rollout.change_options import read_change
 from oakbridge.cli.rollout.options import WaveArguments, timing_options, wave_options
@@ -106,7 +106,9 @@
 ) -> None:
     """Roll out the drain marker."""
     if not waves.only:
-        raise BadInput("drain: expected --only AGENT/INSTANCE: a whole fleet is not drained by accident")
+        raise InvalidInputError(
+            "drain: expected --only AGENT/INSTANCE: a whole fleet is not drained by accident"
+        )
     session = RolloutSession(folder, operator, options, as_json)
     session.roll_out(Drain(why), waves, auto_rollback=False, why=why)
 
@@ -130,7 +132,7 @@
     targets, _ = asyncio.run(find_targets(client, waves.only))
     drained = tuple(target.name for target in targets if target.drained)
     if not drained:
-        raise BadInput("undrain: no instance is drained")
+        raise InvalidInputError("undrain: no instance is drained")
     session = RolloutSession(folder, operator, options, as_json)
     only_drained = replace(waves, only=drained)
     session.roll_out(Undrain(), only_drained, auto_rollback=False, why=why)
@@ -162,7 +164,7 @@
     change = RollBackRollout(rollout)
     sources = read_journal(folder, lambda journal: rollback_sources(journal, change))
     if not sources:
-        raise BadInput(f"rollout {rollout}: no instance took it that ran anything before")
+        raise InvalidInputError(f"rollout {rollout}: no instance took it that ran anything before")
     session = RolloutSession(folder, operator, options, as_json)
     session.roll_out(change, waves, auto_rollback=undo, why=why, sources=sources)
 
--- a/oakbridge/cli/rollout/doctor_command.py
+++ b/oakbridge/cli/rollout/doctor_command.py
@@ -9,7 +9,7 @@
 
 import click
 
-from oakbridge.cli.common import BadInput, say_json
+from oakbridge.cli.common import InvalidInputError, say_json
 from oakbridge.cli.fleet import (
     command,
     folder_option,
@@ -42,7 +42,7 @@
         try:
             entries = journal.entries()
         except JournalError as error:
-            raise BadInput(str(error)) from None
+            raise InvalidInputError(str(error)) from None
     answers: dict[str, dict[str, Any] | str] = {
         response.agent: response.body
         if response.status == 200
--- a/oakbridge/cli/rollout/options.py
+++ b/oakbridge/cli/rollout/options.py
@@ -9,7 +9,7 @@
 
 import click
 
-from oakbridge.cli.common import BadInput
+from oakbridge.cli.common import InvalidInputError
 from oakbridge.rollout.coordinator import RolloutOptions
 from oakbridge.rollout.plan import PlanError, Target, Wave, WaveOptions, plan_waves
 
@@ -28,13 +28,13 @@
     only: tuple[str, ...]
 
     def plan(self, targets: Sequence[Target]) -> tuple[Wave, ...]:
-        """Return the waves.  Raise BadInput if they cannot be planned."""
+        """Return the waves.  Raise InvalidInputError if they cannot be planned."""
         shares = self.shares or WaveOptions().shares
         try:
             options = WaveOptions(self.canary, shares, self.by_zone, self.unavailable)
             return plan_waves(targets, options)
         except PlanError as error:
-            raise BadInput(str(error)) from None
+            raise InvalidInputError(str(error)) from None
 
 
 def wave_options(command: Command) -> Command:
--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.live import Live
 
-from oakbridge.cli.common import BadInput, Failed, say_json
+from oakbridge.cli.common import CommandFailedError, InvalidInputError, say_json
 from oakbridge.cli.fleet import operator_of
 from oakbridge.cli.rollout.options import WaveArguments
 from oakbridge.cli.rollout.view import render
@@ -113,7 +113,7 @@
             try:
                 return asyncio.run(run_and_release(journal))
             except JournalError as error:
-                raise BadInput(str(error)) from None
+                raise InvalidInputError(str(error)) from None
 
     async def _coordinate(
         self,
@@ -195,7 +195,7 @@
 async def find_targets(operator: FleetClient, only: tuple[str, ...]) -> tuple[list[Target], list[str]]:
     """Return the instances that answer, or those of ``only``, and the silent agents.
 
-    Raise BadInput if one of ``only`` is missing.
+    Raise InvalidInputError if one of ``only`` is missing.
     """
     responses = await operator.call_all(messages.StatusRequest())
     targets = [
@@ -217,7 +217,7 @@
     ]
     if missing := set(only) - {target.name for target in targets}:
         names = ", ".join(sorted(missing))
-        raise BadInput(f"--only: there is no instance {names} that can be seen")
+        raise InvalidInputError(f"--only: there is no instance {names} that can be seen")
     return [target for target in targets if not only or target.name in only], unseen
 
 
@@ -241,24 +241,24 @@
 
 
 def read_journal(folder: Path, read: Callable[[Journal], Result]) -> Result:
-    """Return what ``read`` reads in the fleet's journal.  Raise BadInput if it cannot be read."""
+    """Return what ``read`` reads in the fleet's journal.  Raise InvalidInputError if it cannot be read."""
     try:
         with Journal(folder) as journal:
             return read(journal)
     except JournalError as error:
-        raise BadInput(str(error)) from None
+        raise InvalidInputError(str(error)) from None
 
 
 def open_journal(folder: Path) -> Journal:
-    """Return the fleet's journal.  Raise BadInput if it cannot be used."""
+    """Return the fleet's journal.  Raise InvalidInputError if it cannot be used."""
     try:
         return Journal(folder)
     except JournalError as error:
-        raise BadInput(str(error)) from None
+        raise InvalidInputError(str(error)) from None
 
 
 async def acquire_lease(operator: FleetClient) -> LeaseResult:
-    """Return the lease.  Raise Failed, with who has it, without a majority of the agents."""
+    """Return the lease.  Raise CommandFailedError, with who has it, without a majority of the agents."""
     held = await operator.acquire_lease(LEASE_S)
     agent_count = len(operator.inventory.agents)
     if held.has_majority(agent_count):
@@ -268,8 +268,10 @@
             since = time.strftime("%H:%M:%S", time.localtime(response.body["since"]))
             ends_in_s = response.body.get("ends_in_s")
             ends = f", ends in {ends_in_s:.0f} s" if ends_in_s else ""
-            raise Failed(f"{holder} has the lease since {since}{ends} (agent {response.agent})")
+            raise CommandFailedError(f"{holder} has the lease since {since}{ends} (agent {response.agent})")
     if held.denied:
         response = held.denied[0]
-        raise Failed(f"agent {response.agent} refuses: {response.body.get('error')}")
-    raise Failed(f"{len(held.granted_by)} of {agent_count} agents answer; a majority is needed for a change")
+        raise CommandFailedError(f"agent {response.agent} refuses: {response.body.get('error')}")
+    raise CommandFailedError(
+        f"{len(held.granted_by)} of {agent_count} agents answer; a majority is needed for a change"
+    )
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -19,7 +19,7 @@
 
 from oakbridge.__main__ import main as serve_platform
 from oakbridge.__main__ import start_log
-from oakbridge.cli.common import BadInput, Failed
+from oakbridge.cli.common import CommandFailedError, InvalidInputError
 from oakbridge.cli.logs import JSON, log_option, start_logs
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.config.load import LoadedConfig, load
@@ -321,13 +321,15 @@
     """
     if path is None:
         if not os.environ.get("NODE_CONFIG"):
-            raise BadInput("serve: expected --config FILE (docs/getting-started.md has one to begin with)")
+            raise InvalidInputError(
+                "serve: expected --config FILE (docs/getting-started.md has one to begin with)"
+            )
         raise click.exceptions.Exit(serve_platform())
     given = Given(path, name, listen, socket_path, workers, worker, log_format, member)
     try:
         loaded = given.load()
     except (ConfigFileError, ConfigError) as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it: it ends no node
     level = getattr(logging, loaded.file.log.level.upper())
     if log_format == JSON:
@@ -348,6 +350,6 @@
             )
         )
     except ConfigError as e:
-        raise BadInput(str(e)) from None
+        raise InvalidInputError(str(e)) from None
     except OSError as e:
-        raise Failed(f"can't start: {e}") from None
+        raise CommandFailedError(f"can't start: {e}") from None
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from oakbridge.cli.common import BadInput, Failed, connect, say_json, socket_options
+from oakbridge.cli.common import CommandFailedError, InvalidInputError, connect, say_json, socket_options
 from oakbridge.control.errors import RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
 from oakbridge.node.endpoint_list import ListedEndpoint
@@ -61,7 +61,7 @@
 def show(path: Path, against: Path | None, saved: Path | None, as_json: bool) -> None:
     """Show the servers of a file, or what it would change."""
     if against is not None and saved is not None:
-        raise BadInput("servers show: expected one of --against and --saved")
+        raise InvalidInputError("servers show: expected one of --against and --saved")
     found = _inspect_valid(path)
     base = _load_base(against, saved)
     now_us = int(time.time() * 1e6)
@@ -106,17 +106,17 @@
         try:
             client.request(command, **arguments)
         except RequestRejectedError as error:
-            raise Failed(str(error)) from None
+            raise CommandFailedError(str(error)) from None
 
 
 # ---- reading
 
 
 def _inspect_valid(path: Path) -> Inspection:
-    """Return what the server files hold.  Raises BadInput with all their mistakes."""
+    """Return what the server files hold.  Raises InvalidInputError with all their mistakes."""
     found = inspect_server_files(path)
     if found.problems:
-        raise BadInput("\n".join(map(str, found.problems)))
+        raise InvalidInputError("\n".join(map(str, found.problems)))
     return found
 
 
@@ -128,7 +128,7 @@
     if saved is not None:
         version = load_saved_version(saved)
         if version is None:
-            raise BadInput(f"{saved}: expected a saved copy of a list that can be read")
+            raise InvalidInputError(f"{saved}: expected a saved copy of a list that can be read")
         return version
     return None
 
--- a/oakbridge/cli/sites.py
+++ b/oakbridge/cli/sites.py
@@ -12,7 +12,14 @@
 from rich.table import Table
 from rich.text import Text
 
-from oakbridge.cli.common import BadInput, Failed, connect, look_options, say_json, socket_options
+from oakbridge.cli.common import (
+    CommandFailedError,
+    InvalidInputError,
+    connect,
+    look_options,
+    say_json,
+    socket_options,
+)
 from oakbridge.cli.looking import show
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
@@ -50,7 +57,7 @@
         try:
             return client.request(command, **arguments)
         except (NodeUnreachableError, RequestRejectedError) as error:
-            raise Failed(str(error)) from None
+            raise CommandFailedError(str(error)) from None
 
 
 @command.command("why")
@@ -121,11 +128,11 @@
         topology = load_topology(path)
         made = compute_plan(topology)
     except ConfigFileError as error:
-        raise BadInput(str(error)) from None
+        raise InvalidInputError(str(error)) from None
     except PlanningError as error:
-        raise Failed(str(error)) from None
+        raise CommandFailedError(str(error)) from None
     if mistakes := check_plan(made, topology):
-        raise Failed("\n".join(mistakes))
+        raise CommandFailedError("\n".join(mistakes))
     return made
 
 
@@ -135,7 +142,7 @@
     try:
         save_plan(path, made)
     except OSError as error:
-        raise Failed(f"{path}: {error.strerror or error}") from None
+        raise CommandFailedError(f"{path}: {error.strerror or error}") from None
 
 
 def _scenario_line(scenario: LossScenario) -> str:
@@ -168,9 +175,9 @@
         topology = load_topology(path)
         mistakes = check_plan(load_plan(plan_path), topology) if plan_path is not None else []
     except ConfigFileError as error:
-        raise BadInput(str(error)) from None
+        raise InvalidInputError(str(error)) from None
     if mistakes:
-        raise BadInput("\n".join(f"{plan_path}: {mistake}" for mistake in mistakes))
+        raise InvalidInputError("\n".join(f"{plan_path}: {mistake}" for mistake in mistakes))
     counts = f"{len(topology.sites)} sites, {len(topology.classes)} classes"
     click.echo(f"{path}: good ({counts}, version {topology.version})")
 
--- a/oakbridge/cli/spread.py
+++ b/oakbridge/cli/spread.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from oakbridge.cli.common import BadInput, look_options, say_json, socket_options
+from oakbridge.cli.common import InvalidInputError, look_options, say_json, socket_options
 from oakbridge.cli.looking import show
 from oakbridge.control.protocol import ControlCommand
 from oakbridge.spread.arcs import MAX_RINGS
@@ -86,7 +86,7 @@
     from oakbridge.spread.operator_view import forecast_row
 
     if nodes * servers > MAX_PAIRS:
-        raise BadInput(f"spread plan: expected at most {MAX_PAIRS} pairs of node and server")
+        raise InvalidInputError(f"spread plan: expected at most {MAX_PAIRS} pairs of node and server")
     before = TierSize(nodes, servers)
     after = TierSize(to_nodes or nodes + (to_servers is None), to_servers or servers)
     forecasts = forecast(before, after, rings=rings, sigma=uneven, seed=seed)
