--- a/oakbridge/cli/common.py
+++ b/oakbridge/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands share: their ways to end, and finding a node's control socket."""
+"""Shared by the commands: errors with exit codes, JSON output, and finding a node's control socket."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 
 
 class CommandFailedError(click.ClickException):
-    """It did not work: exit code 1."""
+    """The command failed: exit code 1."""
 
     exit_code = 1
 
     def show(self, file: Any = None) -> None:
-        """One line, or one for each mistake."""
+        """Print the message on standard error, each of its lines with the program's name."""
         print(*(f"oakbridge: {line}" for line in self.message.splitlines()), sep="\n", file=sys.stderr)
 
 
 class InvalidInputError(CommandFailedError):
-    """A mistake in a file or in how the command was called: exit code 2."""
+    """A file or the command line is invalid: exit code 2."""
 
     exit_code = 2
 
 
 def say_json(value: Any) -> None:
-    """A result for programs."""
+    """Print a result as JSON."""
     print(json.dumps(value, indent=2, sort_keys=True))
 
 
 def socket_options(function: Any) -> Any:
-    """The two ways to name a node."""
+    """Add the options that name a node: by its control socket or by its configuration."""
     function = click.option(
         "--config", type=click.Path(path_type=Path), help="The node's configuration, which tells its socket."
     )(function)
@@ -46,7 +46,7 @@
 
 
 def look_options(function: Any) -> Any:
-    """The ways to look at what a node holds."""
+    """Add the options for how to show a node's state."""
     every = click.FloatRange(0.1, 60)
     function = click.option("--every", default=1.0, type=every, help="Seconds between two looks.")(function)
     function = click.option("--watch", is_flag=True, help="Go on showing it, until Ctrl-C.")(function)
@@ -54,7 +54,10 @@
 
 
 def connect(socket_path: Path | None, config: Path | None) -> ControlClient:
-    """A connection to the node that is meant: by socket, by configuration, or the only one there is."""
+    """Return a client of the node that the options name, or of the only one that runs.
+
+    Raises CommandFailedError or InvalidInputError.
+    """
     try:
         return ControlClient(find_socket(socket_path, config))
     except NodeUnreachableError as e:
@@ -62,7 +65,10 @@
 
 
 def find_socket(socket_path: Path | None, config: Path | None) -> Path:
-    """Where the control socket of the node that is meant should be."""
+    """Return the path of the control socket of that node; it may not exist.
+
+    Raises CommandFailedError or InvalidInputError.
+    """
     if socket_path is not None:
         return socket_path
     if config is not None:
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -1,4 +1,4 @@
-"""``oakbridge serve``: a node without the platform, told all by one TOML file."""
+"""``oakbridge serve``: run a node that one TOML file configures."""
 
 from __future__ import annotations
 
@@ -46,20 +46,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
-    """What the command was told: the file, and what goes before it (one file then serves many nodes)."""
+class ServeOptions:
+    """The command's options: the file, and what overrides it, so that one file can serve many nodes."""
 
     path: Path
     name: str | None
     listen: tuple[str, ...]
     control: Path | None
     workers: int | None = None
-    worker: int = 0  # which of them this process is; 0: none
+    worker: int = 0  # which of the workers this process is, from 1; 0: it is none
     log_format: str = "text"
-    member: tuple[str, str] | None = None  # name and address among members, in place of the file's
+    member: tuple[str, str] | None = None  # name and address in the cluster, in place of the file's
 
     def load(self) -> LoadedConfig:
-        """The configuration with all that goes before it, a worker's with its part of it.
+        """Return the configuration with the overrides; for a worker, with its share of the limits.
 
         Raises ConfigFileError or ConfigError.
         """
@@ -89,8 +89,8 @@
         member = self.member and (self.member[0], parse_address(self.member[1]))
         return replace(loaded, config=config, control=control, member=member)
 
-    def command(self, worker: int, workers: int, channel: int) -> list[str]:
-        """How a worker's process is started."""
+    def worker_command(self, worker: int, workers: int, channel: int) -> list[str]:
+        """Return the command line that starts a worker's process; ``channel``: its descriptor there."""
         words = [sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(self.path)]
         words += ["--name", self.name] if self.name is not None else []
         words += [word for address in self.listen for word in ("--listen", address)]
@@ -99,11 +99,11 @@
         return [*words, "--worker", str(worker), "--channel", str(channel)]
 
 
-FIRST_LOOK_S = 10.0  # in which a server file must have been read at the start
+FIRST_READ_TIMEOUT_S = 10.0  # for the server file, at the start
 
 
 def file_options(loaded: LoadedConfig) -> FileOptions | None:
-    """How the server file or directory of this configuration is watched, if it has one."""
+    """Return how to watch the configuration's server file or directory; None if it has neither."""
     servers = loaded.file.servers
     path = servers.file or servers.directory
     if path is None:
@@ -118,44 +118,51 @@
     )
 
 
-def build(loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
-    """The node that a configuration tells of, with its source of servers; a worker's is without a door."""
+def build_node(loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, *, listens: bool = True) -> Node:
+    """Return the configured node with its endpoint source; a worker's node does not listen itself."""
     options, entries = file_options(loaded), inline_endpoints(loaded.file)
 
     def source(clock: Clock) -> EndpointSource:
         return FileSource(options, clock.now) if options is not None else InlineSource(entries)
 
-    return Node(loaded.config, loop, None if loaded.config.discovery else source, listens=door)
+    return Node(loaded.config, loop, None if loaded.config.discovery else source, listens=listens)
 
 
-async def started(loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, door: bool = True) -> Node:
-    """The node, once its server file has been read.  Raises ConfigError where there is no list to start from."""
-    node = build(loaded, loop, door)
+async def build_ready_node(
+    loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, *, listens: bool = True
+) -> Node:
+    """Return the node once its server file has been read.
+
+    Raises ConfigError if there is no list to start from.
+    """
+    node = build_node(loaded, loop, listens=listens)
     if isinstance(node.source, FileSource):
         node.source.start()
         try:
-            async with asyncio.timeout(FIRST_LOOK_S):
+            async with asyncio.timeout(FIRST_READ_TIMEOUT_S):
                 await node.source.ready()
         except (TimeoutError, ConfigError) as e:
             node.close()
             raise ConfigError(
-                str(e) or f"{node.source.options.path}: not read within {FIRST_LOOK_S:g} s"
+                str(e) or f"{node.source.options.path}: not read within {FIRST_READ_TIMEOUT_S:g} s"
             ) from None
-    # What the start has made stays: the collector of cycles need not look through it again and again.
+    # Objects made at the start live as long as the process: exclude them from later collections.
     gc.collect()
     gc.freeze()
     return node
 
 
 @asynccontextmanager
-async def beside(loaded: LoadedConfig, node: Node, channel: socket.socket | None) -> AsyncIterator[None]:
-    """What lives as long as the node: its control socket, and a worker's channel to its supervisor."""
+async def node_services(
+    loaded: LoadedConfig, node: Node, channel: socket.socket | None
+) -> AsyncIterator[None]:
+    """Run the services that live as long as the node; ``channel``: a worker's to its supervisor."""
     async with (
-        members(loaded, node if channel is None else None, channel is None) as held,
-        sites(loaded, node, held) as plan,
-        spread(loaded, node, held) as divided,
-        control(loaded, node, held, plan, divided),
-        fronts(loaded, node),
+        _membership(loaded, node, is_member=channel is None) as membership,
+        _sites(loaded, node, membership) as sites,
+        _subsets(loaded, node, membership) as subsets,
+        _control_server(loaded, node, membership, sites, subsets),
+        _sip_front(loaded, node),
     ):
         if channel is None:
             yield
@@ -167,11 +174,14 @@
 
 
 @asynccontextmanager
-async def members(
-    loaded: LoadedConfig, node: Node | None, on: bool = True
+async def _membership(
+    loaded: LoadedConfig, node: Node | None, *, is_member: bool = True
 ) -> AsyncIterator[MembershipService | None]:
-    """This node as a member among others, where the file asks for it; of workers the supervisor is it."""
-    if loaded.file.peers is None or not on:
+    """Run the cluster membership, if the file configures one; of workers, only the supervisor is a member.
+
+    ``node``: the source of the load reports and the target of the failure reports; None: a supervisor's.
+    """
+    if loaded.file.peers is None or not is_member:
         yield None
         return
     from oakbridge.config.peers import peers_options, seeds_file
@@ -182,27 +192,27 @@
     try:
         options = peers_options(loaded)
         assert options is not None
-        ties = () if node is None else (load_source(node), failure_report_sink(node))
-        held = MembershipService(options, *ties)
-        await held.start()
+        node_adapters = () if node is None else (load_source(node), failure_report_sink(node))
+        membership = MembershipService(options, *node_adapters)
+        await membership.start()
     except (ConfigFileError, SnapshotError) as e:
         raise ConfigError(str(e)) from None
-    watched = seeds_file(loaded)
-    seeds = SeedFile(watched, held) if watched is not None else None
+    path = seeds_file(loaded)
+    seeds = SeedFile(path, membership) if path is not None else None
     try:
-        yield held
+        yield membership
     finally:
         if seeds is not None:
             seeds.stop()
-        await held.stop()
+        await membership.stop()
 
 
 @asynccontextmanager
-async def sites(
-    loaded: LoadedConfig, node: Node, held: MembershipService | None
+async def _sites(
+    loaded: LoadedConfig, node: Node, membership: MembershipService | None
 ) -> AsyncIterator[SitesRunner | None]:
-    """The plan for lost sites, where the file asks for it."""
-    if loaded.file.sites is None or held is None:
+    """Run the recovery plans for lost sites, if the file configures sites."""
+    if loaded.file.sites is None or membership is None:
         yield None
         return
     from oakbridge.config.sites import node_sites
@@ -213,27 +223,27 @@
     except ConfigFileError as e:
         raise ConfigError(str(e)) from None
     assert core is not None
-    async with SitesRunner(node, held, core) as plan:
-        yield plan
+    async with SitesRunner(node, membership, core) as runner:
+        yield runner
 
 
 @asynccontextmanager
-async def spread(
-    loaded: LoadedConfig, node: Node, held: MembershipService | None
+async def _subsets(
+    loaded: LoadedConfig, node: Node, membership: MembershipService | None
 ) -> AsyncIterator[SubsetRunner | None]:
-    """The servers divided among the nodes of a tier, where the file asks for it."""
-    if loaded.file.spread is None or held is None:
+    """Divide the servers among the nodes of a tier, if the file configures it."""
+    if loaded.file.spread is None or membership is None:
         yield None
         return
     from oakbridge.spread.runner import SubsetRunner
 
-    async with SubsetRunner(node, held, loaded.file.spread.rings) as divided:
-        yield divided
+    async with SubsetRunner(node, membership, loaded.file.spread.rings) as runner:
+        yield runner
 
 
 @asynccontextmanager
-async def fronts(loaded: LoadedConfig, node: Node) -> AsyncIterator[None]:
-    """The SIP front, where the file asks for one; what is not used is not imported."""
+async def _sip_front(loaded: LoadedConfig, node: Node) -> AsyncIterator[None]:
+    """Run the SIP front, if the file configures one; unused parts are not imported."""
     if loaded.file.sip is None:
         yield
         return
@@ -244,39 +254,46 @@
         yield
 
 
-async def supervise(given: Given, loaded: LoadedConfig, workers: int) -> int:
-    """Run so many workers; returns the exit code."""
+async def supervise(options: ServeOptions, loaded: LoadedConfig, workers: int) -> int:
+    """Run this number of workers; return the exit code."""
     from oakbridge.workers.supervisor import WorkerSupervisor
 
     config = loaded.config
     addresses = (config.listen, *config.also_listen)
     supervisor = WorkerSupervisor(
-        config.name, addresses, workers, lambda w, channel: given.command(w, workers, channel), loaded.control
+        config.name,
+        addresses,
+        workers,
+        lambda w, channel: options.worker_command(w, workers, channel),
+        loaded.control,
     )
-    async with members(loaded, None) as held:
-        return await supervisor.run(held)
+    async with _membership(loaded, None) as membership:
+        return await supervisor.run(membership)
 
 
 @asynccontextmanager
-async def control(
+async def _control_server(
     loaded: LoadedConfig,
     node: Node,
-    held: MembershipService | None,
-    plan: SitesRunner | None,
-    divided: SubsetRunner | None,
+    membership: MembershipService | None,
+    sites: SitesRunner | None,
+    subsets: SubsetRunner | None,
 ) -> AsyncIterator[None]:
-    """The node's control socket, for as long as it runs."""
+    """Serve the node's control socket, if it has one."""
     if loaded.control is None:
         yield
         return
-    handler = NodeControlHandler(node, loaded.digest, peers=held, sites=plan, spread=divided)
+    handler = NodeControlHandler(node, loaded.digest, peers=membership, sites=sites, spread=subsets)
     async with ControlServer(loaded.control, handler.handle):
         yield
 
 
-def reload(given: Given, node: Node) -> None:
-    """Read the file anew, and look at the servers.  Raises with every mistake; then nothing has changed."""
-    node.reload(given.load().config)
+def reload(options: ServeOptions, node: Node) -> None:
+    """Read the file anew, and check the server file.
+
+    Raises ConfigFileError or ConfigError with all mistakes, and changes nothing then.
+    """
+    node.reload(options.load().config)
     node.source.fetch()
 
 
@@ -325,9 +342,9 @@
                 "serve: expected --config FILE (docs/getting-started.md has one to begin with)"
             )
         raise click.exceptions.Exit(serve_platform())
-    given = Given(path, name, listen, socket_path, workers, worker, log_format, member)
+    options = ServeOptions(path, name, listen, socket_path, workers, worker, log_format, member)
     try:
-        loaded = given.load()
+        loaded = options.load()
     except (ConfigFileError, ConfigError) as e:
         raise InvalidInputError(str(e)) from None
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it: it ends no node
@@ -337,16 +354,16 @@
     else:
         start_log(level)
     logging.getLogger("watchfiles").setLevel(logging.WARNING)
-    many = workers or loaded.file.node.workers
+    worker_count = workers or loaded.file.node.workers
     try:
-        if many > 1 and not worker:
-            raise click.exceptions.Exit(asyncio.run(supervise(given, loaded, many)))
+        if worker_count > 1 and not worker:
+            raise click.exceptions.Exit(asyncio.run(supervise(options, loaded, worker_count)))
         to_supervisor = None if channel is None else socket.socket(fileno=channel)
         asyncio.run(
             serve(
-                lambda loop: started(loaded, loop, door=to_supervisor is None),
-                lambda node: reload(given, node),
-                lambda node: beside(loaded, node, to_supervisor),
+                lambda loop: build_ready_node(loaded, loop, listens=to_supervisor is None),
+                lambda node: reload(options, node),
+                lambda node: node_services(loaded, node, to_supervisor),
             )
         )
     except ConfigError as e:
--- a/tests/members/test_settings.py
+++ b/tests/members/test_settings.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from oakbridge.cli.serve import Given
+from oakbridge.cli.serve import ServeOptions
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.config.load import load
 from oakbridge.config.peers import peers_options
@@ -56,7 +56,7 @@
         '[servers]\nfile = "s.toml"\n[[class]]\nname = "a"\naim = "1s"\ndeadline = "2s"\n'
         '[peers]\nlisten = "127.0.0.1:7946"\nsecret_file = "s"\n'
     )
-    given = Given(tmp_path / "o.toml", "n", (), None, member=("h1/n", "127.0.0.9:7946"))
+    given = ServeOptions(tmp_path / "o.toml", "n", (), None, member=("h1/n", "127.0.0.9:7946"))
     options = peers_options(given.load())
     assert (options.name, options.listen) == ("h1/n", ("127.0.0.9", 7946))
     with pytest.raises(ConfigFileError, match="1 to 64 characters"):
--- a/tests/sites/test_sites_real_processes.py
+++ b/tests/sites/test_sites_real_processes.py
@@ -9,7 +9,7 @@
 from peers import free_ports
 
 from oakbridge.cli.main import cli
-from oakbridge.cli.serve import Given, beside, started
+from oakbridge.cli.serve import ServeOptions, build_ready_node, node_services
 
 PLAN = """
 settings = "[sites]"
@@ -109,9 +109,9 @@
 
     async def played() -> None:
         loop = asyncio.get_running_loop()
-        loaded = Given(files / "node.toml", None, (), None).load()
-        node = await started(loaded, loop)
-        async with asyncio.timeout(60), beside(loaded, node, None):
+        loaded = ServeOptions(files / "node.toml", None, (), None).load()
+        node = await build_ready_node(loaded, loop)
+        async with asyncio.timeout(60), node_services(loaded, node, None):
             while "well" not in (await asyncio.to_thread(run_command, "sites", *ask))[1]:
                 await asyncio.sleep(0.05)
             for words, code, text in (
--- a/tests/spread/test_spread_real_processes.py
+++ b/tests/spread/test_spread_real_processes.py
@@ -7,7 +7,7 @@
 from peers import free_ports
 
 from oakbridge.cli.main import cli
-from oakbridge.cli.serve import Given, beside, started
+from oakbridge.cli.serve import ServeOptions, build_ready_node, node_services
 
 PLAN = """
 settings = "[spread]"
@@ -93,9 +93,9 @@
 
     async def played(name, *looks) -> None:
         loop = asyncio.get_running_loop()
-        loaded = Given(tmp_path / name, None, (), None).load()
-        node = await started(loaded, loop)
-        async with asyncio.timeout(60), beside(loaded, node, None):
+        loaded = ServeOptions(tmp_path / name, None, (), None).load()
+        node = await build_ready_node(loaded, loop)
+        async with asyncio.timeout(60), node_services(loaded, node, None):
             for words, code, text in looks:
                 found = await asyncio.to_thread(CliRunner().invoke, cli, [*ask, *words])
                 assert (found.exit_code, text in found.output) == (code, True), found.output
