--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -32,7 +32,7 @@
 from oakbridge.node.clock import Clock
 from oakbridge.node.endpoint_source import EndpointSource
 from oakbridge.node.errors import ConfigError
-from oakbridge.node.node import Node
+from oakbridge.node.node import Listening, Node
 from oakbridge.node.run import serve
 from oakbridge.sources.file_source import FileOptions, FileSource
 from oakbridge.sources.inline_source import InlineSource
@@ -125,7 +125,12 @@
     def source(clock: Clock) -> EndpointSource:
         return FileSource(options, clock.now) if options is not None else InlineSource(entries)
 
-    return Node(loaded.config, loop, None if loaded.config.discovery else source, listens=listens)
+    return Node(
+        loaded.config,
+        loop,
+        None if loaded.config.discovery else source,
+        listening=Listening(enabled=listens),
+    )
 
 
 async def build_ready_node(
--- a/oakbridge/node/config.py
+++ b/oakbridge/node/config.py
@@ -29,7 +29,7 @@
     discovery: Address | None  # None: the list comes from another source
     seed: int
     sockets: int  # descriptors that the node may hold
-    known: JsonObject | None  # the list of servers as this node last had it, in discovery's form
+    saved_list: JsonObject | None  # the endpoint list as this node last had it, in discovery's form
     settings: Settings
     also_listen: tuple[Address, ...] = ()  # where the deployment allows it
     control: Address | None = None  # where operators' commands come in; None: nowhere
@@ -60,7 +60,7 @@
         settings = read_settings(raw.get("settings"))
     except SettingsError as e:
         raise ConfigError(str(e)) from None
-    known = raw.get("known")
+    saved_list = raw.get("known")
     file_goes_first = reloading and raw.get("discovery")
     return Config(
         name=str(environment.get("NODE_NAME") or raw.get("name") or "node"),
@@ -68,7 +68,7 @@
         discovery=_address({} if file_goes_first else environment, raw, "discovery"),
         seed=_seed(raw.get("seed", "0")),
         sockets=_max_sockets(raw),
-        known=None if known is None else _object(known, "known"),
+        saved_list=None if saved_list is None else _object(saved_list, "known"),
         settings=settings,
         control=_address(environment, raw, "control") if _has_control(environment, raw) else None,
         memory_mb=_memory_mb(raw),
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -6,6 +6,7 @@
 import itertools
 import socket
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 
 from oakbridge.node import reload
 from oakbridge.node.clock import Clock
@@ -35,6 +36,15 @@
 BYTES_PER_MB = 1024 * 1024
 
 
+@dataclass(frozen=True, slots=True)
+class Listening:
+    """How a node listens for clients."""
+
+    enabled: bool = True  # False: the node gets its clients' connections from another process
+    inherited: Sequence[socket.socket] = ()  # listening sockets of the previous process
+    reuse_port: bool = False  # whether other processes may listen at the same addresses
+
+
 class Node:
     """The balancer, the sockets on both sides, and the source of the endpoint list."""
 
@@ -44,18 +54,13 @@
         loop: asyncio.AbstractEventLoop,
         source: Callable[[Clock], EndpointSource] | None = None,
         *,
-        listens: bool = True,
-        inherited: Sequence[socket.socket] = (),
-        reuse_port: bool = False,
+        listening: Listening | None = None,
         outages: Outages | None = None,
     ) -> None:
-        """Open the listening sockets and apply the list that is known.  Raise ConfigError, OSError.
+        """Open the listening sockets, and apply the saved endpoint list.  Raise ConfigError, OSError.
 
-        ``source``: where the endpoint list comes from, if it is not discovery.
-        ``listens``: whether the node listens itself; else connections are handed to its server.
-        ``inherited``: listening sockets of the process before.
-        ``reuse_port``: a further process may listen at the same address.
-        ``outages``: what operators held out in the process before.
+        ``source``: makes the source of endpoint lists; None: discovery is the source.
+        ``outages``: servers that operators had taken out in the previous process.
         """
         self.config = config
         self.settings = config.settings
@@ -71,17 +76,7 @@
             config.settings, self.clock, self.pool, self.endpoints, self.dispatcher.post, self.ids
         )
         self.dispatcher.attach(self.forwarder, self.source)
-        self.server = HttpServer(
-            loop,
-            self.clock,
-            self.forwarder,
-            (config.listen, *config.also_listen) if listens else (),
-            config.sockets - RESERVED_DESCRIPTORS - self.pool.max_connections,
-            inherited,
-            reuse_port=reuse_port,
-        )
-        if config.memory_mb:
-            self.server.body_buffers.limit = config.memory_mb * BYTES_PER_MB // BODY_BUFFERS_PART
+        self.server = self._make_server(loop, listening or Listening())
         self.source.attach(self.endpoints)
         if source is None:
             self._apply_saved_list()
@@ -105,12 +100,27 @@
             seed=self.config.seed,
         )
 
+    def _make_server(self, loop: asyncio.AbstractEventLoop, listening: Listening) -> HttpServer:
+        config = self.config
+        server = HttpServer(
+            loop,
+            self.clock,
+            self.forwarder,
+            (config.listen, *config.also_listen) if listening.enabled else (),
+            config.sockets - RESERVED_DESCRIPTORS - self.pool.max_connections,
+            listening.inherited,
+            reuse_port=listening.reuse_port,
+        )
+        if config.memory_mb:
+            server.body_buffers.limit = config.memory_mb * BYTES_PER_MB // BODY_BUFFERS_PART
+        return server
+
     def _apply_saved_list(self) -> None:
-        """Start from the list as it was: it may be old, but there is no other yet."""
+        """Start from the saved list, which may be out of date; without one, from an empty list."""
         listing = EndpointList(0, True, [])
         try:
-            if self.config.known is not None:
-                listing = parse_endpoint_list(self.config.known)
+            if self.config.saved_list is not None:
+                listing = parse_endpoint_list(self.config.saved_list)
                 if isinstance(self.source, DiscoverySource):
                     self.source.index = listing.index
         except EndpointListError as e:
@@ -118,10 +128,10 @@
             raise ConfigError(f"known: {e}") from None
         self.endpoints.on_endpoint_list(listing, saved=True)
 
-    # ---- its life
+    # ---- start, reload and shutdown
 
     def start(self) -> None:
-        """Serve."""
+        """Start the source of endpoint lists, and accept connections."""
         self.source.start()
         self.server.start()
 
@@ -130,14 +140,14 @@
         reload.apply_config(self, config)
 
     def configure(self, settings: Settings) -> None:
-        """Decide by other settings from now on."""
+        """Apply other settings from now on."""
         self.settings = settings
         self.forwarder.configure(settings)
         self.pool.configure(settings.connect_timeout, _idle_timeout(settings))
         self.dispatcher.post(SettingsChanged(settings))
 
     async def shut_down(self) -> None:
-        """Shut down gracefully, as a planned restart asks for: answer what was accepted, then close."""
+        """Shut down gracefully: answer the requests that were accepted, then close."""
         await self.server.shut_down(max(one.deadline for one in self.settings.classes))
         self.forwarder.abandon_all()
         self.close()
@@ -148,10 +158,10 @@
         self.server.close()
         self.pool.close()
 
-    # ---- for what runs beside it
+    # ---- for operators' commands, the control socket and other fronts
 
     def has_usable_server(self) -> bool:
-        """Return whether a server is known that may be sent to."""
+        """Return whether there is a server that requests may be sent to."""
         return self.endpoints.has_usable()
 
     @property
@@ -193,7 +203,7 @@
         return self.endpoints.put_back(server, self.settings.slow_start_window)
 
     def share_descriptors(self, held: int) -> None:
-        """Leave so many descriptors to the node's other process."""
+        """Reduce the limits by the descriptors that the node's other process holds."""
         total = self.config.sockets - held
         self.pool.max_connections = _max_server_connections(total)
         max_clients = total - RESERVED_DESCRIPTORS - self.pool.max_connections
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -20,7 +20,7 @@
 from oakbridge.node.address import Address
 from oakbridge.node.config import Config, load_config, parse_config
 from oakbridge.node.errors import ConfigError
-from oakbridge.node.node import Node
+from oakbridge.node.node import Listening, Node
 from oakbridge.node.outages import Outages
 from oakbridge.node.settings import missing_key
 from oakbridge.operators.executor import NodeCommandExecutor
@@ -63,7 +63,8 @@
             outages.restore(inherited.outages)
         listeners, successor.listeners = successor.listeners, []
         inherited_sockets = _inherit_listeners(listeners, config.listen)
-        return Node(config, loop, inherited=inherited_sockets, reuse_port=True, outages=outages)
+        listening = Listening(inherited=inherited_sockets, reuse_port=True)
+        return Node(config, loop, listening=listening, outages=outages)
 
     def _inherit_config(
         self, config: Config | None, config_error: ConfigError | None, inherited: Welcome
@@ -76,7 +77,7 @@
             reason = config_error or "it lacks a key"
             log.error("the configuration can't be used, the running process's is: %s", reason)
             config = parse_config(self._environment, inherited.configuration)
-        return replace(config, known=inherited.endpoint_list)
+        return replace(config, saved_list=inherited.endpoint_list)
 
     @asynccontextmanager
     async def lifespan(self, node: Node) -> AsyncIterator[None]:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -175,7 +175,7 @@
 
     return Config(
         name="n0", listen=("127.0.0.1", 0), discovery=("127.0.0.1", discovery), seed=7, sockets=sockets,
-        known=listing(1, *endpoints), settings=read_settings(settings or SETTINGS),
+        saved_list=listing(1, *endpoints), settings=read_settings(settings or SETTINGS),
     )  # fmt: skip
 
 
