--- a/oakbridge/agent/agent.py
+++ b/oakbridge/agent/agent.py
@@ -12,7 +12,12 @@
 from oakbridge.agent.host import Host
 from oakbridge.agent.lease import Lease
 from oakbridge.agent.local_host import LocalHost
-from oakbridge.agent.managed_instance import CONFIG_FILE, POLL_INTERVAL_S, ManagedInstance
+from oakbridge.agent.managed_instance import (
+    CONFIG_FILE,
+    POLL_INTERVAL_S,
+    InstanceContext,
+    ManagedInstance,
+)
 from oakbridge.agent.records import InstanceRecord, InstanceSpec
 from oakbridge.agent.store import Store
 
@@ -68,15 +73,8 @@
     def start_instance(self, name: str) -> None:
         """Run an instance that was added."""
         spec, record = self.store.journal.load_instances()[name]
-        instance = ManagedInstance(
-            name,
-            spec,
-            record,
-            agent=self.name,
-            store=self.store,
-            host=self.host,
-            poll_interval_s=self._poll_interval_s,
-        )
+        context = InstanceContext(self.name, self.store, self.host, self._poll_interval_s)
+        instance = ManagedInstance(name, spec, record, context)
         instance.start()
         self.instances[name] = instance
 
--- a/oakbridge/agent/managed_instance.py
+++ b/oakbridge/agent/managed_instance.py
@@ -1,4 +1,4 @@
-"""One instance on this host: its change-overs, its node, and the polling of the node's status."""
+"""One instance on this host: its steps, its node, and the polling of the node's status."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import logging
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -35,45 +36,52 @@
 UNKNOWN_GENERATION = 0
 
 
+@dataclass(frozen=True, slots=True)
+class InstanceContext:
+    """What all instances of an agent share."""
+
+    agent: str  # the agent's name, which is part of the instances' names in the cluster
+    store: Store
+    host: Host
+    poll_interval_s: float = POLL_INTERVAL_S
+
+
 class ManagedInstance:
-    """Ties an instance's state machine to the disk and to its node."""
+    """Connects an instance's state machine with the disk and with its node."""
 
     def __init__(
-        self,
-        name: str,
-        spec: InstanceSpec,
-        record: InstanceRecord,
-        *,
-        agent: str,
-        store: Store,
-        host: Host,
-        poll_interval_s: float = POLL_INTERVAL_S,
+        self, name: str, spec: InstanceSpec, record: InstanceRecord, context: InstanceContext
     ) -> None:
-        """``agent``: the agent's name, by which members know the instance."""
         self.name = name
         self.spec = spec
         self.machine = InstanceStateMachine(record)
         self.node_answer: dict[str, Any] = {}  # the node's last status; empty if it did not answer
         self.answered_at_s = 0.0  # Unix time
         self.running_generation = UNKNOWN_GENERATION  # the one that the process was started with
-        self._member = MemberEndpoint(f"{agent}/{name}", spec.member) if spec.member else None
-        self._generations = store.generations
-        self._host = host
-        self._poll_interval_s = poll_interval_s
+        self._member = MemberEndpoint(f"{context.agent}/{name}", spec.member) if spec.member else None
+        self._generations = context.store.generations
+        self._host = context.host
+        self._poll_interval_s = context.poll_interval_s
         self._poll_task: asyncio.Task[None] | None = None
         self._config_problem = ""  # what the node's checker found in the files of the step in progress
         self._timers = Timers(name)
-        self.node = SupervisedNode(
-            name,
-            host,
+        self.node = self._make_node()
+        self._executor = self._make_executor(context.store)
+
+    def _make_node(self) -> SupervisedNode:
+        return SupervisedNode(
+            self.name,
+            self._host,
             self._timers,
             log_file=self._log_file,
             prepare_launch=self._prepare_launch,
             on_exit=self._on_node_exit,
         )
-        self._executor = ActionExecutor(
+
+    def _make_executor(self, store: Store) -> ActionExecutor:
+        return ActionExecutor(
             store,
-            name,
+            self.name,
             self.machine,
             check_staged=lambda _: self._config_problem,
             run_generation=self._run_generation,
@@ -94,13 +102,13 @@
         return self._generations.home(self.name) / LOG_FILE
 
     def start(self) -> None:
-        """Find the node if it runs already, then continue from the journal."""
+        """Adopt the node if it runs already, then continue from the journal."""
         self.node.adopt(self.spec.control)
         self._execute(self.machine.recover(monotonic_us()))
         self._poll_task = asyncio.get_running_loop().create_task(self._poll())
 
     def stop(self) -> None:
-        """Leave the node as it is."""
+        """Stop managing the node, and leave it running."""
         if self._poll_task is not None:
             self._poll_task.cancel()
         self._timers.cancel_all()
@@ -133,12 +141,12 @@
         """Have the node run a generation: it is restarted unless it runs that one already."""
         if target.is_empty or self.is_drained:
             self.node.stop()
-            # A node that had been stopped before does not end once more.
+            # A node that was stopped already raises no exit event.
             asyncio.get_running_loop().call_soon(self._report_drained)
         elif self.running_generation == target.number and self.node.state is sup.State.RUNNING:
             self.node.keep_running()
         elif self._may_run_already():
-            # It was found running: what it runs is checked as soon as it answers.
+            # It was adopted: which generation it runs is checked as soon as it answers.
             self.running_generation = target.number
         else:
             self.node.restart()
@@ -176,7 +184,7 @@
             self._execute(self.machine.on_ready(monotonic_us()))
 
     async def _poll(self) -> None:
-        """Ask the node for its status, again and again."""
+        """Poll the node for its status until cancelled."""
         while True:
             await asyncio.sleep(self._poll_interval_s)
             try:
@@ -190,11 +198,11 @@
             self._evaluate(NodeStatus.from_json(answer))
 
     def _evaluate(self, status: NodeStatus) -> None:
-        """Pass on what the node's status means to the supervisor and the state machine."""
+        """Derive the events for the supervisor and the state machine from the node's status."""
         if self.node.pid is None or status.pid != self.node.pid:
             return
         if not self.node.is_up:
-            return  # the old process, which is ending, says nothing of the new one
+            return  # the answer is the old process's, which is ending
         if status.source_problem:
             reason = f"its server file is {status.source_problem}"
             self._execute(self.machine.on_failed(reason))
