--- a/oakbridge/cli/lab.py
+++ b/oakbridge/cli/lab.py
@@ -54,9 +54,9 @@
 
 def _play(plan: Plan, path: Path, seed: int, out: Path, quick: bool, root: Path | None) -> dict[str, Any]:
     """One run; returns its summary."""
-    from oakbridge.lab.addresses import NoSlot
+    from oakbridge.lab.addresses import NoFreeSlotError
     from oakbridge.lab.helper_process import RunFailedError
-    from oakbridge.lab.plan import smaller
+    from oakbridge.lab.plan import scale_down
     from oakbridge.lab.runner import LabRun
 
     if out.exists() and (not out.is_dir() or (any(out.iterdir()) and not (out / MARK).exists())):
@@ -65,12 +65,12 @@
     (out / MARK).write_text(json.dumps({"file": path.name, "seed": seed, "quick": quick}) + "\n")
     for old in [*out.glob("*.parquet"), *out.glob(LATEST)]:
         old.unlink()
-    plan = smaller(plan) if quick else plan
+    plan = scale_down(plan) if quick else plan
     checkout = (root or Path(__file__).parents[2]).absolute()
     lab_run = LabRun(plan, seed, out.absolute(), checkout, show_progress=_show_progress)
     try:
         history, results = asyncio.run(lab_run.play())
-    except (RunFailedError, NoSlot) as e:
+    except (RunFailedError, NoFreeSlotError) as e:
         raise Failed(str(e)) from None
     except KeyboardInterrupt:
         raise click.Abort from None
@@ -109,11 +109,11 @@
     from oakbridge.lab.plan import load_plan
 
     try:
-        found = comparing.cases(paths, [comparing.varied(text) for text in vary], roots)
+        found = comparing.build_cases(paths, [comparing.parse_variation(text) for text in vary], roots)
         plans = {case.name: load_plan(case.file, case.changes) for case in found}
     except ConfigFileError as e:
         raise BadInput(str(e)) from None
-    except comparing.BadVary as e:
+    except comparing.InvalidVariationError as e:
         raise BadInput(str(e)) from None
     figures: dict[str, dict[int, dict[str, float | None]]] = {case.name: {} for case in found}
     for seed in range(1, seeds + 1):
--- a/oakbridge/lab/addresses.py
+++ b/oakbridge/lab/addresses.py
@@ -1,8 +1,8 @@
-"""Who is where: loopback addresses by number, ports by the run's slot, so that runs don't meet.
+"""Loopback addresses by a host's number, and ports by the run's slot, so that runs do not collide.
 
-A node dials a server at its *own* address on the switch and the server's port there: so the switch knows both ends of
-each connection without a word in between.  Datagrams and full exchanges go to the other's address on the switch, and
-come from the sender's there.
+A node connects to a server at the node's *own* address on the switch and the server's port there:
+so the switch knows both ends of each connection.  Datagrams and connections between members go to
+the receiver's address on the switch, and come from the sender's there.
 """
 
 from __future__ import annotations
@@ -11,41 +11,56 @@
 import socket
 from dataclasses import dataclass
 
-SLOTS, FIRST_PORT, PORTS = 30, 20_000, 400
-MEMBER_SWITCH, MEMBER, CALLERS, SERVER, LOCK = 398, 397, 396, 395, 399
-NODE_NET, SWITCH_NET, SERVER_NET = 66, 67, 68
+SLOTS = 30
+FIRST_PORT = 20_000
+PORTS_PER_SLOT = 400
+
+# Ports within a slot; those from 0 on are the servers' on the switch, by number.
+SERVER = 395
+CALLERS = 396
+MEMBER = 397
+MEMBER_SWITCH = 398
+LOCK = 399
+
+# The second byte of each kind of address.
+NODE_NET = 66
+SWITCH_NET = 67
+SERVER_NET = 68
 
 
 def host(net: int, number: int) -> str:
-    """The address of number (from 0) in one of the nets."""
+    """Return the address of a host number, from 0, in one of the nets."""
     return f"127.{net}.{(number + 1) >> 8}.{(number + 1) & 255}"
 
 
 def number_of(address: str) -> int:
-    """The reverse of :func:`host`."""
+    """Return the host number of an address that :func:`host` made."""
     parts = address.split(".")
     return (int(parts[2]) << 8) + int(parts[3]) - 1
 
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """The ports of one run."""
+    """The block of ports of one run."""
 
     base: int
 
     def port(self, which: int) -> int:
-        """One of them."""
+        """Return the number of one of its ports."""
         return self.base + which
 
 
-class NoSlot(Exception):
-    """All are taken."""
+class NoFreeSlotError(Exception):
+    """All slots are taken."""
 
 
 def claim() -> tuple[Slot, socket.socket]:
-    """A slot, and the socket that holds it for as long as it is open.  Raises :class:`NoSlot`."""
-    for turn in range(SLOTS):
-        slot = Slot(FIRST_PORT + PORTS * ((os.getpid() + turn) % SLOTS))
+    """Return a slot, and the socket that holds it for as long as it is open.
+
+    Raise NoFreeSlotError where all are taken.
+    """
+    for offset in range(SLOTS):
+        slot = Slot(FIRST_PORT + PORTS_PER_SLOT * ((os.getpid() + offset) % SLOTS))
         lock = socket.socket()
         try:
             lock.bind(("127.0.0.1", slot.port(LOCK)))
@@ -53,4 +68,4 @@
             return slot, lock
         except OSError:
             lock.close()
-    raise NoSlot(f"expected one of {SLOTS} blocks of ports from {FIRST_PORT} on to be free")
+    raise NoFreeSlotError(f"expected one of {SLOTS} blocks of ports from {FIRST_PORT} on to be free")
--- a/oakbridge/lab/compare.py
+++ b/oakbridge/lab/compare.py
@@ -1,4 +1,4 @@
-"""Runs set beside each other: which ones, paired by seed, and what may be said of the difference.  Pure."""
+"""Comparisons of runs: the cases, pairs by seed, and the verdict on the differences.  Pure."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from typing import Any
 
 RESAMPLES = 4000
-LEAST_PAIRS = 5  # with fewer the interval says nothing
-INTERVAL = 0.95
+MIN_PAIRS = 5  # with fewer the interval says nothing
+CONFIDENCE = 0.95
 
 
-class BadVary(ValueError):
-    """What is to be varied makes no sense; the text says what was expected."""
+class InvalidVariationError(ValueError):
+    """A variation cannot be applied; the text says what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One thing to be run with each seed."""
+    """A plan, with changed values and from a checkout, that is played with each seed."""
 
     name: str
     file: Path
@@ -30,22 +30,30 @@
     root: Path | None = None
 
 
-def varied(text: str) -> tuple[str, list[Any]]:
-    """``key=a,b,c``: the key's dotted path in the file, and its values as TOML has them.  Raises BadVary."""
+def parse_variation(text: str) -> tuple[str, list[Any]]:
+    """Parse ``key=a,b,c``: a dotted path in the file, and its values in TOML.
+
+    Raise InvalidVariationError for anything else.
+    """
     key, sign, values = text.partition("=")
     if not key or not sign:
-        raise BadVary(f"vary: expected KEY=VALUE,VALUE..., got {text!r:.80}")
+        raise InvalidVariationError(f"vary: expected KEY=VALUE,VALUE..., got {text!r:.80}")
     try:
         found = tomllib.loads(f"v = [{values}]")["v"]
     except tomllib.TOMLDecodeError as e:
-        raise BadVary(f"vary {key}: expected values as TOML has them, texts in quotes ({e})") from None
+        raise InvalidVariationError(
+            f"vary {key}: expected values as TOML has them, texts in quotes ({e})"
+        ) from None
     if not found:
-        raise BadVary(f"vary {key}: expected a value at least")
+        raise InvalidVariationError(f"vary {key}: expected a value at least")
     return key, found
 
 
-def changed(raw: dict[str, Any], key: str, value: Any) -> None:
-    """Put a value at a dotted path; a number is a place in a list.  Raises BadVary where there is no such place."""
+def apply_change(raw: dict[str, Any], key: str, value: Any) -> None:
+    """Put a value at a dotted path, in which a number is an index of a list.
+
+    Raise InvalidVariationError where the path does not fit the file.
+    """
     *path, last = key.split(".")
     at: Any = raw
     for done, word in enumerate(path):
@@ -54,7 +62,7 @@
         elif isinstance(at, dict) and isinstance(at.setdefault(word, {}), dict | list):
             at = at[word]
         else:
-            raise BadVary(
+            raise InvalidVariationError(
                 f"vary {key}: expected a table or a list's number at {'.'.join(path[: done + 1])!r}"
             )
     if isinstance(at, list) and last.isdigit() and int(last) < len(at):
@@ -62,11 +70,16 @@
     elif isinstance(at, dict):
         at[last] = value
     else:
-        raise BadVary(f"vary {key}: expected a field or a list's number at its end")
+        raise InvalidVariationError(f"vary {key}: expected a field or a list's number at its end")
+
 
+def build_cases(
+    files: Sequence[Path], vary: Sequence[tuple[str, list[Any]]], roots: Sequence[Path]
+) -> list[Case]:
+    """Return each file with each combination of values, from each checkout.
 
-def cases(files: Sequence[Path], vary: Sequence[tuple[str, list[Any]]], roots: Sequence[Path]) -> list[Case]:
-    """All of them: each file with each combination of values, from each checkout."""
+    Raise InvalidVariationError where two cases have the same name.
+    """
     found = []
     for file, root in itertools.product(files, roots or (None,)):
         for values in itertools.product(*(values for _, values in vary)):
@@ -76,13 +89,13 @@
             words += [root.name] if root is not None else []
             found.append(Case(" ".join(words), file, changes, root))
     if len({c.name for c in found}) < len(found):
-        raise BadVary("expected files, values and checkouts by names that differ")
+        raise InvalidVariationError("expected files, values and checkouts by names that differ")
     return found
 
 
 @dataclass(frozen=True, slots=True)
 class Compared:
-    """One figure of one case, beside the first case's."""
+    """One figure of one case, beside that of the first case."""
 
     figure: str
     case: str
@@ -109,18 +122,25 @@
     )
 
 
-def interval(differences: Sequence[float], seed: int = 1) -> tuple[float, float]:
-    """The bootstrap interval of the median of paired differences (Efron's percentile method)."""
+def bootstrap_interval(differences: Sequence[float], seed: int = 1) -> tuple[float, float]:
+    """Return the bootstrap interval of the median of paired differences.
+
+    By Efron's percentile method, at a confidence of 95%.
+    """
     rng = random.Random(seed)
     medians = sorted(
         statistics.median(rng.choices(differences, k=len(differences))) for _ in range(RESAMPLES)
     )
-    cut = (1 - INTERVAL) / 2
+    cut = (1 - CONFIDENCE) / 2
     return medians[int(cut * RESAMPLES)], medians[int((1 - cut) * RESAMPLES) - 1]
 
 
 def compare(found: Mapping[str, Mapping[int, Mapping[str, float | None]]]) -> list[Compared]:
-    """``found``: by case, in order, and seed: its figures.  A verdict only where the interval leaves out 0."""
+    """Compare all cases with the first one, by figure.
+
+    ``found``: the figures by case, in order, and seed.  A verdict is given only where the interval
+    leaves out 0.
+    """
     (first, base), *others = found.items()
     rows = []
     for figure in sorted({name for seeds in found.values() for one in seeds.values() for name in one}):
@@ -133,11 +153,11 @@
                 continue
             pairs = [theirs[seed] - own[seed] for seed in sorted(theirs.keys() & own.keys())]
             middle = statistics.median(theirs.values())
-            if len(pairs) < LEAST_PAIRS:
+            if len(pairs) < MIN_PAIRS:
                 told = statistics.median(pairs) if pairs else None
                 rows.append(Compared(figure, case, middle, told, verdict=f"{len(pairs)} pairs: too few"))
                 continue
-            low, high = interval(pairs)
+            low, high = bootstrap_interval(pairs)
             verdict = "higher" if low > 0 else "lower" if high < 0 else "no difference shown"
             rows.append(Compared(figure, case, middle, statistics.median(pairs), low, high, verdict))
     return rows
--- a/oakbridge/lab/links.py
+++ b/oakbridge/lab/links.py
@@ -1,29 +1,29 @@
-"""What passes between two hosts, by the rules in force.  Pure."""
+"""The state of the links between hosts, by the fault rules in force.  Pure; times in microseconds."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Iterable
+from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import Any
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """From some to others.  Times in microseconds."""
+    """A fault on the links from some hosts to others."""
 
     number: int
     ours: frozenset[str]
     others: frozenset[str]
-    both: bool = True  # ways
+    both: bool = True  # directions
     cut: bool = False
-    loss: float = 0.0
-    doubled: float = 0.0
+    loss: float = 0.0  # fraction of datagrams
+    doubled: float = 0.0  # fraction of datagrams
     delay: int = 0
     jitter: int = 0  # datagrams: up to so much more, so that they overtake each other
 
     def about(self, a: str, b: str) -> bool:
-        """Whether it holds for what goes from a to b."""
+        """Return whether the rule is for what goes from a to b."""
         return (a in self.ours and b in self.others) or (self.both and a in self.others and b in self.ours)
 
     def as_json(self) -> dict[str, Any]:
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Link:
-    """One way between two hosts."""
+    """The state of one direction between two hosts; the fields are those of a rule."""
 
     cut: bool = False
     loss: float = 0.0
@@ -71,42 +71,53 @@
 
 
 class Links:
-    """All ways, by the rules in force."""
+    """All links, by the rules in force."""
 
     def __init__(self, sites: dict[str, str], delay: int = 0, between: int = 0, loss: float = 0.0) -> None:
-        """``sites``: of each host; ``between``: the delay added between two sites."""
+        """``sites``: of each host; ``delay``, ``loss``: without any rule.
+
+        ``between``: the delay added between two sites.
+        """
         self._sites, self._delay, self._between, self._loss = sites, delay, between, loss
         self._rules: dict[int, Rule] = {}
         self._cache: dict[tuple[str, str], Link] = {}
 
     def put(self, rule: Rule) -> None:
-        """From now on."""
+        """Put a rule in force."""
         self._rules[rule.number] = rule
         self._cache.clear()
 
     def drop(self, number: int) -> None:
-        """No more."""
+        """Take a rule out of force."""
         self._rules.pop(number, None)
         self._cache.clear()
 
     def link(self, a: str, b: str) -> Link:
-        """The way from a to b."""
+        """Return the link from a to b."""
         found = self._cache.get((a, b))
         if found is None:
-            found = self._cache[a, b] = self._joined(a, b, [r for r in self._rules.values() if r.about(a, b)])
+            rules = [rule for rule in self._rules.values() if rule.about(a, b)]
+            found = self._cache[a, b] = self._combine(a, b, rules)
         return found
 
-    def _joined(self, a: str, b: str, rules: Iterable[Rule]) -> Link:
-        apart = self._sites.get(a) != self._sites.get(b)
-        kept, doubled, cut, delay, jitter = 1 - self._loss, 0.0, False, self._delay + self._between * apart, 0
+    def _combine(self, a: str, b: str, rules: Sequence[Rule]) -> Link:
+        """Combine rules: losses are independent, delays add up, of the rest the largest counts."""
+        is_between_sites = self._sites.get(a) != self._sites.get(b)
+        delay = self._delay + (self._between if is_between_sites else 0)
+        delivered = 1 - self._loss
         for rule in rules:
-            kept *= 1 - rule.loss
-            doubled, cut = max(doubled, rule.doubled), cut or rule.cut
-            delay, jitter = delay + rule.delay, max(jitter, rule.jitter)
-        return Link(cut, 1 - kept, doubled, delay, jitter)
+            delivered *= 1 - rule.loss
+            delay += rule.delay
+        return Link(
+            cut=any(rule.cut for rule in rules),
+            loss=1 - delivered,
+            doubled=max((rule.doubled for rule in rules), default=0.0),
+            delay=delay,
+            jitter=max((rule.jitter for rule in rules), default=0),
+        )
 
     def datagram(self, a: str, b: str, rng: random.Random) -> list[int]:
-        """The delays of the copies that arrive: none, one or two."""
+        """Draw the delays of the copies of a datagram that arrive: none, one or two."""
         link = self.link(a, b)
         if link.cut or (link.loss and rng.random() < link.loss):
             return []
--- a/oakbridge/lab/plan.py
+++ b/oakbridge/lab/plan.py
@@ -11,13 +11,23 @@
 
 from oakbridge.config.field_types import Duration, Name, Number, Table, Time
 from oakbridge.config.toml_file import parse_tables, read_bounded
-from oakbridge.lab.compare import BadVary, changed
-
-KINDS = (
-    "kill", "freeze", "restart", "starve", "cut", "lossy", "slow links", "reset", "servers down", "servers slow",
-)  # fmt: skip
-ON_LINKS = ("cut", "lossy", "slow links", "reset")
-MOST_NODES, MOST_SERVERS = 390, 390  # the addresses and ports of one run
+from oakbridge.lab.compare import InvalidVariationError, apply_change
+
+FAULT_KINDS = (
+    "kill",
+    "freeze",
+    "restart",
+    "starve",
+    "cut",
+    "lossy",
+    "slow links",
+    "reset",
+    "servers down",
+    "servers slow",
+)
+LINK_FAULTS = ("cut", "lossy", "slow links", "reset")
+MAX_NODES = 390  # by the addresses of one run
+MAX_SERVERS = 390  # by its ports
 
 
 class LabTable(Table):
@@ -34,8 +44,8 @@
     """A site: its nodes, its servers, and its share of the callers."""
 
     name: Name
-    nodes: int = Field(ge=0, le=MOST_NODES)
-    servers: int = Field(ge=0, le=MOST_SERVERS)
+    nodes: int = Field(ge=0, le=MAX_NODES)
+    servers: int = Field(ge=0, le=MAX_SERVERS)
     load: Number = Field(1.0, ge=0, description="Its callers' part of the load, against other sites'.")
 
 
@@ -87,7 +97,7 @@
     """One thing that happens."""
 
     at: Duration = Field(description="After the course's begin.")
-    kind: Literal[KINDS]  # type: ignore[valid-type]
+    kind: Literal[FAULT_KINDS]  # type: ignore[valid-type]
     lasts: Time | None = Field(None, description="Until it is undone; to the end if absent.")
     site: str | None = Field(None, description="Of this site only.")
     other: str | None = Field(None, description="Links: to this site; all other sites if absent.")
@@ -101,7 +111,7 @@
 
     @model_validator(mode="after")
     def _fits(self) -> FaultTable:
-        if self.kind in ON_LINKS and self.site is None and (self.other or self.one_way):
+        if self.kind in LINK_FAULTS and self.site is None and (self.other or self.one_way):
             raise ValueError("site: expected one where `other` or `one_way` is given")
         if self.kind in ("freeze", "starve") and self.lasts is None:
             raise ValueError(f"lasts: expected a time where kind is {self.kind}")
@@ -143,8 +153,8 @@
         names = [s.name for s in self.sites]
         if len(set(names)) != len(names):
             raise ValueError("site: expected each name once")
-        if sum(s.nodes for s in self.sites) > MOST_NODES or sum(s.servers for s in self.sites) > MOST_SERVERS:
-            raise ValueError(f"site: expected at most {MOST_NODES} nodes and {MOST_SERVERS} servers in all")
+        if sum(s.nodes for s in self.sites) > MAX_NODES or sum(s.servers for s in self.sites) > MAX_SERVERS:
+            raise ValueError(f"site: expected at most {MAX_NODES} nodes and {MAX_SERVERS} servers in all")
         if not sum(s.nodes for s in self.sites) or not sum(s.servers for s in self.sites):
             raise ValueError("site: expected a node and a server at least")
         for number, fault in enumerate(self.faults, 1):
@@ -189,7 +199,10 @@
 
 
 def load_plan(path: Path, changes: Sequence[tuple[str, Any]] = ()) -> Plan:
-    """Read and check a file, with other values at these dotted paths.  Raises ConfigFileError, or BadVary."""
+    """Read and check a plan file, with other values at these dotted paths.
+
+    Raise ConfigFileError, or InvalidVariationError for a change that does not fit.
+    """
     data = read_bounded(path)
     plan = parse_tables(data, str(path), Plan)
     if not changes:
@@ -197,16 +210,16 @@
     raw = tomllib.loads(data.decode("utf-8-sig"))
     try:
         for key, value in changes:
-            changed(raw, key, value)
+            apply_change(raw, key, value)
         return Plan.model_validate(raw)
     except ValidationError as e:
         first = e.errors()[0]
         where = ".".join(map(str, first["loc"]))
-        raise BadVary(f"vary: {where}: {first['msg']}") from None
+        raise InvalidVariationError(f"vary: {where}: {first['msg']}") from None
 
 
-def smaller(plan: Plan) -> Plan:
-    """The plan of a --quick run: fewer of everything, the same loads for each."""
+def scale_down(plan: Plan) -> Plan:
+    """Return the plan of a --quick run: fewer of everything, the same load for each."""
     part = plan.lab.quick
     sites = [
         s.model_copy(
--- a/oakbridge/lab/report.py
+++ b/oakbridge/lab/report.py
@@ -1,4 +1,4 @@
-"""What a run leaves for people and programs: summary.json, tables, histograms, charts."""
+"""The result files of a run: summary.json, tables, histograms and charts."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt  # noqa: E402
 
-LONGEST_US = 60_000_000
-DIGITS = 3
+MAX_LATENCY_US = 60_000_000  # longer ones count as this
+SIGNIFICANT_DIGITS = 3
 
 
 def write(
     out: Path, history: History, checks: list[Check], results: Results, seed: int, commit: str
 ) -> dict[str, Any]:
-    """Write all of it; returns the summary."""
+    """Write all result files of a run; return the summary."""
     rows = first_tries(history)
     classes = [c.name for c in history.plan.classes]
     summary = {
@@ -75,10 +75,10 @@
 def _latencies(out: Path, rows: list[dict[str, Any]], classes: list[str]) -> dict[str, dict[str, float]]:
     found, kept = {}, {}
     for k, name in enumerate(classes):
-        histogram = HdrHistogram(1, LONGEST_US, DIGITS)
+        histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         for row in rows:
             if row["class"] == k and row["status"] == 200:
-                histogram.record_value(min(LONGEST_US, max(1, row["took"])))
+                histogram.record_value(min(MAX_LATENCY_US, max(1, row["took"])))
         found[name] = {f"p{q:g}": histogram.get_value_at_percentile(q) / 1e3 for q in (50, 90, 99, 99.9)}
         encoded = histogram.encode()
         kept[name] = encoded.decode() if isinstance(encoded, bytes) else base64.b64encode(encoded).decode()
@@ -161,7 +161,7 @@
 
 
 def lines(summary: dict[str, Any]) -> list[str]:
-    """The summary as an operator reads it."""
+    """Return the lines of a summary as an operator reads it."""
     head = f"seed {summary['seed']}, {summary['nodes']} nodes, {summary['servers']} servers, {summary['seconds']:g} s"
     rows = [f"{head}: {'all holds' if summary['ok'] else 'NOT ALL HOLDS'}"]
     for check in summary["checks"]:
--- a/oakbridge/lab/schedule.py
+++ b/oakbridge/lab/schedule.py
@@ -8,7 +8,7 @@
 
 from oakbridge.lab.fleet import Fleet, Host
 from oakbridge.lab.links import Rule
-from oakbridge.lab.plan import ON_LINKS, FaultTable, Plan
+from oakbridge.lab.plan import LINK_FAULTS, FaultTable, Plan
 
 STARVE_STOPPED_US = (400_000, 900_000)  # off the processor, at a time
 STARVE_RUNNING_US = (30_000, 120_000)  # on it
@@ -70,7 +70,7 @@
     for number, fault in enumerate(plan.faults):
         until_us = min(end_us, fault.at + fault.lasts) if fault.lasts is not None else end_us
         fault_spans.append(Span(fault.at, until_us))
-        if fault.kind in ON_LINKS:
+        if fault.kind in LINK_FAULTS:
             steps += _link_steps(fault, number, fleet, until_us, end_us)
         elif fault.kind.startswith("servers"):
             names = _draw_hosts(rng, fault, fleet.servers)
--- a/oakbridge/lab/simulation/fleet.py
+++ b/oakbridge/lab/simulation/fleet.py
@@ -97,21 +97,17 @@
         self._random = random.Random(seed)
         overrides = {**DEFAULT_SETTINGS, **settings}
         self.settings = Settings(classes, replica_count=replica_count, **overrides)
-        homes = [_site_of(index, sites) for index in range(replica_count)]
-        loads = _replica_loads(replica_count, load_sigma, seed)
+        self._classes = classes
+        self._homes = [_site_of(index, sites) for index in range(replica_count)]
+        self._loads = _replica_loads(replica_count, load_sigma, seed)
 
-        self.pool = ServerPool(
-            self.events,
-            self._random,
-            self.settings,
-            [SimulatedServer(f"s{n}", site=_site_of(n, sites)) for n in range(server_count)],
-            self._on_attempt_result,
-        )
+        servers = [SimulatedServer(f"s{n}", site=_site_of(n, sites)) for n in range(server_count)]
+        self.pool = ServerPool(self.events, self._random, self.settings, servers, self._on_attempt_result)
         self.replicas: list[Replica] = [
             make_replica(self._random.getrandbits(32))
             if make_replica is not None
-            else self._make_balancer(classes, home, sites, overrides)
-            for home in homes
+            else self._make_balancer(home, sites, overrides)
+            for home in self._homes
         ]
         self.balancers = [replica for replica in self.replicas if isinstance(replica, Balancer)]
         self.clients = SimulatedClients(
@@ -119,7 +115,7 @@
             self._random,
             classes,
             replica_count,
-            loads,
+            self._loads,
             max_client_retries,
             with_keys=with_site_plans,
             deliver=self.deliver,
@@ -127,26 +123,29 @@
         self.discovery = SimulatedDiscovery(self.events, self.pool.servers, self.deliver)
         self._announce_all()
         if with_site_plans:
-            site_control = SiteControl(
-                self.events, self.balancers, homes, classes, seed, self.clients, self.deliver
-            )
-            site_control.start(self._random)
-        self._division: SubsetDivision | None = None
-        if subset_rings:
-            self._division = SubsetDivision(
-                self.events, self.balancers, homes, loads, subset_rings, self.deliver
-            )
-            self._division.assign_all()
-
-    def _make_balancer(
-        self,
-        classes: tuple[RequestClass, ...],
-        home: str,
-        sites: tuple[str, ...],
-        overrides: Mapping[str, Any],
-    ) -> Balancer:
+            self._start_site_control(seed)
+        self._division = self._divide_servers(subset_rings) if subset_rings else None
+
+    def _start_site_control(self, seed: int) -> None:
+        site_control = SiteControl(
+            self.events,
+            self.balancers,
+            self._homes,
+            self._classes,
+            seed,
+            self.clients,
+            self.deliver,
+        )
+        site_control.start(self._random)
+
+    def _divide_servers(self, rings: int) -> SubsetDivision:
+        division = SubsetDivision(self.events, self.balancers, self._homes, self._loads, rings, self.deliver)
+        division.assign_all()
+        return division
+
+    def _make_balancer(self, home: str, sites: tuple[str, ...], overrides: Mapping[str, Any]) -> Balancer:
         settings = Settings(
-            classes,
+            self._classes,
             replica_count=self.settings.replica_count,
             zone=home,
             zones=sites,
--- a/oakbridge/lab/table.py
+++ b/oakbridge/lab/table.py
@@ -1,4 +1,4 @@
-"""Tables of a run, as Parquet."""
+"""Parquet tables of a run."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 def write(path: Path, columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Write rows whole: a temporary file, then a rename."""
-    turned = list(zip(*rows, strict=True)) if rows else [()] * len(columns)
-    made = pa.table({name: list(column) for name, column in zip(columns, turned, strict=True)})
+    """Write rows atomically: into a temporary file, which is then renamed."""
+    by_column = list(zip(*rows, strict=True)) if rows else [()] * len(columns)
+    arrow = pa.table({name: list(values) for name, values in zip(columns, by_column, strict=True)})
     temporary = path.with_suffix(".new")
-    pq.write_table(made, temporary, compression="zstd")
+    pq.write_table(arrow, temporary, compression="zstd")
     temporary.replace(path)
 
 
 def read(paths: Iterable[Path]) -> list[dict[str, Any]]:
-    """All rows of several tables of one kind."""
+    """Return all rows of several tables with the same columns."""
     rows: list[dict[str, Any]] = []
     for path in sorted(paths):
         rows += pq.read_table(path).to_pylist()
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -14,8 +14,11 @@
 
 
 def test_cases_are_all_combinations_and_change_the_plan():
-    vary = [compare.varied('settings="","[spread]"'), compare.varied("class.0.rate=1.5,2.5,9.0")]
-    found = compare.cases([LAB / "even.toml"], vary, [])
+    vary = [
+        compare.parse_variation('settings="","[spread]"'),
+        compare.parse_variation("class.0.rate=1.5,2.5,9.0"),
+    ]
+    found = compare.build_cases([LAB / "even.toml"], vary, [])
     assert len(found) == 6 and found[0].name == "settings=nothing rate=1.5"
     plan = load_plan(found[-1].file, found[-1].changes)
     assert plan.settings == "[spread]" and plan.classes[0].rate == 9.0
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -12,7 +12,7 @@
 from oakbridge.lab.history import History, MemberChange, PerformedStep, SiteChange, read_changes
 from oakbridge.lab.links import Links, Rule
 from oakbridge.lab.node_selector import NodeSelector
-from oakbridge.lab.plan import load_plan, smaller
+from oakbridge.lab.plan import load_plan, scale_down
 from oakbridge.lab.schedule import Schedule, Span, StepKind, draw_schedule
 from oakbridge.lab.server_queue import ServerQueue
 
@@ -88,7 +88,7 @@
     assert first.steps != other.steps
     assert [s.kind.value for s in first.steps] == ["kill", "kill", "link", "unlink"]
     assert first.fault_spans == (Span(5 * S, 60 * S), Span(10 * S, 30 * S))
-    small = smaller(plan)
+    small = scale_down(plan)
     assert [(s.nodes, s.servers) for s in small.sites] == [(2, 2), (2, 2)]
 
 
