--- a/benchmarks/connection_spread.py
+++ b/benchmarks/connection_spread.py
@@ -17,7 +17,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from oakbridge.workers.connection_balancer import ConnectionBalancer  # noqa: E402
+from oakbridge.workers.connection_balancer import ConnectionBalancer
 
 
 def by_kernel(workers: int, connections: int) -> Counter[int]:
@@ -76,7 +76,9 @@
         row = []
         for way in (by_kernel, by_supervisor):
             even = connections / given.workers
-            fullest = [max(way(given.workers, connections).values()) / even for _ in range(given.rounds)]
+            fullest = [
+                max(way(given.workers, connections).values()) / even for _ in range(given.rounds)
+            ]
             row += [sum(fullest) / len(fullest), max(fullest)]
         print(f"{connections:12}{row[0]:14.2f}{row[1]:8.2f}{row[2]:14.2f}{row[3]:8.2f}")
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -19,7 +19,13 @@
 from typing import Any
 
 COUNTS = (10, 100, 1_000, 10_000)
-CASES = ("plain", "weights 0.001 to 1,000", "all but three ejected", "all cold", "all in another zone")
+CASES = (
+    "plain",
+    "weights 0.001 to 1,000",
+    "all but three ejected",
+    "all cold",
+    "all in another zone",
+)
 
 
 def play(case: str, count: int) -> float:
@@ -65,7 +71,10 @@
             if len(out) > 5:
                 request, server, sent = out.popleft()
                 b.handle(
-                    now, AttemptEnded(request, 0, server, AttemptResult.OK, now - sent, request_finished=True)
+                    now,
+                    AttemptEnded(
+                        request, 0, server, AttemptResult.OK, now - sent, request_finished=True
+                    ),
                 )
         return (time.perf_counter() - begin) / (number - first) * 1e6
 
@@ -89,7 +98,9 @@
     )
     from oakbridge.policy.settings import RequestClass, Settings
 
-    settings = Settings(classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True)
+    settings = Settings(
+        classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True
+    )
     b = Balancer(settings, 3)
     b.handle(1, EndpointListReceived([Endpoint(f"s{i}") for i in range(count)]))
     took = []
@@ -127,7 +138,9 @@
 def one(folder: str, words: list[str]) -> Any:
     """One figure, in a process of its own with the program of that folder."""
     command = [sys.executable, str(Path(__file__).absolute()), "--one", *words]
-    done = subprocess.run(command, capture_output=True, text=True, check=True, env={"PYTHONPATH": folder})
+    done = subprocess.run(
+        command, capture_output=True, text=True, check=True, env={"PYTHONPATH": folder}
+    )
     return json.loads(done.stdout)
 
 
@@ -145,7 +158,9 @@
         case, count = given.one[0], int(given.one[1])
         print(json.dumps(lists(count) if case == "lists" else play(case, count)))
         return
-    folders = {"now": str(Path(__file__).parents[1])} | ({"before": given.against} if given.against else {})
+    folders = {"now": str(Path(__file__).parents[1])} | (
+        {"before": given.against} if given.against else {}
+    )
     found: dict[str, dict[str, list[Any]]] = {}
     for _ in range(given.repeats):
         for case in (*CASES, "lists"):
@@ -158,9 +173,15 @@
         return
     print(f"{'microseconds':24}" + "".join(f"{f'{n} {c:,}':>15}" for c in COUNTS for n in folders))
     for case in CASES:
-        row = [statistics.median(found[f"{case}|{count}"][name]) for count in COUNTS for name in folders]
+        row = [
+            statistics.median(found[f"{case}|{count}"][name])
+            for count in COUNTS
+            for name in folders
+        ]
         print(f"{case:24}" + "".join(f"{figure:15.1f}" for figure in row))
-    for place, what in enumerate(("a delta of one server", "a whole list, half new", "its longest piece")):
+    for place, what in enumerate(
+        ("a delta of one server", "a whole list, half new", "its longest piece")
+    ):
         row = [
             statistics.median(figures[place] for figures in found[f"lists|{count}"][name])
             for count in COUNTS for name in folders
--- a/benchmarks/ends.py
+++ b/benchmarks/ends.py
@@ -25,9 +25,7 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 AT_ONCE = 100
-SETTLED = (
-    15.0  # seconds in which a node has to be at rest again: a caller is awaited for 2.5 s, twice at most
-)
+SETTLED = 15.0  # seconds in which a node has to be at rest again: a caller is awaited for 2.5 s, twice at most
 CONFIG = """
 [node]
 name = "ends"
@@ -78,7 +76,9 @@
             elif path == b"/twice":
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" * 2)
             elif path == b"/reset":
-                writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                writer.get_extra_info("socket").setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, RESET
+                )
                 break
             elif path == b"/close":
                 break
@@ -180,7 +180,9 @@
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "ends.toml"
         file.write_text(CONFIG.format(port=port, server=server.sockets[0].getsockname()[1]))
-        node = subprocess.Popen([sys.executable, "-m", "oakbridge", "serve", "--config", str(file)], cwd=ROOT)
+        node = subprocess.Popen(
+            [sys.executable, "-m", "oakbridge", "serve", "--config", str(file)], cwd=ROOT
+        )
         try:
             for _ in range(200):
                 with contextlib.suppress(OSError):
@@ -217,7 +219,9 @@
     if options.json:
         print(json.dumps(rows))
         return
-    print("| way | seconds | failed otherwise | descriptors | memory, MB |\n| --- | --- | --- | --- | --- |")
+    print(
+        "| way | seconds | failed otherwise | descriptors | memory, MB |\n| --- | --- | --- | --- | --- |"
+    )
     for row in rows:
         print("| " + " | ".join(str(value) for value in row.values()) + " |")
 
--- a/benchmarks/even.py
+++ b/benchmarks/even.py
@@ -56,7 +56,9 @@
     """A fleet that goes by one way, its servers of one worker each."""
     plain = partial(StrategyReplica, PLAIN[way]) if way in PLAIN else None
     rings = RINGS if way == "by members" else 0
-    fleet = SimulatedFleet(copies, servers, seed, subset_rings=rings, load_sigma=uneven, make_replica=plain)
+    fleet = SimulatedFleet(
+        copies, servers, seed, subset_rings=rings, load_sigma=uneven, make_replica=plain
+    )
     for server in fleet.servers.values():
         server.workers, server.queue_limit = WORKERS, QUEUE
     return fleet
@@ -65,7 +67,9 @@
 def figures(fleet: SimulatedFleet, since: int, servers: int) -> dict[str, float | None]:
     """Of the time from then on."""
     rows = [
-        (s, came - since, done - since) for s, came, done in fleet.pool.visits if done > since and s < servers
+        (s, came - since, done - since)
+        for s, came, done in fleet.pool.visits
+        if done > since and s < servers
     ]
     v = load_distribution.Visits(rows, [1 / servers] * servers, WORKERS, fleet.now - since)
     return {
@@ -133,7 +137,10 @@
     copies, age, often, seed = item
     rng, names = random.Random(seed), numbered_names("copy", copies)
     servers = dict.fromkeys(numbered_names("server", copies), 1.0)
-    base = {name: 2 ** (round(STEPS_PER_DOUBLING * rng.gauss(0, 0.7)) / STEPS_PER_DOUBLING) for name in names}
+    base = {
+        name: 2 ** (round(STEPS_PER_DOUBLING * rng.gauss(0, 0.7)) / STEPS_PER_DOUBLING)
+        for name in names
+    }
     span = max(60.0, 2 * age)
     changes: dict[str, list[tuple[float, float]]] = {
         name: [] for name in names
@@ -160,7 +167,9 @@
             "most": over_fair[-1], "words on their way": copies * often / 60 * age}  # fmt: skip
 
 
-CASES: dict[str, tuple[int, int, float, float]] = {  # copies, servers, load, sigma of the copies' parts
+CASES: dict[
+    str, tuple[int, int, float, float]
+] = {  # copies, servers, load, sigma of the copies' parts
     "300 of each": (300, 300, 0.6, 0.5),
     "parts as unequal as 1 to 50": (300, 300, 0.6, 1.0),
     "10 servers for 200 nodes": (200, 10, 0.6, 0.5),
@@ -183,8 +192,13 @@
     for axis, y in zip(axes.flat, ys, strict=True):
         for value in dict.fromkeys(r[by] for r in rows):
             xs = sorted({r[x] for r in rows if r[by] == value})
-            points = [[r[y] for r in rows if r[by] == value and r[x] == at and r[y] is not None] for at in xs]
-            axis.plot(xs, [statistics.median(p) if p else None for p in points], "o-", label=str(value))
+            points = [
+                [r[y] for r in rows if r[by] == value and r[x] == at and r[y] is not None]
+                for at in xs
+            ]
+            axis.plot(
+                xs, [statistics.median(p) if p else None for p in points], "o-", label=str(value)
+            )
         axis.set(xlabel=x, ylabel=y, ylim=(0, None))
         axis.legend(fontsize=7, title=by)
     figure.savefig(path, dpi=100)
@@ -229,14 +243,22 @@
         ages = (0.0, 1.0, 2.0, 5.0, 10.0, 20.0, 60.0)
         do, work = (
             aged,
-            [(n, age, often, s) for n in sizes for often in (0.02, 0.2, 2.0) for age in ages for s in seeds],
+            [
+                (n, age, often, s)
+                for n in sizes
+                for often in (0.02, 0.2, 2.0)
+                for age in ages
+                for s in seeds
+            ],
         )
     with ProcessPoolExecutor(args.processes) as pool:
         rows = list(pool.map(do, work))
     keys = list(rows[0])
     print(" | ".join(keys))
     for row in rows:
-        print(" | ".join(f"{row[k]:.3g}" if isinstance(row[k], float) else str(row[k]) for k in keys))
+        print(
+            " | ".join(f"{row[k]:.3g}" if isinstance(row[k], float) else str(row[k]) for k in keys)
+        )
     print(f"{time.monotonic() - began:.0f} s", file=sys.stderr)
     if args.out:
         args.out.mkdir(parents=True, exist_ok=True)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -41,7 +41,9 @@
 def authority(folder: Path) -> None:
     """A fleet with an operator and one certificate for agents of the name ``h``."""
     pki.create_authority(folder, "f")
-    pki.issue_certificate(folder, Identity("f", IdentityKind.OPERATOR, "admin", Role.WRITE), folder / "admin")
+    pki.issue_certificate(
+        folder, Identity("f", IdentityKind.OPERATOR, "admin", Role.WRITE), folder / "admin"
+    )
     pki.issue_certificate(folder, Identity("f", IdentityKind.AGENT, "h", Role.READ), folder / "h")
 
 
@@ -58,7 +60,10 @@
     """CPU seconds so far, and megabytes resident."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     status = Path(f"/proc/{pid}/status").read_text()
-    resident = int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1]) / 1024
+    resident = (
+        int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1])
+        / 1024
+    )
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"), resident
 
 
@@ -66,7 +71,9 @@
     """Give every instance its first generation, and wait until all have taken it."""
     await operator.call("h", messages.LeaseRequest(1, 300_000_000))
     for name in names:
-        await operator.call("h", messages.StepRequest(1, f"s-{name}", name, 1, 0, 1_000_000, CONFIG))
+        await operator.call(
+            "h", messages.StepRequest(1, f"s-{name}", name, 1, 0, 1_000_000, CONFIG)
+        )
     while True:
         heard = await operator.call("h", messages.StatusRequest())
         rows = heard.body.get("instances", [])
@@ -84,7 +91,8 @@
         f'name = "h"\nfleet = "f"\nlisten = "127.0.0.1:{own}"\nstate = "s"\nauthority = "ca.crt"\ncertificate = "h"'
     ]
     lines += [
-        f'[[instance]]\nname = "{n}"\nlisten = ["127.0.0.1:{p}"]' for n, p in zip(names, others, strict=True)
+        f'[[instance]]\nname = "{n}"\nlisten = ["127.0.0.1:{p}"]'
+        for n, p in zip(names, others, strict=True)
     ]
     (folder / "agent.toml").write_text("\n".join(lines))
     process = subprocess.Popen(
@@ -100,7 +108,9 @@
         time.sleep(idle_s)
         after, resident = cpu_and_memory(process.pid)
         share = 100 * (after - before) / idle_s
-        print(f"an agent with {nodes} nodes: {resident:.1f} MB resident, {share:.1f}% of a core while idle")
+        print(
+            f"an agent with {nodes} nodes: {resident:.1f} MB resident, {share:.1f}% of a core while idle"
+        )
     finally:
         process.kill()
         process.wait()
@@ -139,14 +149,18 @@
         took = []
         for _ in range(3):
             # All have one certificate here, and so one name: they are asked one by one by their addresses.
-            operators = [FleetClient(Inventory("f", {"h": ("127.0.0.1", port)}), tls, 20) for port in listen]
+            operators = [
+                FleetClient(Inventory("f", {"h": ("127.0.0.1", port)}), tls, 20) for port in listen
+            ]
             places = asyncio.Semaphore(64)
 
             async def ask(operator: FleetClient, places: asyncio.Semaphore = places) -> int:
                 async with places:
                     return (await operator.call("h", messages.StatusRequest())).status
 
-            async def ask_all(operators: list[FleetClient] = operators, ask: Any = ask) -> list[int]:
+            async def ask_all(
+                operators: list[FleetClient] = operators, ask: Any = ask
+            ) -> list[int]:
                 return list(await asyncio.gather(*(ask(o) for o in operators)))
 
             begin = time.monotonic()
--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -59,9 +59,13 @@
         total["left"] += line["retries_left"]
         total["ms"] += 1000 * line["processor"]
     mean = {
-        name: total[name] / len(found) for name in ("limit", "flow", "subset", "servers", "slower", "left")
+        name: total[name] / len(found)
+        for name in ("limit", "flow", "subset", "servers", "slower", "left")
+    }
+    worst = {
+        "oldest": max(line["list_age"] for line in found),
+        "fullest": max(idle.values(), default=0),
     }
-    worst = {"oldest": max(line["list_age"] for line in found), "fullest": max(idle.values(), default=0)}
     return {**total, **mean, **worst, "idle": sum(idle.values())}
 
 
@@ -82,7 +86,11 @@
 def show_servers(found: list[dict[str, Any]], tier: int, second: int) -> None:
     """What all nodes of a tier sent to each server in a second."""
     start = min(line["at"] for line in found)
-    those = [line for line in found if line["tier"] == tier and (line["at"] - start) // 1_000_000 == second]
+    those = [
+        line
+        for line in found
+        if line["tier"] == tier and (line["at"] - start) // 1_000_000 == second
+    ]
     ends: dict[str, Counter[str]] = {}
     for line in those:
         for server, counts in line["ends"].items():
@@ -109,7 +117,9 @@
             "ejected in": name in line["ejected"],
         }
         if ends or any(here.values()):
-            seconds.setdefault((line["at"] - start) // 1_000_000, Counter()).update({**here, **ends})
+            seconds.setdefault((line["at"] - start) // 1_000_000, Counter()).update(
+                {**here, **ends}
+            )
     for second, counts in sorted(seconds.items()):
         print(f"{second:4}  { ({name: count for name, count in counts.items() if count}) }")
 
--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -34,9 +34,7 @@
 from oakbridge.rollout.record import RolloutRecord
 from oakbridge.standin.host import PlayedHost
 
-CONFIG = (
-    '[servers]\ninline = [{name = "a", address = "127.0.0.1:9"}]\n\n[[class]]\nname = "look"\naim = "1s"\n'
-)
+CONFIG = '[servers]\ninline = [{name = "a", address = "127.0.0.1:9"}]\n\n[[class]]\nname = "look"\naim = "1s"\n'
 
 
 def host(folder: Path, names: list[str], talk: Any) -> None:
@@ -104,7 +102,9 @@
     )
 
 
-async def measure(folder: Path, addresses: dict[str, tuple[str, int]], freeze: Any, frozen: int) -> None:
+async def measure(
+    folder: Path, addresses: dict[str, tuple[str, int]], freeze: Any, frozen: int
+) -> None:
     """Status, then rollouts, the last one with silent agents."""
     tls = pki.tls_context(folder / "ca.crt", folder / "admin", server=False)
     operator = FleetClient(Inventory("f", addresses), tls, 5.0, "admin")
@@ -141,10 +141,14 @@
         )
         names = [f"h{i:04d}" for i in range(given.agents)]
         for name in names:
-            pki.issue_certificate(folder, Identity("f", IdentityKind.AGENT, name, Role.READ), folder / name)
+            pki.issue_certificate(
+                folder, Identity("f", IdentityKind.AGENT, name, Role.READ), folder / name
+            )
         for i in range(given.processes):
             here, there = multiprocessing.Pipe()
-            process = multiprocessing.Process(target=host, args=(folder, names[i :: given.processes], there))
+            process = multiprocessing.Process(
+                target=host, args=(folder, names[i :: given.processes], there)
+            )
             process.start()
             processes.append(process)
             talks.append(here)
--- a/benchmarks/idle_connections.py
+++ b/benchmarks/idle_connections.py
@@ -91,7 +91,9 @@
 def status(pid: int) -> dict[str, int]:
     """Resident kilobytes, context switches, and clock ticks of the processor."""
     lines = dict(
-        line.split(":", 1) for line in Path(f"/proc/{pid}/status").read_text().splitlines() if ":" in line
+        line.split(":", 1)
+        for line in Path(f"/proc/{pid}/status").read_text().splitlines()
+        if ":" in line
     )
     ticks = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()[11:13]
     return {
@@ -133,7 +135,9 @@
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--connections", type=int, default=10_000)
-    parser.add_argument("--waking", type=float, default=0.01, help="this part of them asks once more")
+    parser.add_argument(
+        "--waking", type=float, default=0.01, help="this part of them asks once more"
+    )
     parser.add_argument("--seconds", type=float, default=8)
     parser.add_argument("--json", action="store_true")
     given = parser.parse_args()
@@ -142,7 +146,9 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "idle.toml"
         # Four tenths of the descriptors are the servers'; of the rest a quarter stays free, or connections end.
-        path.write_text(CONFIG.format(port=port, sockets=int(given.connections / 0.75 / 0.6) + 1000))
+        path.write_text(
+            CONFIG.format(port=port, sockets=int(given.connections / 0.75 / 0.6) + 1000)
+        )
         words = [sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(path)]
         node = subprocess.Popen(words, env={**os.environ, "PYTHONPATH": str(ROOT)})
         try:
--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -27,9 +27,7 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 SECRET = b"0123456789abcdef"
-HEAD = (
-    b"GET /read HTTP/1.1\r\nHost: x\r\nX-Request-ID: %x\r\nX-Priority-Class: read\r\nX-Timeout: 5000m\r\n\r\n"
-)
+HEAD = b"GET /read HTTP/1.1\r\nHost: x\r\nX-Request-ID: %x\r\nX-Priority-Class: read\r\nX-Timeout: 5000m\r\n\r\n"
 MANY, SERVERS = 64, 4
 
 
@@ -55,7 +53,8 @@
     """A node's file."""
     (folder / "secret").write_bytes(SECRET)
     servers = ", ".join(
-        f'{{ name = "s{n}", address = "{host(SERVER_NET, n)}:{base + SERVER}" }}' for n in range(SERVERS)
+        f'{{ name = "s{n}", address = "{host(SERVER_NET, n)}:{base + SERVER}" }}'
+        for n in range(SERVERS)
     )
     text = f"""
 [node]
@@ -109,7 +108,9 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def turn(folder: Path, base: int, members: bool, seconds: float, rest: float) -> tuple[float, float]:
+async def turn(
+    folder: Path, base: int, members: bool, seconds: float, rest: float
+) -> tuple[float, float]:
     """Requests a second, and the part of a core that the node needs at rest."""
     port = base + 50
     path = configuration(folder, base, port, members)
@@ -124,7 +125,9 @@
         idle = (spent(node.pid) - before) / rest
         return await asked((host(NODE_NET, 0), port), seconds), idle
     finally:
-        node.send_signal(signal.SIGKILL)  # it is to fail for the others, not to leave: as in a crash
+        node.send_signal(
+            signal.SIGKILL
+        )  # it is to fail for the others, not to leave: as in a crash
         await node.wait()
 
 
--- a/benchmarks/members_search.py
+++ b/benchmarks/members_search.py
@@ -62,7 +62,9 @@
             steps, done = steps + moments, done + 1
             broken += words
         if done:
-            print(f"{done} courses of {args.members}, {steps} moments, {time.monotonic() - began:.0f} s")
+            print(
+                f"{done} courses of {args.members}, {steps} moments, {time.monotonic() - began:.0f} s"
+            )
     for word in broken[:20]:
         print(word)
     return 1 if broken else 0
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -113,7 +113,9 @@
         """Connect to the next server."""
         port = next(self.ports)
         loop = asyncio.get_running_loop()
-        self.other, _ = await loop.create_connection(lambda: Pipe(self.transport), "127.0.0.1", port)
+        self.other, _ = await loop.create_connection(
+            lambda: Pipe(self.transport), "127.0.0.1", port
+        )
         self.other.write(self.early)
 
     def data_received(self, data: bytes) -> None:
@@ -132,7 +134,9 @@
 async def forwarder(port: int, ports: list[int]) -> None:
     """A bare asyncio byte forwarder: what the socket work alone costs."""
     turn = itertools.cycle(ports)
-    await asyncio.get_running_loop().create_server(lambda: Pipe(ports=turn), "127.0.0.1", port, backlog=1024)
+    await asyncio.get_running_loop().create_server(
+        lambda: Pipe(ports=turn), "127.0.0.1", port, backlog=1024
+    )
     await asyncio.Event().wait()
 
 
@@ -262,7 +266,10 @@
 
     def __init__(self, words: list[str], cores: tuple[int, ...], folder: Path = ROOT) -> None:
         self.process = subprocess.Popen(
-            words, env={**os.environ, "PYTHONPATH": str(folder)}, preexec_fn=lambda: pin(*cores), cwd=folder
+            words,
+            env={**os.environ, "PYTHONPATH": str(folder)},
+            preexec_fn=lambda: pin(*cores),
+            cwd=folder,
         )
 
     def __enter__(self) -> Process:
@@ -354,7 +361,8 @@
                         if kind == "half":
                             rate = (
                                 given.rate
-                                or min(found[n]["most"][-1]["rate"] for n in names if "x" not in n) / 2
+                                or min(found[n]["most"][-1]["rate"] for n in names if "x" not in n)
+                                / 2
                             )
                         folder = Path(given.against) if name.startswith("before") else ROOT
                         mine = free_port()
@@ -365,7 +373,8 @@
                             figures = load(mine, rate, given.seconds)
                         found.setdefault(name, {}).setdefault(kind, []).append(figures)
                         print(
-                            f"repeat {repeat + 1}, {name}, {kind}: {figures['rate']:.0f}/s", file=sys.stderr
+                            f"repeat {repeat + 1}, {name}, {kind}: {figures['rate']:.0f}/s",
+                            file=sys.stderr,
                         )
     return found
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -33,15 +33,21 @@
     """Play one; returns its figures."""
     began = time.perf_counter()
     fleet = SimulatedCluster(
-        seed, SimulatedNetwork(loss=loss), ProtocolOptions(local_health=health, max_members=2 * members + 10)
+        seed,
+        SimulatedNetwork(loss=loss),
+        ProtocolOptions(local_health=health, max_members=2 * members + 10),
     )
     names = [f"n{i:04d}" for i in range(members)]
-    tags = {n: {"site": "abc"[i % 3], "tier": "front", "version": "0.3.0"} for i, n in enumerate(names)}
+    tags = {
+        n: {"site": "abc"[i % 3], "tier": "front", "version": "0.3.0"} for i, n in enumerate(names)
+    }
     if not meet:
         fleet.start_introduced(tags)
         gc.freeze()  # millions of records that stay to the end
     for name in names if meet else ():
-        fleet.call_later(fleet.random.randrange(S), lambda n=name: fleet.start(n, names[:3], tags=tags[n]))
+        fleet.call_later(
+            fleet.random.randrange(S), lambda n=name: fleet.start(n, names[:3], tags=tags[n])
+        )
     fleet.run_until(meet * S)
     unmet = fleet.wrong_pairs()
     fleet.changes.clear()
@@ -97,21 +103,38 @@
     for key in ("first learns, median s", "last learns, longest s"):
         points = [[r[key] for r in calm if r["members"] == n and r[key] is not None] for n in sizes]
         left.plot(sizes, [statistics.median(p) if p else None for p in points], "o-", label=key)
-    left.plot(sizes, [expected(n) for n in sizes], "--", label="SWIM's first probe and shortest suspicion")
+    left.plot(
+        sizes, [expected(n) for n in sizes], "--", label="SWIM's first probe and shortest suspicion"
+    )
     left.set(
-        xscale="log", xlabel="members", ylabel="s", ylim=(0, None), title="A tenth killed at once, no loss"
+        xscale="log",
+        xlabel="members",
+        ylabel="s",
+        ylim=(0, None),
+        title="A tenth killed at once, no loss",
     )
     left.legend(fontsize=8)
     for loss in sorted({r["loss"] for r in rows}):
         points = [
-            [r["bytes a member and second"] for r in rows if r["members"] == n and r["loss"] == loss]
+            [
+                r["bytes a member and second"]
+                for r in rows
+                if r["members"] == n and r["loss"] == loss
+            ]
             for n in sizes
         ]
         right.plot(
-            sizes, [statistics.median(p) if p else None for p in points], "o-", label=f"{loss:.0%} loss"
+            sizes,
+            [statistics.median(p) if p else None for p in points],
+            "o-",
+            label=f"{loss:.0%} loss",
         )
     right.set(
-        xscale="log", xlabel="members", ylabel="bytes a member and second", ylim=(0, None), title="At rest"
+        xscale="log",
+        xlabel="members",
+        ylabel="bytes a member and second",
+        ylim=(0, None),
+        title="At rest",
     )
     right.legend(fontsize=8)
     figure.savefig(path, dpi=110)
@@ -124,7 +147,10 @@
     parser.add_argument("--loss", default="0,0.1,0.4")
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument(
-        "--meet", type=int, default=MEET, help="seconds until they are at rest; 0: they met long ago"
+        "--meet",
+        type=int,
+        default=MEET,
+        help="seconds until they are at rest; 0: they met long ago",
     )
     parser.add_argument("--without-health", action="store_true", help="also without local health")
     parser.add_argument("--out", type=Path)
--- a/benchmarks/server_files.py
+++ b/benchmarks/server_files.py
@@ -37,7 +37,11 @@
         name = f"s{i}-{turn}" if new else f"s{i}"
         port = 1000 + turn % 500 if new else 999
         rows.append(
-            {"name": name, "address": f"127.{i // 62500}.{i // 250 % 250}.{1 + i % 250}:{port}", "zone": "a"}
+            {
+                "name": name,
+                "address": f"127.{i // 62500}.{i // 250 % 250}.{1 + i % 250}:{port}",
+                "zone": "a",
+            }
         )
     return json.dumps({"endpoints": rows})
 
@@ -71,7 +75,10 @@
         path = Path(folder) / "servers.json"
         path.write_text(render(count, 0))
         settings = Settings(
-            classes=CLASSES, replica_count=200, pin_endpoint_list=True, weight_source=WeightSource.NOMINAL
+            classes=CLASSES,
+            replica_count=200,
+            pin_endpoint_list=True,
+            weight_source=WeightSource.NOMINAL,
         )
         config = Config("bench", ("127.0.0.1", 0), None, 1, 1024, None, settings)
         options = FileOptions(path, saved_path=Path(folder) / "saved")
@@ -137,7 +144,11 @@
         print(json.dumps(results, indent=2))
         return
     for result in results:
-        print("  ".join(f"{k} {v:.1f}" if isinstance(v, float) else f"{k} {v}" for k, v in result.items()))
+        print(
+            "  ".join(
+                f"{k} {v:.1f}" if isinstance(v, float) else f"{k} {v}" for k, v in result.items()
+            )
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/sip.py
+++ b/benchmarks/sip.py
@@ -25,7 +25,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 
-import nodes  # noqa: E402
+import nodes
 
 OUT = 64
 PATIENCE_S = 2.0  # then a request counts as lost, and its place is free
@@ -134,7 +134,9 @@
 
     async def run(self) -> dict[str, Any]:
         """A second to warm up, then the figures."""
-        await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=("127.0.0.1", 0))
+        await asyncio.get_running_loop().create_datagram_endpoint(
+            lambda: self, local_addr=("127.0.0.1", 0)
+        )
         start = time.perf_counter()
         sent, begin, swept = 0, start + 1.0, start
         if not self.rate:
@@ -160,7 +162,9 @@
 async def servers(ports: list[int]) -> None:
     """Stand-in servers."""
     for port in ports:
-        await asyncio.get_running_loop().create_datagram_endpoint(Echo, local_addr=("127.0.0.1", port))
+        await asyncio.get_running_loop().create_datagram_endpoint(
+            Echo, local_addr=("127.0.0.1", port)
+        )
     await asyncio.Event().wait()
 
 
@@ -196,7 +200,9 @@
 def play(to: int, rate: float, seconds: float) -> dict[str, float]:
     """One load, in a process of its own."""
     words = this("load", to, rate, seconds)
-    done = subprocess.run(words, capture_output=True, text=True, check=True, preexec_fn=lambda: nodes.pin(6))
+    done = subprocess.run(
+        words, capture_output=True, text=True, check=True, preexec_fn=lambda: nodes.pin(6)
+    )
     return json.loads(done.stdout)  # type: ignore[no-any-return]
 
 
@@ -228,7 +234,10 @@
             [udp_port() for _ in range(nodes.SERVERS)],
             [nodes.free_port() for _ in range(nodes.SERVERS)],
         )
-        with nodes.Process(this("servers", *ports), (4,)), nodes.Process(nodes.this("servers", *web), (5,)):
+        with (
+            nodes.Process(this("servers", *ports), (4,)),
+            nodes.Process(nodes.this("servers", *web), (5,)),
+        ):
             for number in web:
                 nodes.wait_for(number)
             for _ in range(given.repeats):
@@ -271,7 +280,11 @@
     elif what == "relay":
         asyncio.run(relay(int(numbers[0]), list(map(int, numbers[1:]))))
     else:
-        print(json.dumps(asyncio.run(Load(int(numbers[0]), float(numbers[1]), float(numbers[2])).run())))
+        print(
+            json.dumps(
+                asyncio.run(Load(int(numbers[0]), float(numbers[1]), float(numbers[2])).run())
+            )
+        )
 
 
 def main() -> None:
@@ -289,7 +302,7 @@
     found = measure(given)
     if given.json:
         print(json.dumps(found, indent=1))
-        return
+        return None
     print(f"{'':16}{'a second':>12}{'p50 ms':>9}{'p99 ms':>9}{'bad':>7}{'lost':>7}{'again':>7}")
     for name, rows in found.items():
         if name == "open":
--- a/benchmarks/sip_faults.py
+++ b/benchmarks/sip_faults.py
@@ -23,7 +23,9 @@
 def play(seed: int) -> Counter[str]:
     """One site's counts."""
     sys.path[:0] = [str(ROOT), str(ROOT / "tests" / "sip")]
-    spec = importlib.util.spec_from_file_location("site_tests", ROOT / "tests" / "sip" / "test_site.py")
+    spec = importlib.util.spec_from_file_location(
+        "site_tests", ROOT / "tests" / "sip" / "test_site.py"
+    )
     assert spec is not None and spec.loader is not None
     tests = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(tests)
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -81,7 +81,9 @@
         began = time.perf_counter()
         plan = compute_plan(topology)
         times.append(time.perf_counter() - began)
-    print(f"ten sites, {len(plan.scenarios)} losses planned: {statistics.median(times):.2f} s (median of 5)")
+    print(
+        f"ten sites, {len(plan.scenarios)} losses planned: {statistics.median(times):.2f} s (median of 5)"
+    )
     return 1 if worse else 0
 
 
@@ -148,7 +150,8 @@
     with ProcessPoolExecutor(args.processes) as pool:
         for with_sites in (False, True):
             work = [
-                (seed, with_sites, args.copies, args.flaps, args.lost) for seed in range(1, args.seeds + 1)
+                (seed, with_sites, args.copies, args.flaps, args.lost)
+                for seed in range(1, args.seeds + 1)
             ]
             rows = list(pool.map(recovery, work))
             never += sum(r["never"] for r in rows) if with_sites else 0
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -40,7 +40,10 @@
     took = time.monotonic() - begin
     time.sleep(1)
     status = Path(f"/proc/{process.pid}/status").read_text()
-    resident = int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1]) / 1024
+    resident = (
+        int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1])
+        / 1024
+    )
     process.kill()
     process.wait()
     process.stderr.close()
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -120,9 +120,14 @@
 async def measure(options: argparse.Namespace) -> None:
     """Play it."""
     size = options.megabytes * 1024 * 1024 // len(PART) * len(PART)
-    servers = [await asyncio.start_server(lambda r, w: serve(r, w, size), "127.0.0.1", 0) for _ in range(2)]
+    servers = [
+        await asyncio.start_server(lambda r, w: serve(r, w, size), "127.0.0.1", 0) for _ in range(2)
+    ]
     ports = [s.sockets[0].getsockname()[1] for s in servers]
-    known = [{"name": f"s-{p}", "address": f"127.0.0.1:{p}", "status": "ready", "since_ms": 0} for p in ports]
+    known = [
+        {"name": f"s-{p}", "address": f"127.0.0.1:{p}", "status": "ready", "since_ms": 0}
+        for p in ports
+    ]
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder, "c.json")
         door = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
@@ -144,7 +149,9 @@
                     break
                 await asyncio.sleep(0.05)
             callers = Callers(port, size)
-            await asyncio.gather(*(callers.ask(time.monotonic() + options.seconds / 2) for _ in range(4)))
+            await asyncio.gather(
+                *(callers.ask(time.monotonic() + options.seconds / 2) for _ in range(4))
+            )
             show("alone", callers.small)
             print(f"peak before {peak(node.pid):.1f} MB")
             callers.small = []
@@ -166,7 +173,9 @@
 def show(what: str, seen: list[float]) -> None:
     """One line of latencies."""
     cuts = statistics.quantiles(seen, n=100)
-    print(f"small requests {what}: {len(seen)}, p50 {1000 * cuts[49]:.1f} ms, p99 {1000 * cuts[98]:.1f} ms")
+    print(
+        f"small requests {what}: {len(seen)}, p50 {1000 * cuts[49]:.1f} ms, p99 {1000 * cuts[98]:.1f} ms"
+    )
 
 
 def main() -> None:
--- a/benchmarks/switch.py
+++ b/benchmarks/switch.py
@@ -50,7 +50,9 @@
     return process
 
 
-async def asked(where: tuple[str, int], seconds: float, connections: int, pause: float) -> list[float]:
+async def asked(
+    where: tuple[str, int], seconds: float, connections: int, pause: float
+) -> list[float]:
     """Times of all requests, seconds."""
     times: list[float] = []
     end = time.perf_counter() + seconds
@@ -77,7 +79,12 @@
     a.bind((host(NODE_NET, 0), slot.port(MEMBER)))
     b.bind((host(NODE_NET, 1), slot.port(MEMBER)))
     b.settimeout(0.2)
-    to, sent, got, end = (host(SWITCH_NET, 1), slot.port(MEMBER_SWITCH)), 0, 0, time.perf_counter() + seconds
+    to, sent, got, end = (
+        (host(SWITCH_NET, 1), slot.port(MEMBER_SWITCH)),
+        0,
+        0,
+        time.perf_counter() + seconds,
+    )
     while time.perf_counter() < end:
         for _ in range(200 - (sent - got)):
             a.sendto(bytes(250), to)
@@ -111,7 +118,13 @@
             "network": (0, 0, 0.0),
             "seed": "1",
         }
-        bench = {"base": slot.base, "plan": plan.model_dump(), "seed": 1, "servers": [(0, "s")], "out": out}
+        bench = {
+            "base": slot.base,
+            "plan": plan.model_dump(),
+            "seed": 1,
+            "servers": [(0, "s")],
+            "out": out,
+        }
         processes = [await helper("switch", network), await helper("servers", bench)]
         ways = {
             "directly": (host(SERVER_NET, 0), slot.port(SERVER)),
@@ -128,7 +141,9 @@
                         f"p99 {p99 * 1e3:6.3f} ms  {rate:6.0f} requests/s", flush=True,
                     )  # fmt: skip
         sent, got = await asyncio.to_thread(datagrams, slot, args.seconds)
-        print(f"datagrams of 250 bytes: {got / args.seconds:.0f}/s came of {sent / args.seconds:.0f}/s sent")
+        print(
+            f"datagrams of 250 bytes: {got / args.seconds:.0f}/s came of {sent / args.seconds:.0f}/s sent"
+        )
         for process in processes:
             assert process.stdin is not None
             process.stdin.close()
--- a/benchmarks/worker_kills.py
+++ b/benchmarks/worker_kills.py
@@ -26,7 +26,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 
-import nodes  # noqa: E402
+import nodes
 
 
 def workers_of(pid: int) -> list[int]:
@@ -90,7 +90,9 @@
             return
         load.broken += 1
         if self.out:
-            load.told["lost with a dead worker" if self.port in load.dead else "lost otherwise"] += 1
+            load.told[
+                "lost with a dead worker" if self.port in load.dead else "lost otherwise"
+            ] += 1
         if self in load.free:
             load.free.remove(self)
         load.open()
@@ -160,13 +162,17 @@
         if running.done() or not alive:
             continue
         victim = draw.choice(alive)
-        os.kill(victim, signal.SIGSTOP)  # or it could take another connection between the look and its end
+        os.kill(
+            victim, signal.SIGSTOP
+        )  # or it could take another connection between the look and its end
         load.dead |= held(victim, port)
         os.kill(victim, signal.SIGKILL)
         kills += 1
     await running
     answered = sum(count for what, count in load.told.items() if what.isdigit())
-    owed = load.asked - answered - sum(c for what, c in load.told.items() if what.startswith("lost"))
+    owed = (
+        load.asked - answered - sum(c for what, c in load.told.items() if what.startswith("lost"))
+    )
     return {
         "kills": kills, "workers up at a look, least": min(up), "requests": load.asked,
         **{f"answered {what}" if what.isdigit() else what: count for what, count in sorted(load.told.items())},
@@ -192,7 +198,9 @@
             for number in ports:
                 nodes.wait_for(number)
             port = nodes.free_port()
-            words, cores = nodes.peer(f"nodex{given.workers}", port, ports, nodes.ROOT, Path(scratch))
+            words, cores = nodes.peer(
+                f"nodex{given.workers}", port, ports, nodes.ROOT, Path(scratch)
+            )
             with nodes.Process(words, cores) as node:
                 nodes.wait_for(port)
                 time.sleep(1.5)
--- a/oakbridge/__main__.py
+++ b/oakbridge/__main__.py
@@ -50,7 +50,9 @@
 
 def start_log(level: int = logging.INFO) -> None:
     """Log to standard error."""
-    logging.basicConfig(level=level, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s")
+    logging.basicConfig(
+        level=level, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s"
+    )
 
 
 def main() -> int:
--- a/oakbridge/agent/actions.py
+++ b/oakbridge/agent/actions.py
@@ -52,4 +52,11 @@
     at_us: int
 
 
-Action = PersistRecord | StageGeneration | DiscardGeneration | ActivateGeneration | RunGeneration | SetTimer
+Action = (
+    PersistRecord
+    | StageGeneration
+    | DiscardGeneration
+    | ActivateGeneration
+    | RunGeneration
+    | SetTimer
+)
--- a/oakbridge/agent/errors.py
+++ b/oakbridge/agent/errors.py
@@ -15,7 +15,9 @@
     """The step is for an instance that runs another generation."""
 
     def __init__(self, running: int, expected: int) -> None:
-        super().__init__(f"it runs generation {running}, and the step is for one that runs {expected}")
+        super().__init__(
+            f"it runs generation {running}, and the step is for one that runs {expected}"
+        )
         self.running = running
         self.expected = expected
 
--- a/oakbridge/agent/executor.py
+++ b/oakbridge/agent/executor.py
@@ -62,7 +62,9 @@
             self._files = files
         self.execute(now_us, actions, lease_problem)
 
-    def execute(self, now_us: int, actions: list[Action], lease_problem: Problem = _no_problem) -> None:
+    def execute(
+        self, now_us: int, actions: list[Action], lease_problem: Problem = _no_problem
+    ) -> None:
         """Carry out actions, and all that follow from them."""
         queue = deque(actions)
         while queue:
--- a/oakbridge/agent/generations.py
+++ b/oakbridge/agent/generations.py
@@ -36,7 +36,9 @@
         StoreError: if it is not.
     """
     if not _NAME.fullmatch(name) or name.endswith(TEMPORARY_SUFFIX):
-        raise StoreError(field, f"expected up to 100 letters, digits, dots or dashes, got {name!r:.120}")
+        raise StoreError(
+            field, f"expected up to 100 letters, digits, dots or dashes, got {name!r:.120}"
+        )
     return name
 
 
--- a/oakbridge/agent/journal.py
+++ b/oakbridge/agent/journal.py
@@ -54,7 +54,9 @@
 
     def _prepare(self, path: Path) -> None:
         self._database.execute("PRAGMA journal_mode = WAL")
-        self._database.execute("PRAGMA synchronous = FULL")  # a granted token must survive a power cut
+        self._database.execute(
+            "PRAGMA synchronous = FULL"
+        )  # a granted token must survive a power cut
         for statement in SCHEMA:
             self._database.execute(statement)
         found = self._read_fact(FORMAT_FACT)
--- a/oakbridge/agent/lease.py
+++ b/oakbridge/agent/lease.py
@@ -49,7 +49,9 @@
 class Lease:
     """The lease of one agent.  ``record`` must outlive the process; the lease itself need not."""
 
-    def __init__(self, record: FencingTokenRecord, now_us: int, grace_us: int = RESTART_GRACE_US) -> None:
+    def __init__(
+        self, record: FencingTokenRecord, now_us: int, grace_us: int = RESTART_GRACE_US
+    ) -> None:
         """Take up a record; an unreleased lease is active for ``grace_us`` more."""
         self.record = record
         self._expires_us = now_us if record.released else now_us + grace_us
@@ -67,7 +69,9 @@
         self.record = FencingTokenRecord(token, holder, wall_time_s, released=False)
         return self._grant(now_us, duration_us, record_changed=True)
 
-    def renew(self, now_us: int, token: int, holder: str, duration_us: int) -> LeaseGranted | LeaseDenied:
+    def renew(
+        self, now_us: int, token: int, holder: str, duration_us: int
+    ) -> LeaseGranted | LeaseDenied:
         """Grant more time.  An expired lease may be renewed as long as nobody else has acquired it.
 
         The holder counts as well: two who ask at once choose the same token, and each may have won
--- a/oakbridge/agent/local_host.py
+++ b/oakbridge/agent/local_host.py
@@ -66,9 +66,13 @@
             return ""
         return _first_problem(errors.decode("utf-8", "replace"))
 
-    async def query_node(self, control: Path, command: protocol.ControlCommand, **arguments: Any) -> Any:
+    async def query_node(
+        self, control: Path, command: protocol.ControlCommand, **arguments: Any
+    ) -> Any:
         """Query a node over its control socket; raises as :meth:`Host.query_node` says."""
-        reader, writer = await asyncio.open_unix_connection(str(control), limit=protocol.MAX_RESPONSE_BYTES)
+        reader, writer = await asyncio.open_unix_connection(
+            str(control), limit=protocol.MAX_RESPONSE_BYTES
+        )
         try:
             writer.write(protocol.encode_request(command, arguments))
             line = await reader.readline()
--- a/oakbridge/agent/managed_instance.py
+++ b/oakbridge/agent/managed_instance.py
@@ -58,12 +58,16 @@
         self.node_answer: dict[str, Any] = {}  # the node's last status; empty if it did not answer
         self.answered_at_s = 0.0  # Unix time
         self.running_generation = UNKNOWN_GENERATION  # the one that the process was started with
-        self._member = MemberEndpoint(f"{context.agent}/{name}", spec.member) if spec.member else None
+        self._member = (
+            MemberEndpoint(f"{context.agent}/{name}", spec.member) if spec.member else None
+        )
         self._generations = context.store.generations
         self._host = context.host
         self._poll_interval_s = context.poll_interval_s
         self._poll_task: asyncio.Task[None] | None = None
-        self._config_problem = ""  # what the node's checker found in the files of the step in progress
+        self._config_problem = (
+            ""  # what the node's checker found in the files of the step in progress
+        )
         self._timers = Timers(name)
         self.node = self._make_node()
         self._executor = self._make_executor(context.store)
@@ -189,7 +193,9 @@
             await asyncio.sleep(self._poll_interval_s)
             try:
                 async with asyncio.timeout(POLL_TIMEOUT_S):
-                    answer = await self._host.query_node(self.spec.control, ControlCommand.STATUS, rows=0)
+                    answer = await self._host.query_node(
+                        self.spec.control, ControlCommand.STATUS, rows=0
+                    )
             except (OSError, TimeoutError, EOFError, ValueError, RequestRejectedError):
                 self.node_answer = {}
                 continue
@@ -207,7 +213,9 @@
             reason = f"its server file is {status.source_problem}"
             self._execute(self.machine.on_failed(reason))
         elif self._is_steady() and not self._runs_current_config(status):
-            log.warning("%s: it runs another configuration than it should, and is started anew", self.name)
+            log.warning(
+                "%s: it runs another configuration than it should, and is started anew", self.name
+            )
             self.node.restart()
         elif status.ready:
             self.node.mark_ready()
--- a/oakbridge/agent/node_process.py
+++ b/oakbridge/agent/node_process.py
@@ -36,7 +36,9 @@
 class LocalProcess:
     """A process of this machine, a child or one that was found."""
 
-    def __init__(self, pid: int, on_exit: ExitCallback, child: subprocess.Popen[bytes] | None = None) -> None:
+    def __init__(
+        self, pid: int, on_exit: ExitCallback, child: subprocess.Popen[bytes] | None = None
+    ) -> None:
         """Watch the process.  Raises OSError where there is none."""
         self.pid = pid
         self._child = child
--- a/oakbridge/agent/operator_api.py
+++ b/oakbridge/agent/operator_api.py
@@ -46,7 +46,9 @@
         """
         request = decode_request(method, path, body)
         if request is None:
-            return _error(HTTPStatus.NOT_FOUND, f"path: nothing at {method} {path[:MAX_SHOWN_PATH_LENGTH]}")
+            return _error(
+                HTTPStatus.NOT_FOUND, f"path: nothing at {method} {path[:MAX_SHOWN_PATH_LENGTH]}"
+            )
         if (problem := _authorization_problem(identity, request)) is not None:
             return _error(HTTPStatus.FORBIDDEN, problem)
         match request:
@@ -110,7 +112,9 @@
         self, instance: ManagedInstance, request: StepRequest, holder: str, config_problem: str
     ) -> Response:
         target = Generation(request.generation, digest_of(request.files))
-        step = Step(request.step_id, request.token, target, request.base_generation, request.watch_us)
+        step = Step(
+            request.step_id, request.token, target, request.base_generation, request.watch_us
+        )
 
         def lease_problem() -> str:  # the lease may have ended since the request came
             return self._agent.lease_problem(step.token, holder)
--- a/oakbridge/cli/check.py
+++ b/oakbridge/cli/check.py
@@ -17,7 +17,9 @@
 @click.command("check")
 @click.argument("path", metavar="FILE", required=False, type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="The mistakes as JSON.")
-@click.option("--reference", is_flag=True, help="Print the reference of all keys instead, as Markdown.")
+@click.option(
+    "--reference", is_flag=True, help="Print the reference of all keys instead, as Markdown."
+)
 def command(path: Path | None, as_json: bool, reference: bool) -> None:
     """Check a configuration, and the server files that it names; exit code 2 if there are mistakes."""
     if reference:
--- a/oakbridge/cli/common.py
+++ b/oakbridge/cli/common.py
@@ -21,7 +21,9 @@
 
     def show(self, file: Any = None) -> None:
         """Print the message on standard error, each of its lines with the program's name."""
-        print(*(f"oakbridge: {line}" for line in self.message.splitlines()), sep="\n", file=sys.stderr)
+        print(
+            *(f"oakbridge: {line}" for line in self.message.splitlines()), sep="\n", file=sys.stderr
+        )
 
 
 class InvalidInputError(CommandFailedError):
@@ -38,18 +40,27 @@
 def socket_options(function: Any) -> Any:
     """Add the options that name a node: by its control socket or by its configuration."""
     function = click.option(
-        "--config", type=click.Path(path_type=Path), help="The node's configuration, which tells its socket."
+        "--config",
+        type=click.Path(path_type=Path),
+        help="The node's configuration, which tells its socket.",
     )(function)
     return click.option(
-        "--socket", "socket_path", type=click.Path(path_type=Path), help="The node's control socket."
+        "--socket",
+        "socket_path",
+        type=click.Path(path_type=Path),
+        help="The node's control socket.",
     )(function)
 
 
 def look_options(function: Any) -> Any:
     """Add the options for how to show a node's state."""
     every = click.FloatRange(0.1, 60)
-    function = click.option("--every", default=1.0, type=every, help="Seconds between two looks.")(function)
-    function = click.option("--watch", is_flag=True, help="Go on showing it, until Ctrl-C.")(function)
+    function = click.option("--every", default=1.0, type=every, help="Seconds between two looks.")(
+        function
+    )
+    function = click.option("--watch", is_flag=True, help="Go on showing it, until Ctrl-C.")(
+        function
+    )
     return click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")(function)
 
 
--- a/oakbridge/cli/demo.py
+++ b/oakbridge/cli/demo.py
@@ -19,7 +19,9 @@
 
 
 @click.command("demo")
-@click.option("--seconds", default=10.0, type=click.FloatRange(1, 300), help="How long the load lasts.")
+@click.option(
+    "--seconds", default=10.0, type=click.FloatRange(1, 300), help="How long the load lasts."
+)
 @click.option("--rate", default=200.0, type=click.FloatRange(1, 2000), help="Requests a second.")
 @click.option(
     "--seed", default=7, type=click.IntRange(0), help="For arrivals and for the servers' behaviour."
@@ -68,7 +70,9 @@
     tally, rows = scene.tally, {r["name"]: r for r in scene.status.get("rows", [])}
     table = Table(box=box.SIMPLE_HEAD)
     for column in ("server", "what it does", "state", "out", "answers", "share"):
-        table.add_column(column, justify="left" if column in ("server", "what it does", "state") else "right")
+        table.add_column(
+            column, justify="left" if column in ("server", "what it does", "state") else "right"
+        )
     total = max(1, sum(tally.by_server.values()))
     for name, role in scene.roles.items():
         row, count = rows.get(name), tally.by_server[name]
--- a/oakbridge/cli/fleet.py
+++ b/oakbridge/cli/fleet.py
@@ -37,7 +37,11 @@
 )
 
 folder_option = click.option(
-    "--fleet", "folder", default=Path("fleet"), type=click.Path(path_type=Path), help="The fleet's folder."
+    "--fleet",
+    "folder",
+    default=Path("fleet"),
+    type=click.Path(path_type=Path),
+    help="The fleet's folder.",
 )
 operator_option = click.option(
     "--as", "operator", default="admin", help="The operator whose certificate is used."
@@ -49,12 +53,14 @@
     function = click.option(
         "--secret-file", type=click.Path(path_type=Path), help="The members' secret, for --via."
     )(function)
-    return click.option("--via", metavar="ADDRESS", help="A member that is asked for all that it knows.")(
-        function
-    )
+    return click.option(
+        "--via", metavar="ADDRESS", help="A member that is asked for all that it knows."
+    )(function)
 
 
-async def members_by(via: str, secret_file: Path | None, within: float = 5.0) -> list[dict[str, Any]]:
+async def members_by(
+    via: str, secret_file: Path | None, within: float = 5.0
+) -> list[dict[str, Any]]:
     """Return the members that the member at an address knows.  Raises InvalidInputError or CommandFailedError."""
     from oakbridge.config.errors import ConfigFileError
     from oakbridge.config.peers import read_secret
@@ -103,7 +109,9 @@
     try:
         pki.create_authority(folder, name)
         pki.issue_certificate(
-            folder, Identity(name, IdentityKind.OPERATOR, "admin", Role.WRITE), folder / "operators" / "admin"
+            folder,
+            Identity(name, IdentityKind.OPERATOR, "admin", Role.WRITE),
+            folder / "operators" / "admin",
         )
     except PkiError as e:
         raise InvalidInputError(str(e)) from None
@@ -162,7 +170,9 @@
     role = Role.READ if read_only else Role.WRITE
     stem = folder / "operators" / _named(name, "NAME")
     try:
-        pki.issue_certificate(folder, Identity(inventory.name, IdentityKind.OPERATOR, name, role), stem, days)
+        pki.issue_certificate(
+            folder, Identity(inventory.name, IdentityKind.OPERATOR, name, role), stem, days
+        )
     except PkiError as e:
         raise InvalidInputError(str(e)) from None
     click.echo(f"operator {name} may {role}: {stem}.crt, {stem}.key")
@@ -180,7 +190,9 @@
             f"{folder / INVENTORY_FILE}: the fleet has no agents yet (`oakbridge fleet add-agent`)"
         )
     try:
-        tls = pki.tls_context(folder / "ca.crt", folder / "operators" / _named(name, "--as"), server=False)
+        tls = pki.tls_context(
+            folder / "ca.crt", folder / "operators" / _named(name, "--as"), server=False
+        )
     except PkiError as e:
         raise InvalidInputError(str(e)) from None
     return FleetClient(inventory, tls, within_s, name)
@@ -195,7 +207,12 @@
 @via_options
 @click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
 def status(
-    folder: Path, operator: str, within: float, via: str | None, secret_file: Path | None, as_json: bool
+    folder: Path,
+    operator: str,
+    within: float,
+    via: str | None,
+    secret_file: Path | None,
+    as_json: bool,
 ) -> None:
     """Show every agent and every instance; exit code 1 if any of them is not known to be well.
 
@@ -224,10 +241,17 @@
 @command.command("watch")
 @folder_option
 @operator_option
-@click.option("--every", default=2.0, type=click.FloatRange(0.2, 600), help="Seconds between two looks.")
-@click.option("--count", default=0, type=click.IntRange(0), help="Looks before it ends; 0: until Ctrl-C.")
 @click.option(
-    "--json", "as_json", is_flag=True, help="A line of JSON for each change of an instance's health."
+    "--every", default=2.0, type=click.FloatRange(0.2, 600), help="Seconds between two looks."
+)
+@click.option(
+    "--count", default=0, type=click.IntRange(0), help="Looks before it ends; 0: until Ctrl-C."
+)
+@click.option(
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="A line of JSON for each change of an instance's health.",
 )
 def watch(folder: Path, operator: str, every: float, count: int, as_json: bool) -> None:
     """Show the fleet as it is, again and again; what is well is summed up, what is not has a line."""
--- a/oakbridge/cli/fleet_view.py
+++ b/oakbridge/cli/fleet_view.py
@@ -76,7 +76,9 @@
     ]
 
 
-def fleet_view(responses: list[AgentResponse], instances: list[Row], *, all_rows: bool = True) -> Group:
+def fleet_view(
+    responses: list[AgentResponse], instances: list[Row], *, all_rows: bool = True
+) -> Group:
     """Return the fleet for people, within 80 columns; without ``all_rows`` only what is unhealthy.
 
     Instances come first, then agents that do not answer, then the total.
@@ -96,7 +98,9 @@
     table.add_column("health", no_wrap=True)
     for name in ("gen", "servers", "req/s"):
         table.add_column(name, justify="right", no_wrap=True)
-    table.add_column("crashes, last words", no_wrap=True, overflow="ellipsis", max_width=MAX_EXIT_WIDTH)
+    table.add_column(
+        "crashes, last words", no_wrap=True, overflow="ellipsis", max_width=MAX_EXIT_WIDTH
+    )
     return table
 
 
@@ -115,7 +119,9 @@
 
 def _silent_agent_line(response: AgentResponse) -> Text:
     error = agent_row(response)["error"]
-    return Text(f"{response.agent}: unknown: {error}", style="yellow", no_wrap=True, overflow="ellipsis")
+    return Text(
+        f"{response.agent}: unknown: {error}", style="yellow", no_wrap=True, overflow="ellipsis"
+    )
 
 
 def _total_line(instances: list[Row], unknown_agents: int, agents: int) -> Text:
--- a/oakbridge/cli/lab.py
+++ b/oakbridge/cli/lab.py
@@ -29,11 +29,17 @@
 
 @command.command("run")
 @click.argument("path", metavar="FILE", type=click.Path(path_type=Path))
-@click.option("--seed", default=1, type=click.IntRange(0, 2**31), help="Draws load, faults and all else.")
-@click.option("--out", required=True, type=click.Path(path_type=Path), help="A folder for the results.")
+@click.option(
+    "--seed", default=1, type=click.IntRange(0, 2**31), help="Draws load, faults and all else."
+)
+@click.option(
+    "--out", required=True, type=click.Path(path_type=Path), help="A folder for the results."
+)
 @click.option("--quick", is_flag=True, help="Fewer of everything, as the file says.")
 @click.option(
-    "--root", type=click.Path(path_type=Path, exists=True), help="Another checkout, whose nodes are run."
+    "--root",
+    type=click.Path(path_type=Path, exists=True),
+    help="Another checkout, whose nodes are run.",
 )
 @click.option("--json", "as_json", is_flag=True, help="The summary as JSON.")
 def run(path: Path, seed: int, out: Path, quick: bool, root: Path | None, as_json: bool) -> None:
@@ -52,7 +58,9 @@
         raise click.exceptions.Exit(1)
 
 
-def _play(plan: Plan, path: Path, seed: int, out: Path, quick: bool, root: Path | None) -> dict[str, Any]:
+def _play(
+    plan: Plan, path: Path, seed: int, out: Path, quick: bool, root: Path | None
+) -> dict[str, Any]:
     """One run; returns its summary."""
     from oakbridge.lab.addresses import NoFreeSlotError
     from oakbridge.lab.helper_process import RunFailedError
@@ -81,18 +89,33 @@
 
 
 @command.command("compare")
-@click.argument("paths", metavar="FILE...", nargs=-1, required=True, type=click.Path(path_type=Path))
+@click.argument(
+    "paths", metavar="FILE...", nargs=-1, required=True, type=click.Path(path_type=Path)
+)
 @click.option(
-    "--seeds", default=20, type=click.IntRange(1, 1000), help="Each case is played with the seeds 1 to this."
+    "--seeds",
+    default=20,
+    type=click.IntRange(1, 1000),
+    help="Each case is played with the seeds 1 to this.",
 )
 @click.option(
-    "--vary", multiple=True, metavar="KEY=A,B", help="A field of the file by its dotted path; TOML values."
+    "--vary",
+    multiple=True,
+    metavar="KEY=A,B",
+    help="A field of the file by its dotted path; TOML values.",
 )
 @click.option(
-    "--root", "roots", multiple=True, type=click.Path(path_type=Path, exists=True), help="A checkout each."
+    "--root",
+    "roots",
+    multiple=True,
+    type=click.Path(path_type=Path, exists=True),
+    help="A checkout each.",
 )
 @click.option(
-    "--out", required=True, type=click.Path(path_type=Path), help="A folder; runs that are there are kept."
+    "--out",
+    required=True,
+    type=click.Path(path_type=Path),
+    help="A folder; runs that are there are kept.",
 )
 @click.option("--quick", is_flag=True, help="Fewer of everything, as the file says.")
 def compare(
@@ -109,7 +132,9 @@
     from oakbridge.lab.plan import load_plan
 
     try:
-        found = comparing.build_cases(paths, [comparing.parse_variation(text) for text in vary], roots)
+        found = comparing.build_cases(
+            paths, [comparing.parse_variation(text) for text in vary], roots
+        )
         plans = {case.name: load_plan(case.file, case.changes) for case in found}
     except ConfigFileError as e:
         raise InvalidInputError(str(e)) from None
@@ -132,13 +157,15 @@
 
 
 @command.command("list")
-@click.argument("folder", default=Path("."), type=click.Path(path_type=Path, exists=True))
+@click.argument("folder", default=Path(), type=click.Path(path_type=Path, exists=True))
 def list_runs(folder: Path) -> None:
     """List the runs below a folder."""
     for found in sorted(folder.glob(f"**/{LATEST}")):
         summary = _read(found)
         broken = [c["name"] for c in summary["checks"] if not c["holds"]]
-        click.echo(f"{found.parent}  seed {summary['seed']}  {'holds' if not broken else ', '.join(broken)}")
+        click.echo(
+            f"{found.parent}  seed {summary['seed']}  {'holds' if not broken else ', '.join(broken)}"
+        )
 
 
 @command.command("show")
--- a/oakbridge/cli/looking.py
+++ b/oakbridge/cli/looking.py
@@ -43,4 +43,4 @@
         except (NodeUnreachableError, RequestRejectedError) as e:
             raise CommandFailedError(str(e)) from None
         except KeyboardInterrupt:
-            return
+            return None
--- a/oakbridge/cli/rollout/commands.py
+++ b/oakbridge/cli/rollout/commands.py
@@ -22,7 +22,9 @@
 from oakbridge.rollout.change import Drain, RollBackRollout, Undrain
 from oakbridge.rollout.coordinator import RolloutOptions
 
-undo_option = click.option("--undo", is_flag=True, help="Take it back everywhere if it has to be halted.")
+undo_option = click.option(
+    "--undo", is_flag=True, help="Take it back everywhere if it has to be halted."
+)
 why_option = click.option("--why", default="", help="What it is for, for the history.")
 
 
@@ -54,7 +56,9 @@
     type=click.Path(path_type=Path),
     help="A folder with all files of a generation.",
 )
-@click.option("--servers", type=click.Path(path_type=Path), help="Another server file; the rest stays.")
+@click.option(
+    "--servers", type=click.Path(path_type=Path), help="Another server file; the rest stays."
+)
 @click.option(
     "--set",
     "values",
@@ -89,7 +93,8 @@
 
 @command.command(
     "drain",
-    help="Have the nodes of --only end what they have and take nothing new, " + "until they are undrained.",
+    help="Have the nodes of --only end what they have and take nothing new, "
+    + "until they are undrained.",
 )
 @folder_option
 @operator_option
@@ -171,13 +176,16 @@
 
 @command.command(
     "resume",
-    help="Go on with a rollout whose tool was killed, " + "or take along those that were unknown at its end.",
+    help="Go on with a rollout whose tool was killed, "
+    + "or take along those that were unknown at its end.",
 )
 @folder_option
 @operator_option
 @click.argument("rollout", type=int)
 @timing_options
-def resume(folder: Path, operator: str, rollout: int, options: RolloutOptions, as_json: bool) -> None:
+def resume(
+    folder: Path, operator: str, rollout: int, options: RolloutOptions, as_json: bool
+) -> None:
     """Resume a rollout from the journal."""
     read_journal(folder, lambda journal: journal.entry(rollout))  # before the lease is acquired
     RolloutSession(folder, operator, options, as_json).resume(rollout)
--- a/oakbridge/cli/rollout/doctor_command.py
+++ b/oakbridge/cli/rollout/doctor_command.py
@@ -30,7 +30,9 @@
 @operator_option
 @via_options
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-def doctor(folder: Path, operator: str, via: str | None, secret_file: Path | None, as_json: bool) -> None:
+def doctor(
+    folder: Path, operator: str, via: str | None, secret_file: Path | None, as_json: bool
+) -> None:
     """Say what is wrong with the fleet and what to do about it; exit code 1 if anything is.
 
     With --via also where the inventory and what the members know of each other differ.
--- a/oakbridge/cli/rollout/journal_commands.py
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -91,11 +91,17 @@
         click.echo(f"{agent} did not answer: what it alone remembers is not there")
 
 
-async def _missing_entries(operator: FleetClient, journal: Journal) -> tuple[list[JournalEntry], list[str]]:
+async def _missing_entries(
+    operator: FleetClient, journal: Journal
+) -> tuple[list[JournalEntry], list[str]]:
     """Return the rollouts that only agents remember, and the agents without an answer."""
     responses = await operator.call_all(messages.StatusRequest())
     silent = [response.agent for response in responses if response.status != 200]
-    reports = {response.agent: response.body["instances"] for response in responses if response.status == 200}
+    reports = {
+        response.agent: response.body["instances"]
+        for response in responses
+        if response.status == 200
+    }
     known = {entry.id for entry in journal.entries(ALL_ENTRIES)}
     entries = [
         await _rebuilt_entry(operator, rollout)
@@ -110,7 +116,9 @@
     files: dict[str, str] = {}
     if rollout.files_holder is not None:
         holder = rollout.files_holder
-        response = await operator.call(holder.agent, messages.FilesRequest(holder.instance, rollout.id))
+        response = await operator.call(
+            holder.agent, messages.FilesRequest(holder.instance, rollout.id)
+        )
         files = response.body.get("files", {})
     now_unix_s = time.time()
     return JournalEntry(
--- a/oakbridge/cli/rollout/options.py
+++ b/oakbridge/cli/rollout/options.py
@@ -72,7 +72,9 @@
             type=click.IntRange(1),
             help="Instances in change at one time.",
         ),
-        click.option("--by-zone", is_flag=True, help="Never two zones in one wave, but for the canary."),
+        click.option(
+            "--by-zone", is_flag=True, help="Never two zones in one wave, but for the canary."
+        ),
         click.option(
             "--only",
             multiple=True,
--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -79,7 +79,9 @@
                 record=record,
             )
             journal.add(entry)
-            return RolloutResult(await self._coordinate(operator, journal, entry, held, sources), unseen)
+            return RolloutResult(
+                await self._coordinate(operator, journal, entry, held, sources), unseen
+            )
 
         self._report(self._run_with_lease(run))
 
@@ -89,7 +91,9 @@
         async def run(operator: FleetClient, journal: Journal, held: LeaseResult) -> RolloutResult:
             entry = journal.entry(rollout)
             sources = rollback_sources(journal, entry.change)
-            return RolloutResult(await self._coordinate(operator, journal, entry, held, sources), [])
+            return RolloutResult(
+                await self._coordinate(operator, journal, entry, held, sources), []
+            )
 
         self._report(self._run_with_lease(run))
 
@@ -192,7 +196,9 @@
     }
 
 
-async def find_targets(operator: FleetClient, only: tuple[str, ...]) -> tuple[list[Target], list[str]]:
+async def find_targets(
+    operator: FleetClient, only: tuple[str, ...]
+) -> tuple[list[Target], list[str]]:
     """Return the instances that answer, or those of ``only``, and the silent agents.
 
     Raise InvalidInputError if one of ``only`` is missing.
@@ -268,7 +274,9 @@
             since = time.strftime("%H:%M:%S", time.localtime(response.body["since"]))
             ends_in_s = response.body.get("ends_in_s")
             ends = f", ends in {ends_in_s:.0f} s" if ends_in_s else ""
-            raise CommandFailedError(f"{holder} has the lease since {since}{ends} (agent {response.agent})")
+            raise CommandFailedError(
+                f"{holder} has the lease since {since}{ends} (agent {response.agent})"
+            )
     if held.denied:
         response = held.denied[0]
         raise CommandFailedError(f"agent {response.agent} refuses: {response.body.get('error')}")
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -67,14 +67,18 @@
         config, control = loaded.config, loaded.control
         if self.name is not None:
             config = replace(config, name=self.name)
-            control = default_socket_path(self.name) if loaded.file.control.socket is None else control
+            control = (
+                default_socket_path(self.name) if loaded.file.control.socket is None else control
+            )
         if self.listen:
             first, *others = map(parse_address, self.listen)
             config = replace(config, listen=first, also_listen=tuple(others))
         control = self.control or control
         workers = self.workers or loaded.file.node.workers
         if workers > 1 and loaded.file.sip is not None:
-            raise ConfigError(f"{self.path}: sip: expected one worker, as datagrams can't be handed on")
+            raise ConfigError(
+                f"{self.path}: sip: expected one worker, as datagrams can't be handed on"
+            )
         try:
             parts = (
                 [worker_config(config, worker, workers) for worker in range(1, workers + 1)]
@@ -118,7 +122,9 @@
     )
 
 
-def build_node(loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, *, listens: bool = True) -> Node:
+def build_node(
+    loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, *, listens: bool = True
+) -> Node:
     """Return the configured node with its endpoint source; a worker's node does not listen itself."""
     options, entries = file_options(loaded), inline_endpoints(loaded.file)
 
@@ -303,13 +309,20 @@
 
 
 @click.command("serve")
-@click.option("--config", "path", type=click.Path(path_type=Path), help="The configuration, a TOML file.")
+@click.option(
+    "--config", "path", type=click.Path(path_type=Path), help="The configuration, a TOML file."
+)
 @click.option("--name", default=None, help="The node's name, in place of the file's.")
 @click.option(
-    "--listen", multiple=True, help="Where callers connect, in place of the file's; may be given again."
+    "--listen",
+    multiple=True,
+    help="Where callers connect, in place of the file's; may be given again.",
 )
 @click.option(
-    "--control", "socket_path", type=click.Path(path_type=Path), help="The control socket's path, likewise."
+    "--control",
+    "socket_path",
+    type=click.Path(path_type=Path),
+    help="The control socket's path, likewise.",
 )
 @click.option(
     "--workers",
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -11,7 +11,13 @@
 from rich.console import Console
 from rich.table import Table
 
-from oakbridge.cli.common import CommandFailedError, InvalidInputError, connect, say_json, socket_options
+from oakbridge.cli.common import (
+    CommandFailedError,
+    InvalidInputError,
+    connect,
+    say_json,
+    socket_options,
+)
 from oakbridge.control.errors import RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
 from oakbridge.node.endpoint_list import ListedEndpoint
--- a/oakbridge/cli/spread.py
+++ b/oakbridge/cli/spread.py
@@ -86,7 +86,9 @@
     from oakbridge.spread.operator_view import forecast_row
 
     if nodes * servers > MAX_PAIRS:
-        raise InvalidInputError(f"spread plan: expected at most {MAX_PAIRS} pairs of node and server")
+        raise InvalidInputError(
+            f"spread plan: expected at most {MAX_PAIRS} pairs of node and server"
+        )
     before = TierSize(nodes, servers)
     after = TierSize(to_nodes or nodes + (to_servers is None), to_servers or servers)
     forecasts = forecast(before, after, rings=rings, sigma=uneven, seed=seed)
--- a/oakbridge/cli/status.py
+++ b/oakbridge/cli/status.py
@@ -22,12 +22,21 @@
 @click.command("status")
 @socket_options
 @look_options
-@click.option("--rows", default=40, type=click.IntRange(0, 100_000), help="Servers to show at most.")
+@click.option(
+    "--rows", default=40, type=click.IntRange(0, 100_000), help="Servers to show at most."
+)
 def command(
-    socket_path: Path | None, config: Path | None, as_json: bool, watch: bool, every: float, rows: int
+    socket_path: Path | None,
+    config: Path | None,
+    as_json: bool,
+    watch: bool,
+    every: float,
+    rows: int,
 ) -> None:
     """Show what a running node believes: its servers, its limits, the list that it uses."""
-    show(socket_path, config, ControlCommand.STATUS, render_status, as_json, watch, every, rows=rows)
+    show(
+        socket_path, config, ControlCommand.STATUS, render_status, as_json, watch, every, rows=rows
+    )
 
 
 def render_status(status: dict[str, Any]) -> Group:
@@ -68,7 +77,9 @@
     """Return where the list of servers comes from, then why nothing newer is in use."""
     lines = [f"{source['kind']} {source.get('path', '')}".strip()]
     if (used := source.get("used")) is not None:
-        lines[0] += f", version {used['number']} ({used['servers']} servers, {_short(used['digest'])})"
+        lines[0] += (
+            f", version {used['number']} ({used['servers']} servers, {_short(used['digest'])})"
+        )
     if held := source.get("held"):
         lines.append(
             f"HELD: {_short(held['digest'])} takes {held['lost']} of {held['of']} ready servers away"
@@ -86,7 +97,9 @@
 
 
 def _servers_line(status: dict[str, Any]) -> str:
-    return f"{status['servers']} listed, {status['subset']} in the subset, {status['ejected']} ejected"
+    return (
+        f"{status['servers']} listed, {status['subset']} in the subset, {status['ejected']} ejected"
+    )
 
 
 def _requests_line(status: dict[str, Any]) -> str:
@@ -97,7 +110,9 @@
 
 def _retries_line(status: dict[str, Any]) -> str:
     budget = f"{status['retries_left']:g} left in the budget"
-    rates = f"{status['attempts_per_s']:g} attempts/s, {status['fail_rate']:.1%} of them failed lately"
+    rates = (
+        f"{status['attempts_per_s']:g} attempts/s, {status['fail_rate']:.1%} of them failed lately"
+    )
     return f"{budget}; {rates}"
 
 
--- a/oakbridge/config/peers.py
+++ b/oakbridge/config/peers.py
@@ -23,7 +23,11 @@
     table = loaded.file.peers
     if table is None:
         return None
-    tags = {"site": table.site or loaded.file.node.zone[:48], "tier": table.tier, "version": __version__}
+    tags = {
+        "site": table.site or loaded.file.node.zone[:48],
+        "tier": table.tier,
+        "version": __version__,
+    }
     if table.capacity:
         tags["capacity"] = f"{table.capacity:g}"
     protocol = ProtocolOptions(
--- a/oakbridge/config/schema.py
+++ b/oakbridge/config/schema.py
@@ -37,8 +37,12 @@
         le=64,
         description="Processes on its port. They divide its limits, and count as so many instances.",
     )
-    zone: str = Field("", max_length=200, description="Its zone; servers of the same one are preferred.")
-    seed: int | None = Field(None, ge=0, description="For random choices; a new one at each start if absent.")
+    zone: str = Field(
+        "", max_length=200, description="Its zone; servers of the same one are preferred."
+    )
+    seed: int | None = Field(
+        None, ge=0, description="For random choices; a new one at each start if absent."
+    )
 
 
 class InlineServer(Table):
@@ -46,9 +50,13 @@
 
     name: Name = Field(description="Its name, unlike any other's.")
     address: Address = Field(description="Where it listens.")
-    weight: Number = Field(1.0, gt=0, le=1e6, description="Its part of the calls, against the others'.")
+    weight: Number = Field(
+        1.0, gt=0, le=1e6, description="Its part of the calls, against the others'."
+    )
     zone: str = Field("", max_length=200, description="Its zone.")
-    group: int = Field(0, description="Servers of one group drop each other's repeats (class: group = cell).")
+    group: int = Field(
+        0, description="Servers of one group drop each other's repeats (class: group = cell)."
+    )
 
 
 class ServersTable(Table):
@@ -56,10 +64,14 @@
 
     file: str | None = Field(None, min_length=1, description="A server file that is watched.")
     directory: str | None = Field(
-        None, min_length=1, description="A directory whose .json and .toml files are one list; it is watched."
+        None,
+        min_length=1,
+        description="A directory whose .json and .toml files are one list; it is watched.",
     )
     discovery: Address | None = Field(None, description="A discovery service (GET /api/targets).")
-    inline: list[InlineServer] = Field([], description="The servers themselves; they change with a restart.")
+    inline: list[InlineServer] = Field(
+        [], description="The servers themselves; they change with a restart."
+    )
     settle: Time = Field(
         30_000,
         description="A file without a checksum line must read the same twice, so far apart.",
@@ -72,7 +84,9 @@
         description="A version that takes a larger share of the ready servers away at once is held.",
     )
     saved: str | None = Field(
-        None, min_length=1, description="Where a copy of the last good version is kept for the next start."
+        None,
+        min_length=1,
+        description="Where a copy of the last good version is kept for the next start.",
     )
 
     @model_validator(mode="after")
@@ -80,7 +94,9 @@
         given = [key for key in ("file", "directory", "discovery", "inline") if getattr(self, key)]
         if len(given) != 1:
             got = " and ".join(given) or "none"
-            raise ValueError(f"expected exactly one of file, directory, discovery and inline, got {got}")
+            raise ValueError(
+                f"expected exactly one of file, directory, discovery and inline, got {got}"
+            )
         _require_unique("inline: expected each name once", [server.name for server in self.inline])
         addresses = [f"{host}:{port}" for host, port in (server.address for server in self.inline)]
         _require_unique("inline: expected each address once", addresses)
@@ -91,18 +107,26 @@
     """A class of requests, named by the header `X-Priority-Class`."""
 
     name: Name = Field(description="Its name.")
-    aim: Time = Field(description="An answer within this time is worth the whole; queues are ordered by it.")
+    aim: Time = Field(
+        description="An answer within this time is worth the whole; queues are ordered by it."
+    )
     deadline: Time = Field(
         description="The longest that a request may take, if its caller does not say less."
     )
-    worth: Number = Field(1.0, ge=0, description="What an answer in time is worth, against other classes.")
-    late_worth: Number = Field(0.0, ge=0, le=1, description="The share of it that a later answer keeps.")
+    worth: Number = Field(
+        1.0, ge=0, description="What an answer in time is worth, against other classes."
+    )
+    late_worth: Number = Field(
+        0.0, ge=0, le=1, description="The share of it that a later answer keeps."
+    )
     repeat: Literal["safe", "keyed", "unsafe"] = Field(
         "unsafe",
         description="`safe` may run twice; `keyed` may be sent again within its window and group; "
         "`unsafe` never.",
     )
-    group: Literal["all", "zone", "cell"] = Field("all", description="Keyed: which servers drop repeats.")
+    group: Literal["all", "zone", "cell"] = Field(
+        "all", description="Keyed: which servers drop repeats."
+    )
     repeat_window: Duration = Field(0, description="Keyed: for how long repeats are dropped.")
 
     @model_validator(mode="after")
@@ -118,20 +142,33 @@
     """Whose requests these are, by the header `X-Tenant-Id`."""
 
     name: Name = Field(description="Its name.")
-    quota_per_s: Number = Field(ge=0, description="Requests a second that are its share; more count less.")
+    quota_per_s: Number = Field(
+        ge=0, description="Requests a second that are its share; more count less."
+    )
 
 
 class LimitsTable(Table):
     """Bounds of one node."""
 
     sockets: int = Field(1024, ge=128, le=1_048_576, description="Descriptors that it may hold.")
-    open_requests: int = Field(20_000, ge=1, description="Requests that it holds; more are turned away.")
+    open_requests: int = Field(
+        20_000, ge=1, description="Requests that it holds; more are turned away."
+    )
     attempts: int = Field(3, ge=1, le=20, description="Attempts of one request at most.")
-    connect_timeout: Time = Field(1_000_000, description="A connection that takes longer has failed.")
-    connection_idle: Time = Field(15_000_000, description="Servers close a connection at rest so long.")
-    retry_after: Duration = Field(2_000_000, description="The longest advice to come back later; 0: none.")
+    connect_timeout: Time = Field(
+        1_000_000, description="A connection that takes longer has failed."
+    )
+    connection_idle: Time = Field(
+        15_000_000, description="Servers close a connection at rest so long."
+    )
+    retry_after: Duration = Field(
+        2_000_000, description="The longest advice to come back later; 0: none."
+    )
     over_quota_worth: Number = Field(
-        0.1, ge=0, le=1, description="What a request beyond its tenant's quota counts, against one within."
+        0.1,
+        ge=0,
+        le=1,
+        description="What a request beyond its tenant's quota counts, against one within.",
     )
 
 
@@ -139,7 +176,9 @@
     """How many retries each window allows: `ratio` x first attempts + `floor_per_s` x window."""
 
     ratio: Number = Field(0.2, ge=0, le=1, description="Retries as a share of first attempts.")
-    floor_per_s: Number = Field(0.1, ge=0, le=1000, description="Retries a second that are always allowed.")
+    floor_per_s: Number = Field(
+        0.1, ge=0, le=1000, description="Retries a second that are always allowed."
+    )
     window_s: int = Field(10, ge=1, le=600, description="Seconds that are looked back upon.")
 
 
@@ -150,7 +189,9 @@
         0.2, gt=0, le=1, description="What it can do at its start, of what it will do warm."
     )
     warm_up: Duration = Field(10_000_000, description="Until it is warm.")
-    most: Number = Field(2.5, gt=0, description="More than this multiple of what it can do pushes it over.")
+    most: Number = Field(
+        2.5, gt=0, description="More than this multiple of what it can do pushes it over."
+    )
     within: Time = Field(3_000_000, description="Over so long.")
 
 
@@ -177,7 +218,10 @@
     transactions: int = Field(20_000, ge=10, description="Transactions with phones at once.")
     transactions_each: int = Field(2_000, ge=1, description="Of them, from one address.")
     routes: list[SipRoute] = Field(
-        alias="route", min_length=1, max_length=1000, description="Which requests are of which class."
+        alias="route",
+        min_length=1,
+        max_length=1000,
+        description="Which requests are of which class.",
     )
 
 
@@ -187,8 +231,12 @@
     Off without this table.
     """
 
-    listen: Address = Field(description="Where other members reach it: UDP, and TCP for full exchanges.")
-    advertise: Address | None = Field(None, description="What it tells others, if they reach it elsewhere.")
+    listen: Address = Field(
+        description="Where other members reach it: UDP, and TCP for full exchanges."
+    )
+    advertise: Address | None = Field(
+        None, description="What it tells others, if they reach it elsewhere."
+    )
     secret_file: str = Field(
         min_length=1, description="Holds the secret that all members share, 16 bytes at least."
     )
@@ -196,21 +244,30 @@
         [], max_length=64, description="Members to join by, its own address may be among them."
     )
     seeds_file: str | None = Field(
-        None, min_length=1, description="A server file whose entries are members to join by; it is watched."
+        None,
+        min_length=1,
+        description="A server file whose entries are members to join by; it is watched.",
     )
     site: str = Field("", max_length=48, description="Its site; its zone if absent.")
     tier: str = Field("", max_length=48, description="Its tier: places are counted within one.")
-    capacity: Number = Field(0, ge=0, description="What it can carry, in requests a second; 0: not told.")
+    capacity: Number = Field(
+        0, ge=0, description="What it can carry, in requests a second; 0: not told."
+    )
     snapshot: str | None = Field(
-        None, min_length=1, description="Where its life and the members are kept for the next start."
+        None,
+        min_length=1,
+        description="Where its life and the members are kept for the next start.",
+    )
+    most: int = Field(
+        2000, ge=2, le=100_000, description="Members that it remembers, the gone included."
     )
-    most: int = Field(2000, ge=2, le=100_000, description="Members that it remembers, the gone included.")
     period: Time = Field(500_000, description="It probes one member so often.")
     probe_timeout: Time = Field(
         200_000, description="Without an answer for so long, others are asked to probe."
     )
     local_health: bool = Field(
-        True, description="Whether it judges others more slowly while it is slow itself; off only to compare."
+        True,
+        description="Whether it judges others more slowly while it is slow itself; off only to compare.",
     )
 
     @model_validator(mode="after")
@@ -227,9 +284,13 @@
     """
 
     plan: str | None = Field(
-        None, min_length=1, description="Made by `oakbridge sites plan`; without it, by free capacity."
+        None,
+        min_length=1,
+        description="Made by `oakbridge sites plan`; without it, by free capacity.",
+    )
+    step: Time = Field(
+        1_000_000, description="A step of a site's return, or drain, lasts so long at least."
     )
-    step: Time = Field(1_000_000, description="A step of a site's return, or drain, lasts so long at least.")
 
 
 class SpreadTable(Table):
@@ -261,7 +322,9 @@
 class LogTable(Table):
     """The log, on standard error."""
 
-    level: Literal["debug", "info", "warning", "error"] = Field("info", description="The least that is told.")
+    level: Literal["debug", "info", "warning", "error"] = Field(
+        "info", description="The least that is told."
+    )
 
 
 class File(Table):
--- a/oakbridge/config/sites.py
+++ b/oakbridge/config/sites.py
@@ -36,4 +36,6 @@
     try:
         return decode_plan(read_bounded(path))
     except SitePlanError as error:
-        raise ConfigFileError([Problem(str(path), (), mistake) for mistake in error.mistakes]) from None
+        raise ConfigFileError(
+            [Problem(str(path), (), mistake) for mistake in error.mistakes]
+        ) from None
--- a/oakbridge/config/sites_file.py
+++ b/oakbridge/config/sites_file.py
@@ -84,7 +84,8 @@
     file = parse_tables(data, str(path), SitesFile)
     lines = field_lines(data, FileKind.TOML)
     problems = [
-        Problem(str(path), field, expected, nearest_line(lines, field)) for field, expected in _mistakes(file)
+        Problem(str(path), field, expected, nearest_line(lines, field))
+        for field, expected in _mistakes(file)
     ]
     if problems:
         raise ConfigFileError(in_file_order(problems))
--- a/oakbridge/config/toml_file.py
+++ b/oakbridge/config/toml_file.py
@@ -42,7 +42,9 @@
         return model.model_validate(raw)
     except ValidationError as error:
         lines = field_lines(data, FileKind.TOML)
-        problems = [problem_of(file, details, lines, model) for details in error.errors(include_url=False)]
+        problems = [
+            problem_of(file, details, lines, model) for details in error.errors(include_url=False)
+        ]
         raise ConfigFileError(in_file_order(problems)) from None
 
 
--- a/oakbridge/config/validation_problems.py
+++ b/oakbridge/config/validation_problems.py
@@ -83,6 +83,8 @@
     for name, field in model.model_fields.items():
         if (field.alias or name) == key:
             candidates: tuple[Any, ...] = getattr(field.annotation, "__args__", (field.annotation,))
-            tables = [each for each in candidates if isinstance(each, type) and issubclass(each, Table)]
+            tables = [
+                each for each in candidates if isinstance(each, type) and issubclass(each, Table)
+            ]
             return tables[0] if tables else None
     return None
--- a/oakbridge/control/handler.py
+++ b/oakbridge/control/handler.py
@@ -59,7 +59,11 @@
                 return encode_status(self._status(arguments.max_rows))
             case ControlCommand.PEERS | ControlCommand.PEER_HISTORY:
                 return handle_peer_request(self._peers, request)
-            case ControlCommand.SITES | ControlCommand.SITE_HISTORY | ControlCommand.DRAIN_OR_RETURN_SITE:
+            case (
+                ControlCommand.SITES
+                | ControlCommand.SITE_HISTORY
+                | ControlCommand.DRAIN_OR_RETURN_SITE
+            ):
                 return handle_site_request(self._sites, request)
             case ControlCommand.SPREAD:
                 return self._describe_spread()
@@ -96,7 +100,9 @@
 
     def _describe_spread(self) -> JsonObject:
         if self._spread is None:
-            raise RequestRejectedError("this node divides no servers: its configuration has no [spread]")
+            raise RequestRejectedError(
+                "this node divides no servers: its configuration has no [spread]"
+            )
         return self._spread.describe()
 
     def _accept_server_list(self, request: Request) -> JsonObject:
--- a/oakbridge/control/protocol.py
+++ b/oakbridge/control/protocol.py
@@ -91,7 +91,9 @@
     try:
         command = ControlCommand(name)
     except ValueError:
-        raise ProtocolError(f"one of {', '.join(ControlCommand)}", field="do", got=f"{name!r:.60}") from None
+        raise ProtocolError(
+            f"one of {', '.join(ControlCommand)}", field="do", got=f"{name!r:.60}"
+        ) from None
     return Request(command, message)
 
 
--- a/oakbridge/control/server.py
+++ b/oakbridge/control/server.py
@@ -104,7 +104,9 @@
             self._connections.discard(writer)
             writer.close()
 
-    async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_requests(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """Raise ProtocolError, OSError or TimeoutError where the connection can't go on."""
         lines = LineSplitter(MAX_REQUEST_BYTES)
         while True:
@@ -168,6 +170,8 @@
 def _is_trusted(writer: asyncio.StreamWriter) -> bool:
     """Return whether the other end is a process of the same user, or of root."""
     connection: socket.socket = writer.get_extra_info("socket")
-    credentials = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+    credentials = connection.getsockopt(
+        socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size
+    )
     _, uid, _ = PEER_CREDENTIALS.unpack(credentials)
     return uid in (os.getuid(), ROOT_UID)
--- a/oakbridge/control/sites.py
+++ b/oakbridge/control/sites.py
@@ -25,7 +25,9 @@
 def handle_site_request(sites: SiteController | None, request: Request) -> JsonObject:
     """Return the result of a command about sites.  Raises RequestRejectedError."""
     if sites is None:
-        raise RequestRejectedError("this node has no plan for sites: its configuration has no [sites]")
+        raise RequestRejectedError(
+            "this node has no plan for sites: its configuration has no [sites]"
+        )
     if request.command is ControlCommand.SITES:
         return sites.describe()
     if request.command is ControlCommand.SITE_HISTORY:
--- a/oakbridge/demo/load.py
+++ b/oakbridge/demo/load.py
@@ -57,7 +57,12 @@
     """Sends ``rate`` requests a second for ``seconds``, over connections that are kept."""
 
     def __init__(
-        self, address: tuple[str, int], classes: dict[str, float], rate: float, seconds: float, seed: int
+        self,
+        address: tuple[str, int],
+        classes: dict[str, float],
+        rate: float,
+        seconds: float,
+        seed: int,
     ) -> None:
         """``classes`` maps a class to its aim in seconds."""
         self.tally = Tally()
--- a/oakbridge/demo/play.py
+++ b/oakbridge/demo/play.py
@@ -112,7 +112,8 @@
     """Play it to its end; returns the last scene.  Raises :class:`DemoFailed`."""
     plan = _servers()
     servers = {
-        name: StandIn(name, behaviour, seed + i) for i, (name, (_, behaviour)) in enumerate(plan.items())
+        name: StandIn(name, behaviour, seed + i)
+        for i, (name, (_, behaviour)) in enumerate(plan.items())
     }
     with tempfile.TemporaryDirectory(prefix="oakbridge-demo-") as folder:
         at = Path(folder)
@@ -131,9 +132,13 @@
             client = await _wait_ready(sock, process, log)
             load = Load(("127.0.0.1", port), AIMS, rate, seconds, seed)
             scene = Scene(load.tally, roles={n: role for n, (role, _) in plan.items()}, of=seconds)
-            scene.said.append(f"node on 127.0.0.1:{port}, {len(states)} servers, {rate:g} requests/s")
+            scene.said.append(
+                f"node on 127.0.0.1:{port}, {len(states)} servers, {rate:g} requests/s"
+            )
             director = asyncio.create_task(_direct(scene, client, draw, seconds))
-            changes = asyncio.create_task(_change(scene, at / "servers.toml", servers, states, seconds))
+            changes = asyncio.create_task(
+                _change(scene, at / "servers.toml", servers, states, seconds)
+            )
             await load.run()
             changes.cancel()
             director.cancel()
--- a/oakbridge/fleet/client.py
+++ b/oakbridge/fleet/client.py
@@ -78,12 +78,16 @@
         self._connections: dict[str, AgentConnection] = {}
         self._rng = random.Random()
 
-    async def call(self, agent: str, request: Request, timeout_s: float | None = None) -> AgentResponse:
+    async def call(
+        self, agent: str, request: Request, timeout_s: float | None = None
+    ) -> AgentResponse:
         """Send a request to one agent."""
         connection = self._connection_to(agent)
         async with self._slots:
             try:
-                response = await connection.call(encode_request(request), timeout_s or self.timeout_s)
+                response = await connection.call(
+                    encode_request(request), timeout_s or self.timeout_s
+                )
             except CallError as e:
                 return AgentResponse(agent, error=str(e))
         return AgentResponse(agent, response.status, response.body)
@@ -122,7 +126,9 @@
             await asyncio.sleep(quorum.backoff_s(round_index, self._rng))
             round_index += 1
 
-    async def raise_token(self, lease: LeaseResult, duration_s: float, above: int = 0) -> LeaseResult:
+    async def raise_token(
+        self, lease: LeaseResult, duration_s: float, above: int = 0
+    ) -> LeaseResult:
         """Acquire a token above the lease's and ``above``, without releasing in between."""
         return await self._request_lease(max(lease.token, above) + 1, duration_s)
 
--- a/oakbridge/fleet/codec.py
+++ b/oakbridge/fleet/codec.py
@@ -135,7 +135,9 @@
 def _integer(fields: JsonObject, key: str, minimum: int = 0) -> int:
     value = fields.get(key)
     if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= MAX_INTEGER:
-        raise FleetMessageError(key, f"a whole number from {minimum} to {MAX_INTEGER}, got {value!r:.60}")
+        raise FleetMessageError(
+            key, f"a whole number from {minimum} to {MAX_INTEGER}, got {value!r:.60}"
+        )
     return value
 
 
@@ -144,14 +146,18 @@
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise FleetMessageError(key, f"a number of seconds, got {value!r:.60}")
     if not 0 < value <= MAX_DURATION_S:
-        raise FleetMessageError(key, f"seconds above 0, up to {MAX_DURATION_S:g}, got {value!r:.60}")
+        raise FleetMessageError(
+            key, f"seconds above 0, up to {MAX_DURATION_S:g}, got {value!r:.60}"
+        )
     return int(value * US_PER_S)
 
 
 def _text(fields: JsonObject, key: str) -> str:
     value = fields.get(key)
     if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_LENGTH:
-        raise FleetMessageError(key, f"a text of 1 to {MAX_TEXT_LENGTH} characters, got {value!r:.60}")
+        raise FleetMessageError(
+            key, f"a text of 1 to {MAX_TEXT_LENGTH} characters, got {value!r:.60}"
+        )
     return value
 
 
--- a/oakbridge/fleet/connection.py
+++ b/oakbridge/fleet/connection.py
@@ -37,7 +37,9 @@
 class AgentConnection:
     """Carries one call at a time to one agent; opens a connection when it needs one."""
 
-    def __init__(self, context: ssl.SSLContext, fleet: str, agent: str, address: tuple[str, int]) -> None:
+    def __init__(
+        self, context: ssl.SSLContext, fleet: str, agent: str, address: tuple[str, int]
+    ) -> None:
         self._context = context
         self._fleet = fleet
         self._agent = agent
@@ -83,7 +85,9 @@
         try:
             peer = peer_identity(writer)
             if (peer.fleet, peer.kind, peer.name) != (self._fleet, IdentityKind.AGENT, self._agent):
-                raise FleetMessageError("certificate", f"agent {self._agent} of this fleet, got {peer.uri}")
+                raise FleetMessageError(
+                    "certificate", f"agent {self._agent} of this fleet, got {peer.uri}"
+                )
         except BaseException:
             channel.abort()
             raise
--- a/oakbridge/fleet/http.py
+++ b/oakbridge/fleet/http.py
@@ -34,7 +34,9 @@
     return Identity.from_uri(uris[0])
 
 
-async def receive_message(connection: h11.Connection, reader: asyncio.StreamReader) -> HttpMessage | None:
+async def receive_message(
+    connection: h11.Connection, reader: asyncio.StreamReader
+) -> HttpMessage | None:
     """Return the next message; None if the other end has closed the connection."""
     head: Any = None
     body = bytearray()
--- a/oakbridge/fleet/identity.py
+++ b/oakbridge/fleet/identity.py
@@ -48,7 +48,9 @@
         scheme, _, rest = uri.partition(":")
         parts = rest.split("/")
         if scheme != SCHEME or len(parts) != 4 or not all(parts):
-            raise FleetMessageError("certificate", f"a URI {SCHEME}:FLEET/KIND/NAME/ROLE, got {uri!r:.120}")
+            raise FleetMessageError(
+                "certificate", f"a URI {SCHEME}:FLEET/KIND/NAME/ROLE, got {uri!r:.120}"
+            )
         fleet, kind, name, role = parts
         try:
             return cls(fleet, IdentityKind(kind), name, Role(role))
--- a/oakbridge/fleet/pki.py
+++ b/oakbridge/fleet/pki.py
@@ -65,7 +65,9 @@
         ) from None
 
 
-def issue_certificate(folder: Path, identity: Identity, stem: Path, days: float = CERTIFICATE_DAYS) -> None:
+def issue_certificate(
+    folder: Path, identity: Identity, stem: Path, days: float = CERTIFICATE_DAYS
+) -> None:
     """Sign a certificate for an identity, and write ``STEM.crt`` and ``STEM.key``.
 
     Raises:
--- a/oakbridge/fleet/quorum.py
+++ b/oakbridge/fleet/quorum.py
@@ -33,7 +33,9 @@
     candidate: str
     agent_count: int
     granted: int
-    rival_holders: Sequence[str] = ()  # who holds the lease at agents that refused, once for each agent
+    rival_holders: Sequence[
+        str
+    ] = ()  # who holds the lease at agents that refused, once for each agent
 
 
 def majority(agent_count: int) -> int:
--- a/oakbridge/fleet/server.py
+++ b/oakbridge/fleet/server.py
@@ -72,7 +72,9 @@
         for writer in list(self._connections):
             writer.transport.abort()
 
-    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         if len(self._connections) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
@@ -90,10 +92,14 @@
             else:
                 writer.close()
 
-    async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_requests(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         identity = peer_identity(writer)
         if identity.fleet != self._fleet:
-            raise FleetMessageError("certificate", f"one of fleet {self._fleet}, got {identity.uri}")
+            raise FleetMessageError(
+                "certificate", f"one of fleet {self._fleet}, got {identity.uri}"
+            )
         connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         while await self._serve_request(connection, identity, reader, writer):
             connection.start_next_cycle()
@@ -125,7 +131,8 @@
         request, body = message
         if body is None:
             return _error(
-                HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body: expected at most {MAX_BODY_BYTES} bytes"
+                HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
+                f"body: expected at most {MAX_BODY_BYTES} bytes",
             )
         method, path = request.method.decode(), request.target.decode("latin-1")
         try:
@@ -134,7 +141,9 @@
             return _error(HTTPStatus.BAD_REQUEST, str(e))
         except Exception as e:
             log.exception("a request failed")
-            return _error(HTTPStatus.INTERNAL_SERVER_ERROR, f"the agent failed on this: {type(e).__name__}")
+            return _error(
+                HTTPStatus.INTERNAL_SERVER_ERROR, f"the agent failed on this: {type(e).__name__}"
+            )
 
 
 def _error(status: HTTPStatus, text: str) -> Response:
--- a/oakbridge/lab/addresses.py
+++ b/oakbridge/lab/addresses.py
@@ -68,4 +68,6 @@
             return slot, lock
         except OSError:
             lock.close()
-    raise NoFreeSlotError(f"expected one of {SLOTS} blocks of ports from {FIRST_PORT} on to be free")
+    raise NoFreeSlotError(
+        f"expected one of {SLOTS} blocks of ports from {FIRST_PORT} on to be free"
+    )
--- a/oakbridge/lab/checks/membership.py
+++ b/oakbridge/lab/checks/membership.py
@@ -30,7 +30,9 @@
 
     def separates(self, node: str, other: str) -> bool:
         """Return whether it lies between two nodes."""
-        return (node in self.ours and other in self.others) or (node in self.others and other in self.ours)
+        return (node in self.ours and other in self.others) or (
+            node in self.others and other in self.ours
+        )
 
 
 def longest_until_first_learns(history: History) -> float | None:
@@ -197,5 +199,7 @@
             counts[change.observer, change.member] += 1
     if not counts:
         return 0.0
-    fault_edges = sum(2 if span.end_us < history.duration_us else 1 for span in history.schedule.fault_spans)
+    fault_edges = sum(
+        2 if span.end_us < history.duration_us else 1 for span in history.schedule.fault_spans
+    )
     return max(counts.values()) / max(1, fault_edges)
--- a/oakbridge/lab/checks/request_rules.py
+++ b/oakbridge/lab/checks/request_rules.py
@@ -46,7 +46,8 @@
     begin_us = row["due"] - history.begin_us
     end_us = begin_us + row["took"]
     return any(
-        begin_us <= span.end_us + TIMING_TOLERANCE_US and end_us >= span.begin_us - TIMING_TOLERANCE_US
+        begin_us <= span.end_us + TIMING_TOLERANCE_US
+        and end_us >= span.begin_us - TIMING_TOLERANCE_US
         for span in outages
     )
 
--- a/oakbridge/lab/checks/server_load.py
+++ b/oakbridge/lab/checks/server_load.py
@@ -44,7 +44,9 @@
     ratios = []
     for counts in _counts_by_window(history).values():
         total = sum(counts.values())
-        ratios += [counts[number] / (total * size / sum(sizes)) for number, size in enumerate(sizes)]
+        ratios += [
+            counts[number] / (total * size / sum(sizes)) for number, size in enumerate(sizes)
+        ]
     return percentile(ratios, 0.99) if ratios else None
 
 
--- a/oakbridge/lab/checks/site_loss.py
+++ b/oakbridge/lab/checks/site_loss.py
@@ -99,7 +99,8 @@
     count = sum(
         1
         for row in history.executions
-        if row["server"] in numbers and span.begin_us <= row["came"] - history.begin_us < span.end_us
+        if row["server"] in numbers
+        and span.begin_us <= row["came"] - history.begin_us < span.end_us
     )
     return count * SECOND_US / (span.end_us - span.begin_us)
 
--- a/oakbridge/lab/compare.py
+++ b/oakbridge/lab/compare.py
@@ -143,21 +143,29 @@
     """
     (first, base), *others = found.items()
     rows = []
-    for figure in sorted({name for seeds in found.values() for one in seeds.values() for name in one}):
+    for figure in sorted(
+        {name for seeds in found.values() for one in seeds.values() for name in one}
+    ):
         own = {seed: value for seed, one in base.items() if (value := one.get(figure)) is not None}
         if own:
             rows.append(Compared(figure, first, statistics.median(own.values())))
         for case, seeds in others:
-            theirs = {seed: value for seed, one in seeds.items() if (value := one.get(figure)) is not None}
+            theirs = {
+                seed: value for seed, one in seeds.items() if (value := one.get(figure)) is not None
+            }
             if not theirs:
                 continue
             pairs = [theirs[seed] - own[seed] for seed in sorted(theirs.keys() & own.keys())]
             middle = statistics.median(theirs.values())
             if len(pairs) < MIN_PAIRS:
                 told = statistics.median(pairs) if pairs else None
-                rows.append(Compared(figure, case, middle, told, verdict=f"{len(pairs)} pairs: too few"))
+                rows.append(
+                    Compared(figure, case, middle, told, verdict=f"{len(pairs)} pairs: too few")
+                )
                 continue
             low, high = bootstrap_interval(pairs)
             verdict = "higher" if low > 0 else "lower" if high < 0 else "no difference shown"
-            rows.append(Compared(figure, case, middle, statistics.median(pairs), low, high, verdict))
+            rows.append(
+                Compared(figure, case, middle, statistics.median(pairs), low, high, verdict)
+            )
     return rows
--- a/oakbridge/lab/compare_report.py
+++ b/oakbridge/lab/compare_report.py
@@ -11,7 +11,7 @@
 from oakbridge.lab.compare import COMPARED_COLUMNS, Compared, encode_compared
 
 matplotlib.use("Agg")
-from matplotlib import pyplot as plt  # noqa: E402
+from matplotlib import pyplot as plt
 
 Figures = Mapping[str, Mapping[int, Mapping[str, float | None]]]
 NEVER = 1e8  # stands for what never came
@@ -38,7 +38,11 @@
         axis.set_axis_off()
     for axis, name in zip(axes.flat, names, strict=False):
         for place, case in enumerate(cases):
-            values = [v for one in figures[case].values() if (v := one.get(name)) is not None and v < NEVER]
+            values = [
+                v
+                for one in figures[case].values()
+                if (v := one.get(name)) is not None and v < NEVER
+            ]
             axis.plot([place] * len(values), values, "o", alpha=0.5)
         axis.set(title=name, xticks=range(len(cases)), ylim=(0, None))
         axis.set_xticklabels(cases, fontsize=6)
--- a/oakbridge/lab/datagram_forwarder.py
+++ b/oakbridge/lab/datagram_forwarder.py
@@ -67,7 +67,9 @@
     def _receive(self) -> None:
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                data, ancillary, _, source = self._socket.recvmsg(MAX_DATAGRAM_BYTES, MAX_ANCILLARY_BYTES)
+                data, ancillary, _, source = self._socket.recvmsg(
+                    MAX_DATAGRAM_BYTES, MAX_ANCILLARY_BYTES
+                )
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
--- a/oakbridge/lab/fleet.py
+++ b/oakbridge/lab/fleet.py
@@ -33,10 +33,14 @@
     )
 
 
-def _number_hosts(plan: Plan, prefix: str, count_of: Callable[[SiteTable], int]) -> tuple[Host, ...]:
+def _number_hosts(
+    plan: Plan, prefix: str, count_of: Callable[[SiteTable], int]
+) -> tuple[Host, ...]:
     turns = sorted(
         (index / max(1, count_of(site)), order, site.name)
         for order, site in enumerate(plan.sites)
         for index in range(count_of(site))
     )
-    return tuple(Host(f"{prefix}{number:03d}", site, number) for number, (_, _, site) in enumerate(turns))
+    return tuple(
+        Host(f"{prefix}{number:03d}", site, number) for number, (_, _, site) in enumerate(turns)
+    )
--- a/oakbridge/lab/helper_configs.py
+++ b/oakbridge/lab/helper_configs.py
@@ -28,7 +28,9 @@
         }
 
 
-def server_configs(plan: Plan, slot: Slot, fleet: Fleet, seed: int, out: Path) -> Iterator[dict[str, Any]]:
+def server_configs(
+    plan: Plan, slot: Slot, fleet: Fleet, seed: int, out: Path
+) -> Iterator[dict[str, Any]]:
     """Yield the configurations of the processes that run stand-in servers."""
     processes = max(1, -(-len(fleet.servers) // SERVERS_PER_PROCESS))
     for number in range(processes):
@@ -45,7 +47,9 @@
         }
 
 
-def load_configs(plan: Plan, slot: Slot, fleet: Fleet, seed: int, out: Path) -> Iterator[dict[str, Any]]:
+def load_configs(
+    plan: Plan, slot: Slot, fleet: Fleet, seed: int, out: Path
+) -> Iterator[dict[str, Any]]:
     """Yield the configurations of the processes that send requests."""
     rate = int(sum(c.rate for c in plan.classes))
     for number in range(max(1, -(-rate // REQUESTS_PER_S_PER_LOADER))):
--- a/oakbridge/lab/helper_process.py
+++ b/oakbridge/lab/helper_process.py
@@ -37,7 +37,9 @@
 class HelperProcess:
     """One helper process at the other end of its pipes."""
 
-    def __init__(self, role: HelperRole, process: asyncio.subprocess.Process, on_exit: OnExit) -> None:
+    def __init__(
+        self, role: HelperRole, process: asyncio.subprocess.Process, on_exit: OnExit
+    ) -> None:
         """``on_exit``: called for each node that the helper reports as ended."""
         self.role = role
         self._process = process
--- a/oakbridge/lab/history.py
+++ b/oakbridge/lab/history.py
@@ -102,7 +102,12 @@
         return found
 
     def _starved_nodes(self) -> set[str]:
-        stopped = {name for step in self.performed_steps if step.kind is StepKind.STOP for name in step.names}
+        stopped = {
+            name
+            for step in self.performed_steps
+            if step.kind is StepKind.STOP
+            for name in step.names
+        }
         return stopped - set(self.schedule.node_outages)
 
 
@@ -119,10 +124,14 @@
             at_us = record["at_us"] - begin_us
             if "member" in record:
                 members.append(
-                    MemberChange(at_us, observer, record["member"], record["before"], record["after"])
+                    MemberChange(
+                        at_us, observer, record["member"], record["before"], record["after"]
+                    )
                 )
             else:
-                sites.append(SiteChange(at_us, observer, record["site"], record["was"], record["state"]))
+                sites.append(
+                    SiteChange(at_us, observer, record["site"], record["was"], record["state"])
+                )
         except (ValueError, KeyError, TypeError):
             continue
     return members, sites
--- a/oakbridge/lab/links.py
+++ b/oakbridge/lab/links.py
@@ -24,7 +24,9 @@
 
     def about(self, a: str, b: str) -> bool:
         """Return whether the rule is for what goes from a to b."""
-        return (a in self.ours and b in self.others) or (self.both and a in self.others and b in self.ours)
+        return (a in self.ours and b in self.others) or (
+            self.both and a in self.others and b in self.ours
+        )
 
     def as_json(self) -> dict[str, Any]:
         """Return the rule as the message to a switch process holds it."""
@@ -73,7 +75,9 @@
 class Links:
     """All links, by the rules in force."""
 
-    def __init__(self, sites: dict[str, str], delay: int = 0, between: int = 0, loss: float = 0.0) -> None:
+    def __init__(
+        self, sites: dict[str, str], delay: int = 0, between: int = 0, loss: float = 0.0
+    ) -> None:
         """``sites``: of each host; ``delay``, ``loss``: without any rule.
 
         ``between``: the delay added between two sites.
@@ -122,4 +126,7 @@
         if link.cut or (link.loss and rng.random() < link.loss):
             return []
         copies = 2 if link.doubled and rng.random() < link.doubled else 1
-        return [link.delay + (int(rng.random() * link.jitter) if link.jitter else 0) for _ in range(copies)]
+        return [
+            link.delay + (int(rng.random() * link.jitter) if link.jitter else 0)
+            for _ in range(copies)
+        ]
--- a/oakbridge/lab/load.py
+++ b/oakbridge/lab/load.py
@@ -155,7 +155,9 @@
             )
         )
 
-    async def _send_with_retries(self, stream: Stream, selector: NodeSelector, due_s: float) -> None:
+    async def _send_with_retries(
+        self, stream: Stream, selector: NodeSelector, due_s: float
+    ) -> None:
         """Send a request, and retry it while it is rejected; write a row for each try."""
         loop = asyncio.get_running_loop()
         request_class = self._classes[stream.class_number]
--- a/oakbridge/lab/node_config.py
+++ b/oakbridge/lab/node_config.py
@@ -33,7 +33,9 @@
     return "\n".join([*lines, plan.settings, ""])
 
 
-def _node_lines(slot: Slot, fleet: Fleet, node: Host, seed: int, socket_directory: Path) -> list[str]:
+def _node_lines(
+    slot: Slot, fleet: Fleet, node: Host, seed: int, socket_directory: Path
+) -> list[str]:
     return [
         "[node]",
         f'name = "{node.name}"',
--- a/oakbridge/lab/plan.py
+++ b/oakbridge/lab/plan.py
@@ -36,7 +36,9 @@
     warm_up: Time = Field(8_000_000, description="Load before the course begins; not judged.")
     lasts: Time = Field(description="The course.")
     start_within: Time = Field(1_000_000, description="All nodes are started within so long.")
-    quick: Number = Field(0.1, gt=0, le=1, description="With --quick: this share of nodes, servers and load.")
+    quick: Number = Field(
+        0.1, gt=0, le=1, description="With --quick: this share of nodes, servers and load."
+    )
     quick_lasts: Time | None = Field(None, description="With --quick: the course ends so early.")
 
 
@@ -46,7 +48,9 @@
     name: Name
     nodes: int = Field(ge=0, le=MAX_NODES)
     servers: int = Field(ge=0, le=MAX_SERVERS)
-    load: Number = Field(1.0, ge=0, description="Its callers' part of the load, against other sites'.")
+    load: Number = Field(
+        1.0, ge=0, description="Its callers' part of the load, against other sites'."
+    )
 
 
 class ServersTable(Table):
@@ -79,7 +83,9 @@
 class CallersTable(Table):
     """What callers do."""
 
-    repeats: int = Field(0, ge=0, le=10, description="Times that a refused one comes again, by Retry-After.")
+    repeats: int = Field(
+        0, ge=0, le=10, description="Times that a refused one comes again, by Retry-After."
+    )
     spread: Number = Field(
         0.0, ge=0, le=3, description="How uneven the nodes' parts are (sigma of a lognormal)."
     )
@@ -102,7 +108,9 @@
     site: str | None = Field(None, description="Of this site only.")
     other: str | None = Field(None, description="Links: to this site; all other sites if absent.")
     one_way: bool = Field(False, description="Links: only from `site`.")
-    share: Number = Field(1.0, gt=0, le=1, description="Of the nodes or servers, drawn by the seed.")
+    share: Number = Field(
+        1.0, gt=0, le=1, description="Of the nodes or servers, drawn by the seed."
+    )
     spread: Duration = Field(0, description="Not all at once, but over so long.")
     loss: Number = Field(0.4, ge=0, le=1, description="lossy: of datagrams.")
     doubled: Number = Field(0.0, ge=0, le=1, description="lossy: of datagrams.")
@@ -153,8 +161,13 @@
         names = [s.name for s in self.sites]
         if len(set(names)) != len(names):
             raise ValueError("site: expected each name once")
-        if sum(s.nodes for s in self.sites) > MAX_NODES or sum(s.servers for s in self.sites) > MAX_SERVERS:
-            raise ValueError(f"site: expected at most {MAX_NODES} nodes and {MAX_SERVERS} servers in all")
+        if (
+            sum(s.nodes for s in self.sites) > MAX_NODES
+            or sum(s.servers for s in self.sites) > MAX_SERVERS
+        ):
+            raise ValueError(
+                f"site: expected at most {MAX_NODES} nodes and {MAX_SERVERS} servers in all"
+            )
         if not sum(s.nodes for s in self.sites) or not sum(s.servers for s in self.sites):
             raise ValueError("site: expected a node and a server at least")
         for number, fault in enumerate(self.faults, 1):
@@ -166,7 +179,9 @@
         known = {"one answer", "no effect twice", *FIGURES}
         for check in self.checks:
             if check.name not in known:
-                raise ValueError(f"check: expected one of {', '.join(sorted(known))}, got {check.name!r}")
+                raise ValueError(
+                    f"check: expected one of {', '.join(sorted(known))}, got {check.name!r}"
+                )
         return self
 
 
@@ -234,4 +249,6 @@
     lasts = plan.lab.quick_lasts or plan.lab.lasts
     faults = [f for f in plan.faults if f.at < lasts]
     lab = plan.lab.model_copy(update={"lasts": lasts})
-    return plan.model_copy(update={"sites": sites, "classes": classes, "lab": lab, "faults": faults})
+    return plan.model_copy(
+        update={"sites": sites, "classes": classes, "lab": lab, "faults": faults}
+    )
--- a/oakbridge/lab/report.py
+++ b/oakbridge/lab/report.py
@@ -28,7 +28,7 @@
 from oakbridge.lab.process import HelperRole
 
 matplotlib.use("Agg")
-from matplotlib import pyplot as plt  # noqa: E402
+from matplotlib import pyplot as plt
 
 MAX_LATENCY_US = 60_000_000  # longer ones count as this
 SIGNIFICANT_DIGITS = 3
@@ -72,16 +72,22 @@
     return dict(total)
 
 
-def _latencies(out: Path, rows: list[dict[str, Any]], classes: list[str]) -> dict[str, dict[str, float]]:
+def _latencies(
+    out: Path, rows: list[dict[str, Any]], classes: list[str]
+) -> dict[str, dict[str, float]]:
     found, kept = {}, {}
     for k, name in enumerate(classes):
         histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         for row in rows:
             if row["class"] == k and row["status"] == 200:
                 histogram.record_value(min(MAX_LATENCY_US, max(1, row["took"])))
-        found[name] = {f"p{q:g}": histogram.get_value_at_percentile(q) / 1e3 for q in (50, 90, 99, 99.9)}
+        found[name] = {
+            f"p{q:g}": histogram.get_value_at_percentile(q) / 1e3 for q in (50, 90, 99, 99.9)
+        }
         encoded = histogram.encode()
-        kept[name] = encoded.decode() if isinstance(encoded, bytes) else base64.b64encode(encoded).decode()
+        kept[name] = (
+            encoded.decode() if isinstance(encoded, bytes) else base64.b64encode(encoded).decode()
+        )
     (out / "latencies.hdr.json").write_text(json.dumps(kept) + "\n")
     return found
 
@@ -106,7 +112,9 @@
     _loads(axes[2], history, seconds)
     for site, rates in site_load_by_second(history, [s.name for s in history.plan.sites]).items():
         axes[3].plot(range(seconds), rates, label=f"site {site}")
-    axes[3].set(xlabel="s", ylabel="requests a second", title="Load at each site's servers", ylim=(0, None))
+    axes[3].set(
+        xlabel="s", ylabel="requests a second", title="Load at each site's servers", ylim=(0, None)
+    )
     axes[3].legend(fontsize=7)
     for axis in (*axes[:2], axes[3]):
         for span in history.schedule.fault_spans:
@@ -123,7 +131,9 @@
             if row["class"] == k:
                 good[second] += row["status"] == 200 and row["took"] <= row["aim"]
                 refused[second] += row["status"] in (429, 503)
-        (line,) = axis.plot(range(seconds), [good[s] for s in range(seconds)], label=f"{name} served in time")
+        (line,) = axis.plot(
+            range(seconds), [good[s] for s in range(seconds)], label=f"{name} served in time"
+        )
         axis.plot(
             range(seconds),
             [refused[s] for s in range(seconds)],
@@ -140,23 +150,38 @@
     for change in history.member_changes:
         changes[change.after][change.at_us // 1_000_000] += 1
     for state, counts in sorted(changes.items()):
-        axis.step(range(seconds), [counts[s] for s in range(seconds)], label=f"become {state}", where="post")
-    axis.set(ylabel="views changed a second", title="What nodes hold of each other", yscale="symlog")
+        axis.step(
+            range(seconds),
+            [counts[s] for s in range(seconds)],
+            label=f"become {state}",
+            where="post",
+        )
+    axis.set(
+        ylabel="views changed a second", title="What nodes hold of each other", yscale="symlog"
+    )
     axis.legend(fontsize=7)
 
 
 def _loads(axis: Any, history: History, seconds: int) -> None:
     counts = Counter(
-        e["server"] for e in history.executions if 0 <= e["came"] - history.begin_us < history.duration_us
+        e["server"]
+        for e in history.executions
+        if 0 <= e["came"] - history.begin_us < history.duration_us
     )
     for site in sorted({s.site for s in history.fleet.servers}):
         rates = sorted(
-            (counts[s.number] / seconds for s in history.fleet.servers if s.site == site), reverse=True
+            (counts[s.number] / seconds for s in history.fleet.servers if s.site == site),
+            reverse=True,
         )
         axis.step(
-            [n / max(1, len(rates)) for n in range(len(rates))], rates, label=f"site {site}", where="post"
+            [n / max(1, len(rates)) for n in range(len(rates))],
+            rates,
+            label=f"site {site}",
+            where="post",
         )
-    axis.set(xlabel="servers, busiest first", ylabel="requests a second", title="Load at each server")
+    axis.set(
+        xlabel="servers, busiest first", ylabel="requests a second", title="Load at each server"
+    )
     axis.legend(fontsize=7)
 
 
@@ -172,5 +197,7 @@
             f"{mark} {check['name']:<24}{figure:>10}{wanted}{'  ' + check['note'] if check['note'] else ''}"
         )
     for name, found in summary["latency_ms"].items():
-        rows.append(f"  {name:<24}" + "  ".join(f"{q} {value:.1f} ms" for q, value in found.items()))
+        rows.append(
+            f"  {name:<24}" + "  ".join(f"{q} {value:.1f} ms" for q, value in found.items())
+        )
     return rows
--- a/oakbridge/lab/runner.py
+++ b/oakbridge/lab/runner.py
@@ -134,7 +134,9 @@
             history.member_changes += [c for c in members if c.at_us <= end_us]
             history.site_changes += [c for c in sites if c.at_us <= end_us]
         history.crashes = [f"{name} ended with {code}" for name, code in nodes.unexpected_exits]
-        history.unsolicited_answers = sum(result["unasked answers"] for result in results[HelperRole.LOAD])
+        history.unsolicited_answers = sum(
+            result["unasked answers"] for result in results[HelperRole.LOAD]
+        )
 
 
 @dataclass(slots=True)
--- a/oakbridge/lab/schedule.py
+++ b/oakbridge/lab/schedule.py
@@ -127,7 +127,9 @@
     return steps
 
 
-def _server_steps(fault: FaultTable, names: tuple[str, ...], until_us: int, end_us: int) -> list[Step]:
+def _server_steps(
+    fault: FaultTable, names: tuple[str, ...], until_us: int, end_us: int
+) -> list[Step]:
     if fault.kind == "servers down":
         begin = Step(fault.at, StepKind.SERVERS_DOWN, names)
         end = Step(until_us, StepKind.SERVERS_UP, names)
@@ -137,7 +139,9 @@
     return [begin, end] if until_us < end_us else [begin]
 
 
-def _link_steps(fault: FaultTable, number: int, fleet: Fleet, until_us: int, end_us: int) -> list[Step]:
+def _link_steps(
+    fault: FaultTable, number: int, fleet: Fleet, until_us: int, end_us: int
+) -> list[Step]:
     rule = _link_rule(fault, number, fleet)
     if fault.kind == "reset":
         return [Step(fault.at, StepKind.RESET, (), rule)]
@@ -153,7 +157,9 @@
     others = ours
     if fault.site is not None:
         others = frozenset(
-            host.name for host in hosts if host.site != fault.site and fault.other in (None, host.site)
+            host.name
+            for host in hosts
+            if host.site != fault.site and fault.other in (None, host.site)
         )
     is_lossy = fault.kind == "lossy"
     return Rule(
--- a/oakbridge/lab/server_queue.py
+++ b/oakbridge/lab/server_queue.py
@@ -42,7 +42,9 @@
         self._waiting.append(job)
         return 0.0
 
-    def complete(self, now_s: float, is_cancelled: Callable[[Job], bool]) -> tuple[Job, float] | None:
+    def complete(
+        self, now_s: float, is_cancelled: Callable[[Job], bool]
+    ) -> tuple[Job, float] | None:
         """End a job; return the next one and its work in seconds, None if none waits.
 
         Waiting jobs that were cancelled meanwhile are dropped.
--- a/oakbridge/lab/simulation/clients.py
+++ b/oakbridge/lab/simulation/clients.py
@@ -119,7 +119,9 @@
         """Return whether the request has had no answer yet."""
         return (replica, request_id) in self._pending
 
-    def finish(self, replica: int, request_id: int, outcome: Outcome, retry_after_us: int = 0) -> None:
+    def finish(
+        self, replica: int, request_id: int, outcome: Outcome, retry_after_us: int = 0
+    ) -> None:
         """Count a request's one answer, and have the client retry a rejected one.
 
         Raise KeyError for a request that was answered before.
--- a/oakbridge/lab/simulation/discovery.py
+++ b/oakbridge/lab/simulation/discovery.py
@@ -17,7 +17,9 @@
 class SimulatedDiscovery:
     """Poll times are in sequence; a poll that would wait for longer than two seconds fails."""
 
-    def __init__(self, events: EventQueue, servers: Mapping[str, SimulatedServer], deliver: Deliver) -> None:
+    def __init__(
+        self, events: EventQueue, servers: Mapping[str, SimulatedServer], deliver: Deliver
+    ) -> None:
         """``servers``: all that are listed, also those that come later."""
         self.polls = 0
         self.failed_polls = 0
--- a/oakbridge/lab/simulation/figures.py
+++ b/oakbridge/lab/simulation/figures.py
@@ -34,7 +34,10 @@
     """Return the fraction of servers that do not hang which a replica has ejected, on average."""
     hung = {name for name, server in fleet.servers.items() if server.is_hung}
     views = [
-        view for balancer in fleet.balancers for view in balancer.servers.values() if view.id not in hung
+        view
+        for balancer in fleet.balancers
+        for view in balancer.servers.values()
+        if view.id not in hung
     ]
     return sum(view.ejected_until > fleet.now for view in views) / len(views)
 
--- a/oakbridge/lab/simulation/fleet.py
+++ b/oakbridge/lab/simulation/fleet.py
@@ -102,7 +102,9 @@
         self._loads = _replica_loads(replica_count, load_sigma, seed)
 
         servers = [SimulatedServer(f"s{n}", site=_site_of(n, sites)) for n in range(server_count)]
-        self.pool = ServerPool(self.events, self._random, self.settings, servers, self._on_attempt_result)
+        self.pool = ServerPool(
+            self.events, self._random, self.settings, servers, self._on_attempt_result
+        )
         self.replicas: list[Replica] = [
             make_replica(self._random.getrandbits(32))
             if make_replica is not None
@@ -139,11 +141,15 @@
         site_control.start(self._random)
 
     def _divide_servers(self, rings: int) -> SubsetDivision:
-        division = SubsetDivision(self.events, self.balancers, self._homes, self._loads, rings, self.deliver)
+        division = SubsetDivision(
+            self.events, self.balancers, self._homes, self._loads, rings, self.deliver
+        )
         division.assign_all()
         return division
 
-    def _make_balancer(self, home: str, sites: tuple[str, ...], overrides: Mapping[str, Any]) -> Balancer:
+    def _make_balancer(
+        self, home: str, sites: tuple[str, ...], overrides: Mapping[str, Any]
+    ) -> Balancer:
         settings = Settings(
             self._classes,
             replica_count=self.settings.replica_count,
@@ -188,7 +194,9 @@
         self.pool.add(SimulatedServer(new, started_at_us=self.now))
         changes = [Endpoint(old, EndpointState.GONE), Endpoint(new, started_at=self.now)]
         announcement = EndpointListReceived(changes, complete=False)
-        self.events.schedule(self.now + announced_after_us, lambda: self._announce_changes(announcement))
+        self.events.schedule(
+            self.now + announced_after_us, lambda: self._announce_changes(announcement)
+        )
 
     def _announce_changes(self, announcement: EndpointListReceived) -> None:
         for replica in range(len(self.replicas)):
@@ -216,7 +224,9 @@
                 key = AttemptKey(replica, action.request_id, len(attempts) - 1)
                 self.pool.receive(key, action.server, action.timeout)
             case RejectRequest():
-                self.clients.finish(replica, action.request_id, Outcome.REJECTED, action.retry_after)
+                self.clients.finish(
+                    replica, action.request_id, Outcome.REJECTED, action.retry_after
+                )
             case FailRequest():
                 self.clients.finish(replica, action.request_id, Outcome.FAILED)
             case CancelAttempt():
@@ -225,7 +235,9 @@
             case WatchEndpoints():
                 self.discovery.poll(replica)
 
-    def _on_attempt_result(self, key: AttemptKey, server: str, result: AttemptResult, begun_us: int) -> None:
+    def _on_attempt_result(
+        self, key: AttemptKey, server: str, result: AttemptResult, begun_us: int
+    ) -> None:
         replica, request_id, attempt = key
         is_answer = result == AttemptResult.OK and self.clients.is_pending(replica, request_id)
         if is_answer:
--- a/oakbridge/lab/simulation/server_pool.py
+++ b/oakbridge/lab/simulation/server_pool.py
@@ -108,7 +108,9 @@
                 self._cancelled.add(key)
                 self._events.schedule(now, partial(self._report, key, server, result, now))
 
-    def _report(self, key: AttemptKey, server: SimulatedServer, result: AttemptResult, begun_us: int) -> None:
+    def _report(
+        self, key: AttemptKey, server: SimulatedServer, result: AttemptResult, begun_us: int
+    ) -> None:
         self.results[server.name, result] += 1
         self._on_result(key, server.name, result, begun_us)
 
@@ -128,7 +130,9 @@
         self._events.schedule(now + seconds * SECOND_US, partial(self._for_each, resume, failed))
 
     @staticmethod
-    def _for_each(change: Callable[[SimulatedServer], None], servers: Iterable[SimulatedServer]) -> None:
+    def _for_each(
+        change: Callable[[SimulatedServer], None], servers: Iterable[SimulatedServer]
+    ) -> None:
         for server in servers:
             change(server)
 
--- a/oakbridge/lab/simulation/site_control.py
+++ b/oakbridge/lab/simulation/site_control.py
@@ -57,14 +57,17 @@
     def _update(self, replica: int) -> None:
         plan, now = self._plans[replica], self._events.now
         own = self._rates[replica].update(
-            self._request_counts(replica), zones(self._balancers[replica], now, OBSERVATION_WINDOW_US)
+            self._request_counts(replica),
+            zones(self._balancers[replica], now, OBSERVATION_WINDOW_US),
         )
         everyone = ClusterView(ViewState.COMPLETE, known=len(self._balancers), unreachable=0)
         decision = plan.update(now, now // 1000, everyone, self._received_reports(replica), own)
         if self._is_report_due(replica, is_urgent=plan.is_urgent):
             self._reports[replica] = now, plan.report()
         self._deliver(replica, ZoneWeights(decision.zone_weights, decision.probe_zones))
-        self._deliver(replica, LoadSheddingLevel(dict(decision.rejected_fractions), 0.0, decision.salt))
+        self._deliver(
+            replica, LoadSheddingLevel(dict(decision.rejected_fractions), 0.0, decision.salt)
+        )
         self._events.schedule(now + UPDATE_INTERVAL_US, lambda: self._update(replica))
 
     def _received_reports(self, replica: int) -> list[ReceivedReport]:
--- a/oakbridge/lab/simulation/strategies.py
+++ b/oakbridge/lab/simulation/strategies.py
@@ -64,7 +64,11 @@
             self.servers = [endpoint.id for endpoint in event.endpoints]
             return
         gone = {e.id for e in event.endpoints if e.state != EndpointState.UP}
-        added = [e.id for e in event.endpoints if e.state == EndpointState.UP and e.id not in self.servers]
+        added = [
+            e.id
+            for e in event.endpoints
+            if e.state == EndpointState.UP and e.id not in self.servers
+        ]
         self.servers = [*(name for name in self.servers if name not in gone), *added]
 
     def _end_attempt(self, event: AttemptEnded) -> list[Action]:
--- a/oakbridge/lab/simulation/subset_division.py
+++ b/oakbridge/lab/simulation/subset_division.py
@@ -36,7 +36,9 @@
         ]
         self._replicas = {
             f"n{replica}": Replica(home, max(1, round(LOAD_SCALE * load)))
-            for replica, (home, load) in enumerate(zip(homes, loads or [1.0] * len(homes), strict=True))
+            for replica, (home, load) in enumerate(
+                zip(homes, loads or [1.0] * len(homes), strict=True)
+            )
         }
 
     def assign_all(self) -> None:
--- a/oakbridge/lab/switch.py
+++ b/oakbridge/lab/switch.py
@@ -53,7 +53,9 @@
         """Listen."""
         for number, name in enumerate(self._servers):
             await self._open_server(number, name)
-        self._member_listener = await self._listen(self._slot.port(MEMBER_SWITCH), self._route_to_member)
+        self._member_listener = await self._listen(
+            self._slot.port(MEMBER_SWITCH), self._route_to_member
+        )
         self._datagrams.start()
 
     async def _open_server(self, number: int, name: str) -> None:
--- a/oakbridge/node/attempt.py
+++ b/oakbridge/node/attempt.py
@@ -58,7 +58,9 @@
         Callable[[AttemptOutcome, int | None, ServerConnection], ResponseSink | None] | None
     ) = None
     upload: StreamedBody | None = None  # the rest of a body that is still coming
-    on_request_sent: Callable[[], None] | None = None  # called once the last of ``upload`` is written
+    on_request_sent: Callable[[], None] | None = (
+        None  # called once the last of ``upload`` is written
+    )
     start_by: int | None = None  # the request may not start to be written later
     connection: ServerConnection | None = field(default=None, init=False)
     timer: Timer | None = field(default=None, init=False)  # fires at the deadline
--- a/oakbridge/node/config.py
+++ b/oakbridge/node/config.py
@@ -34,7 +34,9 @@
     also_listen: tuple[Address, ...] = ()  # where the deployment allows it
     control: Address | None = None  # where operators' commands come in; None: nowhere
     memory_mb: int = 0  # what the node may use; 0: not told
-    raw: JsonObject = field(default_factory=dict, compare=False)  # the file as it was read, but for the list
+    raw: JsonObject = field(
+        default_factory=dict, compare=False
+    )  # the file as it was read, but for the list
 
 
 def load_config(environment: Mapping[str, str], before: Config | None = None) -> Config:
@@ -50,11 +52,15 @@
         raise ConfigError("NODE_CONFIG: missing, expected the path of the configuration")
     raw = _read_file(path)
     if before is not None and (lost := missing_key(before.raw, raw)):
-        raise ConfigError(f"NODE_CONFIG: {path}: {lost}: missing, expected it as in the file before")
+        raise ConfigError(
+            f"NODE_CONFIG: {path}: {lost}: missing, expected it as in the file before"
+        )
     return parse_config(environment, raw, reloading=before is not None)
 
 
-def parse_config(environment: Mapping[str, str], raw: JsonObject, *, reloading: bool = False) -> Config:
+def parse_config(
+    environment: Mapping[str, str], raw: JsonObject, *, reloading: bool = False
+) -> Config:
     """Check a file's object; ``reloading``: it was read while the process runs.  Raise ConfigError."""
     try:
         settings = read_settings(raw.get("settings"))
@@ -138,6 +144,10 @@
 
 def _memory_mb(raw: JsonObject) -> int:
     limit = _limit(raw, "memory_mb", 0)
-    if isinstance(limit, bool) or not isinstance(limit, int | float) or not 0 <= limit < MAX_MEMORY_MB:
+    if (
+        isinstance(limit, bool)
+        or not isinstance(limit, int | float)
+        or not 0 <= limit < MAX_MEMORY_MB
+    ):
         raise ConfigError(f"limits.memory_mb: expected a number of megabytes, got {limit!r:.80}")
     return int(limit)
--- a/oakbridge/node/connection_pool.py
+++ b/oakbridge/node/connection_pool.py
@@ -84,7 +84,9 @@
                 self.endpoints[server.id] = endpoint.address, server.started_at
             else:
                 self.endpoints.pop(server.id, None)
-        changed = self.servers if new.complete else [endpoint.server.id for endpoint in new.endpoints]
+        changed = (
+            self.servers if new.complete else [endpoint.server.id for endpoint in new.endpoints]
+        )
         for name in list(changed):
             pooled = self.servers.get(name)
             if pooled is not None and self.endpoints.get(name) != (pooled.address, pooled.started):
@@ -183,7 +185,9 @@
         """Stop waiting; a request whose last byte was never written has not run."""
         if not attempt.ended:
             written = attempt.connection is not None and attempt.connection.abort()
-            attempt.finish(AttemptOutcome(AttemptResult.TIMEOUT if written else AttemptResult.CONNECT_FAILED))
+            attempt.finish(
+                AttemptOutcome(AttemptResult.TIMEOUT if written else AttemptResult.CONNECT_FAILED)
+            )
 
     # ---- idle connections
 
@@ -228,7 +232,9 @@
 
     def _evict_oldest_idle(self) -> bool:
         """Close the connection that was idle for longest, to any server; return whether there was one."""
-        oldest = min((s.idle[0] for s in self.servers.values() if s.idle), default=None, key=_idle_since)
+        oldest = min(
+            (s.idle[0] for s in self.servers.values() if s.idle), default=None, key=_idle_since
+        )
         if oldest is not None:
             oldest.close()
         return oldest is not None
--- a/oakbridge/node/discovery.py
+++ b/oakbridge/node/discovery.py
@@ -47,7 +47,9 @@
 class DiscoverySource:
     """Polls discovery; calls the listener with lists, and with polls that failed."""
 
-    def __init__(self, address: Address, *, pushed: bool, poll_interval_us: int, seed: int = 0) -> None:
+    def __init__(
+        self, address: Address, *, pushed: bool, poll_interval_us: int, seed: int = 0
+    ) -> None:
         """Make a source that is idle until :meth:`start` or :meth:`watch`.
 
         ``pushed``: an agent on the same machine pushes lists; else the balancer starts watches.
@@ -140,7 +142,9 @@
             started_at = self._now()
             try:
                 await self._watch_once()
-            except Exception as e:  # of any kind: a watch that ended unnoticed would hide every drain
+            except (
+                Exception
+            ) as e:  # of any kind: a watch that ended unnoticed would hide every drain
                 if self._watch_established and isinstance(e, TimeoutError):
                     log.warning("a watch has fallen silent: asking anew")
                     self._watch_established = False
@@ -191,7 +195,9 @@
     @staticmethod
     def _log_failure(e: Exception) -> None:
         expected = isinstance(e, EndpointListError | OSError)  # a time-out is one of the latter
-        log.warning("discovery is lost: %s", str(e) or type(e).__name__, exc_info=None if expected else e)
+        log.warning(
+            "discovery is lost: %s", str(e) or type(e).__name__, exc_info=None if expected else e
+        )
 
     def _apply(self, new: EndpointList, *, first: bool) -> None:
         """Pass a list to the listener, unless it is a watch's response without changes.
--- a/oakbridge/node/endpoint_list_json.py
+++ b/oakbridge/node/endpoint_list_json.py
@@ -14,7 +14,11 @@
 
 JsonObject = dict[str, Any]
 
-_STATE_BY_NAME = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
+_STATE_BY_NAME = {
+    "ready": EndpointState.UP,
+    "draining": EndpointState.DRAINING,
+    "gone": EndpointState.GONE,
+}
 _NAME_BY_STATE = {state: name for name, state in _STATE_BY_NAME.items()}
 
 
@@ -25,14 +29,21 @@
     index = _number(raw.get("index"), int, "index")
     try:
         endpoints = [_parse_endpoint(one) for one in raw["endpoints"]]
-    except (OverflowError, ValueError) as e:  # also not-a-number and infinity, which JSON's reader lets in
+    except (
+        OverflowError,
+        ValueError,
+    ) as e:  # also not-a-number and infinity, which JSON's reader lets in
         raise EndpointListError(str(e)) from None
     return EndpointList(index, bool(raw.get("snapshot", False)), endpoints)
 
 
 def encode_endpoint_list(index: int, endpoints: Iterable[ListedEndpoint]) -> JsonObject:
     """Return a complete list in discovery's form."""
-    return {"index": index, "snapshot": True, "endpoints": [_encode_endpoint(one) for one in endpoints]}
+    return {
+        "index": index,
+        "snapshot": True,
+        "endpoints": [_encode_endpoint(one) for one in endpoints],
+    }
 
 
 def _encode_endpoint(endpoint: ListedEndpoint) -> JsonObject:
@@ -62,7 +73,9 @@
     weight = _number(raw.get("weight", 1.0), (int, float), "weight")
     cell = _number(raw.get("group", 0), int, "group")
     zone = str(raw.get("zone") or "")
-    server = Endpoint(name, _STATE_BY_NAME[state], zone, cell, float(weight), int(since_ms * US_PER_MS))
+    server = Endpoint(
+        name, _STATE_BY_NAME[state], zone, cell, float(weight), int(since_ms * US_PER_MS)
+    )
     try:
         address = parse_address(raw.get("address"))
     except ConfigError as e:
--- a/oakbridge/node/endpoint_updates.py
+++ b/oakbridge/node/endpoint_updates.py
@@ -84,7 +84,9 @@
     def _log_list(new: EndpointList) -> None:
         states = {endpoint.server.id: endpoint.server.state for endpoint in new.endpoints}
         if states:
-            first = ", ".join(f"{name} {state}" for name, state in islice(states.items(), LOGGED_ENDPOINTS))
+            first = ", ".join(
+                f"{name} {state}" for name, state in islice(states.items(), LOGGED_ENDPOINTS)
+            )
             log.info("list %d: %s", new.index, first[:LOGGED_CHARACTERS])
 
     # ---- what operators hold out
--- a/oakbridge/node/listener.py
+++ b/oakbridge/node/listener.py
@@ -128,7 +128,9 @@
         for _ in range(ACCEPT_BATCH):
             if self._limits.is_excess_full() and not self._limits.evict():
                 if not self._pause():
-                    log.warning("accepting stops at the connection limit: clients=%d", len(self._limits))
+                    log.warning(
+                        "accepting stops at the connection limit: clients=%d", len(self._limits)
+                    )
                     self.stop()
                 return False
             try:
--- a/oakbridge/node/outages.py
+++ b/oakbridge/node/outages.py
@@ -92,7 +92,9 @@
     def forget_older(self, before: int) -> None:
         """Forget what was put back before a time: a server is warm by then, restarted or not."""
         outages = self._outages.items()
-        for name in [n for n, outage in outages if outage.put_back_at and outage.put_back_at < before]:
+        for name in [
+            n for n, outage in outages if outage.put_back_at and outage.put_back_at < before
+        ]:
             del self._outages[name]
 
     # ---- over a hand-over
--- a/oakbridge/node/request_forwarder.py
+++ b/oakbridge/node/request_forwarder.py
@@ -40,7 +40,12 @@
     __slots__ = ("_forwarder", "number", "request", "sent_at", "server")
 
     def __init__(
-        self, forwarder: RequestForwarder, request: ClientRequest, number: int, server: str, sent_at: int
+        self,
+        forwarder: RequestForwarder,
+        request: ClientRequest,
+        number: int,
+        server: str,
+        sent_at: int,
     ) -> None:
         self._forwarder = forwarder
         self.request = request
@@ -70,7 +75,9 @@
 class ForwardedResponse:
     """A response on its way, as the client's connection sees it: the source of its body."""
 
-    def __init__(self, pool: ConnectionPool, request: ClientRequest, connection: ServerConnection) -> None:
+    def __init__(
+        self, pool: ConnectionPool, request: ClientRequest, connection: ServerConnection
+    ) -> None:
         self._pool = pool
         self._request = request
         self.pause = connection.pause
@@ -136,8 +143,13 @@
             retry_after = [(b"retry-after", b"1")] if self._settings.max_retry_after else []
             request.client.respond(request, 503, retry_after, b"")
             return
-        if self._settings.max_open_requests and len(self.requests) >= self._settings.max_open_requests:
-            request.client.respond(request, 503, [], b"")  # as on the simulator: the balancer sees none
+        if (
+            self._settings.max_open_requests
+            and len(self.requests) >= self._settings.max_open_requests
+        ):
+            request.client.respond(
+                request, 503, [], b""
+            )  # as on the simulator: the balancer sees none
             return
         request.id = next(self._ids)
         self.requests[request.id] = request
@@ -231,7 +243,9 @@
         if request is not None:
             number, over = request.attempts, request.answered
             request.attempts += 1
-        self._post(AttemptEnded(action.request_id, number, action.server, AttemptResult.NOT_SENT, 0, over))
+        self._post(
+            AttemptEnded(action.request_id, number, action.server, AttemptResult.NOT_SENT, 0, over)
+        )
 
     def on_body_sent(self, forwarded: ForwardedAttempt) -> None:
         """Count the request's time from now: the last byte of its streamed body is written."""
@@ -268,7 +282,9 @@
             return None
         self.served += 1
         self._cancel_overdue_timer(request)
-        self._post_end(forwarded, AttemptResult.OK, finished=True, report=self._load_report(outcome))
+        self._post_end(
+            forwarded, AttemptResult.OK, finished=True, report=self._load_report(outcome)
+        )
         return request.client
 
     def on_attempt_end(self, forwarded: ForwardedAttempt, outcome: AttemptOutcome) -> None:
@@ -289,14 +305,20 @@
             result = AttemptResult.NOT_SENT
         if request.answered:
             self._forget(request)
-        self._post_end(forwarded, result, finished=request.answered, report=self._load_report(outcome))
+        self._post_end(
+            forwarded, result, finished=request.answered, report=self._load_report(outcome)
+        )
 
     def _end_streamed(self, forwarded: ForwardedAttempt, outcome: AttemptOutcome) -> None:
         """End an attempt whose response was being forwarded; only a break is news to the balancer."""
         request = forwarded.request
         self._forget(request)
         if outcome.result == AttemptResult.RESET:
-            self._post(AttemptEnded(request.id, forwarded.number, forwarded.server, outcome.result, 0, True))
+            self._post(
+                AttemptEnded(
+                    request.id, forwarded.number, forwarded.server, outcome.result, 0, True
+                )
+            )
 
     def _post_end(
         self,
@@ -309,7 +331,9 @@
         request = forwarded.request
         latency = self._clock.now() - (request.body_sent_at or forwarded.sent_at)
         self._post(
-            AttemptEnded(request.id, forwarded.number, forwarded.server, result, latency, finished, report)
+            AttemptEnded(
+                request.id, forwarded.number, forwarded.server, result, latency, finished, report
+            )
         )
 
     def _load_report(self, outcome: AttemptOutcome) -> dict[str, float] | None:
--- a/oakbridge/node/request_parser.py
+++ b/oakbridge/node/request_parser.py
@@ -209,7 +209,11 @@
 
     def _build_request(self, body: bytes) -> ClientRequest:
         request = ClientRequest(
-            self._connection, self._parser.get_method(), origin_form(self._target), self._headers, body
+            self._connection,
+            self._parser.get_method(),
+            origin_form(self._target),
+            self._headers,
+            body,
         )
         request.keep_alive = bool(self._parser.should_keep_alive())
         request.http10 = self._is_http10()
--- a/oakbridge/node/request_writer.py
+++ b/oakbridge/node/request_writer.py
@@ -12,11 +12,15 @@
 def encode_request(request: ClientRequest, timeout_us: int) -> bytes:
     """Return the bytes of an attempt, but for a body that is still coming; ``timeout_us`` is what is left for it."""
     lines = [request.method + b" " + request.target + b" HTTP/1.1"]
-    lines += [name + b": " + value for name, value in request.headers if name not in HOP_BY_HOP_HEADERS]
+    lines += [
+        name + b": " + value for name, value in request.headers if name not in HOP_BY_HOP_HEADERS
+    ]
     lines.append(b"x-timeout: " + _encode_timeout(timeout_us))
     if request.streamed_body is not None:
         length = request.streamed_body.length
-        lines.append(b"transfer-encoding: chunked" if length is None else b"content-length: %d" % length)
+        lines.append(
+            b"transfer-encoding: chunked" if length is None else b"content-length: %d" % length
+        )
     elif request.body or request.method not in _WITHOUT_BODY:
         lines.append(b"content-length: %d" % len(request.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + request.body
--- a/oakbridge/node/response_parser.py
+++ b/oakbridge/node/response_parser.py
@@ -77,7 +77,10 @@
         self._bytes_read += len(data)
         try:
             self._parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as e:  # no upgrade was requested
+        except (
+            httptools.HttpParserError,
+            httptools.HttpParserUpgrade,
+        ) as e:  # no upgrade was requested
             if not self.complete:
                 raise ResponseError(f"expected an HTTP/1.1 response: {e}") from None
             self.reusable = False
--- a/oakbridge/node/run.py
+++ b/oakbridge/node/run.py
@@ -18,7 +18,9 @@
 Lifespan = Callable[[Node], AbstractAsyncContextManager[Any]]
 
 
-async def serve(build: BuildNode, reload: Reload, lifespan: Lifespan = lambda _: nullcontext()) -> None:
+async def serve(
+    build: BuildNode, reload: Reload, lifespan: Lifespan = lambda _: nullcontext()
+) -> None:
     """Serve until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads.
 
     ``lifespan`` is entered before the node listens and left after it has ended: its control socket,
@@ -53,5 +55,7 @@
         hangup.clear()
         try:
             reload(node)
-        except Exception as e:  # contained: a file that is broken or half written must not end a node
+        except (
+            Exception
+        ) as e:  # contained: a file that is broken or half written must not end a node
             log.error("the configuration was not read anew: %s", str(e) or type(e).__name__)
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -70,7 +70,9 @@
         self.closed = False
         self.idle_since = 0
         self._awaits_writable = False
-        self._unsent: memoryview | None = None  # what the socket has not taken yet; None: nothing was written
+        self._unsent: memoryview | None = (
+            None  # what the socket has not taken yet; None: nothing was written
+        )
         self._body: StreamedBody | None = None  # what follows it
         self.paused = False
         self._timer: Timer | None = None  # limits the dial, then each pause within a response
@@ -330,7 +332,9 @@
         if sink is not None:
             sink.abort_response()
         if attempt is not None:
-            attempt.finish(AttemptOutcome(AttemptResult.RESET if written else AttemptResult.CONNECT_FAILED))
+            attempt.finish(
+                AttemptOutcome(AttemptResult.RESET if written else AttemptResult.CONNECT_FAILED)
+            )
 
     def abort(self) -> bool:
         """Close at once and leave the attempt to the caller; return whether its last byte was written."""
--- a/oakbridge/node/settings.py
+++ b/oakbridge/node/settings.py
@@ -49,7 +49,9 @@
 _WEIGHS_BY_WORK = {"request": False, "work": True}
 
 
-def _get(where: dict[str, Any], path: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
+def _get(
+    where: dict[str, Any], path: str, kind: type | tuple[type, ...], default: Any = None
+) -> Any:
     """Return the setting at a dotted path, or ``default``.
 
     Raises SettingsError if it is missing and there is no default, or if it is not of the kind.
@@ -75,7 +77,13 @@
 
 def kind_name(kind: type | tuple[type, ...]) -> str:
     """Return the name of a kind for an error message."""
-    names = {int: "a whole number", bool: "true or false", str: "a string", list: "a list", dict: "an object"}
+    names = {
+        int: "a whole number",
+        bool: "true or false",
+        str: "a string",
+        list: "a list",
+        dict: "an object",
+    }
     if isinstance(kind, tuple):
         return "a string" if str in kind else "a number"
     return names.get(kind, "a number")
@@ -121,7 +129,11 @@
                 return path
             if lost := missing_key(value, now[name], path):
                 return lost
-    elif isinstance(before, list) and isinstance(now, list) and all(isinstance(e, dict) for e in before):
+    elif (
+        isinstance(before, list)
+        and isinstance(now, list)
+        and all(isinstance(e, dict) for e in before)
+    ):
         shared = set.intersection(*(set(e) for e in before)) if before else set()
         for i, entry in enumerate(now):
             have = set(entry) if isinstance(entry, dict) else set()
@@ -151,7 +163,11 @@
 
     Also return the names of those that wait for its next start.
     """
-    kept = {name: getattr(old, name) for name in FIXED_SETTINGS if getattr(old, name) != getattr(new, name)}
+    kept = {
+        name: getattr(old, name)
+        for name in FIXED_SETTINGS
+        if getattr(old, name) != getattr(new, name)
+    }
     return replace(new, **kept), [FIXED_SETTINGS[name] for name in kept]
 
 
@@ -303,7 +319,9 @@
 def _read_load_reports(raw: dict[str, Any]) -> dict[str, Any]:
     return {
         "report_source": _choice(raw, "report.source", _REPORT_SOURCES, "off"),
-        "report_names": tuple(_REPORT_FIELDS.get(name, name) for name in _names(raw, "report.names")),
+        "report_names": tuple(
+            _REPORT_FIELDS.get(name, name) for name in _names(raw, "report.names")
+        ),
     }
 
 
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -16,7 +16,13 @@
 from oakbridge.node.node import Node
 from oakbridge.node.trace_format import MARK, RESULT_NAMES, action_name, encode_settings
 from oakbridge.policy.actions import Action, SendAttempt
-from oakbridge.policy.events import AttemptEnded, AttemptResult, EndpointListReceived, Event, RequestReceived
+from oakbridge.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointListReceived,
+    Event,
+    RequestReceived,
+)
 
 log = logging.getLogger(__name__)
 
@@ -80,7 +86,10 @@
     def _count_attempt(self, action: SendAttempt, now: int) -> None:
         """The call may be over, or the server gone, by the same event: counting must not depend on either."""
         balancer = self.node.balancer
-        call, server = balancer.requests.get(action.request_id), balancer.endpoints.known.get(action.server)
+        call, server = (
+            balancer.requests.get(action.request_id),
+            balancer.endpoints.known.get(action.server),
+        )
         self.counts["sent"] += 1
         self.counts["again"] += call is not None and len(call.attempts) > 1
         if server is not None and balancer.slow_start.capacity_share(server, now) < 1:
@@ -131,6 +140,8 @@
             "known": len(balancer.endpoints.known),
             "connections": node.pool.connection_count,
             "idle": {name: len(s.idle) for name, s in node.pool.servers.items() if s.idle},
-            "outs": {s.id: len(s.in_flight) for s in balancer.endpoints.known.values() if s.in_flight},
+            "outs": {
+                s.id: len(s.in_flight) for s in balancer.endpoints.known.values() if s.in_flight
+            },
             "ends": self.ends,
         }
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -128,7 +128,9 @@
     try:
         command = OperatorCommand(Verb(verb), server_id)
     except ValueError:
-        log.warning("unknown command relayed by the other process: verb=%s server=%s", verb, server_id)
+        log.warning(
+            "unknown command relayed by the other process: verb=%s server=%s", verb, server_id
+        )
         return
     try:
         NodeCommandExecutor(node, is_started=True).execute(command)
--- a/oakbridge/peers/dissemination.py
+++ b/oakbridge/peers/dissemination.py
@@ -90,7 +90,9 @@
         self._is_gossiping = False
         if not self._broadcasts or local.replaced_by is not None:
             return
-        recipients = local.table.sample(local.random, local.options.gossip_fanout, allow_suspects=False)
+        recipients = local.table.sample(
+            local.random, local.options.gossip_fanout, allow_suspects=False
+        )
         for known in recipients:
             self.send(known.record, Header(MessageKind.GOSSIP), now_us)
         self._is_gossiping = True
@@ -142,7 +144,9 @@
             first = first if first.state == MemberState.ALIVE else first.without_tags()
             records.append(first)
             room_bytes -= _item_size(first)
-        return records + self._broadcasts.take(room_bytes, self._transmit_limit(), MAX_DATAGRAM_ITEMS - 1)
+        return records + self._broadcasts.take(
+            room_bytes, self._transmit_limit(), MAX_DATAGRAM_ITEMS - 1
+        )
 
     def _transmit_limit(self) -> int:
         return transmit_limit(self._local.table.live_count)
--- a/oakbridge/peers/failure_detector.py
+++ b/oakbridge/peers/failure_detector.py
@@ -119,7 +119,9 @@
 
     # ---- messages
 
-    def on_ping(self, now_us: int, source: str, message: Datagram, sender: KnownMember | None) -> None:
+    def on_ping(
+        self, now_us: int, source: str, message: Datagram, sender: KnownMember | None
+    ) -> None:
         """Acknowledge a probe, unless it is for another member that had this address before."""
         if message.target != self._local.record.name:
             self._local.counts[MemberCounter.NOT_FOR_ME] += 1
--- a/oakbridge/peers/initial_states.py
+++ b/oakbridge/peers/initial_states.py
@@ -58,7 +58,9 @@
     return members
 
 
-def _arrive(members: dict[str, Member], item: InFlight, now_us: int) -> Iterator[tuple[str, list[Action]]]:
+def _arrive(
+    members: dict[str, Member], item: InFlight, now_us: int
+) -> Iterator[tuple[str, list[Action]]]:
     """Yield what each member that an arrival concerns does then."""
     sender = members.get(item.sender)
     recipient = members.get(item.recipient)
--- a/oakbridge/peers/interleavings.py
+++ b/oakbridge/peers/interleavings.py
@@ -71,9 +71,7 @@
     own_after = after.record
     is_same_process = own_after.process_key == own_before.process_key
     if is_same_process and own_after.precedence < own_before.precedence:
-        return (
-            f"{own_after.name}'s own incarnation went back: {own_before.precedence} to {own_after.precedence}"
-        )
+        return f"{own_after.name}'s own incarnation went back: {own_before.precedence} to {own_after.precedence}"
     for name, known in before.members.items():
         now = after.members.get(name)
         if now is None:
@@ -149,7 +147,9 @@
     return Transition(f"{NAMES[index]} starts", after)
 
 
-def _push_pull(state: SystemState, item: InFlight, rest: tuple[InFlight, ...]) -> Iterator[Transition]:
+def _push_pull(
+    state: SystemState, item: InFlight, rest: tuple[InFlight, ...]
+) -> Iterator[Transition]:
     sender_index = NAMES.index(item.sender)
     recipient_index = NAMES.index(item.recipient)
     sender_data = state.members[sender_index]
@@ -173,7 +173,9 @@
     yield Transition(f"{item.sender} and {item.recipient} exchange", after, violation)
 
 
-def _deliver(state: SystemState, item: InFlight, rest: tuple[InFlight, ...]) -> Iterator[Transition]:
+def _deliver(
+    state: SystemState, item: InFlight, rest: tuple[InFlight, ...]
+) -> Iterator[Transition]:
     """Yield the arrival of a message, and the arrival after which it may arrive once more."""
     index = NAMES.index(item.recipient)
     data = state.members[index]
--- a/oakbridge/peers/local_member.py
+++ b/oakbridge/peers/local_member.py
@@ -18,7 +18,9 @@
 class LocalMember:
     """Own record, options, timers, the other members, and the actions collected so far."""
 
-    def __init__(self, record: MemberRecord, options: ProtocolOptions, generator: random.Random) -> None:
+    def __init__(
+        self, record: MemberRecord, options: ProtocolOptions, generator: random.Random
+    ) -> None:
         self.record = record
         self.options = options
         self.random = generator
@@ -52,7 +54,9 @@
 
     def raise_incarnation(self, generation: int, incarnation: int) -> None:
         """Become a greater incarnation, or generation, of this member."""
-        self.record = msgspec.structs.replace(self.record, generation=generation, incarnation=incarnation)
+        self.record = msgspec.structs.replace(
+            self.record, generation=generation, incarnation=incarnation
+        )
 
     def mark_left(self) -> None:
         """Become a member that has left on purpose."""
--- a/oakbridge/peers/member.py
+++ b/oakbridge/peers/member.py
@@ -89,7 +89,9 @@
         self._reconnect = Reconnect(local, self._dissemination, self._push_pull, self._join)
         rotation = ProbeRotation(local)
         self._suspicions = SuspicionMonitor(local, self._dissemination, rotation, now_us)
-        self._membership = Membership(local, self._dissemination, self._push_pull, self._suspicions, rotation)
+        self._membership = Membership(
+            local, self._dissemination, self._push_pull, self._suspicions, rotation
+        )
         self._detector = FailureDetector(local, self._dissemination, self._membership, rotation)
         self._start(now_us)
 
@@ -221,7 +223,9 @@
 
     # ---- events
 
-    def push_pull_completed(self, now_us: int, state: PushPullState, *, initiated: bool) -> list[Action]:
+    def push_pull_completed(
+        self, now_us: int, state: PushPullState, *, initiated: bool
+    ) -> list[Action]:
         """Take what a push-pull exchange brought; ``initiated``: this member began it."""
         if self._local.is_active:
             self._compensate_for_pause(now_us)
@@ -270,7 +274,9 @@
             self._push_pull.request(now_us, source)
         self._dispatch(now_us, source, message, sender)
 
-    def _dispatch(self, now_us: int, source: str, message: Datagram, sender: KnownMember | None) -> None:
+    def _dispatch(
+        self, now_us: int, source: str, message: Datagram, sender: KnownMember | None
+    ) -> None:
         match message.kind:
             case MessageKind.PING:
                 self._detector.on_ping(now_us, source, message, sender)
--- a/oakbridge/peers/member_query.py
+++ b/oakbridge/peers/member_query.py
@@ -25,7 +25,9 @@
         self.cause = cause
 
 
-async def query_members(address: Address, secret: bytes, timeout_s: float = 5.0) -> list[dict[str, Any]]:
+async def query_members(
+    address: Address, secret: bytes, timeout_s: float = 5.0
+) -> list[dict[str, Any]]:
     """Return a row for each member that the one at this address knows, itself included.
 
     Raises MemberQueryError.
--- a/oakbridge/peers/membership.py
+++ b/oakbridge/peers/membership.py
@@ -156,7 +156,9 @@
         """Forget members that failed or left long ago."""
         oldest_us = now_us - self._local.options.forget_after_us
         table = self._local.table
-        names = [known.record.name for known in table if not known.is_live and known.since_us < oldest_us]
+        names = [
+            known.record.name for known in table if not known.is_live and known.since_us < oldest_us
+        ]
         for name in names:
             table.remove(name)
             self._dissemination.stop_broadcast(name)
@@ -164,7 +166,9 @@
 
     # ---- changes
 
-    def _set(self, now_us: int, known: KnownMember, record: MemberRecord, reporter: str, cause: str) -> None:
+    def _set(
+        self, now_us: int, known: KnownMember, record: MemberRecord, reporter: str, cause: str
+    ) -> None:
         before = known.record.state
         is_new_process = record.process_key != known.record.process_key
         if before == MemberState.SUSPECT and not is_new_process:
@@ -187,7 +191,9 @@
         if state in (MemberState.ALIVE, MemberState.FAILED):
             self._suspicions.note_end(now_us, refuted=state == MemberState.ALIVE)
 
-    def _report_change(self, now_us: int, known: KnownMember, before: str, reporter: str, cause: str) -> None:
+    def _report_change(
+        self, now_us: int, known: KnownMember, before: str, reporter: str, cause: str
+    ) -> None:
         record = known.record
         change = MemberChanged(
             now_us, record.name, before, record.state.label, reporter, cause, record.address
--- a/oakbridge/peers/messages.py
+++ b/oakbridge/peers/messages.py
@@ -156,7 +156,9 @@
     age_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_REPORT_AGE_MS)] = 0
     in_flight: UnsignedInt = 0  # requests
     subset_size: UnsignedInt = 0  # servers in use
-    failing_servers: Annotated[tuple[NodeName, ...], msgspec.Meta(max_length=MAX_FAILING_SERVERS)] = ()
+    failing_servers: Annotated[
+        tuple[NodeName, ...], msgspec.Meta(max_length=MAX_FAILING_SERVERS)
+    ] = ()
     site_report: SiteReport | None = None
     requests_per_10s: UnsignedInt = 0  # in coarse steps; 0: not told
 
--- a/oakbridge/peers/operator_view.py
+++ b/oakbridge/peers/operator_view.py
@@ -82,7 +82,9 @@
     return rows
 
 
-def _record_row(record: MemberRecord, state: str, since_s: float, reported_by: str) -> dict[str, Any]:
+def _record_row(
+    record: MemberRecord, state: str, since_s: float, reported_by: str
+) -> dict[str, Any]:
     return {
         "name": record.name,
         "site": record.tags.get("site", ""),
--- a/oakbridge/peers/refutation.py
+++ b/oakbridge/peers/refutation.py
@@ -12,7 +12,9 @@
 class Refutation:
     """Answers claims about this member's name."""
 
-    def __init__(self, local: LocalMember, dissemination: Dissemination, push_pull: PushPull) -> None:
+    def __init__(
+        self, local: LocalMember, dissemination: Dissemination, push_pull: PushPull
+    ) -> None:
         self._local = local
         self._dissemination = dissemination
         self._push_pull = push_pull
--- a/oakbridge/peers/service.py
+++ b/oakbridge/peers/service.py
@@ -145,7 +145,9 @@
 
     async def _listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.options.listen)
+        self._transport, _ = await loop.create_datagram_endpoint(
+            lambda: self, local_addr=self.options.listen
+        )
         udp_socket = self._transport.get_extra_info("socket")
         with suppress(OSError):
             udp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
@@ -350,7 +352,9 @@
         reports = [report for report in found if report is not None]
         self.failure_reports = weigh_failure_reports(state, reports, self.options.name)
         weights = {
-            server: reports.weight for server, reports in self.failure_reports.items() if reports.weight
+            server: reports.weight
+            for server, reports in self.failure_reports.items()
+            if reports.weight
         }
         if weights and self.on_failure_reports is not None:
             self.on_failure_reports(weights)
@@ -372,7 +376,9 @@
             await asyncio.sleep(SAVE_INTERVAL_S)
 
     def _snapshot(self) -> snapshot.Snapshot:
-        members = tuple((name, self.member.members[name].record.address) for name in self.member.live_names())
+        members = tuple(
+            (name, self.member.members[name].record.address) for name in self.member.live_names()
+        )
         return snapshot.Snapshot(self.member.record.generation, members)
 
     # ---- what operators see
--- a/oakbridge/peers/simulation.py
+++ b/oakbridge/peers/simulation.py
@@ -233,7 +233,9 @@
         recipient = self.by_address.get(action.address)
         if recipient is not None:
             delay_us = self._draw_delay_us(recipient)
-            self.call_later(delay_us, lambda: self._deliver(recipient, process.address, action.message))
+            self.call_later(
+                delay_us, lambda: self._deliver(recipient, process.address, action.message)
+            )
 
     def _deliver(self, recipient: SimulatedProcess, source: str, message: Datagram) -> None:
         if not recipient.is_up:
@@ -255,7 +257,9 @@
     ) -> None:
         if not process.is_running:
             return
-        is_blocked = self.is_blocked(process.address, address) or self.is_blocked(address, process.address)
+        is_blocked = self.is_blocked(process.address, address) or self.is_blocked(
+            address, process.address
+        )
         if partner is None or not partner.is_running or is_blocked:
             self.perform(process, process.member.push_pull_failed())
             return
@@ -264,7 +268,9 @@
         if self.measure:
             self.counts["exchange bytes"] += encoded_size(own) + encoded_size(other)
         self.perform(partner, partner.member.push_pull_completed(self.now_us, own, initiated=False))
-        self.perform(process, process.member.push_pull_completed(self.now_us, other, initiated=True))
+        self.perform(
+            process, process.member.push_pull_completed(self.now_us, other, initiated=True)
+        )
         self.schedule_wake_up(partner)
         self.schedule_wake_up(process)
 
--- a/oakbridge/peers/view_state.py
+++ b/oakbridge/peers/view_state.py
@@ -91,7 +91,9 @@
     )
 
 
-def _unreachable_sites(reachable: list[MemberView], unreachable: list[MemberView]) -> tuple[str, ...]:
+def _unreachable_sites(
+    reachable: list[MemberView], unreachable: list[MemberView]
+) -> tuple[str, ...]:
     reachable_sites = {m.site for m in reachable}
     counts = Counter(m.site for m in unreachable)
     return tuple(
--- a/oakbridge/policy/balancer.py
+++ b/oakbridge/policy/balancer.py
@@ -144,7 +144,9 @@
     def _on_load_shedding_level(self, _: int, event: events.LoadSheddingLevel) -> None:
         self.shedding.level = event
 
-    def _on_in_flight_in_other_process(self, now: int, event: events.InFlightInOtherProcess) -> None:
+    def _on_in_flight_in_other_process(
+        self, now: int, event: events.InFlightInOtherProcess
+    ) -> None:
         """Count what the other process has in flight: it is within the same limit."""
         self.admission.change_in_flight(event.count - self.in_flight_in_other_process, now)
         self.in_flight_in_other_process = event.count
--- a/oakbridge/policy/events.py
+++ b/oakbridge/policy/events.py
@@ -25,7 +25,9 @@
     NOT_SENT = 80  # never ran
 
 
-NEVER_RAN = frozenset({AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT})
+NEVER_RAN = frozenset(
+    {AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT}
+)
 
 
 class EndpointState(StrEnum):
@@ -136,7 +138,9 @@
     key: str = ""  # what it is about; requests with one key go together
     expected_work: int = 0  # roughly; 0: not told
     write: bool = False
-    streamed: bool = False  # its body is forwarded as it comes: one attempt, timed from RequestBodySent
+    streamed: bool = (
+        False  # its body is forwarded as it comes: one attempt, timed from RequestBodySent
+    )
 
 
 @dataclass(slots=True)
--- a/oakbridge/policy/records.py
+++ b/oakbridge/policy/records.py
@@ -85,7 +85,9 @@
 
 
 NO_HISTORY = {
-    item.name: item.default for item in fields(ServerHistory) if item.name in ServerHistory.__annotations__
+    item.name: item.default
+    for item in fields(ServerHistory)
+    if item.name in ServerHistory.__annotations__
 }
 
 
--- a/oakbridge/policy/settings.py
+++ b/oakbridge/policy/settings.py
@@ -67,8 +67,12 @@
         idempotencies = tuple(Idempotency)
         _check(self.latency_objective > 0, "class.aim", "a time above 0", self.latency_objective)
         _check(self.deadline > 0, "class.deadline", "a time above 0", self.deadline)
-        _check(self.priority_weight >= 0, "class.worth", "a number of 0 or more", self.priority_weight)
-        _check(0 <= self.late_weight <= 1, "class.late_worth", "a share from 0 to 1", self.late_weight)
+        _check(
+            self.priority_weight >= 0, "class.worth", "a number of 0 or more", self.priority_weight
+        )
+        _check(
+            0 <= self.late_weight <= 1, "class.late_worth", "a share from 0 to 1", self.late_weight
+        )
         _check(
             self.idempotency in idempotencies,
             "class.repeat",
@@ -81,8 +85,12 @@
             "all, zone or cell",
             self.dedup_scope,
         )
-        _check(self.dedup_window >= 0, "class.repeat_window", "a time of 0 or more", self.dedup_window)
-        _check(self.aim_stretch >= 0, "class.aim_stretch", "a multiple of 0 or more", self.aim_stretch)
+        _check(
+            self.dedup_window >= 0, "class.repeat_window", "a time of 0 or more", self.dedup_window
+        )
+        _check(
+            self.aim_stretch >= 0, "class.aim_stretch", "a multiple of 0 or more", self.aim_stretch
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -134,7 +142,9 @@
         """Refuse impossible values."""
         for name in self.__slots__:
             value = getattr(self, name)
-            _check(math.isfinite(value) and value >= 0, f"prices.{name}", "a price of 0 or more", value)
+            _check(
+                math.isfinite(value) and value >= 0, f"prices.{name}", "a price of 0 or more", value
+            )
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,7 +190,9 @@
     max_open_requests: int = 0  # requests that a replica may hold; 0: not told
     cpu_per_second: int = 0  # this replica's share of CPU; 0: not told
     cpu_per_request: float = 0.0  # 0: no such limit
-    pin_endpoint_list: bool = False  # retries keep to the list of the first attempt; see RetrySafety
+    pin_endpoint_list: bool = (
+        False  # retries keep to the list of the first attempt; see RetrySafety
+    )
     retry_ratio: float = 0.2  # retries in the window stay under this share of its first attempts,
     retry_floor: float = 0.1  # and so many a second
     retry_window: int = 10  # seconds
@@ -204,7 +216,9 @@
         _check(self.poll_interval > 0, "ask_within", "a time above 0", self.poll_interval)
         minimum = self.slow_start_minimum
         _check(0 < minimum <= 1, "cold_from", "a share above 0, up to 1", minimum)
-        _check(self.slow_start_window >= 0, "warm_up", "a time of 0 or more", self.slow_start_window)
+        _check(
+            self.slow_start_window >= 0, "warm_up", "a time of 0 or more", self.slow_start_window
+        )
         _check(self.overload_factor > 0, "fall_multiple", "a number above 0", self.overload_factor)
         _check(self.overload_window > 0, "fall_window", "a time above 0", self.overload_window)
         _check(0 <= self.retry_ratio <= 1, "retry_ratio", "a share from 0 to 1", self.retry_ratio)
--- a/oakbridge/policy/state.py
+++ b/oakbridge/policy/state.py
@@ -56,7 +56,9 @@
         "due": balancer.quotas.due,
         "rate": balancer.outliers.failure_rate,
         "copy": [balancer.outliers.recent_failure_rate, slow_start.rate.mean, slow_start.rate.peak],
-        "slots": [[slot.second, [slot.first, slot.further], slot.further_by_name] for slot in window.slots],
+        "slots": [
+            [slot.second, [slot.first, slot.further], slot.further_by_name] for slot in window.slots
+        ],
     }
 
 
--- a/oakbridge/policy/view.py
+++ b/oakbridge/policy/view.py
@@ -124,7 +124,9 @@
     """
     servers, subset = balancer.servers, balancer.subset
     sizes: dict[str, tuple[str, float]] = {}
-    for server in servers.values() if names is None else [servers[n] for n in names if n in servers]:
+    for server in (
+        servers.values() if names is None else [servers[n] for n in names if n in servers]
+    ):
         size = server.weight / subset.zone_weights.get(server.zone, 1.0)
         size /= subset.assignment.get(server.id, 1.0)
         sizes[server.id] = server.zone, round(size, 6)
--- a/oakbridge/policy/weighted_pool.py
+++ b/oakbridge/policy/weighted_pool.py
@@ -35,7 +35,9 @@
 
     def __init__(self) -> None:
         """Begin empty."""
-        self.groups: dict[int, list[Item]] = {}  # by the exponent of the power of two above the weights
+        self.groups: dict[
+            int, list[Item]
+        ] = {}  # by the exponent of the power of two above the weights
         self.sums: dict[int, float] = {}  # of the weights of each group
         self.count = 0
         self.total = 0.0
@@ -186,7 +188,9 @@
         if sum(members.count for members in self.sets(with_inactive=with_inactive)) <= SMALL_SET:
             rest = [item for item in self.items(with_inactive=with_inactive) if item is not first]
             near_sets = self.near, self.near_inactive
-            yield from weighted_shuffle(rest, rng, lambda item: delay if item.holder in near_sets else 0.0)
+            yield from weighted_shuffle(
+                rest, rng, lambda item: delay if item.holder in near_sets else 0.0
+            )
             return
         seen = {first}
         at, far_total = 0.0, self.far.total
--- a/oakbridge/process/supervisor.py
+++ b/oakbridge/process/supervisor.py
@@ -18,7 +18,9 @@
 CRASH_LOOP_WINDOW_US = 60 * SECOND_US
 CRASH_LOOP_BACKOFF_FACTOR = 4
 STABLE_RUN_US = 60 * SECOND_US  # a run of this length forgives the crashes before it
-READY_TIMEOUT_US = 15 * SECOND_US  # a process that is not ready by then is killed and counts as crashed
+READY_TIMEOUT_US = (
+    15 * SECOND_US
+)  # a process that is not ready by then is killed and counts as crashed
 STOP_TIMEOUT_US = 6 * SECOND_US  # a process that goes on for so long after a stop is killed
 
 
@@ -77,7 +79,9 @@
     def is_crash_looping(self) -> bool:
         """Whether the process crashes again and again, rather than once."""
         crashes = self._recent_crashes
-        return len(crashes) == CRASH_LOOP_CRASHES and crashes[-1] - crashes[0] <= CRASH_LOOP_WINDOW_US
+        return (
+            len(crashes) == CRASH_LOOP_CRASHES and crashes[-1] - crashes[0] <= CRASH_LOOP_WINDOW_US
+        )
 
     def backoff_us(self) -> int:
         """Return the time until the next start, which doubles with each run that was too short."""
--- a/oakbridge/rollout/agent_watcher.py
+++ b/oakbridge/rollout/agent_watcher.py
@@ -19,7 +19,10 @@
     """The last response of each agent; :attr:`updated` is set with each new one."""
 
     def __init__(
-        self, operator: FleetClient, agents: tuple[str, ...], poll_interval_s: Callable[[str], float]
+        self,
+        operator: FleetClient,
+        agents: tuple[str, ...],
+        poll_interval_s: Callable[[str], float],
     ) -> None:
         """Watch these agents; ``poll_interval_s`` is called anew for each wait."""
         self._operator = operator
--- a/oakbridge/rollout/coordinator.py
+++ b/oakbridge/rollout/coordinator.py
@@ -75,7 +75,9 @@
         self._targets = {target.name: target for wave in entry.record.waves for target in wave}
         self._names_by_agent = _names_by_agent(self._targets)
         self._watcher = AgentWatcher(operator, tuple(self._names_by_agent), self._poll_interval_s)
-        self._lease = LeaseHolder(operator, held, on_granted=self._watcher.request_poll, on_lost=self._stop)
+        self._lease = LeaseHolder(
+            operator, held, on_granted=self._watcher.request_poll, on_lost=self._stop
+        )
         self._sender = StepSender(
             operator,
             self._lease,
--- a/oakbridge/rollout/doctor.py
+++ b/oakbridge/rollout/doctor.py
@@ -103,18 +103,28 @@
     return [Finding(Severity.BAD, name, f"{state}{last_exit}", remedy)]
 
 
-def _rollout_findings(entries: Sequence[JournalEntry], reports: Mapping[str, Report]) -> list[Finding]:
-    findings = [finding for entry in entries if (finding := _unfinished_finding(entry, reports)) is not None]
+def _rollout_findings(
+    entries: Sequence[JournalEntry], reports: Mapping[str, Report]
+) -> list[Finding]:
+    findings = [
+        finding for entry in entries if (finding := _unfinished_finding(entry, reports)) is not None
+    ]
     newest = next((entry for entry in entries if entry.record.phase is Phase.DONE), None)
     if newest is None or any(f.subject == _rollout_name(newest) for f in findings):
         return findings
-    applied = {name for name, status in newest.record.statuses if status.outcome is InstanceOutcome.APPLIED}
+    applied = {
+        name for name, status in newest.record.statuses if status.outcome is InstanceOutcome.APPLIED
+    }
     behind = [
-        name for name, report in reports.items() if 0 < report["generation"] < newest.id and name in applied
+        name
+        for name, report in reports.items()
+        if 0 < report["generation"] < newest.id and name in applied
     ]
     if behind:
         problem = f"behind it: {_list_names(behind)}"
-        findings.append(Finding(Severity.BAD, _rollout_name(newest), problem, "roll it out to them"))
+        findings.append(
+            Finding(Severity.BAD, _rollout_name(newest), problem, "roll it out to them")
+        )
     return findings
 
 
@@ -125,7 +135,9 @@
         problem = f"it stands at {entry.record.phase.value}"
         remedy = f"{resume}, if no tool has it"
         return Finding(Severity.BAD, _rollout_name(entry), problem, remedy)
-    unknown = [name for name, status in entry.record.statuses if status.outcome is InstanceOutcome.UNKNOWN]
+    unknown = [
+        name for name, status in entry.record.statuses if status.outcome is InstanceOutcome.UNKNOWN
+    ]
     superseded = any(reports[name]["generation"] > entry.id for name in unknown if name in reports)
     if not unknown or superseded:
         return None
@@ -146,7 +158,9 @@
     versions = Counter(str(answer.get("version", "")) for answer in answers.values())
     if len(versions) < 2:
         return []
-    counts = ", ".join(f"{count} of {version or 'an older one'}" for version, count in versions.most_common())
+    counts = ", ".join(
+        f"{count} of {version or 'an older one'}" for version, count in versions.most_common()
+    )
     problem = f"they are of several versions: {counts}"
     return [Finding(Severity.NOTE, "agents", problem, "bring them to one")]
 
@@ -183,14 +197,18 @@
     return findings
 
 
-def _reported_member_findings(name: str, report: Report, member: Mapping[str, Any] | None) -> list[Finding]:
+def _reported_member_findings(
+    name: str, report: Report, member: Mapping[str, Any] | None
+) -> list[Finding]:
     """Return where an agent's report on its instance and the members' view of it differ."""
     if member is None or member["state"] in ABSENT_STATES:
         if not is_healthy(instance_health(report)):
             return []
         problem = f"its agent finds it well, and the members {_members_view(member)}"
         address = report["member"]
-        remedy = f"`oakbridge peers why {name}` at two sites; look whether UDP and TCP reach {address}"
+        remedy = (
+            f"`oakbridge peers why {name}` at two sites; look whether UDP and TCP reach {address}"
+        )
         return [Finding(Severity.BAD, name, problem, remedy)]
     if member["address"] != report["member"]:
         problem = f"members know it at {member['address']}, its agent has it at {report['member']}"
--- a/oakbridge/rollout/gate_window.py
+++ b/oakbridge/rollout/gate_window.py
@@ -30,7 +30,12 @@
     """One window; times are seconds of a monotonic clock."""
 
     def __init__(
-        self, rollout: int, changed: tuple[Target, ...], view: FleetView, rules: GateRules, now_s: float
+        self,
+        rollout: int,
+        changed: tuple[Target, ...],
+        view: FleetView,
+        rules: GateRules,
+        now_s: float,
     ) -> None:
         """Open the window; its responses are those beyond the counts of ``view``."""
         self.ended = False
@@ -53,11 +58,14 @@
         ``counts_before_rollout`` are.
         """
         self._evaluated_s = now_s
-        counts = {name: now.since(self._counts_at_start[name]) for name, now in view.counts().items()}
+        counts = {
+            name: now.since(self._counts_at_start[name]) for name, now in view.counts().items()
+        }
         unchanged = {
             name: count
             for name, count in counts.items()
-            if name not in self._changed and view.statuses[name].outcome is InstanceOutcome.NOT_REACHED
+            if name not in self._changed
+            and view.statuses[name].outcome is InstanceOutcome.NOT_REACHED
         }
         return evaluate(
             changed={name: count for name, count in counts.items() if name in self._changed},
@@ -68,11 +76,15 @@
         )
 
     def _unhealthy(self, view: FleetView) -> dict[str, str]:
-        reasons = {name: health_problem(view.reports[name], self._rollout) for name in self._changed}
+        reasons = {
+            name: health_problem(view.reports[name], self._rollout) for name in self._changed
+        }
         return {name: reason for name, reason in reasons.items() if reason}
 
 
 def response_counts(report: Report | None) -> ResponseCounts:
     """Return the response counts of an agent's report on an instance; all 0 without one."""
     answers = report["node"].get("answers", {}) if report else {}
-    return ResponseCounts(answers.get("served", 0), answers.get("refused", 0), answers.get("failed", 0))
+    return ResponseCounts(
+        answers.get("served", 0), answers.get("refused", 0), answers.get("failed", 0)
+    )
--- a/oakbridge/rollout/lease_holder.py
+++ b/oakbridge/rollout/lease_holder.py
@@ -47,7 +47,9 @@
         """Return whether an agent has promised our token; one that has not is asked for it."""
         if agent in self._granted:
             return True
-        response = await self._operator.call(agent, messages.LeaseRequest(self.held.token, _LEASE_US))
+        response = await self._operator.call(
+            agent, messages.LeaseRequest(self.held.token, _LEASE_US)
+        )
         if response.status == 200:
             self._granted.add(agent)
             self._on_granted(agent)
--- a/oakbridge/rollout/machine.py
+++ b/oakbridge/rollout/machine.py
@@ -86,7 +86,9 @@
         status = self._statuses.get(name)
         if status is None:
             return []
-        rolling_back = status.outcome is InstanceOutcome.APPLIED and self.record.phase is Phase.ROLLING_BACK
+        rolling_back = (
+            status.outcome is InstanceOutcome.APPLIED and self.record.phase is Phase.ROLLING_BACK
+        )
         # Outside a rollback, an instance that reported that it took the step did take it.
         if status.outcome is not InstanceOutcome.IN_PROGRESS and not rolling_back:
             return []
@@ -113,7 +115,9 @@
             return []
         if status.outcome not in (InstanceOutcome.APPLIED, InstanceOutcome.UNKNOWN):
             return []
-        self._statuses[name] = InstanceStatus(InstanceOutcome.ROLLED_BACK, reason or self.record.reason)
+        self._statuses[name] = InstanceStatus(
+            InstanceOutcome.ROLLED_BACK, reason or self.record.reason
+        )
         return self._persisted(self._continue())
 
     def stop(self, reason: str) -> list[Action]:
@@ -158,7 +162,11 @@
         return tuple(self._targets_with({InstanceOutcome.APPLIED}))
 
     def _targets_with(self, outcomes: Set[InstanceOutcome]) -> list[Target]:
-        return [target for name, target in self._targets.items() if self._statuses[name].outcome in outcomes]
+        return [
+            target
+            for name, target in self._targets.items()
+            if self._statuses[name].outcome in outcomes
+        ]
 
     def _unknown_count(self) -> int:
         return len(self._targets_with({InstanceOutcome.UNKNOWN}))
--- a/oakbridge/rollout/plan.py
+++ b/oakbridge/rollout/plan.py
@@ -50,10 +50,14 @@
         if self.canary < 0:
             raise PlanError(f"expected a count of 0 or more, got {self.canary}", "canary")
         if self.max_unavailable < 1:
-            raise PlanError(f"expected a count of 1 or more, got {self.max_unavailable}", "unavailable")
+            raise PlanError(
+                f"expected a count of 1 or more, got {self.max_unavailable}", "unavailable"
+            )
         grows = all(earlier < later for earlier, later in pairwise(self.shares))
         if not self.shares or not grows or self.shares[0] <= 0 or self.shares[-1] != 1.0:
-            raise PlanError(f"expected growing shares above 0 that end at 1, got {self.shares}", "shares")
+            raise PlanError(
+                f"expected growing shares above 0 that end at 1, got {self.shares}", "shares"
+            )
 
 
 def interleave(targets: Sequence[Target]) -> list[Target]:
--- a/oakbridge/rollout/setting_path.py
+++ b/oakbridge/rollout/setting_path.py
@@ -19,7 +19,9 @@
     path, equals, value = text.partition("=")
     path, value = path.strip(), value.strip()
     if not equals or not value or not all(path.split(".")):
-        raise ChangeError("expected PATH=VALUE, as in class.car-nearby.aim=3s", f"--set {text!r:.80}")
+        raise ChangeError(
+            "expected PATH=VALUE, as in class.car-nearby.aim=3s", f"--set {text!r:.80}"
+        )
     try:
         return path, tomllib.loads(f"v = {value}")["v"]
     except tomllib.TOMLDecodeError:
--- a/oakbridge/rollout/silence_timeout.py
+++ b/oakbridge/rollout/silence_timeout.py
@@ -26,7 +26,11 @@
 
     def pop_expired(self, now_s: float) -> list[str]:
         """Return the instances whose time is up, oldest wait first, and stop waiting for them."""
-        expired = [name for name, started_s in self._started_s.items() if now_s - started_s >= self.timeout_s]
+        expired = [
+            name
+            for name, started_s in self._started_s.items()
+            if now_s - started_s >= self.timeout_s
+        ]
         for name in expired:
             del self._started_s[name]
         return expired
--- a/oakbridge/rollout/step_sender.py
+++ b/oakbridge/rollout/step_sender.py
@@ -123,7 +123,9 @@
             raise StepRefusedError(str(error)) from None
 
     async def _fetch(self, target: Target, generation: int) -> Files | None:
-        response = await self._operator.call(target.agent, messages.FilesRequest(target.instance, generation))
+        response = await self._operator.call(
+            target.agent, messages.FilesRequest(target.instance, generation)
+        )
         if not _is_answer(response):
             return None
         _raise_for_refusal(response)
--- a/oakbridge/simhost/adapter.py
+++ b/oakbridge/simhost/adapter.py
@@ -113,7 +113,9 @@
         if balancer is not None:
             try:
                 actions = balancer.handle(self._now, event)
-            except Exception as e:  # the wire has a word for a module that fails; the day ends with its text
+            except (
+                Exception
+            ) as e:  # the wire has a word for a module that fails; the day ends with its text
                 self._fault(node, f"{type(e).__name__}: {e}")
                 return None
             for action in actions:
@@ -176,11 +178,18 @@
         number = m.get("roster-id")
         if number not in self._pages:
             raise WireError(f"update: roster-id: list {number!r} was never given")
-        return EndpointListReceived(self._pages[number], complete=mode != "incr", cached=mode == "warm_copy")
+        return EndpointListReceived(
+            self._pages[number], complete=mode != "incr", cached=mode == "warm_copy"
+        )
 
 
 _NODE = ("node-id", int, True)
-_ATTEMPT = (("op-id", int, True), ("send-no", int, False), ("server", str, True), ("latency", int, False))
+_ATTEMPT = (
+    ("op-id", int, True),
+    ("send-no", int, False),
+    ("server", str, True),
+    ("latency", int, False),
+)
 _FIELDS: dict[str, tuple[tuple[str, type | tuple[type, ...], bool], ...]] = {  # name, kind, whether needed
     "sync": (("ts", int, True),),
     "eof-batch": (),
@@ -269,7 +278,9 @@
     return json.dumps(m) + "\n"
 
 
-def main(lines: TextIO = sys.stdin, replies: TextIO = sys.stdout, errors: TextIO = sys.stderr) -> int:
+def main(
+    lines: TextIO = sys.stdin, replies: TextIO = sys.stdout, errors: TextIO = sys.stderr
+) -> int:
     """Serve until end of input; returns the exit code."""
     adapter = Adapter()
     for number, text in enumerate(lines, 1):
--- a/oakbridge/sites/fleet_load_shedding.py
+++ b/oakbridge/sites/fleet_load_shedding.py
@@ -36,7 +36,9 @@
     priority_weight: float
 
 
-def rank_classes(priority_weights: Mapping[str, float], *, has_quotas: bool) -> tuple[SheddingRank, ...]:
+def rank_classes(
+    priority_weights: Mapping[str, float], *, has_quotas: bool
+) -> tuple[SheddingRank, ...]:
     """Return the order of rejection, least weight first, by name where weights are equal."""
     ranks = [SheddingRank(name, weight) for name, weight in priority_weights.items()]
     ranks.sort(key=lambda rank: (rank.priority_weight, rank.class_name))
--- a/oakbridge/sites/node_sites.py
+++ b/oakbridge/sites/node_sites.py
@@ -31,7 +31,12 @@
 from oakbridge.policy.view import ZoneView
 from oakbridge.sites.errors import LastSiteError, UnknownSiteError
 from oakbridge.sites.evidence import MAX_AGE_US, Evidence, MemberObservations, pool_evidence
-from oakbridge.sites.fleet_load_shedding import FleetLoadShedding, elect_leader, fleet_overload, rank_classes
+from oakbridge.sites.fleet_load_shedding import (
+    FleetLoadShedding,
+    elect_leader,
+    fleet_overload,
+    rank_classes,
+)
 from oakbridge.sites.operator_overrides import OperatorOverrides
 from oakbridge.sites.plan_file import SitePlan
 from oakbridge.sites.recovery_ramp import MIN_STEP_US
@@ -252,7 +257,9 @@
         self, now_us: int, view: ClusterView, reports: Sequence[ReceivedReport]
     ) -> tuple[SiteTransition, ...]:
         members = [received.observations for received in reports]
-        own = tuple(SiteObservation(z.zone, z.responding, z.timed_out, z.failed) for z in self._local.zones)
+        own = tuple(
+            SiteObservation(z.zone, z.responding, z.timed_out, z.failed) for z in self._local.zones
+        )
         members.append(MemberObservations(self.name, self.home, 0, own))
         listed = {zone.zone: zone.listed for zone in self._local.zones}
         transitions = []
@@ -340,4 +347,6 @@
 
 
 def _observation(zone: ZoneView, verdict: SiteVerdict) -> SiteObservation:
-    return SiteObservation(zone.zone[:MAX_TEXT], zone.responding, zone.timed_out, zone.failed, verdict)
+    return SiteObservation(
+        zone.zone[:MAX_TEXT], zone.responding, zone.timed_out, zone.failed, verdict
+    )
--- a/oakbridge/sites/operator_overrides.py
+++ b/oakbridge/sites/operator_overrides.py
@@ -36,7 +36,9 @@
         self.by_site[site] = SiteOverride(site, stamp_ms, drained, operator[:MAX_TEXT])
         return self.by_site[site]
 
-    def merge(self, clock_ms: int, overrides: Iterable[SiteOverride], known_sites: Collection[str]) -> None:
+    def merge(
+        self, clock_ms: int, overrides: Iterable[SiteOverride], known_sites: Collection[str]
+    ) -> None:
         """Take in another member's orders; one far ahead of this clock is not believed."""
         for override in overrides:
             before = self.by_site.get(override.site)
