--- a/oakbridge/sites/operator_view.py
+++ b/oakbridge/sites/operator_view.py
@@ -19,7 +19,9 @@
 OVER_QUOTA_LABEL = "beyond shares"
 
 
-def describe(sites: NodeSites, now_us: int, reports: Sequence[ReceivedReport] = ()) -> dict[str, Any]:
+def describe(
+    sites: NodeSites, now_us: int, reports: Sequence[ReceivedReport] = ()
+) -> dict[str, Any]:
     """Return one node's view of all sites."""
     shedding = sites.shedding
     rejected = sites.decision.rejected_fractions
@@ -32,7 +34,9 @@
         "refused": {_class_label(name): round(fraction, 3) for name, fraction in rejected.items()},
         "pressure": round(sites.overload, 4),
         "plan": sites.plan_version,
-        "other_plans": {name: version for name, version in versions if version != sites.plan_version},
+        "other_plans": {
+            name: version for name, version in versions if version != sites.plan_version
+        },
     }
 
 
--- a/oakbridge/sites/site_state.py
+++ b/oakbridge/sites/site_state.py
@@ -135,7 +135,9 @@
             case SiteState.DRAINING:
                 self.drain.advance(now_us, is_overloaded=is_overloaded)
 
-    def _become(self, now_us: int, state: SiteState, cause: str, reporters: tuple[str, ...] = ()) -> None:
+    def _become(
+        self, now_us: int, state: SiteState, cause: str, reporters: tuple[str, ...] = ()
+    ) -> None:
         self.history.append(SiteTransition(now_us, self.name, self.state, state, cause, reporters))
         self.state = state
         self.since_us = now_us
--- a/oakbridge/sources/file_poller.py
+++ b/oakbridge/sources/file_poller.py
@@ -7,7 +7,13 @@
 
 from oakbridge.sources.decoding import SourceFile
 from oakbridge.sources.errors import ReadError
-from oakbridge.sources.reading import Fingerprint, checksums_match, digest_of, fingerprint, read_files
+from oakbridge.sources.reading import (
+    Fingerprint,
+    checksums_match,
+    digest_of,
+    fingerprint,
+    read_files,
+)
 from oakbridge.sources.tracker_messages import FilesMissing, FilesRead
 
 
--- a/oakbridge/spread/arcs.py
+++ b/oakbridge/spread/arcs.py
@@ -49,7 +49,9 @@
         return self.ends[n - 1] if n else 0.0
 
 
-def overlaps(replicas: Mapping[str, float], servers: Mapping[str, float], rings: int) -> Iterator[Overlap]:
+def overlaps(
+    replicas: Mapping[str, float], servers: Mapping[str, float], rings: int
+) -> Iterator[Overlap]:
     """Yield all overlaps of replicas and servers.
 
     ``replicas``: their shares of the requests; ``servers``: their weights; all greater than 0.
--- a/oakbridge/spread/capacity_forecast.py
+++ b/oakbridge/spread/capacity_forecast.py
@@ -45,7 +45,9 @@
     moved: float  # fraction of all pairs of replica and server that are others after the change
 
 
-def forecast(before: TierSize, after: TierSize, *, rings: int, sigma: float, seed: int) -> list[Forecast]:
+def forecast(
+    before: TierSize, after: TierSize, *, rings: int, sigma: float, seed: int
+) -> list[Forecast]:
     """Return both ways, by members and by chance, and what the change of size moves.
 
     ``sigma``: how unequal the replicas' requests are.
@@ -94,7 +96,9 @@
     return shares
 
 
-def divide_by_chance(replicas: Mapping[str, float], servers: Mapping[str, float], seed: int) -> RequestShares:
+def divide_by_chance(
+    replicas: Mapping[str, float], servers: Mapping[str, float], seed: int
+) -> RequestShares:
     """Divide as each replica draws a subset; all subsets cover each server ``COVERAGE`` times."""
     shares: RequestShares = defaultdict(dict)
     names, total = list(servers), sum(replicas.values())
@@ -114,7 +118,8 @@
 ) -> Forecast:
     total_weight = sum(servers.values())
     loads = sorted(
-        sum(before.get(name, {}).values()) * total_weight / weight for name, weight in servers.items()
+        sum(before.get(name, {}).values()) * total_weight / weight
+        for name, weight in servers.items()
     )
     replica_counts = [len(before.get(name, {})) for name in servers]
     replicas = {replica for shares in before.values() for replica in shares}
--- a/oakbridge/spread/operator_view.py
+++ b/oakbridge/spread/operator_view.py
@@ -47,7 +47,8 @@
     users, load = _users_and_load(assigner)
     total_weight = sum(weight for _, weight in assigner.servers.values())
     over_fair = {
-        name: round(load[name] * total_weight / weight, 3) for name, (_, weight) in assigner.servers.items()
+        name: round(load[name] * total_weight / weight, 3)
+        for name, (_, weight) in assigner.servers.items()
     }
     return [
         {
--- a/oakbridge/spread/runner.py
+++ b/oakbridge/spread/runner.py
@@ -34,7 +34,9 @@
         """Begin nothing yet."""
         self._node = node
         self._membership = membership
-        self._assigner = SubsetAssigner(membership.options.name, node.balancer.members.local_zone, rings)
+        self._assigner = SubsetAssigner(
+            membership.options.name, node.balancer.members.local_zone, rings
+        )
         self._rate = ReportedRate()
         self._list_version = NO_LIST
         self._servers: dict[str, ZoneAndWeight] = {}
--- a/oakbridge/spread/subset_assigner.py
+++ b/oakbridge/spread/subset_assigner.py
@@ -96,7 +96,9 @@
             return
         for zone in {zone for zone, _ in self.servers.values()}:
             servers = {
-                name: weight for name, (server_zone, weight) in self.servers.items() if server_zone == zone
+                name: weight
+                for name, (server_zone, weight) in self.servers.items()
+                if server_zone == zone
             }
             own = {n: share for n, share in shares.items() if self.replicas[n].site == zone}
             others = {n: share for n, share in shares.items() if n not in own}
--- a/oakbridge/standin/behaviour.py
+++ b/oakbridge/standin/behaviour.py
@@ -22,7 +22,9 @@
         """Refuse impossible values."""
         for name in ("errors", "hangs"):
             if not 0 <= getattr(self, name) <= 1:
-                raise ValueError(f"{name}: expected a share from 0 to 1, got {getattr(self, name)!r}")
+                raise ValueError(
+                    f"{name}: expected a share from 0 to 1, got {getattr(self, name)!r}"
+                )
         if self.latency <= 0 or self.spread < 0 or self.slots < 1 or self.queue < 0:
             raise ValueError(
                 f"expected a latency above 0, a spread of 0 or more and at least one slot: {self}"
--- a/oakbridge/standin/host.py
+++ b/oakbridge/standin/host.py
@@ -99,7 +99,11 @@
 
     async def check_config(self, config: Path) -> str:
         """The checker."""
-        return f"{config}: refused, as it plays" if "# plays: refused" in config.read_text("utf-8") else ""
+        return (
+            f"{config}: refused, as it plays"
+            if "# plays: refused" in config.read_text("utf-8")
+            else ""
+        )
 
     async def query_node(self, control: Path, command: str, **arguments: Any) -> Any:
         """Ask a node how it is."""
--- a/oakbridge/standin/server.py
+++ b/oakbridge/standin/server.py
@@ -29,7 +29,9 @@
     async def start(self, port: int = 0) -> None:
         """Listen on loopback."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _Desked(self), "127.0.0.1", port, backlog=1024)
+        self._server = await loop.create_server(
+            lambda: _Desked(self), "127.0.0.1", port, backlog=1024
+        )
         self.address = self._server.sockets[0].getsockname()
 
     def stop(self) -> None:
@@ -109,7 +111,11 @@
         """Answer; 503 says that the request has not run."""
         if self._transport is not None:
             unseen = b"X-Not-Processed: 1\r\n" if status == 503 else b""
-            head = b"HTTP/1.1 %d Answer\r\nContent-Length: %d\r\n%s\r\n" % (status, len(body), unseen)
+            head = b"HTTP/1.1 %d Answer\r\nContent-Length: %d\r\n%s\r\n" % (
+                status,
+                len(body),
+                unseen,
+            )
             self._transport.write(head + body)
 
 
--- a/oakbridge/workers/pool.py
+++ b/oakbridge/workers/pool.py
@@ -74,7 +74,8 @@
 
     def __init__(self, worker_count: int) -> None:
         self.processes = {
-            worker: ProcessSupervisor(RESET_BACKOFF_AFTER_US) for worker in range(1, worker_count + 1)
+            worker: ProcessSupervisor(RESET_BACKOFF_AFTER_US)
+            for worker in range(1, worker_count + 1)
         }
         self.is_shutting_down = False
         self._in_balancer: set[int] = set()
@@ -152,10 +153,14 @@
         actions += _on_process(worker, process.exited(now, how))
         if process.is_crash_looping and not self.is_shutting_down:
             backoff_s = process.backoff_us() / SECOND_US
-            actions.append(LogWarning(f"worker {worker} is in a crash loop; next try in {backoff_s:.0f} s"))
+            actions.append(
+                LogWarning(f"worker {worker} is in a crash loop; next try in {backoff_s:.0f} s")
+            )
         if self._is_restarting(worker) and not expected:
             self._rolling_restart.clear()
-            actions.append(LogWarning(f"the rolling restart stops: worker {worker} did not come back"))
+            actions.append(
+                LogWarning(f"the rolling restart stops: worker {worker} did not come back")
+            )
         return [*actions, *self._exit_if_all_ended()]
 
     def tick(self, worker: int, now: int) -> list[Action]:
--- a/oakbridge/workers/status.py
+++ b/oakbridge/workers/status.py
@@ -59,7 +59,9 @@
     merged: JsonObject = {**(statuses[0] if statuses else {}), **supervisor}
     for field in SUMMED_FIELDS:
         merged[field] = round(sum(status[field] for status in statuses), SUM_DIGITS)
-    merged["answers"] = {kind: sum(status["answers"][kind] for status in statuses) for kind in RESPONSE_KINDS}
+    merged["answers"] = {
+        kind: sum(status["answers"][kind] for status in statuses) for kind in RESPONSE_KINDS
+    }
     for field in LARGEST_FIELDS:
         merged[field] = max((status[field] for status in statuses), default=0)
     merged["fail_rate"] = _merge_failure_rates(statuses)
--- a/oakbridge/workers/supervisor.py
+++ b/oakbridge/workers/supervisor.py
@@ -237,7 +237,9 @@
                 self._execute(self._pool.ready(process.worker, message.max_connections, _now_us()))
             case LoadReport():
                 process.acknowledge(message.received_connections)
-                self._balancer.report(process.worker, message.open_connections, message.received_connections)
+                self._balancer.report(
+                    process.worker, message.open_connections, message.received_connections
+                )
                 self._dispatch_waiting()
             case _:
                 assert_never(message)
--- a/oakbridge/workers/worker_process.py
+++ b/oakbridge/workers/worker_process.py
@@ -31,7 +31,9 @@
     It owns all three.
     """
 
-    def __init__(self, worker: int, process: asyncio.subprocess.Process, channel: socket.socket) -> None:
+    def __init__(
+        self, worker: int, process: asyncio.subprocess.Process, channel: socket.socket
+    ) -> None:
         self.worker = worker
         self.channel = channel  # for the event loop to watch
         self.unacknowledged = UnacknowledgedConnections[socket.socket]()
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -57,7 +57,8 @@
             f'listen = "127.0.0.1:{self.inventory.agents["h1"][1]}"',
         ]
         lines += [
-            f'[[instance]]\nname = "{name}"\nlisten = ["127.0.0.1:{free_ports(1)[0]}"]' for name in NODES
+            f'[[instance]]\nname = "{name}"\nlisten = ["127.0.0.1:{free_ports(1)[0]}"]'
+            for name in NODES
         ]
         (folder / "agent.toml").write_text("\n".join(lines))
         self.agent: subprocess.Popen | None = None
@@ -95,9 +96,17 @@
     def lease(self, token: int, who: str = "kari", length: float = 60):
         return self.ask(messages.LeaseRequest(token, int(length * SECOND)), who)
 
-    def step(self, token: int, name: str, base: int, files=None, step: str = "", watch: float = 1.0):
+    def step(
+        self, token: int, name: str, base: int, files=None, step: str = "", watch: float = 1.0
+    ):
         order = messages.StepRequest(
-            token, step or f"s{token}-{name}", name, token, base, int(watch * SECOND), files or config()
+            token,
+            step or f"s{token}-{name}",
+            name,
+            token,
+            base,
+            int(watch * SECOND),
+            files or config(),
         )
         return self.ask(order)
 
@@ -106,7 +115,9 @@
         return heard.body if heard.status == 200 else None
 
     def instance(self, name: str) -> dict:
-        return next(i for i in (self.status() or {"instances": []})["instances"] if i["name"] == name)
+        return next(
+            i for i in (self.status() or {"instances": []})["instances"] if i["name"] == name
+        )
 
     def until(self, what):
         end = time.monotonic() + LIMIT
@@ -117,7 +128,9 @@
         return got
 
     def ended(self, name: str, step: str) -> list:
-        return self.until(lambda: next((o for o in self.instance(name)["outcomes"] if o[0] == step), None))
+        return self.until(
+            lambda: next((o for o in self.instance(name)["outcomes"] if o[0] == step), None)
+        )
 
     def well(self, name: str, generation: int) -> dict:
         """Until an instance runs a generation, by what its process says."""
@@ -175,7 +188,9 @@
     host.lease(2)
     old = host.instance("n1")["pid"]
     host.step(2, "n1", 1, config("2s"), watch=20)
-    new = host.until(lambda: (i := host.instance("n1"))["pid"] != old and i["process"] == "running" and i)
+    new = host.until(
+        lambda: (i := host.instance("n1"))["pid"] != old and i["process"] == "running" and i
+    )
     assert new["change"] == "watching"
     os.kill(new["pid"], signal.SIGKILL)
     _, verdict, reason = host.ended("n1", "s2-n1")
@@ -235,7 +250,10 @@
     assert told.body["holder"] == "kari"
     assert told.body["since"] > 0
     assert host.ask(messages.LeaseRequest(9, SECOND), "look").status == 403
-    assert host.ask(messages.StepRequest(2, "x", "n1", 2, 1, SECOND, config("2s")), "look").status == 403
+    assert (
+        host.ask(messages.StepRequest(2, "x", "n1", 2, 1, SECOND, config("2s")), "look").status
+        == 403
+    )
     assert host.instance("n1")["generation"] == 1
     assert host.step(2, "n9", 1).status == 404
 
--- a/tests/agent/test_lease.py
+++ b/tests/agent/test_lease.py
@@ -15,7 +15,12 @@
     assert lease.acquire(0, 1, "kari", 60 * S, 1000.0) == LeaseGranted(1, 60 * S, True)
     told = lease.acquire(5 * S, 2, "ola", 60 * S, 1005.0)
     assert isinstance(told, LeaseDenied)
-    assert (told.holder, told.granted_at_s, told.token, told.expires_in_us) == ("kari", 1000.0, 1, 55 * S)
+    assert (told.holder, told.granted_at_s, told.token, told.expires_in_us) == (
+        "kari",
+        1000.0,
+        1,
+        55 * S,
+    )
 
 
 def test_the_same_question_has_the_same_answer():
@@ -69,7 +74,8 @@
     assert isinstance(lease.renew(111 * S, 5, "kari", 40 * S), LeaseGranted)
     assert isinstance(lease.acquire(152 * S, 6, "ola", S, 0), LeaseGranted)
     assert isinstance(
-        Lease(FencingTokenRecord(5, "kari", 0, released=True), 0).acquire(0, 6, "ola", S, 0), LeaseGranted
+        Lease(FencingTokenRecord(5, "kari", 0, released=True), 0).acquire(0, 6, "ola", S, 0),
+        LeaseGranted,
     )
 
 
@@ -95,11 +101,15 @@
         self.leases = [Lease(FencingTokenRecord(), 0) for _ in range(AGENTS)]
         self.disk = [FencingTokenRecord() for _ in range(AGENTS)]
         self.tokens: dict[str, int] = {}  # what each operator asks with
-        self.granted: dict[tuple[str, int], set[int]] = {}  # operator and token: the agents that said yes
+        self.granted: dict[
+            tuple[str, int], set[int]
+        ] = {}  # operator and token: the agents that said yes
         self.asked_at: dict[tuple[str, int], int] = {}
         self.messages: list[tuple[str, int, int]] = []  # under way to an agent
         self.steps: list[tuple[int, int, str]] = []  # agent, token and sender of a step under way
-        self.done: list[list[int]] = [[] for _ in range(AGENTS)]  # tokens of the steps that an agent took
+        self.done: list[list[int]] = [
+            [] for _ in range(AGENTS)
+        ]  # tokens of the steps that an agent took
 
     @rule(who=OPERATORS)
     def propose(self, who):
@@ -161,7 +171,9 @@
     @invariant()
     def one_operator_has_a_majority(self):
         alive = [
-            (lease.record.holder, lease.record.token) for lease in self.leases if lease.is_active(self.now)
+            (lease.record.holder, lease.record.token)
+            for lease in self.leases
+            if lease.is_active(self.now)
         ]
         assert sum(1 for key in set(alive) if alive.count(key) >= majority(AGENTS)) <= 1
 
@@ -177,7 +189,9 @@
             assert disk == lease.record
 
 
-Fleet.TestCase.settings = settings(max_examples=150, stateful_step_count=50, deadline=None, derandomize=True)
+Fleet.TestCase.settings = settings(
+    max_examples=150, stateful_step_count=50, deadline=None, derandomize=True
+)
 TestFleet = Fleet.TestCase
 
 
--- a/tests/agent/test_state_machine.py
+++ b/tests/agent/test_state_machine.py
@@ -78,7 +78,10 @@
     """An agent that was frozen wakes with an old step in its hand."""
     i = settled()
     i.begin_step(step())
-    assert kinds(i.on_staged("the lease of token 2 has ended")) == [PersistRecord, DiscardGeneration]
+    assert kinds(i.on_staged("the lease of token 2 has ended")) == [
+        PersistRecord,
+        DiscardGeneration,
+    ]
     assert i.outcome("s").verdict is Verdict.REJECTED
 
 
@@ -178,7 +181,9 @@
         """A new step; ``good``: its files pass the check; ``old``: its base is another generation."""
         self.numbers += 1
         target = Generation(self.numbers, f"g{self.numbers}" if good else "bad")
-        s = Step(f"s{self.numbers}", self.numbers, target, 0 if old else self.disk.current.number, 10)
+        s = Step(
+            f"s{self.numbers}", self.numbers, target, 0 if old else self.disk.current.number, 10
+        )
         self.sent[s.step_id] = s
         self.send(s)
 
@@ -197,7 +202,10 @@
             assert self.disk == self.machine.record
 
     @precondition(lambda self: self.queue)
-    @rule(killed=st.sampled_from([None, None, None, None, "before", "after"]), flip_fails=st.booleans())
+    @rule(
+        killed=st.sampled_from([None, None, None, None, "before", "after"]),
+        flip_fails=st.booleans(),
+    )
     def act(self, killed, flip_fails):
         """Carry one action out, unless the agent is killed first; or kill it right after."""
         if killed == "before":
@@ -291,5 +299,7 @@
         assert r.current.digest != NO_DIGEST
 
 
-Host.TestCase.settings = settings(max_examples=200, stateful_step_count=50, deadline=None, derandomize=True)
+Host.TestCase.settings = settings(
+    max_examples=200, stateful_step_count=50, deadline=None, derandomize=True
+)
 TestHost = Host.TestCase
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -125,7 +125,10 @@
     one, two = generation(1), generation(2, {"oakbridge.toml": "b"})
     store.generations.stage("a", one, FILES)
     store.generations.activate("a", one)
-    assert (store.generations.current_number("a"), store.generations.read_files("a", one)) == (1, FILES)
+    assert (store.generations.current_number("a"), store.generations.read_files("a", one)) == (
+        1,
+        FILES,
+    )
     assert (store.generations.current_link("a") / "servers.toml").read_text() == "é\n"
     store.generations.stage("a", two, {"oakbridge.toml": "b"})
     assert store.generations.current_number("a") == 1
@@ -290,7 +293,9 @@
         record = store.journal.load_instances()["a"][1]
         [outcome] = record.outcomes
         ended_by_the_kill = outcome.reason == "the agent ended while it was staged"
-        assert outcome.verdict.value in (verdicts[fate] | ({"did not"} if ended_by_the_kill else set()))
+        assert outcome.verdict.value in (
+            verdicts[fate] | ({"did not"} if ended_by_the_kill else set())
+        )
         wanted = "old" if ended_by_the_kill else text
         assert store.generations.read_files("a", record.current) == {"oakbridge.toml": wanted}
         assert store.generations.current_number("a") == record.current.number
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -23,7 +23,9 @@
 
 def environment(**more: str) -> dict[str, str]:
     return (
-        {k: v for k, v in os.environ.items() if not k.startswith("NODE_")} | {"PYTHONPATH": str(ROOT)} | more
+        {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
+        | {"PYTHONPATH": str(ROOT)}
+        | more
     )
 
 
@@ -107,18 +109,25 @@
 
         servers.write_text("broken")
         node.until(lambda: source(node)["refused"])
-        assert "NOT USED: servers.toml:1: expected TOML" in call("status", "--config", config).stdout
+        assert (
+            "NOT USED: servers.toml:1: expected TOML" in call("status", "--config", config).stdout
+        )
         servers.write_text(SERVERS.format("c", 3))
         held = node.until(lambda: source(node)["held"])
         refused = call("servers", "accept", "--config", config, "--digest", "00")
         assert refused.returncode == 1 and f"is {held['digest'][:12]}, not 00" in refused.stderr
-        assert call("servers", "accept", "--config", config, "--digest", held["digest"]).returncode == 0
+        assert (
+            call("servers", "accept", "--config", config, "--digest", held["digest"]).returncode
+            == 0
+        )
         node.until(lambda: source(node)["used"]["number"] == 2)
         assert [row["name"] for row in node.ask("status")["rows"]] == ["c"]
 
         config.write_text(config.read_text().replace("1s", "soon"))
         node.process.send_signal(signal.SIGHUP)
-        node.until(lambda: "oakbridge.toml:10: class[0].aim: expected a time" in node.log.read_text())
+        node.until(
+            lambda: "oakbridge.toml:10: class[0].aim: expected a time" in node.log.read_text()
+        )
         assert node.ask("status")["servers"] == 1
 
         node.process.terminate()
@@ -164,10 +173,13 @@
 
 def test_check_tells_every_mistake_of_the_configuration_and_of_its_servers(tmp_path):
     config = written(tmp_path)
-    (tmp_path / "servers.toml").write_text('[[server]]\nname = "a"\naddress = "127.0.0.1:1"\nweight = -1\n')
+    (tmp_path / "servers.toml").write_text(
+        '[[server]]\nname = "a"\naddress = "127.0.0.1:1"\nweight = -1\n'
+    )
     done = call("check", config)
     assert (
-        done.returncode == 2 and "servers.toml:4: server[0].weight: expected a number above 0" in done.stderr
+        done.returncode == 2
+        and "servers.toml:4: server[0].weight: expected a number above 0" in done.stderr
     )
     config.write_text(config.read_text().replace('"1s"', '"x"').replace('"safe"', '"y"'))
     done = call("check", config, "--json")
@@ -184,7 +196,12 @@
     old.write_text(SERVERS.format("a", 1) + SERVERS.format("b", 2) + SERVERS.format("c", 3))
     new.write_text(SERVERS.format("a", 1) + SERVERS.format("b", 9) + SERVERS.format("d", 4))
     told = json.loads(call("servers", "show", new, "--against", old, "--json").stdout)
-    assert (told["added"], told["moved"], told["gone"], told["taken_away"]) == (["d"], ["b"], ["c"], 2)
+    assert (told["added"], told["moved"], told["gone"], told["taken_away"]) == (
+        ["d"],
+        ["b"],
+        ["c"],
+        2,
+    )
     shown = call("servers", "show", new, "--against", old).stdout
     assert "1 added, 0 changed, 1 moved, 1 gone; 2 of 3 ready servers (67%)" in shown
     assert call("servers", "check", new).stdout.endswith("good (3 servers, 3 of them ready)\n")
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -67,7 +67,11 @@
     assert first.name == "car-nearby"
     assert (first.latency_objective, first.deadline) == (2_500_000, 6_000_000)
     assert (first.priority_weight, first.idempotency) == (3.0, "safe")
-    assert (second.idempotency, second.dedup_window, second.dedup_scope) == ("keyed", 30_000_000, "cell")
+    assert (second.idempotency, second.dedup_window, second.dedup_scope) == (
+        "keyed",
+        30_000_000,
+        "cell",
+    )
     assert settings.tenants[0].quota_per_s == 20
     assert (settings.retry_ratio, settings.retry_floor, settings.retry_window) == (0.1, 0.1, 10)
     assert got.control == default_socket_path("n1")
@@ -152,7 +156,9 @@
 
 
 def test_lines_are_found_in_nested_and_quoted_tables():
-    text = b'a."b.c" = 1\n[x.y]\nz = [\n 1,\n 2]\n[[x.w]]\nk = {p = 1}\n[[x.w]]\n[x.w.deep]\nq = 1\n'
+    text = (
+        b'a."b.c" = 1\n[x.y]\nz = [\n 1,\n 2]\n[[x.w]]\nk = {p = 1}\n[[x.w]]\n[x.w.deep]\nq = 1\n'
+    )
     lines = field_lines(text, FileKind.TOML)
     assert lines["a", "b.c"] == 1
     assert lines["x", "y", "z", 1] == 5
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,10 @@
 def pytest_collection_modifyitems(items):
     """Each worker begins with an even part of the list, in order; in every worker the order has to be the same."""
     workers = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
-    rank = {id(item): next((n for n, name in enumerate(LONG) if name in item.nodeid), None) for item in items}
+    rank = {
+        id(item): next((n for n, name in enumerate(LONG) if name in item.nodeid), None)
+        for item in items
+    }
     long = sorted((i for i in items if rank[id(i)] is not None), key=lambda i: rank[id(i)])
     rest = [i for i in items if rank[id(i)] is None]
     share = max(1, ceil(len(rest) / workers))
--- a/tests/fleet/test_http.py
+++ b/tests/fleet/test_http.py
@@ -24,11 +24,15 @@
     pki.create_authority(ours, FLEET)
     pki.create_authority(other, FLEET)  # of the same name: it is the authority that counts
     pki.issue_certificate(ours, Identity(FLEET, IdentityKind.AGENT, "h1", Role.READ), ours / "h1")
-    pki.issue_certificate(ours, Identity(FLEET, IdentityKind.OPERATOR, "kari", Role.WRITE), ours / "kari")
+    pki.issue_certificate(
+        ours, Identity(FLEET, IdentityKind.OPERATOR, "kari", Role.WRITE), ours / "kari"
+    )
     pki.issue_certificate(
         ours, Identity(FLEET, IdentityKind.OPERATOR, "late", Role.WRITE), ours / "late", days=-0.001
     )
-    pki.issue_certificate(other, Identity(FLEET, IdentityKind.OPERATOR, "eve", Role.WRITE), other / "eve")
+    pki.issue_certificate(
+        other, Identity(FLEET, IdentityKind.OPERATOR, "eve", Role.WRITE), other / "eve"
+    )
     pki.issue_certificate(other, Identity(FLEET, IdentityKind.AGENT, "h1", Role.READ), other / "h1")
     return ours, other
 
@@ -39,7 +43,9 @@
 
         async def echo(who, method, path, body):
             self.handled.append(who.name)
-            return Response(200, {"who": who.name, "method": method, "path": path, "length": len(body)})
+            return Response(
+                200, {"who": who.name, "method": method, "path": path, "length": len(body)}
+            )
 
         self.server = AgentServer(
             pki.tls_context(folder / "ca.crt", folder / "h1", server=True), FLEET, handle or echo
@@ -73,7 +79,10 @@
         async with Serving(ours) as s:
             body = b"x" * 3_000_000
             got = await ask(s, ours, ours / "kari", EncodedRequest("POST", "/v1/x", body))
-            assert got == (200, {"who": "kari", "method": "POST", "path": "/v1/x", "length": len(body)})
+            assert got == (
+                200,
+                {"who": "kari", "method": "POST", "path": "/v1/x", "length": len(body)},
+            )
 
     run(scenario())
 
@@ -215,7 +224,9 @@
     with pytest.raises(PkiError, match="there is one already"):
         pki.create_authority(ours, FLEET)
     with pytest.raises(PkiError, match="there is one already"):
-        pki.issue_certificate(ours, Identity(FLEET, IdentityKind.OPERATOR, "kari", Role.WRITE), ours / "kari")
+        pki.issue_certificate(
+            ours, Identity(FLEET, IdentityKind.OPERATOR, "kari", Role.WRITE), ours / "kari"
+        )
     assert (ours / "ca.key").stat().st_mode & 0o777 == 0o600
     assert pki.certificate_days_left(ours / "kari.crt") > 390
     assert pki.certificate_days_left(ours / "late.crt") < 0
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -70,7 +70,8 @@
 
 
 @pytest.mark.parametrize(
-    ("method", "path"), [("GET", "/v1/step"), ("POST", "/v1/x"), ("PUT", "/v1/step"), ("GET", "/v1")]
+    ("method", "path"),
+    [("GET", "/v1/step"), ("POST", "/v1/x"), ("PUT", "/v1/step"), ("GET", "/v1")],
 )
 def test_other_paths_are_nothing(method, path):
     assert decode_request(method, path, b"{}") is None
--- a/tests/formats/test_agent.py
+++ b/tests/formats/test_agent.py
@@ -46,7 +46,9 @@
     "staging": (SPEC, InstanceRecord(ChangeState.STAGING, TWO, ONE, STEP)),
     "undoing": (
         SPEC,
-        InstanceRecord(ChangeState.ROLLING_BACK, TWO, ONE, STEP, "signal 9: no more memory", OUTCOMES[:1]),
+        InstanceRecord(
+            ChangeState.ROLLING_BACK, TWO, ONE, STEP, "signal 9: no more memory", OUTCOMES[:1]
+        ),
     ),
     "watching": (SPEC, InstanceRecord(ChangeState.WATCHING, TWO, ONE, STEP, "", OUTCOMES[1:])),
 }
@@ -55,11 +57,15 @@
 def rows(database: Path) -> dict:
     """All that a database has, as text."""
     with sqlite3.connect(database) as db:
-        schema = [sql for (sql,) in db.execute("SELECT sql FROM sqlite_master WHERE sql IS NOT NULL")]
+        schema = [
+            sql for (sql,) in db.execute("SELECT sql FROM sqlite_master WHERE sql IS NOT NULL")
+        ]
         facts = dict(db.execute("SELECT name, value FROM facts ORDER BY name"))
         instances = {
             name: {"spec": spec, "record": record}
-            for name, spec, record in db.execute("SELECT name, spec, record FROM instances ORDER BY name")
+            for name, spec, record in db.execute(
+                "SELECT name, spec, record FROM instances ORDER BY name"
+            )
         }
     db.close()
     return {"schema": schema, "facts": facts, "instances": instances}
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -128,7 +128,9 @@
     source = FileSource(
         FileOptions(Path("/srv/servers.json"), saved_path=saved), now=lambda: 1_700_000_000_000_000
     )
-    return NodeControlHandler(node(source, ready=True), "c0ffee", HeldMembers(), HeldSites(), HeldSpread())
+    return NodeControlHandler(
+        node(source, ready=True), "c0ffee", HeldMembers(), HeldSites(), HeldSpread()
+    )
 
 
 def node_alone():
@@ -168,7 +170,9 @@
 
 def test_the_command_lines_requests_are_the_same_bytes():
     lines = (FIXTURES / "control" / "asked.txt").read_bytes().splitlines(keepends=True)
-    assert [protocol.encode_request(ControlCommand(do), arguments) for do, arguments in ASKED] == lines
+    assert [
+        protocol.encode_request(ControlCommand(do), arguments) for do, arguments in ASKED
+    ] == lines
     for (do, arguments), line in zip(ASKED, lines, strict=True):
         read = protocol.decode_request(line.strip())
         assert (read.command, read.arguments) == (do, arguments)
@@ -177,6 +181,12 @@
 def test_answers_are_read():
     answers = dict(conversation("alone.txt"))
     told = protocol.decode_response(answers[b'{"v":1,"do":"status"}\n'])
-    assert (told["name"], told["rows"][1]["cap"], told["source"]) == ("edge-1", 7.5, {"kind": "inline"})
-    with pytest.raises(RequestRejectedError, match=r"^this node divides no servers: .* no \[spread\]$"):
+    assert (told["name"], told["rows"][1]["cap"], told["source"]) == (
+        "edge-1",
+        7.5,
+        {"kind": "inline"},
+    )
+    with pytest.raises(
+        RequestRejectedError, match=r"^this node divides no servers: .* no \[spread\]$"
+    ):
         protocol.decode_response(answers[b'{"v":1,"do":"spread"}\n'])
--- a/tests/formats/test_fleet.py
+++ b/tests/formats/test_fleet.py
@@ -89,9 +89,13 @@
 def authority(tmp_path_factory):
     folder = tmp_path_factory.mktemp("fleet")
     pki.create_authority(folder, FLEET)
-    pki.issue_certificate(folder, Identity(FLEET, IdentityKind.AGENT, AGENT, Role.READ), folder / AGENT)
+    pki.issue_certificate(
+        folder, Identity(FLEET, IdentityKind.AGENT, AGENT, Role.READ), folder / AGENT
+    )
     for name, role in (("kari", Role.WRITE), ("ola", Role.WRITE), ("look", Role.READ)):
-        pki.issue_certificate(folder, Identity(FLEET, IdentityKind.OPERATOR, name, role), folder / name)
+        pki.issue_certificate(
+            folder, Identity(FLEET, IdentityKind.OPERATOR, name, role), folder / name
+        )
     return folder
 
 
@@ -187,7 +191,9 @@
 @pytest.mark.usefixtures("still")
 def test_an_agent_answers_each_request_with_the_same_bytes(authority):
     async def scenario():
-        answers = await play(authority, [(who, fixture(name, "request")) for name, who, _, _ in TABLE])
+        answers = await play(
+            authority, [(who, fixture(name, "request")) for name, who, _, _ in TABLE]
+        )
         for (name, _, _, status), answer in zip(TABLE, answers, strict=True):
             assert answer == fixture(name, "response"), name
             assert answer.startswith(b"HTTP/1.1 %d " % status), name
@@ -199,7 +205,9 @@
     ("name", "who", "request_", "status"),
     [pytest.param(*row, id=row[0]) for row in TABLE if row[2] is not None],
 )
-def test_an_operator_writes_each_request_and_reads_its_answer(authority, name, who, request_, status):
+def test_an_operator_writes_each_request_and_reads_its_answer(
+    authority, name, who, request_, status
+):
     async def scenario():
         written = []
 
--- a/tests/formats/test_operators.py
+++ b/tests/formats/test_operators.py
@@ -19,11 +19,18 @@
     lines = FIXTURE.read_text().splitlines()
 
     async def scenario():
-        async with Peer(lambda _: reply(200)) as a, Peer(lambda _: reply(200)) as b, Running(a, b) as node:
+        async with (
+            Peer(lambda _: reply(200)) as a,
+            Peer(lambda _: reply(200)) as b,
+            Running(a, b) as node,
+        ):
             starting = NodeCommandExecutor(node.node)
             assert respond(b"HEALTH", starting.execute) == b"NO this process does not serve yet\n"
             executor = NodeCommandExecutor(node.node, is_started=True)
             for sent, expected in zip(lines[::2], lines[1::2], strict=True):
-                assert respond(ast.literal_eval(sent[2:]), executor.execute).decode() == expected[2:] + "\n"
+                assert (
+                    respond(ast.literal_eval(sent[2:]), executor.execute).decode()
+                    == expected[2:] + "\n"
+                )
 
     run(scenario())
--- a/tests/formats/test_policy_state.py
+++ b/tests/formats/test_policy_state.py
@@ -72,7 +72,9 @@
     result = ANSWERS.get(send.server, AttemptResult.OK) if send.request_id % 2 else AttemptResult.OK
     finished = result == AttemptResult.OK
     report = {"queued": float(send.request_id % 3), "in_flight": 1.0}
-    driver.feed(AttemptEnded(send.request_id, attempt, send.server, result, latency, finished, report))
+    driver.feed(
+        AttemptEnded(send.request_id, attempt, send.server, result, latency, finished, report)
+    )
 
 
 def written(saved: object) -> str:
--- a/tests/formats/test_rollout.py
+++ b/tests/formats/test_rollout.py
@@ -29,7 +29,13 @@
 from oakbridge.rollout.journal import Journal, JournalError
 from oakbridge.rollout.machine import RolloutMachine
 from oakbridge.rollout.plan import Target
-from oakbridge.rollout.record import InstanceOutcome, InstanceStatus, Phase, RolloutRecord, encode_record
+from oakbridge.rollout.record import (
+    InstanceOutcome,
+    InstanceStatus,
+    Phase,
+    RolloutRecord,
+    encode_record,
+)
 
 FIXTURES = Path(__file__).parent / "fixtures" / "rollout"
 ROWS = {row["id"]: row for row in json.loads((FIXTURES / "rows.json").read_text("utf-8"))}
@@ -93,13 +99,23 @@
         0,
         (
             ("h0/n0", InstanceStatus(InstanceOutcome.NOT_APPLIED, TIME)),
-            ("h1/n0", InstanceStatus(InstanceOutcome.UNKNOWN, "its agent does not answer", 1790000240.125)),
+            (
+                "h1/n0",
+                InstanceStatus(
+                    InstanceOutcome.UNKNOWN, "its agent does not answer", 1790000240.125
+                ),
+            ),
             ("h2/n0", InstanceStatus(InstanceOutcome.APPLIED)),
         ),
         f"h0/n0 did not: {TIME}",
     ),
     7: RolloutRecord(
-        ((H2,),), 1, False, Phase.RUNNING, 0, (("h2/n0", InstanceStatus(InstanceOutcome.IN_PROGRESS)),)
+        ((H2,),),
+        1,
+        False,
+        Phase.RUNNING,
+        0,
+        (("h2/n0", InstanceStatus(InstanceOutcome.IN_PROGRESS)),),
     ),
     9: RolloutRecord(
         ((H2,), (H3,)),
@@ -205,7 +221,9 @@
     for record in kept:
         journal.update(rollout, record)
     written = stored(folder)[rollout]
-    assert written["record"] == (json.dumps(RESUMED[rollout]["kept"]) if kept else ROWS[rollout]["record"])
+    assert written["record"] == (
+        json.dumps(RESUMED[rollout]["kept"]) if kept else ROWS[rollout]["record"]
+    )
     unchanged = ("id", "operator", "began", "why", "files")
     assert all(written[name] == ROWS[rollout][name] for name in unchanged)
     assert (written["changed"] > ROWS[rollout]["changed"]) == bool(kept)
--- a/tests/formats/test_sources.py
+++ b/tests/formats/test_sources.py
@@ -17,7 +17,8 @@
             ("10.0.0.1", 9000),
         ),
         ListedEndpoint(
-            Endpoint("s2", EndpointState.DRAINING, "b", 0, 2.5, 0, "10.0.0.2:9000"), ("10.0.0.2", 9000)
+            Endpoint("s2", EndpointState.DRAINING, "b", 0, 2.5, 0, "10.0.0.2:9000"),
+            ("10.0.0.2", 9000),
         ),
         ListedEndpoint(Endpoint("näm", EndpointState.UP, "", 0, 0.5, 0, "::1:9000"), ("::1", 9000)),
     ]
--- a/tests/formats/test_spread.py
+++ b/tests/formats/test_spread.py
@@ -32,7 +32,9 @@
     told = [{"spread": operator_view.describe(assigner)}]
     for now_s, there in ((1, copies), (9, {n: c for n, c in copies.items() if n != "n3"})):
         used = assigner.update(now_s * SECOND_US, WHOLE, there, servers)
-        told.append({"used": dict(sorted(used.items())), "spread": operator_view.describe(assigner)})
+        told.append(
+            {"used": dict(sorted(used.items())), "spread": operator_view.describe(assigner)}
+        )
     return told
 
 
--- a/tests/formats/test_workers.py
+++ b/tests/formats/test_workers.py
@@ -21,7 +21,10 @@
     SupervisorCommand.SHUT_DOWN,
     SupervisorCommand.RELOAD,
 ]
-FROM_WORKER = [WorkerReady(max_connections=900), LoadReport(open_connections=12, received_connections=4096)]
+FROM_WORKER = [
+    WorkerReady(max_connections=900),
+    LoadReport(open_connections=12, received_connections=4096),
+]
 
 
 def test_packets_to_a_worker_are_read_and_written():
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -50,7 +50,9 @@
     """Guards the rule on cold servers: two processes of one node are one copy."""
     start = 50_000_000
     cold = [*ENTRIES[:5], Endpoint("s5", address="p5", started_at=start)]
-    old, new = pair(entries=cold, slow_start_minimum=0.2, slow_start_window=20_000_000, replica_count=2)
+    old, new = pair(
+        entries=cold, slow_start_minimum=0.2, slow_start_window=20_000_000, replica_count=2
+    )
     for d in (old, new):
         d.run_to(start)
     old.serve(300, gap=10_000)
@@ -65,7 +67,9 @@
 def test_a_server_that_restarted_since_starts_with_a_clean_record():
     old, _ = pair()
     old.serve(120, fails=("s1",))
-    new = Driver(entries=[Endpoint("s1", address="p1", started_at=7), *ENTRIES[2:]], classes=(READ, PAY))
+    new = Driver(
+        entries=[Endpoint("s1", address="p1", started_at=7), *ENTRIES[2:]], classes=(READ, PAY)
+    )
     over(old, new)
     assert new.b.endpoints.known["s1"].score < old.b.endpoints.known["s1"].score
     assert new.ask()
@@ -91,7 +95,9 @@
         assert len(new.of(SendAttempt)) == pytest.approx((3, out)[i], abs=1)
 
 
-@pytest.mark.parametrize("part", ["servers", "latency", "admission", "copy", "slots", "rate", "due"])
+@pytest.mark.parametrize(
+    "part", ["servers", "latency", "admission", "copy", "slots", "rate", "due"]
+)
 def test_what_can_not_be_used_changes_nothing(part):
     old, new = pair()
     old.serve(50)
--- a/tests/lab/test_checks.py
+++ b/tests/lab/test_checks.py
@@ -65,7 +65,12 @@
 def test_a_good_run_holds(plan):
     found = figures(good(plan))
     assert all(check.holds for check in judge(good(plan)))
-    assert (found["one answer"], found["no effect twice"], found["served"], found["worth served"]) == (
+    assert (
+        found["one answer"],
+        found["no effect twice"],
+        found["served"],
+        found["worth served"],
+    ) == (
         0,
         0,
         1,
@@ -94,7 +99,9 @@
 
 def two_out(history):
     row = history.executions[8]
-    history.executions.append({**row, "came": row["came"] - 200_000, "ended": row["ended"] + 200_000})
+    history.executions.append(
+        {**row, "came": row["came"] - 200_000, "ended": row["ended"] + 200_000}
+    )
 
 
 def unsafe_again(history):
@@ -126,14 +133,20 @@
     assert figures(history)["no effect twice"] == 0
 
 
-@pytest.mark.parametrize(("across", "second", "broken"), [(True, 20, 0), (True, 40, 1), (False, 20, 1)])
-def test_what_was_called_off_across_a_cut_is_not_judged_by_what_the_server_saw(plan, across, second, broken):
+@pytest.mark.parametrize(
+    ("across", "second", "broken"), [(True, 20, 0), (True, 40, 1), (False, 20, 1)]
+)
+def test_what_was_called_off_across_a_cut_is_not_judged_by_what_the_server_saw(
+    plan, across, second, broken
+):
     history = good(plan)
     fleet = history.fleet
     home = fleet.nodes[history.requests[0]["node"]].site
     rows = history.executions[10 * second :: 2]  # of the safe class
     row = next(r for r in rows if (fleet.servers[r["server"]].site != home) == across)
-    history.executions.append({**row, "came": row["came"] - 200_000, "ended": row["ended"] + 200_000})
+    history.executions.append(
+        {**row, "came": row["came"] - 200_000, "ended": row["ended"] + 200_000}
+    )
     assert figures(history)["no effect twice"] == broken
 
 
@@ -155,7 +168,9 @@
 
 
 def one_never(history):
-    history.member_changes = [c for c in history.member_changes if c.observer != "n001" or c.at_us != 8 * S]
+    history.member_changes = [
+        c for c in history.member_changes if c.observer != "n001" or c.at_us != 8 * S
+    ]
 
 
 def slander(history):
@@ -164,7 +179,9 @@
 
 
 def never_healed(history):
-    history.member_changes = [c for c in history.member_changes if c.observer != "n001" or c.at_us != 31 * S]
+    history.member_changes = [
+        c for c in history.member_changes if c.observer != "n001" or c.at_us != 31 * S
+    ]
 
 
 @pytest.mark.parametrize(
@@ -185,7 +202,9 @@
     before = figures(history)
     for n in range(20):
         history.member_changes.append(
-            MemberChange(40 * S + n, "n001", "n005", ("failed", "alive")[n % 2], ("alive", "failed")[n % 2])
+            MemberChange(
+                40 * S + n, "n001", "n005", ("failed", "alive")[n % 2], ("alive", "failed")[n % 2]
+            )
         )
     for row in history.requests[:60]:
         row["status"] = 503
--- a/tests/lab/test_history.py
+++ b/tests/lab/test_history.py
@@ -23,7 +23,9 @@
         '{"member": "n1", "at_us": 5000000, "before": "alive", "after": "failed", "by": "n2", "cause": ""}\n',
         '{"member": "n1", "at_us": 50',
     ]
-    lines.insert(1, '{"site": "a", "at_us": 4000000, "was": "well", "state": "lost", "cause": ""}\n')
+    lines.insert(
+        1, '{"site": "a", "at_us": 4000000, "was": "well", "state": "lost", "cause": ""}\n'
+    )
     found = (
         [MemberChange(3 * S, "n0", "n1", "alive", "failed")],
         [SiteChange(2 * S, "n0", "a", "well", "lost")],
--- a/tests/lab/test_load_distribution.py
+++ b/tests/lab/test_load_distribution.py
@@ -30,7 +30,9 @@
 
 
 def herding(rng, at):
-    return rng.randrange(2) if 30 * S <= at < 31 * S and rng.random() < 0.5 else rng.randrange(SERVERS)
+    return (
+        rng.randrange(2) if 30 * S <= at < 31 * S and rng.random() < 0.5 else rng.randrange(SERVERS)
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -64,9 +66,9 @@
 def test_servers_that_were_not_there_owe_nothing():
     gone = {SERVERS - 1: [Span(20 * S, 40 * S)]}
     there = played(one_left_out, unavailable=gone)
-    assert load_distribution.idle_beyond_chance(there) < 1.5 and load_distribution.load_ratio_over_chance(
+    assert load_distribution.idle_beyond_chance(
         there
-    ) == pytest.approx(1, abs=0.1)
+    ) < 1.5 and load_distribution.load_ratio_over_chance(there) == pytest.approx(1, abs=0.1)
 
 
 def test_idle_while_others_wait_is_counted_in_server_seconds():
@@ -76,7 +78,9 @@
     assert load_distribution.idle_while_waiting(v) == pytest.approx(2 / 8)
     v.unavailable = {1: [Span(0, S)]}
     assert load_distribution.idle_while_waiting(v) == pytest.approx(1 / 8)
-    busy = load_distribution.Visits([(0, 0, 4 * S), (0, 0, 4 * S), (1, 0, 4 * S)], [0.5, 0.5], 1, 4 * S)
+    busy = load_distribution.Visits(
+        [(0, 0, 4 * S), (0, 0, 4 * S), (1, 0, 4 * S)], [0.5, 0.5], 1, 4 * S
+    )
     assert load_distribution.idle_while_waiting(busy) == 0
 
 
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -83,7 +83,9 @@
     result = CliRunner().invoke(
         cli, ["lab", "run", str(tmp_path / "plan.toml"), "--out", str(out), "--seed", "3"]
     )
-    summary = json.loads((out / "summary.json").read_text()) if (out / "summary.json").exists() else {}
+    summary = (
+        json.loads((out / "summary.json").read_text()) if (out / "summary.json").exists() else {}
+    )
     broken = [c for c in summary.get("checks", ()) if not c["holds"]]
     assert (result.exit_code, broken) == (0, []), result.output
     figures = {c["name"]: c["figure"] for c in summary["checks"]}
@@ -92,7 +94,13 @@
     assert figures["attempts"] > 0.5
     assert figures["changes"] > 0  # it was cut
     names = {p.name for p in out.iterdir()}
-    assert {"run.png", "views.parquet", "steps.parquet", "latencies.hdr.json", "requests-0.parquet"} <= names
+    assert {
+        "run.png",
+        "views.parquet",
+        "steps.parquet",
+        "latencies.hdr.json",
+        "requests-0.parquet",
+    } <= names
     shown = CliRunner().invoke(cli, ["lab", "list", str(tmp_path)])
     assert "seed 3  holds" in shown.output
     assert "all holds" in CliRunner().invoke(cli, ["lab", "show", str(out)]).output
@@ -138,7 +146,9 @@
     ]
     root = str(Path(__file__).parents[2])
     with (tmp_path / "said").open("wb") as said:
-        process = subprocess.Popen(words, env={**os.environ, "PYTHONPATH": root}, stdout=said, stderr=said)
+        process = subprocess.Popen(
+            words, env={**os.environ, "PYTHONPATH": root}, stdout=said, stderr=said
+        )
     until = time.monotonic() + 90
     while (
         len(running(marker)) < 5 and time.monotonic() < until and process.poll() is None
--- a/tests/lab/test_server_queue.py
+++ b/tests/lab/test_server_queue.py
@@ -6,7 +6,9 @@
 
 
 def test_a_server_works_queues_and_rejects(plan):
-    servers = plan.servers.model_copy(update={"workers": 2, "queue": 2, "cold": 0.25, "cold_for": 4 * S})
+    servers = plan.servers.model_copy(
+        update={"workers": 2, "queue": 2, "cold": 0.25, "cold_for": 4 * S}
+    )
     queue: ServerQueue[str] = ServerQueue(servers, 1.0, "seed")
     came = [queue.add(job, 0.0) for job in "abcde"]
     assert [t if t is None else bool(t) for t in came] == [True, True, False, False, None]
--- a/tests/members/test_cluster.py
+++ b/tests/members/test_cluster.py
@@ -15,7 +15,9 @@
 S = 1_000_000
 
 
-def cluster_of(count: int, seed: int, settled: int = 12, **how) -> tuple[SimulatedCluster, list[str]]:
+def cluster_of(
+    count: int, seed: int, settled: int = 12, **how
+) -> tuple[SimulatedCluster, list[str]]:
     """So many that have started within a second, by three seeds, and have had time to meet."""
     cluster = SimulatedCluster(seed, measure=False, **how)
     names = [f"n{i:03d}" for i in range(count)]
@@ -31,7 +33,11 @@
 
 def failed(cluster: SimulatedCluster, about=None) -> set[str]:
     """Who was called failed by anyone."""
-    return {c.name for _, c in cluster.changes if c.after == "failed" and (about is None or c.name in about)}
+    return {
+        c.name
+        for _, c in cluster.changes
+        if c.after == "failed" and (about is None or c.name in about)
+    }
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -69,7 +75,9 @@
         cluster, names = cluster_of(9, 5, options=ProtocolOptions(local_health=health))
         cluster.freeze(names[0], cluster.now_us + 60 * S)
         cluster.run_until(cluster.now_us + 75 * S)
-        verdicts[health] = [c for who, c in cluster.changes if who == names[0] and c.after == "failed"]
+        verdicts[health] = [
+            c for who, c in cluster.changes if who == names[0] and c.after == "failed"
+        ]
         assert cluster.wrong_pairs() == 0
         assert failed(cluster, {names[0]})
     assert not verdicts[True]
@@ -86,7 +94,9 @@
     cluster.is_blocked = nothing_blocked
     cluster.run_until(cluster.now_us + 15 * S)
     assert cluster.wrong_pairs() == 0
-    pairs = Counter((who, c.name, c.after) for who, c in cluster.changes if "failed" in (c.before, c.after))
+    pairs = Counter(
+        (who, c.name, c.after) for who, c in cluster.changes if "failed" in (c.before, c.after)
+    )
     assert max(pairs.values()) == 1  # no flapping
     assert all((c.name in own) != (who in own) for who, c in cluster.changes if c.after == "failed")
 
@@ -95,7 +105,9 @@
     cluster, names = cluster_of(30, 7)
     part = {n: i % 3 for i, n in enumerate(names)}
     open_to: set[frozenset[int]] = set()
-    cluster.is_blocked = lambda a, b: part[a] != part[b] and frozenset((part[a], part[b])) not in open_to
+    cluster.is_blocked = lambda a, b: (
+        part[a] != part[b] and frozenset((part[a], part[b])) not in open_to
+    )
     cluster.run_until(cluster.now_us + 40 * S)
     open_to.add(frozenset((1, 2)))
     cluster.run_until(cluster.now_us + 30 * S)
@@ -120,7 +132,9 @@
     cluster, names = cluster_of(12, 9)
     cluster.is_blocked = lambda a, b: a == names[4]
     cluster.run_until(cluster.now_us + 30 * S)
-    assert {c.name for who, c in cluster.changes if c.after == "failed" and who != names[4]} == {names[4]}
+    assert {c.name for who, c in cluster.changes if c.after == "failed" and who != names[4]} == {
+        names[4]
+    }
     assert cluster.processes[names[4]].member.counts["refuted"]  # it says so, and is not heard
 
 
@@ -157,9 +171,13 @@
         before.is_up = False
     elif old == "frozen":
         cluster.freeze(names[5])
-    cluster.start(names[5], names[:2], address="elsewhere")  # the same generation: it has nothing from before
+    cluster.start(
+        names[5], names[:2], address="elsewhere"
+    )  # the same generation: it has nothing from before
     cluster.run_until(cluster.now_us + 20 * S)
-    assert all(cluster.record_held(n, names[5]).address == "elsewhere" for n in names if n != names[5])
+    assert all(
+        cluster.record_held(n, names[5]).address == "elsewhere" for n in names if n != names[5]
+    )
     assert cluster.replaced == (["n005"] if old == "alive" else [])
     if old == "frozen":
         before.is_frozen, waited, before.inbox = False, before.inbox, None
@@ -210,7 +228,9 @@
     cluster.perform(host, host.member.set_load(cluster.now_us, LocalLoad(17, 4, ("s-1",))))
     told = cluster.now_us
     cluster.run_until(cluster.now_us + 10 * S)
-    reports = [cluster.processes[n].member.report(names[3], cluster.now_us) for n in names if n != names[3]]
+    reports = [
+        cluster.processes[n].member.report(names[3], cluster.now_us) for n in names if n != names[3]
+    ]
     heard = [r for r in reports if r is not None]
     assert len(heard) >= 17
     for report, age in heard:
@@ -250,7 +270,8 @@
         cluster.perform(cluster.processes[name], member.set_load(cluster.now_us, load))
         if name == "n07":
             cluster.perform(
-                cluster.processes[name], member.send_report(cluster.now_us, [*member.live_names(), "nobody"])
+                cluster.processes[name],
+                member.send_report(cluster.now_us, [*member.live_names(), "nobody"]),
             )
         cluster.call_later(S, lambda: tell(name))
 
--- a/tests/members/test_codec.py
+++ b/tests/members/test_codec.py
@@ -5,7 +5,13 @@
 import msgspec
 import pytest
 
-from oakbridge.peers.codec import HEADER_BYTES, MAX_DATAGRAM_BYTES, NEWEST_VERSION, Codec, PeerMessageError
+from oakbridge.peers.codec import (
+    HEADER_BYTES,
+    MAX_DATAGRAM_BYTES,
+    NEWEST_VERSION,
+    Codec,
+    PeerMessageError,
+)
 from oakbridge.peers.member import Member
 from oakbridge.peers.messages import (
     Datagram,
@@ -21,7 +27,9 @@
 RECORD = MemberRecord("b", "127.0.0.1:1", 5, 9, 2, MemberState.ALIVE, "", 2, {"site": "x"})
 
 
-MESSAGE = Datagram(MessageKind.PING, 7, "a", 5, 0, "b", "", (RECORD,), (NodeReport("a", 5, 1, 0, 3),))
+MESSAGE = Datagram(
+    MessageKind.PING, 7, "a", 5, 0, "b", "", (RECORD,), (NodeReport("a", 5, 1, 0, 3),)
+)
 
 
 def resealed(body: bytes, version: int = NEWEST_VERSION) -> bytes:
@@ -90,7 +98,13 @@
             rng.choice(names), rng.choice("abc"), rng.randrange(8), rng.randrange(3), rng.randrange(4),
             rng.randrange(5), rng.choice(names), rng.choice([1, 2, 200]),
         ]  # fmt: skip
-        body = [rng.randrange(6), rng.randrange(9), rng.choice(names), rng.randrange(8), rng.randrange(4)]
+        body = [
+            rng.randrange(6),
+            rng.randrange(9),
+            rng.choice(names),
+            rng.randrange(8),
+            rng.randrange(4),
+        ]
         body += [rng.choice(names), rng.choice("abc"), [record] * rng.randrange(3), []]
         try:
             message = codec.decode(resealed(msgspec.msgpack.encode(body)))
--- a/tests/members/test_failure_reports.py
+++ b/tests/members/test_failure_reports.py
@@ -25,14 +25,19 @@
         (("a: x", "b: x"), 0.5),
         (("a: x", "b: x", "c: x", "d: x"), 1.0),
         (("a: x y", "b: x y"), 0.5),
-        (("a: 1 2 3 4 5 6 7 x", "b: 1 2 3 4 5 6 7 x"), 0.0),  # who finds everything failing is likelier ill
+        (
+            ("a: 1 2 3 4 5 6 7 x", "b: 1 2 3 4 5 6 7 x"),
+            0.0,
+        ),  # who finds everything failing is likelier ill
         (("a: 1 2 3 x", "b: x", "c: 1 2 3 x"), 0.5),
         (("me: x", "a: x"), 0.0),  # one's own is not hearsay
     ],
 )
 def test_what_reports_of_a_failing_server_weigh(said, weight):
     assert weigh_failure_reports(ViewState.COMPLETE, reports_of(*said), "me")["x"].weight == weight
-    assert weigh_failure_reports(ViewState.PARTITIONED, reports_of(*said), "me")["x"].weight == weight
+    assert (
+        weigh_failure_reports(ViewState.PARTITIONED, reports_of(*said), "me")["x"].weight == weight
+    )
     assert not weigh_failure_reports(ViewState.ISOLATED, reports_of(*said), "me")
     assert not weigh_failure_reports(ViewState.STARTING, reports_of(*said), "me")
     assert not weigh_failure_reports(
--- a/tests/members/test_invariants.py
+++ b/tests/members/test_invariants.py
@@ -32,7 +32,11 @@
 
 @pytest.mark.parametrize(
     ("fault", "told"),
-    [(go_back, "went back"), (never_refute, "for alive, and"), (hold_who_left_for_live, "which left")],
+    [
+        (go_back, "went back"),
+        (never_refute, "for alive, and"),
+        (hold_who_left_for_live, "which left"),
+    ],
 )
 def test_a_planted_fault_breaks_a_scenario(monkeypatch, fault, told):
     fault(monkeypatch)
--- a/tests/members/test_member.py
+++ b/tests/members/test_member.py
@@ -23,7 +23,9 @@
     """Also where it has refuted the suspicion before it hears of the verdict; until an exchange ends."""
     one = Member("a", "a", 1, {}, 1, 0, ProtocolOptions(probe_interval_us=1000 * S))
     one.push_pull_completed(
-        0, PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE),)), initiated=True
+        0,
+        PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE),)),
+        initiated=True,
     )
     told = one.record.with_state(MemberState.SUSPECT, "b")
 
@@ -45,7 +47,9 @@
     assert waits(S + CATCH_UP_INTERVAL_US * 3 // 2)  # another one is asked
     one.push_pull_completed(3 * S, PushPullState("b", 1, ()), initiated=True)
     assert not hear(told.with_state(MemberState.FAILED, "c"))  # the same verdict again
-    assert hear(told.with_state(MemberState.FAILED, "c"), incarnation=1) == [StartPushPull("b")]  # a new one
+    assert hear(told.with_state(MemberState.FAILED, "c"), incarnation=1) == [
+        StartPushPull("b")
+    ]  # a new one
 
 
 def test_gossip_that_is_read_before_late_timers_is_not_delayed_by_them():
@@ -53,13 +57,17 @@
     one = Member("a", "a", 1, {}, 1, 0)
     dead = MemberRecord("c", "c", 1, 1, 0, MemberState.ALIVE)
     one.push_pull_completed(
-        0, PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE), dead)), initiated=True
+        0,
+        PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE), dead)),
+        initiated=True,
     )
     woken = 40 * S
     one.receive(
         woken,
         "b",
-        Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (dead.with_state(MemberState.FAILED, "b"),)),
+        Datagram(
+            MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (dead.with_state(MemberState.FAILED, "b"),)
+        ),
     )
     while one.next_due_us() <= woken + 3 * S:
         one.tick(max(woken, one.next_due_us()))
@@ -72,12 +80,16 @@
 
     It had been told once more, or after a suspicion that was heard before it.
     """
-    one = Member("a", "a", 1, {}, 1, 0, ProtocolOptions(probe_interval_us=1000 * S, local_health=False))
+    one = Member(
+        "a", "a", 1, {}, 1, 0, ProtocolOptions(probe_interval_us=1000 * S, local_health=False)
+    )
     records = [MemberRecord(n, n, 1, 1, 0, MemberState.ALIVE) for n in "bcdefg"]
     one.push_pull_completed(0, PushPullState("b", 1, tuple(records)), initiated=True)
     verdict = records[1].with_state(MemberState.FAILED, "x")
     one.receive(
-        S, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (records[1].with_state(first, "x"),))
+        S,
+        "b",
+        Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (records[1].with_state(first, "x"),)),
     )
     ends = S + one.members["c"].suspicion.min_us
     for at in ((S + ends) // 2 + 1, ends - 1):
@@ -92,10 +104,14 @@
 def test_one_chain_of_catching_up_however_often_it_is_held_for_failed():
     one = Member("a", "a", 1, {}, 1, 0, ProtocolOptions(probe_interval_us=1000 * S))
     one.push_pull_completed(
-        0, PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE),)), initiated=True
+        0,
+        PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE),)),
+        initiated=True,
     )
     for n in range(5):
-        verdict = msgspec.structs.replace(one.record.with_state(MemberState.FAILED, "b"), incarnation=n)
+        verdict = msgspec.structs.replace(
+            one.record.with_state(MemberState.FAILED, "b"), incarnation=n
+        )
         one.receive(S + n, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (verdict,)))
     assert one.pending_timers(TimerKind.CATCH_UP).count(4) == 1  # the last incarnation that was
     asked = []
--- a/tests/members/test_messages.py
+++ b/tests/members/test_messages.py
@@ -15,7 +15,10 @@
         (RECORD.with_state(MemberState.SUSPECT, "c"), RECORD.with_state(MemberState.FAILED, "c")),
         (RECORD.with_state(MemberState.FAILED), RECORD.with_state(MemberState.LEFT)),
         (RECORD.with_state(MemberState.FAILED), msgspec.structs.replace(RECORD, incarnation=3)),
-        (RECORD.with_state(MemberState.LEFT), msgspec.structs.replace(RECORD, generation=6, incarnation=0)),
+        (
+            RECORD.with_state(MemberState.LEFT),
+            msgspec.structs.replace(RECORD, generation=6, incarnation=0),
+        ),
         (RECORD, msgspec.structs.replace(RECORD, token=10, incarnation=0)),
     ],
 )
--- a/tests/members/test_service.py
+++ b/tests/members/test_service.py
@@ -38,7 +38,14 @@
     with pytest.raises(MemberQueryError, match="hung up"):
         await query_members(("127.0.77.1", port), b"t" * 16)
     (tmp_path / "secret").write_text("s" * 16)
-    words = ["fleet", "status", "--via", f"127.0.77.1:{port}", "--secret-file", str(tmp_path / "secret")]
+    words = [
+        "fleet",
+        "status",
+        "--via",
+        f"127.0.77.1:{port}",
+        "--secret-file",
+        str(tmp_path / "secret"),
+    ]
     shown = await asyncio.to_thread(CliRunner().invoke, cli, words)
     assert shown.exit_code == 1
     assert "4 alive, 1 failed, 1 left" in shown.output
@@ -67,7 +74,8 @@
     peers[4].close()
     await until(
         lambda: all(
-            set(p.member.live_names()) == {f"n{i}" for i in range(4)} - {p.options.name} for p in peers[:4]
+            set(p.member.live_names()) == {f"n{i}" for i in range(4)} - {p.options.name}
+            for p in peers[:4]
         )
     )
     heard: list[dict[str, float]] = []
@@ -150,7 +158,9 @@
         _, writer = await asyncio.open_connection("127.0.77.1", port)
         writer.write(data)
         writer.write_eof()
-    await until(lambda: one.counts["exchanges broken"] == 3 and sum(one.codec.rejected.values()) >= 4)
+    await until(
+        lambda: one.counts["exchanges broken"] == 3 and sum(one.codec.rejected.values()) >= 4
+    )
     assert one.member.push_pull_state() == before
     sender.close()
     one.close()
--- a/tests/members/test_view_state.py
+++ b/tests/members/test_view_state.py
@@ -44,7 +44,10 @@
 def test_halves_never_both_take_themselves_for_the_larger():
     for there, lost in (("aab", "bcc"), ("aaa", "bbb")):
         members = views(there, lost)
-        other = [MemberView(m.name, not m.is_reachable, m.since_us, m.site, m.reported_by) for m in members]
+        other = [
+            MemberView(m.name, not m.is_reachable, m.since_us, m.site, m.reported_by)
+            for m in members
+        ]
         assert assess("", members, 0).is_larger_part != assess("", other, 0).is_larger_part
 
 
@@ -73,4 +76,6 @@
     assert places.update(60 * S, parted, names[:3]) is None
     assert places.current == replica_index("n1", names)
     places.update(61 * S, whole, names[:3])
-    assert places.update(65 * S, whole, names[:3]) == ReplicaIndex(replica_index("n1", names[:3]).index, 3)
+    assert places.update(65 * S, whole, names[:3]) == ReplicaIndex(
+        replica_index("n1", names[:3]).index, 3
+    )
--- a/tests/node/test_client_connection.py
+++ b/tests/node/test_client_connection.py
@@ -75,7 +75,9 @@
     async def scenario():
         async with Peer(lambda _: reply(200, b"x" * 60_000)) as peer, Running(peer) as node:
             caller = await node.caller()
-            caller.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            caller.writer.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_RCVBUF, 4096
+            )
             caller.writer.transport.pause_reading()
             while node.node.server.limits.connections or not peer.seen.qsize():
                 if not caller.writer.transport.is_closing() and peer.seen.qsize() < 300:
@@ -103,7 +105,10 @@
         (HEAD + b"X-Timeout: 5m\r\nX-Timeout: 9m\r\n\r\n", b"400"),
         (HEAD + b"X-A: " + b"x" * 20_000, b"431"),
         (HEAD + b"X-A: " + b"x" * 20_000 + b"\r\n\r\n", b"431"),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1;" + b"e" * 150_000 + b"\r\nx\r\n", b"431"),
+        (
+            HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1;" + b"e" * 150_000 + b"\r\nx\r\n",
+            b"431",
+        ),
         (HEAD + b"Content-Length: 4\r\nExpect: a-word\r\n\r\nbody", b"417"),
     ],
 )
@@ -130,7 +135,8 @@
         async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
             caller = await node.caller()
             caller.writer.write(
-                HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-Request-ID: other\r\n\r\n"
+                HEAD
+                + b"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-Request-ID: other\r\n\r\n"
             )
             assert (await caller.answer())[0] == 200
             seen = peer.seen.get_nowait()
@@ -316,4 +322,8 @@
     """Return whether nothing is retained of any request, once the balancer has had all events."""
     await until(lambda: not node.node.forwarder.requests)
     balancer = node.node.balancer
-    return not node.node.forwarder.open_ids and not balancer.requests and balancer.admission.in_flight == 0
+    return (
+        not node.node.forwarder.open_ids
+        and not balancer.requests
+        and balancer.admission.in_flight == 0
+    )
--- a/tests/node/test_connection_limits.py
+++ b/tests/node/test_connection_limits.py
@@ -21,7 +21,10 @@
             for _ in range(60):
                 await node.caller()
             late = await node.caller()
-            for caller in (late, usual):  # the kept one is there still: it has not been idle for 2 s
+            for caller in (
+                late,
+                usual,
+            ):  # the kept one is there still: it has not been idle for 2 s
                 caller.send()
                 assert (await caller.answer())[0] == 200
             most = 8 + connection_limits.MAX_EXCESS_CONNECTIONS
--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -171,7 +171,9 @@
                 AttemptResult.REJECTED,
             ]
             assert server.connections == 3
-            assert bench.pool.connection_count == 1  # the one that has served, and turned two away since
+            assert (
+                bench.pool.connection_count == 1
+            )  # the one that has served, and turned two away since
             bench.pool.close()
 
     run(main())
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -59,7 +59,9 @@
             await soon(node.registry.seen.get())
             node.registry.put(listing(4, whole=False))
             await soon(node.registry.seen.get())
-            node.registry.put(reply(503))  # it was not on yet: a call that was turned away, with a young list
+            node.registry.put(
+                reply(503)
+            )  # it was not on yet: a call that was turned away, with a young list
             waited, stale = await soon(lost.get())
             assert 0 < waited < AT_ONCE_US and stale < AT_ONCE_US
             node.node.source.watch(True)
@@ -86,7 +88,9 @@
             assert 500 <= min(found) < 1000 < 3500 < max(found) <= 4000
             assert len(set(found)) > 30
             left = 6.0 - max(found) / 1000 - discovery.WATCH_GRACE_S
-            assert left >= 1.5  # for a line at discovery of all nodes whose watches fell silent at once
+            assert (
+                left >= 1.5
+            )  # for a line at discovery of all nodes whose watches fell silent at once
 
     run(scenario())
 
@@ -151,7 +155,9 @@
                 assert (await caller.answer())[0] == 200
             assert (one.seen.qsize(), two.seen.qsize()) == (0, 6)
             node.registry.put(
-                listing(6, endpoint("s-0", one.port), endpoint("s-1", two.port, "gone"), whole=False)
+                listing(
+                    6, endpoint("s-0", one.port), endpoint("s-1", two.port, "gone"), whole=False
+                )
             )
             assert "since=6&" in (await soon(node.registry.seen.get())).url
             caller.send()
@@ -168,7 +174,12 @@
         reply(200, b"{"),
         reply(200, b"[" * 100_000),
         reply(200, b'{"index":2}'),
-        reply(200, json.dumps(listing(2, {"name": "s-9", "address": "nowhere", "status": "ready"})).encode()),
+        reply(
+            200,
+            json.dumps(
+                listing(2, {"name": "s-9", "address": "nowhere", "status": "ready"})
+            ).encode(),
+        ),
         "close",
         (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{", "close"),
         b"no HTTP at all\r\n\r\n",
--- a/tests/node/test_dispatcher.py
+++ b/tests/node/test_dispatcher.py
@@ -30,7 +30,10 @@
 def test_module_that_fails_costs_one_request():
     async def scenario():
         async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
-            module, node.node.dispatcher.balancer = node.node.dispatcher.balancer, Script(ValueError("boom"))
+            module, node.node.dispatcher.balancer = (
+                node.node.dispatcher.balancer,
+                Script(ValueError("boom")),
+            )
             caller = await node.caller()
             caller.send()
             assert (await caller.answer())[0] == 500
@@ -67,9 +70,15 @@
             assert (await caller.answer())[0] == 502
             assert await soon(peer.left.get()) == 1
             assert peer.seen.empty()
-            ended = [(e.result, e.request_finished) for e in script.events if isinstance(e, AttemptEnded)]
+            ended = [
+                (e.result, e.request_finished) for e in script.events if isinstance(e, AttemptEnded)
+            ]
             sent_not = AttemptResult.NOT_SENT
-            assert sorted(ended) == [(AttemptResult.CANCELLED, True), (sent_not, False), (sent_not, True)]
+            assert sorted(ended) == [
+                (AttemptResult.CANCELLED, True),
+                (sent_not, False),
+                (sent_not, True),
+            ]
 
     run(scenario())
 
--- a/tests/node/test_endpoint_list_json.py
+++ b/tests/node/test_endpoint_list_json.py
@@ -33,7 +33,10 @@
 
 def test_list_is_read():
     raw = listing(
-        9, endpoint("s", 80, since_ms=1_700_000_000_000), {"name": "t", "status": "gone"}, whole=False
+        9,
+        endpoint("s", 80, since_ms=1_700_000_000_000),
+        {"name": "t", "status": "gone"},
+        whole=False,
     )
     got = parse_endpoint_list(raw)
     assert (got.index, got.complete) == (9, False)
--- a/tests/node/test_lifecycle.py
+++ b/tests/node/test_lifecycle.py
@@ -4,7 +4,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from oakbridge.node.lifecycle import DRAIN_NOTICE_US, MAX_DEADLINE_US, RESPONSE_GRACE_US, Lifecycle, Phase
+from oakbridge.node.lifecycle import (
+    DRAIN_NOTICE_US,
+    MAX_DEADLINE_US,
+    RESPONSE_GRACE_US,
+    Lifecycle,
+    Phase,
+)
 
 
 def test_drain_closes_connections_after_its_notice_and_can_be_taken_back():
@@ -29,7 +35,9 @@
 
 @pytest.mark.parametrize("drained", [False, True])
 @pytest.mark.parametrize("over", [False, True])
-def test_shut_down_closes_the_listener_after_its_notice_or_at_once_where_another_has_it(drained, over):
+def test_shut_down_closes_the_listener_after_its_notice_or_at_once_where_another_has_it(
+    drained, over
+):
     lifecycle = Lifecycle()
     if drained:
         lifecycle.drain(0)
@@ -56,7 +64,11 @@
     assert lifecycle.accepts_connections(0)
 
 
-@given(st.lists(st.sampled_from(["drain", "undrain", "shut_down", "hand_over", "take_back"]), max_size=12))
+@given(
+    st.lists(
+        st.sampled_from(["drain", "undrain", "shut_down", "hand_over", "take_back"]), max_size=12
+    )
+)
 def test_no_order_of_calls_reopens_a_process_that_shuts_down_or_makes_a_drained_node_ready(course):
     lifecycle = Lifecycle()
     for now, what in enumerate(course):
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -13,7 +13,10 @@
     body, said = bytes(range(256)) * 8, bytes(range(255, -1, -1)) * 256
 
     async def scenario():
-        async with Peer(lambda _: reply(200, said, "Content-Type: x/y")) as peer, Running(peer) as node:
+        async with (
+            Peer(lambda _: reply(200, said, "Content-Type: x/y")) as peer,
+            Running(peer) as node,
+        ):
             caller = await node.caller()
             caller.send(
                 "book",
@@ -65,7 +68,10 @@
         (b"what is this\r\n\r\n", 400),
         (b"GET /api HTTP/1.1\r\nHost: a\r\n\r\n", 400),
         (b"GET /api HTTP/1.1\r\nX-Request-ID: 1\r\nX-Priority-Class: unheard\r\n\r\n", 400),
-        (b"GET /api HTTP/1.1\r\nX-Request-ID: 1\r\nX-Priority-Class: look\r\nX-Timeout: soon\r\n\r\n", 400),
+        (
+            b"GET /api HTTP/1.1\r\nX-Request-ID: 1\r\nX-Priority-Class: look\r\nX-Timeout: soon\r\n\r\n",
+            400,
+        ),
         (b"GET /api HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
         (b"HEAD /api HTTP/1.1\r\nX-Request-ID: 1\r\nX-Priority-Class: look\r\n\r\n", 405),
         (b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n", 405),
@@ -91,7 +97,9 @@
     async def scenario():
         async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
             half = await node.caller()
-            half.writer.write(b"POST /api HTTP/1.1\r\nX-Request-ID: 1\r\nContent-Length: 9\r\n\r\nabc")
+            half.writer.write(
+                b"POST /api HTTP/1.1\r\nX-Request-ID: 1\r\nContent-Length: 9\r\n\r\nabc"
+            )
             half.writer.write_eof()
             assert await half.ended() == b""
             caller = await node.caller()
@@ -151,7 +159,11 @@
 
 def test_unsafe_request_that_may_have_run_is_not_sent_again_and_not_refused():
     async def scenario():
-        async with Peer(lambda _: "close") as one, Peer(lambda _: "close") as two, Running(one, two) as node:
+        async with (
+            Peer(lambda _: "close") as one,
+            Peer(lambda _: "close") as two,
+            Running(one, two) as node,
+        ):
             caller = await node.caller()
             caller.send("book", "POST")
             assert (await caller.answer())[0] == 502
--- a/tests/node/test_outages.py
+++ b/tests/node/test_outages.py
@@ -48,7 +48,8 @@
 
 @given(
     st.lists(
-        st.tuples(st.sampled_from("ab"), st.sampled_from(["out", "back", "list", "upgrade"])), max_size=30
+        st.tuples(st.sampled_from("ab"), st.sampled_from(["out", "back", "list", "upgrade"])),
+        max_size=30,
     )
 )
 def test_every_course_of_calls_lists_and_upgrades_keeps_the_last_word(course):
@@ -76,4 +77,6 @@
     outages = Outages()
     outages.take_out("a", 1)
     listing = EndpointList(3, True, [entry("a")])
-    assert [e.server.state for e in outages.apply_all(listing.endpoints)] == [EndpointState.DRAINING]
+    assert [e.server.state for e in outages.apply_all(listing.endpoints)] == [
+        EndpointState.DRAINING
+    ]
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -9,7 +9,19 @@
 from pathlib import Path
 
 import pytest
-from peers import LIMIT, SETTINGS, Caller, Peer, Registry, endpoint, free_ports, listing, reply, run, soon
+from peers import (
+    LIMIT,
+    SETTINGS,
+    Caller,
+    Peer,
+    Registry,
+    endpoint,
+    free_ports,
+    listing,
+    reply,
+    run,
+    soon,
+)
 
 from oakbridge.node.clock import Clock
 from oakbridge.node.config import load_config
@@ -37,7 +49,10 @@
 
 
 def test_configuration_is_read_and_variables_go_first(tmp_path):
-    given = written(tmp_path / "c.json", raw_config()) | {"NODE_LISTEN": "127.0.0.2:80", "NODE_NAME": "n9"}
+    given = written(tmp_path / "c.json", raw_config()) | {
+        "NODE_LISTEN": "127.0.0.2:80",
+        "NODE_NAME": "n9",
+    }
     got = load_config(given)
     assert (got.name, got.listen, got.discovery) == ("n9", ("127.0.0.2", 80), ("127.0.0.1", 9))
     assert (got.seed, got.settings.max_attempts) == (0x8C1F30D27A5BE964, 4)
@@ -69,7 +84,9 @@
 def test_program_that_can_not_start_says_so_in_one_line(tmp_path, raw):
     given = {} if raw is None else written(tmp_path / "c.json", raw)
     environment = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")} | given
-    done = subprocess.run(COMMAND, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=LIMIT)
+    done = subprocess.run(
+        COMMAND, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=LIMIT
+    )
     assert done.returncode != 0
     assert len(done.stderr.splitlines()) == 1
     assert done.stderr.startswith("oakbridge: ")
@@ -194,7 +211,9 @@
                 for registry in (new, last):
                     written(path, raw | {"discovery": f"127.0.0.1:{registry.port}"})
                     process.send_signal(signal.SIGHUP)
-                    assert (await soon(registry.seen.get())).url.startswith("/api/targets?since=-1&")
+                    assert (await soon(registry.seen.get())).url.startswith(
+                        "/api/targets?since=-1&"
+                    )
                 for registry in (old, new):
                     registry.put(listing(99))  # late: it reaches nobody
                     assert await soon(registry.left.get()) == 1
--- a/tests/node/test_response_parser.py
+++ b/tests/node/test_response_parser.py
@@ -13,7 +13,10 @@
         (reply(200, b"car 7"), AttemptResult.OK),
         (reply(200), AttemptResult.OK),
         (b"HTTP/1.1 100 Continue\r\n\r\n" + reply(200, b"car 7"), AttemptResult.OK),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ncar\r\n0\r\n\r\n", AttemptResult.OK),
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ncar\r\n0\r\n\r\n",
+            AttemptResult.OK,
+        ),
         (reply(500), AttemptResult.ERROR),
         (reply(404), AttemptResult.ERROR),
         (reply(204), AttemptResult.ERROR),
@@ -64,8 +67,14 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nabc", AttemptResult.RESET),
         (b"HTTP/1.1 200 OK\r\nX-Endless: ", AttemptResult.RESET),
         (b"HTTP/1.1 200 OK\r\n\r\nabc", AttemptResult.RESET),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", AttemptResult.RESET),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", AttemptResult.RESET),
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+            AttemptResult.RESET,
+        ),
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
+            AttemptResult.RESET,
+        ),
         (b"HTTP/1.1 103 Early\r\n\r\n" * 5_000, AttemptResult.RESET),
         (b"HTTP/1.1 103 Early\r\nContent-Length: 7\r\n\r\n" + reply(200, b"car"), AttemptResult.OK),
     ],
@@ -80,7 +89,9 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("said", [reply(200, b"", "Connection: close"), reply(200) + b"more", reply(200) * 2])
+@pytest.mark.parametrize(
+    "said", [reply(200, b"", "Connection: close"), reply(200) + b"more", reply(200) * 2]
+)
 def test_connection_that_can_not_be_trusted_is_not_kept(said):
     async def scenario():
         async with Peer(lambda _: said) as peer:
--- a/tests/node/test_server_connection.py
+++ b/tests/node/test_server_connection.py
@@ -48,7 +48,9 @@
 
     async def scenario():
         with listening() as listener:
-            _, end = PoolBench(listener.getsockname()[1]).send(b"x" * 50_000_000, LONG if breaks else 100_000)
+            _, end = PoolBench(listener.getsockname()[1]).send(
+                b"x" * 50_000_000, LONG if breaks else 100_000
+            )
             with await accept(listener) as sock:
                 sock.recv(1000)
                 if not breaks:
@@ -80,7 +82,9 @@
     async def scenario():
         with listening() as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            _, end = PoolBench(listener.getsockname()[1]).send(GET[:-2] + b"\r\n" + b"x" * 8_000_000)
+            _, end = PoolBench(listener.getsockname()[1]).send(
+                GET[:-2] + b"\r\n" + b"x" * 8_000_000
+            )
             with await accept(listener) as sock:
                 sock.sendall(reply(200, b"early"))
                 assert (await soon(end)).result == AttemptResult.CONNECT_FAILED
@@ -115,7 +119,11 @@
             told, end = [], bench.loop.create_future()
             now = bench.clock.now()
             attempt = Attempt(
-                "s", lambda left: told.append(left) or GET, now + LONG, end.set_result, start_by=now + 50_000
+                "s",
+                lambda left: told.append(left) or GET,
+                now + LONG,
+                end.set_result,
+                start_by=now + 50_000,
             )
             bench.pool.send(attempt)
             await asyncio.sleep(0.1)
--- a/tests/node/test_streaming.py
+++ b/tests/node/test_streaming.py
@@ -189,7 +189,9 @@
             await soon(caller.reader.readuntil(b"\r\n\r\n"))
             caller.close()
             await soon(left.wait())
-            await until(lambda: not (node.node.forwarder.requests or node.node.pool.connection_count))
+            await until(
+                lambda: not (node.node.forwarder.requests or node.node.pool.connection_count)
+            )
 
     run(scenario())
 
@@ -208,7 +210,9 @@
     async def scenario():
         async with RawServer(handle) as server, Running(server) as node:
             caller = await node.caller()
-            caller.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
+            caller.writer.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_RCVBUF, 65536
+            )
             caller.send()
             await soon(caller.reader.readuntil(b"\r\n\r\n"))
             caller.writer.transport.pause_reading()
@@ -361,14 +365,19 @@
             assert len(short) == 1
             if end == "stall":
                 assert (await soon(caller.reader.read())).startswith(b"HTTP/1.1 408 ")
-            await until(lambda: not (node.node.forwarder.requests or node.node.server.limits.connections))
+            await until(
+                lambda: not (node.node.forwarder.requests or node.node.server.limits.connections)
+            )
 
     run(scenario())
 
 
 @pytest.mark.parametrize(
     ("said", "status"),
-    [(reply(503, b"", "X-Not-Processed: 1"), 503), (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 503)],
+    [
+        (reply(503, b"", "X-Not-Processed: 1"), 503),
+        (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 503),
+    ],
 )
 def test_a_request_that_is_answered_before_its_body_is_complete_is_answered_at_once_and_not_retried(
     said, status
@@ -397,7 +406,9 @@
     run(scenario())
 
 
-def test_a_client_that_writes_while_the_server_does_not_read_is_held_back_and_not_given_up(monkeypatch):
+def test_a_client_that_writes_while_the_server_does_not_read_is_held_back_and_not_given_up(
+    monkeypatch,
+):
     monkeypatch.setattr(connection_limits, "CLIENT_TIMEOUT_US", 200_000)
     go = asyncio.Event()
 
@@ -420,7 +431,9 @@
             await asyncio.sleep(0.7)
             assert (
                 one.parser.streamed_request.streamed_body.buffered_bytes
-                < STREAM_WINDOW_BYTES + server_connection.READ_BYTES + request_parser.MAX_BUFFERED_BODY_BYTES
+                < STREAM_WINDOW_BYTES
+                + server_connection.READ_BYTES
+                + request_parser.MAX_BUFFERED_BODY_BYTES
             )
             go.set()
             assert (await caller.answer())[0] == 200
@@ -439,7 +452,8 @@
             await until(
                 lambda: (
                     not (
-                        node.node.server.body_buffers.used < 150_000 or len(node.node.forwarder.requests) < 5
+                        node.node.server.body_buffers.used < 150_000
+                        or len(node.node.forwarder.requests) < 5
                     )
                 )
             )
@@ -461,13 +475,19 @@
             caller = await node.caller()
             expects = head("POST", "/api", "Content-Length: 4", "Expect: 100-continue")
             caller.writer.write(expects)
-            assert await soon(caller.reader.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
+            assert (
+                await soon(caller.reader.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
+            )
             caller.writer.write(b"body")
             assert (await caller.answer())[0] == 200
             assert "expect" not in (await soon(peer.seen.get())).headers
-            caller.writer.write(head("GET", klass="look", ident="a") + expects.replace(b"big-1", b"big-2"))
+            caller.writer.write(
+                head("GET", klass="look", ident="a") + expects.replace(b"big-1", b"big-2")
+            )
             assert (await caller.answer())[0] == 200
-            assert await soon(caller.reader.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
+            assert (
+                await soon(caller.reader.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
+            )
             caller.writer.write(b"body")
             assert (await caller.answer())[0] == 200
 
@@ -499,7 +519,9 @@
                 caller.writer.write(raw.replace(b"HTTP/1.1", b"HTTP/1.0"))
                 status, headers, _ = await caller.answer()
                 assert (status, headers["connection"]) == (200, "keep-alive")
-            caller.writer.write(head("GET", klass="look", ident="o-3").replace(b"HTTP/1.1", b"HTTP/1.0"))
+            caller.writer.write(
+                head("GET", klass="look", ident="o-3").replace(b"HTTP/1.1", b"HTTP/1.0")
+            )
             assert (await caller.answer())[1]["connection"] == "close"
             assert await caller.ended() == b""
 
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -26,7 +26,9 @@
     async def __aenter__(self) -> "Operators":
         executor = NodeCommandExecutor(self.node, is_started=True)
         loop = asyncio.get_running_loop()
-        self.listener = OperatorListener(loop, ("127.0.0.1", 0), lambda line: respond(line, executor.execute))
+        self.listener = OperatorListener(
+            loop, ("127.0.0.1", 0), lambda line: respond(line, executor.execute)
+        )
         self.listener.start()
         return self
 
@@ -51,30 +53,41 @@
 
 def test_server_taken_out_gets_nothing_until_it_is_put_back_whatever_lists_say():
     async def scenario():
-        async with Peer(lambda _: reply(200)) as a, Peer(lambda _: reply(200)) as b, Running(a, b) as node:  # noqa: SIM117
-            async with Operators(node.node) as operators:
-                caller = await node.caller()
-                assert (await operators.call(b"OFFLINE s-9\n")).startswith(b"NO ")
-                assert (await operators.call(b"OFFLINE s-0\r\n")).startswith(b"YES ")
-                assert (await operators.call(b"offline s-0\n")).startswith(b"YES ")
-                again = listing(2, endpoint("s-0", a.port), endpoint("s-1", b.port))
-                for known in (None, again, listing(3, endpoint("s-0", a.port, since_ms=5), whole=False)):
-                    if known is not None:
-                        node.node.endpoints.on_endpoint_list(parse_endpoint_list(known))
-                    assert [await status_of_request(caller) for _ in range(10)] == [200] * 10
-                assert a.seen.qsize() == 0
-                assert (await operators.call(b"ONLINE s-0\n")).startswith(b"YES ")
-                while not a.seen.qsize():
-                    assert await status_of_request(caller) == 200
-                assert (await operators.call(b"ONLINE s-0\n")).startswith(b"YES ")
-                assert (await operators.call(b"ONLINE s-9\n")).startswith(b"NO ")
+        async with (
+            Peer(lambda _: reply(200)) as a,
+            Peer(lambda _: reply(200)) as b,
+            Running(a, b) as node,Operators(node.node) as operators
+        ):
+            caller = await node.caller()
+            assert (await operators.call(b"OFFLINE s-9\n")).startswith(b"NO ")
+            assert (await operators.call(b"OFFLINE s-0\r\n")).startswith(b"YES ")
+            assert (await operators.call(b"offline s-0\n")).startswith(b"YES ")
+            again = listing(2, endpoint("s-0", a.port), endpoint("s-1", b.port))
+            for known in (
+                None,
+                again,
+                listing(3, endpoint("s-0", a.port, since_ms=5), whole=False),
+            ):
+                if known is not None:
+                    node.node.endpoints.on_endpoint_list(parse_endpoint_list(known))
+                assert [await status_of_request(caller) for _ in range(10)] == [200] * 10
+            assert a.seen.qsize() == 0
+            assert (await operators.call(b"ONLINE s-0\n")).startswith(b"YES ")
+            while not a.seen.qsize():
+                assert await status_of_request(caller) == 200
+            assert (await operators.call(b"ONLINE s-0\n")).startswith(b"YES ")
+            assert (await operators.call(b"ONLINE s-9\n")).startswith(b"NO ")
 
     run(scenario())
 
 
 def test_last_server_may_be_taken_out_and_requests_are_refused_at_once():
     async def scenario():
-        async with Peer(lambda _: reply(200)) as a, Running(a) as node, Operators(node.node) as operators:
+        async with (
+            Peer(lambda _: reply(200)) as a,
+            Running(a) as node,
+            Operators(node.node) as operators,
+        ):
             caller = await node.caller()
             assert (await operators.call(b"OFFLINE s-0\n")).startswith(b"YES ")
             assert (await operators.call(b"HEALTH\n")).startswith(b"YES ")
@@ -98,31 +111,33 @@
             await a.release.wait()
             return reply(200)
 
-        async with Peer(lambda s: held() if s.url == "/held" else reply(200)) as a, Running(a) as node:  # noqa: SIM117
-            async with Operators(node.node) as operators:
-                kept, idle, busy = [await node.caller() for _ in range(3)]
-                assert [await status_of_request(kept), await status_of_request(idle)] == [200, 200]
-                busy.send(url="/held")
-                assert (await operators.call(b"LEAVE\n")).startswith(b"YES ")
-                assert (await operators.call(b"LEAVE\n")).startswith(b"YES ")
-                assert await status_of_request(kept, url="/-/ready") == 503
-                late = await node.caller()
-                assert await status_of_request(late) == 200
-                assert await idle.ended() == b""
-                assert await kept.ended() == b""
-                later = await node.caller()
-                later.send()
-                status, headers, _ = await later.answer()
-                assert (status, headers["connection"]) == (200, "close")
-                a.release.set()
-                status, headers, _ = await busy.answer()
-                assert (status, headers["connection"]) == (200, "close")
-                assert (await operators.call(b"HEALTH\n")).startswith(b"YES ")
-                assert (await operators.call(b"JOIN\n")).startswith(b"YES ")
-                again = await node.caller()
-                assert await status_of_request(again, url="/-/ready") == 200
-                assert await status_of_request(again) == 200
-                assert (await operators.call(b"JOIN\n")).startswith(b"YES ")
+        async with (
+            Peer(lambda s: held() if s.url == "/held" else reply(200)) as a,
+            Running(a) as node,Operators(node.node) as operators
+        ):
+            kept, idle, busy = [await node.caller() for _ in range(3)]
+            assert [await status_of_request(kept), await status_of_request(idle)] == [200, 200]
+            busy.send(url="/held")
+            assert (await operators.call(b"LEAVE\n")).startswith(b"YES ")
+            assert (await operators.call(b"LEAVE\n")).startswith(b"YES ")
+            assert await status_of_request(kept, url="/-/ready") == 503
+            late = await node.caller()
+            assert await status_of_request(late) == 200
+            assert await idle.ended() == b""
+            assert await kept.ended() == b""
+            later = await node.caller()
+            later.send()
+            status, headers, _ = await later.answer()
+            assert (status, headers["connection"]) == (200, "close")
+            a.release.set()
+            status, headers, _ = await busy.answer()
+            assert (status, headers["connection"]) == (200, "close")
+            assert (await operators.call(b"HEALTH\n")).startswith(b"YES ")
+            assert (await operators.call(b"JOIN\n")).startswith(b"YES ")
+            again = await node.caller()
+            assert await status_of_request(again, url="/-/ready") == 200
+            assert await status_of_request(again) == 200
+            assert (await operators.call(b"JOIN\n")).startswith(b"YES ")
 
     run(scenario())
 
@@ -131,7 +146,11 @@
     monkeypatch.setattr(listener, "LINE_TIMEOUT_S", 0.5)
 
     async def scenario():
-        async with Peer(lambda _: reply(200)) as a, Running(a) as node, Operators(node.node) as operators:
+        async with (
+            Peer(lambda _: reply(200)) as a,
+            Running(a) as node,
+            Operators(node.node) as operators,
+        ):
             holders = [await operators.open() for _ in range(3 * MAX_CONNECTIONS)]
             for _, writer in holders[::2]:
                 writer.write(b"OFFLINE s-")
@@ -141,7 +160,9 @@
                 with contextlib.suppress(ConnectionError):  # it has made room
                     assert await soon(reader.read()) == b""  # or is closed after its time
                 writer.close()
-            assert (await operators.call(b"x" * 100_000)).startswith(b"NO expected a line of at most")
+            assert (await operators.call(b"x" * 100_000)).startswith(
+                b"NO expected a line of at most"
+            )
             assert (await operators.call(b"HEALTH\nHEALTH\n")).startswith(b"NO expected one line")
 
     run(scenario())
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -169,7 +169,9 @@
         return await self.answers.get()
 
 
-def config(discovery: int, *endpoints: dict, settings: dict | None = None, sockets: int = 256) -> Config:
+def config(
+    discovery: int, *endpoints: dict, settings: dict | None = None, sockets: int = 256
+) -> Config:
     """A node's configuration with a known list."""
     from oakbridge.node.settings import read_settings
 
@@ -190,11 +192,18 @@
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def send(
-        self, klass: str = "look", method: str = "GET", url: str = "/api", body: bytes = b"", **extra
+        self,
+        klass: str = "look",
+        method: str = "GET",
+        url: str = "/api",
+        body: bytes = b"",
+        **extra,
     ) -> None:
-        headers = {"Host": "app.svc", "X-Request-ID": f"r-{next(IDS)}", "X-Priority-Class": klass} | {
-            k.replace("_", "-"): v for k, v in extra.items()
-        }
+        headers = {
+            "Host": "app.svc",
+            "X-Request-ID": f"r-{next(IDS)}",
+            "X-Priority-Class": klass,
+        } | {k.replace("_", "-"): v for k, v in extra.items()}
         if body:
             headers["Content-Length"] = str(len(body))
         lines = [f"{method} {url} HTTP/1.1", *(f"{k}: {v}" for k, v in headers.items())]
@@ -221,7 +230,9 @@
     async def __aenter__(self) -> "Running":
         self.registry = await Registry().__aenter__()
         listed = [endpoint(f"s-{i}", p.port) for i, p in enumerate(self.peers)]
-        self.node = Node(config(self.registry.port, *listed, **self.options), asyncio.get_running_loop())
+        self.node = Node(
+            config(self.registry.port, *listed, **self.options), asyncio.get_running_loop()
+        )
         self.node.start()
         self.port = self.node.server.address[1]
         self.callers: list[Caller] = []
--- a/tests/policy/decision_digest.py
+++ b/tests/policy/decision_digest.py
@@ -110,7 +110,9 @@
     return digest
 
 
-def _recorder(fleet: SimulatedFleet, digest: Digest, number: int, handle: Any) -> Callable[[int, Any], Any]:
+def _recorder(
+    fleet: SimulatedFleet, digest: Digest, number: int, handle: Any
+) -> Callable[[int, Any], Any]:
     def recording(now: int, event: Any) -> Any:
         actions = handle(now, event)
         digest.add(number, fleet.now, actions)
@@ -222,7 +224,11 @@
                 [AttemptResult.ERROR, AttemptResult.CONNECT_FAILED, AttemptResult.RESET]
             )
         took = int(self.random.lognormvariate(0, 0.7) * 40_000)
-        if action.server in self.silent or result == AttemptResult.TIMEOUT or took >= action.timeout:
+        if (
+            action.server in self.silent
+            or result == AttemptResult.TIMEOUT
+            or took >= action.timeout
+        ):
             took, result = action.timeout, AttemptResult.TIMEOUT
         elif result in (
             AttemptResult.REJECTED,
@@ -316,7 +322,9 @@
                         gone.address,
                     )
                 )
-        self.feed(EndpointListReceived(entries, complete=False, restored=self.random.random() < 0.2))
+        self.feed(
+            EndpointListReceived(entries, complete=False, restored=self.random.random() < 0.2)
+        )
 
     def restart_elsewhere(self) -> None:
         for name in self.some(0.1):
@@ -344,7 +352,9 @@
     def list_lost(self) -> None:
         waited = self.random.choice([0, 100_000, 3 * SECOND_US])
         self.feed(
-            EndpointListReceived(failed=True, waited=waited, staleness=self.random.randrange(5 * SECOND_US))
+            EndpointListReceived(
+                failed=True, waited=waited, staleness=self.random.randrange(5 * SECOND_US)
+            )
         )
 
     def zones(self) -> None:
@@ -362,7 +372,9 @@
             for c in self.settings.classes
             if self.random.random() < 0.5
         }
-        self.feed(LoadSheddingLevel(parts, self.random.choice([0.0, 0.5]), self.random.randrange(1000)))
+        self.feed(
+            LoadSheddingLevel(parts, self.random.choice([0.0, 0.5]), self.random.randrange(1000))
+        )
 
     def doubt(self) -> None:
         self.feed(PeerFailureReports({name: self.random.random() for name in self.some(0.2)}))
@@ -391,7 +403,9 @@
         if self.settings.zones:
             zone = self.random.choice(self.settings.zones)
             failing = {name for name, s in self.listed.items() if s.zone == zone}
-            self.sick, self.silent = (failing, set()) if self.random.random() < 0.5 else (set(), failing)
+            self.sick, self.silent = (
+                (failing, set()) if self.random.random() < 0.5 else (set(), failing)
+            )
 
     def hand_over(self) -> None:
         """What was learned goes on in a new balancer.
@@ -403,7 +417,9 @@
             [z.zone, z.listed, z.responding, z.timed_out, z.failed]
             for z in view.zones(self.balancer, self.now, SECOND_US)
         ]
-        self.digest.add_values([saved, seen, view.listed(self.balancer), view.brief(self.balancer, self.now)])
+        self.digest.add_values(
+            [saved, seen, view.listed(self.balancer), view.brief(self.balancer, self.now)]
+        )
         held = len(self.out)
         self.out.clear()
         self.numbers.clear()
@@ -421,9 +437,15 @@
 ZONES = ("a", "b", "c")
 READ = RequestClass("read", 300_000, 1_500_000, 1, 0.5, Idempotency.IDEMPOTENT)
 BOOK = RequestClass("book", 400_000, 2_000_000, 5, 0.3, Idempotency.NOT_IDEMPOTENT)
-PAY = RequestClass("pay", 400_000, 2_000_000, 8, 0.3, Idempotency.IDEMPOTENT_WITH_KEY, "all", 2_000_000)
-NEAR = RequestClass("near", 300_000, 1_500_000, 2, 0.0, Idempotency.IDEMPOTENT_WITH_KEY, "zone", 1_000_000)
-SHELF = RequestClass("shelf", 300_000, 1_500_000, 3, 0.2, Idempotency.IDEMPOTENT_WITH_KEY, "cell", 1_500_000)
+PAY = RequestClass(
+    "pay", 400_000, 2_000_000, 8, 0.3, Idempotency.IDEMPOTENT_WITH_KEY, "all", 2_000_000
+)
+NEAR = RequestClass(
+    "near", 300_000, 1_500_000, 2, 0.0, Idempotency.IDEMPOTENT_WITH_KEY, "zone", 1_000_000
+)
+SHELF = RequestClass(
+    "shelf", 300_000, 1_500_000, 3, 0.2, Idempotency.IDEMPOTENT_WITH_KEY, "cell", 1_500_000
+)
 UPLOAD = RequestClass("upload", 500_000, 3_000_000, 2, 0.2, Idempotency.IDEMPOTENT, streamed=True)
 ALL = (READ, BOOK, PAY, NEAR, SHELF, UPLOAD)
 TENANTS = (Tenant("small", 20.0), Tenant("large", 200.0))
@@ -533,7 +555,13 @@
 def sites_are_lost(seed: int) -> Digest:
     """Replicas with plans for the loss of sites: zones get less, classes are shed."""
     fleet = SimulatedFleet(
-        6, 12, seed, sites=ZONES, with_site_plans=True, max_client_retries=2, max_retry_after=2 * SECOND_US
+        6,
+        12,
+        seed,
+        sites=ZONES,
+        with_site_plans=True,
+        max_client_retries=2,
+        max_retry_after=2 * SECOND_US,
     )
     digest = record_fleet(fleet)
     fleet.schedule_requests(80, 20)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -51,17 +51,24 @@
         d.ask("pay")
         assert [a.request_id for a in d.of(RejectRequest)] == waiting[: n + 1]  # reads
     before = len(d.of(RejectRequest))
-    d.b.admission.in_flight = 10  # it is not the limit that they wait for, but servers: all may be served yet
+    d.b.admission.in_flight = (
+        10  # it is not the limit that they wait for, but servers: all may be served yet
+    )
     overload(d, room, 1)
     assert len(d.of(RejectRequest)) == before
 
 
 def test_worth_and_share_decide_who_waits():
-    d = Driver(servers=2, over_quota_weight=0.1, tenants=(Tenant("big", 1.0), Tenant("small", 1000.0)))
+    d = Driver(
+        servers=2, over_quota_weight=0.1, tenants=(Tenant("big", 1.0), Tenant("small", 1000.0))
+    )
     d.serve(70)
     d.b.admission.limit = BURST
     first, *_ = (
-        a for _ in range(int(BURST)) for a in d.ask("read", tenant="small") if isinstance(a, SendAttempt)
+        a
+        for _ in range(int(BURST))
+        for a in d.ask("read", tenant="small")
+        if isinstance(a, SendAttempt)
     )
     for _ in range(5):
         d.ask("pay", tenant="big")  # beyond its share from the third on
@@ -112,7 +119,9 @@
     d.serve(40)
     d.b.admission.capacity, d.b.admission.limit = 24.0, 36.0
     d.feed(
-        EndpointListReceived([Endpoint(f"s{i}", EndpointState.GONE) for i in range(4, 12)], complete=False)
+        EndpointListReceived(
+            [Endpoint(f"s{i}", EndpointState.GONE) for i in range(4, 12)], complete=False
+        )
     )
     assert (d.b.admission.capacity, d.b.admission.limit) == (8.0, 12.0)
     d.feed(EndpointListReceived([Endpoint(f"new{i}") for i in range(8)], complete=False))
@@ -126,10 +135,14 @@
     """Incident i662b88: the limit held the rate down, and the lower rate brought the limit down."""
     d = Driver(8, classes=(dataclasses.replace(READ, latency_objective=4_000_000),), tier_count=3)
     waiting = []
-    for tick in range(4500):  # answers take twice the least latency from second 4 on, whatever the load
+    for tick in range(
+        4500
+    ):  # answers take twice the least latency from second 4 on, whatever the load
         d.run_to(tick * 5000)
         waiting += [
-            (d.now + (50_000 if tick < 800 else 120_000), a) for a in d.ask() if isinstance(a, SendAttempt)
+            (d.now + (50_000 if tick < 800 else 120_000), a)
+            for a in d.ask()
+            if isinstance(a, SendAttempt)
         ]
         while waiting and waiting[0][0] <= d.now:
             due, send = waiting.pop(0)
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -91,7 +91,9 @@
         "print(w.log)"
     )
     outs = {
-        subprocess.run([sys.executable, "-c", code], env={"PYTHONHASHSEED": h}, capture_output=True).stdout
+        subprocess.run(
+            [sys.executable, "-c", code], env={"PYTHONHASHSEED": h}, capture_output=True
+        ).stdout
         for h in ("0", "1", "2")
     }
     assert len(outs) == 1
@@ -100,7 +102,9 @@
 
 def test_replaced_timers_set_no_further_ones():
     d = Driver(8)
-    d.serve(300, latency=400_000, gap=1000)  # each request's alarms are earlier than the one that is armed
+    d.serve(
+        300, latency=400_000, gap=1000
+    )  # each request's alarms are earlier than the one that is armed
     for i in range(300):  # many are out at once, and each failure brings a nearer alarm
         d.run_to(d.now + 5000)
         for a in d.ask():
--- a/tests/policy/test_endpoint_reconciler.py
+++ b/tests/policy/test_endpoint_reconciler.py
@@ -74,7 +74,9 @@
         ({"waited": 2 * SECOND, "staleness": 5 * SECOND}, 3, 5),
     ],
 )
-def test_copies_that_lose_discovery_at_once_ask_again_apart_and_the_oldest_lists_first(lost, least, most):
+def test_copies_that_lose_discovery_at_once_ask_again_apart_and_the_oldest_lists_first(
+    lost, least, most
+):
     """Discovery works off calls in turn, and news counts as told after six seconds.
 
     No wait grows with failures.
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -52,7 +52,9 @@
         pytest.param(40, 24, 250, 25, replaced_at_once(24), 0.65, 0.5, id="all cold"),
         pytest.param(7, 24, 250, 25, replaced_at_once(24), 0.65, 0.5, id="all cold, few replicas"),
         pytest.param(40, 24, 350, 25, replaced_at_once(24), 0.65, 0.5, id="all cold, busy"),
-        pytest.param(7, 24, 350, 25, replaced_at_once(24), 0.65, 0.5, id="all cold, busy, few replicas"),
+        pytest.param(
+            7, 24, 350, 25, replaced_at_once(24), 0.65, 0.5, id="all cold, busy, few replicas"
+        ),
         pytest.param(40, 24, 250, 20, hang("s0", connections=12), 0.95, 0, id="stuck and full"),
         pytest.param(16, 28, 160, 15, hang("s0", "s1", "s2"), 0.985, 0, id="three hang"),
     ],
@@ -102,4 +104,6 @@
     for replica in range(60):
         fleet.deliver(replica, EndpointListReceived(failed=True))
     fleet.run(6)
-    assert all(b.members.version > before for b, before in zip(fleet.replicas, versions, strict=True))
+    assert all(
+        b.members.version > before for b, before in zip(fleet.replicas, versions, strict=True)
+    )
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -60,7 +60,9 @@
         if (s := self.model.get(str(name))) is not None:
             self.m.relist(s, entry, size, self.now)
         else:
-            s = self.model[str(name)] = Server(id=entry.id, started=entry.started_at, address=entry.address)
+            s = self.model[str(name)] = Server(
+                id=entry.id, started=entry.started_at, address=entry.address
+            )
             self.m.relist(s, entry, size, self.now)
             s.listed_since = self.version
             self.m.add(s, self.m.reserve, self.now)
@@ -94,19 +96,29 @@
             == sorted(self.model)
             == sorted(self.m.servers)
         )
-        assert self.m.ejected_count() == sum(s.ejected_until > self.now for s in self.model.values())
+        assert self.m.ejected_count() == sum(
+            s.ejected_until > self.now for s in self.model.values()
+        )
         for side in sides:
             for pool, near, out in zip(
                 side.sets(with_inactive=True), (1, 0, 1, 0), (0, 0, 1, 1), strict=True
             ):
                 members = [s for group in pool.groups.values() for s in group]
-                assert all((s.zone == "a") == near and (s.ejected_until > self.now) == out for s in members)
-                assert all(pool.groups[rank][s.slot] is s for rank, g in pool.groups.items() for s in g)
+                assert all(
+                    (s.zone == "a") == near and (s.ejected_until > self.now) == out for s in members
+                )
+                assert all(
+                    pool.groups[rank][s.slot] is s for rank, g in pool.groups.items() for s in g
+                )
                 assert pool.count == len(members)
-                assert math.isclose(pool.total, sum(s.weight for s in members), abs_tol=1e-9, rel_tol=1e-9)
+                assert math.isclose(
+                    pool.total, sum(s.weight for s in members), abs_tol=1e-9, rel_tol=1e-9
+                )
                 if members:
                     assert pool.draw(self.draw) in members
-        assert self.m.oldest_version() == min((s.listed_since for s in self.model.values()), default=math.inf)
+        assert self.m.oldest_version() == min(
+            (s.listed_since for s in self.model.values()), default=math.inf
+        )
         for index, key in (
             (self.m.by_zone, "zone"),
             (self.m.by_cell, "cell"),
@@ -119,7 +131,9 @@
             assert told == {k: sorted(v) for k, v in real.items()}
 
 
-Pools.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
+Pools.TestCase.settings = settings(
+    max_examples=60, stateful_step_count=40, deadline=None, derandomize=True
+)
 TestPools = Pools.TestCase
 
 
@@ -132,8 +146,14 @@
         (b.members.subset, math.inf),
         (b.members.reserve, math.inf),
     ):
-        order = sorted(members.items(with_inactive=True), key=lambda s: b.random.expovariate(s.weight))
-        own = [i for i, s in enumerate(order) if s.zone == b.members.local_zone and s.ejected_until <= now]
+        order = sorted(
+            members.items(with_inactive=True), key=lambda s: b.random.expovariate(s.weight)
+        )
+        own = [
+            i
+            for i, s in enumerate(order)
+            if s.zone == b.members.local_zone and s.ejected_until <= now
+        ]
         near = own[0] if b.members.local_zone and own else 0
         order.insert(0, order.pop(near)) if near else None
         pair = []
@@ -229,7 +249,9 @@
 def serve(b: Balancer, now: int, number: int) -> int:
     """One request and its good end, if it was sent; how often it was."""
     sent = [
-        a for a in b.handle(now, RequestReceived(number, "look", 3 * SECOND)) if isinstance(a, SendAttempt)
+        a
+        for a in b.handle(now, RequestReceived(number, "look", 3 * SECOND))
+        if isinstance(a, SendAttempt)
     ]
     for a in sent:
         b.handle(
@@ -248,10 +270,14 @@
 def cost(count: int, prepare=lambda b, now: None, entries=None, **more) -> tuple[float, int]:
     """Lines a request, and how many of a hundred were sent."""
     b = Balancer(
-        Settings(classes=(RequestClass("look", 2 * SECOND, 6 * SECOND, idempotency="safe"),), **more),
+        Settings(
+            classes=(RequestClass("look", 2 * SECOND, 6 * SECOND, idempotency="safe"),), **more
+        ),
         5,
     )
-    b.handle(1, EndpointListReceived(entries or [Endpoint(f"s{i}", zone="b") for i in range(count)]))
+    b.handle(
+        1, EndpointListReceived(entries or [Endpoint(f"s{i}", zone="b") for i in range(count)])
+    )
     now = 2 * SECOND
     for i in range(20):
         serve(b, now := now + 1000, i)
@@ -283,7 +309,9 @@
 
 def test_all_cold_at_once_costs_a_bounded_look():
     entries = [Endpoint(f"s{i}", started_at=SECOND) for i in range(10_000)]
-    lines, sent = cost(10_000, entries=entries, slow_start_window=60 * SECOND, slow_start_minimum=0.1)
+    lines, sent = cost(
+        10_000, entries=entries, slow_start_window=60 * SECOND, slow_start_minimum=0.1
+    )
     assert lines < 40 * (24 + RING_STEP) * 3
     assert sent > 0
 
@@ -291,7 +319,9 @@
 def test_a_delta_costs_by_its_size_and_a_long_list_by_its_length():
     def lines(count: int, entries, whole: bool) -> int:
         b = Balancer(
-            Settings(classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True),
+            Settings(
+                classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True
+            ),
             3,
         )
         b.handle(1, EndpointListReceived([Endpoint(f"s{i}") for i in range(count)]))
@@ -301,7 +331,9 @@
 
     delta = [Endpoint("new"), Endpoint("s1", state=EndpointState.GONE)]
     assert lines(10_000, delta, False) < 1.2 * lines(100, delta, False)
-    half = [lines(n, [Endpoint(f"s{i}") for i in range(n // 2, n + n // 2)], True) for n in (200, 2000)]
+    half = [
+        lines(n, [Endpoint(f"s{i}") for i in range(n // 2, n + n // 2)], True) for n in (200, 2000)
+    ]
     assert half[1] < 12 * half[0]
 
 
@@ -325,7 +357,9 @@
     ends, worst = [], 0
     for split in (False, True):
         b = Balancer(
-            Settings(classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True),
+            Settings(
+                classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True
+            ),
             3,
         )
         b.handle(1, EndpointListReceived([Endpoint(f"s{i}", started_at=i) for i in range(10_000)]))
@@ -354,9 +388,9 @@
     assert len(parts) > 20
     assert worst < 150 * BATCH_SIZE
     assert (
-        split_into_batches(EndpointList(8, False, listing.endpoints[:BATCH_SIZE]), b.members.servers)[
-            0
-        ].endpoints
+        split_into_batches(
+            EndpointList(8, False, listing.endpoints[:BATCH_SIZE]), b.members.servers
+        )[0].endpoints
         == listing.endpoints[:BATCH_SIZE]
     )
 
@@ -390,7 +424,9 @@
             while not again and b.timers.callbacks.next_due < now + SECOND:
                 timer = TimerFired(b.timers.token)
                 again = [
-                    a for a in b.handle(b.timers.callbacks.next_due, timer) if isinstance(a, SendAttempt)
+                    a
+                    for a in b.handle(b.timers.callbacks.next_due, timer)
+                    if isinstance(a, SendAttempt)
                 ]
             found += sum(int(a.server[1:]) // 2 == int(send.server[1:]) // 2 for a in again)
             assert all(a.server != send.server for a in again)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -160,7 +160,9 @@
         assert again[1].server != stuck.server
         called_off = next(when for when, a in d.actions if isinstance(a, CancelAttempt))
         used = [
-            a.server for when, a in d.actions if isinstance(a, SendAttempt) and 0 < when - called_off < SECOND
+            a.server
+            for when, a in d.actions
+            if isinstance(a, SendAttempt) and 0 < when - called_off < SECOND
         ]
         assert used
         assert stuck.server not in used
@@ -180,7 +182,9 @@
 
 
 def test_no_more_is_called_off_in_one_look_than_may_be_tried_again():
-    d = Driver(servers=4, cancellation_allowed=True, retry_ratio=0.0, retry_floor=0.2)  # two in ten seconds
+    d = Driver(
+        servers=4, cancellation_allowed=True, retry_ratio=0.0, retry_floor=0.2
+    )  # two in ten seconds
     d.serve(60)
     d.b.admission.limit = 100.0
     while sum(len(s.in_flight) for s in d.b.servers.values()) < 16:
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -68,14 +68,20 @@
         d.end(sent, AttemptResult.ERROR)
         d.run_to(at + 200_000)
         again = [
-            (t, a) for t, a in d.actions if isinstance(a, SendAttempt) and a.request_id == sent.request_id
+            (t, a)
+            for t, a in d.actions
+            if isinstance(a, SendAttempt) and a.request_id == sent.request_id
         ][1]
         first.append(again[0] - at)
         at = d.now
         d.end(again[1], AttemptResult.ERROR, 1)
         d.run_to(at + 400_000)
         second.append(
-            [t for t, a in d.actions if isinstance(a, SendAttempt) and a.request_id == sent.request_id][2]
+            [
+                t
+                for t, a in d.actions
+                if isinstance(a, SendAttempt) and a.request_id == sent.request_id
+            ][2]
             - at
         )
     assert min(first) > 0
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -36,8 +36,12 @@
 CLASSES = (
     RequestClass("safe", 300_000, 900_000, 3, 0.2, Idempotency.IDEMPOTENT),
     RequestClass("all", 300_000, 900_000, 2, 0.0, Idempotency.IDEMPOTENT_WITH_KEY, "all", 400_000),
-    RequestClass("zone", 300_000, 900_000, 2, 0.3, Idempotency.IDEMPOTENT_WITH_KEY, "zone", 400_000),
-    RequestClass("cell", 300_000, 900_000, 2, 0.3, Idempotency.IDEMPOTENT_WITH_KEY, "cell", 400_000),
+    RequestClass(
+        "zone", 300_000, 900_000, 2, 0.3, Idempotency.IDEMPOTENT_WITH_KEY, "zone", 400_000
+    ),
+    RequestClass(
+        "cell", 300_000, 900_000, 2, 0.3, Idempotency.IDEMPOTENT_WITH_KEY, "cell", 400_000
+    ),
     RequestClass("unsafe", 300_000, 900_000, 5, 0.2, Idempotency.NOT_IDEMPOTENT),
 )
 BY_NAME = {c.name: c for c in CLASSES}
@@ -84,7 +88,9 @@
             request = self.open.get(a.request_id)
             assert request is not None, "sent after the end"
             assert self.now < request["by"], "sent after the client's time"
-            assert a.server in self.told, "sent to a server that drains, is gone or was never listed"
+            assert a.server in self.told, (
+                "sent to a server that drains, is gone or was never listed"
+            )
             assert 0 < a.timeout <= request["by"] - self.now
             earlier = self.attempts[a.request_id]
             assert len(earlier) < self.settings.max_attempts
@@ -93,7 +99,9 @@
             klass = request["klass"]
             ran = [e for e in earlier if e["result"] not in NEVER_RAN]
             if ran and klass.idempotency != Idempotency.IDEMPOTENT:
-                assert klass.idempotency == Idempotency.IDEMPOTENT_WITH_KEY, "an unsafe request was repeated"
+                assert klass.idempotency == Idempotency.IDEMPOTENT_WITH_KEY, (
+                    "an unsafe request was repeated"
+                )
                 here, there = self.servers[a.server], ran[0]["entry"]
                 assert klass.dedup_scope == "all" or getattr(here, klass.dedup_scope) == getattr(
                     there, klass.dedup_scope
@@ -197,7 +205,9 @@
         if result == AttemptResult.OK and not over:
             over = True
             del self.open[request]
-        self.feed(AttemptEnded(request, number, server, result, self.rng.randrange(1, 90_000), over))
+        self.feed(
+            AttemptEnded(request, number, server, result, self.rng.randrange(1, 90_000), over)
+        )
 
 
 OPTIONS = st.fixed_dictionaries(
@@ -214,7 +224,9 @@
 )
 
 
-@settings(max_examples=150, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
+@settings(
+    max_examples=150, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+)
 @given(seed=st.integers(0, 2**32), options=OPTIONS)
 def test_rules_hold_on_any_legal_day(seed, options):
     world = World(seed, options)
@@ -230,8 +242,12 @@
     "options",
     [
         pytest.param({"classes": only(Idempotency.IDEMPOTENT)}, id="one class"),
-        pytest.param({"classes": only(Idempotency.NOT_IDEMPOTENT), "max_attempts": 1}, id="one attempt"),
-        pytest.param({"classes": only(Idempotency.IDEMPOTENT, 100_000, 300_000)}, id="deadline of 0.3 s"),
+        pytest.param(
+            {"classes": only(Idempotency.NOT_IDEMPOTENT), "max_attempts": 1}, id="one attempt"
+        ),
+        pytest.param(
+            {"classes": only(Idempotency.IDEMPOTENT, 100_000, 300_000)}, id="deadline of 0.3 s"
+        ),
         pytest.param(
             {"classes": only(Idempotency.IDEMPOTENT_WITH_KEY, window=120_000)},
             id="a window below a second",
@@ -241,12 +257,18 @@
             id="a window of a tick",
         ),
         pytest.param({"classes": only(Idempotency.IDEMPOTENT, worth=0.0)}, id="worth nothing"),
-        pytest.param({"classes": only(Idempotency.IDEMPOTENT, 30 * SECOND, 60 * SECOND)}, id="a minute"),
+        pytest.param(
+            {"classes": only(Idempotency.IDEMPOTENT, 30 * SECOND, 60 * SECOND)}, id="a minute"
+        ),
         pytest.param({"tenants": ()}, id="no tenants, though requests name some"),
         pytest.param({"tenants": tuple(Tenant(f"t{i}", 0.0) for i in range(40))}, id="no quotas"),
-        pytest.param({"zone": "north", "zones": ("north",), "prices": Prices(cross_zone=1.0)}, id="one zone"),
+        pytest.param(
+            {"zone": "north", "zones": ("north",), "prices": Prices(cross_zone=1.0)}, id="one zone"
+        ),
         pytest.param({"prices": Prices(), "over_quota_weight": 0.0}, id="prices of zero"),
-        pytest.param({"slow_start_window": 0, "slow_start_minimum": 1.0, "drain_grace": 0}, id="never cold"),
+        pytest.param(
+            {"slow_start_window": 0, "slow_start_minimum": 1.0, "drain_grace": 0}, id="never cold"
+        ),
         pytest.param({"poll_interval": 1000, "poll_discovery": True}, id="asked all the time"),
         pytest.param({"replica_count": 192}, id="many copies"),
     ],
@@ -260,7 +282,9 @@
 
 def test_the_same_events_give_the_same_actions():
     def play() -> list[object]:
-        world = World(77, {"hedging_allowed": True, "cancellation_allowed": True, "replica_count": 3})
+        world = World(
+            77, {"hedging_allowed": True, "cancellation_allowed": True, "replica_count": 3}
+        )
         for _ in range(800):
             world.step()
         return world.log
--- a/tests/policy/test_server_selection.py
+++ b/tests/policy/test_server_selection.py
@@ -65,7 +65,9 @@
     used = Driver(entries=entries, weight_source=WeightSource.NOMINAL).serve(600)
     large = sum(u in ("s0", "s1", "s2") for u in used)
     assert 1.3 < large / (len(used) - large) < 2.7
-    used = Driver(entries=[*entries, Endpoint("odd", weight=0.0)]).serve(700)  # sizes mean nothing here
+    used = Driver(entries=[*entries, Endpoint("odd", weight=0.0)]).serve(
+        700
+    )  # sizes mean nothing here
     assert 250 < sum(u in ("s0", "s1", "s2") for u in used) < 350
     assert (
         Driver(entries=[Endpoint("odd", weight=0.0)], weight_source=WeightSource.NOMINAL).serve(5)
@@ -92,13 +94,19 @@
         for send in [a for a in d.ask() if isinstance(a, SendAttempt)]:
             far += not send.server.startswith("a")
             report = {"queued": 9.0 if send.server.startswith("a") else 0.0}
-            d.feed(AttemptEnded(send.request_id, 0, send.server, AttemptResult.OK, 20_000, True, report))
+            d.feed(
+                AttemptEnded(
+                    send.request_id, 0, send.server, AttemptResult.OK, 20_000, True, report
+                )
+            )
     assert far > 60
 
 
 def test_a_zone_that_no_server_is_in_changes_nothing():
     entries = [Endpoint(f"s{i}", zone="elsewhere") for i in range(4)]
-    d = Driver(entries=entries, zone="here", zones=("here", "there"), prices=Prices(cross_zone=0.04))
+    d = Driver(
+        entries=entries, zone="here", zones=("here", "there"), prices=Prices(cross_zone=0.04)
+    )
     assert len(set(d.serve(200))) == 4
 
 
@@ -115,7 +123,11 @@
         d.feed(AttemptEnded(request, number, "s0", AttemptResult.OK, 50_000, True))
         assert attempt.result == AttemptResult.OK
     slow.slowness, slow.slowness_at = 6.0, d.now
-    assert len(slow.in_flight) == 1 < min(len(s.in_flight) for s in d.b.servers.values() if s is not slow)
+    assert (
+        len(slow.in_flight)
+        == 1
+        < min(len(s.in_flight) for s in d.b.servers.values() if s is not slow)
+    )
     sent = [a for _ in range(4) for a in d.ask() if isinstance(a, SendAttempt)]
     assert len(sent) == 4
     assert all(a.server != "s0" for a in sent)
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -36,7 +36,9 @@
     d = Driver(classes=(READ, PAY), max_attempts=3)
     [send] = [a for a in d.ask("read") if isinstance(a, SendAttempt)]
     other = (
-        PAY if gone else RequestClass("read", 1_000_000, 4_000_000, idempotency=Idempotency.NOT_IDEMPOTENT)
+        PAY
+        if gone
+        else RequestClass("read", 1_000_000, 4_000_000, idempotency=Idempotency.NOT_IDEMPOTENT)
     )
     change(d, classes=(other,), max_attempts=3)
     for _ in range(40):  # firsts that the retry budget counts
@@ -51,7 +53,9 @@
     d = Driver(classes=(READ, PAY), max_attempts=3)
     change(
         d,
-        classes=(RequestClass("read", 1_000_000, 4_000_000, idempotency=Idempotency.NOT_IDEMPOTENT),),
+        classes=(
+            RequestClass("read", 1_000_000, 4_000_000, idempotency=Idempotency.NOT_IDEMPOTENT),
+        ),
         max_attempts=3,
     )
     [send] = [a for a in d.ask("read") if isinstance(a, SendAttempt)]
--- a/tests/policy/test_streamed.py
+++ b/tests/policy/test_streamed.py
@@ -12,7 +12,9 @@
 
 def begin(d: Driver, number: int = 1000) -> SendAttempt:
     [send] = [
-        a for a in d.feed(RequestReceived(number, "read", LEFT, streamed=True)) if isinstance(a, SendAttempt)
+        a
+        for a in d.feed(RequestReceived(number, "read", LEFT, streamed=True))
+        if isinstance(a, SendAttempt)
     ]
     return send
 
--- a/tests/policy/test_structures.py
+++ b/tests/policy/test_structures.py
@@ -73,7 +73,9 @@
         self.live: dict[int, str] = {}
         self.set: list[tuple[int, int]] = []
         self.expired: list[str] = []
-        self.queue = Timers(min_delay, self.live, lambda *timer: self.set.append(timer), self.expired.append)
+        self.queue = Timers(
+            min_delay, self.live, lambda *timer: self.set.append(timer), self.expired.append
+        )
 
 
 def test_one_timer_is_out_for_the_earliest_and_a_replaced_one_does_nothing():
--- a/tests/policy/test_versions.py
+++ b/tests/policy/test_versions.py
@@ -13,7 +13,9 @@
 
 
 def driver(*names: str, **options) -> Driver:
-    return Driver(entries=[Endpoint(n, address=n) for n in names], pin_endpoint_list=True, **options)
+    return Driver(
+        entries=[Endpoint(n, address=n) for n in names], pin_endpoint_list=True, **options
+    )
 
 
 def ask(d: Driver) -> SendAttempt:
@@ -32,7 +34,9 @@
         d = driver("a", "b", seed=seed)
         d.serve(30)
         first = ask(d)
-        d.feed(EndpointListReceived([Endpoint(n, address=n) for n in ("c", "d", "e")], complete=False))
+        d.feed(
+            EndpointListReceived([Endpoint(n, address=n) for n in ("c", "d", "e")], complete=False)
+        )
         assert {s.server for s in retries(d, first)} <= {"a", "b"}
 
 
@@ -72,11 +76,13 @@
     d.serve(30)
     first = ask(d)
     assert not [
-        a for a in d.feed(EndpointListReceived([Endpoint("c", address="c")])) if isinstance(a, RejectRequest)
-    ]
-    assert [a.request_id for a in d.end(first, AttemptResult.ERROR) if isinstance(a, RejectRequest)] == [
-        first.request_id
+        a
+        for a in d.feed(EndpointListReceived([Endpoint("c", address="c")]))
+        if isinstance(a, RejectRequest)
     ]
+    assert [
+        a.request_id for a in d.end(first, AttemptResult.ERROR) if isinstance(a, RejectRequest)
+    ] == [first.request_id]
 
 
 def test_what_has_no_attempt_yet_goes_by_the_newest_list():
--- a/tests/pool_bench.py
+++ b/tests/pool_bench.py
@@ -19,7 +19,9 @@
 class PoolBench:
     """A pool with one server, and attempts whose ends can be awaited."""
 
-    def __init__(self, port: int, connect_timeout: int = LONG, idle: int = LONG, most: int = 8) -> None:
+    def __init__(
+        self, port: int, connect_timeout: int = LONG, idle: int = LONG, most: int = 8
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.clock = Clock(self.loop)
         self.pool = ConnectionPool(self.loop, self.clock, connect_timeout, idle, most)
--- a/tests/process/test_supervisor.py
+++ b/tests/process/test_supervisor.py
@@ -39,7 +39,12 @@
         assert supervisor.tick(wake.at - 1) == []
         now = wake.at
         assert types_without_timers(supervisor.tick(now)) == [Start]
-    assert waits == [FIRST_BACKOFF_US, 2 * FIRST_BACKOFF_US, 4 * FIRST_BACKOFF_US, 8 * FIRST_BACKOFF_US]
+    assert waits == [
+        FIRST_BACKOFF_US,
+        2 * FIRST_BACKOFF_US,
+        4 * FIRST_BACKOFF_US,
+        8 * FIRST_BACKOFF_US,
+    ]
     assert not supervisor.is_crash_looping
 
 
@@ -157,7 +162,9 @@
 
     @invariant()
     def the_state_agrees_with_the_process(self):
-        assert self.alive == (self.supervisor.state in (State.STARTING, State.RUNNING, State.STOPPING))
+        assert self.alive == (
+            self.supervisor.state in (State.STARTING, State.RUNNING, State.STOPPING)
+        )
 
     def teardown(self):
         """What is wanted comes about, if the process lets it."""
--- a/tests/rollout/killed_tool.py
+++ b/tests/rollout/killed_tool.py
@@ -55,7 +55,9 @@
         assert not unseen
         waves = plan_waves(targets, WaveOptions(canary=1, shares=(1.0,), max_unavailable=2))
         record = RolloutRecord(waves, max_unavailable=2, auto_rollback=False)
-        entry = JournalEntry(held.token, "admin", 0.0, 0.0, "", ReplaceFiles(files_with_aim(aim)), record)
+        entry = JournalEntry(
+            held.token, "admin", 0.0, 0.0, "", ReplaceFiles(files_with_aim(aim)), record
+        )
         journal.add(entry)
     coordinator = Coordinator(operator, journal, entry, held, QUICK)
     await coordinator.run()
@@ -65,4 +67,6 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(main(Path(sys.argv[1]), sys.argv[2], int(sys.argv[3]), int(sys.argv[4]), sys.argv[5]))
+    asyncio.run(
+        main(Path(sys.argv[1]), sys.argv[2], int(sys.argv[3]), int(sys.argv[4]), sys.argv[5])
+    )
--- a/tests/rollout/process_fleet.py
+++ b/tests/rollout/process_fleet.py
@@ -51,7 +51,9 @@
         pki.create_authority(self.fleet_folder, "f")
         for name in operators:
             identity = Identity("f", IdentityKind.OPERATOR, name, Role.WRITE)
-            pki.issue_certificate(self.fleet_folder, identity, self.fleet_folder / "operators" / name)
+            pki.issue_certificate(
+                self.fleet_folder, identity, self.fleet_folder / "operators" / name
+            )
         addresses = {f"h{i}": ("127.0.0.1", port) for i, port in enumerate(free_ports(hosts))}
         write_inventory(self.fleet_folder, Inventory("f", addresses))
         for number, (agent, (_, port)) in enumerate(addresses.items()):
@@ -82,7 +84,9 @@
     def _start(self, agent: str) -> None:
         command = [*OAKBRIDGE, "agent", "--config", str(self.folder / f"{agent}.toml")]
         with (self.folder / f"{agent}.log").open("ab") as log:
-            self.agents[agent] = subprocess.Popen(command, env=self.environment, stdout=log, stderr=log)
+            self.agents[agent] = subprocess.Popen(
+                command, env=self.environment, stdout=log, stderr=log
+            )
 
     def write_files(self, name: str, files: dict[str, str]) -> str:
         """Write the files of a change to a folder of this name; return its path."""
--- a/tests/rollout/simulated_fleet.py
+++ b/tests/rollout/simulated_fleet.py
@@ -39,7 +39,9 @@
     A frozen agent reads its messages after it has thawed.
     """
 
-    def __init__(self, seed: int = 0, lose: float = 0.0, double: float = 0.0, delay_s: float = 0.0) -> None:
+    def __init__(
+        self, seed: int = 0, lose: float = 0.0, double: float = 0.0, delay_s: float = 0.0
+    ) -> None:
         self.draw = random.Random(seed)
         self.lose, self.double, self.delay_s = lose, double, delay_s
         self.frozen: dict[str, asyncio.Event] = {}
--- a/tests/rollout/test_doctor.py
+++ b/tests/rollout/test_doctor.py
@@ -46,10 +46,28 @@
     ("instance", "members", "agents", "severity", "says"),
     [
         ({}, [], None, Severity.BAD, "do not know it"),
-        ({}, [member("h/n", "failed", by="x")], None, Severity.BAD, "call it failed by the word of x"),
-        ({}, [member("h/n", address="10.0.0.2:1")], None, Severity.NOTE, "members know it at 10.0.0.2:1"),
+        (
+            {},
+            [member("h/n", "failed", by="x")],
+            None,
+            Severity.BAD,
+            "call it failed by the word of x",
+        ),
+        (
+            {},
+            [member("h/n", address="10.0.0.2:1")],
+            None,
+            Severity.NOTE,
+            "members know it at 10.0.0.2:1",
+        ),
         ({}, [member("h/n"), member("stray")], None, Severity.NOTE, "no agent of the inventory"),
-        ({}, [member("h/n"), member("g/n")], {"g": "no route"}, Severity.NOTE, "its agent does not answer"),
+        (
+            {},
+            [member("h/n"), member("g/n")],
+            {"g": "no route"},
+            Severity.NOTE,
+            "its agent does not answer",
+        ),
         ({}, [member("h/n")], None, "", ""),
         ({}, [member("h/n"), member("old", "left")], None, "", ""),
         ({"member": ""}, [member("h/n", "failed")], None, "", ""),
@@ -71,7 +89,9 @@
 def test_an_instance_has_an_address_among_members(tmp_path):
     lines = 'name="h"\nfleet="f"\nlisten="127.0.0.1:1"\nstate="s"\nauthority="a"\ncertificate="c"\n'
     path = tmp_path / "agent.toml"
-    path.write_text(lines + '[[instance]]\nname="n"\nlisten=["127.0.0.1:2"]\nmember="127.0.0.1:3"\n')
+    path.write_text(
+        lines + '[[instance]]\nname="n"\nlisten=["127.0.0.1:2"]\nmember="127.0.0.1:3"\n'
+    )
     assert [(i.name, i.member) for i in read_agent_config(path).instances] == [("n", "127.0.0.1:3")]
     path.write_text(lines + '[[instance]]\nname="n"\nlisten=["127.0.0.1:2"]\nmember="here"\n')
     with pytest.raises(AgentConfigError, match=r"instance\[0\].member: expected"):
--- a/tests/rollout/test_frozen_hosts.py
+++ b/tests/rollout/test_frozen_hosts.py
@@ -71,7 +71,9 @@
         '[servers]\nfile = "servers.toml"\n\n[[class]]\nname = "look"\n'
         f'aim = "{aim}"\ndeadline = "20s"\nrepeat = "safe"\n'
     )
-    listed = "".join(f'[[server]]\nname = "s{port}"\naddress = "127.0.0.1:{port}"\n' for port in servers)
+    listed = "".join(
+        f'[[server]]\nname = "s{port}"\naddress = "127.0.0.1:{port}"\n' for port in servers
+    )
     return {"oakbridge.toml": config, "servers.toml": listed}
 
 
@@ -117,7 +119,7 @@
 
     async def wait_until_seen(self) -> None:
         async with asyncio.timeout(4 * LIMIT):
-            while await self.count_seen() < INSTANCES:  # noqa: ASYNC110 - no event to wait for
+            while await self.count_seen() < INSTANCES:
                 await asyncio.sleep(0.2)
 
     async def wait_until_one_runs(self, aim: str) -> None:
@@ -195,7 +197,9 @@
         load.stopped = True
         await loading
         assert (await fleet.call("doctor"))[0] in (0, 1)
-        lost = {name: count for name, count in load.lost.items() if count and name not in frozen.nodes}
+        lost = {
+            name: count for name, count in load.lost.items() if count and name not in frozen.nodes
+        }
         assert not lost
         assert sum(load.answered.values()) > 20 * INSTANCES
     finally:
--- a/tests/rollout/test_killed_tool.py
+++ b/tests/rollout/test_killed_tool.py
@@ -46,11 +46,15 @@
     servers: dict[str, AgentServer] = {}
     for name, agent in fleet.agents.items():
         certificate = folder / "agents" / name
-        pki.issue_certificate(folder, Identity("f", IdentityKind.AGENT, name, Role.READ), certificate)
+        pki.issue_certificate(
+            folder, Identity("f", IdentityKind.AGENT, name, Role.READ), certificate
+        )
         tls = pki.tls_context(folder / "ca.crt", certificate, server=True)
         servers[name] = AgentServer(tls, "f", OperatorApi(agent).handle)
         await servers[name].start(("127.0.0.1", 0))
-    write_inventory(folder, Inventory("f", {name: server.address for name, server in servers.items()}))
+    write_inventory(
+        folder, Inventory("f", {name: server.address for name, server in servers.items()})
+    )
     try:
         yield
     finally:
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -18,7 +18,9 @@
     return tuple(Target("h", name) for name in names)
 
 
-def machine_for(*waves: str, max_unavailable: int = 2, auto_rollback: bool = False) -> RolloutMachine:
+def machine_for(
+    *waves: str, max_unavailable: int = 2, auto_rollback: bool = False
+) -> RolloutMachine:
     """Return the machine of a new rollout; each wave has an instance for each letter."""
     record = RolloutRecord(tuple(map(targets, waves)), max_unavailable, auto_rollback)
     return RolloutMachine(record)
@@ -41,7 +43,9 @@
 
 def outcomes(machine: RolloutMachine) -> str:
     """Return the outcome of each instance, in one line."""
-    return " ".join(f"{name[2:]}:{status.outcome.value}" for name, status in machine.statuses().items())
+    return " ".join(
+        f"{name[2:]}:{status.outcome.value}" for name, status in machine.statuses().items()
+    )
 
 
 def test_wave_by_wave_with_a_gate_after_each():
@@ -70,7 +74,9 @@
     machine = machine_for("a", "b", auto_rollback=True)
     machine.start()
     apply(machine, "a")
-    assert [a.target.instance for a in machine.on_gate_result(FAIL) if isinstance(a, RollBack)] == ["a"]
+    assert [a.target.instance for a in machine.on_gate_result(FAIL) if isinstance(a, RollBack)] == [
+        "a"
+    ]
     assert kinds(machine.on_rolled_back("h/a")) == [Finish]
     assert outcomes(machine) == "a:undone b:not reached"
     assert machine.record.phase is Phase.ROLLED_BACK
@@ -273,10 +279,14 @@
         statuses = self.machine.statuses().items()
         # One that took its step is not under way, also if it falls silent while it is to be taken
         # back: a rollout that undoes itself asks all of them at once, as each runs what is to go.
-        self.applied |= {name for name, status in statuses if status.outcome is InstanceOutcome.APPLIED}
+        self.applied |= {
+            name for name, status in statuses if status.outcome is InstanceOutcome.APPLIED
+        }
         # Resumed, it asks them once more for an end that it has heard before.
         unavailable = [
-            name for name, status in statuses if status.outcome in UNAVAILABLE and name not in self.applied
+            name
+            for name, status in statuses
+            if status.outcome in UNAVAILABLE and name not in self.applied
         ]
         assert len(unavailable) <= self.disk.max_unavailable
 
--- a/tests/rollout/test_plan.py
+++ b/tests/rollout/test_plan.py
@@ -43,7 +43,9 @@
     assert sorted(flat) == sorted(targets)
     assert all(waves)
     assert (
-        plan_waves(list(reversed(targets)), WaveOptions(canary, (*sorted(shares), 1.0), by_zone=by_zone))
+        plan_waves(
+            list(reversed(targets)), WaveOptions(canary, (*sorted(shares), 1.0), by_zone=by_zone)
+        )
         == waves
     )
 
@@ -57,7 +59,10 @@
         (lambda: WaveOptions(shares=(0.5, 0.4, 1.0)), "shares"),
         (lambda: WaveOptions(shares=(0.5,)), "end at 1"),
         (lambda: plan_waves([], WaveOptions()), "at least one"),
-        (lambda: plan_waves([Target("a", "b"), Target("a", "b", "z")], WaveOptions()), "each instance once"),
+        (
+            lambda: plan_waves([Target("a", "b"), Target("a", "b", "z")], WaveOptions()),
+            "each instance once",
+        ),
     ],
 )
 def test_a_plan_that_can_not_be_made_is_named(made, says):
--- a/tests/rollout/test_protocol.py
+++ b/tests/rollout/test_protocol.py
@@ -96,7 +96,11 @@
         r = self.record
         step = None if r.step is None else {"id": r.step.step_id}
         outcomes = [[o.step_id, o.verdict.value, o.reason] for o in r.outcomes]
-        return {"generation": r.current.number, "step": step, "outcomes": outcomes}, self.lease.record.token
+        return {
+            "generation": r.current.number,
+            "step": step,
+            "outcomes": outcomes,
+        }, self.lease.record.token
 
 
 @dataclass
@@ -123,7 +127,11 @@
 
     def __init__(self):
         super().__init__()
-        self.now, self.agents, self.tools = 0, {h: Agent() for h in HOSTS}, {"kari": Tool(), "ola": Tool()}
+        self.now, self.agents, self.tools = (
+            0,
+            {h: Agent() for h in HOSTS},
+            {"kari": Tool(), "ola": Tool()},
+        )
         self.in_transit = []  # messages, either way
 
     # ---- tools
@@ -168,7 +176,11 @@
     def done_with_it(self, who):
         """Its rollout is over: it gives the lease back, and may begin another one."""
         tool = self.tools[who]
-        if tool.machine and tool.machine.record.phase in (Phase.DONE, Phase.HALTED, Phase.ROLLED_BACK):
+        if tool.machine and tool.machine.record.phase in (
+            Phase.DONE,
+            Phase.HALTED,
+            Phase.ROLLED_BACK,
+        ):
             self.in_transit += [("release", who, host, tool.token) for host in HOSTS]
             self.tools[who] = Tool()
 
@@ -205,7 +217,11 @@
         make = step_report.rollback_step_id if is_rollback else step_report.step_id
         number, base = (tool.token, tool.rollout) if is_rollback else (tool.rollout, target.base)
         step = Step(
-            make(tool.rollout, f"{target.agent}-n"), tool.token, Generation(number, f"{number}"), base, S
+            make(tool.rollout, f"{target.agent}-n"),
+            tool.token,
+            Generation(number, f"{number}"),
+            base,
+            S,
         )
         self.in_transit.append(("step", who, target.agent, step))
 
@@ -256,7 +272,9 @@
 
     @precondition(lambda self: self.in_transit)
     @rule(
-        picks=st.lists(st.tuples(st.integers(0, 40), st.sampled_from(DELIVERIES)), min_size=1, max_size=8),
+        picks=st.lists(
+            st.tuples(st.integers(0, 40), st.sampled_from(DELIVERIES)), min_size=1, max_size=8
+        ),
         bad=st.sampled_from([0, 0, 0, 0, 1]),
     )
     def deliver(self, picks, bad):
@@ -264,7 +282,9 @@
         for place, delivery in picks:
             if self.in_transit:
                 place %= len(self.in_transit)
-                message = self.in_transit[place] if delivery == "twice" else self.in_transit.pop(place)
+                message = (
+                    self.in_transit[place] if delivery == "twice" else self.in_transit.pop(place)
+                )
                 if delivery != "lost":
                     self.arrive(*message, "the checker says no" if bad else "")
 
@@ -273,7 +293,9 @@
     def a_burst_arrives(self, newest):
         """Deliver what was sent last, or first, at once and in order."""
         burst = self.in_transit[-len(HOSTS) :] if newest else self.in_transit[: len(HOSTS)]
-        self.in_transit = self.in_transit[: -len(HOSTS)] if newest else self.in_transit[len(HOSTS) :]
+        self.in_transit = (
+            self.in_transit[: -len(HOSTS)] if newest else self.in_transit[len(HOSTS) :]
+        )
         for message in burst:
             self.arrive(*message)
 
@@ -380,7 +402,11 @@
         if how == "killed":
             agent.restart(self.now)
         else:
-            react = agent.machine.on_ready(self.now) if how == "ready" else agent.machine.on_failed("exit 1")
+            react = (
+                agent.machine.on_ready(self.now)
+                if how == "ready"
+                else agent.machine.on_failed("exit 1")
+            )
             agent.carry(self.now, react)
 
     @rule(by=st.sampled_from([1, 2, 20, 70]))
@@ -468,14 +494,18 @@
                 ):
                     break
             rows = self.tools[who].machine.statuses().values()
-            assert not any(row.outcome is InstanceOutcome.IN_PROGRESS for row in rows), self.tell(who)
+            assert not any(row.outcome is InstanceOutcome.IN_PROGRESS for row in rows), self.tell(
+                who
+            )
             self.done_with_it(who)
             self.settle()
             last = self.tools[who]
             assert last.machine is None, self.tell(who)
 
     def tell(self, who):
-        return self.tools[who], {h: (a.lease.record, a.record, a.steps) for h, a in self.agents.items()}
+        return self.tools[who], {
+            h: (a.lease.record, a.record, a.steps) for h, a in self.agents.items()
+        }
 
     def settle(self):
         """All that is under way arrives, and what begins has its end."""
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -110,7 +110,9 @@
 
 def test_two_operators_at_once_have_one_winner(fleet):
     first = fleet.start_command("apply", "--files", fleet.change("2s"), "--json", *QUICK)
-    fleet.wait_until(lambda: json.loads(fleet.call("history", "--json")[1])[0]["stage"] == "running")
+    fleet.wait_until(
+        lambda: json.loads(fleet.call("history", "--json")[1])[0]["stage"] == "running"
+    )
     code, _, err = fleet.call("apply", "--files", fleet.change("3s"), "--as", "ola", *QUICK)
     assert code == 1
     assert "admin has the lease since" in err
--- a/tests/rollout/test_simulated_fleet.py
+++ b/tests/rollout/test_simulated_fleet.py
@@ -35,7 +35,9 @@
             assert set(fleet.running_aims().values()) == {"2s"}
             assert "max_open = 77" in text
             assert 'name = "look"' in text
-            assert (await fleet.roll_out(ReplaceServerFile('[[server]]\nname = "b"\n'))).machine.is_complete()
+            assert (
+                await fleet.roll_out(ReplaceServerFile('[[server]]\nname = "b"\n'))
+            ).machine.is_complete()
             assert '"b"' in fleet.files("h0/n0")["s.toml"]
             assert set(fleet.running_aims().values()) == {"2s"}
             # One host drains; a change meanwhile leaves it drained, and brings it along.
@@ -72,13 +74,17 @@
         ("serves 0.999", {"rate": 20_000}, {"took it": 6}, ""),
     ],
 )
-def test_harm_is_halted_where_it_shows_and_undone_everywhere(tmp_path, monkeypatch, plays, setup, ends, says):
+def test_harm_is_halted_where_it_shows_and_undone_everywhere(
+    tmp_path, monkeypatch, plays, setup, ends, says
+):
     """At the canary, or at half where only some hosts suffer; by crashes or the share served."""
 
     async def test():
         async with SimulatedFleet(tmp_path, 6, **setup) as fleet:
             await fleet.roll_out_first()
-            if plays == "mute":  # the only one that has to run out of this time; the others must not
+            if (
+                plays == "mute"
+            ):  # the only one that has to run out of this time; the others must not
                 monkeypatch.setattr("oakbridge.agent.state_machine.READY_TIMEOUT_US", 2_000_000)
             options = RolloutOptions(watch_s=0.3, window_s=0.6, silence_timeout_s=20.0)
             waves = WaveOptions(canary=1, shares=(0.5, 1.0), max_unavailable=1)
@@ -89,7 +95,9 @@
             assert {outcome: told.count(outcome) for outcome in told} == ends
             assert says in done.machine.record.reason
             await until(
-                lambda: set(fleet.running_aims().values()) == ({"2s"} if "took it" in ends else {"1s"})
+                lambda: (
+                    set(fleet.running_aims().values()) == ({"2s"} if "took it" in ends else {"1s"})
+                )
             )
 
     run(test())
@@ -148,7 +156,9 @@
             for number in itertools.count():
                 try:
                     held = await fleet.roll_out(
-                        ReplaceFiles(files_with_aim(f"{number}s")), operator=operator, options=options
+                        ReplaceFiles(files_with_aim(f"{number}s")),
+                        operator=operator,
+                        options=options,
                     )
                 except PlanError:  # nobody was heard in time when the waves were to be made
                     continue
@@ -162,7 +172,9 @@
                 if held.machine.is_complete():
                     running = fleet.running_aims()
                     assert {running[name] for name in outcomes(held)} == {f"{number}s"}
-                    if len(outcomes(held)) == len(running):  # nobody was overheard when the waves were made
+                    if len(outcomes(held)) == len(
+                        running
+                    ):  # nobody was overheard when the waves were made
                         return
 
     run(asyncio.wait_for(_all(test(seed) for seed in range(8)), 4 * LIMIT), 5 * LIMIT)
@@ -196,10 +208,16 @@
 
             aims = {"kari": "1s", "ola": "2s"}
             done = dict(
-                zip(aims, await asyncio.gather(*(roll_out(*pair) for pair in aims.items())), strict=True)
+                zip(
+                    aims,
+                    await asyncio.gather(*(roll_out(*pair) for pair in aims.items())),
+                    strict=True,
+                )
             )
             winners = [name for name, coordinator in done.items() if coordinator is not None]
-            rollouts = [coordinator.rollout for coordinator in done.values() if coordinator is not None]
+            rollouts = [
+                coordinator.rollout for coordinator in done.values() if coordinator is not None
+            ]
             assert winners
             assert len(set(rollouts)) == len(rollouts)
             # Where both won, the second asked after the first was done: both stand whole, one after
@@ -251,7 +269,9 @@
 
             async def change(_coordinator):
                 fleet.agents["h2"].instances.pop("n0").stop()
-                fleet.agents["h0"].add_instance("n9", ["127.0.0.1:1"], fleet.folder / "h0" / "n9.sock")
+                fleet.agents["h0"].add_instance(
+                    "n9", ["127.0.0.1:1"], fleet.folder / "h0" / "n9.sock"
+                )
                 fleet.agents["h0"].start_instance("n9")
 
             done = await fleet.roll_out(
@@ -277,7 +297,9 @@
 
             async def take(_coordinator):
                 await asyncio.sleep(0.1)
-                await fleet.operator("kari").acquire_lease(60.0)  # the same holder, from another tool
+                await fleet.operator("kari").acquire_lease(
+                    60.0
+                )  # the same holder, from another tool
 
             done = await fleet.roll_out(
                 ReplaceFiles(files_with_aim("2s")),
--- a/tests/simhost/test_adapter.py
+++ b/tests/simhost/test_adapter.py
@@ -43,7 +43,14 @@
 UPDATE = {"msg": "update", "node-id": 1, "mode": "warm_copy", "roster-id": 2, "index": 1}
 KNOCK = {"msg": "knock", "node-id": 1, "op-id": 9, "category": "read", "patience-left": 4000000}
 
-DONE = {"msg": "done", "node-id": 1, "op-id": 9, "server": "server.a", "disposition": 10, "latency": 7}
+DONE = {
+    "msg": "done",
+    "node-id": 1,
+    "op-id": 9,
+    "server": "server.a",
+    "disposition": 10,
+    "latency": 7,
+}
 
 
 def run(*messages):
@@ -63,7 +70,9 @@
         "disposition": 20,
         "latency": 7,
     }
-    code, got, err = run(SYNC, SPAWN, PAGE, UPDATE, KNOCK, END, {"msg": "sync", "ts": 90}, done, END)
+    code, got, err = run(
+        SYNC, SPAWN, PAGE, UPDATE, KNOCK, END, {"msg": "sync", "ts": 90}, done, END
+    )
     assert (code, err) == (0, "")
     assert {"msg": "yield"} in got
     sends = [m for m in got if m["msg"] == "transmit"]
@@ -84,7 +93,10 @@
         ({"msg": "riddle", "node-id": 1}, "unknown message 'riddle'"),
         ({**KNOCK, "node-id": 8}, "instance 8 was never started"),
         ({**UPDATE, "roster-id": 7}, "list 7 was never given"),
-        ({**UPDATE, "mode": "odd"}, "update: mode: expected incr, total, warm_copy or lost, got 'odd'"),
+        (
+            {**UPDATE, "mode": "odd"},
+            "update: mode: expected incr, total, warm_copy or lost, got 'odd'",
+        ),
         ({**UPDATE, "roster-id": None}, "update: roster-id: list None was never given"),
         ({"msg": "knock", "node-id": 1, "op-id": 9}, "knock: category: missing, expected a string"),
         ({**KNOCK, "op-id": "9"}, "knock: op-id: expected a whole number, got '9'"),
@@ -95,13 +107,25 @@
         ({"msg": "sync", "ts": 1.5}, "sync: ts: expected a whole number, got 1.5"),
         ({"msg": "reminder", "node-id": 1}, "reminder: label: missing, expected a whole number"),
         ({"msg": "killed", "node-id": 9}, "killed: node-id: instance 9 was never started"),
-        ({"msg": "from-peer", "node-id": 1, "by": 2}, "from-peer: data: missing, expected a string"),
-        ({"msg": "spawn", "node-id": 1, "random-seed": 1}, "spawn: settings: missing, expected an object"),
+        (
+            {"msg": "from-peer", "node-id": 1, "by": 2},
+            "from-peer: data: missing, expected a string",
+        ),
+        (
+            {"msg": "spawn", "node-id": 1, "random-seed": 1},
+            "spawn: settings: missing, expected an object",
+        ),
         ({"msg": "sampled", "node-id": 1, "server": "a"}, "sampled: disposition: missing"),
         ({**DONE, "stats": 4}, "done: stats: expected a list, got 4"),
         ({**PAGE, "entries": [3]}, "page: entries[0]: expected an object, got 3"),
-        ({**PAGE, "entries": [{"server": 3}]}, "page: entries[0]: server: expected a string, got 3"),
-        ({**PAGE, "entries": [{"server": "a", "availability": "half"}]}, "page: entries[0]: availability:"),
+        (
+            {**PAGE, "entries": [{"server": 3}]},
+            "page: entries[0]: server: expected a string, got 3",
+        ),
+        (
+            {**PAGE, "entries": [{"server": "a", "availability": "half"}]},
+            "page: entries[0]: availability:",
+        ),
         ("[" * 100_000, "not JSON"),
         (
             {"msg": "done", "node-id": 1, "op-id": 1, "server": "a", "disposition": 5},
@@ -122,12 +146,18 @@
         ("classes", None, "settings.classes: missing"),
         ("instances", "3", "settings.instances: expected a whole number, got '3'"),
         ("instances", 0, "instances: expected a count of 1 or more, got 0"),
-        ("discovery", "guess", "settings.discovery: expected one of pushed, on_request, got 'guess'"),
+        (
+            "discovery",
+            "guess",
+            "settings.discovery: expected one of pushed, on_request, got 'guess'",
+        ),
         ("stage", 2, "tier: expected a number from 0 below 2, got 2"),
     ],
 )
 def test_bad_settings_are_one_message(path, value, said):
-    settings = {k: v for k, v in SETTINGS.items() if k != path} | ({path: value} if value is not None else {})
+    settings = {k: v for k, v in SETTINGS.items() if k != path} | (
+        {path: value} if value is not None else {}
+    )
     code, got, err = run(SYNC, {**SPAWN, "settings": settings}, END)
     assert code == 0 and err == ""
     assert got[0]["msg"] == "fault" and got[0]["text"].startswith(said)
@@ -236,7 +266,9 @@
     assert path.split(".")[-1] in got[0]["text"] and "expected" in got[0]["text"]
 
 
-@pytest.mark.parametrize("path", sorted({p for p, _, _ in WIRE} - {"instances", "allowed.max-attempts"}))
+@pytest.mark.parametrize(
+    "path", sorted({p for p, _, _ in WIRE} - {"instances", "allowed.max-attempts"})
+)
 def test_an_absent_setting_has_a_default(path):
     assert read_settings(put(SETTINGS, path, None))
 
@@ -248,7 +280,8 @@
 
 
 @pytest.mark.parametrize(
-    "stats", [[], [3], [3, 0.5, 9, 9], [None, None], ["x", True], [-5, 1e300], [float("nan"), float("inf")]]
+    "stats",
+    [[], [3], [3, 0.5, 9, 9], [None, None], ["x", True], [-5, 1e300], [float("nan"), float("inf")]],
 )
 def test_odd_reports_stop_nothing(stats):
     settings = put(put(SETTINGS, "report.names", ["q", "busy"]), "report.source", "inline")
@@ -271,10 +304,34 @@
 
 def test_a_request_and_a_list_entry_carry_all_that_the_wire_says(monkeypatch):
     seen = []
-    monkeypatch.setattr(choice.Balancer, "handle", lambda self, now, event: seen.append(event) or [])
-    entry = {"server": "a", "availability": "fading", "locality": "z", "bay": 3, "units": 0, "start-time": 6}
-    knock = {**KNOCK, "billing": "t", "entity": "k", "hint": 5, "is-write": True, "again-by-client": True}
-    run(SYNC, SPAWN, {**PAGE, "entries": [entry]}, UPDATE, knock, {**KNOCK, "billing": 0, "odd": 1}, END)
+    monkeypatch.setattr(
+        choice.Balancer, "handle", lambda self, now, event: seen.append(event) or []
+    )
+    entry = {
+        "server": "a",
+        "availability": "fading",
+        "locality": "z",
+        "bay": 3,
+        "units": 0,
+        "start-time": 6,
+    }
+    knock = {
+        **KNOCK,
+        "billing": "t",
+        "entity": "k",
+        "hint": 5,
+        "is-write": True,
+        "again-by-client": True,
+    }
+    run(
+        SYNC,
+        SPAWN,
+        {**PAGE, "entries": [entry]},
+        UPDATE,
+        knock,
+        {**KNOCK, "billing": 0, "odd": 1},
+        END,
+    )
     assert seen[0].endpoints == [Endpoint("a", EndpointState.DRAINING, "z", 3, 0, 6)]
     assert seen[1] == RequestReceived(9, "read", 4000000, "t", True, "k", 5, True)
     assert seen[2] == RequestReceived(9, "read", 4000000)
@@ -282,7 +339,10 @@
 
 def test_every_action_has_its_wire_form(monkeypatch):
     actions = [
-        (SendAttempt(1, 'quo"te', 5), {"msg": "transmit", "op-id": 1, "server": 'quo"te', "cap": 5}),
+        (
+            SendAttempt(1, 'quo"te', 5),
+            {"msg": "transmit", "op-id": 1, "server": 'quo"te', "cap": 5},
+        ),
         (RejectRequest(1), {"msg": "reject", "op-id": 1}),
         (RejectRequest(1, 8), {"msg": "reject", "op-id": 1, "hold-off": 8}),
         (FailRequest(1), {"msg": "surrender", "op-id": 1}),
@@ -302,7 +362,14 @@
         {"msg": "client-left", "node-id": 1, "op-id": 77},
         {**DONE, "op-id": 77},
         {**DONE, "server": "nobody"},
-        {"msg": "established", "node-id": 1, "op-id": 77, "send-no": 0, "server": "a", "latency": 1},
+        {
+            "msg": "established",
+            "node-id": 1,
+            "op-id": 77,
+            "send-no": 0,
+            "server": "a",
+            "latency": 1,
+        },
         {"msg": "sampled", "node-id": 1, "server": "nobody", "disposition": 40},
         {"msg": "from-peer", "node-id": 1, "by": 2, "data": "hi"},
         {"msg": "update", "node-id": 1, "mode": "lost", "index": 0},
--- a/tests/sites/test_balancer_zone_weights.py
+++ b/tests/sites/test_balancer_zone_weights.py
@@ -19,8 +19,12 @@
 from oakbridge.policy.view import zones
 
 SECOND_US = 1_000_000
-IDEMPOTENT = RequestClass("look", 2 * SECOND_US, 5 * SECOND_US, 1.0, idempotency=Idempotency.IDEMPOTENT)
-NOT_REPEATED = RequestClass("book", 2 * SECOND_US, 5 * SECOND_US, 5.0, idempotency=Idempotency.NOT_IDEMPOTENT)
+IDEMPOTENT = RequestClass(
+    "look", 2 * SECOND_US, 5 * SECOND_US, 1.0, idempotency=Idempotency.IDEMPOTENT
+)
+NOT_REPEATED = RequestClass(
+    "book", 2 * SECOND_US, 5 * SECOND_US, 5.0, idempotency=Idempotency.NOT_IDEMPOTENT
+)
 
 
 class BalancerDriver:
@@ -49,13 +53,17 @@
             sent = self.request(klass)
             went[sent.server[0]] += 1
             self.now += 20_000
-            self.balancer.handle(self.now, AttemptEnded(self.ids, 0, sent.server, result, 10_000, True))
+            self.balancer.handle(
+                self.now, AttemptEnded(self.ids, 0, sent.server, result, 10_000, True)
+            )
         return went
 
 
 @pytest.mark.parametrize("home", ["", "a", "c"])
 def test_a_zone_of_weight_0_gets_only_probes(home):
-    more = {"zone": home, "zones": ("a", "b", "c"), "prices": Prices(cross_zone=0.02)} if home else {}
+    more = (
+        {"zone": home, "zones": ("a", "b", "c"), "prices": Prices(cross_zone=0.02)} if home else {}
+    )
     driver = BalancerDriver(**more)
     assert driver.serve()[home or "c"]
     driver.balancer.handle(driver.now, ZoneWeights({"c": 0.0}))
@@ -120,7 +128,10 @@
         driver = BalancerDriver([Endpoint("a1", zone="a")])
         driver.serve(1, result=result)
         (found,) = zones(driver.balancer, driver.now, 4 * SECOND_US)
-        assert (found.timed_out, found.failed) == (mute, int(result == AttemptResult.CONNECT_FAILED))
+        assert (found.timed_out, found.failed) == (
+            mute,
+            int(result == AttemptResult.CONNECT_FAILED),
+        )
 
 
 @pytest.mark.parametrize(
@@ -149,7 +160,9 @@
             del sent.in_flight[number, 0]
             call.attempts[0].server = balancer.servers[server]
             balancer.servers[server].in_flight[number, 0] = call.attempts[0]
-        balancer.handle(driver.now, AttemptEnded(number, 0, server, result, 500, result == AttemptResult.OK))
+        balancer.handle(
+            driver.now, AttemptEnded(number, 0, server, result, 500, result == AttemptResult.OK)
+        )
 
     for server in ("a0", "b0", "c5"):
         end(server, AttemptResult.OK)
--- a/tests/sites/test_evidence.py
+++ b/tests/sites/test_evidence.py
@@ -15,7 +15,9 @@
     ("members", "unhealthy_fraction", "is_sufficient", "reachable_elsewhere"),
     [
         pytest.param([], 0.0, False, False, id="no members"),
-        pytest.param([member("a1", "a", failed=2)], 1.0, True, False, id="nobody else is there to ask"),
+        pytest.param(
+            [member("a1", "a", failed=2)], 1.0, True, False, id="nobody else is there to ask"
+        ),
         pytest.param(
             [member("a1", "a", failed=2), member("a2", "a", age_us=MAX_AGE_US + 1, failed=2)],
             1.0,
@@ -30,7 +32,9 @@
             False,
             id="two called nobody",
         ),
-        pytest.param([member(f"a{n}", "a", 3, 1) for n in range(4)], 0.25, True, False, id="one in four"),
+        pytest.param(
+            [member(f"a{n}", "a", 3, 1) for n in range(4)], 0.25, True, False, id="one in four"
+        ),
         pytest.param(
             [*(member(f"a{n}", "a", failed=1) for n in range(3)), member("x1", "x", responding=50)],
             1.0,
--- a/tests/sites/test_fleet_load_shedding.py
+++ b/tests/sites/test_fleet_load_shedding.py
@@ -6,7 +6,12 @@
 from example_sites import SECOND_US
 
 from oakbridge.sites import fleet_load_shedding
-from oakbridge.sites.fleet_load_shedding import FleetLoadShedding, level_of, rank_classes, rejected_at
+from oakbridge.sites.fleet_load_shedding import (
+    FleetLoadShedding,
+    level_of,
+    rank_classes,
+    rejected_at,
+)
 
 RANKS = rank_classes({"look": 1.0, "status": 2.0, "book": 5.0}, has_quotas=True)
 MIX = [0.1, 0.4, 0.3, 0.2]
--- a/tests/sites/test_sites_real_processes.py
+++ b/tests/sites/test_sites_real_processes.py
@@ -48,7 +48,9 @@
     (tmp_path / "plan.toml").write_text(PLAN)
     out = tmp_path / "out"
     result = CliRunner().invoke(cli, ["lab", "run", str(tmp_path / "plan.toml"), "--out", str(out)])
-    summary = json.loads((out / "summary.json").read_text()) if (out / "summary.json").exists() else {}
+    summary = (
+        json.loads((out / "summary.json").read_text()) if (out / "summary.json").exists() else {}
+    )
     broken = [c for c in summary.get("checks", ()) if not c["holds"]]
     assert (result.exit_code, broken) == (0, []), result.output
     told = {}
--- a/tests/sources/list_versions.py
+++ b/tests/sources/list_versions.py
@@ -9,10 +9,14 @@
 SETTLE_US = 40 * MS
 
 
-def entry(name: str, port: int = 1, state: str = EndpointState.UP, started: int = 0) -> ListedEndpoint:
+def entry(
+    name: str, port: int = 1, state: str = EndpointState.UP, started: int = 0
+) -> ListedEndpoint:
     """Return a server on the loopback address."""
     place = f"127.0.0.1:{port}"
-    return ListedEndpoint(Endpoint(name, state, started_at=started, address=place), ("127.0.0.1", port))
+    return ListedEndpoint(
+        Endpoint(name, state, started_at=started, address=place), ("127.0.0.1", port)
+    )
 
 
 def parsed(*entries: ListedEndpoint) -> ParsedServers:
@@ -25,6 +29,8 @@
     return ListVersion(number, digest, {e.server.id: e for e in entries})
 
 
-def change(base: ListVersion | None, digest: str, *entries: ListedEndpoint, now: int = 5) -> ListChange:
+def change(
+    base: ListVersion | None, digest: str, *entries: ListedEndpoint, now: int = 5
+) -> ListChange:
     """Return what a file with these servers changes."""
     return compare(base, digest, parsed(*entries), now)
--- a/tests/sources/rewritten_files.py
+++ b/tests/sources/rewritten_files.py
@@ -40,7 +40,8 @@
 def rows_of(servers: dict[str, tuple[str, int]]) -> list[dict]:
     """Return discovery's rows of servers with a state and a port each."""
     return [
-        {"name": n, "address": f"127.0.0.1:{port}", "status": state} for n, (state, port) in servers.items()
+        {"name": n, "address": f"127.0.0.1:{port}", "status": state}
+        for n, (state, port) in servers.items()
     ]
 
 
@@ -55,7 +56,9 @@
     one = rng.randrange(len(rows))
 
     def with_bad_row(**fields) -> bytes:
-        return json.dumps({"endpoints": [r | fields if i == one else r for i, r in enumerate(rows)]}).encode()
+        return json.dumps(
+            {"endpoints": [r | fields if i == one else r for i, r in enumerate(rows)]}
+        ).encode()
 
     return [
         lambda: good.encode()[: rng.randrange(1, len(good) - 3)],
@@ -72,7 +75,9 @@
         lambda: good.encode().replace(b"s0", b"\xff0"),
         lambda: json.dumps({"endpoints": [r | {"status": "draining"} for r in rows]}).encode(),
         lambda: good.encode() + b"# sha256: " + b"0" * 64 + b"\n",
-        lambda: json.dumps({"endpoints": rows[:1]}).encode(),  # valid, and takes nearly all away: it is held
+        lambda: json.dumps(
+            {"endpoints": rows[:1]}
+        ).encode(),  # valid, and takes nearly all away: it is held
     ][kind]()
 
 
@@ -85,7 +90,9 @@
     def __init__(self, folder: Path) -> None:
         self.rng = random.Random(SEED)
         self.path = folder / "servers.json"
-        self.requests: list[tuple[int, str, str]] = []  # version, server and its address, of every send
+        self.requests: list[
+            tuple[int, str, str]
+        ] = []  # version, server and its address, of every send
         self.versions: dict[int, dict[str, str]] = {}  # by the module's count: the ready servers
         self.dropped: list[tuple[str, int]] = []  # address, and when a version without it was used
         self.listed_times: list[tuple[int, set[str]]] = []  # when which addresses were listed anew
@@ -94,7 +101,9 @@
     async def __aenter__(self) -> "RewrittenFileWorld":
         loop = asyncio.get_running_loop()
         self.stand_ins: dict[str, RecordingStandIn] = {}
-        self.places: dict[str, list[int]] = {}  # a name's two addresses: it may move from one to the other
+        self.places: dict[
+            str, list[int]
+        ] = {}  # a name's two addresses: it may move from one to the other
         for i, (name, copy) in enumerate(itertools.product(NAMES, "ab")):
             errors = 0.15 if name in ("s5", "s6", "s7") else 0.0
             stand = RecordingStandIn(
@@ -114,7 +123,9 @@
         )
         warm_soon = SETTINGS["invariants"] | {"warm-up": 50_000}  # newcomers get their part at once
         settings = SETTINGS | {"discovery": "pushed", "invariants": warm_soon}
-        config = Config("n", ("127.0.0.1", 0), None, 7, 1024, None, self.pinned(read_settings(settings)))
+        config = Config(
+            "n", ("127.0.0.1", 0), None, 7, 1024, None, self.pinned(read_settings(settings))
+        )
         self.node = Node(config, loop, lambda clock: FileSource(options, clock.now))
         self.source = self.node.source
         self.record_lists_and_sends()
@@ -126,7 +137,9 @@
 
     @staticmethod
     def pinned(settings: Settings) -> Settings:
-        return Settings(**{f: getattr(settings, f) for f in settings.__slots__} | {"pin_endpoint_list": True})
+        return Settings(
+            **{f: getattr(settings, f) for f in settings.__slots__} | {"pin_endpoint_list": True}
+        )
 
     def record_lists_and_sends(self) -> None:
         listed, send = self.node.endpoints.on_endpoint_list, self.node.forwarder.send
@@ -149,7 +162,10 @@
             self.requests.append((call.list_version, action.server, server.address))
             send(action)
 
-        self.node.endpoints.on_endpoint_list, self.node.forwarder.send = recorded_list, recorded_send
+        self.node.endpoints.on_endpoint_list, self.node.forwarder.send = (
+            recorded_list,
+            recorded_send,
+        )
 
     async def record_longest_pause(self) -> None:
         """Record the longest time for which this process did not run."""
--- a/tests/sources/test_file_source.py
+++ b/tests/sources/test_file_source.py
@@ -61,11 +61,18 @@
     publish(1, one=server_tables("a"), two=server_tables("b", port=9100))
 
     async def scenario():
-        async with WatchedSource(mount, is_directory=True) as w, WatchedSource(mount / "one.toml") as single:
+        async with (
+            WatchedSource(mount, is_directory=True) as w,
+            WatchedSource(mount / "one.toml") as single,
+        ):
             await w.listener.until("a", "b")
             await single.listener.until("a")
             publish(2, one=server_tables("a", "c"), two=server_tables("d", port=9100))
-            assert await soon(w.listener.versions.get()) == {"a", "c", "d"}  # never a mix of the two
+            assert await soon(w.listener.versions.get()) == {
+                "a",
+                "c",
+                "d",
+            }  # never a mix of the two
             await single.listener.until("a", "c")
             publish(3, one=server_tables("e"), two=server_tables("f", port=9100))
             assert await soon(w.listener.versions.get()) == {"e", "f"}
@@ -154,7 +161,9 @@
         async with WatchedSource(path, settle_s=0.3, poll_interval_s=0.02) as w:
             await w.listener.until("a")
             with path.open("w") as file:
-                for part in whole.split("\n\n"):  # each part ends where a server does: valid every time
+                for part in whole.split(
+                    "\n\n"
+                ):  # each part ends where a server does: valid every time
                     file.write(part + "\n\n")
                     file.flush()
                     for _ in range(3):
--- a/tests/sources/test_list_version.py
+++ b/tests/sources/test_list_version.py
@@ -10,7 +10,12 @@
 def test_draining_and_moved_servers_count_as_lost():
     base = version(1, "x", entry("a", 1), entry("b", 2), entry("c", 3), entry("d", 4))
     new = change(
-        base, "y", entry("a", 1), entry("b", 9), entry("c", 3, EndpointState.DRAINING), entry("e", 5)
+        base,
+        "y",
+        entry("a", 1),
+        entry("b", 9),
+        entry("c", 3, EndpointState.DRAINING),
+        entry("e", 5),
     )
     assert (new.added, new.updated, new.moved, new.removed) == (("e",), ("c",), ("b",), ("d",))
     assert (new.lost_ready, new.base_ready, new.lost_share) == (3, 4, 0.75)
--- a/tests/sources/test_parsing.py
+++ b/tests/sources/test_parsing.py
@@ -70,7 +70,9 @@
 
 
 def test_targets_without_a_name_are_named_by_their_address():
-    got = read(json.dumps([{"targets": ["127.0.0.1:1", "127.0.0.1:2"], "labels": {"zone": "a"}}]), "f.json")
+    got = read(
+        json.dumps([{"targets": ["127.0.0.1:1", "127.0.0.1:2"], "labels": {"zone": "a"}}]), "f.json"
+    )
     assert [(e.server.id, e.server.zone) for e in got.servers.values()] == [
         ("127.0.0.1:1", "a"),
         ("127.0.0.1:2", "a"),
@@ -103,7 +105,12 @@
     ("f.json", json.dumps({"snapshot": False, "endpoints": [row()]}), "snapshot: expected true", 1),
     ("f.json", endpoints(3), "endpoints[0]: expected a table", 1),
     ("f.json", endpoints(row(name="")), "endpoints[0].name: expected a text", 1),
-    ("f.json", endpoints(row(address="here:1")), "endpoints[0].address: expected an IPv4 address", 1),
+    (
+        "f.json",
+        endpoints(row(address="here:1")),
+        "endpoints[0].address: expected an IPv4 address",
+        1,
+    ),
     ("f.json", endpoints(row(address="127.0.0.1:0")), "expected a port above 0", 1),
     ("f.json", endpoints(row(address="127.0.0.1:70000")), "expected a port below 65536", 1),
     ("f.json", endpoints(row(weight=0)), "has the state draining", 1),
@@ -115,8 +122,18 @@
     ("f.json", endpoints(row(status="gone")), "status: expected ready or draining", 1),
     ("f.json", endpoints(row(since_ms="x")), "since_ms: expected a number", 1),
     ("f.json", endpoints(row(zone=3)), "zone: expected a text", 1),
-    ("f.json", endpoints(row(), row(address="127.0.0.1:2")), "endpoints[1].name: expected a new name", 1),
-    ("f.json", endpoints(row(), row(name="t")), "expected an address of its own, got 127.0.0.1:9001", None),
+    (
+        "f.json",
+        endpoints(row(), row(address="127.0.0.1:2")),
+        "endpoints[1].name: expected a new name",
+        1,
+    ),
+    (
+        "f.json",
+        endpoints(row(), row(name="t")),
+        "expected an address of its own, got 127.0.0.1:9001",
+        None,
+    ),
     ("f.json", "[3]", "[0]: expected an object with a list of `targets`", 1),
     (
         "f.json",
@@ -130,15 +147,30 @@
         "expected one target",
         1,
     ),
-    ("f.json", '[{"targets": ["127.0.0.1:1"], "labels": {"weight": "nan"}}]', "expected a number", 1),
+    (
+        "f.json",
+        '[{"targets": ["127.0.0.1:1"], "labels": {"weight": "nan"}}]',
+        "expected a number",
+        1,
+    ),
     ("f.toml", "[[server]\n", "expected TOML", 1),
     ("f.toml", "a = 1\n", "expected `endpoints`", None),
     ("f.toml", TOML + "wieght = 2\n", "server[1].wieght: unknown key", 14),
     ("f.toml", TOML.replace("2.5", "nan"), "server[1].weight: expected a number", 9),
-    ("f.toml", TOML.replace("12:00:00Z", "12:00:00"), "server[1].since: expected a time with an offset", 13),
+    (
+        "f.toml",
+        TOML.replace("12:00:00Z", "12:00:00"),
+        "server[1].since: expected a time with an offset",
+        13,
+    ),
     ("f.toml", 'server = "x"\n', "server: expected `[[server]]` tables", 1),
     ("f.toml", TOML + "\n[other]\n", "other: unknown key", 15),
-    ("f.toml", signed(TOML.encode()).replace(b"9001", b"9003"), "not what its checksum line says", None),
+    (
+        "f.toml",
+        signed(TOML.encode()).replace(b"9001", b"9003"),
+        "not what its checksum line says",
+        None,
+    ),
 ]
 
 
@@ -157,7 +189,10 @@
     got = read(endpoints(*(row(name=f"s{i}", weight=-1, zone=3) for i in range(40))), "f.json")
     assert len(got.problems) >= 80
     assert (
-        len(read(endpoints(*(row(name=f"s{i}", weight=-1) for i in range(4000))), "f.json").problems) <= 101
+        len(
+            read(endpoints(*(row(name=f"s{i}", weight=-1) for i in range(4000))), "f.json").problems
+        )
+        <= 101
     )
 
 
@@ -167,7 +202,9 @@
         SourceFile("b.toml", TOML.encode()),
     )
     assert list(parse([one, two]).servers) == ["a", "s-1", "s-2"]
-    twice = parse([two, SourceFile("c.json", endpoints(row(name="s-1", address="127.0.0.1:5")).encode())])
+    twice = parse(
+        [two, SourceFile("c.json", endpoints(row(name="s-1", address="127.0.0.1:5")).encode())]
+    )
     assert [(p.file, p.field_name()) for p in twice.problems] == [("c.json", "endpoints[0].name")]
     assert parse([one, SourceFile("z.json", b"{")]).servers == {}
 
@@ -201,7 +238,9 @@
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.sampled_from([*list(row()), "x"]), inner),
+    lambda inner: (
+        st.lists(inner, max_size=3) | st.dictionaries(st.sampled_from([*list(row()), "x"]), inner)
+    ),
     max_leaves=8,
 )
 
--- a/tests/sources/test_saved_copy.py
+++ b/tests/sources/test_saved_copy.py
@@ -42,7 +42,9 @@
 
 
 def a_version() -> ListVersion:
-    entry = ListedEndpoint(Endpoint("a", zone="z", started_at=5, address="127.0.0.1:1"), ("127.0.0.1", 1))
+    entry = ListedEndpoint(
+        Endpoint("a", zone="z", started_at=5, address="127.0.0.1:1"), ("127.0.0.1", 1)
+    )
     return ListVersion(3, "d" * 64, {"a": entry})
 
 
@@ -95,7 +97,8 @@
 
 
 @pytest.mark.parametrize(
-    "spoil", [lambda d: d[:-30], lambda d: d.replace(b'"a"', b'"b"'), lambda _: b"", lambda _: b"[]"]
+    "spoil",
+    [lambda d: d[:-30], lambda d: d.replace(b'"a"', b'"b"'), lambda _: b"", lambda _: b"[]"],
 )
 def test_corrupt_copy_is_not_used(tmp_path, spoil):
     path = tmp_path / "saved"
--- a/tests/sources/test_slow_start.py
+++ b/tests/sources/test_slow_start.py
@@ -29,7 +29,9 @@
         loop = asyncio.get_running_loop()
         stand_ins = {}
         for i in range(WARM_SERVERS + 1):
-            stand_ins[f"s{i}"] = RecordingStandIn(f"s{i}", Behaviour(0.004), i, lambda: node.clock.now())
+            stand_ins[f"s{i}"] = RecordingStandIn(
+                f"s{i}", Behaviour(0.004), i, lambda: node.clock.now()
+            )
             await stand_ins[f"s{i}"].start()
 
         def write(count: int) -> None:
@@ -47,7 +49,9 @@
             read_settings(SETTINGS | {"discovery": "pushed", "invariants": cold})
         )
         config = Config("n", ("127.0.0.1", 0), None, 7, 1024, None, settings)
-        node = Node(config, loop, lambda clock: FileSource(FileOptions(path, settle_s=0.01), clock.now))
+        node = Node(
+            config, loop, lambda clock: FileSource(FileOptions(path, settle_s=0.01), clock.now)
+        )
         node.source.start()
         await soon(node.source.ready())
         node.start()
@@ -70,7 +74,8 @@
             len(newcomer.arrived_at) - 1 <= allowed_rate * span_s
         )  # over all of its cold time, whatever pace the machine keeps
         most = max(
-            sum(1 for t in newcomer.arrived_at if at <= t < at + WINDOW_S * 1e6) for at in newcomer.arrived_at
+            sum(1 for t in newcomer.arrived_at if at <= t < at + WINDOW_S * 1e6)
+            for at in newcomer.arrived_at
         )
         # One window allows for chance as the platform does: calls that the machine held up come together.
         assert most <= allowed_rate * WINDOW_S + 2 * sqrt(allowed_rate * WINDOW_S) + 2
--- a/tests/sources/test_version_tracker.py
+++ b/tests/sources/test_version_tracker.py
@@ -44,7 +44,9 @@
 
 
 def test_matching_checksum_needs_no_settling_and_a_mismatch_is_validated_after_a_timeout():
-    assert VersionTracker(SETTLE_US).on_polled(0, FilesRead("a", True)) == [ValidateFiles("a", None)]
+    assert VersionTracker(SETTLE_US).on_polled(0, FilesRead("a", True)) == [
+        ValidateFiles("a", None)
+    ]
     tracker = VersionTracker(SETTLE_US)
     now = 0
     while kinds(actions := tracker.on_polled(now, FilesRead("cut", False))) == [PollAfter]:
@@ -59,7 +61,9 @@
     tracker, now, checked = VersionTracker(SETTLE_US), 0, 0
     for n in range(200):  # one content every 10 ms, looked at twice
         for _ in range(2):
-            if any(isinstance(a, ValidateFiles) for a in tracker.on_polled(now, FilesRead(f"v{n}"))):
+            if any(
+                isinstance(a, ValidateFiles) for a in tracker.on_polled(now, FilesRead(f"v{n}"))
+            ):
                 checked += 1
                 tracker.on_validated(now, f"v{n}", change(tracker.current, f"v{n}", entry("a")))
                 tracker.on_applied(now, tracker.applying.number)
--- a/tests/sources/test_version_tracker_model.py
+++ b/tests/sources/test_version_tracker_model.py
@@ -32,7 +32,9 @@
         super().__init__()
         self.now = 0
         self.tracker = VersionTracker(SETTLE_US, max_lost_share=0.5)
-        self.contents: dict[str, tuple[str, frozenset[str], bool | None]] = {}  # digest: kind, servers, whole
+        self.contents: dict[
+            str, tuple[str, frozenset[str], bool | None]
+        ] = {}  # digest: kind, servers, whole
         self.disk: str | None = None
         self.seen: tuple[str | None, int] = None, 0  # what looks have found, and since which look
         self.due: int | None = 0
@@ -45,7 +47,9 @@
 
     # ---- the writers
 
-    def put(self, kind: str, servers: frozenset[str] = frozenset(), whole: bool | None = None) -> None:
+    def put(
+        self, kind: str, servers: frozenset[str] = frozenset(), whole: bool | None = None
+    ) -> None:
         digest = f"{kind}{''.join(sorted(servers))}{whole}"
         self.contents[digest] = kind, servers, whole
         self.disk = digest
@@ -87,7 +91,9 @@
         if self.disk is None:
             self.do(self.tracker.on_polled(self.now, FilesMissing("gone")))
         else:
-            self.do(self.tracker.on_polled(self.now, FilesRead(self.disk, self.contents[self.disk][2])))
+            self.do(
+                self.tracker.on_polled(self.now, FilesRead(self.disk, self.contents[self.disk][2]))
+            )
 
     @precondition(lambda self: self.checks)
     @rule()
@@ -116,7 +122,9 @@
     @rule(fails=st.booleans())
     def end_save(self, fails):
         number = self.saves.pop(0).number
-        self.do(self.tracker.on_save_failed(number, "full") if fails else self.tracker.on_saved(number))
+        self.do(
+            self.tracker.on_save_failed(number, "full") if fails else self.tracker.on_saved(number)
+        )
 
     @rule()
     def accept(self):
--- a/tests/sources/watched_source.py
+++ b/tests/sources/watched_source.py
@@ -15,7 +15,9 @@
 
 def server_tables(*names: str, port: int = 9000) -> str:
     """Return a TOML server file with these servers, on consecutive ports."""
-    rows = [f'[[server]]\nname = "{n}"\naddress = "127.0.0.1:{port + i}"\n' for i, n in enumerate(names)]
+    rows = [
+        f'[[server]]\nname = "{n}"\naddress = "127.0.0.1:{port + i}"\n' for i, n in enumerate(names)
+    ]
     return "\n".join(rows)
 
 
@@ -36,7 +38,7 @@
     def prepare(self, entries: Iterable[ListedEndpoint]) -> None:
         self.prepared.append(len(list(entries)))
 
-    def on_endpoint_list(self, new: EndpointList, *, saved: bool = False) -> None:  # noqa: ARG002
+    def on_endpoint_list(self, new: EndpointList, *, saved: bool = False) -> None:
         if new.complete:
             self.servers = {}
         for entry in new.endpoints:
@@ -46,7 +48,7 @@
         assert self.servers
         self.versions.put_nowait(frozenset(self.servers))
 
-    def on_poll_failed(self, waited: int = 0, stale: int = 0) -> None:  # noqa: ARG002
+    def on_poll_failed(self, waited: int = 0, stale: int = 0) -> None:
         raise AssertionError("a file source never reports failed polls")
 
     async def until(self, *names: str) -> None:
--- a/tests/spread/test_arcs.py
+++ b/tests/spread/test_arcs.py
@@ -17,7 +17,9 @@
 
 @settings(max_examples=150, deadline=None)
 @given(WEIGHTS, WEIGHTS, RINGS)
-def test_each_server_gets_its_weights_share_and_each_replica_gives_its_own(replicas, servers, rings):
+def test_each_server_gets_its_weights_share_and_each_replica_gives_its_own(
+    replicas, servers, rings
+):
     received, given_away = Counter(), Counter()
     for replica, server, length in overlaps(replicas, servers, rings):
         received[server] += length
--- a/tests/spread/test_balancer_subset.py
+++ b/tests/spread/test_balancer_subset.py
@@ -56,7 +56,9 @@
     fleet.schedule_requests(40, 60)
     fleet.run(60)
     counts = Counter(server for server, came, _ in fleet.pool.visits if came > 10 * SECOND_US)
-    kept = [counts[fleet.pool.server_indexes[name]] for name in fleet.servers if name not in replaced]
+    kept = [
+        counts[fleet.pool.server_indexes[name]] for name in fleet.servers if name not in replaced
+    ]
     assert fleet.clients.outcomes[Outcome.SERVED] > 0.99 * fleet.clients.sent
     mean = sum(kept) / len(kept)
     return sum((count - mean) ** 2 for count in kept) / len(kept) / mean
--- a/tests/spread/test_capacity_forecast.py
+++ b/tests/spread/test_capacity_forecast.py
@@ -7,7 +7,9 @@
 from oakbridge.spread.capacity_forecast import TierSize, forecast
 
 
-@pytest.mark.parametrize(("replicas", "servers"), [(300, 300), (200, 10), (10, 1000), (1, 5), (2, 2)])
+@pytest.mark.parametrize(
+    ("replicas", "servers"), [(300, 300), (200, 10), (10, 1000), (1, 5), (2, 2)]
+)
 def test_forecasts_by_members_are_even_at_any_size(replicas, servers):
     before, after = TierSize(replicas, servers), TierSize(replicas + 1, servers)
     by_members, by_chance = forecast(before, after, rings=4, sigma=0.5, seed=1)
--- a/tests/spread/test_spread_real_processes.py
+++ b/tests/spread/test_spread_real_processes.py
@@ -46,14 +46,20 @@
     assert result.exit_code == 0, result.output
     divisions = {}
     for log in (out / "nodes").glob("*.log"):
-        lines = [json.loads(line) for line in log.read_text().splitlines() if "servers divided" in line]
+        lines = [
+            json.loads(line) for line in log.read_text().splitlines() if "servers divided" in line
+        ]
         divisions[log.name] = [line["event"] for line in lines]
     killed = next(
-        s for s in json.loads((out / "summary.json").read_text())["checks"] if s["name"] == "changes"
+        s
+        for s in json.loads((out / "summary.json").read_text())["checks"]
+        if s["name"] == "changes"
     )
     assert killed["figure"] > 0
     assert len(divisions) == 6
-    assert all(lines and "of 8 for this node" in lines[-1] for lines in divisions.values()), divisions
+    assert all(lines and "of 8 for this node" in lines[-1] for lines in divisions.values()), (
+        divisions
+    )
     # Some arcs may stay where they are.
     assert sum(len(lines) >= 2 for lines in divisions.values()) >= 3, divisions
 
@@ -76,7 +82,9 @@
 listen = "127.0.79.1:{}"
 secret_file = "secret"
 """
-SERVERS = "".join(f'[[servers.inline]]\nname = "s{n}"\naddress = "127.0.0.1:{n + 1}"\n' for n in range(4))
+SERVERS = "".join(
+    f'[[servers.inline]]\nname = "s{n}"\naddress = "127.0.0.1:{n + 1}"\n' for n in range(4)
+)
 
 
 def test_an_operator_sees_who_uses_which_server(tmp_path):
--- a/tests/workers/test_channel.py
+++ b/tests/workers/test_channel.py
@@ -80,12 +80,16 @@
         with attached_channel() as (supervisor, node), socket.socket() as connection:
             assert await receive(supervisor) == WorkerReady(max_connections=900)
             send_connection(supervisor, connection)
-            assert await receive(supervisor) == LoadReport(open_connections=1, received_connections=1)
+            assert await receive(supervisor) == LoadReport(
+                open_connections=1, received_connections=1
+            )
             await until(lambda: len(node.admitted) == 1)
             node.admitted.pop().close()
             node.limits.on_change()
             node.limits.on_change()  # within the delay: one report
-            assert await receive(supervisor) == LoadReport(open_connections=0, received_connections=1)
+            assert await receive(supervisor) == LoadReport(
+                open_connections=0, received_connections=1
+            )
             with pytest.raises(BlockingIOError):
                 supervisor.recv(MAX_PACKET_BYTES)
 
--- a/tests/workers/test_control_handler.py
+++ b/tests/workers/test_control_handler.py
@@ -74,7 +74,10 @@
     status = ask(tmp_path, ControlCommand.STATUS, rows=rows)
     assert status["rows"] == []
     for worker in status["workers"]:
-        assert worker["problem"] == f"stopped: rows: expected a whole number from 0 to 100000, got {rows!r}"
+        assert (
+            worker["problem"]
+            == f"stopped: rows: expected a whole number from 0 to 100000, got {rows!r}"
+        )
 
 
 def test_rows_that_are_no_number_are_an_error(tmp_path):
--- a/tests/workers/test_limits.py
+++ b/tests/workers/test_limits.py
@@ -15,7 +15,9 @@
 
 def node_config():
     request_class = RequestClass("look", 2_500_000, 6_000_000, idempotency="safe")
-    settings = Settings(classes=(request_class,), replica_count=3, max_open_requests=10, retry_floor=0.4)
+    settings = Settings(
+        classes=(request_class,), replica_count=3, max_open_requests=10, retry_floor=0.4
+    )
     return Config("n", ("127.0.0.1", 1), None, 7, 1024, None, settings)
 
 
@@ -28,7 +30,9 @@
 
 @pytest.mark.parametrize("worker_count", [1, 2, 4, 8])
 def test_limits_of_all_workers_add_up_to_those_of_the_node(worker_count):
-    configs = [worker_config(node_config(), worker, worker_count) for worker in range(1, worker_count + 1)]
+    configs = [
+        worker_config(node_config(), worker, worker_count) for worker in range(1, worker_count + 1)
+    ]
     assert len({config.seed for config in configs}) == worker_count
     assert len({config.name for config in configs}) == worker_count
     assert sum(config.sockets for config in configs) <= 1024
--- a/tests/workers/test_messages.py
+++ b/tests/workers/test_messages.py
@@ -15,7 +15,8 @@
 
 
 @pytest.mark.parametrize(
-    "message", [WorkerReady(max_connections=7), LoadReport(open_connections=3, received_connections=9)]
+    "message",
+    [WorkerReady(max_connections=7), LoadReport(open_connections=3, received_connections=9)],
 )
 def test_messages_are_read_as_they_were_written(message):
     assert decode_message(encode_message(message)) == message
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -125,7 +125,7 @@
     async def wait_for_responses(self, more):
         """Wait until so many more requests have been answered."""
         wanted = len(self.responses) + more
-        while len(self.responses) < wanted:  # noqa: ASYNC110 - clients of other tasks count
+        while len(self.responses) < wanted:
             await asyncio.sleep(0.01)
 
     def requests_served(self):
@@ -135,7 +135,9 @@
 
 async def send_request(reader, writer):
     """Return the status code and whether the connection closes; None if there is no response."""
-    writer.write(b"GET /x HTTP/1.1\r\nx-request-id: %x\r\nx-priority-class: look\r\n\r\n" % next(IDS))
+    writer.write(
+        b"GET /x HTTP/1.1\r\nx-request-id: %x\r\nx-priority-class: look\r\n\r\n" % next(IDS)
+    )
     try:
         head = (await soon(reader.readuntil(b"\r\n\r\n"))).lower()
         body_bytes = next(
@@ -195,7 +197,8 @@
 
         def all_restarted(status):
             return all(
-                worker.get("ready") and worker["pid"] not in pids_before for worker in status["workers"]
+                worker.get("ready") and worker["pid"] not in pids_before
+                for worker in status["workers"]
             )
 
         await deployment.wait_for_status(all_restarted)
@@ -237,7 +240,7 @@
             await soon(deployment.process.wait())
             assert (await send_request(reader, writer))[0] == 200  # open connections are served on
             writer.close()
-            while any(is_running(pid) for pid in pids):  # noqa: ASYNC110 - other processes
+            while any(is_running(pid) for pid in pids):
                 await asyncio.sleep(0.05)
 
     run(scenario(), 60)
@@ -268,7 +271,9 @@
             socket=tmp_path / "n.sock",
         )
     )
-    ended = subprocess.run([*SERVE, str(path)], capture_output=True, text=True, timeout=60, check=False)
+    ended = subprocess.run(
+        [*SERVE, str(path)], capture_output=True, text=True, timeout=60, check=False
+    )
     assert ended.returncode == 2
     assert message in ended.stderr
     assert str(path) in ended.stderr
