--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -138,7 +138,8 @@
     if not found:
         parser.error(f"{options.folder}: no line of a node that ran with OAKBRIDGE_TRACE=1")
     if options.server:
-        return show_server(found, options.server)
+        show_server(found, options.server)
+        return
     tiers = sorted({line["tier"] for line in found}) if options.tier is None else [options.tier]
     for tier in tiers:
         show(found, tier)
--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -156,7 +156,8 @@
             sys.executable, __file__, "--others", str(slot.base), "--members", str(args.members),
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, env={**os.environ, "PYTHONPATH": str(ROOT)},
         )  # fmt: skip
-        assert beside.stdin is not None and beside.stdout is not None
+        assert beside.stdin is not None
+        assert beside.stdout is not None
         assert b"ready" in await beside.stdout.readline()
         ratios, idles = [], []
         for number in range(args.turns):
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -415,7 +415,8 @@
 def main() -> None:
     """Measure, and print a table."""
     if sys.argv[1:2] == ["--part"]:
-        return part(sys.argv[2:])
+        part(sys.argv[2:])
+        return
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/sip.py
+++ b/benchmarks/sip.py
@@ -290,7 +290,8 @@
 def main() -> None:
     """Measure, and print a table."""
     if sys.argv[1:2] == ["--part"]:
-        return part(sys.argv[2:])
+        part(sys.argv[2:])
+        return
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -302,7 +303,7 @@
     found = measure(given)
     if given.json:
         print(json.dumps(found, indent=1))
-        return None
+        return
     print(f"{'':16}{'a second':>12}{'p50 ms':>9}{'p99 ms':>9}{'bad':>7}{'lost':>7}{'again':>7}")
     for name, rows in found.items():
         if name == "open":
--- a/benchmarks/sip_faults.py
+++ b/benchmarks/sip_faults.py
@@ -26,7 +26,8 @@
     spec = importlib.util.spec_from_file_location(
         "site_tests", ROOT / "tests" / "sip" / "test_site.py"
     )
-    assert spec is not None and spec.loader is not None
+    assert spec is not None
+    assert spec.loader is not None
     tests = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(tests)
     network = {"loss": 0.1, "duplication": 0.05, "delay_us": (200, 300_000)}
--- a/benchmarks/switch.py
+++ b/benchmarks/switch.py
@@ -44,7 +44,8 @@
         sys.executable, "-m", "oakbridge.lab.process", role, stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE, env={**os.environ, "PYTHONPATH": str(Path(__file__).parents[1])},
     )  # fmt: skip
-    assert process.stdin is not None and process.stdout is not None
+    assert process.stdin is not None
+    assert process.stdout is not None
     process.stdin.write(json.dumps(config).encode() + b"\n")
     assert b"ready" in await process.stdout.readline()
     return process
--- a/oakbridge/cli/check.py
+++ b/oakbridge/cli/check.py
@@ -20,10 +20,11 @@
 @click.option(
     "--reference", is_flag=True, help="Print the reference of all keys instead, as Markdown."
 )
-def command(path: Path | None, as_json: bool, reference: bool) -> None:
+def command(path: Path | None, as_json: bool, reference: bool) -> None:  # noqa: C901
     """Check a configuration, and the server files that it names; exit code 2 if there are mistakes."""
     if reference:
-        return click.echo(page(), nl=False)
+        click.echo(page(), nl=False)
+        return
     if path is None:
         raise InvalidInputError("check: expected the configuration's FILE")
     problems, told = [], ""
--- a/oakbridge/cli/common.py
+++ b/oakbridge/cli/common.py
@@ -19,7 +19,7 @@
 
     exit_code = 1
 
-    def show(self, file: Any = None) -> None:
+    def show(self, file: Any = None) -> None:  # noqa: ARG002 - click's interface
         """Print the message on standard error, each of its lines with the program's name."""
         print(
             *(f"oakbridge: {line}" for line in self.message.splitlines()), sep="\n", file=sys.stderr
--- a/oakbridge/cli/demo.py
+++ b/oakbridge/cli/demo.py
@@ -15,7 +15,7 @@
 
 from oakbridge.cli.common import CommandFailedError, say_json
 from oakbridge.cli.status import STATE_STYLE
-from oakbridge.demo.play import DemoFailed, Scene, play
+from oakbridge.demo.play import DemoError, Scene, play
 
 
 @click.command("demo")
@@ -36,7 +36,7 @@
         else:
             with Live(console=console, refresh_per_second=4) as live:
                 scene = asyncio.run(play(rate, seconds, seed, lambda s: live.update(picture(s))))
-    except DemoFailed as e:
+    except DemoError as e:
         raise CommandFailedError(str(e)) from None
     if as_json:
         say_json(result(scene))
--- a/oakbridge/cli/lab.py
+++ b/oakbridge/cli/lab.py
@@ -192,7 +192,8 @@
     from oakbridge.lab.report import lines
 
     if as_json:
-        return say_json(summary)
+        say_json(summary)
+        return
     click.echo("\n".join(lines(summary)))
 
 
--- a/oakbridge/cli/main.py
+++ b/oakbridge/cli/main.py
@@ -27,11 +27,15 @@
 class Commands(click.Group):
     """Imports a command only when it is called: `status` needs no load generator."""
 
-    def list_commands(self, ctx: click.Context) -> list[str]:
+    def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002 - click's interface
         """All commands, in the order in which one meets them."""
         return list(COMMANDS)
 
-    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+    def get_command(
+        self,
+        ctx: click.Context,  # noqa: ARG002 - click's interface
+        cmd_name: str,
+    ) -> click.Command | None:
         """The command of this name."""
         if cmd_name not in COMMANDS:
             return None
--- a/oakbridge/cli/peers.py
+++ b/oakbridge/cli/peers.py
@@ -50,7 +50,8 @@
         except (NodeUnreachableError, RequestRejectedError) as e:
             raise CommandFailedError(str(e)) from None
     if as_json:
-        return say_json(report)
+        say_json(report)
+        return
     for change in report["history"]:
         before = change["before"] or "not known"
         click.echo(
--- a/oakbridge/demo/load.py
+++ b/oakbridge/demo/load.py
@@ -27,7 +27,7 @@
     latencies: list[float] = field(default_factory=list)
 
     def percentile(self, share: float) -> float:
-        """The latency under which so large a share lies; 0 without any."""
+        """Return the latency under which so large a share lies; 0 without any."""
         ordered = sorted(self.latencies)
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
--- a/oakbridge/demo/play.py
+++ b/oakbridge/demo/play.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
 import socket
 import sys
 import tempfile
@@ -50,7 +49,7 @@
 """
 
 
-class DemoFailed(Exception):
+class DemoError(Exception):
     """The demo could not be played; the text says why."""
 
 
@@ -89,7 +88,7 @@
     ]
     temporary = path.with_suffix(".new")
     temporary.write_text("\n".join(rows))
-    os.rename(temporary, path)
+    temporary.rename(path)
 
 
 def _free_port() -> int:
@@ -105,11 +104,12 @@
         with suppress(NodeUnreachableError):
             return ControlClient(path)
         await asyncio.sleep(0.05)
-    raise DemoFailed(f"the node did not start:\n{log.read_text()[-2000:]}")
+    log_end = log.read_text()[-2000:]  # noqa: ASYNC240 - the demo ends here
+    raise DemoError(f"the node did not start:\n{log_end}")
 
 
 async def play(rate: float, seconds: float, seed: int, draw: Draw) -> Scene:
-    """Play it to its end; returns the last scene.  Raises :class:`DemoFailed`."""
+    """Play it to its end; returns the last scene.  Raises :class:`DemoError`."""
     plan = _servers()
     servers = {
         name: StandIn(name, behaviour, seed + i)
@@ -185,5 +185,5 @@
     scene.said.append("servers.toml replaced: station drains, late joins (it counts as cold)")
     await asyncio.sleep(0.25 * seconds)
     path.with_suffix(".bad").write_text('[[server]]\nname = "harbour"\naddress = "somewhere"\n')
-    os.rename(path.with_suffix(".bad"), path)
+    path.with_suffix(".bad").rename(path)
     scene.said.append("servers.toml replaced by a broken one: not used, the last good one stays")
--- a/oakbridge/lab/fleet.py
+++ b/oakbridge/lab/fleet.py
@@ -26,7 +26,7 @@
 
 
 def build_fleet(plan: Plan) -> Fleet:
-    """Number the plan's hosts; sites take turns, so that no site has all the low numbers."""
+    """Assign numbers to the plan's hosts; sites take turns, so that no site has all the low numbers."""
     return Fleet(
         nodes=_number_hosts(plan, "n", lambda site: site.nodes),
         servers=_number_hosts(plan, "s", lambda site: site.servers),
--- a/oakbridge/lab/load_distribution.py
+++ b/oakbridge/lab/load_distribution.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import itertools
 import math
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -230,7 +231,7 @@
     return max(
         (
             end_us - begin_us
-            for begin_us, end_us in zip(times, times[1:], strict=False)
+            for begin_us, end_us in itertools.pairwise(times)
             if visits.is_available(server, begin_us, end_us)
         ),
         default=0,
--- a/oakbridge/lab/servers.py
+++ b/oakbridge/lab/servers.py
@@ -26,7 +26,7 @@
     """One server."""
 
     def __init__(self, helper: Helper, number: int, name: str) -> None:
-        """``number``: of its address and its size."""
+        """Make the server of this number, which gives its address and size."""
         self.helper = helper
         self.number = number
         self.connections: set[NodeConnection] = set()
--- a/oakbridge/node/connection_pool.py
+++ b/oakbridge/node/connection_pool.py
@@ -29,7 +29,7 @@
     __slots__ = ("address", "busy", "idle", "started")
 
     def __init__(self, address: Address, started: int) -> None:
-        """``started``: when the server's process started; its connections last no longer."""
+        """Make the server that started at ``started``; its connections last no longer."""
         self.address = address
         self.started = started
         self.idle: list[ServerConnection] = []  # the most recently used comes last
@@ -148,7 +148,7 @@
         try:
             connection = ServerConnection(self, server)
         except OSError as e:  # no descriptor is left: nothing was sent
-            log.error("no socket for a connection: %s", e)
+            log.error("no socket for a connection: %s", e)  # noqa: TRY400 - expected: no descriptor is left
             self._fail_soon(attempt)
             return
         self.connection_count += 1
--- a/oakbridge/node/observer.py
+++ b/oakbridge/node/observer.py
@@ -13,16 +13,16 @@
     """Is called by a node as it works.  It may not change anything, and must be quick: it runs in the loop."""
 
     def on_event(self, now: int, event: Event) -> None:
-        """An event is about to be handed to the balancer, at a time in microseconds."""
+        """See an event that is about to be handed to the balancer, at a time in microseconds."""
 
     def on_actions(self, now: int, actions: Sequence[Action]) -> None:
-        """The balancer returned these actions; none was carried out yet."""
+        """See the actions that the balancer returned; none was carried out yet."""
 
     def on_connection_opened(self) -> None:
-        """A connection to a server is about to be dialled."""
+        """See that a connection to a server is about to be dialled."""
 
     def on_connection_refused(self) -> None:
-        """A server, or the way to it, refused a connection."""
+        """See that a server, or the way to it, refused a connection."""
 
     def on_poll(self, *, complete_list: bool) -> None:
         """Discovery is about to be polled, for the whole list or for what changed."""
--- a/oakbridge/node/run.py
+++ b/oakbridge/node/run.py
@@ -55,7 +55,7 @@
         hangup.clear()
         try:
             reload(node)
-        except (
-            Exception
-        ) as e:  # contained: a file that is broken or half written must not end a node
-            log.error("the configuration was not read anew: %s", str(e) or type(e).__name__)
+        except Exception as e:
+            # Contained: a file that is broken or half written must not end a node, and is no fault of the program.
+            reason = str(e) or type(e).__name__
+            log.error("the configuration was not read anew: %s", reason)  # noqa: TRY400
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -84,7 +84,7 @@
         self.counts["list_lines"] += entry_count
 
     def _count_attempt(self, action: SendAttempt, now: int) -> None:
-        """The call may be over, or the server gone, by the same event: counting must not depend on either."""
+        """Count an attempt; its request may be over, or its server gone, by the same event."""
         balancer = self.node.balancer
         call, server = (
             balancer.requests.get(action.request_id),
--- a/oakbridge/operators/listener.py
+++ b/oakbridge/operators/listener.py
@@ -142,7 +142,7 @@
         self._answer(self._listener.respond(bytes(self._received)))
         return True
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's interface
         """Release what belongs to the connection."""
         if self._timer is not None:
             self._timer.cancel()
--- a/oakbridge/peers/local_member.py
+++ b/oakbridge/peers/local_member.py
@@ -1,4 +1,4 @@
-"""This process as a member: the state that the parts of the protocol share."""
+"""The member that this process is: the state that the parts of the protocol share."""
 
 from __future__ import annotations
 
--- a/oakbridge/peers/member.py
+++ b/oakbridge/peers/member.py
@@ -52,7 +52,7 @@
 
 
 class Member:
-    """This process as a member, and all that it holds of the others."""
+    """The member that this process is, and all that it holds of the others."""
 
     def __init__(
         self,
--- a/oakbridge/peers/replica_index.py
+++ b/oakbridge/peers/replica_index.py
@@ -36,7 +36,7 @@
 
 
 class ReplicaIndexTracker:
-    """This node's replica index over time."""
+    """Follow this node's replica index over time."""
 
     def __init__(self, own_name: str, settle_us: int = SETTLE_US) -> None:
         self.current: ReplicaIndex | None = None
--- a/oakbridge/policy/weighted_pool.py
+++ b/oakbridge/policy/weighted_pool.py
@@ -81,7 +81,7 @@
             ((exponent, group),) = groups.items()
         else:
             left = rng.random() * sum(self.sums.values())
-            for exponent, group in groups.items():  # noqa: B007 (both are used behind the loop)
+            for exponent, group in groups.items():  # noqa: B007 - both are used behind the loop
                 left -= self.sums[exponent]
                 if left < 0:
                     break
--- a/oakbridge/simhost/adapter.py
+++ b/oakbridge/simhost/adapter.py
@@ -85,7 +85,7 @@
         _check_fields(message, _FIELDS[kind], kind)
         return self._message(kind, message)
 
-    def _message(self, kind: str, m: dict[str, Any]) -> str | None:
+    def _message(self, kind: str, m: dict[str, Any]) -> str | None:  # noqa: C901 - one branch a kind
         if kind == "sync":
             self._now = m["ts"]
             return None
--- a/oakbridge/sources/change_notifier.py
+++ b/oakbridge/sources/change_notifier.py
@@ -90,7 +90,7 @@
     async def run(self) -> None:
         """Watch until cancelled; watch anew where a directory has been replaced."""
         try:
-            import watchfiles  # noqa: F401  # an optional dependency
+            import watchfiles  # noqa: F401 - an optional dependency
         except ImportError as error:
             logger.warning("changes of %s are found by looking alone: %s", self._path, error)
             return
--- a/oakbridge/standin/behaviour.py
+++ b/oakbridge/standin/behaviour.py
@@ -50,7 +50,7 @@
         self.draining = False
 
     def come(self) -> Work | None:
-        """A request comes: its fate, or None if it is turned away unseen.  Waits if :meth:`full`."""
+        """Take a request in; return its outcome, or None if it is rejected unseen.  Waits if :meth:`full`."""
         if self.draining or (self.full and self.waiting >= self.behaviour.queue):
             return None
         b, draw = self.behaviour, self._random.random()
--- a/oakbridge/standin/host.py
+++ b/oakbridge/standin/host.py
@@ -42,13 +42,13 @@
             self._loop.call_later(dies, self.end, "exit code 1")
 
     def end(self, how: str) -> None:
-        """It ends."""
+        """End the process."""
         if not self.gone:
             self.gone = True
             self._ended(how)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """It ends by any signal but those that freeze and thaw."""
+        """End it by any signal but those that freeze and thaw."""
         if number in (signal.SIGSTOP, signal.SIGCONT):
             self.frozen = number == signal.SIGSTOP
         else:
@@ -63,7 +63,7 @@
         self._ended = ended
 
     def status(self) -> dict[str, Any]:
-        """What it says of itself."""
+        """Return what it reports of itself."""
         answered = int((time.monotonic() - self.began) * self._rate)
         served = int(answered * self.plays.get("serves", 1.0))
         return {
@@ -81,7 +81,7 @@
         self.nodes: dict[Path, PlayedNode] = {}
 
     def find_node(self, control: Path, ended: Callable[[str], None]) -> PlayedNode | None:
-        """The node that has this control socket."""
+        """Return the node that has this control socket."""
         node = self.nodes.get(control)
         if node is None or node.gone:
             return None
@@ -93,19 +93,19 @@
         node = self.nodes[launch.control] = PlayedNode(launch.config, ended, self.rate, self.weak)
         return node
 
-    def last_log_line(self, log: Path) -> str:
-        """Nothing is logged."""
+    def last_log_line(self, log: Path) -> str:  # noqa: ARG002 - the host's interface
+        """Return nothing: nothing is logged."""
         return ""
 
     async def check_config(self, config: Path) -> str:
-        """The checker."""
+        """Return the message of the configuration's checker; empty if it accepts the file."""
         return (
             f"{config}: refused, as it plays"
-            if "# plays: refused" in config.read_text("utf-8")
+            if "# plays: refused" in config.read_text("utf-8")  # noqa: ASYNC240 - a small file
             else ""
         )
 
-    async def query_node(self, control: Path, command: str, **arguments: Any) -> Any:
+    async def query_node(self, control: Path, command: str, **arguments: Any) -> Any:  # noqa: ARG002
         """Ask a node how it is."""
         node = self.nodes.get(control)
         if node is None or node.gone:
--- a/oakbridge/standin/server.py
+++ b/oakbridge/standin/server.py
@@ -24,7 +24,7 @@
         self.address = ("127.0.0.1", 0)
         self._slots = asyncio.Semaphore(behaviour.slots)
         self._server: asyncio.Server | None = None
-        self._connections: set[_Desked] = set()
+        self.connections: set[_Desked] = set()
 
     async def start(self, port: int = 0) -> None:
         """Listen on loopback."""
@@ -38,7 +38,7 @@
         """End at once: connections are reset."""
         if self._server is not None:
             self._server.close()
-        for connection in list(self._connections):
+        for connection in list(self.connections):
             connection.abort()
 
     async def work(self) -> int | None:
@@ -71,12 +71,12 @@
         self._request = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """Take the transport over."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        """It is gone."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's interface
+        """Forget the connection."""
         self._transport = None
 
     def abort(self) -> None:
@@ -92,20 +92,20 @@
             self.abort()
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Begin a request."""
         self._request = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header."""
+        """Take a header in."""
         if name.lower() == b"x-request-id":
             self._request = value
 
     def on_message_complete(self) -> None:
-        """The last byte has come."""
+        """Handle the complete request."""
         self.come(self._request)
 
     def come(self, request: bytes) -> None:
-        """A request of this id is here whole."""
+        """Note that a request of this id is here complete."""
 
     def reply(self, status: int, body: bytes) -> None:
         """Answer; 503 says that the request has not run."""
@@ -129,11 +129,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._server._connections.add(self)
+        self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self._server._connections.discard(self)
+        self._server.connections.discard(self)
         if self._task is not None:
             self._task.cancel()
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -105,7 +105,8 @@
                 caller.sendall(b"GET /-/ready HTTP/1.1\r\nHost: t\r\n\r\n")
                 assert caller.recv(100).startswith(b"HTTP/1.1 200")
         shown = call("status", "--config", config)
-        assert shown.returncode == 0 and "version 1 (2 servers" in shown.stdout
+        assert shown.returncode == 0
+        assert "version 1 (2 servers" in shown.stdout
 
         servers.write_text("broken")
         node.until(lambda: source(node)["refused"])
@@ -115,7 +116,8 @@
         servers.write_text(SERVERS.format("c", 3))
         held = node.until(lambda: source(node)["held"])
         refused = call("servers", "accept", "--config", config, "--digest", "00")
-        assert refused.returncode == 1 and f"is {held['digest'][:12]}, not 00" in refused.stderr
+        assert refused.returncode == 1
+        assert f"is {held['digest'][:12]}, not 00" in refused.stderr
         assert (
             call("servers", "accept", "--config", config, "--digest", held["digest"]).returncode
             == 0
@@ -158,7 +160,8 @@
     done = call("serve", "--config", written(tmp_path))
     assert done.returncode == 2
     lines = [line for line in done.stderr.splitlines() if line.startswith("oakbridge: ")]
-    assert len(lines) == 1 and says in lines[0]
+    assert len(lines) == 1
+    assert says in lines[0]
     assert "Traceback" not in done.stderr
 
 
@@ -168,7 +171,9 @@
         address = f"127.0.0.1:{taken.getsockname()[1]}"
         config.write_text(config.read_text().replace("listen = [", f'listen = ["{address}", '))
         done = call("serve", "--config", config)
-    assert done.returncode == 1 and address in done.stderr and len(done.stderr.splitlines()) == 1
+    assert done.returncode == 1
+    assert address in done.stderr
+    assert len(done.stderr.splitlines()) == 1
 
 
 def test_check_tells_every_mistake_of_the_configuration_and_of_its_servers(tmp_path):
@@ -177,15 +182,14 @@
         '[[server]]\nname = "a"\naddress = "127.0.0.1:1"\nweight = -1\n'
     )
     done = call("check", config)
-    assert (
-        done.returncode == 2
-        and "servers.toml:4: server[0].weight: expected a number above 0" in done.stderr
-    )
+    assert done.returncode == 2
+    assert "servers.toml:4: server[0].weight: expected a number above 0" in done.stderr
     config.write_text(config.read_text().replace('"1s"', '"x"').replace('"safe"', '"y"'))
     done = call("check", config, "--json")
     assert done.returncode == 2
     told = json.loads(done.stdout)
-    assert [p["line"] for p in told["problems"]] == [10, 12] and told["ok"] is False
+    assert [p["line"] for p in told["problems"]] == [10, 12]
+    assert told["ok"] is False
     (tmp_path / "servers.toml").write_text(SERVERS.format("a", 1))
     done = call("check", written(tmp_path))
     assert (done.returncode, "1 servers" in done.stdout) == (0, True)
@@ -225,20 +229,24 @@
 def test_a_mistake_in_the_call_is_told_without_a_traceback(words, code, says):
     done = call(*words)
     assert done.returncode == code
-    assert says in done.stderr and "Traceback" not in done.stderr
+    assert says in done.stderr
+    assert "Traceback" not in done.stderr
 
 
 def test_status_without_a_name_finds_the_only_node(tmp_path):
     done = call("status", XDG_RUNTIME_DIR=str(tmp_path))
-    assert done.returncode == 1 and "is a node running?" in done.stderr
+    assert done.returncode == 1
+    assert "is a node running?" in done.stderr
 
 
 def test_the_demo_runs_to_its_end():
     done = call("demo", "--seconds", "3", "--rate", "120", "--json")
     assert done.returncode == 0, done.stderr
     told = json.loads(done.stdout)
-    assert told["lost"] == 0 and sum(told["answered"].values()) == told["sent"] > 200
-    assert told["by_server"]["late"] > 0 and told["list_version"] == 2
+    assert told["lost"] == 0
+    assert sum(told["answered"].values()) == told["sent"] > 200
+    assert told["by_server"]["late"] > 0
+    assert told["list_version"] == 2
 
 
 def test_the_platforms_node_imports_none_of_what_it_does_not_use():
@@ -264,5 +272,7 @@
         text=True,
         timeout=LIMIT,
     )
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
-    assert "NODE_CONFIG" in done.stderr and "oakbridge demo" in done.stderr
+    assert done.returncode == 2
+    assert len(done.stderr.splitlines()) == 1
+    assert "NODE_CONFIG" in done.stderr
+    assert "oakbridge demo" in done.stderr
--- a/tests/formats/test_lab.py
+++ b/tests/formats/test_lab.py
@@ -60,7 +60,7 @@
                 "tries": 1,
                 "request": f"r{number}",
                 "aim": S,
-            }  # fmt: skip
+            }
         )
         found.executions.append(
             {"server": 0, "request": f"r{number}", "came": due, "ended": due + 15_000, "status": status, "begun": True}
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -19,9 +19,11 @@
         compare.parse_variation("class.0.rate=1.5,2.5,9.0"),
     ]
     found = compare.build_cases([LAB / "even.toml"], vary, [])
-    assert len(found) == 6 and found[0].name == "settings=nothing rate=1.5"
+    assert len(found) == 6
+    assert found[0].name == "settings=nothing rate=1.5"
     plan = load_plan(found[-1].file, found[-1].changes)
-    assert plan.settings == "[spread]" and plan.classes[0].rate == 9.0
+    assert plan.settings == "[spread]"
+    assert plan.classes[0].rate == 9.0
     assert load_plan(LAB / "even.toml").classes[0].rate == 450.0
 
 
@@ -39,7 +41,9 @@
 def test_a_vary_that_makes_no_sense_is_told_in_a_line(tmp_path, vary, says):
     words = ["lab", "compare", str(LAB / "even.toml"), "--vary", vary, "--out", str(tmp_path)]
     result = CliRunner().invoke(cli, words)
-    assert result.exit_code == 2 and says in result.output and "Traceback" not in result.output
+    assert result.exit_code == 2
+    assert says in result.output
+    assert "Traceback" not in result.output
 
 
 @pytest.mark.parametrize(
@@ -60,6 +64,8 @@
         "after": {seed: {"figure": day + shift + rng.gauss(0, 0.2)} for seed, day in days.items()},
     }
     before, after = compare.compare(found)
-    assert before.case == "before" and not before.verdict and after.verdict == verdict
+    assert before.case == "before"
+    assert not before.verdict
+    assert after.verdict == verdict
     if pairs == 20:
         assert after.low <= after.difference <= after.high
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -12,7 +12,8 @@
     assert links.link("a1", "b1").delay == 11
     links.put(Rule(1, frozenset({"a1"}), frozenset({"b1"}), both=False, cut=True))
     links.put(Rule(2, frozenset({"a1"}), frozenset({"b1"}), loss=0.5, doubled=1.0, jitter=5))
-    assert links.link("a1", "b1").cut and not links.link("b1", "a1").cut
+    assert links.link("a1", "b1").cut
+    assert not links.link("b1", "a1").cut
     assert links.link("b1", "a1").loss == 0.75
     rng = random.Random(1)
     arrived = [links.datagram("b1", "a1", rng) for _ in range(4000)]
--- a/tests/lab/test_load_distribution.py
+++ b/tests/lab/test_load_distribution.py
@@ -43,10 +43,8 @@
         1 / 50**0.5, rel=0.2
     )  # 50 requests a window and server
     assert abs(load_distribution.idle_beyond_chance(fair)) < 1.5
-    assert (
-        load_distribution.choice_similarity(fair, [30 * S]) == pytest.approx(1, abs=0.6)
-        and load_distribution.herd_peak(fair, [30 * S]) < 1.6
-    )
+    assert load_distribution.choice_similarity(fair, [30 * S]) == pytest.approx(1, abs=0.6)
+    assert load_distribution.herd_peak(fair, [30 * S]) < 1.6
 
 
 @pytest.mark.parametrize(
@@ -66,9 +64,8 @@
 def test_servers_that_were_not_there_owe_nothing():
     gone = {SERVERS - 1: [Span(20 * S, 40 * S)]}
     there = played(one_left_out, unavailable=gone)
-    assert load_distribution.idle_beyond_chance(
-        there
-    ) < 1.5 and load_distribution.load_ratio_over_chance(there) == pytest.approx(1, abs=0.1)
+    assert load_distribution.idle_beyond_chance(there) < 1.5
+    assert load_distribution.load_ratio_over_chance(there) == pytest.approx(1, abs=0.1)
 
 
 def test_idle_while_others_wait_is_counted_in_server_seconds():
@@ -95,7 +92,5 @@
             load_distribution.idle_beyond_chance,
         )
     } == {None}
-    assert (
-        load_distribution.herd_peak(empty, [0]) is None
-        and load_distribution.choice_similarity(empty, [0]) is None
-    )
+    assert load_distribution.herd_peak(empty, [0]) is None
+    assert load_distribution.choice_similarity(empty, [0]) is None
--- a/tests/lab/test_site_loss.py
+++ b/tests/lab/test_site_loss.py
@@ -65,13 +65,13 @@
 
 def test_all_went_well(history):
     found = figures(history)
-    assert (
-        found["kept"] == pytest.approx(1.0, abs=0.01)
-        and found["moved"] == 0
-        and found["carries"] == 0
-    )
-    assert found["overload"] <= 1.05 and found["storm"] == pytest.approx(1.0, abs=0.02)
-    assert found["out of order"] is None and found["site changes"] == 1.0
+    assert found["kept"] == pytest.approx(1.0, abs=0.01)
+    assert found["moved"] == 0
+    assert found["carries"] == 0
+    assert found["overload"] <= 1.05
+    assert found["storm"] == pytest.approx(1.0, abs=0.02)
+    assert found["out of order"] is None
+    assert found["site changes"] == 1.0
 
 
 def lost(history, seconds, status=0, klass=None):
@@ -121,9 +121,8 @@
     plan = load_plan(tmp_path / "plan.toml")
     fleet = build_fleet(plan)
     truth = GroundTruth(History(plan, fleet, draw_schedule(plan, fleet, 1), 0, 40 * S))
-    assert truth.reachable_groups(5 * S) == [frozenset("abc")] and set(
-        truth.reachable_groups(15 * S)
-    ) == {
+    assert truth.reachable_groups(5 * S) == [frozenset("abc")]
+    assert set(truth.reachable_groups(15 * S)) == {
         frozenset("ab"),
         frozenset("c"),
     }
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_timers_fire_once_in_order_and_never_early(seed):
+def test_timers_fire_once_in_order_and_never_early(seed):  # noqa: C901 - one random course
     rng, loop = random.Random(seed), PlayedLoop(seed)
     clock, fired, want, timers = PlayedClock(loop), [], {}, {}
 
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -63,7 +63,8 @@
                 reply(503)
             )  # it was not on yet: a call that was turned away, with a young list
             waited, stale = await soon(lost.get())
-            assert 0 < waited < AT_ONCE_US and stale < AT_ONCE_US
+            assert 0 < waited < AT_ONCE_US
+            assert stale < AT_ONCE_US
             node.node.source.watch(True)
             await soon(node.registry.seen.get())
             node.registry.put(listing(5, whole=False))
@@ -71,7 +72,8 @@
             await asyncio.sleep(1.2 * AT_ONCE_US / 1e6)
             node.registry.put("close")
             waited, stale = await soon(lost.get())
-            assert (waited, stale) == (0, 0) and node.node.source._watch_task is None
+            assert (waited, stale) == (0, 0)
+            assert node.node.source._watch_task is None
 
     run(scenario())
 
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -110,7 +110,8 @@
 
 def test_timer_that_the_loop_fires_early_is_set_again():
     class Loop:
-        calls: list = []
+        def __init__(self):
+            self.calls = []
 
         def call_later(self, delay, *what):
             self.calls.append((delay, what))
@@ -153,7 +154,7 @@
                 process.send_signal(signal.SIGTERM)  # once more: it ends as it was about to
                 late = await Caller.connect(port)
                 late.send(url="/new")
-                status, headers, body = await late.answer()
+                status, _headers, body = await late.answer()
                 assert (status, body) == (200, b"new")
                 # The door closes after the changeover; those who are there are served on for a while.
                 while await connects(port):
--- a/tests/node/test_server_connection.py
+++ b/tests/node/test_server_connection.py
@@ -129,6 +129,7 @@
             await asyncio.sleep(0.1)
             take()
             assert (await soon(end)).result == AttemptResult.CONNECT_FAILED
-            assert not told and bench.pool.connection_count == 0
+            assert not told
+            assert bench.pool.connection_count == 0
 
     run(scenario())
--- a/tests/node/test_streaming.py
+++ b/tests/node/test_streaming.py
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
 @pytest.mark.parametrize("old", [False, True])
-def test_a_long_response_is_streamed_before_it_is_complete(framing, old):
+def test_a_long_response_is_streamed_before_it_is_complete(framing, old):  # noqa: C901
     more = asyncio.Event()
 
     async def handle(reader, writer):
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -56,7 +56,8 @@
         async with (
             Peer(lambda _: reply(200)) as a,
             Peer(lambda _: reply(200)) as b,
-            Running(a, b) as node,Operators(node.node) as operators
+            Running(a, b) as node,
+            Operators(node.node) as operators,
         ):
             caller = await node.caller()
             assert (await operators.call(b"OFFLINE s-9\n")).startswith(b"NO ")
@@ -113,7 +114,8 @@
 
         async with (
             Peer(lambda s: held() if s.url == "/held" else reply(200)) as a,
-            Running(a) as node,Operators(node.node) as operators
+            Running(a) as node,
+            Operators(node.node) as operators,
         ):
             kept, idle, busy = [await node.caller() for _ in range(3)]
             assert [await status_of_request(kept), await status_of_request(idle)] == [200, 200]
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -145,7 +145,7 @@
             if isinstance(a, SendAttempt)
         ]
         while waiting and waiting[0][0] <= d.now:
-            due, send = waiting.pop(0)
+            _due, send = waiting.pop(0)
             latency = 50_000 if tick < 800 else 120_000
             more = d.end(send, AttemptResult.OK, 0, latency)
             waiting += [(d.now + latency, a) for a in more if isinstance(a, SendAttempt)]
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -300,8 +300,12 @@
     from oakbridge.policy.retry_safety import RetrySafety
 
     monkeypatch.setattr(RetrySafety, "allows_attempt", lambda *a: True)
-    with pytest.raises(AssertionError):
+
+    def play() -> None:
         for seed in range(20):
             world = World(seed, {"max_attempts": 3})
             for _ in range(400):
                 world.step()
+
+    with pytest.raises(AssertionError):
+        play()
--- a/tests/process/test_supervisor.py
+++ b/tests/process/test_supervisor.py
@@ -59,7 +59,8 @@
     assert supervisor.backoff_us() <= MAX_BACKOFF_US
     supervisor.ready(now)
     supervisor.tick(now + STABLE_RUN_US)
-    assert not supervisor.is_crash_looping and supervisor.total_crashes == 5
+    assert not supervisor.is_crash_looping
+    assert supervisor.total_crashes == 5
 
 
 def test_a_run_that_was_long_enough_resets_the_backoff_and_still_counts_as_a_crash():
@@ -114,10 +115,12 @@
     supervisor = running()
     supervisor.restart(5)
     supervisor.stop(6)
-    assert supervisor.exited(7, "exit 0") == [] and supervisor.state is State.STOPPED
+    assert supervisor.exited(7, "exit 0") == []
+    assert supervisor.state is State.STOPPED
     supervisor = running()
     supervisor.exited(1, "exit 1")
-    assert supervisor.stop(2) == [] and supervisor.state is State.STOPPED
+    assert supervisor.stop(2) == []
+    assert supervisor.state is State.STOPPED
     assert supervisor.tick(10 * SECOND_US) == []
 
 
--- a/tests/simhost/test_adapter.py
+++ b/tests/simhost/test_adapter.py
@@ -76,7 +76,9 @@
     assert (code, err) == (0, "")
     assert {"msg": "yield"} in got
     sends = [m for m in got if m["msg"] == "transmit"]
-    assert sends[0]["server"] == "server.a" and sends[0]["node-id"] == 1 and sends[0]["op-id"] == 9
+    assert sends[0]["server"] == "server.a"
+    assert sends[0]["node-id"] == 1
+    assert sends[0]["op-id"] == 9
     assert [m for m in got if m["msg"] == "after"]
 
 
@@ -135,9 +137,11 @@
     ],
 )
 def test_bad_input_ends_with_one_line_that_names_it(message, fault):
-    code, got, err = run(SYNC, SPAWN, PAGE, UPDATE, message, END)
+    code, _got, err = run(SYNC, SPAWN, PAGE, UPDATE, message, END)
     assert code == 1
-    assert err.startswith("line 5: ") and fault in err and err.count("\n") == 1
+    assert err.startswith("line 5: ")
+    assert fault in err
+    assert err.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -159,8 +163,10 @@
         {path: value} if value is not None else {}
     )
     code, got, err = run(SYNC, {**SPAWN, "settings": settings}, END)
-    assert code == 0 and err == ""
-    assert got[0]["msg"] == "fault" and got[0]["text"].startswith(said)
+    assert code == 0
+    assert err == ""
+    assert got[0]["msg"] == "fault"
+    assert got[0]["text"].startswith(said)
 
 
 def test_bad_class_is_named():
@@ -262,8 +268,10 @@
 def test_a_setting_of_the_wrong_type_is_a_fault_that_names_it(path):
     settings = put(SETTINGS, path, {"odd": 1})
     code, got, err = run(SYNC, {**SPAWN, "settings": settings}, END)
-    assert (code, err) == (0, "") and got[0]["msg"] == "fault"
-    assert path.split(".")[-1] in got[0]["text"] and "expected" in got[0]["text"]
+    assert (code, err) == (0, "")
+    assert got[0]["msg"] == "fault"
+    assert path.split(".")[-1] in got[0]["text"]
+    assert "expected" in got[0]["text"]
 
 
 @pytest.mark.parametrize(
