--- a/oakbridge/policy/state.py
+++ b/oakbridge/policy/state.py
@@ -40,7 +40,7 @@
     """Return all that was learned.
 
     The process that saves goes on with what it has in flight, and gives up half of the retries that
-    are left.  It gives up all of its part in cold servers: the next one has the node's part of them.
+    are left.  It gives up all of its part in cold servers: the next one has the node's part.
     """
     slow_start, window = balancer.slow_start, balancer.budget.window
     window.add_further(now, max(0.0, balancer.budget.left(now) / 2))
--- a/oakbridge/policy/weighted_pool.py
+++ b/oakbridge/policy/weighted_pool.py
@@ -29,7 +29,7 @@
 
 
 class WeightedPool(Generic[Item]):
-    """Items to draw from in proportion to their weights, by rejection inside groups of like weight."""
+    """Items to draw from by their weights, by rejection inside groups of like weight."""
 
     __slots__ = ("count", "groups", "sums", "total")
 
@@ -95,15 +95,15 @@
     rng: random.Random,
     delay: Callable[[Item], float] = lambda _: 0.0,
 ) -> list[Item]:
-    """Return all items in random order, heavier ones likelier first; ``delay`` moves an item back."""
+    """Return all items in random order, heavier ones likelier first; ``delay`` moves one back."""
     return sorted(items, key=lambda item: rng.expovariate(item.weight) + delay(item))
 
 
 class TieredPool(Generic[Item]):
     """Weighted items that are near or far, active or not; cost is bounded, however many there are.
 
-    A set of few items is looked at in full; of a large one a bounded number is drawn, then a part of
-    a ring is looked through, which goes on where it stopped: each has its turn.
+    A set of few items is looked at in full; of a large one a bounded number is drawn, then a part
+    of a ring is looked through, which goes on where it stopped: each has its turn.
     """
 
     __slots__ = ("cursor", "far", "far_inactive", "near", "near_inactive")
