--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -105,7 +105,7 @@
     b.handle(1, EndpointListReceived([Endpoint(f"s{i}") for i in range(count)]))
     took = []
     for i in range(50):
-        change = [Endpoint(f"new{i}"), Endpoint(f"s{i}", state=EndpointState.GONE)]
+        change = [Endpoint(f"new{i}"), Endpoint(f"s{i}", state=EndpointState.REMOVED)]
         begin = time.perf_counter()
         b.handle(2 + i, EndpointListReceived(change, complete=False))
         took.append((time.perf_counter() - begin) * 1e6)
--- a/oakbridge/control/handler.py
+++ b/oakbridge/control/handler.py
@@ -16,7 +16,7 @@
 from oakbridge.control.status import NodeStatus, ResponseCounts, encode_status
 from oakbridge.node.discovery import DiscoverySource
 from oakbridge.node.node import Node
-from oakbridge.policy.view import view
+from oakbridge.policy.view import balancer_view
 from oakbridge.sources.file_source import FileSource
 from oakbridge.sources.inline_source import InlineSource
 
@@ -90,7 +90,7 @@
             client_connections=node.server.connection_count(),
             server_connections=node.pool.connection_count,
             responses=ResponseCounts(node.served, node.rejected, node.failed),
-            balancer=view(node.balancer, node.clock.now(), max_rows),
+            balancer=balancer_view(node.balancer, node.clock.now(), max_rows),
             server_source=self._describe_source(),
         )
 
--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -223,5 +223,5 @@
 
     def _resume_serving(self) -> None:
         log.warning("the process that took over is gone: serving again")
-        self._node.balancer.slow_start.retired = False
+        self._node.balancer.slow_start.is_handed_over = False
         self._node.server.take_back()
--- a/oakbridge/handover/successor.py
+++ b/oakbridge/handover/successor.py
@@ -35,7 +35,7 @@
 from oakbridge.handover.unix_socket import connect
 from oakbridge.node.node import Node
 from oakbridge.policy import state as policy_state
-from oakbridge.policy.events import InFlightInOtherProcess
+from oakbridge.policy.events import PredecessorInFlight
 
 log = logging.getLogger(__name__)
 
@@ -167,7 +167,7 @@
     def _reserve_for_predecessor(self, load: RemainingLoad) -> None:
         if self._node is not None:
             self._node.share_descriptors(load.connections)
-            self._node.post(InFlightInOtherProcess(load.attempts))
+            self._node.post(PredecessorInFlight(load.attempts))
 
     def _apply(self, command: OperatorCommand) -> None:
         if self._apply_command is None:
--- a/oakbridge/lab/simulation/fleet.py
+++ b/oakbridge/lab/simulation/fleet.py
@@ -192,7 +192,7 @@
     def replace_server(self, old: str, new: str, announced_after_us: int = SECOND_US) -> None:
         """Start a cold server in place of another, which answers until replicas are told."""
         self.pool.add(SimulatedServer(new, started_at_us=self.now))
-        changes = [Endpoint(old, EndpointState.GONE), Endpoint(new, started_at=self.now)]
+        changes = [Endpoint(old, EndpointState.REMOVED), Endpoint(new, started_at=self.now)]
         announcement = EndpointListReceived(changes, complete=False)
         self.events.schedule(
             self.now + announced_after_us, lambda: self._announce_changes(announcement)
--- a/oakbridge/lab/simulation/site_control.py
+++ b/oakbridge/lab/simulation/site_control.py
@@ -13,7 +13,7 @@
 from oakbridge.policy.balancer import Balancer
 from oakbridge.policy.events import Event, LoadSheddingLevel, ZoneWeights
 from oakbridge.policy.settings import RequestClass
-from oakbridge.policy.view import zones
+from oakbridge.policy.view import zone_views
 from oakbridge.sites.node_sites import OBSERVATION_WINDOW_US, NodeSites, ReceivedReport
 from oakbridge.sites.request_rates import RequestCounts, RequestRates
 
@@ -58,7 +58,7 @@
         plan, now = self._plans[replica], self._events.now
         own = self._rates[replica].update(
             self._request_counts(replica),
-            zones(self._balancers[replica], now, OBSERVATION_WINDOW_US),
+            zone_views(self._balancers[replica], now, OBSERVATION_WINDOW_US),
         )
         everyone = ClusterView(ViewState.COMPLETE, known=len(self._balancers), unreachable=0)
         decision = plan.update(now, now // 1000, everyone, self._received_reports(replica), own)
--- a/oakbridge/lab/simulation/subset_division.py
+++ b/oakbridge/lab/simulation/subset_division.py
@@ -8,7 +8,7 @@
 from oakbridge.peers.view_state import ClusterView, ViewState
 from oakbridge.policy.balancer import Balancer
 from oakbridge.policy.events import Event, SubsetAssignment
-from oakbridge.policy.view import listed
+from oakbridge.policy.view import server_sizes
 from oakbridge.spread.subset_assigner import Replica, SubsetAssigner
 
 LOAD_SCALE = 100  # of a replica's load as the others are told it, an integer
@@ -50,7 +50,7 @@
         """Assign one replica's subset of the servers that it has listed."""
         everyone = ClusterView(ViewState.COMPLETE, known=len(self._replicas), unreachable=0)
         weights = self._assigners[replica].update(
-            self._events.now, everyone, self._replicas, listed(self._balancers[replica])
+            self._events.now, everyone, self._replicas, server_sizes(self._balancers[replica])
         )
         if weights is not None:
             self._deliver(replica, SubsetAssignment(weights))
--- a/oakbridge/node/endpoint_list.py
+++ b/oakbridge/node/endpoint_list.py
@@ -36,7 +36,7 @@
         if self.complete:
             known.clear()
         for endpoint in self.endpoints:
-            if endpoint.server.state == EndpointState.GONE:
+            if endpoint.server.state == EndpointState.REMOVED:
                 known.pop(endpoint.server.id, None)
             else:
                 known[endpoint.server.id] = endpoint
@@ -55,7 +55,9 @@
     gone: list[ListedEndpoint] = []
     if new.complete:
         missing = [name for name in known if name not in named]
-        gone = [ListedEndpoint(Endpoint(name, EndpointState.GONE), NO_ADDRESS) for name in missing]
+        gone = [
+            ListedEndpoint(Endpoint(name, EndpointState.REMOVED), NO_ADDRESS) for name in missing
+        ]
     leaving = [endpoint for endpoint in named.values() if endpoint.server.state != EndpointState.UP]
     usable = [endpoint for endpoint in named.values() if endpoint.server.state == EndpointState.UP]
     changes = gone + leaving + usable
--- a/oakbridge/node/endpoint_list_json.py
+++ b/oakbridge/node/endpoint_list_json.py
@@ -22,7 +22,7 @@
 _STATE_BY_NAME = {
     "ready": EndpointState.UP,
     "draining": EndpointState.DRAINING,
-    "gone": EndpointState.GONE,
+    "gone": EndpointState.REMOVED,
 }
 _NAME_BY_STATE = {state: name for name, state in _STATE_BY_NAME.items()}
 
@@ -107,7 +107,8 @@
     try:
         address = _parse_server_address(raw.get("address"))
     except ConfigError as e:
-        if server.state == EndpointState.GONE:  # nothing is sent there: its address does not matter
+        # nothing is sent there: its address does not matter
+        if server.state == EndpointState.REMOVED:
             return ListedEndpoint(server, NO_ADDRESS)
         raise EndpointListError(f"{where}.address: {e}") from None
     server.address = f"{address[0]}:{address[1]}"
--- a/oakbridge/node/list_refresh.py
+++ b/oakbridge/node/list_refresh.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from oakbridge.policy.poll_backoff import AT_ONCE_US, TOLD_US, poll_backoff
+from oakbridge.policy.poll_backoff import IMMEDIATE_REFUSAL_US, MAX_LIST_AGE_US, poll_backoff
 
 US_PER_S = 1_000_000
-BOUND_S = TOLD_US / US_PER_S
-AT_ONCE_S = AT_ONCE_US / US_PER_S
+BOUND_S = MAX_LIST_AGE_US / US_PER_S
+AT_ONCE_S = IMMEDIATE_REFUSAL_US / US_PER_S
 
 # A watch that has broken silently looks like one without changes, so each is short: what is left of
 # the bound is for the calls after it.  Its length has jitter, so that nodes that got the same change
@@ -101,7 +101,7 @@
     def configure(self, poll_interval_us: int) -> None:
         """Go by this setting from the next call on; where it is short, so is the bound."""
         self._poll_interval_us = poll_interval_us
-        scale = min(1.0, poll_interval_us / TOLD_US)
+        scale = min(1.0, poll_interval_us / MAX_LIST_AGE_US)
         self._bound_s = BOUND_S * scale
         self._last_call_age_s = LAST_CALL_AGE_S * scale
         self._late_s = LATE_AGE_S * scale
--- a/oakbridge/node/outages.py
+++ b/oakbridge/node/outages.py
@@ -75,7 +75,7 @@
         outage = self._outages.get(server.id)
         if outage is None:
             return endpoint
-        gone = server.state == EndpointState.GONE
+        gone = server.state == EndpointState.REMOVED
         if not outage.put_back_at:
             return endpoint if gone else _replace_server(endpoint, state=EndpointState.DRAINING)
         if gone or server.started_at > outage.taken_out_at:
--- a/oakbridge/node/start_times.py
+++ b/oakbridge/node/start_times.py
@@ -54,7 +54,7 @@
         found = list(endpoints)
         for endpoint in found:
             ahead = endpoint.server.started_at - now
-            if endpoint.server.state is not EndpointState.GONE and ahead <= MAX_CLOCK_SKEW_US:
+            if endpoint.server.state is not EndpointState.REMOVED and ahead <= MAX_CLOCK_SKEW_US:
                 self._ahead = max(self._ahead, ahead)
         return [self._adjust_one(endpoint, now, staleness) for endpoint in found]
 
@@ -62,7 +62,7 @@
         self, endpoint: ListedEndpoint, now: int, staleness: int | None
     ) -> ListedEndpoint:
         server = endpoint.server
-        if not server.started_at or server.state is EndpointState.GONE:
+        if not server.started_at or server.state is EndpointState.REMOVED:
             return endpoint
         known = self._known.get(server.id)
         if known is None or known.told != server.started_at:
--- a/oakbridge/peers/node_adapter.py
+++ b/oakbridge/peers/node_adapter.py
@@ -9,7 +9,7 @@
 from oakbridge.peers.node_reports import LocalLoad
 from oakbridge.peers.service import MembershipService, monotonic_us
 from oakbridge.policy.events import PeerFailureReports
-from oakbridge.policy.view import brief
+from oakbridge.policy.view import load_summary
 from oakbridge.sources.file_source import FileOptions, FileSource
 
 
@@ -17,7 +17,7 @@
     """Return what tells the load of a node."""
 
     def load() -> LocalLoad:
-        in_flight, subset_size, failing_servers = brief(node.balancer, node.clock.now())
+        in_flight, subset_size, failing_servers = load_summary(node.balancer, node.clock.now())
         return LocalLoad(in_flight, subset_size, failing_servers)
 
     return load
--- a/oakbridge/policy/actions.py
+++ b/oakbridge/policy/actions.py
@@ -19,7 +19,7 @@
     NO_TIME_FOR_RETRY = "an attempt failed, and no time was left for another"
     RETRY_UNSAFE = "an attempt failed, and another is not allowed or not safe"
     RETRY_BUDGET = "an attempt failed, and the retry budget was spent"
-    SERVERS_GONE = "no server is left of the list that it keeps to"
+    PINNED_SERVERS_REMOVED = "no server is left of the list that it keeps to"
     UNKNOWN_CLASS = "its class is not known"
 
 
--- a/oakbridge/policy/balancer.py
+++ b/oakbridge/policy/balancer.py
@@ -45,7 +45,7 @@
         """Begin without servers; ``seed``: of all random draws."""
         rng = self.random = random.Random(seed)
         self.requests: dict[int, OpenRequest] = {}
-        self.in_flight_in_other_process = 0  # in the other process of this node
+        self.predecessor_in_flight = 0  # in the other process of this node
         self.reviewed_at = 0
         self.must_poll = settings.poll_discovery
         self._poll_is_due = False  # a timer is out: a second one would poll as often again
@@ -82,7 +82,7 @@
             events.EndpointListReceived: self._on_endpoint_list,
             events.EndpointsAnnounced: self.endpoints.announce,
             events.SettingsChanged: self._configure,
-            events.InFlightInOtherProcess: self._on_in_flight_in_other_process,
+            events.PredecessorInFlight: self._on_predecessor_in_flight,
             events.PeerFailureReports: self.outliers.take_peer_reports,
             events.ZoneWeights: self._on_zone_weights,
             events.LoadSheddingLevel: self._on_load_shedding_level,
@@ -141,7 +141,7 @@
     def _fail_stranded(self, oldest: float) -> None:
         for request in [r for r in self.requests.values() if r.attempts and not r.in_flight]:
             if request.list_version < oldest:
-                self._reject_or_fail(request, UnservedReason.SERVERS_GONE)
+                self._reject_or_fail(request, UnservedReason.PINNED_SERVERS_REMOVED)
 
     def _on_zone_weights(self, now: int, event: events.ZoneWeights) -> None:
         self.subset.weigh_zones(event, now)
@@ -154,12 +154,10 @@
     def _on_load_shedding_level(self, _: int, event: events.LoadSheddingLevel) -> None:
         self.shedding.level = event
 
-    def _on_in_flight_in_other_process(
-        self, now: int, event: events.InFlightInOtherProcess
-    ) -> None:
+    def _on_predecessor_in_flight(self, now: int, event: events.PredecessorInFlight) -> None:
         """Count what the other process has in flight: it is within the same limit."""
-        self.admission.change_in_flight(event.count - self.in_flight_in_other_process, now)
-        self.in_flight_in_other_process = event.count
+        self.admission.change_in_flight(event.count - self.predecessor_in_flight, now)
+        self.predecessor_in_flight = event.count
         self._dispatch(now)
 
     def _review(self, now: int) -> None:
--- a/oakbridge/policy/endpoint_reconciler.py
+++ b/oakbridge/policy/endpoint_reconciler.py
@@ -21,7 +21,7 @@
     random: random.Random
     subset: Subset
     slow_start: SlowStart
-    in_pieces: bool = False  # more of this version follows
+    is_partial: bool = False  # more of this version follows
     known: dict[str, Server] = field(default_factory=dict)  # also what drains or has attempts
     size_before: int = 0  # servers before this version
     subset_share: float = 0.0  # of these
@@ -35,16 +35,16 @@
     def apply(self, event: events.EndpointListReceived, now: int) -> None:
         """Keep to the list at once: what drains or is gone gets nothing more."""
         members = self.subset.members
-        if not self.in_pieces:
+        if not self.is_partial:
             members.version += 1
             self.size_before = len(members.servers)
             self.subset_share = len(members.subset) / max(1, self.size_before)
-        self.in_pieces = event.more_follow
+        self.is_partial = event.more_follow
         dropped: list[Server] = []
         for entry in event.endpoints:
             server = self._update(entry, now)
             if entry.state != events.EndpointState.UP:
-                server.delisted = entry.state == events.EndpointState.GONE
+                server.delisted = entry.state == events.EndpointState.REMOVED
                 dropped.append(server)
             elif server.partition is None:
                 server.listed_since = members.version
--- a/oakbridge/policy/events.py
+++ b/oakbridge/policy/events.py
@@ -35,7 +35,7 @@
 
     UP = "up"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 @dataclass(slots=True)
@@ -113,7 +113,7 @@
 
 
 @dataclass(slots=True)
-class InFlightInOtherProcess:
+class PredecessorInFlight:
     """How many attempts the other process of this node has in flight from now on, during a hot restart."""
 
     count: int
@@ -194,7 +194,7 @@
     | PeerFailureReports
     | ZoneWeights
     | LoadSheddingLevel
-    | InFlightInOtherProcess
+    | PredecessorInFlight
     | EndpointsAnnounced
     | RequestReceived
     | RequestBodySent
--- a/oakbridge/policy/poll_backoff.py
+++ b/oakbridge/policy/poll_backoff.py
@@ -10,8 +10,8 @@
 from oakbridge.policy.timers import SECOND_US
 
 # A change counts as told so long after discovery had it, whatever became of single polls.
-TOLD_US = 6 * SECOND_US
-AT_ONCE_US = SECOND_US // 4  # a poll refused so soon did not stand in the queue
+MAX_LIST_AGE_US = 6 * SECOND_US
+IMMEDIATE_REFUSAL_US = SECOND_US // 4  # a poll refused so soon did not stand in the queue
 LONGEST_BACKOFF_S = 4.5  # after a refusal at once, or a watch that broke
 YOUNG_LIST_S = 2.5  # a list that was refused at once waits until it is so old
 OLD_LIST_MIN_S, OLD_LIST_MAX_S = 0.3, 1.0
@@ -24,10 +24,10 @@
     ``poll_interval``: the setting; ``waited``: how long the poll took, 0 for a watch that broke;
     ``staleness``: the age of the list.  All are microseconds.
     """
-    scale = min(1.0, poll_interval / TOLD_US)
+    scale = min(1.0, poll_interval / MAX_LIST_AGE_US)
     stale = staleness / SECOND_US
     earliest = max(OLD_LIST_MIN_S, YOUNG_LIST_S - stale if waited else 0.0)
     latest = max(OLD_LIST_MAX_S, LONGEST_BACKOFF_S - stale)
-    if waited >= AT_ONCE_US:
+    if waited >= IMMEDIATE_REFUSAL_US:
         earliest, latest = QUEUED_MIN_S, QUEUED_MAX_S
     return scale * SECOND_US * rng.uniform(earliest, latest) - waited
--- a/oakbridge/policy/slow_start.py
+++ b/oakbridge/policy/slow_start.py
@@ -19,7 +19,7 @@
     settings: Settings
     random: random.Random
     latency: LatencyAverages
-    retired: bool = False  # the process that took over has this one's part of cold servers
+    is_handed_over: bool = False  # the process that took over has this one's part of cold servers
     warming: dict[str, Server] = field(default_factory=dict)  # servers that may still warm up
     rate: Rate = field(default_factory=Rate)  # answers of a warm server
 
@@ -34,7 +34,7 @@
     def is_exhausted(self, server: Server, now: int) -> bool:
         """Whether a cold server has had this replica's part of most that it bears."""
         share = self.capacity_share(server, now)
-        if share >= 1 or self.retired:
+        if share >= 1 or self.is_handed_over:
             return share < 1
         rate = self.rate.peak * share * max(1.0, OVERLOAD_SHARE * self.settings.overload_factor)
         if server.tokens_at < 0:
--- a/oakbridge/policy/state.py
+++ b/oakbridge/policy/state.py
@@ -45,7 +45,7 @@
     slow_start, window = balancer.slow_start, balancer.budget.window
     window.add_further(now, max(0.0, balancer.budget.left(now) / 2))
     servers = {server.id: _save_server(balancer, server) for server in balancer.servers.values()}
-    slow_start.retired = True
+    slow_start.is_handed_over = True
     return {
         "servers": servers,
         "latency": {
--- a/oakbridge/policy/subset.py
+++ b/oakbridge/policy/subset.py
@@ -10,7 +10,7 @@
 from oakbridge.policy.settings import Settings
 from oakbridge.policy.timers import SECOND_US
 
-COVERAGE = 5  # members of subsets for each server, over all replicas
+SUBSETS_PER_SERVER = 5  # members of subsets for each server, over all replicas
 MIN_SIZE = 4
 WIDEN_LOAD = 1.0  # own attempts in flight for each member
 NARROW_LOAD = 0.25
@@ -36,7 +36,7 @@
         servers = self.members.servers
         if self.assignment:
             return sum(name in servers for name in self.assignment)
-        cover = math.ceil(COVERAGE * len(servers) / self.settings.replica_count)
+        cover = math.ceil(SUBSETS_PER_SERVER * len(servers) / self.settings.replica_count)
         return min(len(servers), max(MIN_SIZE, cover))
 
     def widen(self, now: int) -> None:
--- a/oakbridge/policy/view.py
+++ b/oakbridge/policy/view.py
@@ -22,9 +22,9 @@
     state: str  # up, cold, ejected, drains (may not be sent to, and has attempts in flight)
     zone: str
     address: str
-    subset: bool
+    is_in_subset: bool
     in_flight: int
-    ejected_for: float
+    ejected_for_s: float
     capacity_share: float  # below 1 in slow start
     slowness: float
     max_in_flight: float | None  # attempts that it accepts, once it has rejected one
@@ -37,7 +37,7 @@
 
     list_version: int
     servers: int
-    subset: int
+    subset_size: int
     ejected: int
     in_flight: int
     limit: float
@@ -51,10 +51,10 @@
 
 def _row(balancer: Balancer, server: Server, now: int) -> ServerView:
     capacity_share = balancer.slow_start.capacity_share(server, now)
-    ejected_for = max(0, server.ejected_until - now) / SECOND_US
+    ejected_for_s = max(0, server.ejected_until - now) / SECOND_US
     if server.partition is None:
         state = "drains"
-    elif ejected_for:
+    elif ejected_for_s:
         state = "ejected"
     else:
         state = "cold" if capacity_share < 1 else "up"
@@ -64,9 +64,9 @@
         state=state,
         zone=server.zone,
         address=server.address,
-        subset=server.partition is balancer.members.subset,
+        is_in_subset=server.partition is balancer.members.subset,
         in_flight=len(server.in_flight),
-        ejected_for=round(ejected_for, 3),
+        ejected_for_s=round(ejected_for_s, 3),
         capacity_share=round(capacity_share, 3),
         slowness=round(balancer.selection.slowness(server, now), 3),
         max_in_flight=round(server.max_in_flight, 1) if limited else None,
@@ -82,7 +82,9 @@
     return (window.first + window.further) / max(1.0, elapsed)
 
 
-def brief(balancer: Balancer, now: int, max_ejected: int = 8) -> tuple[int, int, tuple[str, ...]]:
+def load_summary(
+    balancer: Balancer, now: int, max_ejected: int = 8
+) -> tuple[int, int, tuple[str, ...]]:
     """Return what peers are told: attempts in flight, the subset's size, some ejected servers."""
     ejected = (s.id for s in balancer.servers.values() if s.ejected_until > now)
     return (
@@ -92,7 +94,7 @@
     )
 
 
-def view(balancer: Balancer, now: int, max_rows: int = 200) -> BalancerView:
+def balancer_view(balancer: Balancer, now: int, max_rows: int = 200) -> BalancerView:
     """Return the state now, with rows of the servers that have most to tell."""
     subset = balancer.members.subset
 
@@ -104,7 +106,7 @@
     return BalancerView(
         list_version=balancer.members.version,
         servers=len(balancer.servers),
-        subset=len(subset),
+        subset_size=len(subset),
         ejected=sum(server.ejected_until > now for server in balancer.servers.values()),
         in_flight=balancer.admission.in_flight,
         limit=round(balancer.admission.limit, 1),
@@ -117,7 +119,9 @@
     )
 
 
-def listed(balancer: Balancer, names: Iterable[str] | None = None) -> dict[str, tuple[str, float]]:
+def server_sizes(
+    balancer: Balancer, names: Iterable[str] | None = None
+) -> dict[str, tuple[str, float]]:
     """Return zone and size of servers that may be sent to, without what plans make of the size.
 
     ``names``: only of these.
@@ -144,7 +148,7 @@
     failed: int  # refused, reset, or answered with an error
 
 
-def zones(balancer: Balancer, now: int, window: int) -> list[ZoneView]:
+def zone_views(balancer: Balancer, now: int, window: int) -> list[ZoneView]:
     """Return all listed zones; ``window``: how recent an outcome must be, in microseconds."""
     found: list[ZoneView] = []
     since = now - window
--- a/oakbridge/simhost/adapter.py
+++ b/oakbridge/simhost/adapter.py
@@ -42,7 +42,7 @@
 )
 from oakbridge.policy.settings import SettingsError
 
-_STATE = {"on": EndpointState.UP, "fading": EndpointState.DRAINING, "off": EndpointState.GONE}
+_STATE = {"on": EndpointState.UP, "fading": EndpointState.DRAINING, "off": EndpointState.REMOVED}
 _RESULT = {int(r): r for r in AttemptResult}
 
 
--- a/oakbridge/sip/front.py
+++ b/oakbridge/sip/front.py
@@ -110,7 +110,7 @@
         if new.complete:
             servers.clear()
         for entry in new.endpoints:
-            if entry.server.state == EndpointState.GONE:
+            if entry.server.state == EndpointState.REMOVED:
                 servers.pop(entry.server.id, None)
             else:
                 host, port = entry.address
--- a/oakbridge/sites/runner.py
+++ b/oakbridge/sites/runner.py
@@ -16,7 +16,7 @@
 from oakbridge.peers.periodic_update import PeriodicUpdate
 from oakbridge.peers.service import MembershipService
 from oakbridge.policy.events import LoadSheddingLevel, ZoneWeights
-from oakbridge.policy.view import zones
+from oakbridge.policy.view import zone_views
 from oakbridge.sites import operator_view
 from oakbridge.sites.errors import SiteOverrideError
 from oakbridge.sites.fleet_load_shedding import OVER_QUOTA
@@ -141,7 +141,7 @@
             shed=balancer.shedding.rejected,
             arrived={name: latency.arrivals for name, latency in balancer.latency.items()},
         )
-        return self._rates.update(counts, zones(balancer, now_us, OBSERVATION_WINDOW_US))
+        return self._rates.update(counts, zone_views(balancer, now_us, OBSERVATION_WINDOW_US))
 
 
 def _clock_ms() -> int:
--- a/oakbridge/sources/file_source.py
+++ b/oakbridge/sources/file_source.py
@@ -242,7 +242,7 @@
         for start in range(0, len(entries), PREPARED_PER_TURN):
             self._listener.prepare(entries[start : start + PREPARED_PER_TURN])
             await asyncio.sleep(0)
-        gone = [Endpoint(name, EndpointState.GONE) for name in change.removed]
+        gone = [Endpoint(name, EndpointState.REMOVED) for name in change.removed]
         removed = [ListedEndpoint(server, NO_ADDRESS) for server in gone]
         new = EndpointList(
             index=action.version.number,
--- a/oakbridge/spread/capacity_forecast.py
+++ b/oakbridge/spread/capacity_forecast.py
@@ -13,7 +13,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from oakbridge.policy.subset import COVERAGE
+from oakbridge.policy.subset import SUBSETS_PER_SERVER
 from oakbridge.spread.arcs import overlaps
 
 MIN_RANDOM_SUBSET = 4
@@ -99,10 +99,10 @@
 def divide_by_chance(
     replicas: Mapping[str, float], servers: Mapping[str, float], seed: int
 ) -> RequestShares:
-    """Divide as each replica draws a subset; all subsets cover each server ``COVERAGE`` times."""
+    """Divide as each replica draws a subset; each server is in ``SUBSETS_PER_SERVER`` of them."""
     shares: RequestShares = defaultdict(dict)
     names, total = list(servers), sum(replicas.values())
-    covering = math.ceil(COVERAGE * len(names) / len(replicas))
+    covering = math.ceil(SUBSETS_PER_SERVER * len(names) / len(replicas))
     subset_size = min(len(names), max(MIN_RANDOM_SUBSET, covering))
     for replica, requests in replicas.items():
         rng = random.Random(f"{seed} {replica}")  # the same whoever else there is
--- a/oakbridge/spread/runner.py
+++ b/oakbridge/spread/runner.py
@@ -14,7 +14,7 @@
 from oakbridge.peers.periodic_update import PeriodicUpdate
 from oakbridge.peers.service import MembershipService
 from oakbridge.policy.events import SubsetAssignment
-from oakbridge.policy.view import listed
+from oakbridge.policy.view import server_sizes
 from oakbridge.spread import operator_view
 from oakbridge.spread.request_rate import ReportedRate
 from oakbridge.spread.subset_assigner import Replica, SubsetAssigner, ZoneAndWeight
@@ -97,12 +97,12 @@
     async def _listed_servers(self) -> dict[str, ZoneAndWeight]:
         """Return the listed servers; read another list in short turns."""
         balancer = self._node.balancer
-        if balancer.members.version == self._list_version or balancer.endpoints.in_pieces:
+        if balancer.members.version == self._list_version or balancer.endpoints.is_partial:
             return self._servers
         version, names = balancer.members.version, list(balancer.servers)
         servers: dict[str, ZoneAndWeight] = {}
         for first in range(0, len(names), SERVERS_PER_TURN):
-            servers |= listed(balancer, names[first : first + SERVERS_PER_TURN])
+            servers |= server_sizes(balancer, names[first : first + SERVERS_PER_TURN])
             await asyncio.sleep(0)
         self._list_version = version
         self._servers = servers
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -40,7 +40,7 @@
 VIEW = BalancerView(
     list_version=12,
     servers=3,
-    subset=2,
+    subset_size=2,
     ejected=1,
     in_flight=4,
     limit=32.5,
@@ -55,9 +55,9 @@
             state="up",
             zone="a",
             address="10.0.0.1:9000",
-            subset=True,
+            is_in_subset=True,
             in_flight=3,
-            ejected_for=0.0,
+            ejected_for_s=0.0,
             capacity_share=1.0,
             slowness=0.75,
             max_in_flight=None,
@@ -68,9 +68,9 @@
             state="ejected",
             zone="b",
             address="10.0.0.2:9000",
-            subset=False,
+            is_in_subset=False,
             in_flight=1,
-            ejected_for=2.5,
+            ejected_for_s=2.5,
             capacity_share=0.25,
             slowness=1.5,
             max_in_flight=7.5,
@@ -143,7 +143,7 @@
     monkeypatch.setattr(time, "time", lambda: 1_700_000_000.0)
     monkeypatch.setattr(os, "getpid", lambda: 4321)
     monkeypatch.setattr(handler, "__version__", "0.3.0")
-    monkeypatch.setattr(handler, "view", lambda balancer, now, rows: VIEW)
+    monkeypatch.setattr(handler, "balancer_view", lambda balancer, now, rows: VIEW)
 
 
 def conversation(name):
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -7,7 +7,7 @@
 
 from oakbridge.policy import state
 from oakbridge.policy.actions import SendAttempt
-from oakbridge.policy.events import Endpoint, InFlightInOtherProcess
+from oakbridge.policy.events import Endpoint, PredecessorInFlight
 
 ENTRIES = [Endpoint(f"s{i}", address=f"p{i}") for i in range(6)]
 
@@ -84,12 +84,12 @@
     out = old.b.admission.in_flight
     assert out >= old.b.admission.limit > 4
     over(old, new)
-    new.feed(InFlightInOtherProcess(out))
+    new.feed(PredecessorInFlight(out))
     for _ in range(200):
         new.ask()
     assert not new.of(SendAttempt)
     for i, left in enumerate((out - 3, 0)):
-        new.feed(InFlightInOtherProcess(left))
+        new.feed(PredecessorInFlight(left))
         for _ in range(30):
             new.ask()  # fewer wait than may be out
         assert len(new.of(SendAttempt)) == pytest.approx((3, out)[i], abs=1)
@@ -115,6 +115,6 @@
 def test_one_that_is_back_alone_uses_cold_servers_again():
     old, _ = pair()
     state.save(old.b, old.now)
-    old.b.slow_start.retired = False
+    old.b.slow_start.is_handed_over = False
     old.serve(10)
     assert old.of(SendAttempt)
--- a/tests/node/test_endpoint_list_json.py
+++ b/tests/node/test_endpoint_list_json.py
@@ -54,7 +54,7 @@
     assert (got.index, got.complete) == (9, False)
     assert got.endpoints[0].address == ("127.0.0.1", 80)
     assert got.endpoints[0].server.started_at == 1_700_000_000_000_000
-    assert [e.server.state for e in got.endpoints] == [EndpointState.UP, EndpointState.GONE]
+    assert [e.server.state for e in got.endpoints] == [EndpointState.UP, EndpointState.REMOVED]
 
 
 def test_mistake_is_told_with_its_place():
--- a/tests/node/test_outages.py
+++ b/tests/node/test_outages.py
@@ -25,7 +25,7 @@
         entry("a", address=("127.0.0.1", 9)),
     ):
         assert outages.apply(seen).server.state == EndpointState.DRAINING
-    assert outages.apply(entry("a", EndpointState.GONE)).server.state == EndpointState.GONE
+    assert outages.apply(entry("a", EndpointState.REMOVED)).server.state == EndpointState.REMOVED
     assert outages.apply(entry("b")).server.state == EndpointState.UP
     assert outages.put_back("a", 300)
     assert not outages.put_back("a", 310)
--- a/tests/policy/decision_digest.py
+++ b/tests/policy/decision_digest.py
@@ -35,9 +35,9 @@
     EndpointsAnnounced,
     EndpointState,
     Event,
-    InFlightInOtherProcess,
     LoadSheddingLevel,
     PeerFailureReports,
+    PredecessorInFlight,
     RequestBodySent,
     RequestReceived,
     ResponseStarted,
@@ -310,7 +310,7 @@
         for name in self.some(0.1):
             if len(self.listed) > 4:
                 gone = self.listed.pop(name)
-                state_ = self.random.choice([EndpointState.GONE, EndpointState.DRAINING])
+                state_ = self.random.choice([EndpointState.REMOVED, EndpointState.DRAINING])
                 entries.append(
                     Endpoint(
                         name,
@@ -336,7 +336,7 @@
 
     def replace_all(self) -> None:
         """No server that was listed is left: what keeps to the list before has nowhere to go."""
-        gone = [Endpoint(name, EndpointState.GONE) for name in self.listed]
+        gone = [Endpoint(name, EndpointState.REMOVED) for name in self.listed]
         self.listed.clear()
         self.feed(EndpointListReceived([*gone, *(self.new_server() for _ in gone)], complete=False))
 
@@ -384,7 +384,7 @@
         self.feed(SubsetAssignment({name: self.random.choice([0.2, 0.5, 1.0]) for name in chosen}))
 
     def elsewhere(self) -> None:
-        self.feed(InFlightInOtherProcess(self.random.choice([0, 0, 2, 5])))
+        self.feed(PredecessorInFlight(self.random.choice([0, 0, 2, 5])))
 
     def other_settings(self) -> None:
         """The same settings said again, and the classes in another order."""
@@ -415,10 +415,15 @@
         saved = json.loads(json.dumps(state.save(self.balancer, self.now)))
         seen = [
             [z.zone, z.listed, z.responding, z.timed_out, z.failed]
-            for z in view.zones(self.balancer, self.now, SECOND_US)
+            for z in view.zone_views(self.balancer, self.now, SECOND_US)
         ]
         self.digest.add_values(
-            [saved, seen, view.listed(self.balancer), view.brief(self.balancer, self.now)]
+            [
+                saved,
+                seen,
+                view.server_sizes(self.balancer),
+                view.load_summary(self.balancer, self.now),
+            ]
         )
         held = len(self.out)
         self.out.clear()
@@ -428,8 +433,8 @@
         self.balancer = Balancer(self.settings, self.seed + self.now % 1000)
         self.feed(EndpointListReceived(list(self.listed.values())))
         state.restore(self.balancer, saved, self.now)
-        self.feed(InFlightInOtherProcess(held))
-        self.at(self.now + SECOND_US, lambda: self.feed(InFlightInOtherProcess(0)))
+        self.feed(PredecessorInFlight(held))
+        self.at(self.now + SECOND_US, lambda: self.feed(PredecessorInFlight(0)))
 
 
 # ---- what is driven
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -120,7 +120,7 @@
     d.b.admission.capacity, d.b.admission.limit = 24.0, 36.0
     d.feed(
         EndpointListReceived(
-            [Endpoint(f"s{i}", EndpointState.GONE) for i in range(4, 12)], complete=False
+            [Endpoint(f"s{i}", EndpointState.REMOVED) for i in range(4, 12)], complete=False
         )
     )
     assert (d.b.admission.capacity, d.b.admission.limit) == (8.0, 12.0)
--- a/tests/policy/test_endpoint_reconciler.py
+++ b/tests/policy/test_endpoint_reconciler.py
@@ -35,7 +35,7 @@
         sends = [a for a in d.ask() if isinstance(a, SendAttempt)]
         if not out:
             d.end(sends[0], AttemptResult.OK)
-        d.feed(EndpointListReceived([Endpoint(f"new{i}", EndpointState.GONE)], complete=False))
+        d.feed(EndpointListReceived([Endpoint(f"new{i}", EndpointState.REMOVED)], complete=False))
         if out:
             assert f"new{i}" in d.b.endpoints.known
             d.end(sends[0], AttemptResult.OK)
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -329,7 +329,7 @@
             b.handle(2, EndpointListReceived(entries, complete=whole))
         return traced.count
 
-    delta = [Endpoint("new"), Endpoint("s1", state=EndpointState.GONE)]
+    delta = [Endpoint("new"), Endpoint("s1", state=EndpointState.REMOVED)]
     assert lines(10_000, delta, False) < 1.2 * lines(100, delta, False)
     half = [
         lines(n, [Endpoint(f"s{i}") for i in range(n // 2, n + n // 2)], True) for n in (200, 2000)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -142,7 +142,7 @@
                     EndpointState.UP,
                     EndpointState.UP,
                     EndpointState.DRAINING,
-                    EndpointState.GONE,
+                    EndpointState.REMOVED,
                 ]
             )
             started = self.now - rng.randrange(3 * SECOND) if rng.random() < 0.3 else 0
@@ -153,8 +153,8 @@
         if whole:  # some are no longer listed at all
             for name in [n for n in self.servers if rng.random() < 0.1]:
                 self.told.discard(name)
-                self.servers[name] = Endpoint(name, EndpointState.GONE, self.servers[name].zone)
-        listed = [s for s in self.servers.values() if s.state != EndpointState.GONE or not whole]
+                self.servers[name] = Endpoint(name, EndpointState.REMOVED, self.servers[name].zone)
+        listed = [s for s in self.servers.values() if s.state != EndpointState.REMOVED or not whole]
         names = {s.id for s in listed if s.state == EndpointState.UP}
         self.told = names if whole else (self.told | names)
         self.told -= {s.id for s in self.servers.values() if s.state != EndpointState.UP}
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -50,7 +50,7 @@
     )
     d.serve(100, gap=100_000, latency=200_000)
     new = [Endpoint(f"new{i}", started_at=d.now) for i in range(replaced)]
-    gone = [Endpoint(f"s{i}", EndpointState.GONE) for i in range(replaced)]
+    gone = [Endpoint(f"s{i}", EndpointState.REMOVED) for i in range(replaced)]
     d.feed(EndpointListReceived(new + gone, complete=False))
     used = [d.serve(20, gap=100_000, latency=200_000) for _ in range(4)]  # 24 s in all
     assert [len(part) for part in used[1:]] == [20, 20, 20]
--- a/tests/policy/test_unserved_reasons.py
+++ b/tests/policy/test_unserved_reasons.py
@@ -78,7 +78,7 @@
         (fail_at_the_last_moment, RejectRequest, UnservedReason.NO_TIME_FOR_RETRY),
         (fail_an_unsafe_request, FailRequest, UnservedReason.RETRY_UNSAFE),
         (fail_without_a_budget, RejectRequest, UnservedReason.RETRY_BUDGET),
-        (lose_all_servers_of_the_list, RejectRequest, UnservedReason.SERVERS_GONE),
+        (lose_all_servers_of_the_list, RejectRequest, UnservedReason.PINNED_SERVERS_REMOVED),
         (name_an_unknown_class, FailRequest, UnservedReason.UNKNOWN_CLASS),
     ],
 )
--- a/tests/policy/test_versions.py
+++ b/tests/policy/test_versions.py
@@ -46,7 +46,7 @@
         d.serve(30)
         first = ask(d)
         back = next(n for n in "abc" if n != first.server)
-        d.feed(EndpointListReceived([Endpoint(back, EndpointState.GONE)], complete=False))
+        d.feed(EndpointListReceived([Endpoint(back, EndpointState.REMOVED)], complete=False))
         d.feed(EndpointListReceived([Endpoint(back, address=back)], complete=False))
         assert back not in {s.server for s in retries(d, first)}
 
--- a/tests/sites/test_balancer_zone_weights.py
+++ b/tests/sites/test_balancer_zone_weights.py
@@ -16,7 +16,7 @@
     ZoneWeights,
 )
 from oakbridge.policy.settings import Idempotency, Prices, RequestClass, Settings, Tenant
-from oakbridge.policy.view import zones
+from oakbridge.policy.view import zone_views
 
 SECOND_US = 1_000_000
 IDEMPOTENT = RequestClass(
@@ -117,7 +117,7 @@
     driver.serve(100)
     before = {
         z.zone: (z.responding > 0, z.timed_out, z.failed)
-        for z in zones(driver.balancer, driver.now, 4 * SECOND_US)
+        for z in zone_views(driver.balancer, driver.now, 4 * SECOND_US)
     }
     assert before == dict.fromkeys("abc", (True, 0, 0))
     for result, mute in (
@@ -127,7 +127,7 @@
     ):
         driver = BalancerDriver([Endpoint("a1", zone="a")])
         driver.serve(1, result=result)
-        (found,) = zones(driver.balancer, driver.now, 4 * SECOND_US)
+        (found,) = zone_views(driver.balancer, driver.now, 4 * SECOND_US)
         assert (found.timed_out, found.failed) == (
             mute,
             int(result == AttemptResult.CONNECT_FAILED),
--- a/tests/sources/watched_source.py
+++ b/tests/sources/watched_source.py
@@ -43,7 +43,7 @@
             self.servers = {}
         for entry in new.endpoints:
             self.servers[entry.server.id] = entry
-            if entry.server.state == EndpointState.GONE:
+            if entry.server.state == EndpointState.REMOVED:
                 del self.servers[entry.server.id]
         assert self.servers
         self.versions.put_nowait(frozenset(self.servers))
--- a/tests/spread/test_balancer_subset.py
+++ b/tests/spread/test_balancer_subset.py
@@ -16,7 +16,7 @@
     ZoneWeights,
 )
 from oakbridge.policy.settings import Idempotency, RequestClass, Settings
-from oakbridge.policy.view import listed
+from oakbridge.policy.view import server_sizes
 
 
 def test_the_balancer_uses_its_subset_and_keeps_to_it_as_lists_and_zones_change():
@@ -35,15 +35,15 @@
     balancer.handle(2, ZoneWeights({"a": 0.5}))
     assert used()["s00"] == 0.5
     assert used()["s01"] == 0.9
-    assert listed(balancer) == {e.id: (e.zone, 1.0) for e in endpoints}
+    assert server_sizes(balancer) == {e.id: (e.zone, 1.0) for e in endpoints}
     balancer.handle(3, ZoneWeights({}))
-    changed = [Endpoint("s00", EndpointState.GONE), Endpoint("new"), Endpoint("s99")]
+    changed = [Endpoint("s00", EndpointState.REMOVED), Endpoint("new"), Endpoint("s99")]
     balancer.handle(4, EndpointListReceived(changed, complete=False))
     assert set(used()) == weights.keys() - {"s00"}
     balancer.handle(5, SubsetAssignment({"new": 0.5, "s99": 1.0}))
     assert used() == {"new": 0.5, "s99": 1.0}
     balancer.handle(6, SubsetAssignment({}))
-    assert set(listed(balancer)) == {e.id for e in endpoints[1:]} | {"new", "s99"}
+    assert set(server_sizes(balancer)) == {e.id for e in endpoints[1:]} | {"new", "s99"}
     assert {round(s.weight, 6) for s in balancer.servers.values()} == {1.0}
 
 
