--- a/benchmarks/faults/node_process.py
+++ b/benchmarks/faults/node_process.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from fault_control import FaultControl
-from peers import SETTINGS, Caller, endpoint, free_ports, listing, soon
+from peers import SETTINGS, Client, endpoint, free_ports, listing, with_timeout
 
 ROOT = Path(__file__).parents[2]
 COMMAND = (sys.executable, "-m", "oakbridge")
@@ -95,7 +95,7 @@
                 *COMMAND, cwd=ROOT, env=environment, stderr=log
             )
         if wait:
-            await soon(self.ready())
+            await with_timeout(self.ready())
 
     async def ready(self) -> None:
         """Wait until the node says that it is ready."""
@@ -106,12 +106,12 @@
 
     async def _answers_ready(self) -> bool:
         try:
-            caller = await Caller.connect(self.port)
+            caller = await Client.connect(self.port)
         except OSError:
             return False
         try:
             caller.writer.write(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-            return (await caller.answer())[0] == 200
+            return (await caller.read_response())[0] == 200
         except (OSError, EOFError):
             return False
         finally:
--- a/benchmarks/faults/soak.py
+++ b/benchmarks/faults/soak.py
@@ -25,7 +25,7 @@
 from discovery_standin import AnswerFault, MovedAddress, NodeDiscovery, RequestQueue
 from fault_control import Fault
 from node_process import NodeProcess, node_settings
-from peers import soon
+from peers import with_timeout
 from soak_clients import Client, SentRequest, SoakNode, hold_crowd
 from soak_rules import Findings, check, read_attempts
 from soak_servers import SoakServers
@@ -252,7 +252,7 @@
             await self._kill(node)
             self._discoveries[node.number].on_node_started()
             await node.process.start(wait=False)
-            await soon(node.process.ready())
+            await with_timeout(node.process.ready())
             node.is_up, node.ending_since = True, None
             await asyncio.sleep(draw.uniform(0.5, 4.0))
 
--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from oakbridge.node.trace_format import MARK
+from oakbridge.node.trace_format import LINE_PREFIX
 
 COLUMNS = (
     "nodes", "taken", "served", "refuse", "fail", "sent", "again", "cold", "ok", "error", "full", "timeout",
@@ -34,9 +34,9 @@
     """Every node's lines, in no order."""
     for path in sorted(folder.glob("*.log")):
         for line in path.read_text("utf-8", "replace").splitlines():
-            if (place := line.find(f" {MARK}{{")) >= 0:
+            if (place := line.find(f" {LINE_PREFIX}{{")) >= 0:
                 try:
-                    found = json.loads(line[place + 1 + len(MARK) :])
+                    found = json.loads(line[place + 1 + len(LINE_PREFIX) :])
                 except ValueError:  # cut off where the node was killed
                     continue
                 if "start" not in found:
--- a/oakbridge/__main__.py
+++ b/oakbridge/__main__.py
@@ -49,7 +49,7 @@
     await serve(build_with_service, reload, service.lifespan)
 
 
-def start_log(level: int = logging.INFO) -> None:
+def configure_logging(level: int = logging.INFO) -> None:
     """Log to standard error."""
     logging.basicConfig(
         level=level, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s"
@@ -64,7 +64,7 @@
               " (without the platform: `oakbridge --help`, `oakbridge demo`)", file=sys.stderr)  # fmt: skip
         return 2
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it: it ends no node
-    start_log()
+    configure_logging()
     try:
         run_in_new_loop(run())
     except ConfigError as e:
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -17,8 +17,8 @@
 
 import click
 
+from oakbridge.__main__ import configure_logging
 from oakbridge.__main__ import main as serve_platform
-from oakbridge.__main__ import start_log
 from oakbridge.cli.common import CommandFailedError, InvalidInputError
 from oakbridge.cli.logs import JSON, log_option, start_logs
 from oakbridge.config.errors import ConfigFileError
@@ -32,7 +32,7 @@
 from oakbridge.node.clock import Clock
 from oakbridge.node.endpoint_source import EndpointSource
 from oakbridge.node.errors import ConfigError, ConfigUnreadableError
-from oakbridge.node.node import Listening, Node
+from oakbridge.node.node import ListenOptions, Node
 from oakbridge.node.run import serve
 from oakbridge.node.startup import run_in_new_loop
 from oakbridge.sources.file_source import FileOptions, FileSource
@@ -136,7 +136,7 @@
         loaded.config,
         loop,
         None if loaded.config.discovery else source,
-        listening=Listening(enabled=listens),
+        listening=ListenOptions(enabled=listens),
     )
 
 
@@ -378,7 +378,7 @@
     if log_format == JSON:
         start_logs(log_format, level, node=loaded.config.name)
     else:
-        start_log(level)
+        configure_logging(level)
     logging.getLogger("watchfiles").setLevel(logging.WARNING)
     worker_count = workers or loaded.file.node.workers
     try:
--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -224,4 +224,4 @@
     def _resume_serving(self) -> None:
         log.warning("the process that took over is gone: serving again")
         self._node.balancer.slow_start.retired = False
-        self._node.server.take_back()
+        self._node.server.cancel_hand_over()
--- a/oakbridge/handover/unix_socket.py
+++ b/oakbridge/handover/unix_socket.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from oakbridge.node.accepting import Accepted, AcceptLog, accept
+from oakbridge.node.accepting import AcceptFailureLog, AcceptResult, accept
 from oakbridge.node.startup import retry_resource_errors
 
 log = logging.getLogger(__name__)
@@ -37,7 +37,7 @@
             OSError: The name can't be taken.
         """
         self._path = path
-        self._failures = AcceptLog()
+        self._failures = AcceptFailureLog()
         self._sock = _unix_socket()
         try:
             path.unlink(missing_ok=True)
@@ -54,7 +54,7 @@
         """Return the descriptor, for a loop to watch."""
         return self._sock.fileno()
 
-    def accept(self) -> Accepted:
+    def accept(self) -> AcceptResult:
         """Return a connection that waits, set not to block, or why there is none."""
         outcome = accept(self._sock, self._failures)
         if outcome.connection is not None:
--- a/oakbridge/node/accepting.py
+++ b/oakbridge/node/accepting.py
@@ -26,19 +26,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
+class AcceptResult:
     """The outcome of one accept(); ``connection`` is set where the status is ACCEPTED."""
 
     status: AcceptStatus
     connection: socket.socket | None = None
 
 
-_EMPTY = Accepted(AcceptStatus.QUEUE_EMPTY)
-_CONNECTION_FAILED = Accepted(AcceptStatus.CONNECTION_FAILED)
-_UNAVAILABLE = Accepted(AcceptStatus.UNAVAILABLE)
+_EMPTY = AcceptResult(AcceptStatus.QUEUE_EMPTY)
+_CONNECTION_FAILED = AcceptResult(AcceptStatus.CONNECTION_FAILED)
+_UNAVAILABLE = AcceptResult(AcceptStatus.UNAVAILABLE)
 
 
-class AcceptLog:
+class AcceptFailureLog:
     """Logs the first failure of a series, and its end."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
             self._failures = 0
 
 
-def accept(listening: socket.socket, failures: AcceptLog) -> Accepted:
+def accept(listening: socket.socket, failures: AcceptFailureLog) -> AcceptResult:
     """Accept one connection; raises nothing."""
     try:
         connection, _ = listening.accept()
@@ -67,4 +67,4 @@
         failures.on_failure(error)
         return _CONNECTION_FAILED if is_connection_error(error) else _UNAVAILABLE
     failures.on_success()
-    return Accepted(AcceptStatus.ACCEPTED, connection)
+    return AcceptResult(AcceptStatus.ACCEPTED, connection)
--- a/oakbridge/node/attempt.py
+++ b/oakbridge/node/attempt.py
@@ -21,7 +21,7 @@
     def write_body(self, data: bytes) -> None:
         """Take a part of the body; call :meth:`ServerConnection.pause` when that is enough for now."""
 
-    def end_response(self) -> None:
+    def finish_response(self) -> None:
         """Take the end of a complete response."""
 
     def abort_response(self) -> None:
--- a/oakbridge/node/client_connection.py
+++ b/oakbridge/node/client_connection.py
@@ -89,7 +89,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the connection, unless it has been evicted already."""
         self.transport = cast(asyncio.Transport, transport)  # other loops have classes of their own
-        if self.has_ended():
+        if self.is_closing():
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
@@ -113,7 +113,7 @@
     def buffer_updated(self, nbytes: int) -> None:
         """Parse requests; a malformed one ends the connection once earlier ones are answered."""
         self.progress.bytes_received += nbytes
-        if self.parser.error_status or self.has_ended():
+        if self.parser.error_status or self.is_closing():
             return  # discarded: see _end_sending
         limits = self._server.limits
         if not self.parser.request_bytes and not self.write_blocked:
@@ -142,7 +142,7 @@
         """Go on: the client has read enough."""
         self.write_blocked = False
         self.progress.writing_resumed()
-        if self.has_ended():
+        if self.is_closing():
             return
         if not self.parser.in_progress():
             self._server.limits.awaiting_client.remove(self)
@@ -181,7 +181,7 @@
 
     def update_reading(self) -> None:
         """Read, unless enough requests or enough of a streamed body waits here already."""
-        if self.transport is None or self.has_ended():
+        if self.transport is None or self.is_closing():
             return
         if self.reading_paused or self.parser.body_is_held_back():
             self.transport.pause_reading()
@@ -193,7 +193,7 @@
     def _change_state(self, event: ConnectionEvent) -> None:
         self.state = next_state(self.state, event)
 
-    def has_ended(self) -> bool:
+    def is_closing(self) -> bool:
         """Return whether nothing more is written on this connection."""
         return self.state in ENDED_STATES
 
@@ -216,7 +216,7 @@
     def _send_continue(self) -> None:
         """Ask for the body (RFC 9110, 10.1.1)."""
         self.parser.expects_continue = False
-        if self.transport is not None and not self.has_ended():
+        if self.transport is not None and not self.is_closing():
             self.transport.write(CONTINUE)
 
     def _cancel_streamed_request(self) -> None:
@@ -236,17 +236,17 @@
 
     def _abandon(self, request: ClientRequest | None) -> None:
         """Notify the handler that nobody waits any more for the response to a request."""
-        if request is not None and not request.answered:
-            request.answered = True
-            self._server.handler.on_client_gone(request)
+        if request is not None and not request.response_settled:
+            request.response_settled = True
+            self._server.handler.on_client_disconnected(request)
 
     # ---- responses
 
     def respond(self, request: ClientRequest, status: int, headers: Headers, body: bytes) -> None:
         """Write a request's one response, unless none is owed any more."""
-        if request.answered or request is not self.in_flight:
+        if request.response_settled or request is not self.in_flight:
             return
-        request.answered = True
+        request.response_settled = True
         self.in_flight = None
         self._change_state(ConnectionEvent.RESPONSE_COMPLETE)
         # The rest of a streamed body is read and discarded.
@@ -273,11 +273,11 @@
 
         ``length``: of the body, if it is known.  Returns False if no response is owed any more.
         """
-        if request.answered or request is not self.in_flight:
+        if request.response_settled or request is not self.in_flight:
             return False
-        if self.transport is None or self.has_ended():
+        if self.transport is None or self.is_closing():
             return False
-        request.answered = True
+        request.response_settled = True
         request.response_streamed = True
         self._change_state(ConnectionEvent.RESPONSE_STARTED)
         framing = stream_framing(length, http10=request.http10)
@@ -292,10 +292,10 @@
         if self.response_stream is not None:
             self.response_stream.write(data)
 
-    def end_response(self) -> None:
+    def finish_response(self) -> None:
         """End a streamed response that is complete."""
         stream = self._forget_stream()
-        if stream is None or self.has_ended():
+        if stream is None or self.is_closing():
             return
         stream.end()
         if stream.is_last and not self.pending:
@@ -310,7 +310,7 @@
         """
         stream = self._forget_stream()
         if stream is not None and stream.is_framed and not self.pending:
-            if not self.has_ended():
+            if not self.is_closing():
                 self._end_sending()
             return
         reset_on_close(self._sock)
@@ -336,7 +336,7 @@
     def _write_response(
         self, status: int, headers: Headers, body: bytes, *, close: bool, http10: bool = False
     ) -> None:
-        if self.transport is None or self.has_ended():
+        if self.transport is None or self.is_closing():
             return
         self.transport.write(encode_response(status, headers, body, close=close, http10=http10))
         if close:
@@ -344,7 +344,7 @@
 
     def _after_response(self) -> None:
         """Go on with the next request, or become idle."""
-        if self.has_ended():
+        if self.is_closing():
             return
         if self.pending or self.parser.expects_continue:
             # Not from in here: a long pipeline would nest as deep.
@@ -412,7 +412,7 @@
     def _made_progress(self) -> bool:
         """Return whether the client has read, or sent enough, since the last check."""
         received = self.progress.take_received()
-        if self.has_ended():
+        if self.is_closing():
             return self.progress.may_linger(self.transport, received)
         if self.write_blocked:
             return self.progress.has_read(self.transport)
@@ -424,7 +424,7 @@
         """Give up on a client that did not do its part in time."""
         if self._made_progress():
             self._server.limits.awaiting_client.add(self)
-        elif self.has_ended() or self.write_blocked:
+        elif self.is_closing() or self.write_blocked:
             self.abort()
         elif self.parser.streamed_request is not None:
             self._cancel_streamed_request()
@@ -440,7 +440,7 @@
 
     def close(self) -> None:
         """Close between requests; unread bytes are served first."""
-        if self.has_ended():
+        if self.is_closing():
             return
         if self.reading_paused or self.write_blocked or not self.has_unread_bytes():
             self._end_sending()
--- a/oakbridge/node/client_request.py
+++ b/oakbridge/node/client_request.py
@@ -26,10 +26,8 @@
     """A request that was received, and the client that waits.  Times are in microseconds."""
 
     __slots__ = (
-        "answer_by",
-        "answered",
         "attempt",
-        "attempts",
+        "attempt_count",
         "body",
         "body_sent_at",
         "client",
@@ -41,10 +39,12 @@
         "method",
         "overdue_timer",
         "received_at",
+        "respond_by",
+        "response_settled",
         "response_streamed",
         "streamed_body",
         "target",
-        "timeout",
+        "timeout_us",
     )
 
     def __init__(
@@ -62,12 +62,12 @@
         self.keep_alive = True
         self.id = 0  # the balancer's number; 0: it has not seen this request
         self.received_at = 0  # when the request was complete
-        self.timeout: int | None = None  # from X-Timeout; None: not given
-        self.answer_by: int | None = None  # when the node, which shuts down, needs it answered
+        self.timeout_us: int | None = None  # from X-Timeout; None: not given
+        self.respond_by: int | None = None  # when the node, which shuts down, needs it answered
         self.overdue_timer: Timer | None = None
-        self.attempts = 0  # how many were made
+        self.attempt_count = 0  # how many were made
         self.attempt: Any = None  # the one in flight
-        self.answered = False  # no response is owed any more
+        self.response_settled = False  # no response is owed any more
         self.response_streamed = False  # the response is forwarded while it is received
         self.body_sent_at = 0  # when the last byte of a streamed body was written to the server
 
--- a/oakbridge/node/forwarded_attempt.py
+++ b/oakbridge/node/forwarded_attempt.py
@@ -40,7 +40,7 @@
 
     def is_wanted(self) -> bool:
         """Return whether the client still waits for the response."""
-        return not (self.request.answered or self.request.client.client_has_closed())
+        return not (self.request.response_settled or self.request.client.client_has_closed())
 
     def on_request_sent(self) -> None:
         """Note that the last byte of a streamed body is written."""
--- a/oakbridge/node/http_server.py
+++ b/oakbridge/node/http_server.py
@@ -36,16 +36,16 @@
     def has_usable_server(self) -> bool:
         """Return whether requests can be served."""
 
-    def knows_class(self, name: str) -> bool:
+    def has_priority_class(self, name: str) -> bool:
         """Return whether there is a priority class of this name."""
 
-    def has_open(self, request_id: bytes) -> bool:
+    def has_open_request(self, request_id: bytes) -> bool:
         """Return whether a request with this id is open."""
 
     def handle_request(self, request: ClientRequest) -> None:
         """Take a request over; it is owed one response."""
 
-    def on_client_gone(self, request: ClientRequest) -> None:
+    def on_client_disconnected(self, request: ClientRequest) -> None:
         """Cancel a request whose client has gone away, or never sent the whole of it."""
 
 
@@ -136,7 +136,7 @@
             connection
             for connection in self.limits.connections
             if connection.has_unsent_bytes()
-            or (not connection.has_ended() and not connection.is_owed_nothing())
+            or (not connection.is_closing() and not connection.is_owed_nothing())
         ]
 
     # ---- connections
@@ -179,12 +179,12 @@
             status, body = (200, b"ready\n") if ready else (503, b"not ready\n")
             return client.respond(request, status, [], body)
         timeout = request.header_values.get(b"x-timeout")
-        request.timeout = None if timeout is None else parse_timeout(timeout)
+        request.timeout_us = None if timeout is None else parse_timeout(timeout)
         rejection = self._rejection(request)
         if rejection is not None:
             status, body = rejection
             return client.respond(request, status, [], body)
-        request.answer_by = self.lifecycle.responses_due_at
+        request.respond_by = self.lifecycle.responses_due_at
         try:
             self.handler.handle_request(request)
         except Exception:  # contained: this request has failed, the others go on
@@ -196,12 +196,12 @@
         if request.method in (b"HEAD", b"CONNECT"):
             return 405, b""
         request_id = request.header_values.get(b"x-request-id")
-        timeout_malformed = b"x-timeout" in request.header_values and request.timeout is None
+        timeout_malformed = b"x-timeout" in request.header_values and request.timeout_us is None
         if not request_id or timeout_malformed:
             return 400, b"X-Request-ID or X-Timeout is missing or malformed\n"
-        if not self.handler.knows_class(request.header_text(b"x-priority-class")):
+        if not self.handler.has_priority_class(request.header_text(b"x-priority-class")):
             return 400, b"unknown X-Priority-Class\n"
-        if self.handler.has_open(request_id):
+        if self.handler.has_open_request(request_id):
             # Guards against a duplicate: it would be in flight beside the first one.
             return 409, b"a request with this X-Request-ID is open\n"
         if request.client.over_limit:
@@ -254,7 +254,7 @@
         transport, send_descriptor = connection.transport, self._send_descriptor
         if send_descriptor is None or transport is None:
             return
-        if connection.has_ended() or not connection.is_idle():
+        if connection.is_closing() or not connection.is_idle():
             return
         if transport.get_write_buffer_size():
             self.loop.call_later(HAND_OVER_RETRY_S, self.hand_over_if_idle, connection)
@@ -276,7 +276,7 @@
         for connection in list(self.limits.connections):
             self.hand_over_if_idle(connection)
 
-    def take_back(self) -> None:
+    def cancel_hand_over(self) -> None:
         """Accept again: the process that took over is gone."""
         self._send_descriptor = None
         self.lifecycle.take_back()
--- a/oakbridge/node/listener.py
+++ b/oakbridge/node/listener.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from enum import Enum
 
-from oakbridge.node.accepting import ACCEPT_RETRY_US, AcceptLog, AcceptStatus, accept
+from oakbridge.node.accepting import ACCEPT_RETRY_US, AcceptFailureLog, AcceptStatus, accept
 from oakbridge.node.address import Address
 from oakbridge.node.clock import Clock, Timer
 from oakbridge.node.connection_limits import MIN_SILENCE_US, ConnectionLimits
@@ -81,7 +81,7 @@
         self._sockets: list[socket.socket] = []
         self._accepting = False
         self._closing = False
-        self._failures = AcceptLog()
+        self._failures = AcceptFailureLog()
         # Set while accepting waits: for a connection to become evictable, or after a failure.
         self._resume_timer: Timer | None = None
         self.addresses: list[Address] = []
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listening:
+class ListenOptions:
     """How a node listens for clients."""
 
     enabled: bool = True  # False: the node gets its clients' connections from another process
@@ -56,7 +56,7 @@
         loop: asyncio.AbstractEventLoop,
         source: Callable[[Clock], EndpointSource] | None = None,
         *,
-        listening: Listening | None = None,
+        listening: ListenOptions | None = None,
         outages: Outages | None = None,
         clock_offset: int | None = None,
     ) -> None:
@@ -81,7 +81,7 @@
             config.settings, self.clock, self.pool, self.endpoints, self.dispatcher.post, self.ids
         )
         self.dispatcher.attach(self.forwarder, self.source)
-        self.server = self._make_server(loop, listening or Listening())
+        self.server = self._make_server(loop, listening or ListenOptions())
         self.forwarder.invariants = self.server.invariants
         self.source.attach(self.endpoints)
         if source is None:
@@ -106,7 +106,7 @@
             seed=self.config.seed,
         )
 
-    def _make_server(self, loop: asyncio.AbstractEventLoop, listening: Listening) -> HttpServer:
+    def _make_server(self, loop: asyncio.AbstractEventLoop, listening: ListenOptions) -> HttpServer:
         config = self.config
         server = HttpServer(
             loop,
--- a/oakbridge/node/reload.py
+++ b/oakbridge/node/reload.py
@@ -7,7 +7,7 @@
 
 from oakbridge.node.config import Config
 from oakbridge.node.discovery import DiscoverySource
-from oakbridge.node.settings import in_place
+from oakbridge.node.settings import keep_fixed_settings
 from oakbridge.policy.settings import Settings
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
         log.info("discovery is now at %s:%d", *config.discovery)
         if isinstance(node.source, DiscoverySource):
             node.source.move(config.discovery)
-    settings, unchanged = in_place(node.settings, config.settings)
+    settings, unchanged = keep_fixed_settings(node.settings, config.settings)
     fixed = [name for name in FIXED_AT_START if getattr(config, name) != getattr(old, name)]
     for name in (*fixed, *(f"settings.{name}" for name in unchanged)):
         log.warning("the configuration's new %s counts from the next start", name)
--- a/oakbridge/node/request_forwarder.py
+++ b/oakbridge/node/request_forwarder.py
@@ -83,11 +83,11 @@
         """Return whether requests can be served: a server is known that may be sent to."""
         return self._endpoints.has_usable()
 
-    def knows_class(self, name: str) -> bool:
+    def has_priority_class(self, name: str) -> bool:
         """Return whether there is a priority class of this name."""
         return name in self._classes
 
-    def has_open(self, request_id: bytes) -> bool:
+    def has_open_request(self, request_id: bytes) -> bool:
         """Return whether a request with this id is open: owed a response, or with an attempt in flight."""
         return request_id in self.open_ids
 
@@ -132,7 +132,7 @@
 
     def client_time_left(self, request: ClientRequest) -> int:
         """Return for how long the client will wait, from its request's last byte on."""
-        timeout = request.timeout or 0
+        timeout = request.timeout_us or 0
         body = request.streamed_body
         if body is not None and not body.complete:
             return timeout
@@ -141,11 +141,11 @@
     @staticmethod
     def _due(request: ClientRequest, class_deadline: int) -> int:
         """Return when a request's response is due at the latest."""
-        if request.timeout is None:
-            request.timeout = class_deadline
-        due = request.received_at + request.timeout
-        if request.answer_by is not None:
-            due = min(due, request.answer_by - SHUTDOWN_MARGIN_US)
+        if request.timeout_us is None:
+            request.timeout_us = class_deadline
+        due = request.received_at + request.timeout_us
+        if request.respond_by is not None:
+            due = min(due, request.respond_by - SHUTDOWN_MARGIN_US)
         return due
 
     def _tenant(self, request: ClientRequest) -> str:
@@ -153,7 +153,7 @@
         name = request.header_text(b"x-tenant-id")
         return name if name in self._tenants else ""
 
-    def on_client_gone(self, request: ClientRequest) -> None:
+    def on_client_disconnected(self, request: ClientRequest) -> None:
         """Note that the client is gone: nothing is owed, and what is not written yet never is."""
         self._forget(request)
         if request.attempt is not None and not request.attempt.is_written():
@@ -167,7 +167,7 @@
         )
 
     def _on_overdue(self, request: ClientRequest) -> None:
-        if not request.answered:
+        if not request.response_settled:
             self.invariants.violated(Invariant.UNANSWERED_IN_TIME, f"request {request.id}")
             self.abandon(request.id)
             self._post(ClientDisconnected(request.id))
@@ -193,13 +193,13 @@
         if request.client.client_has_closed():
             # It waited for its turn or a retry, and the end of its connection lies unread: nothing
             # starts for it.
-            request.answered = True
+            request.response_settled = True
             self._end_unsent(request, action)
             self._forget(request)
             request.client.abort()
             return
-        number, now = request.attempts, self._clock.now()
-        request.attempts = number + 1
+        number, now = request.attempt_count, self._clock.now()
+        request.attempt_count = number + 1
         forwarded = ForwardedAttempt(self, request, number, action.server, now)
         request.attempt = Attempt(
             server=action.server,
@@ -219,8 +219,8 @@
         """Post the end of an attempt that was never made: each attempt has one outcome."""
         number, over = 0, True
         if request is not None:
-            number, over = request.attempts, request.answered
-            request.attempts += 1
+            number, over = request.attempt_count, request.response_settled
+            request.attempt_count += 1
         self._post(
             AttemptEnded(action.request_id, number, action.server, AttemptResult.NOT_SENT, 0, over)
         )
@@ -228,9 +228,9 @@
     def on_body_sent(self, forwarded: ForwardedAttempt) -> None:
         """Count the request's time from now: the last byte of its streamed body is written."""
         request = forwarded.request
-        if request.answered or request.attempt is None:
+        if request.response_settled or request.attempt is None:
             return
-        now, timeout = self._clock.now(), request.timeout or 0
+        now, timeout = self._clock.now(), request.timeout_us or 0
         request.body_sent_at = now
         self._pool.set_deadline(request.attempt, now + timeout)
         self._set_overdue_timer(request, now + timeout)
@@ -273,7 +273,7 @@
             self._end_streamed(forwarded, outcome)
             return
         result = outcome.result
-        if result == AttemptResult.OK and not request.answered:
+        if result == AttemptResult.OK and not request.response_settled:
             request.client.respond(request, 200, _end_to_end(outcome.headers), outcome.body)
             self.served += 1
         elif result == AttemptResult.ERROR and _blames_request(outcome.status):
@@ -281,10 +281,10 @@
             # server.
             request.client.respond(request, outcome.status, [], b"")
             result = AttemptResult.NOT_SENT
-        if request.answered:
+        if request.response_settled:
             self._forget(request)
         self._post_end(
-            forwarded, result, finished=request.answered, report=self._load_report(outcome)
+            forwarded, result, finished=request.response_settled, report=self._load_report(outcome)
         )
 
     def _end_streamed(self, forwarded: ForwardedAttempt, outcome: AttemptOutcome) -> None:
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -288,7 +288,7 @@
         attempt, self.attempt = self.attempt, None
         sink = response.detach_sink()
         if sink is not None:
-            sink.end_response()
+            sink.finish_response()
         outcome = response.take(result)
         self._has_served = self._has_served or result != AttemptResult.REJECTED
         if self._can_be_kept():
--- a/oakbridge/node/settings.py
+++ b/oakbridge/node/settings.py
@@ -158,7 +158,7 @@
 }
 
 
-def in_place(old: Settings, new: Settings) -> tuple[Settings, list[str]]:
+def keep_fixed_settings(old: Settings, new: Settings) -> tuple[Settings, list[str]]:
     """Return the new settings as far as a running replica can apply them.
 
     Also return the names of those that wait for its next start.
--- a/oakbridge/node/startup.py
+++ b/oakbridge/node/startup.py
@@ -1,7 +1,7 @@
 """Start although the system is short of something for a moment, such as descriptors or buffers.
 
 Before a process accepts anything it owes nothing to clients, but it is expected to be ready within
-:data:`PATIENCE_S`.  Until then what fails is tried again; after that the failure is the caller's.
+:data:`RETRY_TIMEOUT_S`.  Until then what fails is tried again; after that the failure is the caller's.
 """
 
 from __future__ import annotations
@@ -21,18 +21,20 @@
 
 T = TypeVar("T")
 
-PATIENCE_S = 20.0
+RETRY_TIMEOUT_S = 20.0
 RETRY_S = 0.05
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 
-def retry_resource_errors(call: Callable[[], T], what: str, patience_s: float = PATIENCE_S) -> T:
+def retry_resource_errors(
+    call: Callable[[], T], what: str, timeout_s: float = RETRY_TIMEOUT_S
+) -> T:
     """Return what a call returns, made again while resources are short.
 
     Blocks: for the start of a process, not for one that serves.  Raises OSError: one that does not
-    pass, or the last one after ``patience_s``.
+    pass, or the last one after ``timeout_s``.
     """
-    give_up_at = time.monotonic() + patience_s
+    give_up_at = time.monotonic() + timeout_s
     logged = False
     while True:
         try:
@@ -48,7 +50,7 @@
 
 async def retry_resource_errors_async(call: Callable[[], Awaitable[T]], what: str) -> T:
     """Do as :func:`retry_resource_errors` for a coroutine, without blocking the loop."""
-    give_up_at = time.monotonic() + PATIENCE_S
+    give_up_at = time.monotonic() + RETRY_TIMEOUT_S
     while True:
         try:
             return await call()
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from oakbridge.node.node import Node
-from oakbridge.node.trace_format import MARK, RESULT_NAMES, action_name, encode_settings
+from oakbridge.node.trace_format import LINE_PREFIX, RESULT_NAMES, action_name, encode_settings
 from oakbridge.policy.actions import Action, SendAttempt
 from oakbridge.policy.events import (
     AttemptEnded,
@@ -103,7 +103,7 @@
 
     @staticmethod
     def _write(line: dict[str, Any]) -> None:
-        log.info("%s%s", MARK, json.dumps(line, separators=(",", ":")))
+        log.info("%s%s", LINE_PREFIX, json.dumps(line, separators=(",", ":")))
 
     def _write_second(self) -> None:
         """Write what was counted, and start again."""
--- a/oakbridge/node/trace_format.py
+++ b/oakbridge/node/trace_format.py
@@ -19,7 +19,7 @@
 from oakbridge.policy.events import AttemptResult
 from oakbridge.policy.settings import Goal, Prices, RequestClass, Settings
 
-MARK = "trace "  # what a line begins with
+LINE_PREFIX = "trace "  # what a line begins with
 
 ACTION_NAMES: dict[type[Any], str] = {
     RejectRequest: "refuse",
--- a/oakbridge/operators/listener.py
+++ b/oakbridge/operators/listener.py
@@ -11,7 +11,7 @@
 import socket
 from collections.abc import Callable
 
-from oakbridge.node.accepting import ACCEPT_RETRY_US, AcceptLog, AcceptStatus, accept
+from oakbridge.node.accepting import ACCEPT_RETRY_US, AcceptFailureLog, AcceptStatus, accept
 from oakbridge.node.address import Address
 from oakbridge.node.listener import open_listener
 from oakbridge.operators.protocol import (
@@ -41,7 +41,7 @@
         self._respond = respond
         self._connections: dict[_Connection, None] = {}  # oldest first
         self._attaching: set[asyncio.Task[None]] = set()
-        self._failures = AcceptLog()
+        self._failures = AcceptFailureLog()
         self._resume_timer: asyncio.TimerHandle | None = None  # set while accept fails
         self._socket = open_listener(address)
         self.address: Address = self._socket.getsockname()
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -20,7 +20,7 @@
 from oakbridge.node.address import Address
 from oakbridge.node.config import Config, load_config, parse_config
 from oakbridge.node.errors import ConfigError
-from oakbridge.node.node import Listening, Node
+from oakbridge.node.node import ListenOptions, Node
 from oakbridge.node.outages import Outages
 from oakbridge.node.settings import missing_key
 from oakbridge.operators.executor import NodeCommandExecutor
@@ -63,7 +63,7 @@
             outages.restore(inherited.outages)
         listeners, successor.listeners = successor.listeners, []
         inherited_sockets = _inherit_listeners(listeners, config.listen)
-        listening = Listening(inherited=inherited_sockets, reuse_port=True)
+        listening = ListenOptions(inherited=inherited_sockets, reuse_port=True)
         clock_offset = None if inherited is None else inherited.clock_offset
         return Node(config, loop, listening=listening, outages=outages, clock_offset=clock_offset)
 
--- a/oakbridge/workers/acceptor.py
+++ b/oakbridge/workers/acceptor.py
@@ -11,7 +11,7 @@
 import socket
 from collections.abc import Callable, Sequence
 
-from oakbridge.node.accepting import ACCEPT_RETRY_US, AcceptLog, AcceptStatus, accept
+from oakbridge.node.accepting import ACCEPT_RETRY_US, AcceptFailureLog, AcceptStatus, accept
 from oakbridge.node.address import Address
 from oakbridge.node.listener import ACCEPT_BATCH, open_listener
 
@@ -39,7 +39,7 @@
         self._has_capacity = has_capacity
         self._dispatch = dispatch
         self._accepting = False
-        self._failures = AcceptLog()
+        self._failures = AcceptFailureLog()
         self._sockets: list[socket.socket] = []
         try:
             for address in addresses:
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from peers import LIMIT, free_ports
+from peers import TIMEOUT_S, free_ports
 
 from oakbridge.agent.node_process import listener_pid
 from oakbridge.fleet import messages, pki
@@ -120,7 +120,7 @@
         )
 
     def until(self, what):
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + TIMEOUT_S
         while not (got := what()):
             assert self.agent.poll() is None, (self.folder / "agent.log").read_text()
             assert time.monotonic() < end, (self.folder / "agent.log").read_text()[-3000:]
@@ -265,7 +265,12 @@
     def call(*words: str):
         command = [sys.executable, "-m", "oakbridge.cli", "fleet", *words]
         return subprocess.run(
-            command, cwd=tmp_path, env=environment(), capture_output=True, text=True, timeout=LIMIT
+            command,
+            cwd=tmp_path,
+            env=environment(),
+            capture_output=True,
+            text=True,
+            timeout=TIMEOUT_S,
         )
 
     return call
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from peers import LIMIT
+from peers import TIMEOUT_S
 
 from oakbridge.agent.errors import StoreError
 from oakbridge.agent.generations import RETAINED, digest_of
@@ -249,7 +249,7 @@
 def drive(folder: Path, kill_at: int, fate: str) -> tuple[int, str]:
     done = subprocess.run(
         [sys.executable, "-c", textwrap.dedent(DRIVER), str(folder), str(kill_at), fate],
-        env=os.environ | {"PYTHONPATH": str(ROOT)}, capture_output=True, text=True, timeout=LIMIT,
+        env=os.environ | {"PYTHONPATH": str(ROOT)}, capture_output=True, text=True, timeout=TIMEOUT_S,
     )  # fmt: skip
     assert done.stderr == ""
     return done.returncode, done.stdout
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from peers import LIMIT, free_ports
+from peers import TIMEOUT_S, free_ports
 
 from oakbridge.control.client import ControlClient
 from oakbridge.control.errors import NodeUnreachableError
@@ -32,7 +32,7 @@
 def call(*words: str, cwd: Path = ROOT, **more: str) -> subprocess.CompletedProcess:
     command = [sys.executable, "-m", "oakbridge.cli", *map(str, words)]
     return subprocess.run(
-        command, cwd=cwd, env=environment(**more), capture_output=True, text=True, timeout=2 * LIMIT
+        command, cwd=cwd, env=environment(**more), capture_output=True, text=True, timeout=2 * TIMEOUT_S
     )  # fmt: skip
 
 
@@ -70,7 +70,7 @@
 
     def until(self, what):
         """Until something is so; the node may not end meanwhile."""
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + TIMEOUT_S
         while not (got := what()):
             assert self.process.poll() is None, self.log.read_text()
             assert time.monotonic() < end, self.log.read_text()
@@ -133,7 +133,7 @@
         assert node.ask("status")["servers"] == 1
 
         node.process.terminate()
-        assert node.process.wait(LIMIT) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
         assert not (tmp_path / "t.sock").exists()
         assert "Traceback" not in node.log.read_text()
 
@@ -253,7 +253,7 @@
     """Guards start-up and memory: the command line's libraries, and every subsystem that is off there."""
     code = "import sys, oakbridge.__main__; print(*sys.modules)"
     done = subprocess.run(
-        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=LIMIT
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S
     )
     loaded = set(done.stdout.split())
     assert "oakbridge.node.node" in loaded
@@ -270,7 +270,7 @@
         env=environment(),
         capture_output=True,
         text=True,
-        timeout=LIMIT,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 2
     assert len(done.stderr.splitlines()) == 1
--- a/tests/control/test_server.py
+++ b/tests/control/test_server.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from peers import run, soon, until
+from peers import run, until, with_timeout
 
 from oakbridge.control.client import ControlClient
 from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError, SocketInUseError
@@ -93,7 +93,7 @@
             for garbage in (b"x" * 100_000 + b"\n", b"\xff\xfe\n"):
                 reader, writer = await asyncio.open_unix_connection(str(path))
                 writer.write(garbage)
-                assert b'"ok":false' in await soon(reader.readline())
+                assert b'"ok":false' in await with_timeout(reader.readline())
                 writer.close()
             assert await call(path) == {}
 
@@ -106,7 +106,7 @@
             held = [await asyncio.open_unix_connection(str(path)) for _ in range(MAX_CONNECTIONS)]
             await until(lambda: server.connection_count == MAX_CONNECTIONS)
             reader, _ = await asyncio.open_unix_connection(str(path))
-            assert await soon(reader.read()) == b""
+            assert await with_timeout(reader.read()) == b""
             for _, writer in held:
                 writer.close()
             await until(lambda: server.connection_count == 0)
--- a/tests/faults/test_agent_faults.py
+++ b/tests/faults/test_agent_faults.py
@@ -9,7 +9,7 @@
 
 import pytest
 from fault_control import DISK_FAULTS, FaultControl
-from peers import LIMIT
+from peers import TIMEOUT_S
 from process_fleet import OAKBRIDGE, ProcessFleet, files_with_aim
 
 HOSTS, INSTANCES = 4, ("n0", "n1")
@@ -103,7 +103,7 @@
             env=self.environment,
             capture_output=True,
             text=True,
-            timeout=4 * LIMIT,
+            timeout=4 * TIMEOUT_S,
         )
 
     def wait_until_all_answer(self) -> None:
@@ -163,7 +163,7 @@
         assert killed.kills > 0
     fleet.wait_until_all_answer()
     expected = {"took it": {"2s"}, "did not": {"1s"}, "undone": {"1s"}, "not reached": {"1s"}}
-    deadline = time.monotonic() + LIMIT
+    deadline = time.monotonic() + TIMEOUT_S
     while time.monotonic() < deadline:
         running = fleet.running_configurations()
         wrong = {
--- a/tests/faults/test_discovery_faults.py
+++ b/tests/faults/test_discovery_faults.py
@@ -34,7 +34,7 @@
     RequestQueue,
 )
 from node_process import NodeProcess, node_settings
-from peers import Caller, Peer, endpoint, reply, run, soon
+from peers import Client, ScriptedServer, endpoint, reply, run, with_timeout
 
 TOLD_S = 6.0  # a change counts as told so long after discovery had it
 GRACE_S = 0.25 + 0.05  # of a drain, and its slack
@@ -68,12 +68,12 @@
 
     async def send_requests(self, number: int) -> None:
         """Send one request after another, and note which go to the draining server."""
-        caller = await Caller.connect(self.nodes[number].port)
+        caller = await Client.connect(self.nodes[number].port)
         try:
             while True:
                 sent_at = time.monotonic()
                 caller.send()
-                if (await caller.answer())[2] == DRAINED.encode():
+                if (await caller.read_response())[2] == DRAINED.encode():
                     self.last_sent[number] = sent_at
                 await asyncio.sleep(0.02)
         finally:
@@ -86,7 +86,9 @@
     """Start nodes that have a list and a watch."""
     names = [f"s-{number}" for number in range(SERVERS)]
     peers = [
-        await stack.enter_async_context(Peer(lambda _, name=name: reply(200, name.encode())))
+        await stack.enter_async_context(
+            ScriptedServer(lambda _, name=name: reply(200, name.encode()))
+        )
         for name in names
     ]
     draining: set[str] = set()
@@ -118,7 +120,7 @@
         stack.push_async_callback(node.stop)
         fleet.nodes.append(node)
         fleet.discoveries.append(source)
-    await asyncio.gather(*(soon(node.ready()) for node in fleet.nodes))
+    await asyncio.gather(*(with_timeout(node.ready()) for node in fleet.nodes))
     async with asyncio.timeout(15):
         while not all(one.runs[0].written_at for one in fleet.discoveries):
             await asyncio.sleep(0.05)
--- a/tests/faults/test_node_faults.py
+++ b/tests/faults/test_node_faults.py
@@ -8,7 +8,7 @@
 import pytest
 from fault_control import Fault
 from node_process import NodeProcess, node_settings
-from peers import Caller, Peer, reply, run, soon
+from peers import Client, ScriptedServer, reply, run, with_timeout
 
 LAST_START = 15
 TRANSIENT_ACCEPT_ERRORS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ECONNABORTED]
@@ -21,11 +21,11 @@
             await asyncio.sleep(0.005)
 
 
-async def answered_caller(node: NodeProcess) -> Caller:
+async def answered_caller(node: NodeProcess) -> Client:
     """Return a connection on which one request was served, and that is kept."""
-    caller = await Caller.connect(node.port)
+    caller = await Client.connect(node.port)
     caller.send()
-    assert (await caller.answer())[0] == 200
+    assert (await caller.read_response())[0] == 200
     return caller
 
 
@@ -34,19 +34,19 @@
     """Guards against a listener that accepts again only once a client has left."""
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"served")) as peer:
+        async with ScriptedServer(lambda _: reply(200, b"served")) as peer:
             node = NodeProcess(tmp_path, [peer.port])
             await node.start()
             kept = [await answered_caller(node) for _ in range(3)]
             node.faults.start(Fault.ACCEPT, error)
-            late = await Caller.connect(node.port)
+            late = await Client.connect(node.port)
             late.send()
             await injected(node, Fault.ACCEPT)
             await asyncio.sleep(0.3)
             assert node.faults.injected(Fault.ACCEPT) < 400, "it tries again without a pause"
             node.faults.stop(Fault.ACCEPT)
             began = time.monotonic()
-            assert (await late.answer())[0] == 200
+            assert (await late.read_response())[0] == 200
             assert time.monotonic() - began < 0.5
             for caller in [*kept, late]:
                 caller.close()
@@ -59,7 +59,7 @@
     """Guards against a process that ends as no socket can be made for a moment."""
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"served")) as peer:
+        async with ScriptedServer(lambda _: reply(200, b"served")) as peer:
             node = NodeProcess(tmp_path, [peer.port])
             node.faults.start(Fault.SOCKET, errno.ENFILE)
             await node.start(wait=False)
@@ -68,7 +68,7 @@
             node.faults.start(Fault.LISTEN, errno.ENOBUFS)
             await injected(node, Fault.LISTEN, more_than=2)
             node.faults.stop(Fault.LISTEN)
-            await soon(node.ready())
+            await with_timeout(node.ready())
             await node.stop()
 
     run(scenario())
@@ -78,18 +78,20 @@
     """Guards against a deadline at a server that outlasts its client's."""
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"served")) as peer:
+        async with ScriptedServer(lambda _: reply(200, b"served")) as peer:
             node = NodeProcess(tmp_path, [peer.port])
             await node.start()
             kept = await answered_caller(node)
-            await soon(peer.seen.get())
+            await with_timeout(peer.requests.get())
             node.faults.start(Fault.ACCEPT, errno.ENFILE)
-            late = await Caller.connect(node.port)
+            late = await Client.connect(node.port)
             late.send(X_Timeout="900m")
             await asyncio.sleep(0.5)
             node.faults.stop(Fault.ACCEPT)
-            assert (await late.answer())[0] == 200
-            told_us = int((await soon(peer.seen.get())).headers["x-timeout"].removesuffix("u"))
+            assert (await late.read_response())[0] == 200
+            told_us = int(
+                (await with_timeout(peer.requests.get())).headers["x-timeout"].removesuffix("u")
+            )
             assert told_us <= 450_000
             for caller in (kept, late):
                 caller.close()
@@ -110,16 +112,16 @@
     tmp_path, fault, error
 ):
     async def scenario():
-        async with Peer(lambda _: reply(200, b"served")) as peer:
+        async with ScriptedServer(lambda _: reply(200, b"served")) as peer:
             node = NodeProcess(tmp_path, [peer.port])
             await node.start()
-            caller = await Caller.connect(node.port)
+            caller = await Client.connect(node.port)
             node.faults.start(fault, error)
             caller.send("book", "POST")
             await injected(node, fault, more_than=3)
             node.faults.stop(fault)
-            assert (await caller.answer())[0] == 200
-            assert peer.seen.qsize() == 1
+            assert (await caller.read_response())[0] == 200
+            assert peer.requests.qsize() == 1
             caller.close()
             await node.stop()
 
@@ -132,18 +134,18 @@
     async def scenario():
         settings = node_settings()
         settings["allowed"] = settings["allowed"] | {"cancelling": False}
-        async with Peer(lambda _: reply(200, b"served")) as peer:
+        async with ScriptedServer(lambda _: reply(200, b"served")) as peer:
             node = NodeProcess(tmp_path, [peer.port], settings=settings)
             await node.start()
             node.faults.start(Fault.CONNECT, errno.EADDRNOTAVAIL)
-            caller = await Caller.connect(node.port)
+            caller = await Client.connect(node.port)
             caller.send("book", "POST")
             await injected(node, Fault.CONNECT, more_than=1)
             caller.close()
             await asyncio.sleep(0.1)
             node.faults.stop(Fault.CONNECT)
             other = await answered_caller(node)
-            assert peer.seen.qsize() == 1  # the other's
+            assert peer.requests.qsize() == 1  # the other's
             other.close()
             await node.stop()
 
@@ -154,17 +156,17 @@
     """Guards against a listener that closes over its queue."""
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"served")) as peer:
+        async with ScriptedServer(lambda _: reply(200, b"served")) as peer:
             node = NodeProcess(tmp_path, [peer.port])
             await node.start()
             node.faults.start(Fault.ACCEPT, errno.ENFILE)
-            late = await Caller.connect(node.port)
+            late = await Client.connect(node.port)
             late.send()
             node.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.8)  # the listener would have closed by now
             node.faults.stop(Fault.ACCEPT)
-            assert (await late.answer())[0] == 200
-            assert await soon(node.process.wait()) == 0
+            assert (await late.read_response())[0] == 200
+            assert await with_timeout(node.process.wait()) == 0
             assert "invariant violations: 0" in node.log()
             late.close()
 
@@ -181,20 +183,20 @@
             await peer.release.wait()
             return reply(200, body)
 
-        async with Peer(lambda _: held()) as peer:
+        async with ScriptedServer(lambda _: held()) as peer:
             node = NodeProcess(tmp_path, [peer.port])
             await node.start()
             node.faults.start(Fault.SHORT_SEND, 0)
             node.faults.start(Fault.SHORT_RECEIVE, 0)
-            callers = [await Caller.connect(node.port) for _ in range(4)]
+            callers = [await Client.connect(node.port) for _ in range(4)]
             for caller in callers:
                 caller.send("book", "POST", body=b"x" * 30_000)
-                await soon(peer.seen.get())
+                await with_timeout(peer.requests.get())
             node.process.send_signal(signal.SIGTERM)
             peer.release.set()
             for caller in callers:
-                assert (await caller.answer())[2] == body
-            assert await soon(node.process.wait()) == 0
+                assert (await caller.read_response())[2] == body
+            assert await with_timeout(node.process.wait()) == 0
             for caller in callers:
                 caller.close()
 
@@ -206,7 +208,7 @@
     """Guards against times of the process before that are an hour off in the next one."""
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"served")) as peer:
+        async with ScriptedServer(lambda _: reply(200, b"served")) as peer:
             node = NodeProcess(tmp_path, [peer.port], operated=True)
             node.faults.step_wall_clock(before_s)
             await node.start()
@@ -218,10 +220,10 @@
                 while "taken over" not in node.log():
                     await asyncio.sleep(0.02)
             previous.send_signal(signal.SIGTERM)
-            assert await soon(previous.wait()) == 0
-            for kept in (caller, await Caller.connect(node.port)):
+            assert await with_timeout(previous.wait()) == 0
+            for kept in (caller, await Client.connect(node.port)):
                 kept.send()
-                assert (await kept.answer())[0] == 200
+                assert (await kept.read_response())[0] == 200
                 kept.close()
             assert "Traceback" not in node.log()
             await node.stop()
@@ -237,12 +239,12 @@
     """Guards against a connection that is closed, or forgotten, as epoll_ctl fails for a moment."""
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"served")) as peer:
+        async with ScriptedServer(lambda _: reply(200, b"served")) as peer:
             node = NodeProcess(tmp_path, [peer.port])
             await node.start()
             kept = await answered_caller(node)
             node.faults.start(Fault.EPOLL_CONTROL, error)
-            late = [await Caller.connect(node.port) for _ in range(5)]
+            late = [await Client.connect(node.port) for _ in range(5)]
             for caller in [kept, *late]:
                 caller.send()
             await injected(node, Fault.EPOLL_CONTROL)
@@ -253,7 +255,7 @@
             node.faults.stop(Fault.EPOLL_CONTROL)
             began = time.monotonic()
             for caller in [kept, *late]:
-                assert (await caller.answer())[0] == 200
+                assert (await caller.read_response())[0] == 200
             assert time.monotonic() - began < 0.5
             for caller in [kept, *late]:
                 caller.close()
@@ -266,17 +268,17 @@
     """Seen: of 2,582 requests 22 without an answer, and a process that had to be killed."""
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"served")) as peer:
+        async with ScriptedServer(lambda _: reply(200, b"served")) as peer:
             node = NodeProcess(tmp_path, [peer.port])
             await node.start()
             answered = []
 
             async def send_requests(end_at: float) -> None:
                 while time.monotonic() < end_at:
-                    caller = await Caller.connect(node.port)
+                    caller = await Client.connect(node.port)
                     for _ in range(5):
                         caller.send()
-                        answered.append((await caller.answer())[0])
+                        answered.append((await caller.read_response())[0])
                     caller.close()
 
             callers = [asyncio.create_task(send_requests(time.monotonic() + 3)) for _ in range(20)]
@@ -303,7 +305,7 @@
         node = NodeProcess(tmp_path, [port], name=f"n{number}")
         await node.start(wait=False)
         if number == LAST_START:
-            await soon(node.ready())
+            await with_timeout(node.ready())
         await asyncio.sleep(delay_s)
         for sent in (signal.SIGHUP, signal.SIGTERM) if number % 2 else (signal.SIGTERM,):
             node.signal(sent)
@@ -312,7 +314,7 @@
         return node.process.returncode, node.log()
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"served")) as peer:
+        async with ScriptedServer(lambda _: reply(200, b"served")) as peer:
             ends = await asyncio.gather(
                 *(end_at(number, 0.06 * number, peer.port) for number in range(LAST_START + 1))
             )
--- a/tests/faults/test_passing_errors.py
+++ b/tests/faults/test_passing_errors.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from peers import Peer, Running, reply, run, soon, until
+from peers import RunningNode, ScriptedServer, reply, run, until, with_timeout
 
 from oakbridge.agent import node_process, startup
 from oakbridge.agent.startup import retry_while_unavailable
@@ -49,7 +49,7 @@
         failed = fail_at_first(monkeypatch, socket.socket, "accept", error)
         reader, writer = await asyncio.open_connection(*listener.address)
         writer.write(b"HEALTH\n")
-        assert await soon(reader.read()) == b"YES\n"
+        assert await with_timeout(reader.read()) == b"YES\n"
         assert len(failed) == 3
         writer.close()
         listener.close()
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("error", PASSING)
 def test_successor_that_waits_through_failing_accepts_is_heard(monkeypatch, tmp_path, error):
     async def scenario():
-        async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: reply(200)) as peer, RunningNode(peer) as node:
             predecessor = Predecessor(node.node, lambda *_: None, tmp_path / "node.sock")
             predecessor.listen()
             failed = fail_at_first(monkeypatch, socket.socket, "accept", error)
--- a/tests/fleet/test_http.py
+++ b/tests/fleet/test_http.py
@@ -4,7 +4,7 @@
 import ssl
 
 import pytest
-from peers import run, soon, until
+from peers import run, until, with_timeout
 
 from oakbridge.fleet import pki, server
 from oakbridge.fleet.connection import AgentConnection
@@ -103,7 +103,7 @@
                 await call_once(bare, "h1", s.server.address, STATUS, 10)
             reader, writer = await asyncio.open_connection(*s.server.address)
             writer.write(b"GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n")  # no TLS at all
-            assert b"HTTP" not in await soon(reader.read())
+            assert b"HTTP" not in await with_timeout(reader.read())
             assert s.handled == []
 
     run(scenario())
@@ -132,7 +132,7 @@
             tls = pki.tls_context(ours / "ca.crt", ours / "kari", server=False)
             reader, writer = await asyncio.open_connection(*s.server.address, ssl=tls)
             writer.write(b"POST /v1/step HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000000\r\n\r\n")
-            assert (await soon(reader.read())).startswith(b"HTTP/1.1 413")
+            assert (await with_timeout(reader.read())).startswith(b"HTTP/1.1 413")
             assert s.handled == []
             assert (await ask(s, ours, ours / "kari"))[0] == 200
 
@@ -147,7 +147,7 @@
             tls = pki.tls_context(ours / "ca.crt", ours / "kari", server=False)
             reader, writer = await asyncio.open_connection(*s.server.address, ssl=tls)
             writer.write(b"GET / HTTP/1.1\r\nX: " + b"x" * 100_000)
-            assert await soon(reader.read()) == b""
+            assert await with_timeout(reader.read()) == b""
             assert (await ask(s, ours, ours / "kari"))[0] == 200
 
     run(scenario())
@@ -162,7 +162,7 @@
             tls = pki.tls_context(ours / "ca.crt", ours / "kari", server=False)
             reader, writer = await asyncio.open_connection(*s.server.address, ssl=tls)
             writer.write(b"POST /v1/step HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
-            assert await soon(reader.read()) == b""
+            assert await with_timeout(reader.read()) == b""
 
     run(scenario())
 
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 
 import pytest
-from peers import run, soon
+from peers import run, with_timeout
 
 from oakbridge.control import handler, protocol
 from oakbridge.control.errors import RequestRejectedError
@@ -160,7 +160,7 @@
             reader, writer = await asyncio.open_unix_connection(str(tmp_path / "n.sock"))
             for sent, answer in conversation(name):
                 writer.write(sent)
-                assert await soon(reader.readline()) == answer
+                assert await with_timeout(reader.readline()) == answer
             writer.close()
         finally:
             server.close()
--- a/tests/formats/test_fleet.py
+++ b/tests/formats/test_fleet.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from peers import run, soon, until
+from peers import run, until, with_timeout
 
 from oakbridge.agent.agent import Agent
 from oakbridge.agent.generations import digest_of
@@ -169,7 +169,7 @@
     reader, writer = await asyncio.open_connection(*server.address, ssl=tls(authority, who))
     writer.write(request)
     try:
-        return await soon(message(reader))
+        return await with_timeout(message(reader))
     finally:
         writer.transport.abort()
 
@@ -219,7 +219,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0, ssl=tls(authority, AGENT))
         address = server.sockets[0].getsockname()[:2]
         operator = FleetClient(Inventory(FLEET, {AGENT: address}), tls(authority, who), name=who)
-        heard = await soon(operator.call(AGENT, request_))
+        heard = await with_timeout(operator.call(AGENT, request_))
         body = fixture(name, "response").split(b"\r\n\r\n", 1)[1]
         assert (heard.agent, heard.status, heard.error) == (AGENT, status, "")
         assert heard.body == json.loads(body)
--- a/tests/formats/test_node_trace.py
+++ b/tests/formats/test_node_trace.py
@@ -13,7 +13,18 @@
 from dataclasses import fields
 from pathlib import Path
 
-from peers import SETTINGS, Caller, Peer, Registry, endpoint, free_ports, listing, reply, run, soon
+from peers import (
+    SETTINGS,
+    Client,
+    ScriptedDiscovery,
+    ScriptedServer,
+    endpoint,
+    free_ports,
+    listing,
+    reply,
+    run,
+    with_timeout,
+)
 
 from oakbridge.node.settings import read_settings
 from oakbridge.node.trace_format import RESULT_NAMES, encode_settings
@@ -49,7 +60,10 @@
         "/full": reply(503, b"", "X-Not-Processed: 1"),
         "/error": reply(500),
     }
-    async with Peer(lambda seen: answers[seen.url]) as peer, Registry() as registry:
+    async with (
+        ScriptedServer(lambda seen: answers[seen.url]) as peer,
+        ScriptedDiscovery() as registry,
+    ):
         port, closed = free_ports(2)
         registry.put(listing(2, endpoint("s-0", peer.port), endpoint("s-1", closed)))
         raw = {
@@ -66,15 +80,15 @@
             log = await until_line(process, "listens")
             calls = [("/ok", "look"), ("/ok", "book"), ("/error", "book"), ("/full", "brief")]
             for url, klass in calls:
-                caller = await Caller.connect(port)
+                caller = await Client.connect(port)
                 caller.send(klass, url=url)
-                await caller.answer()
+                await caller.read_response()
                 caller.close()
             for _ in range(2):
                 log += await until_line(process, MARK)
             process.send_signal(signal.SIGTERM)
-            log += (await soon(process.stderr.read())).decode()
-            assert await soon(process.wait()) == 0
+            log += (await with_timeout(process.stderr.read())).decode()
+            assert await with_timeout(process.wait()) == 0
         finally:
             if process.returncode is None:
                 process.kill()
@@ -85,7 +99,7 @@
 async def until_line(process, word: str) -> str:
     lines = []
     while not lines or word not in lines[-1]:
-        lines.append((await soon(process.stderr.readline())).decode())
+        lines.append((await with_timeout(process.stderr.readline())).decode())
         assert lines[-1], "the node has ended"
     return "".join(lines)
 
--- a/tests/formats/test_operators.py
+++ b/tests/formats/test_operators.py
@@ -7,7 +7,7 @@
 import ast
 from pathlib import Path
 
-from peers import Peer, Running, reply, run
+from peers import RunningNode, ScriptedServer, reply, run
 
 from oakbridge.operators.executor import NodeCommandExecutor
 from oakbridge.operators.protocol import respond
@@ -20,9 +20,9 @@
 
     async def scenario():
         async with (
-            Peer(lambda _: reply(200)) as a,
-            Peer(lambda _: reply(200)) as b,
-            Running(a, b) as node,
+            ScriptedServer(lambda _: reply(200)) as a,
+            ScriptedServer(lambda _: reply(200)) as b,
+            RunningNode(a, b) as node,
         ):
             starting = NodeCommandExecutor(node.node)
             assert respond(b"HEALTH", starting.execute) == b"NO this process does not serve yet\n"
--- a/tests/handover/processes.py
+++ b/tests/handover/processes.py
@@ -9,7 +9,17 @@
 from pathlib import Path
 from typing import Any
 
-from peers import SETTINGS, Caller, Peer, Registry, endpoint, free_ports, listing, soon, until
+from peers import (
+    SETTINGS,
+    Client,
+    ScriptedDiscovery,
+    ScriptedServer,
+    endpoint,
+    free_ports,
+    listing,
+    until,
+    with_timeout,
+)
 
 ROOT = Path(__file__).parents[2]
 
@@ -17,7 +27,7 @@
 class Site:
     """A node's configuration, and the processes that were started by it."""
 
-    def __init__(self, folder: Path, *peers: Peer, **settings: object) -> None:
+    def __init__(self, folder: Path, *peers: ScriptedServer, **settings: object) -> None:
         self.folder = folder
         self.peers = peers
         self.settings = SETTINGS | {"discovery": "pushed"} | settings
@@ -27,7 +37,7 @@
         self.readers: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> "Site":
-        self.registry = await Registry().__aenter__()
+        self.registry = await ScriptedDiscovery().__aenter__()
         self.listed = [endpoint(f"s-{i}", p.port) for i, p in enumerate(self.peers)]
         self.write()
         return self
@@ -90,7 +100,7 @@
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", controls[number])
             writer.write(line.encode() + b"\n")
-            said = await soon(reader.read())
+            said = await with_timeout(reader.read())
             writer.close()
         except ConnectionError:
             return ""
@@ -111,8 +121,8 @@
                 return
             await asyncio.sleep(0.005)
 
-    async def caller(self) -> Caller:
-        return await Caller.connect(self.port)
+    async def caller(self) -> Client:
+        return await Client.connect(self.port)
 
 
 class Load:
@@ -133,7 +143,7 @@
             self.counts["sent"] += 1
             caller.send(**self.request)
             try:
-                status, headers, _ = await caller.answer()
+                status, headers, _ = await caller.read_response()
             except (asyncio.IncompleteReadError, ConnectionError):
                 self.counts["closed"] += 1
                 caller = None
--- a/tests/handover/test_passing_errors.py
+++ b/tests/handover/test_passing_errors.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from peers import Peer, Running, reply, run, until
+from peers import RunningNode, ScriptedServer, reply, run, until
 
 from oakbridge.handover import predecessor as predecessor_module
 from oakbridge.handover import unix_socket
@@ -56,7 +56,7 @@
     )
 
     async def scenario():
-        async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: reply(200)) as peer, RunningNode(peer) as node:
             path = tmp_path / "node.sock"
             one = Predecessor(node.node, lambda *_: None, path)
             one.listen()
@@ -73,7 +73,7 @@
     monkeypatch.setattr(predecessor_module, "UnixListener", failing)
 
     async def scenario():
-        async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: reply(200)) as peer, RunningNode(peer) as node:
             one = Predecessor(node.node, lambda *_: None, tmp_path / "node.sock")
             one.listen()
             one.close()
--- a/tests/node/test_connection_limits.py
+++ b/tests/node/test_connection_limits.py
@@ -1,8 +1,8 @@
 """Places for clients: who gets in where they run short, and who is evicted."""
 
 import pytest
-from peers import Peer, Running, reply, run, until
-from raw_client import REQUEST, raw_client, received, served_once
+from peers import RunningNode, ScriptedServer, reply, run, until
+from raw_client import REQUEST, raw_client, read_to_end, serve_one_request
 
 from oakbridge.node import connection_limits
 
@@ -13,20 +13,20 @@
     monkeypatch.setattr(connection_limits, "MIN_IDLE_US", 60_000_000)
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: reply(200, b"car")) as peer, RunningNode(peer) as node:
             node.node.server.limits.max_connections = 8
-            usual = await node.caller()
+            usual = await node.client()
             usual.send()
-            assert (await usual.answer())[0] == 200
+            assert (await usual.read_response())[0] == 200
             for _ in range(60):
-                await node.caller()
-            late = await node.caller()
+                await node.client()
+            late = await node.client()
             for caller in (
                 late,
                 usual,
             ):  # the kept one is there still: it has not been idle for 2 s
                 caller.send()
-                assert (await caller.answer())[0] == 200
+                assert (await caller.read_response())[0] == 200
             most = 8 + connection_limits.MAX_EXCESS_CONNECTIONS
             assert len(node.node.server.limits.connections) <= most
 
@@ -37,12 +37,12 @@
     """Guards against places all taken by idle connections that may not be closed for 2 s yet."""
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: reply(200, b"car")) as peer, RunningNode(peer) as node:
             node.node.server.limits.max_connections = 8
             for _ in range(60):
-                caller = await node.caller()
+                caller = await node.client()
                 caller.send()
-                status, headers, body = await caller.answer()
+                status, headers, body = await caller.read_response()
                 assert (status, body) == (200, b"car")
             assert headers["connection"] == "close"
             assert len(node.node.server.limits.connections) <= 8
@@ -57,18 +57,18 @@
     monkeypatch.setattr(connection_limits, "MIN_SILENCE_US", 0)
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: reply(200, b"car")) as peer, RunningNode(peer) as node:
             sock = raw_client(node)
             if first:
-                await served_once(node, sock)
+                await serve_one_request(node, sock)
             await until(lambda: len(node.node.server.limits.connections) == 1)
             quiet = raw_client(node)
             await until(lambda: len(node.node.server.limits.connections) == 2)
             sock.sendall(REQUEST % b"second" + b"Connection: close\r\n\r\n")
             assert node.node.server.limits.evict()
             assert not node.node.server.limits.evict()
-            assert (await received(sock)).endswith(b"car")
-            assert await received(quiet) == b""
+            assert (await read_to_end(sock)).endswith(b"car")
+            assert await read_to_end(quiet) == b""
             quiet.close()
             sock.close()
 
--- a/tests/node/test_discovery_bad_answers.py
+++ b/tests/node/test_discovery_bad_answers.py
@@ -6,7 +6,7 @@
 import tracemalloc
 
 import pytest
-from peers import endpoint, listing, read_message, reply, run, soon
+from peers import endpoint, listing, read_message, reply, run, with_timeout
 
 from oakbridge.node.discovery import DiscoverySource
 from oakbridge.node.list_refresh import BOUND_S
@@ -137,7 +137,7 @@
         source.attach(lists)
         tracemalloc.start()
         source.watch(True)
-        await soon(lists.has_newest.wait())
+        await with_timeout(lists.has_newest.wait())
         _, peak_bytes = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         source.stop()
--- a/tests/node/test_dispatcher.py
+++ b/tests/node/test_dispatcher.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from peers import Peer, Running, reply, run, soon
+from peers import RunningNode, ScriptedServer, reply, run, with_timeout
 
 from oakbridge.policy.actions import (
     Action,
@@ -40,17 +40,17 @@
 
 def test_module_that_fails_costs_one_request():
     async def scenario():
-        async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: reply(200)) as peer, RunningNode(peer) as node:
             module, node.node.dispatcher.balancer = (
                 node.node.dispatcher.balancer,
                 Script(ValueError("boom")),
             )
-            caller = await node.caller()
+            caller = await node.client()
             caller.send()
-            assert (await caller.answer())[0] == 500
+            assert (await caller.read_response())[0] == 500
             node.node.dispatcher.balancer = module
             caller.send()
-            assert (await caller.answer())[0] == 200
+            assert (await caller.read_response())[0] == 200
 
     run(scenario())
 
@@ -71,19 +71,19 @@
             return []
 
     async def scenario():
-        async with Running() as node:
+        async with RunningNode() as node:
             node.node.dispatcher.balancer = script = HeldUp()
             script.fired = asyncio.get_running_loop().create_future()
-            caller = await node.caller()
+            caller = await node.client()
             caller.send()
-            assert 200_000 <= await soon(script.fired) < 280_000
+            assert 200_000 <= await with_timeout(script.fired) < 280_000
 
     run(scenario())
 
 
 def test_time_left_counts_from_when_it_was_read_though_the_process_is_held_up_before_its_event():
     async def scenario():
-        async with Running() as node:
+        async with RunningNode() as node:
             forwarder, node.node.dispatcher.balancer = node.node.forwarder, Script([FailRequest(1)])
             post = forwarder._post
 
@@ -92,9 +92,9 @@
                 post(event, *as_of)
 
             forwarder._post = held_up
-            caller = await node.caller()
+            caller = await node.client()
             caller.send(X_Timeout="900m")
-            assert (await caller.answer())[0] == 502
+            assert (await caller.read_response())[0] == 502
             [received] = [
                 event
                 for event in node.node.dispatcher.balancer.events
@@ -121,14 +121,14 @@
             return []
 
     async def scenario():
-        async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: reply(200)) as peer, RunningNode(peer) as node:
             node.node.dispatcher.balancer = script = HeldUp()
             sent = []
             send = node.node.pool.send
             node.node.pool.send = lambda attempt: (sent.append(attempt), send(attempt))
-            caller = await node.caller()
+            caller = await node.client()
             caller.send()
-            assert (await caller.answer())[0] == 200
+            assert (await caller.read_response())[0] == 200
             [attempt] = sent
             assert attempt.deadline > script.decided_at + 5_000_000
             assert attempt.start_by == script.decided_at + 3_000_000
@@ -138,12 +138,12 @@
 
 def test_request_that_the_module_forgets_is_failed_when_its_time_is_up():
     async def scenario():
-        async with Peer(lambda _: None) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: None) as peer, RunningNode(peer) as node:
             node.node.dispatcher.balancer = script = Script([SendAttempt(1, "s-0", 50_000_000)])
-            caller = await node.caller()
+            caller = await node.client()
             caller.send(X_Timeout="200m")
-            assert (await caller.answer())[0] == 500
-            assert await soon(peer.left.get()) == 1
+            assert (await caller.read_response())[0] == 500
+            assert await with_timeout(peer.closed_connections.get()) == 1
             assert ClientDisconnected(1) in script.events
 
     run(scenario())
@@ -151,17 +151,17 @@
 
 def test_two_attempts_are_never_out_at_once_and_none_is_sent_after_the_answer():
     async def scenario():
-        async with Peer(lambda _: None) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: None) as peer, RunningNode(peer) as node:
             send = SendAttempt(1, "s-0", 20_000_000)
             script = Script([send], [send, FailRequest(1), CancelAttempt(1, 0), send])
             node.node.dispatcher.balancer = script
-            caller, other = await node.caller(), await node.caller()
+            caller, other = await node.client(), await node.client()
             caller.send()
-            await soon(peer.seen.get())
+            await with_timeout(peer.requests.get())
             other.send()  # the event at which the module errs
-            assert (await caller.answer())[0] == 502
-            assert await soon(peer.left.get()) == 1
-            assert peer.seen.empty()
+            assert (await caller.read_response())[0] == 502
+            assert await with_timeout(peer.closed_connections.get()) == 1
+            assert peer.requests.empty()
             ended = [
                 (e.result, e.request_finished) for e in script.events if isinstance(e, AttemptEnded)
             ]
@@ -178,11 +178,11 @@
 @pytest.mark.parametrize(("advice", "expected"), [(0, None), (250_000, "0.250")])
 def test_refusal_carries_the_modules_advice(advice, expected):
     async def scenario():
-        async with Peer(lambda _: None) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: None) as peer, RunningNode(peer) as node:
             node.node.dispatcher.balancer = Script([RejectRequest(1, advice)])
-            caller = await node.caller()
+            caller = await node.client()
             caller.send()
-            status, headers, _ = await caller.answer()
+            status, headers, _ = await caller.read_response()
             assert (status, headers.get("retry-after")) == (503, expected)
 
     run(scenario())
--- a/tests/node/test_endpoint_list_json.py
+++ b/tests/node/test_endpoint_list_json.py
@@ -48,7 +48,7 @@
         9,
         endpoint("s", 80, since_ms=1_700_000_000_000),
         {"name": "t", "status": "gone"},
-        whole=False,
+        is_complete=False,
     )
     got = parse_endpoint_list(raw)
     assert (got.index, got.complete) == (9, False)
@@ -64,7 +64,7 @@
 
 
 def test_of_two_changes_of_a_server_the_last_one_counts():
-    raw = listing(2, endpoint("s", 1), endpoint("s", 1, "draining"), whole=False)
+    raw = listing(2, endpoint("s", 1), endpoint("s", 1, "draining"), is_complete=False)
     known = {}
     parse_endpoint_list(raw).apply_to(known)
     assert known["s"].server.state == EndpointState.DRAINING
--- a/tests/node/test_listener.py
+++ b/tests/node/test_listener.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from peers import Peer, Running, reply, run, soon
-from raw_client import REQUEST, raw_client, received
+from peers import RunningNode, ScriptedServer, reply, run, with_timeout
+from raw_client import REQUEST, raw_client, read_to_end
 
 from oakbridge.node import lifecycle, listener
 
@@ -13,7 +13,7 @@
     monkeypatch.setattr(lifecycle, "DRAIN_NOTICE_US", 0)
 
     async def scenario():
-        async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: reply(200, b"car")) as peer, RunningNode(peer) as node:
             node.node.server.listener.stop()
             socks = [raw_client(node) for _ in range(3 * listener.ACCEPT_BATCH)]
             for i, sock in enumerate(socks):
@@ -21,8 +21,8 @@
             shutting_down = asyncio.create_task(node.node.shut_down())
             # At its start the balancer admits a few only; each has its response all the same.
             for sock in socks:
-                assert (await received(sock)).startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 "))
+                assert (await read_to_end(sock)).startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 "))
                 sock.close()
-            await soon(shutting_down)
+            await with_timeout(shutting_down)
 
     run(scenario())
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -11,17 +11,17 @@
 
 import pytest
 from peers import (
-    LIMIT,
     SETTINGS,
-    Caller,
-    Peer,
-    Registry,
+    TIMEOUT_S,
+    Client,
+    ScriptedDiscovery,
+    ScriptedServer,
     endpoint,
     free_ports,
     listing,
     reply,
     run,
-    soon,
+    with_timeout,
 )
 
 from oakbridge.node.clock import Clock
@@ -86,7 +86,7 @@
     given = {} if raw is None else written(tmp_path / "c.json", raw)
     environment = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")} | given
     done = subprocess.run(
-        COMMAND, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=LIMIT
+        COMMAND, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=TIMEOUT_S
     )
     assert done.returncode != 0
     assert len(done.stderr.splitlines()) == 1
@@ -104,7 +104,7 @@
                 early.put_nowait(clock.now() < due)
 
             clock.call_at(due, fired)
-        assert not any([await soon(early.get()) for _ in range(200)])
+        assert not any([await with_timeout(early.get()) for _ in range(200)])
 
     run(scenario())
 
@@ -136,7 +136,9 @@
             await peer.release.wait()
             return reply(200, b"held")
 
-        async with Peer(lambda seen: held() if seen.url == "/held" else reply(200, b"new")) as peer:
+        async with ScriptedServer(
+            lambda seen: held() if seen.url == "/held" else reply(200, b"new")
+        ) as peer:
             raw = raw_config(
                 listen=f"127.0.0.1:{free_ports(1)[0]}", known=listing(1, endpoint("s-0", peer.port))
             )
@@ -147,28 +149,28 @@
             try:
                 await said(process, b"listens")
                 port = int(raw["listen"].split(":")[1])
-                caller, idle = await Caller.connect(port), await Caller.connect(port)
+                caller, idle = await Client.connect(port), await Client.connect(port)
                 caller.send(url="/held")
-                await soon(peer.seen.get())
+                await with_timeout(peer.requests.get())
                 process.send_signal(signal.SIGTERM)
                 await said(process, b"ends")
                 process.send_signal(signal.SIGTERM)  # once more: it ends as it was about to
-                late = await Caller.connect(port)
+                late = await Client.connect(port)
                 late.send(url="/new")
-                status, _headers, body = await late.answer()
+                status, _headers, body = await late.read_response()
                 assert (status, body) == (200, b"new")
                 # The door closes after the changeover; those who are there are served on for a while.
                 while await connects(port):
                     await asyncio.sleep(0.1)
                 late.send(url="/new")
-                assert (await late.answer())[2] == b"new"
-                assert await idle.ended() == b""
-                assert await late.ended() == b""
+                assert (await late.read_response())[2] == b"new"
+                assert await idle.read_until_close() == b""
+                assert await late.read_until_close() == b""
                 peer.release.set()
-                assert (await caller.answer())[2] == b"held"
+                assert (await caller.read_response())[2] == b"held"
                 caller.close()
-                assert b"Traceback" not in await soon(process.stderr.read())
-                assert await soon(process.wait()) == 0
+                assert b"Traceback" not in await with_timeout(process.stderr.read())
+                assert await with_timeout(process.wait()) == 0
             finally:
                 if process.returncode is None:
                     process.kill()
@@ -186,11 +188,11 @@
             return reply(200, b"held")
 
         async with (
-            Peer(lambda _: held()) as peer,
-            Peer(lambda _: reply(200, b"new")) as newer,
-            Registry() as old,
-            Registry() as new,
-            Registry() as last,
+            ScriptedServer(lambda _: held()) as peer,
+            ScriptedServer(lambda _: reply(200, b"new")) as newer,
+            ScriptedDiscovery() as old,
+            ScriptedDiscovery() as new,
+            ScriptedDiscovery() as last,
         ):
             path = tmp_path / "c.json"
             raw = raw_config(
@@ -203,30 +205,30 @@
             )
             try:
                 await said(process, b"listens")
-                assert "since=7&" in (await soon(old.seen.get())).url
-                caller = await Caller.connect(int(raw["listen"].split(":")[1]))
+                assert "since=7&" in (await with_timeout(old.requests.get())).url
+                caller = await Client.connect(int(raw["listen"].split(":")[1]))
                 caller.send(url="/held")
-                await soon(peer.seen.get())
+                await with_timeout(peer.requests.get())
                 path.write_text("{")
                 process.send_signal(signal.SIGHUP)
                 await said(process, b"not read anew")
                 for registry in (new, last):
                     written(path, raw | {"discovery": f"127.0.0.1:{registry.port}"})
                     process.send_signal(signal.SIGHUP)
-                    assert (await soon(registry.seen.get())).url.startswith(
+                    assert (await with_timeout(registry.requests.get())).url.startswith(
                         "/api/targets?since=-1&"
                     )
                 for registry in (old, new):
                     registry.put(listing(99))  # late: it reaches nobody
-                    assert await soon(registry.left.get()) == 1
+                    assert await with_timeout(registry.closed_connections.get()) == 1
                 last.put(listing(3, endpoint("s-1", newer.port)))
-                assert "since=3&" in (await soon(last.seen.get())).url
+                assert "since=3&" in (await with_timeout(last.requests.get())).url
                 peer.release.set()
-                assert (await caller.answer())[2] == b"held"
+                assert (await caller.read_response())[2] == b"held"
                 caller.send(url="/new")
-                assert (await caller.answer())[2] == b"new"
+                assert (await caller.read_response())[2] == b"new"
                 process.send_signal(signal.SIGTERM)
-                assert await soon(process.wait()) == 0
+                assert await with_timeout(process.wait()) == 0
             finally:
                 if process.returncode is None:
                     process.kill()
@@ -237,7 +239,7 @@
 
 async def connects(port: int) -> bool:
     try:
-        (await Caller.connect(port)).close()
+        (await Client.connect(port)).close()
     except OSError:
         return False
     return True
@@ -245,7 +247,7 @@
 
 async def said(process, word: bytes) -> None:
     """Wait for a line of the node's log."""
-    while word not in (line := await soon(process.stderr.readline())):
+    while word not in (line := await with_timeout(process.stderr.readline())):
         assert line, "the node has ended"
 
 
@@ -273,7 +275,7 @@
             "/bin/sh", "-c", command, cwd=ROOT, env=os.environ | given, stderr=subprocess.DEVNULL
         )
         try:
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(TIMEOUT_S):
                 while "python" not in executable_name(process.pid):
                     await asyncio.sleep(0.001)
                 assert ignores_hangups(process.pid)
@@ -281,12 +283,12 @@
                     process.send_signal(signal.SIGHUP)
                     assert process.returncode is None
                     try:
-                        (await Caller.connect(port)).close()
+                        (await Client.connect(port)).close()
                         break
                     except OSError:
                         await asyncio.sleep(0.002)
             process.send_signal(signal.SIGTERM)
-            assert await soon(process.wait()) == 0
+            assert await with_timeout(process.wait()) == 0
         finally:
             if process.returncode is None:
                 process.kill()
--- a/tests/node/test_response_parser.py
+++ b/tests/node/test_response_parser.py
@@ -1,8 +1,8 @@
 """Bytes to outcomes: what a server sends over loopback, and what an attempt ends with."""
 
 import pytest
-from peers import Peer, reply, run, soon
-from pool_bench import LONG, PoolBench, accept, listening
+from peers import ScriptedServer, reply, run, with_timeout
+from pool_harness import LONG_US, PoolHarness, accept, listening_socket
 
 from oakbridge.policy.events import AttemptResult
 
@@ -34,8 +34,8 @@
 )
 def test_bytes_to_outcome(said, expected):
     async def scenario():
-        async with Peer(lambda _: said) as peer:
-            assert await PoolBench(peer.port).result() == expected
+        async with ScriptedServer(lambda _: said) as peer:
+            assert await PoolHarness(peer.port).result() == expected
 
     run(scenario())
 
@@ -50,12 +50,12 @@
 )
 def test_answer_that_breaks_off_is_a_reset(said):
     async def scenario():
-        with listening() as listener:
-            _, end = PoolBench(listener.getsockname()[1]).send()
+        with listening_socket() as listener:
+            _, end = PoolHarness(listener.getsockname()[1]).send()
             with await accept(listener) as sock:
                 sock.recv(1000)
                 sock.sendall(said)
-            assert (await soon(end)).result == AttemptResult.RESET
+            assert (await with_timeout(end)).result == AttemptResult.RESET
 
     run(scenario())
 
@@ -83,8 +83,8 @@
     """Guards against waiting to a request's end for an answer that will never be whole."""
 
     async def scenario():
-        async with Peer(lambda _: said) as peer:
-            assert await PoolBench(peer.port).result(timeout=1000 * LONG) == expected
+        async with ScriptedServer(lambda _: said) as peer:
+            assert await PoolHarness(peer.port).result(timeout=1000 * LONG_US) == expected
 
     run(scenario())
 
@@ -94,8 +94,8 @@
 )
 def test_connection_that_can_not_be_trusted_is_not_kept(said):
     async def scenario():
-        async with Peer(lambda _: said) as peer:
-            bench = PoolBench(peer.port)
+        async with ScriptedServer(lambda _: said) as peer:
+            bench = PoolHarness(peer.port)
             assert [await bench.result() for _ in range(2)] == [AttemptResult.OK] * 2
             assert peer.connections == 2
 
--- a/tests/node/test_streaming.py
+++ b/tests/node/test_streaming.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from peers import SETTINGS, Peer, Running, reply, run, soon, until
+from peers import SETTINGS, RunningNode, ScriptedServer, reply, run, until, with_timeout
 
 from oakbridge.node import connection_limits, request_parser, server_connection
 from oakbridge.node.connection_pool import MIN_IDLE_US
@@ -18,13 +18,17 @@
 
 
 def head(
-    method: str = "POST", url: str = "/api", *lines: str, klass: str = "book", ident: str = "big-1"
+    method: str = "POST",
+    url: str = "/api",
+    *lines: str,
+    priority_class: str = "book",
+    ident: str = "big-1",
 ) -> bytes:
     first = [
         f"{method} {url} HTTP/1.1",
         "Host: a",
         f"X-Request-ID: {ident}",
-        f"X-Priority-Class: {klass}",
+        f"X-Priority-Class: {priority_class}",
         *lines,
     ]
     return ("\r\n".join(first) + "\r\n\r\n").encode()
@@ -80,11 +84,11 @@
                 return writer.close()
 
     async def scenario():
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
-            said = head("GET", klass="look")
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
+            said = head("GET", priority_class="look")
             caller.writer.write(said.replace(b"HTTP/1.1", b"HTTP/1.0") if old else said)
-            first = await soon(caller.reader.readuntil(b"\r\n\r\n"))
+            first = await with_timeout(caller.reader.readuntil(b"\r\n\r\n"))
             assert first.startswith(b"HTTP/1.1 200 ")
             chunked = b"transfer-encoding: chunked" in first
             assert chunked == (framing != "length" and not old)
@@ -94,10 +98,10 @@
                 nonlocal body
                 while len(body) < length:
                     if chunked:
-                        size = int(await soon(caller.reader.readuntil(b"\r\n")), 16)
-                        body += (await soon(caller.reader.readexactly(size + 2)))[:-2]
+                        size = int(await with_timeout(caller.reader.readuntil(b"\r\n")), 16)
+                        body += (await with_timeout(caller.reader.readexactly(size + 2)))[:-2]
                     else:
-                        body += await soon(caller.reader.read(65536))
+                        body += await with_timeout(caller.reader.read(65536))
 
             await read(BIG // 2)
             assert body == b"a" * (BIG // 2)
@@ -105,7 +109,7 @@
             await read(BIG)
             assert body == b"a" * (BIG // 2) + b"b" * (BIG // 2)
             if chunked:
-                assert await soon(caller.reader.readexactly(5)) == b"0\r\n\r\n"
+                assert await with_timeout(caller.reader.readexactly(5)) == b"0\r\n\r\n"
             if framing == "length" and not old:  # and the connection is kept on both sides
                 await until(
                     lambda: not node.node.balancer.admission.in_flight
@@ -114,7 +118,7 @@
                 await asyncio.sleep(2 * MIN_IDLE_US / 1e6)
                 before = server.connections  # two where the first was slow to come up
                 caller.send()
-                assert (await caller.answer())[0] == 200
+                assert (await caller.read_response())[0] == 200
                 assert server.connections == before
 
     run(scenario())
@@ -132,11 +136,11 @@
     server = RawServer(handle)
 
     async def scenario():
-        async with server, Running(server) as node:
-            caller = await node.caller()
+        async with server, RunningNode(server) as node:
+            caller = await node.client()
             for _ in range(12):  # firsts that the retry budget counts
                 caller.send()
-                status, _, body = await caller.answer()
+                status, _, body = await caller.read_response()
                 assert (status, body.strip(b"y")) in ((200, b""), (503, b""))
 
     run(scenario())
@@ -158,11 +162,11 @@
         (writer.transport.abort if how == "reset" else writer.close)()
 
     async def scenario():
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
             caller.send()
             with contextlib.suppress(ConnectionResetError):
-                got = await soon(caller.reader.read())
+                got = await with_timeout(caller.reader.read())
                 assert len(got) < BIG
                 assert not got.endswith(b"0\r\n\r\n")
             assert server.connections == 1
@@ -184,12 +188,12 @@
         left.set()
 
     async def scenario():
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
             caller.send()
-            await soon(caller.reader.readuntil(b"\r\n\r\n"))
+            await with_timeout(caller.reader.readuntil(b"\r\n\r\n"))
             caller.close()
-            await soon(left.wait())
+            await with_timeout(left.wait())
             await until(
                 lambda: not (node.node.forwarder.requests or node.node.pool.connection_count)
             )
@@ -209,13 +213,13 @@
             await writer.drain()
 
     async def scenario():
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
             caller.writer.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_RCVBUF, 65536
             )
             caller.send()
-            await soon(caller.reader.readuntil(b"\r\n\r\n"))
+            await with_timeout(caller.reader.readuntil(b"\r\n\r\n"))
             caller.writer.transport.pause_reading()
             [one] = node.node.server.limits.connections
             await until(lambda: one.write_blocked)
@@ -226,7 +230,7 @@
             got = 0
             # Slowly, but it goes on: the client is kept beyond its patience.
             for _ in range(60):
-                got += len(await soon(caller.reader.read(65536)))
+                got += len(await with_timeout(caller.reader.read(65536)))
                 await asyncio.sleep(0.01)
             assert node.node.server.limits.connections == {one}
             assert one.transport.get_write_buffer_size() < 2 * server_connection.READ_BYTES + 65536
@@ -256,17 +260,17 @@
 
     async def scenario():
         nonlocal held_up
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
             monkeypatch.setattr(TransientErrorSocket, "send", send_later)
             caller.send()
-            await soon(broken.wait())
+            await with_timeout(broken.wait())
             await until(lambda: not node.node.forwarder.requests)
             held_up = False
-            head = await soon(caller.reader.readuntil(b"\r\n\r\n"))
+            head = await with_timeout(caller.reader.readuntil(b"\r\n\r\n"))
             assert head.startswith(b"HTTP/1.1 200 ")
             with contextlib.suppress(ConnectionError):
-                assert len(await soon(caller.reader.read())) < BIG
+                assert len(await with_timeout(caller.reader.read())) < BIG
 
     run(scenario())
 
@@ -280,20 +284,23 @@
             await asyncio.sleep(0.1)
 
     async def scenario():
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
-            caller.send(klass="brief", X_Timeout="400m")  # 1 s of writing
-            assert len((await caller.answer())[2]) == 640_000
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
+            caller.send(priority_class="brief", X_Timeout="400m")  # 1 s of writing
+            assert len((await caller.read_response())[2]) == 640_000
 
     run(scenario())
 
 
 def test_an_error_that_is_too_long_to_buffer_is_no_response():
     async def scenario():
-        async with Peer(lambda _: reply(500, b"x" * 100_000)) as peer, Running(peer) as node:
-            caller = await node.caller()
-            caller.send(klass="book", method="POST", body=b"x")
-            assert (await caller.answer())[0] == 502
+        async with (
+            ScriptedServer(lambda _: reply(500, b"x" * 100_000)) as peer,
+            RunningNode(peer) as node,
+        ):
+            caller = await node.client()
+            caller.send(priority_class="book", method="POST", body=b"x")
+            assert (await caller.read_response())[0] == 502
 
     run(scenario())
 
@@ -323,8 +330,8 @@
 
     async def scenario():
         body = (bytes(range(251)) * (size // 251 + 1))[:size]
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
             for i in range(2):  # the connection is kept
                 line = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {size}"
                 caller.writer.write(head("POST", "/api", line, ident=f"big-{i}"))
@@ -335,8 +342,8 @@
                     caller.writer.write(b"0\r\nX-Trailer: t\r\n\r\n")
                 else:
                     caller.writer.write(body)
-                assert (await caller.answer())[0] == 200
-                first, seen = await soon(got.get())
+                assert (await caller.read_response())[0] == 200
+                first, seen = await with_timeout(got.get())
                 assert seen == body
                 assert b"x-trailer" not in first
             assert node.node.server.body_buffers.used == 0
@@ -356,19 +363,25 @@
         writer.write(reply(200))
 
     async def scenario():
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
             caller.writer.write(
-                head("POST", "/api", f"Content-Length: {BIG}", "X-Timeout: 300m", klass="brief")
+                head(
+                    "POST",
+                    "/api",
+                    f"Content-Length: {BIG}",
+                    "X-Timeout: 300m",
+                    priority_class="brief",
+                )
             )
             caller.writer.write(b"x" * 1_000_000)
-            await soon(began.wait())
+            await with_timeout(began.wait())
             await asyncio.sleep(0.6)  # longer than the request may take, once it is whole
             if gone:  # the request keeps the time that it was taken with
                 classes = [c for c in SETTINGS["classes"] if c["name"] != "brief"]
                 node.node.configure(read_settings(SETTINGS | {"classes": classes}))
             caller.writer.write(b"x" * (BIG - 1_000_000))
-            assert (await caller.answer())[0] == 200
+            assert (await caller.read_response())[0] == 200
 
     run(scenario())
 
@@ -388,19 +401,19 @@
         left.set()
 
     async def scenario():
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
             caller.writer.write(head("POST", "/api", f"Content-Length: {BIG}"))
             caller.writer.write(b"x" * (BIG - 1))
-            await soon(begun.wait())  # for a client that ended before, nothing would begin
+            await with_timeout(begun.wait())  # for a client that ended before, nothing would begin
             if end == "close":
                 caller.writer.write_eof()
             elif end == "reset":
                 caller.close()
-            await soon(left.wait())
+            await with_timeout(left.wait())
             assert len(short) == 1
             if end == "stall":
-                assert (await soon(caller.reader.read())).startswith(b"HTTP/1.1 408 ")
+                assert (await with_timeout(caller.reader.read())).startswith(b"HTTP/1.1 408 ")
             await until(
                 lambda: not (node.node.forwarder.requests or node.node.server.limits.connections)
             )
@@ -426,17 +439,17 @@
         await reader.read(100_000)
 
     async def scenario():
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
             caller.writer.write(head("POST", "/api", f"Content-Length: {BIG}"))
             caller.writer.write(b"x" * (BIG // 2))
-            first = await soon(caller.reader.readuntil(b"\r\n\r\n"))
+            first = await with_timeout(caller.reader.readuntil(b"\r\n\r\n"))
             assert first.startswith(b"HTTP/1.1 %d " % status)
             caller.writer.write(
                 b"x" * (BIG // 2)
             )  # what still comes is read, so that nothing resets the answer
             await caller.writer.drain()
-            assert await caller.ended() == b""
+            assert await caller.read_until_close() == b""
             assert server.connections == 1
 
     run(scenario())
@@ -457,8 +470,8 @@
         writer.write(reply(200))
 
     async def scenario():
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
             caller.writer.write(head("POST", "/api", "Content-Length: 20000000"))
             caller.writer.write(b"x" * 20_000_000)
             await until(lambda: node.node.server.limits.connections)
@@ -472,16 +485,16 @@
                 + request_parser.MAX_BUFFERED_BODY_BYTES
             )
             go.set()
-            assert (await caller.answer())[0] == 200
+            assert (await caller.read_response())[0] == 200
 
     run(scenario())
 
 
 def test_many_bodies_are_buffered_within_a_limit_then_streamed():
     async def scenario():
-        async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
+        async with ScriptedServer(lambda _: reply(200)) as peer, RunningNode(peer) as node:
             node.node.server.body_buffers.limit = 300_000
-            all_ = [await node.caller() for _ in range(8)]
+            all_ = [await node.client() for _ in range(8)]
             for i, caller in enumerate(all_):
                 caller.writer.write(head("POST", "/api", "Content-Length: 200000", ident=f"h-{i}"))
                 caller.writer.write(b"x" * 199_999)
@@ -496,7 +509,7 @@
             assert node.node.server.body_buffers.used <= 500_000
             for caller in all_:
                 caller.writer.write(b"x")
-                assert (await caller.answer())[0] == 200
+                assert (await caller.read_response())[0] == 200
             assert node.node.server.body_buffers.used == 0
 
     run(scenario())
@@ -507,59 +520,65 @@
 
 def test_a_client_that_expects_100_gets_it_before_its_body_and_behind_earlier_responses():
     async def scenario():
-        async with Peer(lambda _: reply(200)) as peer, Running(peer) as node:
-            caller = await node.caller()
+        async with ScriptedServer(lambda _: reply(200)) as peer, RunningNode(peer) as node:
+            caller = await node.client()
             expects = head("POST", "/api", "Content-Length: 4", "Expect: 100-continue")
             caller.writer.write(expects)
             assert (
-                await soon(caller.reader.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
+                await with_timeout(caller.reader.readuntil(b"\r\n\r\n"))
+                == b"HTTP/1.1 100 Continue\r\n\r\n"
             )
             caller.writer.write(b"body")
-            assert (await caller.answer())[0] == 200
-            assert "expect" not in (await soon(peer.seen.get())).headers
+            assert (await caller.read_response())[0] == 200
+            assert "expect" not in (await with_timeout(peer.requests.get())).headers
             caller.writer.write(
-                head("GET", klass="look", ident="a") + expects.replace(b"big-1", b"big-2")
+                head("GET", priority_class="look", ident="a") + expects.replace(b"big-1", b"big-2")
             )
-            assert (await caller.answer())[0] == 200
+            assert (await caller.read_response())[0] == 200
             assert (
-                await soon(caller.reader.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
+                await with_timeout(caller.reader.readuntil(b"\r\n\r\n"))
+                == b"HTTP/1.1 100 Continue\r\n\r\n"
             )
             caller.writer.write(b"body")
-            assert (await caller.answer())[0] == 200
+            assert (await caller.read_response())[0] == 200
 
     run(scenario())
 
 
 def test_requests_in_pieces_of_one_byte_with_space_round_values_are_served():
     async def scenario():
-        async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
-            caller = await node.caller()
-            raw = head("GET", "http://app.svc/api?x=1", "X-Timeout: \t 5000m ", klass="look \t")
+        async with ScriptedServer(lambda _: reply(200, b"car")) as peer, RunningNode(peer) as node:
+            caller = await node.client()
+            raw = head(
+                "GET", "http://app.svc/api?x=1", "X-Timeout: \t 5000m ", priority_class="look \t"
+            )
             for at in range(len(raw)):
                 caller.writer.write(raw[at : at + 1])
                 await caller.writer.drain()
                 if at % 10 == 0:
                     await asyncio.sleep(0)
-            assert (await caller.answer())[2] == b"car"
-            assert (await soon(peer.seen.get())).url == "/api?x=1"
+            assert (await caller.read_response())[2] == b"car"
+            assert (await with_timeout(peer.requests.get())).url == "/api?x=1"
 
     run(scenario())
 
 
 def test_an_old_client_that_keeps_its_connection_is_told_so():
     async def scenario():
-        async with Peer(lambda _: reply(200, b"car")) as peer, Running(peer) as node:
-            caller = await node.caller()
+        async with ScriptedServer(lambda _: reply(200, b"car")) as peer, RunningNode(peer) as node:
+            caller = await node.client()
             for i in range(2):
-                raw = head("GET", "/api", "Connection: keep-alive", klass="look", ident=f"o-{i}")
+                raw = head(
+                    "GET", "/api", "Connection: keep-alive", priority_class="look", ident=f"o-{i}"
+                )
                 caller.writer.write(raw.replace(b"HTTP/1.1", b"HTTP/1.0"))
-                status, headers, _ = await caller.answer()
+                status, headers, _ = await caller.read_response()
                 assert (status, headers["connection"]) == (200, "keep-alive")
             caller.writer.write(
-                head("GET", klass="look", ident="o-3").replace(b"HTTP/1.1", b"HTTP/1.0")
+                head("GET", priority_class="look", ident="o-3").replace(b"HTTP/1.1", b"HTTP/1.0")
             )
-            assert (await caller.answer())[1]["connection"] == "close"
-            assert await caller.ended() == b""
+            assert (await caller.read_response())[1]["connection"] == "close"
+            assert await caller.read_until_close() == b""
 
     run(scenario())
 
@@ -573,9 +592,9 @@
             await asyncio.sleep(0.02)
 
     async def scenario():
-        async with RawServer(handle) as server, Running(server) as node:
-            caller = await node.caller()
-            caller.send(klass="book", method="POST", body=b"x")
-            assert (await caller.answer())[2] == b"slow!"
+        async with RawServer(handle) as server, RunningNode(server) as node:
+            caller = await node.client()
+            caller.send(priority_class="book", method="POST", body=b"x")
+            assert (await caller.read_response())[2] == b"slow!"
 
     run(scenario())
--- a/tests/node/test_unserved_requests.py
+++ b/tests/node/test_unserved_requests.py
@@ -1,6 +1,6 @@
 """Requests without a server's response are counted by reason, and logged at most once a second."""
 
-from peers import Peer, Running, reply, run, soon
+from peers import RunningNode, ScriptedServer, reply, run, with_timeout
 
 from oakbridge.node.unserved_requests import LOG_INTERVAL_US, UnservedRequests
 from oakbridge.policy.actions import UnservedReason
@@ -29,10 +29,10 @@
     caplog.set_level("INFO", LOGGER)
 
     async def scenario():
-        async with Peer(lambda _: reply(500)) as peer, Running(peer) as node:
-            caller = await node.caller()
+        async with ScriptedServer(lambda _: reply(500)) as peer, RunningNode(peer) as node:
+            caller = await node.client()
             caller.send("book", method="POST")
-            assert (await soon(caller.answer()))[0] == 502
+            assert (await with_timeout(caller.read_response()))[0] == 502
             counts = node.node.forwarder.unserved.counts
             assert counts == {UnservedReason.RETRY_UNSAFE: 1}
 
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from peers import SETTINGS, Peer, Running, endpoint, listing, reply, run, soon
+from peers import SETTINGS, RunningNode, ScriptedServer, endpoint, listing, reply, run, with_timeout
 
 from oakbridge.node import lifecycle
 from oakbridge.node.config import load_config
@@ -41,25 +41,25 @@
     async def call(self, line: bytes) -> bytes:
         reader, writer = await self.open()
         writer.write(line)
-        answer = await soon(reader.read())
+        answer = await with_timeout(reader.read())
         writer.close()
         return answer
 
 
 async def status_of_request(caller, **extra) -> int:
     caller.send(**extra)
-    return (await caller.answer())[0]
+    return (await caller.read_response())[0]
 
 
 def test_server_taken_out_gets_nothing_until_it_is_put_back_whatever_lists_say():
     async def scenario():
         async with (
-            Peer(lambda _: reply(200)) as a,
-            Peer(lambda _: reply(200)) as b,
-            Running(a, b) as node,
+            ScriptedServer(lambda _: reply(200)) as a,
+            ScriptedServer(lambda _: reply(200)) as b,
+            RunningNode(a, b) as node,
             Operators(node.node) as operators,
         ):
-            caller = await node.caller()
+            caller = await node.client()
             assert (await operators.call(b"OFFLINE s-9\n")).startswith(b"NO ")
             assert (await operators.call(b"OFFLINE s-0\r\n")).startswith(b"YES ")
             assert (await operators.call(b"offline s-0\n")).startswith(b"YES ")
@@ -67,14 +67,14 @@
             for known in (
                 None,
                 again,
-                listing(3, endpoint("s-0", a.port, since_ms=5), whole=False),
+                listing(3, endpoint("s-0", a.port, since_ms=5), is_complete=False),
             ):
                 if known is not None:
                     node.node.endpoints.on_endpoint_list(parse_endpoint_list(known))
                 assert [await status_of_request(caller) for _ in range(10)] == [200] * 10
-            assert a.seen.qsize() == 0
+            assert a.requests.qsize() == 0
             assert (await operators.call(b"ONLINE s-0\n")).startswith(b"YES ")
-            while not a.seen.qsize():
+            while not a.requests.qsize():
                 assert await status_of_request(caller) == 200
             assert (await operators.call(b"ONLINE s-0\n")).startswith(b"YES ")
             assert (await operators.call(b"ONLINE s-9\n")).startswith(b"NO ")
@@ -85,11 +85,11 @@
 def test_last_server_may_be_taken_out_and_requests_are_refused_at_once():
     async def scenario():
         async with (
-            Peer(lambda _: reply(200)) as a,
-            Running(a) as node,
+            ScriptedServer(lambda _: reply(200)) as a,
+            RunningNode(a) as node,
             Operators(node.node) as operators,
         ):
-            caller = await node.caller()
+            caller = await node.client()
             assert (await operators.call(b"OFFLINE s-0\n")).startswith(b"YES ")
             assert (await operators.call(b"HEALTH\n")).startswith(b"YES ")
             began = asyncio.get_running_loop().time()
@@ -113,30 +113,30 @@
             return reply(200)
 
         async with (
-            Peer(lambda s: held() if s.url == "/held" else reply(200)) as a,
-            Running(a) as node,
+            ScriptedServer(lambda s: held() if s.url == "/held" else reply(200)) as a,
+            RunningNode(a) as node,
             Operators(node.node) as operators,
         ):
-            kept, idle, busy = [await node.caller() for _ in range(3)]
+            kept, idle, busy = [await node.client() for _ in range(3)]
             assert [await status_of_request(kept), await status_of_request(idle)] == [200, 200]
             busy.send(url="/held")
             assert (await operators.call(b"LEAVE\n")).startswith(b"YES ")
             assert (await operators.call(b"LEAVE\n")).startswith(b"YES ")
             assert await status_of_request(kept, url="/-/ready") == 503
-            late = await node.caller()
+            late = await node.client()
             assert await status_of_request(late) == 200
-            assert await idle.ended() == b""
-            assert await kept.ended() == b""
-            later = await node.caller()
+            assert await idle.read_until_close() == b""
+            assert await kept.read_until_close() == b""
+            later = await node.client()
             later.send()
-            status, headers, _ = await later.answer()
+            status, headers, _ = await later.read_response()
             assert (status, headers["connection"]) == (200, "close")
             a.release.set()
-            status, headers, _ = await busy.answer()
+            status, headers, _ = await busy.read_response()
             assert (status, headers["connection"]) == (200, "close")
             assert (await operators.call(b"HEALTH\n")).startswith(b"YES ")
             assert (await operators.call(b"JOIN\n")).startswith(b"YES ")
-            again = await node.caller()
+            again = await node.client()
             assert await status_of_request(again, url="/-/ready") == 200
             assert await status_of_request(again) == 200
             assert (await operators.call(b"JOIN\n")).startswith(b"YES ")
@@ -149,8 +149,8 @@
 
     async def scenario():
         async with (
-            Peer(lambda _: reply(200)) as a,
-            Running(a) as node,
+            ScriptedServer(lambda _: reply(200)) as a,
+            RunningNode(a) as node,
             Operators(node.node) as operators,
         ):
             holders = [await operators.open() for _ in range(3 * MAX_CONNECTIONS)]
@@ -160,7 +160,7 @@
             assert operators.listener.connection_count <= MAX_CONNECTIONS
             for reader, writer in holders:
                 with contextlib.suppress(ConnectionError):  # it has made room
-                    assert await soon(reader.read()) == b""  # or is closed after its time
+                    assert await with_timeout(reader.read()) == b""  # or is closed after its time
                 writer.close()
             assert (await operators.call(b"x" * 100_000)).startswith(
                 b"NO expected a line of at most"
@@ -191,19 +191,19 @@
     path.write_text(json.dumps(good))
 
     async def scenario():
-        async with Peer(lambda _: reply(200)) as a, Running(a) as node:
+        async with ScriptedServer(lambda _: reply(200)) as a, RunningNode(a) as node:
             node.node.config = load_config(given)
-            caller = await node.caller()
-            assert await status_of_request(caller, klass="look") == 200
+            caller = await node.client()
+            assert await status_of_request(caller, priority_class="look") == 200
             path.write_text(broken)
             with pytest.raises(ConfigError) as e:
                 node.node.reload(load_config(given, node.node.config))
             assert "\n" not in str(e.value)
-            assert await status_of_request(caller, klass="look") == 200
+            assert await status_of_request(caller, priority_class="look") == 200
             changed = SETTINGS | {"classes": [new_class]}
             path.write_text(json.dumps(base | {"settings": changed}))
             node.node.reload(load_config(given, node.node.config))
-            assert await status_of_request(caller, klass="fresh") == 200
-            assert await status_of_request(caller, klass="look") == 400
+            assert await status_of_request(caller, priority_class="fresh") == 200
+            assert await status_of_request(caller, priority_class="look") == 400
 
     run(scenario())
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -13,8 +13,8 @@
 from oakbridge.node.config import Config
 from oakbridge.node.node import Node
 
-IDS = itertools.count(0x9B1F03AA)  # a request's id is new each time
-LIMIT = 30.0  # seconds for anything that must happen; nothing is expected to take a tenth of it
+REQUEST_IDS = itertools.count(0x9B1F03AA)  # a request's id is new each time
+TIMEOUT_S = 30.0  # seconds for anything that must happen; nothing is expected to take a tenth of it
 
 SETTINGS = {
     "allowed": {
@@ -51,7 +51,7 @@
     return found
 
 
-def run(coroutine, limit: float = 2 * LIMIT):
+def run(coroutine, limit: float = 2 * TIMEOUT_S):
     """Run a test's coroutine; it may not hang."""
 
     async def limited():
@@ -62,18 +62,18 @@
 
 async def until(what):
     """Wait until this is so, within the limit."""
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(TIMEOUT_S):
         while not what():
             await asyncio.sleep(0.005)
 
 
-async def soon(awaitable):
+async def with_timeout(awaitable):
     """What must happen, within the limit."""
-    return await asyncio.wait_for(awaitable, LIMIT)
+    return await asyncio.wait_for(awaitable, TIMEOUT_S)
 
 
 @dataclass
-class Seen:
+class ReceivedRequest:
     """One request as a peer got it."""
 
     method: str
@@ -96,18 +96,20 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-class Peer:
+class ScriptedServer:
     """Answers with what ``script`` says: bytes, None for silence, "close", or several of these."""
 
-    def __init__(self, script: Callable[[Seen], bytes | str | None]) -> None:
+    def __init__(self, script: Callable[[ReceivedRequest], bytes | str | None]) -> None:
         self.script = script
-        self.seen: asyncio.Queue[Seen] = asyncio.Queue()
-        self.left: asyncio.Queue[int] = asyncio.Queue()  # connections that the other side closed
+        self.requests: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
+        self.closed_connections: asyncio.Queue[int] = (
+            asyncio.Queue()
+        )  # connections that the other side closed
         self.release = asyncio.Event()
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
 
-    async def __aenter__(self) -> "Peer":
+    async def __aenter__(self) -> "ScriptedServer":
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -125,8 +127,8 @@
             while True:
                 first, headers, body = await read_message(reader)
                 method, url, _ = first.split(" ")
-                seen = Seen(method, url, headers, body, number)
-                self.seen.put_nowait(seen)
+                seen = ReceivedRequest(method, url, headers, body, number)
+                self.requests.put_nowait(seen)
                 said = self.script(seen)
                 if asyncio.iscoroutine(said):
                     said = await said
@@ -136,7 +138,7 @@
                     if part is not None:
                         writer.write(part)
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.left.put_nowait(number)
+            self.closed_connections.put_nowait(number)
             writer.close()
 
 
@@ -148,12 +150,12 @@
     }  # fmt: skip
 
 
-def listing(index: int, *endpoints: dict, whole: bool = True) -> dict:
+def listing(index: int, *endpoints: dict, is_complete: bool = True) -> dict:
     """Discovery's answer."""
-    return {"index": index, "snapshot": whole, "endpoints": list(endpoints)}
+    return {"index": index, "snapshot": is_complete, "endpoints": list(endpoints)}
 
 
-class Registry(Peer):
+class ScriptedDiscovery(ScriptedServer):
     """Discovery: each call is answered with the next of the answers put in; bytes go out as they are."""
 
     def __init__(self) -> None:
@@ -165,7 +167,7 @@
             reply(200, json.dumps(answer).encode()) if isinstance(answer, dict) else answer
         )
 
-    async def next(self, _: Seen) -> bytes:
+    async def next(self, _: ReceivedRequest) -> bytes:
         return await self.answers.get()
 
 
@@ -181,19 +183,19 @@
     )  # fmt: skip
 
 
-class Caller:
+class Client:
     """One connection to a node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def connect(cls, port: int) -> "Caller":
+    async def connect(cls, port: int) -> "Client":
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def send(
         self,
-        klass: str = "look",
+        priority_class: str = "look",
         method: str = "GET",
         url: str = "/api",
         body: bytes = b"",
@@ -201,52 +203,52 @@
     ) -> None:
         headers = {
             "Host": "app.svc",
-            "X-Request-ID": f"r-{next(IDS)}",
-            "X-Priority-Class": klass,
+            "X-Request-ID": f"r-{next(REQUEST_IDS)}",
+            "X-Priority-Class": priority_class,
         } | {k.replace("_", "-"): v for k, v in extra.items()}
         if body:
             headers["Content-Length"] = str(len(body))
         lines = [f"{method} {url} HTTP/1.1", *(f"{k}: {v}" for k, v in headers.items())]
         self.writer.write(("\r\n".join(lines) + "\r\n\r\n").encode() + body)
 
-    async def answer(self) -> tuple[int, dict[str, str], bytes]:
-        first, headers, body = await soon(read_message(self.reader))
+    async def read_response(self) -> tuple[int, dict[str, str], bytes]:
+        first, headers, body = await with_timeout(read_message(self.reader))
         return int(first.split(" ")[1]), headers, body
 
-    async def ended(self) -> bytes:
+    async def read_until_close(self) -> bytes:
         """What comes until the node closes."""
-        return await soon(self.reader.read())
+        return await with_timeout(self.reader.read())
 
     def close(self) -> None:
         self.writer.transport.abort()
 
 
-class Running:
+class RunningNode:
     """A node in this process, with servers by script."""
 
-    def __init__(self, *peers: Peer, **options) -> None:
+    def __init__(self, *peers: ScriptedServer, **options) -> None:
         self.peers, self.options = peers, options
 
-    async def __aenter__(self) -> "Running":
-        self.registry = await Registry().__aenter__()
+    async def __aenter__(self) -> "RunningNode":
+        self.discovery = await ScriptedDiscovery().__aenter__()
         listed = [endpoint(f"s-{i}", p.port) for i, p in enumerate(self.peers)]
         self.node = Node(
-            config(self.registry.port, *listed, **self.options), asyncio.get_running_loop()
+            config(self.discovery.port, *listed, **self.options), asyncio.get_running_loop()
         )
         self.node.start()
         self.port = self.node.server.address[1]
-        self.callers: list[Caller] = []
+        self.clients: list[Client] = []
         return self
 
-    async def caller(self) -> Caller:
-        self.callers.append(await Caller.connect(self.port))
-        return self.callers[-1]
+    async def client(self) -> Client:
+        self.clients.append(await Client.connect(self.port))
+        return self.clients[-1]
 
     async def __aexit__(self, *_) -> None:
         self.node.close()
-        for caller in self.callers:
+        for caller in self.clients:
             caller.close()
-        await self.registry.__aexit__()
+        await self.discovery.__aexit__()
 
 
 def silent_listener() -> tuple[socket.socket, list[socket.socket]]:
--- a/tests/pool_bench.py
+++ b/tests/pool_harness.py
@@ -4,7 +4,7 @@
 import contextlib
 import socket
 
-from peers import silent_listener, soon
+from peers import silent_listener, with_timeout
 
 from oakbridge.node.attempt import Attempt, AttemptOutcome
 from oakbridge.node.clock import Clock
@@ -12,29 +12,33 @@
 from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint
 from oakbridge.policy.events import AttemptResult, Endpoint
 
-LONG = 60_000_000
+LONG_US = 60_000_000
 GET = b"GET /api HTTP/1.1\r\nx-request-id: 1\r\n\r\n"
 
 
-class PoolBench:
+class PoolHarness:
     """A pool with one server, and attempts whose ends can be awaited."""
 
     def __init__(
-        self, port: int, connect_timeout: int = LONG, idle: int = LONG, most: int = 8
+        self,
+        port: int,
+        connect_timeout: int = LONG_US,
+        idle: int = LONG_US,
+        max_connections: int = 8,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.clock = Clock(self.loop)
-        self.pool = ConnectionPool(self.loop, self.clock, connect_timeout, idle, most)
+        self.pool = ConnectionPool(self.loop, self.clock, connect_timeout, idle, max_connections)
         self.port = port
-        self.list("s")
+        self.list_servers("s")
 
-    def list(self, *names: str, started: int = 0) -> None:
+    def list_servers(self, *names: str, started: int = 0) -> None:
         address = "127.0.0.1", self.port
         entries = [ListedEndpoint(Endpoint(name, started_at=started), address) for name in names]
         self.pool.update_endpoints(EndpointList(1, True, entries))
 
     def send(
-        self, data: bytes = GET, timeout: int = LONG
+        self, data: bytes = GET, timeout: int = LONG_US
     ) -> tuple[Attempt, "asyncio.Future[AttemptOutcome]"]:
         end: asyncio.Future[AttemptOutcome] = self.loop.create_future()
         attempt = Attempt("s", lambda _: data, self.clock.now() + timeout, end.set_result)
@@ -42,11 +46,11 @@
         return attempt, end
 
     async def result(self, *args, **named) -> AttemptResult:
-        return (await soon(self.send(*args, **named)[1])).result
+        return (await with_timeout(self.send(*args, **named)[1])).result
 
 
 @contextlib.contextmanager
-def listening():
+def listening_socket():
     """A server by hand, driven without the loop."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
--- a/tests/raw_client.py
+++ b/tests/raw_client.py
@@ -3,7 +3,7 @@
 import asyncio
 import socket
 
-from peers import soon, until
+from peers import until, with_timeout
 
 REQUEST = b"GET /api HTTP/1.1\r\nHost: a\r\nX-Request-ID: %b\r\nX-Priority-Class: look\r\n"
 
@@ -15,7 +15,7 @@
     return sock
 
 
-async def received(sock: socket.socket) -> bytes:
+async def read_to_end(sock: socket.socket) -> bytes:
     """Return all that comes up to the end of the connection; a reset raises."""
 
     def read() -> bytes:
@@ -24,13 +24,13 @@
             found.append(data)
         return b"".join(found)
 
-    return await soon(asyncio.to_thread(read))
+    return await with_timeout(asyncio.to_thread(read))
 
 
-async def served_once(node, sock: socket.socket):
+async def serve_one_request(node, sock: socket.socket):
     """Have one request answered on it; return the node's end of that connection, which is idle."""
     sock.sendall(REQUEST % b"first" + b"\r\n")
-    assert (await soon(asyncio.to_thread(sock.recv, 65536))).startswith(b"HTTP/1.1 200 ")
+    assert (await with_timeout(asyncio.to_thread(sock.recv, 65536))).startswith(b"HTTP/1.1 200 ")
     [found] = node.node.server.limits.connections
     await until(found.is_idle)
     return found
--- a/tests/rollout/test_frozen_hosts.py
+++ b/tests/rollout/test_frozen_hosts.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from peers import LIMIT
+from peers import TIMEOUT_S
 from process_fleet import OAKBRIDGE, ProcessFleet
 
 from oakbridge.standin.behaviour import Behaviour
@@ -55,7 +55,7 @@
             return  # it is being restarted: nothing was accepted, and a client goes to another node
         try:
             writer.write(REQUEST)
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(TIMEOUT_S):
                 line = await reader.readline()
             answered = line.startswith(b"HTTP/1.1 ")
         except (OSError, TimeoutError):
@@ -100,7 +100,7 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
         )
-        out, err = await asyncio.wait_for(process.communicate(), 4 * LIMIT)
+        out, err = await asyncio.wait_for(process.communicate(), 4 * TIMEOUT_S)
         assert b"Traceback" not in err, err.decode()
         return process.returncode, out.decode() or err.decode()
 
@@ -118,7 +118,7 @@
         return len(json.loads(out)["instances"])
 
     async def wait_until_seen(self) -> None:
-        async with asyncio.timeout(4 * LIMIT):
+        async with asyncio.timeout(4 * TIMEOUT_S):
             while await self.count_seen() < INSTANCES:
                 await asyncio.sleep(0.2)
 
@@ -213,4 +213,4 @@
 def test_nodes_and_agents_frozen_in_mid_change(tmp_path, seed):
     began = time.monotonic()
     asyncio.run(scenario(tmp_path, seed))
-    assert time.monotonic() - began < 8 * LIMIT
+    assert time.monotonic() - began < 8 * TIMEOUT_S
--- a/tests/rollout/test_killed_tool.py
+++ b/tests/rollout/test_killed_tool.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from peers import LIMIT, run
+from peers import TIMEOUT_S, run
 from simulated_fleet import SimulatedFleet
 
 from oakbridge.agent.operator_api import OperatorApi
@@ -33,7 +33,7 @@
         env=os.environ | {"PYTHONPATH": f"{HERE.parents[1]}:{HERE}"},
         stdout=asyncio.subprocess.PIPE,
     )
-    out, _ = await asyncio.wait_for(process.communicate(), LIMIT)
+    out, _ = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
     return process.returncode, json.loads(out) if out else {}
 
 
@@ -101,4 +101,4 @@
                 assert set(fleet.running_aims().values()) == {aim}
             assert kills >= 3
 
-    run(test(), 4 * LIMIT)
+    run(test(), 4 * TIMEOUT_S)
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from peers import LIMIT
+from peers import TIMEOUT_S
 from process_fleet import OAKBRIDGE, ProcessFleet, files_with_aim
 
 HOSTS = 4
@@ -28,7 +28,7 @@
 
     def call(self, *words: str) -> tuple[int, str, str]:
         process = self.start_command(*words)
-        out, err = process.communicate(timeout=4 * LIMIT)
+        out, err = process.communicate(timeout=4 * TIMEOUT_S)
         assert "Traceback" not in err, err
         return process.returncode, out, err
 
@@ -41,7 +41,7 @@
         return code, json.loads(out)
 
     def wait_until(self, condition):
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + TIMEOUT_S
         while not (result := condition()):
             assert time.monotonic() < end
             time.sleep(0.05)
@@ -107,7 +107,7 @@
     code, _, err = fleet.call("apply", "--files", fleet.change("3s"), "--as", "ola", *QUICK)
     assert code == 1
     assert "admin has the lease since" in err
-    first.communicate(timeout=4 * LIMIT)
+    first.communicate(timeout=4 * TIMEOUT_S)
     assert first.returncode == 0
     assert set(fleet.running_configurations().values()) == {"2s"}
 
@@ -123,7 +123,7 @@
     fleet.wait_until(lambda: fleet.count_running("2s") == 2)
     changed = [name for name, aim in fleet.running_configurations().items() if aim == "2s"]
     fleet.send_signal(changed[1], signal.SIGKILL)
-    out, _ = process.communicate(timeout=4 * LIMIT)
+    out, _ = process.communicate(timeout=4 * TIMEOUT_S)
     report = json.loads(out)
     assert process.returncode == 4, report
     assert report["stage"] == "undone", report
--- a/tests/rollout/test_simulated_fleet.py
+++ b/tests/rollout/test_simulated_fleet.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from peers import LIMIT, run, until
+from peers import TIMEOUT_S, run, until
 from simulated_fleet import QUICK, Network, SimulatedFleet, files_with_aim, outcomes
 
 from oakbridge.fleet import messages
@@ -142,7 +142,7 @@
             assert last.machine.is_complete()
             assert set(fleet.running_aims().values()) == {"3s"}
 
-    run(test(), 4 * LIMIT)
+    run(test(), 4 * TIMEOUT_S)
 
 
 def test_a_network_that_loses_doubles_and_delays_changes_nothing_of_the_end(tmp_path):
@@ -177,7 +177,7 @@
                     ):  # nobody was overheard when the waves were made
                         return
 
-    run(asyncio.wait_for(_all(test(seed) for seed in range(8)), 4 * LIMIT), 5 * LIMIT)
+    run(asyncio.wait_for(_all(test(seed) for seed in range(8)), 4 * TIMEOUT_S), 5 * TIMEOUT_S)
 
 
 async def _all(tests):
@@ -234,7 +234,7 @@
             counts += await asyncio.gather(*map(race, range(first, first + 10)))
         assert counts.count(1) > 40
 
-    run(races(), 4 * LIMIT)
+    run(races(), 4 * TIMEOUT_S)
 
 
 def test_a_journal_that_is_lost_is_rebuilt_from_the_agents(tmp_path):
--- a/tests/sources/rewritten_files.py
+++ b/tests/sources/rewritten_files.py
@@ -6,7 +6,7 @@
 import random
 from pathlib import Path
 
-from peers import SETTINGS, soon
+from peers import SETTINGS, with_timeout
 
 from oakbridge.node.config import Config
 from oakbridge.node.node import Node
@@ -130,7 +130,7 @@
         self.source = self.node.source
         self.record_lists_and_sends()
         self.source.start()
-        await soon(self.source.ready())
+        await with_timeout(self.source.ready())
         self.node.start()
         self.pulse = asyncio.create_task(self.record_longest_pause())
         return self
@@ -225,7 +225,7 @@
                 if status[word] is not None and status[word]["digest"] == digest:
                     assert good == (word == "used"), status
                     return word
-            await soon(self.source.decided.wait())
+            await with_timeout(self.source.decided.wait())
 
 
 def digest_on_disk(path: Path) -> str:
--- a/tests/sources/test_file_source.py
+++ b/tests/sources/test_file_source.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from peers import run, soon
+from peers import run, with_timeout
 from watched_source import WatchedSource, replace_file, server_tables
 
 from oakbridge.sources.file_source import PREPARED_PER_TURN
@@ -68,14 +68,14 @@
             await w.listener.until("a", "b")
             await single.listener.until("a")
             publish(2, one=server_tables("a", "c"), two=server_tables("d", port=9100))
-            assert await soon(w.listener.versions.get()) == {
+            assert await with_timeout(w.listener.versions.get()) == {
                 "a",
                 "c",
                 "d",
             }  # never a mix of the two
             await single.listener.until("a", "c")
             publish(3, one=server_tables("e"), two=server_tables("f", port=9100))
-            assert await soon(w.listener.versions.get()) == {"e", "f"}
+            assert await with_timeout(w.listener.versions.get()) == {"e", "f"}
             await single.listener.until("e")
 
     run(scenario())
@@ -169,7 +169,7 @@
                     for _ in range(3):
                         w.source.fetch()
                         await asyncio.sleep(0.01)
-            assert await soon(w.listener.versions.get()) == {"a", "b", "c"}
+            assert await with_timeout(w.listener.versions.get()) == {"a", "b", "c"}
 
     run(scenario())
 
@@ -211,12 +211,12 @@
 
             writer = asyncio.create_task(rewrite())
             for _ in range(3):
-                assert len(await soon(w.listener.versions.get())) == 2
+                assert len(await with_timeout(w.listener.versions.get())) == 2
             done.set()
             await writer
             names = {"a", *re.findall(r"n\d+", path.read_text())}
             while set(w.listener.servers) != names:
-                await soon(w.listener.versions.get())
+                await with_timeout(w.listener.versions.get())
 
     run(scenario())
 
@@ -266,7 +266,7 @@
         async with WatchedSource(path) as w:
             await w.listener.until("s0")
             replace_file(path, json.dumps({"endpoints": rows}))
-            assert len(await soon(w.listener.versions.get())) == 1000
+            assert len(await with_timeout(w.listener.versions.get())) == 1000
             assert max(w.listener.prepared) <= PREPARED_PER_TURN
             assert sum(w.listener.prepared) == 1000
 
--- a/tests/sources/test_list_rewrites.py
+++ b/tests/sources/test_list_rewrites.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import Counter
 
-from peers import run, soon
+from peers import run, with_timeout
 from rewritten_files import BREAKAGE_KINDS, SEED, RewrittenFileWorld
 
 from oakbridge.demo.load import Load
@@ -33,7 +33,7 @@
                 if not good:
                     breakages[kind] += 1
             load.stop()
-            tally = await soon(running)
+            tally = await with_timeout(running)
 
             assert ends["used"] > 650
             assert ends["refused"] + ends["held"] > 250
--- a/tests/sources/test_slow_start.py
+++ b/tests/sources/test_slow_start.py
@@ -4,7 +4,7 @@
 import json
 from math import sqrt
 
-from peers import SETTINGS, run, soon
+from peers import SETTINGS, run, with_timeout
 from rewritten_files import RecordingStandIn, RewrittenFileWorld, rows_of
 
 from oakbridge.demo.load import Load
@@ -53,14 +53,14 @@
             config, loop, lambda clock: FileSource(FileOptions(path, settle_s=0.01), clock.now)
         )
         node.source.start()
-        await soon(node.source.ready())
+        await with_timeout(node.source.ready())
         node.start()
         load = Load(node.server.address, {"look": 10.0}, RATE, 3.0, 5)
         running = asyncio.create_task(load.run())
         while load.tally.done < RATE // 2:
             await asyncio.sleep(0.01)
         write(WARM_SERVERS + 1)
-        tally = await soon(running)
+        tally = await with_timeout(running)
         node.close()
         newcomer = stand_ins[f"s{WARM_SERVERS}"]
         for stand in stand_ins.values():
--- a/tests/sources/watched_source.py
+++ b/tests/sources/watched_source.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from peers import soon
+from peers import with_timeout
 
 from oakbridge.node.clock import Clock
 from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint
@@ -50,7 +50,7 @@
 
     async def until(self, *names: str) -> None:
         """Wait for a version with exactly these servers."""
-        while await soon(self.versions.get()) != frozenset(names):
+        while await with_timeout(self.versions.get()) != frozenset(names):
             pass
 
 
@@ -77,5 +77,5 @@
         """Wait until the status has a value with this text under the key; return the status."""
         while not (status := self.source.describe())[key] or text not in str(status[key]):
             self.source.decided.clear()
-            await soon(self.source.decided.wait())
+            await with_timeout(self.source.decided.wait())
         return status
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from peers import IDS, free_ports, run, soon
+from peers import REQUEST_IDS, free_ports, run, with_timeout
 
 from oakbridge.control.client import ControlClient
 from oakbridge.control.errors import NodeUnreachableError
@@ -63,7 +63,7 @@
     async def __aexit__(self, *_):
         if self.process.returncode is None:
             self.process.terminate()
-            await soon(self.process.wait())
+            await with_timeout(self.process.wait())
         for server in self.servers:
             server.stop()
 
@@ -95,7 +95,7 @@
 
     async def connect(self):
         """Open a connection; the test fails if it is refused."""
-        return await soon(asyncio.open_connection("127.0.0.1", self.port))
+        return await with_timeout(asyncio.open_connection("127.0.0.1", self.port))
 
     async def send_requests(self, stop: asyncio.Event):
         """Send some requests on each connection, then open a new one, until told to stop."""
@@ -120,7 +120,7 @@
             await scenario
         finally:
             stop.set()
-            await soon(asyncio.gather(*tasks))
+            await with_timeout(asyncio.gather(*tasks))
 
     async def wait_for_responses(self, more):
         """Wait until so many more requests have been answered."""
@@ -136,14 +136,14 @@
 async def send_request(reader, writer):
     """Return the status code and whether the connection closes; None if there is no response."""
     writer.write(
-        b"GET /x HTTP/1.1\r\nx-request-id: %x\r\nx-priority-class: look\r\n\r\n" % next(IDS)
+        b"GET /x HTTP/1.1\r\nx-request-id: %x\r\nx-priority-class: look\r\n\r\n" % next(REQUEST_IDS)
     )
     try:
-        head = (await soon(reader.readuntil(b"\r\n\r\n"))).lower()
+        head = (await with_timeout(reader.readuntil(b"\r\n\r\n"))).lower()
         body_bytes = next(
             int(line.split(b":")[1]) for line in head.split(b"\r\n") if b"content-length" in line
         )
-        await soon(reader.readexactly(body_bytes))
+        await with_timeout(reader.readexactly(body_bytes))
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
     return int(head[9:12]), b"connection: close" in head
@@ -215,8 +215,8 @@
         requests = [asyncio.create_task(send_request(*connection)) for connection in connections]
         await asyncio.sleep(0)
         deployment.process.terminate()
-        assert [(await soon(request))[0] for request in requests] == [200] * 6
-        assert await soon(deployment.process.wait()) == 0
+        assert [(await with_timeout(request))[0] for request in requests] == [200] * 6
+        assert await with_timeout(deployment.process.wait()) == 0
         assert not list(tmp_path.glob("*.sock"))
 
     async def scenario():
@@ -237,7 +237,7 @@
             reader, writer = await deployment.connect()
             assert (await send_request(reader, writer))[0] == 200
             deployment.process.kill()
-            await soon(deployment.process.wait())
+            await with_timeout(deployment.process.wait())
             assert (await send_request(reader, writer))[0] == 200  # open connections are served on
             writer.close()
             while any(is_running(pid) for pid in pids):
