--- a/oakbridge/control/discovery_status.py
+++ b/oakbridge/control/discovery_status.py
@@ -15,7 +15,7 @@
         "version": status.version,
         "age_s": _rounded(status.list_age_s),
         "due_in_s": _rounded(status.due_in_s),
-        "calls": status.calls,
+        "calls": status.open_requests,
         "last_failure": status.last_failure,
         "last_failure_age_s": _rounded(status.last_failure_age_s),
     }
--- a/oakbridge/handover/messages.py
+++ b/oakbridge/handover/messages.py
@@ -32,7 +32,7 @@
 
     configuration: JsonObject  # the object of the configuration file
     endpoint_list: JsonObject  # all listed servers, in the form that discovery gives them
-    outages: JsonObject  # the servers that operators hold out, see Outages.saved
+    outages: JsonObject  # the servers that operators hold out, see OfflineServers.saved
     draining: bool
     # The node's clock less the monotonic clock, in microseconds: all times in what is handed over
     # are of that clock.  None: a release that did not tell.
--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -166,7 +166,7 @@
         welcome = Welcome(
             configuration=node.config.raw,
             endpoint_list=self._lists.update().endpoint_list,
-            outages=node.outages.saved(),
+            outages=node.offline_servers.saved(),
             draining=node.server.lifecycle.draining,
             clock_offset=node.clock.offset,
             shares_lists=True,
--- a/oakbridge/handover/shared_lists.py
+++ b/oakbridge/handover/shared_lists.py
@@ -39,7 +39,7 @@
         source, endpoints = self._node.source, self._node.endpoints.current()
         if not isinstance(source, DiscoverySource):
             return EndpointListUpdate(encode_endpoint_list(0, endpoints), None)
-        known = encode_endpoint_list(source.index, endpoints)
+        known = encode_endpoint_list(source.version, endpoints)
         return EndpointListUpdate(known, source.list_age_us())
 
     def apply(self, update: EndpointListUpdate) -> None:
--- a/oakbridge/lab/model_check/discovery_model.py
+++ b/oakbridge/lab/model_check/discovery_model.py
@@ -22,14 +22,14 @@
 
 from oakbridge.lab.model_check.explorer import Step
 from oakbridge.node.address import Address
-from oakbridge.node.discovery_client import DiscoveryClient, ListRequest
+from oakbridge.node.discovery_client import DiscoveryClient, DiscoveryRequest
 from oakbridge.node.endpoint_list import EndpointList
 from oakbridge.node.errors import OutdatedListError
 from oakbridge.node.list_refresh import (
-    BOUND_S,
-    CallKind,
+    MAX_LIST_AGE_S,
     Failure,
     RefreshSchedule,
+    RequestKind,
 )
 
 ANSWER_S = 0.3  # of discovery that answers, with some callers before
@@ -58,11 +58,11 @@
 
 
 FAILURES = {
-    Outcome.LOST: Failure.SILENT,
-    Outcome.HALF: Failure.SILENT,
+    Outcome.LOST: Failure.TIMED_OUT,
+    Outcome.HALF: Failure.TIMED_OUT,
     Outcome.REFUSED: Failure.REFUSED,
     Outcome.REFUSED_LATE: Failure.REFUSED,
-    Outcome.RESET: Failure.PATH,
+    Outcome.RESET: Failure.NETWORK,
 }
 
 
@@ -85,7 +85,7 @@
     budget: Budget
     change_at: float = 0.0
     answers_from: float = 2.9
-    bound_s: float = BOUND_S  # since the change, and since answers came
+    bound_s: float = MAX_LIST_AGE_S  # since the change, and since answers came
     pushed: bool = False
     outcomes: frozenset[Outcome] = frozenset(Outcome)
 
@@ -94,7 +94,7 @@
 class OpenCall:
     """A call that is out, and what becomes of it when."""
 
-    request: ListRequest
+    request: DiscoveryRequest
     outcome: Outcome
     ends_at: float
 
@@ -132,7 +132,7 @@
     def next_at(self) -> float:
         """Return when something happens by itself."""
         ends = [call.ends_at for call in self.calls]
-        return max(self.now, min([*ends, self.client.next_call_at()]))
+        return max(self.now, min([*ends, self.client.next_request_at()]))
 
 
 class DiscoveryModel:
@@ -152,7 +152,7 @@
         """Return a client whose list has just come, and whose watch is about to be renewed."""
         scenario = self._scenario
         state = self._new_process(0.0, scenario.budget, scenario.change_at + scenario.bound_s)
-        request = state.client.begin_call(0.0)
+        request = state.client.begin_request(0.0)
         state.client.on_applied(request, VERSION_BEFORE, 0.0, 0.0)
         return state
 
@@ -164,8 +164,8 @@
         )
         calls = tuple(
             (
-                call.request.call.kind,
-                _ms(call.request.call.started_at),
+                call.request.scheduled.kind,
+                _ms(call.request.scheduled.started_at),
                 call.request.address,
                 call.request.since,
                 call.outcome,
@@ -198,7 +198,7 @@
     def _next(self, state: DiscoveryState, now: float, at: str) -> Iterator[Step[DiscoveryState]]:
         """Yield what happens by itself next: a call ends, or begins."""
         ending = min(state.calls, key=lambda call: call.ends_at, default=None)
-        if ending is not None and ending.ends_at <= min(now, state.client.next_call_at()):
+        if ending is not None and ending.ends_at <= min(now, state.client.next_request_at()):
             yield from self._end(state, ending, now, at)
         else:
             yield from self._begin(state, now, at)
@@ -210,24 +210,24 @@
             begun = state.copy()
             begun.now = now
             begun.draws.is_greatest = is_greatest
-            request = begun.client.begin_call(now)
+            request = begun.client.begin_request(now)
             begun.calls = (*begun.calls, OpenCall(request, Outcome.ANSWERED, now))
             for outcome, ends_at in self._outcomes(request, now, begun.budget):
                 after = begun.copy()
                 after.budget = _spent(after.budget, outcome)
                 call = replace(after.calls[-1], outcome=outcome, ends_at=ends_at)
                 after.calls = (*after.calls[:-1], call)
-                kind = request.call.kind.value
+                kind = request.scheduled.kind.value
                 yield Step(f"{at} {kind} call: {outcome.value} at {ends_at:.2f}", after)
 
     def _outcomes(
-        self, request: ListRequest, now: float, budget: Budget
+        self, request: DiscoveryRequest, now: float, budget: Budget
     ) -> Iterator[tuple[Outcome, float]]:
         """Yield what may become of a call, and when its end is seen."""
         scenario = self._scenario
-        call = request.call
+        call = request.scheduled
         told_at = now
-        if call.kind is CallKind.RENEWAL:
+        if call.kind is RequestKind.RENEWAL:
             told_at = max(now, min(now + call.wait_s, scenario.change_at))
         if now >= scenario.answers_from:
             yield Outcome.ANSWERED, told_at + ANSWER_S
@@ -242,7 +242,7 @@
             (Outcome.RESET, told_at + RESET_S),
             (Outcome.OUTDATED, told_at + RESET_S),
         ]
-        if call.kind is CallKind.OPENING:
+        if call.kind is RequestKind.OPENING:
             ends += [(Outcome.REFUSED_LATE, now + waited_s) for waited_s in QUEUE_TIMES_S]
         else:
             ends.append((Outcome.REFUSED, now + call.wait_s / 2))
@@ -264,7 +264,7 @@
             call = after.calls[position]
             after.calls = after.calls[:position] + after.calls[position + 1 :]
             self._finish(after, call, now)
-            label = f"{at} {call.request.call.kind.value} call {call.outcome.value}"
+            label = f"{at} {call.request.scheduled.kind.value} call {call.outcome.value}"
             yield Step(label, after, self._violation(after))
 
     def _finish(self, state: DiscoveryState, call: OpenCall, now: float) -> None:
@@ -282,8 +282,8 @@
         except OutdatedListError:
             client.on_failure(request, Failure.OUTDATED, now)
         else:
-            state.in_use = to_apply.index if to_apply is not None else state.in_use
-            client.on_applied(request, new.index, call.ends_at, now)
+            state.in_use = to_apply.version if to_apply is not None else state.in_use
+            client.on_applied(request, new.version, call.ends_at, now)
 
     # ---- what else can happen
 
@@ -306,7 +306,7 @@
         if budget.handovers:
             spent = replace(budget, handovers=budget.handovers - 1)
             after = self._new_process(now, spent, state.due)
-            after.client.adopt(state.client.index, state.client.list_age_us(now), now)
+            after.client.adopt(state.client.version, state.client.list_age_us(now), now)
             after.client.watch(now)
             after.in_use = state.in_use
             yield Step(f"{at} hand-over", after)
@@ -320,7 +320,7 @@
             # A process that starts is told a change only after that.
             due = max(now, self._scenario.change_at) + self._scenario.bound_s
             after = self._new_process(now, replace(budget, restarts=budget.restarts - 1), due)
-            after.client.index = VERSION_BEFORE
+            after.client.version = VERSION_BEFORE
             yield Step(f"{at} restart with a saved list", after)
 
     def _new_process(self, now: float, budget: Budget, due: float) -> DiscoveryState:
--- a/oakbridge/node/attempt.py
+++ b/oakbridge/node/attempt.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class AttemptOutcome:
+class AttemptEnd:
     """How an attempt ended, and what the server responded."""
 
     result: AttemptResult
@@ -50,12 +50,12 @@
     # that are left then.
     render: Callable[[int], bytes]
     deadline: int
-    on_end: Callable[[AttemptOutcome], None]
+    on_end: Callable[[AttemptEnd], None]
     number: int = 0
     # Given a long response's status and headers, its length if known, and the connection; returns
     # where it goes.
     on_response_start: (
-        Callable[[AttemptOutcome, int | None, ServerConnection], ResponseSink | None] | None
+        Callable[[AttemptEnd, int | None, ServerConnection], ResponseSink | None] | None
     ) = None
     upload: StreamedBody | None = None  # the rest of a body that is still coming
     on_request_sent: Callable[[], None] | None = (
@@ -72,7 +72,7 @@
         """Return whether the last byte was written: the request may run from then on."""
         return self.connection is not None and self.connection.request_written()
 
-    def finish(self, outcome: AttemptOutcome) -> None:
+    def finish(self, outcome: AttemptEnd) -> None:
         """End the attempt; only the first call counts."""
         if self.ended:
             return
--- a/oakbridge/node/connection_pool.py
+++ b/oakbridge/node/connection_pool.py
@@ -7,7 +7,7 @@
 from bisect import bisect_right
 
 from oakbridge.node.address import Address
-from oakbridge.node.attempt import Attempt, AttemptOutcome
+from oakbridge.node.attempt import Attempt, AttemptEnd
 from oakbridge.node.clock import Clock, Timer
 from oakbridge.node.endpoint_list import EndpointList
 from oakbridge.node.observer import NodeObserver
@@ -148,7 +148,7 @@
 
     def _fail_soon(self, attempt: Attempt) -> None:
         """Fail an attempt for which there is no connection, in the loop's next round."""
-        self.loop.call_soon(attempt.finish, AttemptOutcome(AttemptResult.CONNECT_FAILED))
+        self.loop.call_soon(attempt.finish, AttemptEnd(AttemptResult.CONNECT_FAILED))
 
     def _dial(self, server: PooledServer, attempt: Attempt, dial_by: int | None) -> None:
         """Open a connection for an attempt.
@@ -215,7 +215,7 @@
             return
         if attempt.connection is not None:
             attempt.connection.abort()
-        attempt.finish(AttemptOutcome(result))
+        attempt.finish(AttemptEnd(result))
 
     def set_deadline(self, attempt: Attempt, deadline: int) -> None:
         """Wait for an attempt's response until another time."""
@@ -232,7 +232,7 @@
         if not attempt.ended:
             written = attempt.connection is not None and attempt.connection.abort()
             attempt.finish(
-                AttemptOutcome(AttemptResult.TIMEOUT if written else AttemptResult.CONNECT_FAILED)
+                AttemptEnd(AttemptResult.TIMEOUT if written else AttemptResult.CONNECT_FAILED)
             )
 
     # ---- idle connections
--- a/oakbridge/node/discovery.py
+++ b/oakbridge/node/discovery.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from oakbridge.node.address import Address
-from oakbridge.node.discovery_client import DiscoveryClient, DiscoveryStatus, ListRequest
+from oakbridge.node.discovery_client import DiscoveryClient, DiscoveryRequest, DiscoveryStatus
 from oakbridge.node.discovery_http import PollResponse, poll
 from oakbridge.node.endpoint_list import EndpointList
 from oakbridge.node.endpoint_source import EndpointListener
@@ -42,7 +42,7 @@
             self._loop.time(), poll_interval_us, random.Random(f"discovery {seed}"), pushed=pushed
         )
         self._client = DiscoveryClient(address, self._schedule, pushed=pushed)
-        self._calls: dict[ListRequest, asyncio.Task[None]] = {}
+        self._calls: dict[DiscoveryRequest, asyncio.Task[None]] = {}
         self._next_call: asyncio.TimerHandle | None = None
         self.observer: NodeObserver | None = None
         # Each is called after a list with changes has been read here.
@@ -57,13 +57,13 @@
         self._schedule.configure(poll_interval_us)
 
     @property
-    def index(self) -> int:
+    def version(self) -> int:
         """The version of the list at hand."""
-        return self._client.index
+        return self._client.version
 
-    def use_saved_index(self, index: int) -> None:
+    def use_saved_version(self, index: int) -> None:
         """Ask for changes since the version of a saved list."""
-        self._client.index = index
+        self._client.version = index
 
     @property
     def has_list(self) -> bool:
@@ -94,7 +94,7 @@
 
     def adopt(self, known: EndpointList, age_us: int | None) -> None:
         """Use the complete list of another process of this node, if it is newer; None: of unknown age."""
-        if self._client.adopt(known.index, age_us, self._loop.time()):
+        if self._client.adopt(known.version, age_us, self._loop.time()):
             self._on_list(known)
 
     def fetch(self) -> None:
@@ -125,16 +125,16 @@
         if self._next_call is not None:
             self._next_call.cancel()
             self._next_call = None
-        due = self._client.next_call_at()
+        due = self._client.next_request_at()
         if due < math.inf:
             self._next_call = self._loop.call_at(due, self._begin_call)
 
     def _begin_call(self) -> None:
-        request = self._client.begin_call(self._loop.time())
+        request = self._client.begin_request(self._loop.time())
         self._calls[request] = self._loop.create_task(self._make_call(request))
         self._arm()
 
-    async def _make_call(self, request: ListRequest) -> None:
+    async def _make_call(self, request: DiscoveryRequest) -> None:
         """Make a call, and tell the client what became of it.
 
         Errors of any kind are failures: a watch that ended unnoticed would hide every drain.
@@ -153,24 +153,24 @@
             for on_read in self.read_listeners:
                 on_read()
 
-    async def _poll(self, request: ListRequest) -> PollResponse:
+    async def _poll(self, request: DiscoveryRequest) -> PollResponse:
         if self.observer is not None:
             self.observer.on_poll(complete_list=request.asks_for_complete_list)
-        response = await poll(request.address, request.target, request.call.timeout_s)
+        response = await poll(request.address, request.target, request.scheduled.timeout_s)
         if self.observer is not None:
             self.observer.on_endpoint_list(len(response.list.endpoints))
         return response
 
-    def _apply(self, request: ListRequest, response: PollResponse) -> bool:
+    def _apply(self, request: DiscoveryRequest, response: PollResponse) -> bool:
         """Pass a response's list to the listener; return whether it has changes."""
-        new, before = response.list, self.index
+        new, before = response.list, self.version
         to_apply = self._client.on_response(request, new, self._loop.time())
         if to_apply is not None:
             self._on_list(to_apply)
-        self._client.on_applied(request, new.index, response.begun_at, self._loop.time())
-        return new.index != before or bool(new.endpoints)
+        self._client.on_applied(request, new.version, response.begun_at, self._loop.time())
+        return new.version != before or bool(new.endpoints)
 
-    def _on_failure(self, request: ListRequest, error: Exception) -> None:
+    def _on_failure(self, request: DiscoveryRequest, error: Exception) -> None:
         now = self._loop.time()
         failure = failure_of(error)
         detail = str(error) or type(error).__name__
@@ -179,11 +179,11 @@
         log.warning(
             "discovery is lost: %s (%s call, %s after %.3f s; list %.1f s old; next call in %.3f s)",
             detail,
-            request.call.kind.value,
+            request.scheduled.kind.value,
             failure.value,
-            now - request.call.started_at,
+            now - request.scheduled.started_at,
             self._schedule.age_s(now),
-            self._client.next_call_at() - now,
+            self._client.next_request_at() - now,
             exc_info=None if expected else error,
         )
 
@@ -191,7 +191,7 @@
 def failure_of(error: Exception) -> Failure:
     """Return how a call failed, by its error."""
     if is_path_error(error):
-        return Failure.PATH
+        return Failure.NETWORK
     if isinstance(error, TimeoutError):
-        return Failure.SILENT
+        return Failure.TIMED_OUT
     return Failure.OUTDATED if isinstance(error, OutdatedListError) else Failure.REFUSED
--- a/oakbridge/node/discovery_client.py
+++ b/oakbridge/node/discovery_client.py
@@ -2,7 +2,7 @@
 
 The versions of a list are kept here, the times of calls in :mod:`oakbridge.node.list_refresh`.
 Pure: each method takes one event, with its time in seconds of one monotonic clock, and whoever
-makes the calls goes by :meth:`DiscoveryClient.next_call_at` after each.
+makes the calls goes by :meth:`DiscoveryClient.next_request_at` after each.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from oakbridge.node.address import Address
 from oakbridge.node.endpoint_list import EndpointList
 from oakbridge.node.errors import OutdatedListError
-from oakbridge.node.list_refresh import Call, CallKind, Failure, RefreshSchedule
+from oakbridge.node.list_refresh import Failure, RefreshSchedule, RequestKind, ScheduledRequest
 
 # A version before all others: a call for changes since then is answered with the complete list.
 BEFORE_ALL_VERSIONS = -1
@@ -23,17 +23,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListRequest:
+class DiscoveryRequest:
     """A call to discovery: to whom, and since which version it asks for changes."""
 
-    call: Call
+    scheduled: ScheduledRequest
     address: Address
     since: int
 
     @property
     def target(self) -> str:
         """Return the target of the HTTP request."""
-        return f"{LIST_PATH}?since={self.since}&timeout_ms={int(MS_PER_S * self.call.wait_s)}"
+        return f"{LIST_PATH}?since={self.since}&timeout_ms={int(MS_PER_S * self.scheduled.wait_s)}"
 
     @property
     def asks_for_complete_list(self) -> bool:
@@ -49,7 +49,7 @@
     version: int | None  # of the list in use; None if none is, or the next call asks for it whole
     list_age_s: float | None  # since the list was known to be up to date; None if none has come
     due_in_s: float | None  # until it has to be known anew; below 0: it is overdue
-    calls: int  # that are out
+    open_requests: int  # that are out
     last_failure: str  # of a call, with its kind; "" if none has failed
     last_failure_age_s: float | None
 
@@ -59,7 +59,7 @@
 
     def __init__(self, address: Address, schedule: RefreshSchedule, *, pushed: bool) -> None:
         """``pushed``: lists come from an agent on the same machine, whose versions are its own."""
-        self.index = BEFORE_ALL_VERSIONS
+        self.version = BEFORE_ALL_VERSIONS
         self._address = address
         self._schedule = schedule
         self._pushed = pushed
@@ -75,10 +75,10 @@
         has_failed = bool(self._last_failure)
         return DiscoveryStatus(
             address=self._address,
-            version=None if self.index == BEFORE_ALL_VERSIONS else self.index,
+            version=None if self.version == BEFORE_ALL_VERSIONS else self.version,
             list_age_s=self._schedule.age_s(now) if self.has_list else None,
             due_in_s=self._schedule.due_at() - now if self._schedule.is_running else None,
-            calls=self._schedule.calls_out,
+            open_requests=self._schedule.calls_out,
             last_failure=self._last_failure,
             last_failure_age_s=now - self._last_failure_at if has_failed else None,
         )
@@ -92,9 +92,9 @@
         """Return how long ago the list was known to be up to date; None if none has come."""
         return int(US_PER_S * self._schedule.age_s(now)) if self.has_list else None
 
-    def next_call_at(self) -> float:
+    def next_request_at(self) -> float:
         """Return when the next call is due; infinity if no time is known yet."""
-        return self._schedule.next_call_at()
+        return self._schedule.next_request_at()
 
     # ---- what others ask for
 
@@ -129,7 +129,7 @@
         self._schedule.end_watch()
         if not self._pushed or self._is_stopped:
             return False
-        self.index = BEFORE_ALL_VERSIONS
+        self.version = BEFORE_ALL_VERSIONS
         self._schedule.restart(now)
         return True
 
@@ -138,67 +138,67 @@
 
         Its age (None: not known) goes on: a bound that began anew with each process would not be one.
         """
-        if self.has_list and (self._pushed or index <= self.index):
+        if self.has_list and (self._pushed or index <= self.version):
             return False
-        self.index = index
+        self.version = index
         if age_us is not None:
             self._schedule.on_list(now - age_us / US_PER_S)
         return True
 
     # ---- calls
 
-    def begin_call(self, now: float) -> ListRequest:
+    def begin_request(self, now: float) -> DiscoveryRequest:
         """Return the call that is due now."""
         if self._needs_complete_list:
-            self.index = BEFORE_ALL_VERSIONS
+            self.version = BEFORE_ALL_VERSIONS
             self._needs_complete_list = False
-        return ListRequest(self._schedule.begin_call(now), self._address, self.index)
+        return DiscoveryRequest(self._schedule.begin_request(now), self._address, self.version)
 
     def on_response(
-        self, request: ListRequest, new: EndpointList, now: float
+        self, request: DiscoveryRequest, new: EndpointList, now: float
     ) -> EndpointList | None:
         """Return the list to apply, if a response brings one; the other calls are superfluous.
 
         A response that begins a watch counts as one also without changes.  Raise OutdatedListError
         where the versions of whoever responds begin anew.
         """
-        self._schedule.give_up_others(request.call)
-        if self._is_superseded(request, new.index):
+        self._schedule.give_up_others(request.scheduled)
+        if self._is_superseded(request, new.version):
             return None
-        if not new.complete and new.index < self.index:
-            expected = self.index
-            self.index = BEFORE_ALL_VERSIONS  # the next call reads the complete list
-            raise OutdatedListError(f"index: expected changes since {expected}, got {new.index}")
-        if request.call.kind is CallKind.OPENING or new.complete or new.endpoints:
+        if not new.complete and new.version < self.version:
+            expected = self.version
+            self.version = BEFORE_ALL_VERSIONS  # the next call reads the complete list
+            raise OutdatedListError(f"index: expected changes since {expected}, got {new.version}")
+        if request.scheduled.kind is RequestKind.OPENING or new.complete or new.endpoints:
             return replace(new, staleness=self.list_age_us(now))
         return None
 
     def on_applied(
-        self, request: ListRequest, index: int, up_to_date_at: float, now: float
+        self, request: DiscoveryRequest, index: int, up_to_date_at: float, now: float
     ) -> None:
         """Count a response as read, now that its list is in use, and go on with its watch."""
         if self._is_superseded(request, index):
             self._schedule.on_answer(now, continues=False)
             return
-        self.index = index
+        self.version = index
         self._schedule.on_list(up_to_date_at)
         continues = request.address == self._address and not self._needs_complete_list
         self._schedule.on_answer(now, continues=continues)
 
-    def _is_superseded(self, request: ListRequest, index: int) -> bool:
+    def _is_superseded(self, request: DiscoveryRequest, index: int) -> bool:
         """Whether a newer list was adopted during a call: its own may be older than that.
 
         If versions have begun anew instead, the response to the next call shows it.
         """
-        return request.since != self.index and index < self.index
+        return request.since != self.version and index < self.version
 
     def on_failure(
-        self, request: ListRequest, failure: Failure, now: float, detail: str = ""
+        self, request: DiscoveryRequest, failure: Failure, now: float, detail: str = ""
     ) -> None:
         """Take the failure of a call: its own, or that its list can't be applied.
 
         ``detail``: what an operator is told of it.
         """
-        self._last_failure = f"{request.call.kind.value} call {failure.value}: {detail}"
+        self._last_failure = f"{request.scheduled.kind.value} call {failure.value}: {detail}"
         self._last_failure_at = now
-        self._schedule.on_failure(request.call, now, failure)
+        self._schedule.on_failure(request.scheduled, now, failure)
--- a/oakbridge/node/endpoint_list.py
+++ b/oakbridge/node/endpoint_list.py
@@ -24,7 +24,7 @@
 class EndpointList:
     """A version of the list, or what changed up to it."""
 
-    index: int
+    version: int
     complete: bool
     endpoints: list[ListedEndpoint]
     # How old the list before was when this one came, in microseconds: what is new here happened
@@ -60,6 +60,6 @@
     usable = [endpoint for endpoint in named.values() if endpoint.server.state == EndpointState.UP]
     changes = gone + leaving + usable
     return [
-        EndpointList(new.index, False, changes[start : start + BATCH_SIZE])
+        EndpointList(new.version, False, changes[start : start + BATCH_SIZE])
         for start in range(0, len(changes), BATCH_SIZE)
     ]
--- a/oakbridge/node/endpoint_updates.py
+++ b/oakbridge/node/endpoint_updates.py
@@ -13,7 +13,7 @@
 from oakbridge.node.connection_pool import ConnectionPool
 from oakbridge.node.dispatcher import Dispatcher, Front
 from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint, split_into_batches
-from oakbridge.node.outages import Outages
+from oakbridge.node.offline_servers import OfflineServers
 from oakbridge.node.start_times import StartTimes
 from oakbridge.policy.events import EndpointListReceived, EndpointsAnnounced
 
@@ -32,9 +32,9 @@
         clock: Clock,
         dispatcher: Dispatcher,
         pool: ConnectionPool,
-        outages: Outages,
+        offline_servers: OfflineServers,
     ) -> None:
-        self.outages = outages
+        self.offline_servers = offline_servers
         self._loop = loop
         self._clock = clock
         self._dispatcher = dispatcher
@@ -55,7 +55,7 @@
     def all_held_out(self) -> bool:
         """Return whether no server may be sent to, and operators hold some out."""
         is_listed = self._held_back is None
-        return is_listed and not self._pool.endpoints and bool(self.outages.out())
+        return is_listed and not self._pool.endpoints and bool(self.offline_servers.names())
 
     def current(self) -> list[ListedEndpoint]:
         """Apply what is left of a list, and return all servers as they are listed."""
@@ -96,7 +96,9 @@
     def add_front(self, front: Front) -> None:
         """Have another front on the same balancer; it hears of the servers that are listed now."""
         self._dispatcher.fronts.append(front)
-        front.on_endpoint_list(EndpointList(0, True, self.outages.apply_all(self._listed.values())))
+        front.on_endpoint_list(
+            EndpointList(0, True, self.offline_servers.apply_all(self._listed.values()))
+        )
 
     @staticmethod
     def _log_list(new: EndpointList) -> None:
@@ -105,29 +107,29 @@
             first = ", ".join(
                 f"{name} {state}" for name, state in islice(states.items(), LOGGED_ENDPOINTS)
             )
-            log.info("list %d: %s", new.index, first[:LOGGED_CHARACTERS])
+            log.info("list %d: %s", new.version, first[:LOGGED_CHARACTERS])
 
     # ---- what operators hold out
 
-    def take_out(self, name: str) -> bool | None:
+    def take_offline(self, name: str) -> bool | None:
         """Hold a server out for operators, from this call on; False if it was out, None if there is none such."""
         self.release()
-        if name not in self._listed and not self.outages.holds(name):
+        if name not in self._listed and not self.offline_servers.is_offline(name):
             return None
-        taken = self.outages.take_out(name, self._clock.now())
+        taken = self.offline_servers.take_offline(name, self._clock.now())
         if taken:
             self._apply_again(name)
         return taken
 
-    def put_back(self, name: str, warm_up: int) -> bool | None:
+    def bring_online(self, name: str, warm_up: int) -> bool | None:
         """Use a server again that operators held out; False if it was not out, None if there is none such.
 
         ``warm_up``: microseconds after which a server is warm, restarted or not.
         """
         self.release()
         now = self._clock.now()
-        self.outages.forget_older(now - warm_up)
-        if self.outages.put_back(name, now):
+        self.offline_servers.forget_older(now - warm_up)
+        if self.offline_servers.bring_online(name, now):
             self._apply_again(name, back=True)
             return True
         return False if name in self._listed else None
@@ -157,7 +159,7 @@
         """Apply one batch: no connection that is given out after this leads elsewhere."""
         batch = self._batches.popleft()
         batch.apply_to(self._listed)
-        batch = replace(batch, endpoints=self.outages.apply_all(batch.endpoints))
+        batch = replace(batch, endpoints=self.offline_servers.apply_all(batch.endpoints))
         for front in self._dispatcher.fronts:
             front.on_endpoint_list(batch)
         servers = [endpoint.server for endpoint in batch.endpoints]
--- a/oakbridge/node/forwarded_attempt.py
+++ b/oakbridge/node/forwarded_attempt.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from oakbridge.node.attempt import AttemptOutcome, ResponseSink
+from oakbridge.node.attempt import AttemptEnd, ResponseSink
 from oakbridge.node.client_request import ClientRequest
 from oakbridge.node.connection_pool import ConnectionPool
 from oakbridge.node.request_writer import encode_request
@@ -47,12 +47,12 @@
         self._forwarder.on_body_sent(self)
 
     def on_response_start(
-        self, outcome: AttemptOutcome, length: int | None, connection: ServerConnection
+        self, outcome: AttemptEnd, length: int | None, connection: ServerConnection
     ) -> ResponseSink | None:
         """Start to forward a long response; return where its body goes."""
         return self._forwarder.on_response_start(self, outcome, length, connection)
 
-    def on_end(self, outcome: AttemptOutcome) -> None:
+    def on_end(self, outcome: AttemptEnd) -> None:
         """Forward a short response, or have the balancer decide what follows."""
         self._forwarder.on_attempt_end(self, outcome)
 
--- a/oakbridge/node/http_server.py
+++ b/oakbridge/node/http_server.py
@@ -143,7 +143,7 @@
 
     def admit(self, sock: socket.socket) -> None:
         """Serve on a connection that was accepted here or by the process that listens."""
-        sock = TransientErrorSocket.taking_over(sock)
+        sock = TransientErrorSocket.from_socket(sock)
         sock.setblocking(False)
         with suppress(OSError):  # a connection that broke already: its first read tells
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -279,7 +279,7 @@
     def take_back(self) -> None:
         """Accept again: the process that took over is gone."""
         self._send_descriptor = None
-        self.lifecycle.take_back()
+        self.lifecycle.undo_hand_over()
         self.listener.start()
 
     async def shut_down(self, max_deadline_us: int) -> None:
--- a/oakbridge/node/lifecycle.py
+++ b/oakbridge/node/lifecycle.py
@@ -83,7 +83,7 @@
         """Accept nothing more: another process is this node from now on."""
         self.handed_over = True
 
-    def take_back(self) -> None:
+    def undo_hand_over(self) -> None:
         """Accept again: that process is gone, and this one was not told to shut down."""
         self.handed_over = False
 
--- a/oakbridge/node/list_refresh.py
+++ b/oakbridge/node/list_refresh.py
@@ -18,7 +18,7 @@
 from oakbridge.policy.poll_backoff import AT_ONCE_US, TOLD_US, poll_backoff
 
 US_PER_S = 1_000_000
-BOUND_S = TOLD_US / US_PER_S
+MAX_LIST_AGE_S = TOLD_US / US_PER_S
 AT_ONCE_S = AT_ONCE_US / US_PER_S
 
 # A watch that has broken silently looks like one without changes, so each is short: what is left of
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallTimes:
+class RequestTimeouts:
     """What is expected of the call that begins a watch."""
 
     overdue_s: float  # after which another is made beside it, which keeps its place in the queue
@@ -48,13 +48,13 @@
 
 # Discovery itself refuses calls that have waited in its queue for one or two seconds.  To call again
 # before that gives a node two places there, and 200 nodes a queue that is never worked off.
-DISCOVERY_TIMES = CallTimes(overdue_s=2.25, late_s=1.25, timeout_s=3.0)
+DISCOVERY_TIMEOUTS = RequestTimeouts(overdue_s=2.25, late_s=1.25, timeout_s=3.0)
 # An agent on the same machine answers at once.
-AGENT_TIMES = CallTimes(overdue_s=0.35, late_s=0.35, timeout_s=1.0)
+AGENT_TIMEOUTS = RequestTimeouts(overdue_s=0.35, late_s=0.35, timeout_s=1.0)
 AGENT_RETRY_S = 0.1
 
 
-class CallKind(Enum):
+class RequestKind(Enum):
     """What a call to discovery is for."""
 
     OPENING = "opening"  # begins a watch: answered as soon as its turn in the queue comes
@@ -65,16 +65,16 @@
     """How a call failed."""
 
     REFUSED = "refused"  # by discovery, or its connection ended, or it made no sense
-    SILENT = "silent"  # no answer in time, or none that went on
-    PATH = "path"  # the way to discovery broke, or this end of it
+    TIMED_OUT = "silent"  # no answer in time, or none that went on
+    NETWORK = "path"  # the way to discovery broke, or this end of it
     OUTDATED = "outdated"  # changes from before the version at hand
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class Call:
+class ScheduledRequest:
     """One call to discovery: for how long it waits for a change, and is waited for."""
 
-    kind: CallKind
+    kind: RequestKind
     started_at: float
     wait_s: float
     timeout_s: float
@@ -87,13 +87,13 @@
         """``poll_interval_us``: the setting; ``pushed``: by an agent on the same machine."""
         self._random = rng
         self._pushed = pushed
-        self._times = AGENT_TIMES if pushed else DISCOVERY_TIMES
+        self._times = AGENT_TIMEOUTS if pushed else DISCOVERY_TIMEOUTS
         self.configure(poll_interval_us)
         self.fresh_at = -math.inf  # when the list was last known to be up to date
         self._counted_from = now  # the bound is: since then, or since the start
         self._next_at = math.inf
         self._continues = False  # the next call goes on with a watch
-        self._calls: list[Call] = []
+        self._calls: list[ScheduledRequest] = []
         self._last_opened_at = -math.inf
         self._path_failures = 0  # in a row
         self._queue_time_s = 0.0  # which the last refused call spent in discovery's queue
@@ -102,7 +102,7 @@
         """Go by this setting from the next call on; where it is short, so is the bound."""
         self._poll_interval_us = poll_interval_us
         scale = min(1.0, poll_interval_us / TOLD_US)
-        self._bound_s = BOUND_S * scale
+        self._bound_s = MAX_LIST_AGE_S * scale
         self._last_call_age_s = LAST_CALL_AGE_S * scale
         self._late_s = LATE_AGE_S * scale
         self._max_watch_s = max(MIN_WATCH_S, MAX_WATCH_S * scale)
@@ -114,11 +114,11 @@
         """Whether calls are made, or will be."""
         return bool(self._calls) or self._next_at < math.inf
 
-    def next_call_at(self) -> float:
+    def next_request_at(self) -> float:
         """Return when the next call begins; infinity if no time is known yet."""
         if not self._calls:
             return self._next_at
-        if len(self._calls) == MAX_CALLS or self._calls[-1].kind is CallKind.RENEWAL:
+        if len(self._calls) == MAX_CALLS or self._calls[-1].kind is RequestKind.RENEWAL:
             return math.inf
         overdue_at = self._last_opened_at + self._times.overdue_s
         # A call that is only as old as one that was refused may still stand in the queue.
@@ -165,16 +165,16 @@
         self._calls.clear()
         self._next_at = math.inf
 
-    def begin_call(self, now: float) -> Call:
+    def begin_request(self, now: float) -> ScheduledRequest:
         """Return the call that is due now."""
         self._next_at = math.inf
         if self._continues:
             self._continues = False
             wait_s = self._random.uniform(MIN_WATCH_S, self._max_watch_s)
-            call = Call(CallKind.RENEWAL, now, wait_s, wait_s + WATCH_GRACE_S)
+            call = ScheduledRequest(RequestKind.RENEWAL, now, wait_s, wait_s + WATCH_GRACE_S)
         else:
             self._last_opened_at = now
-            call = Call(CallKind.OPENING, now, NO_WAIT_S, self._times.timeout_s)
+            call = ScheduledRequest(RequestKind.OPENING, now, NO_WAIT_S, self._times.timeout_s)
         self._calls.append(call)
         return call
 
@@ -188,17 +188,17 @@
         self._continues = continues
         self._next_at = now
 
-    def give_up_others(self, call: Call) -> None:
+    def give_up_others(self, call: ScheduledRequest) -> None:
         """Forget the calls beside one that has been answered."""
         self._calls = [call]
 
-    def on_failure(self, call: Call, now: float, failure: Failure) -> None:
+    def on_failure(self, call: ScheduledRequest, now: float, failure: Failure) -> None:
         """Take the failure of a call; while others are out, the next one waits for them."""
         if call not in self._calls:
             return
         self._calls.remove(call)
         waited_s = now - call.started_at
-        if call.kind is CallKind.RENEWAL and waited_s > AT_ONCE_S:
+        if call.kind is RequestKind.RENEWAL and waited_s > AT_ONCE_S:
             # It did not stand in the queue.  Its list is as old as its last answer: what was told
             # since may have been lost before the break.
             waited_s = 0.0
@@ -208,15 +208,15 @@
             self._next_at = now + self._delay_s(now, waited_s, failure)
 
     def _delay_s(self, now: float, waited_s: float, failure: Failure) -> float:
-        if failure is Failure.PATH and self._path_failures < MAX_PATH_RETRIES:
+        if failure is Failure.NETWORK and self._path_failures < MAX_PATH_RETRIES:
             # An answer may be lost that counts as told.
             self._path_failures += 1
             return PATH_RETRY_S
         if self._pushed:
-            return 0.0 if failure is Failure.SILENT else AGENT_RETRY_S
-        if failure in (Failure.SILENT, Failure.OUTDATED):
+            return 0.0 if failure is Failure.TIMED_OUT else AGENT_RETRY_S
+        if failure in (Failure.TIMED_OUT, Failure.OUTDATED):
             return 0.0
-        stale_us = min(self.age_s(now), 2 * BOUND_S) * US_PER_S
+        stale_us = min(self.age_s(now), 2 * MAX_LIST_AGE_S) * US_PER_S
         waited_us = int(waited_s * US_PER_S)
         delay_us = poll_backoff(self._random, self._poll_interval_us, waited_us, int(stale_us))
         return max(0.0, self._within_bound(now, delay_us / US_PER_S))
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -21,7 +21,7 @@
 from oakbridge.node.errors import ConfigError, EndpointListError
 from oakbridge.node.http_server import HttpServer
 from oakbridge.node.observer import NodeObserver
-from oakbridge.node.outages import Outages
+from oakbridge.node.offline_servers import OfflineServers
 from oakbridge.node.request_body import BODY_BUFFERS_PART
 from oakbridge.node.request_forwarder import RequestForwarder
 from oakbridge.policy.balancer import Balancer
@@ -57,13 +57,13 @@
         source: Callable[[Clock], EndpointSource] | None = None,
         *,
         listening: Listening | None = None,
-        outages: Outages | None = None,
+        offline_servers: OfflineServers | None = None,
         clock_offset: int | None = None,
     ) -> None:
         """Open the listening sockets, and apply the saved endpoint list.  Raise ConfigError, OSError.
 
         ``source``: makes the source of endpoint lists; None: discovery is the source.
-        ``outages``: servers that operators had taken out in the previous process.
+        ``offline_servers``: servers that operators had taken out in the previous process.
         ``clock_offset``: that of the previous process's clock.
         """
         self.config = config
@@ -71,12 +71,14 @@
         self._loop = loop
         self.clock = Clock(loop, clock_offset)
         self.ids = itertools.count(1)  # the balancer's numbers of requests, for all fronts
-        self.outages = outages or Outages()
+        self.offline_servers = offline_servers or OfflineServers()
         self.balancer = Balancer(config.settings, config.seed)
         self.pool = self._make_pool(loop)
         self.source = source(self.clock) if source is not None else self._make_discovery()
         self.dispatcher = Dispatcher(self.balancer, self.clock)
-        self.endpoints = EndpointUpdates(loop, self.clock, self.dispatcher, self.pool, self.outages)
+        self.endpoints = EndpointUpdates(
+            loop, self.clock, self.dispatcher, self.pool, self.offline_servers
+        )
         self.forwarder = RequestForwarder(
             config.settings, self.clock, self.pool, self.endpoints, self.dispatcher.post, self.ids
         )
@@ -128,7 +130,7 @@
             if self.config.saved_list is not None:
                 listing = parse_endpoint_list(self.config.saved_list)
                 if isinstance(self.source, DiscoverySource):
-                    self.source.use_saved_index(listing.index)
+                    self.source.use_saved_version(listing.version)
         except EndpointListError as e:
             self.server.close()
             raise ConfigError(f"known: {e}") from None
@@ -211,11 +213,11 @@
 
     def take_out(self, server: str) -> bool | None:
         """Hold a server out for operators; False if it was out, None if there is none such."""
-        return self.endpoints.take_out(server)
+        return self.endpoints.take_offline(server)
 
     def put_back(self, server: str) -> bool | None:
         """Use a server again that operators held out; False if it was not out, None if there is none such."""
-        return self.endpoints.put_back(server, self.settings.slow_start_window)
+        return self.endpoints.bring_online(server, self.settings.slow_start_window)
 
     def share_descriptors(self, held: int) -> None:
         """Reduce the limits by the descriptors that the node's other process holds."""
--- a/oakbridge/node/outages.py
+++ b/oakbridge/node/offline_servers.py
@@ -26,7 +26,7 @@
     assumed_start: int = 0  # of one that was put back, until a list has a newer one
 
 
-class Outages:
+class OfflineServers:
     """The servers held out, and those put back of which no list has said yet that they were restarted.
 
     Times are the node's clock's, in microseconds.
@@ -35,27 +35,27 @@
     def __init__(self) -> None:
         self._outages: dict[str, Outage] = {}
 
-    def out(self) -> list[str]:
+    def names(self) -> list[str]:
         """Return the ids held out, in the order in which they went."""
         return [name for name, outage in self._outages.items() if not outage.put_back_at]
 
-    def holds(self, name: str) -> bool:
+    def is_offline(self, name: str) -> bool:
         """Return whether operators hold this server out."""
         outage = self._outages.get(name)
         return outage is not None and not outage.put_back_at
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether no more can be held out."""
         return len(self._outages) >= MAX_HELD_OUT
 
-    def take_out(self, name: str, now: int) -> bool:
+    def take_offline(self, name: str, now: int) -> bool:
         """Hold a server out; return False if it is out already: a second call changes nothing."""
-        if self.holds(name):
+        if self.is_offline(name):
             return False
         self._outages[name] = Outage(now)
         return True
 
-    def put_back(self, name: str, now: int) -> bool:
+    def bring_online(self, name: str, now: int) -> bool:
         """Hold a server out no more, however often it was taken out; return False if it was not out.
 
         It may have been restarted at any time since it was taken out.  Until a list says when, it
@@ -91,9 +91,9 @@
 
     def forget_older(self, before: int) -> None:
         """Forget what was put back before a time: a server is warm by then, restarted or not."""
-        outages = self._outages.items()
+        offline_servers = self._outages.items()
         for name in [
-            n for n, outage in outages if outage.put_back_at and outage.put_back_at < before
+            n for n, outage in offline_servers if outage.put_back_at and outage.put_back_at < before
         ]:
             del self._outages[name]
 
--- a/oakbridge/node/request_forwarder.py
+++ b/oakbridge/node/request_forwarder.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import Protocol
 
-from oakbridge.node.attempt import Attempt, AttemptOutcome, ResponseSink
+from oakbridge.node.attempt import Attempt, AttemptEnd, ResponseSink
 from oakbridge.node.client_request import HOP_BY_HOP_HEADERS, ClientRequest
 from oakbridge.node.clock import Clock
 from oakbridge.node.connection_pool import ConnectionPool
@@ -248,7 +248,7 @@
     def on_response_start(
         self,
         forwarded: ForwardedAttempt,
-        outcome: AttemptOutcome,
+        outcome: AttemptEnd,
         length: int | None,
         connection: ServerConnection,
     ) -> ResponseSink | None:
@@ -265,7 +265,7 @@
         )
         return request.client
 
-    def on_attempt_end(self, forwarded: ForwardedAttempt, outcome: AttemptOutcome) -> None:
+    def on_attempt_end(self, forwarded: ForwardedAttempt, outcome: AttemptEnd) -> None:
         """Forward a server's response to the client first; then the balancer sees the end."""
         request = forwarded.request
         request.attempt = None
@@ -287,7 +287,7 @@
             forwarded, result, finished=request.answered, report=self._load_report(outcome)
         )
 
-    def _end_streamed(self, forwarded: ForwardedAttempt, outcome: AttemptOutcome) -> None:
+    def _end_streamed(self, forwarded: ForwardedAttempt, outcome: AttemptEnd) -> None:
         """End an attempt whose response was being forwarded; only a break is news to the balancer."""
         request = forwarded.request
         self._forget(request)
@@ -314,7 +314,7 @@
             )
         )
 
-    def _load_report(self, outcome: AttemptOutcome) -> dict[str, float] | None:
+    def _load_report(self, outcome: AttemptEnd) -> dict[str, float] | None:
         if self._settings.report_source != ReportSource.RESPONSES:
             return None
         text = dict(outcome.headers).get(b"x-server-load")
--- a/oakbridge/node/response_parser.py
+++ b/oakbridge/node/response_parser.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from oakbridge.node.attempt import AttemptOutcome, ResponseSink
+from oakbridge.node.attempt import AttemptEnd, ResponseSink
 from oakbridge.node.http_framing import (
     MAX_BODY_BYTES,
     MAX_FRAMING_PER_BODY_BYTE,
@@ -104,9 +104,9 @@
             return AttemptResult.REJECTED
         return AttemptResult.ERROR
 
-    def take(self, result: AttemptResult) -> AttemptOutcome:
+    def take(self, result: AttemptResult) -> AttemptEnd:
         """Return the complete response, and keep nothing of it: its connection may be idle for long."""
-        outcome = AttemptOutcome(result, self.headers, b"".join(self._body), self.status)
+        outcome = AttemptEnd(result, self.headers, b"".join(self._body), self.status)
         self.headers = []
         self._body = []
         return outcome
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from oakbridge.node.attempt import Attempt, AttemptOutcome, ResponseSink
+from oakbridge.node.attempt import Attempt, AttemptEnd, ResponseSink
 from oakbridge.node.chunked_encoding import encode_chunk
 from oakbridge.node.clock import Timer
 from oakbridge.node.request_body import StreamedBody
@@ -275,7 +275,7 @@
             return None
         if attempt.timer is not None:
             attempt.timer.cancel()  # a response that has started is in time
-        outcome = AttemptOutcome(result, response.headers, status=response.status)
+        outcome = AttemptEnd(result, response.headers, status=response.status)
         return attempt.on_response_start(outcome, response.content_length, self)
 
     def _on_response_complete(self) -> None:
@@ -352,7 +352,7 @@
             sink.abort_response()
         if attempt is not None:
             attempt.finish(
-                AttemptOutcome(AttemptResult.RESET if written else AttemptResult.CONNECT_FAILED)
+                AttemptEnd(AttemptResult.RESET if written else AttemptResult.CONNECT_FAILED)
             )
 
     def abort(self) -> bool:
--- a/oakbridge/node/transient_error_socket.py
+++ b/oakbridge/node/transient_error_socket.py
@@ -18,7 +18,7 @@
     """A socket whose passing failures are told as BlockingIOError."""
 
     @classmethod
-    def taking_over(cls, sock: socket.socket) -> TransientErrorSocket:
+    def from_socket(cls, sock: socket.socket) -> TransientErrorSocket:
         """Return the same connection as a socket of this class; ``sock`` is closed."""
         return cls(sock.family, sock.type, sock.proto, sock.detach())
 
--- a/oakbridge/operators/executor.py
+++ b/oakbridge/operators/executor.py
@@ -55,7 +55,7 @@
         node = self._node
         if not self.is_started:
             raise CommandRejectedError("this process does not serve yet")
-        taken_out = node.outages.out()
+        taken_out = node.offline_servers.names()
         if not node.has_usable_server() and not taken_out:
             raise CommandRejectedError("no server is known yet")
         suffix = f", {len(taken_out)} held out" if taken_out else ""
@@ -63,8 +63,8 @@
 
     def _take_out(self, server_id: str) -> str:
         """Take a server out until it is put back, whatever the endpoint lists say."""
-        outages = self._node.outages
-        if outages.full() and not outages.holds(server_id):
+        offline_servers = self._node.offline_servers
+        if offline_servers.is_full() and not offline_servers.is_offline(server_id):
             raise CommandRejectedError("as many servers are held out as can be")
         has_changed = self._node.take_out(server_id)
         if has_changed is None:
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -21,7 +21,7 @@
 from oakbridge.node.config import Config, load_config, parse_config
 from oakbridge.node.errors import ConfigError
 from oakbridge.node.node import Listening, Node
-from oakbridge.node.outages import Outages
+from oakbridge.node.offline_servers import OfflineServers
 from oakbridge.node.settings import missing_key
 from oakbridge.operators.executor import NodeCommandExecutor
 from oakbridge.operators.listener import OperatorListener
@@ -58,14 +58,20 @@
             config = self._inherit_config(config, config_error, inherited)
         elif config is None:
             raise config_error or ConfigError("NODE_CONFIG: missing")
-        outages = Outages()
+        offline_servers = OfflineServers()
         if inherited is not None:
-            outages.restore(inherited.outages)
+            offline_servers.restore(inherited.outages)
         listeners, successor.listeners = successor.listeners, []
         inherited_sockets = _inherit_listeners(listeners, config.listen)
         listening = Listening(inherited=inherited_sockets, reuse_port=True)
         clock_offset = None if inherited is None else inherited.clock_offset
-        return Node(config, loop, listening=listening, outages=outages, clock_offset=clock_offset)
+        return Node(
+            config,
+            loop,
+            listening=listening,
+            offline_servers=offline_servers,
+            clock_offset=clock_offset,
+        )
 
     def _inherit_config(
         self, config: Config | None, config_error: ConfigError | None, inherited: Welcome
--- a/oakbridge/sources/file_source.py
+++ b/oakbridge/sources/file_source.py
@@ -245,7 +245,7 @@
         gone = [Endpoint(name, EndpointState.GONE) for name in change.removed]
         removed = [ListedEndpoint(server, NO_ADDRESS) for server in gone]
         new = EndpointList(
-            index=action.version.number,
+            version=action.version.number,
             complete=change.base_number == 0,
             endpoints=entries + removed,
         )
--- a/tests/lab/test_discovery_model.py
+++ b/tests/lab/test_discovery_model.py
@@ -10,7 +10,7 @@
 from oakbridge.lab.model_check.explorer import Step, explore
 from oakbridge.node import list_refresh
 from oakbridge.node.discovery_client import DiscoveryClient
-from oakbridge.node.list_refresh import CallTimes, RefreshSchedule
+from oakbridge.node.list_refresh import RefreshSchedule, RequestTimeouts
 
 MAX_STATES = 50_000
 
@@ -44,13 +44,13 @@
 
 
 def wait_long_for_a_lost_call(monkeypatch):
-    times = CallTimes(overdue_s=5.0, late_s=5.0, timeout_s=7.0)
-    monkeypatch.setattr(list_refresh, "DISCOVERY_TIMES", times)
+    times = RequestTimeouts(overdue_s=5.0, late_s=5.0, timeout_s=7.0)
+    monkeypatch.setattr(list_refresh, "DISCOVERY_TIMEOUTS", times)
 
 
 def wait_long_for_an_agent(monkeypatch):
-    times = CallTimes(overdue_s=5.0, late_s=5.0, timeout_s=5.0)
-    monkeypatch.setattr(list_refresh, "AGENT_TIMES", times)
+    times = RequestTimeouts(overdue_s=5.0, late_s=5.0, timeout_s=5.0)
+    monkeypatch.setattr(list_refresh, "AGENT_TIMEOUTS", times)
 
 
 def wait_for_a_silent_watch(monkeypatch):
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -78,7 +78,7 @@
                 node.registry.put(listing(index, whole=False))
             assert 500 <= min(found) < 800 < 1700 < max(found) <= 2000
             assert len(set(found)) > 30
-            left = list_refresh.BOUND_S - max(found) / 1000 - list_refresh.WATCH_GRACE_S
+            left = list_refresh.MAX_LIST_AGE_S - max(found) / 1000 - list_refresh.WATCH_GRACE_S
             assert (
                 left >= 3.5
             )  # for a line at discovery of all nodes whose watches fell silent at once
@@ -140,7 +140,7 @@
             Running(one, two, settings=TEN) as node,
         ):
             source, read = node.node.source, []
-            source.read_listeners.append(lambda: read.append(source.index))
+            source.read_listeners.append(lambda: read.append(source.version))
             await soon(node.registry.seen.get())
             node.registry.put(listing(4, whole=False))
             await soon(node.registry.seen.get())
@@ -297,11 +297,11 @@
             source = node.node.source
             await soon(node.registry.seen.get())
             before = source.status()
-            assert (before.list_age_s, before.calls, before.last_failure) == (None, 1, "")
+            assert (before.list_age_s, before.open_requests, before.last_failure) == (None, 1, "")
             node.registry.put(listing(4, whole=False))
             await soon(node.registry.seen.get())
             told = source.status()
-            assert (told.version, told.calls) == (4, 1)
+            assert (told.version, told.open_requests) == (4, 1)
             assert 0 <= told.list_age_s < 1.0
             assert 5.0 < told.due_in_s <= 6.0
             node.registry.put(reply(500))
@@ -309,6 +309,6 @@
             failed = source.status()
             assert failed.last_failure == "renewal call refused: discovery answered 500"
             assert failed.last_failure_age_s < 1.0
-            assert failed.calls == 0
+            assert failed.open_requests == 0
 
     run(scenario())
--- a/tests/node/test_discovery_bad_answers.py
+++ b/tests/node/test_discovery_bad_answers.py
@@ -9,7 +9,7 @@
 from peers import endpoint, listing, read_message, reply, run, soon
 
 from oakbridge.node.discovery import DiscoverySource
-from oakbridge.node.list_refresh import BOUND_S
+from oakbridge.node.list_refresh import MAX_LIST_AGE_S
 
 CHUNK = b"x" * 65_536
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -118,9 +118,9 @@
         """Ready for any."""
 
     def on_endpoint_list(self, new, *, saved=False) -> None:
-        if new.index not in self.versions:
-            self.versions.append(new.index)
-        if new.index == 3:
+        if new.version not in self.versions:
+            self.versions.append(new.version)
+        if new.version == 3:
             self.newest_at = time.monotonic()
             self.has_newest.set()
 
@@ -143,7 +143,7 @@
         source.stop()
         server.close()
         assert lists.versions == [1, 3]
-        assert lists.newest_at - discovery.bad_at < BOUND_S
+        assert lists.newest_at - discovery.bad_at < MAX_LIST_AGE_S
         assert peak_bytes < MAX_GROWTH_BYTES
 
     run(scenario())
--- a/tests/node/test_discovery_client.py
+++ b/tests/node/test_discovery_client.py
@@ -17,7 +17,7 @@
     schedule = RefreshSchedule(0.0, 10_000_000, random.Random(1), pushed=pushed)
     client = DiscoveryClient(OLD, schedule, pushed=pushed)
     client.watch(0.0)
-    request = client.begin_call(0.0)
+    request = client.begin_request(0.0)
     client.on_response(request, EndpointList(index, True, []), 0.0)
     client.on_applied(request, index, 0.0, 0.0)
     return client
@@ -27,47 +27,47 @@
 def test_a_list_older_than_one_adopted_during_its_call_is_not_used(complete):
     """Guards against a server that drains being sent to again, until the next call is answered."""
     client = watching_client(6)
-    request = client.begin_call(0.0)
+    request = client.begin_request(0.0)
     assert client.adopt(8, 100_000, 0.5)
     assert client.on_response(request, EndpointList(7, complete, []), 0.6) is None
     client.on_applied(request, 7, 0.6, 0.6)
-    assert client.index == 8
+    assert client.version == 8
     assert client.list_age_us(0.6) == pytest.approx(200_000, abs=1)  # as old as the adopted one
-    again = client.begin_call(client.next_call_at())
+    again = client.begin_request(client.next_request_at())
     assert (again.since, again.target) == (8, "/api/targets?since=8&timeout_ms=1")
 
 
 def test_versions_that_begin_anew_are_told_from_older_ones_by_the_next_response():
     client = watching_client(6)
-    request = client.begin_call(0.0)
+    request = client.begin_request(0.0)
     client.adopt(8, 0, 0.5)
     client.on_response(request, EndpointList(2, True, []), 0.6)
     client.on_applied(request, 2, 0.6, 0.6)
-    again = client.begin_call(0.6)
+    again = client.begin_request(0.6)
     with pytest.raises(OutdatedListError):
         client.on_response(again, EndpointList(2, False, []), 0.7)
     client.on_failure(again, Failure.OUTDATED, 0.7)
-    assert client.next_call_at() == 0.7
-    complete = client.begin_call(0.7)
+    assert client.next_request_at() == 0.7
+    complete = client.begin_request(0.7)
     assert complete.since == BEFORE_ALL_VERSIONS
-    assert client.on_response(complete, EndpointList(2, True, []), 0.8).index == 2
+    assert client.on_response(complete, EndpointList(2, True, []), 0.8).version == 2
     client.on_applied(complete, 2, 0.8, 0.8)
-    assert client.index == 2
+    assert client.version == 2
 
 
 def test_complete_list_with_a_lower_version_is_used_where_nothing_newer_was_adopted():
     client = watching_client(6)
-    request = client.begin_call(0.0)
-    assert client.on_response(request, EndpointList(2, True, []), 0.1).index == 2
+    request = client.begin_request(0.0)
+    assert client.on_response(request, EndpointList(2, True, []), 0.1).version == 2
 
 
 def test_a_list_counts_as_read_only_once_it_is_in_use():
     client = watching_client(6)
-    request = client.begin_call(0.0)
+    request = client.begin_request(0.0)
     assert client.on_response(request, EndpointList(7, True, []), 1.0) is not None
     client.on_failure(request, Failure.REFUSED, 1.0)
-    assert (client.index, client.list_age_us(1.0)) == (6, 1_000_000)
-    assert client.begin_call(client.next_call_at()).since == 6
+    assert (client.version, client.list_age_us(1.0)) == (6, 1_000_000)
+    assert client.begin_request(client.next_request_at()).since == 6
 
 
 @pytest.mark.parametrize("pushed", [False, True])
@@ -77,4 +77,4 @@
     client.watch(1.0)
     assert not client.move(NEW, 1.0)
     client.fetch()
-    assert client.next_call_at() == float("inf")
+    assert client.next_request_at() == float("inf")
--- a/tests/node/test_endpoint_list_json.py
+++ b/tests/node/test_endpoint_list_json.py
@@ -51,7 +51,7 @@
         whole=False,
     )
     got = parse_endpoint_list(raw)
-    assert (got.index, got.complete) == (9, False)
+    assert (got.version, got.complete) == (9, False)
     assert got.endpoints[0].address == ("127.0.0.1", 80)
     assert got.endpoints[0].server.started_at == 1_700_000_000_000_000
     assert [e.server.state for e in got.endpoints] == [EndpointState.UP, EndpointState.GONE]
--- a/tests/node/test_lifecycle.py
+++ b/tests/node/test_lifecycle.py
@@ -59,14 +59,15 @@
     lifecycle.drain(0)
     assert not lifecycle.ready
     lifecycle.undrain()
-    lifecycle.take_back()
+    lifecycle.undo_hand_over()
     assert lifecycle.ready
     assert lifecycle.accepts_connections(0)
 
 
 @given(
     st.lists(
-        st.sampled_from(["drain", "undrain", "shut_down", "hand_over", "take_back"]), max_size=12
+        st.sampled_from(["drain", "undrain", "shut_down", "hand_over", "undo_hand_over"]),
+        max_size=12,
     )
 )
 def test_no_order_of_calls_reopens_a_process_that_shuts_down_or_makes_a_drained_node_ready(course):
--- a/tests/pool_bench.py
+++ b/tests/pool_bench.py
@@ -6,7 +6,7 @@
 
 from peers import silent_listener, soon
 
-from oakbridge.node.attempt import Attempt, AttemptOutcome
+from oakbridge.node.attempt import Attempt, AttemptEnd
 from oakbridge.node.clock import Clock
 from oakbridge.node.connection_pool import ConnectionPool
 from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint
@@ -35,8 +35,8 @@
 
     def send(
         self, data: bytes = GET, timeout: int = LONG
-    ) -> tuple[Attempt, "asyncio.Future[AttemptOutcome]"]:
-        end: asyncio.Future[AttemptOutcome] = self.loop.create_future()
+    ) -> tuple[Attempt, "asyncio.Future[AttemptEnd]"]:
+        end: asyncio.Future[AttemptEnd] = self.loop.create_future()
         attempt = Attempt("s", lambda _: data, self.clock.now() + timeout, end.set_result)
         self.pool.send(attempt)
         return attempt, end
