--- a/oakbridge/control/peers.py
+++ b/oakbridge/control/peers.py
@@ -15,7 +15,7 @@
     def describe(self) -> dict[str, Any]:
         """Return all peers and what is known of each."""
 
-    def why(self, name: str) -> list[dict[str, Any]]:
+    def state_history(self, name: str) -> list[dict[str, Any]]:
         """Return the changes of a peer's state, oldest first.  Raises KeyError."""
 
 
@@ -27,6 +27,6 @@
         return peers.describe()
     name = PeerHistoryArguments.decode(request.arguments).name
     try:
-        return {"name": name, "history": peers.why(name)}
+        return {"name": name, "history": peers.state_history(name)}
     except KeyError:
         raise RequestRejectedError(f"no member of the name {name!r:.80} is known here") from None
--- a/oakbridge/control/sites.py
+++ b/oakbridge/control/sites.py
@@ -15,11 +15,11 @@
     def describe(self) -> dict[str, Any]:
         """Return all sites and what is known of each."""
 
-    def why(self, name: str) -> list[dict[str, Any]]:
+    def state_history(self, name: str) -> list[dict[str, Any]]:
         """Return the changes of a site's state, oldest first.  Raises KeyError."""
 
-    def operate(self, name: str, out: bool, by: str) -> dict[str, Any]:
-        """Drain a site (``out``) or return it.  Raises RequestRejectedError."""
+    def drain_or_return(self, site: str, drain: bool, operator: str) -> dict[str, Any]:
+        """Drain a site (``drain``) or return it.  Raises RequestRejectedError."""
 
 
 def handle_site_request(sites: SiteController | None, request: Request) -> JsonObject:
@@ -33,11 +33,11 @@
     if request.command is ControlCommand.SITE_HISTORY:
         return _site_history(sites, SiteHistoryArguments.decode(request.arguments).site)
     order = DrainOrReturnSiteArguments.decode(request.arguments)
-    return sites.operate(order.site, order.drain, order.operator)
+    return sites.drain_or_return(order.site, order.drain, order.operator)
 
 
 def _site_history(sites: SiteController, site: str) -> JsonObject:
     try:
-        return {"site": site, "history": sites.why(site)}
+        return {"site": site, "history": sites.state_history(site)}
     except KeyError:
         raise RequestRejectedError(f"no site of the name {site!r:.80} is known here") from None
--- a/oakbridge/peers/service.py
+++ b/oakbridge/peers/service.py
@@ -388,6 +388,6 @@
         """Return this node's view of all members, for ``oakbridge peers --json``."""
         return operator_view.describe(self, self._clock())
 
-    def why(self, name: str) -> list[dict[str, Any]]:
+    def state_history(self, name: str) -> list[dict[str, Any]]:
         """Return how this node came to hold what it holds of a member.  Raises KeyError."""
         return operator_view.history(self.member.members[name], self._clock())
--- a/oakbridge/sites/runner.py
+++ b/oakbridge/sites/runner.py
@@ -70,21 +70,21 @@
         described = operator_view.describe(self._sites, now_us, list(self._received_reports()))
         return {"name": self._membership.options.name, **described}
 
-    def why(self, name: str) -> list[dict[str, Any]]:
+    def state_history(self, name: str) -> list[dict[str, Any]]:
         """Return how one site came into its state.  Raises KeyError."""
         return operator_view.history(self._sites.sites[name], self._node.clock.now())
 
-    def operate(self, name: str, out: bool, by: str) -> dict[str, Any]:
+    def drain_or_return(self, site: str, drain: bool, operator: str) -> dict[str, Any]:
         """Drain a site, or return it.  Raises RequestRejectedError."""
         try:
-            override = self._sites.override(_clock_ms(), name, by, drained=out)
+            override = self._sites.override(_clock_ms(), site, operator, drained=drain)
         except SiteOverrideError as error:
             raise RequestRejectedError(str(error)) from None
-        order = "drained" if out else "returned"
-        log.warning("operators: site %s is to be %s, by %s", name, order, by or "somebody")
+        order = "drained" if drain else "returned"
+        log.warning("operators: site %s is to be %s, by %s", site, order, operator or "somebody")
         self.update()
         return {
-            "site": name,
+            "site": site,
             "out": override.drained,
             "stamp": override.stamp_ms,
             "by": override.operator,
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -84,7 +84,7 @@
     def describe(self):
         return {"name": "edge-1", "members": [{"name": "edge-2", "state": "alive"}]}
 
-    def why(self, name):
+    def state_history(self, name):
         return {"edge-2": [{"ago_s": 1.5, "before": "", "after": "alive"}]}[name]
 
 
@@ -92,11 +92,11 @@
     def describe(self):
         return {"name": "edge-1", "home": "north", "sites": []}
 
-    def why(self, name):
+    def state_history(self, name):
         return {"north": [{"ago_s": 2.5, "before": "well", "after": "lost"}]}[name]
 
-    def operate(self, name, out, by):
-        return {"site": name, "out": out, "stamp": 1_700_000_000_000, "by": by}
+    def drain_or_return(self, site, drain, operator):
+        return {"site": site, "out": drain, "stamp": 1_700_000_000_000, "by": operator}
 
 
 class HeldSpread:
--- a/tests/formats/test_peers.py
+++ b/tests/formats/test_peers.py
@@ -119,8 +119,8 @@
     peers.weigh_failure_reports()
     told = {
         "peers": peers.describe(),
-        "peers.why n2": peers.why("n2"),
-        "peers.why n4": peers.why("n4"),
+        "peers.why n2": peers.state_history("n2"),
+        "peers.why n4": peers.state_history("n4"),
     }
     assert json.dumps(told, indent=1) + "\n" == (FIXTURES / "operators.json").read_text()
 
--- a/tests/members/test_service.py
+++ b/tests/members/test_service.py
@@ -86,7 +86,7 @@
     states = {row["name"]: row["state"] for row in peers[0].describe()["members"]}
     await _query(port, states, tmp_path)
     assert (states["n5"], states["n4"]) == ("left", "failed")
-    assert [c["after"] for c in peers[0].why("n4")] == ["alive", "suspect", "failed"]
+    assert [c["after"] for c in peers[0].state_history("n4")] == ["alive", "suspect", "failed"]
     await until(lambda: (tmp_path / "4.json").exists())
     kept = snap.load(tmp_path / "4.json")
     back = member(4, port, snapshot_path=tmp_path / "4.json")
