--- a/oakbridge/control/arguments.py
+++ b/oakbridge/control/arguments.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusArguments:
-    """``status``: the number of servers to report at most."""
+    """``status``: the maximum number of servers to report."""
 
     max_rows: int
 
@@ -30,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptServerListArguments:
-    """``servers.accept``: the digest of the held version, or its beginning; empty accepts any."""
+    """``servers.accept``: the digest of the version that waits for approval, or a prefix of it.
+
+    An empty digest accepts whichever version waits.
+    """
 
     digest: str
 
@@ -66,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainOrReturnSiteArguments:
-    """``sites.operate``: a site, whether to drain it or to return it, and who asked for that."""
+    """``sites.operate``: a site, whether to drain or return it, and the operator's name."""
 
     site: str
     drain: bool
--- a/oakbridge/control/discovery_status.py
+++ b/oakbridge/control/discovery_status.py
@@ -1,4 +1,4 @@
-"""The JSON of what a node knows of discovery, in ``status``."""
+"""Encode the state of a node's discovery client as JSON, for ``status``."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def encode_discovery_status(status: DiscoveryStatus) -> JsonObject:
-    """Return the JSON form; times in seconds, null where there are none."""
+    """Return the JSON form; times are in seconds, null where the node has none yet."""
     host, port = status.address
     return {
         "kind": "discovery",
--- a/oakbridge/control/errors.py
+++ b/oakbridge/control/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong on the control socket."""
+"""The errors of the control socket."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class ProtocolError(ControlError, ValueError):
-    """A line that the protocol does not allow."""
+    """A line is not a valid message of the protocol."""
 
     def __init__(self, expected: str, *, field: str | None = None, got: str | None = None) -> None:
-        """``field``: the field of the message that is wrong, None for the line as a whole."""
+        """``field``: the message's invalid field, None if the line as a whole is invalid."""
         self.expected = expected
         self.field = field
         self.got = got
-        place = f"{field}: " if field is not None else ""
-        found = f", got {got}" if got is not None else ""
-        super().__init__(f"{place}expected {expected}{found}")
+        prefix = f"{field}: " if field is not None else ""
+        suffix = f", got {got}" if got is not None else ""
+        super().__init__(f"{prefix}expected {expected}{suffix}")
 
 
 class RequestRejectedError(ControlError):
-    """The node understood the request and does not carry it out."""
+    """The node read the request and did not execute it."""
 
     def __init__(self, reason: str) -> None:
         self.reason = reason
@@ -31,7 +31,7 @@
 
 
 class InvalidArgumentError(RequestRejectedError):
-    """An argument of a request is missing, or is not what its command takes."""
+    """An argument of a request is missing or invalid."""
 
     def __init__(self, field: str, expected: str) -> None:
         self.field = field
@@ -40,7 +40,7 @@
 
 
 class NodeUnreachableError(ControlError):
-    """No node answers at a socket."""
+    """No node answers on a control socket."""
 
     def __init__(self, path: Path, reason: str) -> None:
         self.path = path
@@ -49,7 +49,7 @@
 
 
 class SocketInUseError(ControlError, OSError):
-    """The path of the control socket is taken by another node or by another kind of file."""
+    """Another node or another kind of file occupies the path of the control socket."""
 
     def __init__(self, path: Path, reason: str) -> None:
         self.path = path
--- a/oakbridge/control/handler.py
+++ b/oakbridge/control/handler.py
@@ -1,4 +1,4 @@
-"""Carry out the control socket's commands on a node."""
+"""Execute the control socket's commands on a node."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class SpreadReporter(Protocol):
-    """How the servers are divided among the nodes of a tier."""
+    """Describes how the servers are divided among the replicas of a tier."""
 
     def describe(self) -> dict[str, Any]:
-        """Return each server with its nodes and its load."""
+        """Return each server with its replicas and its load."""
 
 
 class NodeControlHandler:
-    """Handle requests for one node."""
+    """Handles the requests to one node."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         sites: SiteController | None = None,
         spread: SpreadReporter | None = None,
     ) -> None:
-        """``config_digest``: of the configuration that the node was started with.
+        """``config_digest``: the digest of the configuration that the node was started with.
 
-        ``peers``, ``sites``, ``spread``: None where the configuration has no such table.
+        ``peers``, ``sites``, ``spread``: None if the configuration has no table of that name.
         """
         self._node = node
         self._config_digest = config_digest
@@ -51,7 +51,7 @@
         self._started_at = time.monotonic()
 
     def handle(self, request: Request) -> JsonObject:
-        """Carry out one request and return its result.
+        """Execute a request and return its result.
 
         Raises RequestRejectedError or ValueError with the reason.
         """
--- a/oakbridge/control/peers.py
+++ b/oakbridge/control/peers.py
@@ -1,4 +1,4 @@
-"""Handle requests about the other nodes that a node knows."""
+"""Handle requests about a node's peers, the other members of its cluster."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 
 
 class PeerDirectory(Protocol):
-    """The other nodes, as this one knows them."""
+    """The peers, as this node's membership has them."""
 
     def describe(self) -> dict[str, Any]:
-        """Return all peers and what is known of each."""
+        """Return all peers with their states."""
 
     def state_history(self, name: str) -> list[dict[str, Any]]:
-        """Return the changes of a peer's state, oldest first.  Raises KeyError."""
+        """Return the changes of a peer's state, oldest first.
+
+        Raises KeyError for an unknown name.
+        """
 
 
 def handle_peer_request(peers: PeerDirectory | None, request: Request) -> JsonObject:
--- a/oakbridge/control/protocol.py
+++ b/oakbridge/control/protocol.py
@@ -1,11 +1,11 @@
-"""Encode and decode the control socket's messages: one JSON object a line, without I/O.
+"""Encode and decode the control socket's messages, without I/O.  Each line is one JSON object.
 
     {"v": 1, "do": "status", "rows": 200}
     {"v": 1, "ok": true, "result": {...}}
     {"v": 1, "ok": false, "error": "..."}
 
-Messages carry a version, and lines are bounded.  A connection carries one request after another; a
-line that is too long ends it with an error.
+Each message carries the protocol's version, and the length of a line is bounded.  A connection
+carries one request after another; a line that is too long gets an error, and the connection closes.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class ControlCommand(StrEnum):
-    """What a node can be asked; the value is the name on the wire."""
+    """The commands that a node executes; the value is the name on the wire."""
 
     STATUS = "status"
     ACCEPT_SERVER_LIST = "servers.accept"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A command and its arguments as they came; ``arguments`` of this package checks them."""
+    """A command and its unchecked arguments; the module ``arguments`` checks them."""
 
     command: ControlCommand
     arguments: JsonObject = field(default_factory=dict)
@@ -58,7 +58,7 @@
         self._partial_line = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes in and return the lines that are complete now.
+        """Add received bytes and return the lines that they complete.
 
         Raises ProtocolError for a line that is too long.
         """
@@ -75,17 +75,17 @@
 
 
 def encode_response(result: Any) -> bytes:
-    """Return the line of a response to a request that was carried out."""
+    """Return the line of a response to a request that was executed."""
     return _encode({"ok": True, "result": result})
 
 
 def encode_error(reason: str) -> bytes:
-    """Return the line of a response to a request that was not carried out."""
+    """Return the line of a response to a request that was rejected or failed."""
     return _encode({"ok": False, "error": reason})
 
 
 def decode_request(line: bytes) -> Request:
-    """Read a request from its line.  Raises ProtocolError."""
+    """Return the request in a line.  Raises ProtocolError."""
     message = _decode(line)
     name = message.pop("do", None)
     try:
@@ -98,14 +98,14 @@
 
 
 def decode_response(line: bytes) -> Any:
-    """Read the result from a response's line.
+    """Return the result in a response's line.
 
     Raises ProtocolError, or RequestRejectedError with the node's reason.
     """
     message = _decode(line)
     if message.get("ok") is True:
         return message.get("result")
-    raise RequestRejectedError(str(message.get("error") or "refused without a reason"))
+    raise RequestRejectedError(str(message.get("error") or "rejected without a reason"))
 
 
 def _encode(message: JsonObject) -> bytes:
@@ -113,7 +113,7 @@
 
 
 def _decode(line: bytes) -> JsonObject:
-    """Read a message without its version.  Raises ProtocolError."""
+    """Return a message without its version field.  Raises ProtocolError."""
     try:
         message = json.loads(line)
     except (ValueError, RecursionError):
--- a/oakbridge/control/server.py
+++ b/oakbridge/control/server.py
@@ -1,4 +1,4 @@
-"""A node's end of the control socket: a Unix socket that only its owner may use."""
+"""A node's end of the control socket: a Unix socket that only the node's user and root may use."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 log = logging.getLogger(__name__)
 
 MAX_CONNECTIONS = 16
-IDLE_TIMEOUT_S = 30.0  # for a connection to send something, and to read its response
-CONNECT_TIMEOUT_S = 1.0  # of the test whether another node listens on the socket
+IDLE_TIMEOUT_S = 30.0  # until a client sends data, and until it reads its responses
+CONNECT_TIMEOUT_S = 1.0  # limits the check whether another node listens on the socket
 DIRECTORY_MODE = 0o700
-SOCKET_UMASK = 0o177  # leaves the owner's read and write
+SOCKET_UMASK = 0o177  # lets only the owner read and write
 ROOT_UID = 0
-PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group, as SO_PEERCRED gives them
+PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid and gid: the value of SO_PEERCRED
 
 Handler = Callable[[Request], Awaitable[Any] | Any]
 
 
 class ControlServer:
-    """Serve each connection's requests one after another."""
+    """Serves the requests of each connection one after another."""
 
     def __init__(self, path: Path, handler: Handler) -> None:
         """Serve at ``path`` once started.
 
-        ``handler`` returns a request's result or an awaitable of it, or raises RequestRejectedError
-        or ValueError with the reason.
+        ``handler`` returns the result of a request, or an awaitable of it.  It raises
+        RequestRejectedError or ValueError with the reason if it does not execute the request.
         """
         self.path = path
         self._handler = handler
@@ -85,19 +85,19 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Close."""
+        """Close the server."""
         self.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection until it ends, falls silent or breaks the protocol."""
+        """Serve one connection until it closes, times out or sends a line that is too long."""
         if len(self._connections) >= MAX_CONNECTIONS or not _is_trusted(writer):
             writer.transport.abort()
             return
         self._connections.add(writer)
         try:
             await self._serve_requests(reader, writer)
-        except ProtocolError as e:
-            writer.write(encode_error(str(e)))
+        except ProtocolError as error:
+            writer.write(encode_error(str(error)))
         except (OSError, TimeoutError):
             pass
         finally:
@@ -107,7 +107,11 @@
     async def _serve_requests(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Raise ProtocolError, OSError or TimeoutError where the connection can't go on."""
+        """Serve requests until the client closes the connection.
+
+        Raises ProtocolError for a line that is too long, and OSError or TimeoutError if reading or
+        writing fails.
+        """
         lines = LineSplitter(MAX_REQUEST_BYTES)
         while True:
             async with asyncio.timeout(IDLE_TIMEOUT_S):
@@ -122,25 +126,26 @@
     async def _respond(self, line: bytes) -> bytes:
         """Return the response to one request.
 
-        An unexpected exception in the handler is logged and reported; it ends neither the connection
-        nor the node.
+        An unexpected exception in the handler is logged and reported to the client; the connection
+        and the node continue.
         """
         try:
             result = self._handler(decode_request(line))
             if inspect.isawaitable(result):
                 result = await result
             return encode_response(result)
-        except (RequestRejectedError, ValueError) as e:
-            return encode_error(str(e))
-        except Exception as e:
-            log.exception("a request on the control socket failed")
-            return encode_error(f"the node failed on this: {type(e).__name__}")
+        except (RequestRejectedError, ValueError) as error:
+            return encode_error(str(error))
+        except Exception as error:
+            log.exception("request on the control socket failed")
+            return encode_error(f"the node failed on this: {type(error).__name__}")
 
 
 def claim_socket_path(path: Path) -> None:
-    """Make the directory, and remove the socket of a node that has died.
+    """Create the socket's directory, and remove the socket of a node that no longer runs.
 
-    Raises SocketInUseError where another node or another kind of file is at the path, or another OSError.
+    Raises SocketInUseError if another node listens at the path or it is another kind of file, and
+    OSError if the directory or the socket can't be changed.
     """
     path.parent.mkdir(mode=DIRECTORY_MODE, parents=True, exist_ok=True)
     try:
@@ -148,27 +153,30 @@
     except FileNotFoundError:
         return
     if not stat.S_ISSOCK(found.st_mode):
-        raise SocketInUseError(path, "expected a socket or nothing, and something else is there")
+        raise SocketInUseError(path, "expected a socket or no file, got another kind of file")
     if _is_listening(path):
-        raise SocketInUseError(path, "another node listens there")
+        raise SocketInUseError(path, "another node listens on this socket")
     path.unlink(missing_ok=True)
 
 
 def _is_listening(path: Path) -> bool:
-    """Return whether a process listens on a socket.  Raises SocketInUseError where that can't be told."""
+    """Return whether a process listens on a socket.
+
+    Raises SocketInUseError if connecting fails in a way that leaves this open.
+    """
     with socket.socket(socket.AF_UNIX) as client:
         client.settimeout(CONNECT_TIMEOUT_S)
         try:
             client.connect(str(path))
         except ConnectionRefusedError:
             return False
-        except OSError as e:
-            raise SocketInUseError(path, str(e)) from None
+        except OSError as error:
+            raise SocketInUseError(path, str(error)) from None
     return True
 
 
 def _is_trusted(writer: asyncio.StreamWriter) -> bool:
-    """Return whether the other end is a process of the same user, or of root."""
+    """Return whether the client is a process of the node's user or of root."""
     connection: socket.socket = writer.get_extra_info("socket")
     credentials = connection.getsockopt(
         socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size
--- a/oakbridge/control/sites.py
+++ b/oakbridge/control/sites.py
@@ -10,16 +10,22 @@
 
 
 class SiteController(Protocol):
-    """The sites, as this node knows them, and the operators' drains."""
+    """The sites' states, as this node has them, and the operators' drains of sites."""
 
     def describe(self) -> dict[str, Any]:
-        """Return all sites and what is known of each."""
+        """Return all sites with their states."""
 
     def state_history(self, name: str) -> list[dict[str, Any]]:
-        """Return the changes of a site's state, oldest first.  Raises KeyError."""
+        """Return the changes of a site's state, oldest first.
+
+        Raises KeyError for an unknown name.
+        """
 
     def drain_or_return(self, site: str, drain: bool, operator: str) -> dict[str, Any]:
-        """Drain a site (``drain``) or return it.  Raises RequestRejectedError."""
+        """Drain a site if ``drain`` is set, else return it to service.
+
+        ``operator``: who gave the command; may be empty.  Raises RequestRejectedError.
+        """
 
 
 def handle_site_request(sites: SiteController | None, request: Request) -> JsonObject:
@@ -32,8 +38,8 @@
         return sites.describe()
     if request.command is ControlCommand.SITE_HISTORY:
         return _site_history(sites, SiteHistoryArguments.decode(request.arguments).site)
-    order = DrainOrReturnSiteArguments.decode(request.arguments)
-    return sites.drain_or_return(order.site, order.drain, order.operator)
+    arguments = DrainOrReturnSiteArguments.decode(request.arguments)
+    return sites.drain_or_return(arguments.site, arguments.drain, arguments.operator)
 
 
 def _site_history(sites: SiteController, site: str) -> JsonObject:
--- a/oakbridge/control/status.py
+++ b/oakbridge/control/status.py
@@ -1,4 +1,4 @@
-"""The schema of ``status``: what a node reports of itself, and its JSON."""
+"""The schema of ``status``: the fields that a node reports, and their JSON."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseCounts:
-    """Responses to clients since the start of the process, by how they ended."""
+    """The numbers of responses to clients since the start of the process, by kind."""
 
     served: int
     rejected: int
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStatus:
-    """One process's report."""
+    """The status of one node process."""
 
     name: str
     pid: int
     version: str
-    config_digest: str  # of the configuration that the process was started with
+    config_digest: str  # the digest of the configuration that the process was started with
     uptime_s: float
     listen_addresses: tuple[Address, ...]
     is_ready: bool
@@ -38,7 +38,7 @@
 
 
 def encode_status(status: NodeStatus) -> JsonObject:
-    """Return the JSON form.  Other programs read it: the names and their order stay."""
+    """Return the JSON form.  Other programs read it, so names and their order must not change."""
     return {
         "name": status.name,
         "pid": status.pid,
@@ -62,7 +62,7 @@
 
 
 def _encode_balancer(balancer: BalancerView) -> JsonObject:
-    """Return the balancer's figures, without the rows of its servers."""
+    """Return the balancer's fields, without its servers."""
     return {
         "list_version": balancer.list_version,
         "servers": balancer.servers,
--- a/tests/control/test_protocol.py
+++ b/tests/control/test_protocol.py
@@ -18,17 +18,17 @@
 
 @given(st.binary(max_size=400), st.lists(st.integers(1, 50)))
 @settings(derandomize=True)
-def test_lines_are_the_same_however_the_stream_is_cut(data, sizes):
+def test_lines_do_not_depend_on_how_the_stream_is_split(data, chunk_sizes):
     splitter = LineSplitter(1000)
     lines = []
-    rest = data
-    for size in [*sizes, len(data)]:
-        lines += splitter.feed(rest[:size])
-        rest = rest[size:]
-    assert lines == (data + rest).split(b"\n")[:-1]
+    unread = data
+    for size in [*chunk_sizes, len(data)]:
+        lines += splitter.feed(unread[:size])
+        unread = unread[size:]
+    assert lines == (data + unread).split(b"\n")[:-1]
 
 
-def test_a_line_that_is_too_long_is_rejected_before_its_end():
+def test_line_that_is_too_long_is_rejected_before_it_is_complete():
     splitter = LineSplitter(10)
     splitter.feed(b"12345")
     with pytest.raises(ProtocolError, match="at most 10"):
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "message"),
+    ("line", "error_text"),
     [
         (b"", "JSON object"),
         (b"[]", "JSON object"),
@@ -46,12 +46,12 @@
         (b'{"v": 1, "do": ["x"]}', "do: expected one of"),
     ],
 )
-def test_an_invalid_request_is_rejected_with_what_was_expected(line, message):
-    with pytest.raises(ProtocolError, match=message):
+def test_error_for_an_invalid_request_names_what_was_expected(line, error_text):
+    with pytest.raises(ProtocolError, match=error_text):
         decode_request(line)
 
 
-def test_requests_and_responses_survive_a_round_trip():
+def test_decoding_returns_what_was_encoded():
     request = decode_request(encode_request(ControlCommand.STATUS, {"rows": 3}).strip())
     assert (request.command, request.arguments) == (ControlCommand.STATUS, {"rows": 3})
     assert decode_response(encode_response({"a": 1}).strip()) == {"a": 1}
--- a/tests/formats/test_control.py
+++ b/tests/formats/test_control.py
@@ -1,6 +1,8 @@
-"""The control socket's bytes, held by fixtures that the program wrote before its names were changed.
+"""The control socket's bytes must equal those in fixtures, written by an earlier version.
 
-Each fixture is a conversation with one node: a line after ``> `` is sent, the line after ``< `` must come back.
+Names in the code can change without a change of the bytes.  Each fixture is a conversation with one
+node: the test sends a line that begins with ``> `` and expects the line after it, which begins with
+``< ``.
 """
 
 import asyncio
@@ -23,8 +25,8 @@
 
 FIXTURES = Path(__file__).parent / "fixtures"
 
-# What the command line asks, in the order of the fixture ``asked.txt``.
-ASKED = [
+# The command line's requests, in the order of the fixture ``asked.txt``.
+COMMAND_LINE_REQUESTS = [
     ("status", {"rows": 40}),
     ("status", {}),
     ("servers.accept", {"digest": "4b2f"}),
@@ -80,7 +82,7 @@
 )
 
 
-class HeldMembers:
+class FakePeers:
     def describe(self):
         return {"name": "edge-1", "members": [{"name": "edge-2", "state": "alive"}]}
 
@@ -88,7 +90,7 @@
         return {"edge-2": [{"ago_s": 1.5, "before": "", "after": "alive"}]}[name]
 
 
-class HeldSites:
+class FakeSites:
     def describe(self):
         return {"name": "edge-1", "home": "north", "sites": []}
 
@@ -99,12 +101,12 @@
         return {"site": site, "out": drain, "stamp": 1_700_000_000_000, "by": operator}
 
 
-class HeldSpread:
+class FakeSpread:
     def describe(self):
         return {"name": "edge-1", "rings": 2, "servers": []}
 
 
-def node(source, *, ready):
+def fake_node(source, *, ready):
     return SimpleNamespace(
         balancer=None,
         clock=SimpleNamespace(now=lambda: 7_000_000),
@@ -123,23 +125,24 @@
     )
 
 
-def node_with_all():
-    saved = FIXTURES / "sources" / "saved.list"
+def handler_with_all_services():
+    saved_path = FIXTURES / "sources" / "saved.list"
     source = FileSource(
-        FileOptions(Path("/srv/servers.json"), saved_path=saved), now=lambda: 1_700_000_000_000_000
+        FileOptions(Path("/srv/servers.json"), saved_path=saved_path),
+        now=lambda: 1_700_000_000_000_000,
     )
     return NodeControlHandler(
-        node(source, ready=True), "c0ffee", HeldMembers(), HeldSites(), HeldSpread()
+        fake_node(source, ready=True), "c0ffee", FakePeers(), FakeSites(), FakeSpread()
     )
 
 
-def node_alone():
-    return NodeControlHandler(node(InlineSource([]), ready=False))
+def handler_without_services():
+    return NodeControlHandler(fake_node(InlineSource([]), ready=False))
 
 
 @pytest.fixture
-def stopped_clock(monkeypatch):
-    """A moment that stands still, in one process with one version, that holds ``VIEW``."""
+def fixed_environment(monkeypatch):
+    """A fixed time, pid and version, and ``VIEW`` as the balancer's view."""
     monkeypatch.setattr(time, "time", lambda: 1_700_000_000.0)
     monkeypatch.setattr(os, "getpid", lambda: 4321)
     monkeypatch.setattr(handler, "__version__", "0.3.0")
@@ -147,20 +150,27 @@
 
 
 def conversation(name):
+    """Return the requests and responses in a fixture, without their prefixes."""
     lines = (FIXTURES / "control" / name).read_bytes().splitlines(keepends=True)
-    return [(sent[2:], answer[2:]) for sent, answer in zip(lines[::2], lines[1::2], strict=True)]
+    return [
+        (request[2:], response[2:])
+        for request, response in zip(lines[::2], lines[1::2], strict=True)
+    ]
 
 
-@pytest.mark.parametrize(("name", "make"), [("all.txt", node_with_all), ("alone.txt", node_alone)])
-def test_each_request_gets_the_same_bytes(tmp_path, stopped_clock, name, make):
+@pytest.mark.parametrize(
+    ("name", "make_handler"),
+    [("all.txt", handler_with_all_services), ("alone.txt", handler_without_services)],
+)
+def test_each_request_gets_the_same_bytes(tmp_path, fixed_environment, name, make_handler):
     async def scenario():
-        server = ControlServer(tmp_path / "n.sock", make().handle)
+        server = ControlServer(tmp_path / "n.sock", make_handler().handle)
         await server.start()
         try:
             reader, writer = await asyncio.open_unix_connection(str(tmp_path / "n.sock"))
-            for sent, answer in conversation(name):
-                writer.write(sent)
-                assert await soon(reader.readline()) == answer
+            for request, response in conversation(name):
+                writer.write(request)
+                assert await soon(reader.readline()) == response
             writer.close()
         finally:
             server.close()
@@ -171,17 +181,18 @@
 def test_the_command_lines_requests_are_the_same_bytes():
     lines = (FIXTURES / "control" / "asked.txt").read_bytes().splitlines(keepends=True)
     assert [
-        protocol.encode_request(ControlCommand(do), arguments) for do, arguments in ASKED
+        protocol.encode_request(ControlCommand(command), arguments)
+        for command, arguments in COMMAND_LINE_REQUESTS
     ] == lines
-    for (do, arguments), line in zip(ASKED, lines, strict=True):
-        read = protocol.decode_request(line.strip())
-        assert (read.command, read.arguments) == (do, arguments)
+    for (command, arguments), line in zip(COMMAND_LINE_REQUESTS, lines, strict=True):
+        request = protocol.decode_request(line.strip())
+        assert (request.command, request.arguments) == (command, arguments)
 
 
-def test_answers_are_read():
-    answers = dict(conversation("alone.txt"))
-    told = protocol.decode_response(answers[b'{"v":1,"do":"status"}\n'])
-    assert (told["name"], told["rows"][1]["cap"], told["source"]) == (
+def test_responses_in_a_fixture_are_decoded():
+    responses = dict(conversation("alone.txt"))
+    status = protocol.decode_response(responses[b'{"v":1,"do":"status"}\n'])
+    assert (status["name"], status["rows"][1]["cap"], status["source"]) == (
         "edge-1",
         7.5,
         {"kind": "inline"},
@@ -189,4 +200,4 @@
     with pytest.raises(
         RequestRejectedError, match=r"^this node divides no servers: .* no \[spread\]$"
     ):
-        protocol.decode_response(answers[b'{"v":1,"do":"spread"}\n'])
+        protocol.decode_response(responses[b'{"v":1,"do":"spread"}\n'])
