--- a/oakbridge/workers/__init__.py
+++ b/oakbridge/workers/__init__.py
@@ -1,14 +1,14 @@
-"""Several processes on one port, each a replica of the tier, under one supervisor that accepts.
+"""A node of several worker processes: a supervisor accepts connections and dispatches them.
 
-Without I/O:
+Each worker is a replica of the tier.  Modules without I/O:
 
-- ``limits``: one worker's part of a node's limits
+- ``limits``: one worker's share of the node's limits
 - ``connection_balancer``: which worker gets the next connection
-- ``unacknowledged``: connections that a worker has not received yet
+- ``unacknowledged``: connections that were sent to a worker and that it has not acknowledged
 - ``pool``: which workers run; restarts and rolling restarts
-- ``messages``: the channel's packets
-- ``status``: one status of all workers
+- ``messages``: encoding of the packets between the supervisor and a worker
+- ``status``: merges the workers' statuses into one
 
 In the supervisor's process: ``supervisor``, ``acceptor``, ``worker_process``, ``control_handler``.
-In a worker's: ``channel``.
+In a worker's process: ``channel``.
 """
--- a/oakbridge/workers/acceptor.py
+++ b/oakbridge/workers/acceptor.py
@@ -1,8 +1,8 @@
-"""The supervisor's listening sockets, and the accepting on them while a worker has capacity.
+"""The supervisor's listening sockets, on which it accepts while a worker has capacity.
 
-The supervisor accepts, rather than each worker with SO_REUSEPORT: a worker that dies then takes
-along only the connections that it had begun to read, and few long-lived connections are spread
-evenly (docs/design/workers.md).
+The supervisor accepts, rather than each worker with SO_REUSEPORT.  A worker that crashes then loses
+only the connections that it has begun to read, and a small number of long-lived connections is
+spread evenly (docs/design/workers.md).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Acceptor:
-    """Listen on a node's addresses; owns the sockets."""
+    """Listens on a node's addresses; owns the sockets."""
 
     def __init__(
         self,
@@ -29,11 +29,11 @@
         has_capacity: Callable[[], bool],
         dispatch: Callable[[socket.socket], None],
     ) -> None:
-        """Listen, and accept once told to.  Raises OSError with the address in its text.
+        """Listen; accepting begins with ``accept_while_capacity``.
 
-        ``has_capacity``: whether one more connection can be served; until then connections wait in
-        the kernel's queues.  ``dispatch``: called with each accepted connection, which it owns from
-        then on.
+        ``has_capacity``: returns whether one more connection can be served; while it returns False,
+        connections wait in the kernel's queues.  ``dispatch``: called with each accepted
+        connection, and owns it from then on.  Raises OSError with the address in its text.
         """
         self._loop = loop
         self._has_capacity = has_capacity
@@ -50,33 +50,34 @@
         self.addresses: list[Address] = [sock.getsockname() for sock in self._sockets]
 
     def accept_while_capacity(self) -> None:
-        """Accept if there is capacity, and stop if there is none."""
+        """Start accepting if there is capacity, else stop accepting."""
         if self._has_capacity():
             self._start()
         else:
             self._stop()
 
-    def accept_waiting(self) -> bool:
-        """Accept what waits in the kernel's queues; return whether all of it was.
+    def accept_queued(self) -> bool:
+        """Accept the connections in the kernel's queues; return whether the queues are empty.
 
-        False: accept fails for a moment, or no worker has capacity.
+        They are not after a transient error of accept, or if no worker has capacity.
         """
-        emptied = [self._accept_queue(sock) for sock in self._sockets]
-        return all(emptied)
+        are_empty = [self._accept_queue(sock) for sock in self._sockets]
+        return all(are_empty)
 
     def _accept_queue(self, listening: socket.socket) -> bool:
+        """Accept the connections in one socket's queue; return whether it is empty."""
         while self._has_capacity():
-            outcome = accept(listening, self._failures)
-            if outcome.connection is not None:
-                self._dispatch(outcome.connection)
-            elif outcome.status is AcceptStatus.QUEUE_EMPTY:
+            result = accept(listening, self._failures)
+            if result.connection is not None:
+                self._dispatch(result.connection)
+            elif result.status is AcceptStatus.QUEUE_EMPTY:
                 return True
-            elif outcome.status is AcceptStatus.UNAVAILABLE:
+            elif result.status is AcceptStatus.UNAVAILABLE:
                 return False
         return False
 
     def close(self) -> None:
-        """Close the sockets; what still waits in their queues is reset."""
+        """Close the sockets; the kernel resets the connections still in their queues."""
         self._stop()
         for sock in self._sockets:
             sock.close()
@@ -101,16 +102,16 @@
             if not self._has_capacity():
                 self._stop()
                 return
-            outcome = accept(listening, self._failures)
-            if outcome.connection is not None:
-                self._dispatch(outcome.connection)
-            elif outcome.status is AcceptStatus.QUEUE_EMPTY:
+            result = accept(listening, self._failures)
+            if result.connection is not None:
+                self._dispatch(result.connection)
+            elif result.status is AcceptStatus.QUEUE_EMPTY:
                 return
             else:
                 self._pause()
                 return
 
     def _pause(self) -> None:
-        """Accept again in a moment, if there is capacity then."""
+        """Stop accepting, and start again after a delay if there is capacity then."""
         self._stop()
         self._loop.call_later(ACCEPT_RETRY_US / US_PER_S, self.accept_while_capacity)
--- a/oakbridge/workers/channel.py
+++ b/oakbridge/workers/channel.py
@@ -1,4 +1,4 @@
-"""A worker's end of the channel to its supervisor: receive connections, send load reports."""
+"""A worker's end of the channel to its supervisor: receives connections and sends load reports."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
 
 log = logging.getLogger(__name__)
 
-REPORT_DELAY_S = 0.002  # connections that come and go within it are told in one report
-RETRY_DELAY_S = 0.02  # after which a message is sent again that the channel had no space for
+REPORT_DELAY_S = 0.002  # all changes of the connection count within this time go into one report
+RETRY_DELAY_S = 0.02  # before a message is sent again because the channel was full
 
 
 class WorkerChannel:
-    """The channel to the supervisor, which it owns.
+    """The worker's end of the channel; owns its socket.
 
-    If the supervisor dies, the worker shuts down: nobody could send it connections, restart it or
-    stop it.
+    If the supervisor exits, the worker shuts down, because no other process can send it
+    connections, restart it or stop it.
     """
 
     def __init__(self, channel: socket.socket) -> None:
-        """Take over the socket; it is closed when ``attached`` is left."""
+        """Take ownership of the socket; it is closed when the context ``attached`` exits."""
         self._channel = channel
         self._channel.setblocking(False)
         self._loop = asyncio.get_running_loop()
         self._node: Node | None = None
-        self._unacknowledged: deque[socket.socket] = deque()  # not read from yet
-        self._acknowledged = 0  # connections, since the worker's start
+        self._unacknowledged: deque[socket.socket] = deque()  # no byte of these was read yet
+        self._acknowledged_count = 0  # connections since the worker's start
         self._report_timer: asyncio.TimerHandle | None = None
 
     @contextmanager
     def attached(self, node: Node) -> Iterator[None]:
-        """Have a node serve the connections that arrive, then close the channel."""
+        """Have a node serve the received connections; close the channel when the context exits."""
         self._node = node
         node.server.limits.on_change = self._schedule_report
         self._loop.add_reader(self._channel, self._receive)
@@ -60,7 +60,7 @@
             self._channel.close()
 
     def _receive(self) -> None:
-        """Read one packet and act on it."""
+        """Receive one packet and execute its command."""
         try:
             packet, descriptors, *_ = socket.recv_fds(self._channel, MAX_PACKET_BYTES, 1)
         except (BlockingIOError, InterruptedError):
@@ -68,19 +68,20 @@
         except OSError:
             packet, descriptors = b"", []
         if not packet:
-            log.warning("the supervisor is gone: this worker ends")
+            log.warning("channel to the supervisor closed; the worker shuts down")
             self._loop.remove_reader(self._channel)
             os.kill(os.getpid(), signal.SIGTERM)
             return
         try:
             self._execute(packet, descriptors)
-        except PacketError as e:
-            log.error("invalid packet from the supervisor: %s", e)  # noqa: TRY400 - its place is known
+        except PacketError as error:
+            # A traceback adds nothing.
+            log.error("packet from the supervisor is invalid: error=%s", error)  # noqa: TRY400
             for descriptor in descriptors:
                 os.close(descriptor)
 
     def _execute(self, packet: bytes, descriptors: Sequence[int]) -> None:
-        """Carry out a command.  Raises PacketError."""
+        """Execute the command in a packet.  Raises PacketError."""
         match decode_command(packet):
             case SupervisorCommand.SERVE_CONNECTION:
                 if len(descriptors) != 1:
@@ -93,15 +94,15 @@
                 os.kill(os.getpid(), signal.SIGHUP)
 
     def _acknowledge(self) -> None:
-        """Report the connections that have arrived, and only then read from them.
+        """Acknowledge the received connections in a load report, and only then serve them.
 
-        The supervisor sends what was not acknowledged to another worker if this process dies.
+        If this process exits, the supervisor sends unacknowledged connections to another worker.
         """
         assert self._node is not None
-        arrived = len(self._unacknowledged)
+        unacknowledged_count = len(self._unacknowledged)
         report = LoadReport(
-            open_connections=self._node.server.connection_count() + arrived,
-            received_connections=self._acknowledged + arrived,
+            open_connections=self._node.server.connection_count() + unacknowledged_count,
+            received_connections=self._acknowledged_count + unacknowledged_count,
         )
         try:
             self._channel.send(encode_message(report))
@@ -109,9 +110,10 @@
             self._loop.call_later(RETRY_DELAY_S, self._acknowledge)
             return
         except OSError:
-            pass  # the supervisor is gone, and with it whoever could send these to another worker
+            # The supervisor has exited, so no other worker can get these connections.
+            pass
         while self._unacknowledged:
-            self._acknowledged += 1
+            self._acknowledged_count += 1
             self._node.server.admit(self._unacknowledged.popleft())
 
     def _schedule_report(self) -> None:
@@ -121,12 +123,12 @@
     def _report(self) -> None:
         self._report_timer = None
         if self._node is not None:
-            self._send(LoadReport(self._node.server.connection_count(), self._acknowledged))
+            self._send(LoadReport(self._node.server.connection_count(), self._acknowledged_count))
 
     def _send(self, message: WorkerMessage) -> None:
         try:
             self._channel.send(encode_message(message))
-        except BlockingIOError:  # the supervisor is behind: a newer report follows
+        except BlockingIOError:  # the channel is full; a newer report is sent after the delay
             self._report_timer = self._loop.call_later(RETRY_DELAY_S, self._report)
         except OSError:
-            pass  # the supervisor is gone, which _receive notices
+            pass  # the supervisor has exited, and _receive shuts this worker down
--- a/oakbridge/workers/control_handler.py
+++ b/oakbridge/workers/control_handler.py
@@ -1,4 +1,4 @@
-"""Carry out the control socket's commands on all workers of a supervisor."""
+"""Execute the control socket's commands on all workers of a supervisor."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from oakbridge.workers.pool import WorkerPool
 from oakbridge.workers.status import WorkerUnavailable, merge_status
 
-WORKER_TIMEOUT_S = 2.0
+WORKER_TIMEOUT_S = 2.0  # for each system call on a worker's control socket
 
 
 class WorkersControlHandler:
-    """Handle requests for a node of several workers."""
+    """Handles the requests to a node of several workers."""
 
     def __init__(
         self,
@@ -37,9 +37,10 @@
         *,
         started_at: float,
     ) -> None:
-        """``socket_path``: of the node; the workers' own are beside it.
+        """``socket_path``: of the node's control socket; the workers' sockets are beside it.
 
-        ``started_at``: the supervisor's start, in seconds as ``time.monotonic`` tells them.
+        ``peers``: None if the configuration has no [peers].  ``started_at``: when the supervisor
+        started, in seconds of ``time.monotonic``.
         """
         self._name = name
         self._addresses = addresses
@@ -50,15 +51,15 @@
         self._started_at = started_at
 
     async def handle(self, request: Request) -> JsonObject:
-        """Have all workers carry out a request and return one result.
+        """Have all workers execute a request, and return one result.
 
         Raises RequestRejectedError or ValueError with the reason.
         """
-        if request.command in PEER_COMMANDS:  # one member for all workers
+        if request.command in PEER_COMMANDS:  # the supervisor is the member, for all workers
             return handle_peer_request(self._peers, request)
         results = await self._request_all(request)
         if request.command is ControlCommand.STATUS:
-            # Each worker has checked the argument; where one rejects it, its line says why.
+            # Each worker checks the argument; one that rejects it gives the reason in its entry.
             max_rows = int(request.arguments.get("rows", DEFAULT_STATUS_ROWS))
             return merge_status(self._describe_supervisor(), results, max_rows)
         return _agreed_result(results)
@@ -71,15 +72,15 @@
         return dict(zip(workers, results, strict=True))
 
     def _request(self, worker: int, request: Request) -> JsonObject | WorkerUnavailable:
-        """Return a worker's result; blocks until it is there."""
+        """Send a request to a worker and return its result; blocks until the response arrives."""
         path = worker_socket_path(self._socket_path, worker)
         try:
             with ControlClient(path, WORKER_TIMEOUT_S) as client:
                 result: JsonObject = client.request(request.command, **request.arguments)
-        except (NodeUnreachableError, RequestRejectedError) as e:
+        except (NodeUnreachableError, RequestRejectedError) as error:
             process = self._pool.processes[worker]
             last_exit = f"; ended last: {process.last_exit}" if process.last_exit else ""
-            return WorkerUnavailable(f"{process.state.value}: {e}{last_exit}")
+            return WorkerUnavailable(f"{process.state.value}: {error}{last_exit}")
         return result
 
     def _describe_supervisor(self) -> JsonObject:
@@ -96,7 +97,7 @@
 
 
 def _agreed_result(results: dict[int, JsonObject | WorkerUnavailable]) -> JsonObject:
-    """Return the first worker's result.  Raises RequestRejectedError where any worker gave none."""
+    """Return the first worker's result.  Raises RequestRejectedError if any worker has none."""
     unavailable = [
         f"worker {worker}: {result.reason}"
         for worker, result in results.items()
--- a/oakbridge/workers/limits.py
+++ b/oakbridge/workers/limits.py
@@ -1,4 +1,4 @@
-"""The limits of one worker, which add up to those of its node over all workers.  No I/O."""
+"""One worker's limits; those of all workers add up to the node's.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 from oakbridge.policy.settings import Settings
 from oakbridge.workers.errors import WorkerLimitsError
 
-MIN_SOCKETS_PER_WORKER = 128  # a node can't do with fewer descriptors
+MIN_SOCKETS_PER_WORKER = 128  # the smallest number of descriptors that a node works with
 MAX_WORKERS = 64
 
 
 def worker_name(node_name: str, worker: int) -> str:
-    """Return the name of a worker in logs and in ``oakbridge status``; workers count from 1."""
+    """Return a worker's name in logs and in ``oakbridge status``; workers are numbered from 1."""
     return f"{node_name}.{worker}"
 
 
 def worker_config(config: Config, worker: int, worker_count: int) -> Config:
     """Return the configuration of one worker of a node.
 
-    Raises WorkerLimitsError where the node's limits are too small for so many workers.
+    Raises WorkerLimitsError if ``worker_count`` is out of range or the node has too few sockets for
+    that number of workers.
     """
     if not 1 <= worker <= worker_count <= MAX_WORKERS:
         raise WorkerLimitsError("workers", f"1 to {MAX_WORKERS}", worker_count)
@@ -41,12 +42,12 @@
 def _worker_settings(settings: Settings, worker_count: int) -> Settings:
     """Return the balancer's settings of one worker.
 
-    A worker is a replica of the tier like any other: subsets, least limits, warming servers and
-    tenants' quotas all follow from the number of replicas.  What is set for one process is divided:
-    open requests and the floor of the retry budget (the budget's ratio follows from a worker's own
-    traffic).
+    A worker is a replica of the tier like any other: subsets, minimum limits, slow start and
+    tenants' quotas all follow from the number of replicas.  Settings that hold for one process are
+    divided among the workers: the limit of open requests and the floor of the retry budget.  The
+    budget's ratio needs no division, because it applies to a worker's own traffic.
     """
-    max_open_requests = settings.max_open_requests  # 0: without a limit
+    max_open_requests = settings.max_open_requests  # 0: no limit
     if max_open_requests:
         max_open_requests = max(1, max_open_requests // worker_count)
     return replace(
--- a/oakbridge/workers/messages.py
+++ b/oakbridge/workers/messages.py
@@ -6,8 +6,8 @@
     from a worker: {"do": "ready", "most": 900}
                    {"do": "account", "had": 12, "seen": 4096}
 
-One JSON object a packet.  The channel keeps packets whole and in order (SOCK_SEQPACKET), so that
-``leave`` arrives after every connection that was sent before it.
+Each packet is one JSON object.  The channel (SOCK_SEQPACKET) keeps packets whole and in order, so
+that ``leave`` arrives after every connection that was sent before it.
 """
 
 from __future__ import annotations
@@ -23,26 +23,26 @@
 
 
 class SupervisorCommand(Enum):
-    """What the supervisor has a worker do; the value is the packet."""
+    """The supervisor's commands to a worker; the value is the packet."""
 
-    SERVE_CONNECTION = b'{"do":"connection"}'  # with the connection's descriptor beside it
-    SHUT_DOWN = b'{"do":"leave"}'  # gracefully: serve the connections that are open, then end
-    RELOAD = b'{"do":"reload"}'
+    SERVE_CONNECTION = b'{"do":"connection"}'  # sent with the connection's descriptor
+    SHUT_DOWN = b'{"do":"leave"}'  # gracefully: serve the open connections, then exit
+    RELOAD = b'{"do":"reload"}'  # read the configuration again
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerReady:
-    """The worker serves."""
+    """The worker is ready to serve connections."""
 
     max_connections: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """The worker's open connections, and all that it has received from the supervisor until now."""
+    """The load of a worker, which also acknowledges the connections that it has received."""
 
     open_connections: int
-    received_connections: int
+    received_connections: int  # from the supervisor, since the worker's start
 
 
 WorkerMessage = WorkerReady | LoadReport
@@ -54,7 +54,7 @@
 
 
 def decode_command(packet: bytes) -> SupervisorCommand:
-    """Read a packet from the supervisor.  Raises PacketError."""
+    """Return the command in a packet from the supervisor.  Raises PacketError."""
     try:
         return SupervisorCommand(packet)
     except ValueError:
@@ -78,7 +78,7 @@
 
 
 def decode_message(packet: bytes) -> WorkerMessage:
-    """Read a packet from a worker.  Raises PacketError."""
+    """Return the message in a packet from a worker.  Raises PacketError."""
     kind, numbers = _decode_fields(packet)
     if kind == "ready" and numbers.keys() == {"most"}:
         return WorkerReady(max_connections=numbers["most"])
@@ -88,7 +88,7 @@
 
 
 def _decode_fields(packet: bytes) -> tuple[Any, dict[str, int]]:
-    """Return the kind of a worker's packet and its numbers.  Raises PacketError."""
+    """Return the kind of a worker's packet and its numeric fields.  Raises PacketError."""
     try:
         fields = json.loads(packet)
     except (ValueError, RecursionError):
--- a/oakbridge/workers/pool.py
+++ b/oakbridge/workers/pool.py
@@ -1,14 +1,16 @@
-"""The state machine of a supervisor's workers: who runs, who takes connections.  No I/O.
+"""The state machine of a supervisor's workers: which run, and which take connections.  No I/O.
 
-The caller reports what happened and carries out the actions that come back.  Each worker's process
-has a state machine of its own (``process.supervisor``); this one goes by their states:
+The supervisor reports events and executes the returned actions.  Each worker's process has a state
+machine of its own (``process.supervisor``); this one depends on their states:
 
-- a worker takes connections from when it is ready until it is told to shut down or has ended;
-- one that dies is started again, with a backoff while it dies in its start; the others carry on;
-- a rolling restart takes one worker at a time: shut down, ended, started, ready, and only then the
-  next.  It stops where one does not come back, so that a program that can't start costs one worker
-  and not all;
-- at the end all shut down at once, and no restart is begun after that.
+- A worker takes connections from when it is ready until a rolling restart shuts it down or its
+  process exits.  In a shutdown of all workers it takes connections until its process exits.
+- A worker that crashes is restarted, after a backoff that grows while it crashes at its start.  The
+  other workers are not affected.
+- A rolling restart takes one worker at a time: it is shut down, exits, starts and is ready before
+  the next worker's turn.  If a worker does not become ready again, the rolling restart stops, so
+  that a program that can't start costs one worker and not all.
+- In a shutdown all workers shut down at once, and no worker is restarted after that.
 
 All times are in microseconds of a monotonic clock.
 """
@@ -23,10 +25,10 @@
 from oakbridge.process.supervisor import State as ProcessState
 from oakbridge.process.supervisor import Supervisor as ProcessSupervisor
 
-# A worker that took connections for so long has not failed to start, whatever ended it.
+# A worker that took connections for this long has not failed to start, whatever its exit's reason.
 RESET_BACKOFF_AFTER_US = SECOND_US
 EXIT_SUCCESS = 0
-EXIT_USAGE_ERROR = 2  # of a worker that can't use its configuration
+EXIT_USAGE_ERROR = 2  # the exit code of a worker whose configuration is invalid
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LogWarning:
-    """Write a line to the log."""
+    """Log a line with the level of a warning."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """End the supervisor: no worker is left, and none will be started."""
+    """Exit the supervisor's process: no worker runs, and none will be started."""
 
     code: int
 
@@ -70,7 +72,7 @@
 
 
 class WorkerPool:
-    """The workers of one supervisor, counted from 1."""
+    """The workers of one supervisor, numbered from 1."""
 
     def __init__(self, worker_count: int) -> None:
         self.processes = {
@@ -79,116 +81,119 @@
         }
         self.is_shutting_down = False
         self._in_balancer: set[int] = set()
-        # The first is being restarted; the others wait for their turn.
+        # The first worker is being restarted; the others are restarted after it.
         self._rolling_restart: deque[int] = deque()
-        self._ever_ready = False
+        self._was_any_ready = False
         self._exit_code = EXIT_SUCCESS
         self._has_exited = False
 
-    # ---- what should be
+    # ---- commands
 
-    def start(self, now: int) -> list[Action]:
+    def start(self, now_us: int) -> list[Action]:
         """Start all workers."""
         actions: list[Action] = []
         for worker, process in self.processes.items():
-            actions += _on_process(worker, process.start(now))
+            actions += _process_actions(worker, process.start(now_us))
         return actions
 
-    def shut_down(self, now: int) -> list[Action]:
-        """Shut all workers down, and exit once all have ended.
+    def shut_down(self, now_us: int) -> list[Action]:
+        """Shut down all workers, and exit once all of their processes have exited.
 
-        A worker takes the connections that still come until it has ended.
+        A worker takes the connections that still arrive until its process exits.
         """
         self.is_shutting_down = True
         self._rolling_restart.clear()
         actions: list[Action] = []
         for worker, process in self.processes.items():
-            actions += _on_process(worker, process.stop(now))
-        return [*actions, *self._exit_if_all_ended()]
+            actions += _process_actions(worker, process.stop(now_us))
+        return [*actions, *self._exit_if_all_stopped()]
 
-    def rolling_restart(self, now: int) -> list[Action]:
+    def rolling_restart(self, now_us: int) -> list[Action]:
         """Restart all workers, one after the other.
 
-        Where a rolling restart goes on already, all have their turn once more after its present
+        If a rolling restart is in progress, all workers are restarted once more after its current
         worker.
         """
         if self.is_shutting_down:
             return []
         if self._rolling_restart:
-            present_worker = self._rolling_restart[0]
-            self._rolling_restart = deque([present_worker, *self.processes])
+            current_worker = self._rolling_restart[0]
+            self._rolling_restart = deque([current_worker, *self.processes])
             return []
         self._rolling_restart = deque(self.processes)
-        return self._restart_next(now)
+        return self._restart_next(now_us)
 
-    # ---- what happened
+    # ---- events
 
-    def ready(self, worker: int, max_connections: int, now: int) -> list[Action]:
-        """Note that a worker serves."""
+    def ready(self, worker: int, max_connections: int, now_us: int) -> list[Action]:
+        """Handle a worker's message that it is ready."""
         process = self.processes[worker]
         if process.state is not ProcessState.STARTING:
             return []
-        self._ever_ready = True
+        self._was_any_ready = True
         self._in_balancer.add(worker)
         actions: list[Action] = [AddToBalancer(worker, max_connections)]
-        actions += _on_process(worker, process.ready(now))
+        actions += _process_actions(worker, process.ready(now_us))
         if self._is_restarting(worker):
             self._rolling_restart.popleft()
-            actions += self._restart_next(now)
+            actions += self._restart_next(now_us)
         return actions
 
-    def exited(self, worker: int, how: str, code: int | None, now: int) -> list[Action]:
-        """Note that a worker has ended, or could not be started.
+    def exited(self, worker: int, reason: str, exit_code: int | None, now_us: int) -> list[Action]:
+        """Handle the exit of a worker's process, or a failure to start it.
 
-        ``how``: for people.  ``code``: its exit code, None if a signal ended it or if it was not
-        started.
+        ``reason``: shown to operators.  ``exit_code``: None if a signal killed the process or it
+        could not be started.
         """
         process = self.processes[worker]
-        expected = process.state is ProcessState.STOPPING
+        is_expected = process.state is ProcessState.STOPPING
         actions = self._remove_from_balancer(worker)
-        if not expected:
-            actions.append(LogWarning(f"worker {worker} ended: {how}"))
-        if code == EXIT_USAGE_ERROR and not self._ever_ready and not self.is_shutting_down:
-            return [*actions, *self._shut_down_for_usage_error(worker, how, now)]
-        actions += _on_process(worker, process.exited(now, how))
+        if not is_expected:
+            actions.append(LogWarning(f"worker failed: worker={worker} reason={reason}"))
+        if exit_code == EXIT_USAGE_ERROR and not self._was_any_ready and not self.is_shutting_down:
+            return [*actions, *self._shut_down_for_usage_error(worker, reason, now_us)]
+        actions += _process_actions(worker, process.exited(now_us, reason))
         if process.is_crash_looping and not self.is_shutting_down:
             backoff_s = process.backoff_us() / SECOND_US
             actions.append(
-                LogWarning(f"worker {worker} is in a crash loop; next try in {backoff_s:.0f} s")
+                LogWarning(
+                    f"worker restart delayed: worker={worker} delay_s={backoff_s:.0f}"
+                    " reason=crash loop"
+                )
             )
-        if self._is_restarting(worker) and not expected:
+        if self._is_restarting(worker) and not is_expected:
             self._rolling_restart.clear()
             actions.append(
-                LogWarning(f"the rolling restart stops: worker {worker} did not come back")
+                LogWarning(f"rolling restart stopped: worker={worker} reason=worker failed")
             )
-        return [*actions, *self._exit_if_all_ended()]
+        return [*actions, *self._exit_if_all_stopped()]
 
-    def tick(self, worker: int, now: int) -> list[Action]:
-        """Note that the time of a worker's timer has come."""
-        return _on_process(worker, self.processes[worker].tick(now))
+    def tick(self, worker: int, now_us: int) -> list[Action]:
+        """Handle the expiry of a worker's timer."""
+        return _process_actions(worker, self.processes[worker].tick(now_us))
 
     # ---- transitions
 
-    def _shut_down_for_usage_error(self, worker: int, how: str, now: int) -> list[Action]:
-        """End as one node would.
+    def _shut_down_for_usage_error(self, worker: int, reason: str, now_us: int) -> list[Action]:
+        """Shut down with the exit code that a node without workers would have.
 
-        No worker has ever served, so the configuration is at fault; this is no crash.
+        No worker was ever ready, so the configuration is at fault, and this exit is no crash.
         """
         self._exit_code = EXIT_USAGE_ERROR
         process = self.processes[worker]
-        process.stop(now)
-        actions = _on_process(worker, process.exited(now, how))
-        return [*actions, *self.shut_down(now)]
+        process.stop(now_us)
+        actions = _process_actions(worker, process.exited(now_us, reason))
+        return [*actions, *self.shut_down(now_us)]
 
-    def _restart_next(self, now: int) -> list[Action]:
+    def _restart_next(self, now_us: int) -> list[Action]:
         if not self._rolling_restart:
-            return [LogWarning("the rolling restart is done")]
+            return [LogWarning("rolling restart completed")]
         worker = self._rolling_restart[0]
         actions = self._remove_from_balancer(worker)
-        return [*actions, *_on_process(worker, self.processes[worker].restart(now))]
+        return [*actions, *_process_actions(worker, self.processes[worker].restart(now_us))]
 
     def _is_restarting(self, worker: int) -> bool:
-        """Return whether a rolling restart is at this worker."""
+        """Return whether a rolling restart restarts this worker now."""
         return bool(self._rolling_restart) and self._rolling_restart[0] == worker
 
     def _remove_from_balancer(self, worker: int) -> list[Action]:
@@ -197,7 +202,7 @@
         self._in_balancer.discard(worker)
         return [RemoveFromBalancer(worker)]
 
-    def _exit_if_all_ended(self) -> list[Action]:
+    def _exit_if_all_stopped(self) -> list[Action]:
         if not self.is_shutting_down or self._has_exited:
             return []
         if any(process.state is not ProcessState.STOPPED for process in self.processes.values()):
@@ -206,5 +211,5 @@
         return [Exit(self._exit_code)]
 
 
-def _on_process(worker: int, actions: list[ProcessAction]) -> list[Action]:
+def _process_actions(worker: int, actions: list[ProcessAction]) -> list[Action]:
     return [ActOnProcess(worker, action) for action in actions]
--- a/oakbridge/workers/status.py
+++ b/oakbridge/workers/status.py
@@ -1,7 +1,7 @@
-"""Merge the workers' statuses into one of a single node's form, for readers of either.  No I/O.
+"""Merge the workers' statuses into one, in the form of a single node's status.  No I/O.
 
-The statuses stay JSON objects: after a rolling restart the workers may run another version of the
-program than the supervisor, and a field that only they know is passed on as it is.
+The statuses stay JSON objects.  After a rolling restart the workers may run another version of the
+program than the supervisor, and a field that only the workers know is passed on unchanged.
 """
 
 from __future__ import annotations
@@ -34,15 +34,16 @@
     "waiting",
     "answers",
 )
-# A server's state where workers differ: the worst that any of them believes.
+# If workers report different states of a server, the merged row has the most severe one.  States
+# that are not listed have severity 0.
 SERVER_STATE_SEVERITY = {"cold": 1, "ejected": 2, "drains": 3}
-SUM_DIGITS = 2
-RATE_DIGITS = 4
+SUM_DECIMAL_PLACES = 2
+RATE_DECIMAL_PLACES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerUnavailable:
-    """A worker that gave no result."""
+    """Stands for the result of a worker that returned none."""
 
     reason: str
 
@@ -50,15 +51,15 @@
 def merge_status(
     supervisor: JsonObject, workers: Mapping[int, JsonObject | WorkerUnavailable], max_rows: int
 ) -> JsonObject:
-    """Return the status of all workers as that of one node.
+    """Return the status of all workers in the form of one node's.
 
-    ``supervisor``: fields that stand in place of a worker's, such as name and pid.  Counts add up.
-    A server's row has the attempts that all workers have in flight to it.
+    ``supervisor``: fields that replace the workers' own, such as name and pid.  Counts are summed;
+    a server's row has the number of attempts that all workers have in flight to it.
     """
     statuses = [status for status in workers.values() if not isinstance(status, WorkerUnavailable)]
     merged: JsonObject = {**(statuses[0] if statuses else {}), **supervisor}
     for field in SUMMED_FIELDS:
-        merged[field] = round(sum(status[field] for status in statuses), SUM_DIGITS)
+        merged[field] = round(sum(status[field] for status in statuses), SUM_DECIMAL_PLACES)
     merged["answers"] = {
         kind: sum(status["answers"][kind] for status in statuses) for kind in RESPONSE_KINDS
     }
@@ -79,7 +80,7 @@
     if not attempts:
         return 0.0
     failures = sum(status["fail_rate"] * status["attempts_per_s"] for status in statuses)
-    return float(round(failures / attempts, RATE_DIGITS))
+    return float(round(failures / attempts, RATE_DECIMAL_PLACES))
 
 
 def _summarize(worker: int, status: JsonObject | WorkerUnavailable) -> JsonObject:
@@ -89,7 +90,7 @@
 
 
 def _merge_rows(rows_by_worker: Iterable[list[JsonObject]]) -> list[JsonObject]:
-    """Return one row for each server, by name."""
+    """Return one row for each server, sorted by name."""
     merged: dict[str, JsonObject] = {}
     for rows in rows_by_worker:
         for row in rows:
--- a/oakbridge/workers/supervisor.py
+++ b/oakbridge/workers/supervisor.py
@@ -1,7 +1,7 @@
-"""The supervisor of several worker processes on one port: run them, and dispatch connections.
+"""The supervisor of a node's worker processes: runs them and dispatches connections to them.
 
-It carries out what the state machines decide: ``pool`` which workers run, ``connection_balancer``
-which of them gets a connection.
+It executes the decisions of two state machines: ``pool`` decides which workers run, and
+``connection_balancer`` which worker gets a connection.
 """
 
 from __future__ import annotations
@@ -45,14 +45,17 @@
 
 log = logging.getLogger(__name__)
 
-# Connections still come for a while after a stop; workers wait 0.1 s longer for them.
-ACCEPT_AFTER_STOP_S = 0.4
-ACCEPT_LAST_RETRY_S = 0.02  # where accept fails at that moment,
-ACCEPT_LAST_PATIENCE_S = 0.08  # for so long: workers wait no longer
+# Connections still arrive for a while after a shutdown begins.  Workers wait for them 0.1 s longer
+# than this.
+ACCEPT_AFTER_SHUTDOWN_S = 0.4
+# If the last accept fails, it is retried at this interval until the timeout.  Workers stop waiting
+# for connections shortly after the timeout, so it can't be longer.
+LAST_ACCEPT_RETRY_INTERVAL_S = 0.02
+LAST_ACCEPT_TIMEOUT_S = 0.08
 
 
 class WorkerSupervisor:
-    """Run the workers of one node; owns the listening sockets and the workers' processes."""
+    """Runs the workers of one node; owns the listening sockets and the workers' processes."""
 
     def __init__(
         self,
@@ -62,7 +65,10 @@
         command_line: CommandLine,
         control_socket: Path | None,
     ) -> None:
-        """Listen.  Raises OSError with the address in its text."""
+        """Listen.  Raises OSError with the address in its text.
+
+        ``control_socket``: the path of the node's control socket, None for no control socket.
+        """
         self.name = name
         self._loop = asyncio.get_running_loop()
         self._started_at = time.monotonic()
@@ -72,7 +78,7 @@
         self._balancer = ConnectionBalancer()
         self._processes: dict[int, WorkerProcess] = {}
         self._tasks: set[asyncio.Task[None]] = set()  # one for each process
-        # Accepted, and waiting for a worker with capacity.
+        # Accepted connections that wait for a worker with capacity.
         self._undispatched: deque[socket.socket] = deque()
         self._exit_code: asyncio.Future[int] = self._loop.create_future()
         self._acceptor = Acceptor(
@@ -80,36 +86,44 @@
         )
 
     async def run(self, peers: PeerDirectory | None = None) -> int:
-        """Serve until all workers have ended, and return the exit code.
+        """Serve until all workers have exited, and return the exit code.
 
         SIGTERM and SIGINT shut down, SIGHUP reloads, SIGUSR1 begins a rolling restart.  ``peers``:
-        the other nodes, None where the configuration has no such table.
+        None if the configuration has no [peers].
         """
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self.shut_down)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, self.shut_down)
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
         self._loop.add_signal_handler(signal.SIGUSR1, self.rolling_restart)
         try:
             async with self._control_server(peers):
                 addresses = ", ".join(f"{host}:{port}" for host, port in self._acceptor.addresses)
                 workers = len(self._pool.processes)
-                log.info("%s listens on %s with %d workers", self.name, addresses, workers)
+                log.info(
+                    "supervisor listens: node=%s addresses=%s workers=%d",
+                    self.name,
+                    addresses,
+                    workers,
+                )
                 self._execute(self._pool.start(_now_us()))
                 return await self._exit_code
         finally:
             self._close()
 
     def shut_down(self) -> None:
-        """Shut all workers down gracefully; new connections are dispatched for a moment more."""
+        """Shut down all workers gracefully.
+
+        Connections are accepted and dispatched for ACCEPT_AFTER_SHUTDOWN_S more.
+        """
         if self._pool.is_shutting_down:
             return
-        log.info("%s ends", self.name)
-        give_up_at = self._loop.time() + ACCEPT_AFTER_STOP_S + ACCEPT_LAST_PATIENCE_S
-        self._loop.call_later(ACCEPT_AFTER_STOP_S, self._accept_last, give_up_at)
+        log.info("supervisor shuts down: node=%s", self.name)
+        deadline_s = self._loop.time() + ACCEPT_AFTER_SHUTDOWN_S + LAST_ACCEPT_TIMEOUT_S
+        self._loop.call_later(ACCEPT_AFTER_SHUTDOWN_S, self._accept_last, deadline_s)
         self._execute(self._pool.shut_down(_now_us()))
 
     def reload(self) -> None:
-        """Have all workers read the configuration anew."""
+        """Have all workers read the configuration again."""
         for process in list(self._processes.values()):
             process.send(SupervisorCommand.RELOAD)
 
@@ -133,15 +147,21 @@
         )
         return ControlServer(self._control_socket, handler.handle)
 
-    def _accept_last(self, give_up_at: float) -> None:
-        """Accept what waits, and close; again in a moment if that fails, up to a time."""
-        if self._acceptor.accept_waiting() or self._loop.time() >= give_up_at:
+    def _accept_last(self, deadline_s: float) -> None:
+        """Accept the queued connections and close the listening sockets.
+
+        Retries until ``deadline_s``, a time of the event loop, if connections remain in the queues.
+        """
+        if self._acceptor.accept_queued() or self._loop.time() >= deadline_s:
             self._acceptor.close()
         else:
-            self._loop.call_later(ACCEPT_LAST_RETRY_S, self._accept_last, give_up_at)
+            self._loop.call_later(LAST_ACCEPT_RETRY_INTERVAL_S, self._accept_last, deadline_s)
 
     def _close(self) -> None:
-        """Close what is open; after a graceful shutdown nothing but the listening sockets is."""
+        """Close all sockets and kill all processes.
+
+        After a graceful shutdown only the listening sockets can still be open.
+        """
         self._acceptor.close()
         for connection in self._undispatched:
             connection.close()
@@ -150,7 +170,7 @@
         for task in self._tasks:
             task.cancel()
 
-    # ---- actions of the pool
+    # ---- the pool's actions
 
     def _execute(self, actions: Sequence[Action]) -> None:
         for action in actions:
@@ -168,10 +188,10 @@
                         self._exit_code.set_result(action.code)
                 case _:
                     assert_never(action)
-        self._dispatch_waiting()
+        self._dispatch_pending()
 
     def _act_on_process(self, worker: int, action: ProcessAction) -> None:
-        process = self._processes.get(worker)  # None while it is being started
+        process = self._processes.get(worker)  # None while the process is being created
         match action:
             case Start():
                 task = self._loop.create_task(self._run_worker(worker))
@@ -182,7 +202,7 @@
                     process.send(SupervisorCommand.SHUT_DOWN)
             case Kill():
                 if process is not None:
-                    log.warning("worker %d does not end, and is killed", worker)
+                    log.warning("worker timed out and is killed: worker=%d", worker)
                     process.kill()
             case SetTimer():
                 delay_s = max(0, action.at - _now_us()) / SECOND_US
@@ -196,26 +216,27 @@
     # ---- workers' processes
 
     async def _run_worker(self, worker: int) -> None:
-        """Run a worker's process once, from its start to its end."""
+        """Run a worker's process once, from its start to its exit."""
         try:
             process = await WorkerProcess.start(worker, self._command_line)
-        except OSError as e:
-            how = f"could not be started: {e}"
-            self._execute(self._pool.exited(worker, how, None, _now_us()))
+        except OSError as error:
+            reason = f"could not be started: {error}"
+            self._execute(self._pool.exited(worker, reason, None, _now_us()))
             return
         with self._attached(process):
-            if self._pool.processes[worker].state is ProcessState.STOPPING:  # since it was begun
+            # The worker may have been told to stop while its process was being created.
+            if self._pool.processes[worker].state is ProcessState.STOPPING:
                 process.send(SupervisorCommand.SHUT_DOWN)
-            code = await process.wait()
-            while self._receive(process):  # its last load reports
+            return_code = await process.wait()
+            while self._receive(process):  # the worker's last load reports
                 pass
             self._undispatched.extend(process.unacknowledged.take_all())
-        exit_code = code if code >= 0 else None
-        self._execute(self._pool.exited(worker, describe_exit(code), exit_code, _now_us()))
+        exit_code = return_code if return_code >= 0 else None
+        self._execute(self._pool.exited(worker, describe_exit(return_code), exit_code, _now_us()))
 
     @contextmanager
     def _attached(self, process: WorkerProcess) -> Iterator[None]:
-        """Receive a worker's messages, and close the channel at the end."""
+        """Receive a worker's messages, and close the channel when the context exits."""
         self._processes[process.worker] = process
         self._loop.add_reader(process.channel, self._receive, process)
         try:
@@ -226,43 +247,49 @@
             process.close()
 
     def _receive(self, process: WorkerProcess) -> bool:
-        """Read one message and act on it; return whether more may wait."""
+        """Receive and handle one message; return whether more may be queued."""
         try:
             message = process.receive()
-        except PacketError as e:
-            log.error("worker %d: %s", process.worker, e)  # noqa: TRY400 - its place is known
+        except PacketError as error:
+            # A traceback adds nothing.
+            log.error(  # noqa: TRY400
+                "packet from a worker is invalid: worker=%d error=%s", process.worker, error
+            )
             return True
-        except ChannelClosedError:  # the end of the process is told by the process itself
+        except ChannelClosedError:  # _run_worker handles the exit of the process
             self._loop.remove_reader(process.channel)
             return False
         match message:
             case None:
                 return False
             case WorkerReady():
-                log.info("worker %d is ready", process.worker)
+                log.info("worker is ready: worker=%d", process.worker)
                 self._execute(self._pool.ready(process.worker, message.max_connections, _now_us()))
             case LoadReport():
                 process.acknowledge(message.received_connections)
                 self._balancer.report(
                     process.worker, message.open_connections, message.received_connections
                 )
-                self._dispatch_waiting()
+                self._dispatch_pending()
             case _:
                 assert_never(message)
         return True
 
     # ---- connections
 
-    def _dispatch_waiting(self) -> None:
-        """Dispatch what dead workers have left, then accept while a worker has capacity."""
+    def _dispatch_pending(self) -> None:
+        """Dispatch connections that have no worker, then accept more while a worker has capacity.
+
+        Connections that an exited worker did not acknowledge have no worker either.
+        """
         while self._undispatched and self._balancer.has_capacity():
             self._dispatch(self._undispatched.popleft())
         self._acceptor.accept_while_capacity()
 
     def _dispatch(self, connection: socket.socket) -> None:
-        """Send a connection to the worker with the fewest.
+        """Send a connection to the worker with the fewest connections.
 
-        A worker that takes nothing is out of the balancer until its process has ended.
+        A worker to which it can't be sent gets no more connections until its process has exited.
         """
         while (worker := self._balancer.choose()) is not None:
             process = self._processes.get(worker)
@@ -273,5 +300,5 @@
 
 
 def _now_us() -> int:
-    """Return the monotonic time."""
+    """Return the monotonic time in microseconds."""
     return time.monotonic_ns() // 1000
--- a/oakbridge/workers/worker_process.py
+++ b/oakbridge/workers/worker_process.py
@@ -1,4 +1,4 @@
-"""One run of a worker's process, with the supervisor's end of the channel to it."""
+"""One worker process, with the supervisor's end of the channel to it."""
 
 from __future__ import annotations
 
@@ -21,50 +21,47 @@
 
 log = logging.getLogger(__name__)
 
-# The signals that a worker sends itself where one of these commands arrives.
-_SIGNALS = {
+# A worker that receives one of these commands sends itself the signal, which has the same effect.
+_SIGNAL_FOR_COMMAND = {
     SupervisorCommand.SHUT_DOWN: signal.SIGTERM,
     SupervisorCommand.RELOAD: signal.SIGHUP,
 }
 
-# Returns the command line of a worker, by its number and the descriptor of its end of the channel.
+# Returns the command line of a worker, given its number and the descriptor of its channel's end.
 CommandLine = Callable[[int, int], Sequence[str]]
 
 
 class WorkerProcess:
-    """A process that runs, its channel, and the connections that it has not acknowledged.
-
-    It owns all three.
-    """
+    """A running process, its channel and its unacknowledged connections; owns all three."""
 
     def __init__(
         self, worker: int, process: asyncio.subprocess.Process, channel: socket.socket
     ) -> None:
         self.worker = worker
-        self.channel = channel  # for the event loop to watch
+        self.channel = channel  # the supervisor adds it to the event loop
         self.unacknowledged = UnacknowledgedConnections[socket.socket]()
         self._process = process
 
     @classmethod
     async def start(cls, worker: int, command_line: CommandLine) -> WorkerProcess:
         """Start a worker's process.  Raises OSError."""
-        ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        ours.setblocking(False)
+        supervisor_end, worker_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        supervisor_end.setblocking(False)
         try:
             process = await asyncio.create_subprocess_exec(
-                *command_line(worker, theirs.fileno()),
-                pass_fds=[theirs.fileno()],
+                *command_line(worker, worker_end.fileno()),
+                pass_fds=[worker_end.fileno()],
                 stdin=asyncio.subprocess.DEVNULL,
             )
         except OSError:
-            ours.close()
+            supervisor_end.close()
             raise
         finally:
-            theirs.close()
-        return cls(worker, process, ours)
+            worker_end.close()
+        return cls(worker, process, supervisor_end)
 
     def receive(self) -> WorkerMessage | None:
-        """Read one message; None if there is none now.
+        """Receive one message; return None if none is queued.
 
         Raises PacketError or ChannelClosedError.
         """
@@ -79,30 +76,31 @@
         return decode_message(packet)
 
     def send(self, command: SupervisorCommand, descriptors: Sequence[int] = ()) -> bool:
-        """Send a command; return False where the worker takes none."""
+        """Send a command, as a signal if the channel fails; return False if neither is possible."""
         try:
             socket.send_fds(self.channel, [encode_command(command)], list(descriptors))
-        except OSError as e:  # it is frozen and its queue is full, or it has just died
-            log.warning("worker %d takes nothing: %s", self.worker, e)
+        except OSError as error:  # the worker is frozen with a full queue, or has just exited
+            log.warning("sending to a worker failed: worker=%d error=%s", self.worker, error)
             return self._signal_instead(command)
         return True
 
     def _signal_instead(self, command: SupervisorCommand) -> bool:
-        """Have a command take effect by a signal, if it can; return whether it does.
+        """Send the signal for a command; return False if the command has none.
 
-        A signal waits for a process that is frozen, as a command that was not sent would not.
+        The kernel keeps a signal to a frozen process until it continues; a command that could not
+        be sent is lost.
         """
-        number = _SIGNALS.get(command)
-        if number is None:
+        signal_number = _SIGNAL_FOR_COMMAND.get(command)
+        if signal_number is None:
             return False
         with suppress(ProcessLookupError):
-            self._process.send_signal(number)
+            self._process.send_signal(signal_number)
         return True
 
     def send_connection(self, connection: socket.socket) -> bool:
         """Send a connection, and keep it until the worker acknowledges it.
 
-        Return False where the worker takes none; the connection is then still the caller's.
+        Returns False if it could not be sent; the connection is then still owned by the caller.
         """
         if not self.send(SupervisorCommand.SERVE_CONNECTION, [connection.fileno()]):
             return False
@@ -115,21 +113,21 @@
             connection.close()
 
     def kill(self) -> None:
-        """End the process at once, if it has not ended."""
+        """Kill the process if it has not exited."""
         with suppress(ProcessLookupError):
             self._process.kill()
 
     async def wait(self) -> int:
-        """Return the exit code once the process has ended; negative: the signal that ended it."""
+        """Wait for the process and return its exit code; negative: the signal that killed it."""
         return await self._process.wait()
 
     def close(self) -> None:
-        """Close the channel and the connections that were not acknowledged."""
+        """Close the channel and the unacknowledged connections."""
         self.channel.close()
         for connection in self.unacknowledged.take_all():
             connection.close()
 
 
-def describe_exit(code: int) -> str:
-    """Return how a process ended, for people; ``code`` as ``wait`` returns it."""
-    return f"exit code {code}" if code >= 0 else signal.Signals(-code).name
+def describe_exit(exit_code: int) -> str:
+    """Return a readable reason of a process's exit; ``exit_code``: from ``WorkerProcess.wait``."""
+    return f"exit code {exit_code}" if exit_code >= 0 else signal.Signals(-exit_code).name
--- a/tests/workers/test_channel.py
+++ b/tests/workers/test_channel.py
@@ -1,4 +1,4 @@
-"""A worker's end of the channel, with a node that is played."""
+"""A worker's end of the channel to its supervisor, with a fake node."""
 
 import asyncio
 import contextlib
@@ -20,17 +20,17 @@
 )
 
 
-class Limits:
+class FakeLimits:
     max_connections = 900
     on_change = None
 
 
-class PlayedNode:
-    """A node that only counts the connections that it is given."""
+class FakeNode:
+    """A node that only keeps the connections that it admits."""
 
     def __init__(self):
         self.server = self
-        self.limits = Limits()
+        self.limits = FakeLimits()
         self.admitted = []
 
     def admit(self, connection):
@@ -55,10 +55,10 @@
 
 @contextlib.contextmanager
 def attached_channel():
-    """A played node with its channel, and the supervisor's end."""
+    """A channel that is attached to a fake node; yields the supervisor's end and the node."""
     supervisor, worker = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     supervisor.setblocking(False)
-    node = PlayedNode()
+    node = FakeNode()
     with supervisor, WorkerChannel(worker).attached(node):
         yield supervisor, node
     for connection in node.admitted:
@@ -75,7 +75,7 @@
     socket.send_fds(supervisor, [packet], [connection.fileno()])
 
 
-def test_a_connection_is_acknowledged_and_then_served():
+def test_connection_is_acknowledged_and_then_served():
     async def scenario():
         with attached_channel() as (supervisor, node), socket.socket() as connection:
             assert await receive(supervisor) == WorkerReady(max_connections=900)
@@ -86,7 +86,7 @@
             await until(lambda: len(node.admitted) == 1)
             node.admitted.pop().close()
             node.limits.on_change()
-            node.limits.on_change()  # within the delay: one report
+            node.limits.on_change()  # within the report delay, so one report covers both changes
             assert await receive(supervisor) == LoadReport(
                 open_connections=0, received_connections=1
             )
@@ -97,19 +97,19 @@
 
 
 @pytest.mark.parametrize(
-    ("command", "number"),
+    ("command", "signal_number"),
     [(SupervisorCommand.SHUT_DOWN, signal.SIGTERM), (SupervisorCommand.RELOAD, signal.SIGHUP)],
 )
-def test_commands_become_signals(signals, command, number):
+def test_worker_sends_itself_the_signal_for_a_command(signals, command, signal_number):
     async def scenario():
         with attached_channel() as (supervisor, _):
             supervisor.send(encode_command(command))
-            await until(lambda: signals == [number])
+            await until(lambda: signals == [signal_number])
 
     run(scenario())
 
 
-def test_a_worker_without_supervisor_shuts_down(signals):
+def test_worker_shuts_down_when_the_supervisor_closes_the_channel(signals):
     async def scenario():
         with attached_channel() as (supervisor, _):
             supervisor.close()
@@ -121,13 +121,13 @@
 @pytest.mark.parametrize(
     "packet", [b"{", b'{"do":"ready","most":1}', encode_command(SupervisorCommand.SERVE_CONNECTION)]
 )
-def test_an_invalid_packet_is_logged_and_dropped(signals, caplog, packet):
-    """A connection without a descriptor is one of them; the channel serves on."""
+def test_invalid_packet_is_logged_and_the_channel_continues(signals, caplog, packet):
+    """A command to serve a connection is invalid without a descriptor."""
 
     async def scenario():
         with attached_channel() as (supervisor, node), socket.socket() as connection:
             supervisor.send(packet)
-            await until(lambda: "invalid packet from the supervisor" in caplog.text)
+            await until(lambda: "packet from the supervisor is invalid: error=" in caplog.text)
             send_connection(supervisor, connection)
             await until(lambda: len(node.admitted) == 1)
 
@@ -135,15 +135,15 @@
     assert signals == []
 
 
-def test_the_descriptor_beside_an_invalid_packet_is_closed(caplog):
+def test_descriptor_sent_with_an_invalid_packet_is_closed(caplog):
     async def scenario():
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
-        with attached_channel() as (supervisor, _), ours:
-            with theirs:
-                socket.send_fds(supervisor, [b"{"], [theirs.fileno()])
-            await until(lambda: "invalid packet from the supervisor" in caplog.text)
-            # All copies of the other end are closed.
-            assert await asyncio.get_running_loop().sock_recv(ours, 1) == b""
+        kept_end, sent_end = socket.socketpair()
+        kept_end.setblocking(False)
+        with attached_channel() as (supervisor, _), kept_end:
+            with sent_end:
+                socket.send_fds(supervisor, [b"{"], [sent_end.fileno()])
+            await until(lambda: "packet from the supervisor is invalid: error=" in caplog.text)
+            # End of file: the worker's descriptor of the sent end is closed too.
+            assert await asyncio.get_running_loop().sock_recv(kept_end, 1) == b""
 
     run(scenario())
--- a/tests/workers/test_messages.py
+++ b/tests/workers/test_messages.py
@@ -18,12 +18,12 @@
     "message",
     [WorkerReady(max_connections=7), LoadReport(open_connections=3, received_connections=9)],
 )
-def test_messages_are_read_as_they_were_written(message):
+def test_decoding_a_message_returns_what_was_encoded(message):
     assert decode_message(encode_message(message)) == message
 
 
 @pytest.mark.parametrize("command", SupervisorCommand)
-def test_commands_are_read_as_they_were_written(command):
+def test_decoding_a_command_returns_what_was_encoded(command):
     assert decode_command(encode_command(command)) is command
 
 
--- a/tests/workers/test_status.py
+++ b/tests/workers/test_status.py
@@ -1,4 +1,4 @@
-"""One status of all workers."""
+"""The merging of the workers' statuses into one."""
 
 import pytest
 
@@ -42,7 +42,7 @@
     }
 
 
-def test_the_workers_statuses_are_merged_into_one():
+def test_workers_statuses_are_merged_into_one():
     workers = {
         1: worker_status(1, 2),
         2: worker_status(2, 3, "ejected", ready=False),
@@ -58,10 +58,10 @@
     assert merged["rows"][0]["out"] == 5
     assert merged["rows"][0]["state"] == "ejected"
     assert merged["workers"][2] == {"worker": 3, "problem": "waiting: no node answers there"}
-    none_available = merge_status({"name": "n"}, {1: WorkerUnavailable("it died")}, 10)
-    assert none_available["ready"] is False
+    without_workers = merge_status({"name": "n"}, {1: WorkerUnavailable("exit code 1")}, 10)
+    assert without_workers["ready"] is False
 
 
-def test_a_field_that_only_newer_workers_know_is_passed_on():
-    newer = worker_status(1, 2) | {"new_field": 7}
-    assert merge_status({"name": "n"}, {1: newer}, 10)["new_field"] == 7
+def test_field_that_only_workers_of_a_newer_version_know_is_passed_on():
+    newer_status = worker_status(1, 2) | {"new_field": 7}
+    assert merge_status({"name": "n"}, {1: newer_status}, 10)["new_field"] == 7
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -1,4 +1,7 @@
-"""Real workers under load: killed, restarted, reloaded, frozen; each request gets one response."""
+"""Worker processes under load that are killed, restarted, reloaded or frozen.
+
+Only a killed worker's requests get no response, and no request runs twice.
+"""
 
 import asyncio
 import os
@@ -39,7 +42,7 @@
 
 
 class Deployment:
-    """A supervisor with its workers, stand-in servers, and clients that send requests."""
+    """A supervisor process with its workers, stand-in servers, and clients that send requests."""
 
     def __init__(self, directory: Path, workers: int = 4):
         self.directory = directory
@@ -47,8 +50,8 @@
         self.socket = directory / "n.sock"
         (self.port,) = free_ports(1)
         self.servers = [StandIn(f"s{i}", Behaviour(latency=0.002, slots=1000), i) for i in range(3)]
-        self.responses: list[int] = []  # status codes
-        self.lost = 0  # requests whose connection ended before the response
+        self.status_codes: list[int] = []  # of the received responses
+        self.requests_without_response = 0  # because their connection closed
 
     async def __aenter__(self):
         for server in self.servers:
@@ -83,7 +86,7 @@
             return client.request(ControlCommand.STATUS)
 
     async def wait_for_status(self, condition):
-        """Return the first status that meets a condition; fail if the supervisor has ended."""
+        """Return the first status that meets a condition; fail if the supervisor has exited."""
         while True:
             try:
                 status = await asyncio.to_thread(self.status)
@@ -98,43 +101,43 @@
         return await soon(asyncio.open_connection("127.0.0.1", self.port))
 
     async def send_requests(self, stop: asyncio.Event):
-        """Send some requests on each connection, then open a new one, until told to stop."""
+        """Send some requests on each connection, then open a new one, until ``stop`` is set."""
         while not stop.is_set():
             reader, writer = await self.connect()
             for _ in range(REQUESTS_PER_CONNECTION):
                 response = await send_request(reader, writer)
                 if response is None:
-                    self.lost += 1
+                    self.requests_without_response += 1
                     break
-                status_code, closes = response
-                self.responses.append(status_code)
-                if closes or stop.is_set():
+                status_code, is_last_response = response
+                self.status_codes.append(status_code)
+                if is_last_response or stop.is_set():
                     break
             writer.close()
 
-    async def under_load(self, scenario, clients=24):
+    async def run_under_load(self, scenario, client_count=24):
         """Run a scenario while clients send requests."""
         stop = asyncio.Event()
-        tasks = [asyncio.create_task(self.send_requests(stop)) for _ in range(clients)]
+        tasks = [asyncio.create_task(self.send_requests(stop)) for _ in range(client_count)]
         try:
             await scenario
         finally:
             stop.set()
             await soon(asyncio.gather(*tasks))
 
-    async def wait_for_responses(self, more):
-        """Wait until so many more requests have been answered."""
-        wanted = len(self.responses) + more
-        while len(self.responses) < wanted:
+    async def wait_for_responses(self, count):
+        """Wait until the clients have received this number of further responses."""
+        expected = len(self.status_codes) + count
+        while len(self.status_codes) < expected:
             await asyncio.sleep(0.01)
 
     def requests_served(self):
-        """The requests that the servers have answered."""
+        """Return the number of requests that the servers have served."""
         return sum(server.served[200] for server in self.servers)
 
 
 async def send_request(reader, writer):
-    """Return the status code and whether the connection closes; None if there is no response."""
+    """Return the status code and whether the node closes the connection; None without response."""
     writer.write(
         b"GET /x HTTP/1.1\r\nx-request-id: %x\r\nx-priority-class: look\r\n\r\n" % next(IDS)
     )
@@ -158,38 +161,44 @@
 
 
 def test_killed_and_frozen_workers_lose_only_the_requests_that_they_had_begun(tmp_path):
-    clients = 24
-    connections_per_worker = clients // 4 + 2  # even, with some that open while a worker is away
+    client_count = 24
+    # An equal share of the clients, and some that connect while another worker does not run.
+    connections_per_worker = client_count // 4 + 2
 
     async def kill_workers(deployment):
-        for turn in range(4):
+        for index in range(4):
             await deployment.wait_for_responses(100)
             status = await deployment.wait_for_status(lambda status: count_ready(status) == 4)
-            pid = status["workers"][turn]["pid"]
-            if turn == 2:
-                deployment.process.send_signal(signal.SIGHUP)  # and while all are told to reload
+            pid = status["workers"][index]["pid"]
+            if index == 2:
+                deployment.process.send_signal(signal.SIGHUP)  # kills this worker during a reload
             os.kill(pid, signal.SIGKILL)
             await deployment.wait_for_status(
-                lambda status, turn=turn, pid=pid: status["workers"][turn].get("pid", pid) != pid
+                lambda status, index=index, pid=pid: status["workers"][index].get("pid", pid) != pid
             )
-        frozen = deployment.status()["workers"][0]["pid"]
-        os.kill(frozen, signal.SIGSTOP)
-        await deployment.wait_for_responses(200)  # its clients wait; those of the others go on
-        os.kill(frozen, signal.SIGKILL)
+        frozen_pid = deployment.status()["workers"][0]["pid"]
+        os.kill(frozen_pid, signal.SIGSTOP)
+        # The frozen worker's clients wait; the other clients receive responses.
+        await deployment.wait_for_responses(200)
+        os.kill(frozen_pid, signal.SIGKILL)
 
     async def scenario():
         async with Deployment(tmp_path) as deployment:
-            await deployment.under_load(kill_workers(deployment), clients)
-            assert set(deployment.responses) == {200}
-            assert deployment.lost <= 5 * connections_per_worker  # one request each
-            # Not idempotent: nothing ran twice.
-            assert deployment.requests_served() <= len(deployment.responses) + deployment.lost
+            await deployment.run_under_load(kill_workers(deployment), client_count)
+            assert set(deployment.status_codes) == {200}
+            # Five killed processes lose one request per connection at most.
+            assert deployment.requests_without_response <= 5 * connections_per_worker
+            # The requests are not idempotent, so none may run twice.
+            assert (
+                deployment.requests_served()
+                <= len(deployment.status_codes) + deployment.requests_without_response
+            )
             assert deployment.status()["crashes"].keys() == {"1", "2", "3", "4"}
 
     run(scenario(), TEST_TIMEOUT_S)
 
 
-def test_a_rolling_restart_and_a_shutdown_lose_nothing(tmp_path):
+def test_rolling_restart_and_shutdown_lose_no_request(tmp_path):
     async def restart_workers(deployment):
         await deployment.wait_for_responses(50)
         pids_before = set(pids_of(deployment.status()))
@@ -210,7 +219,7 @@
         )
         connections = [await deployment.connect() for _ in range(6)]
         status = await deployment.wait_for_status(lambda status: status["callers"] == 6)
-        # Few and long-lived connections are even too.
+        # A small number of long-lived connections is spread evenly too.
         assert sorted(worker["callers"] for worker in status["workers"]) == [3, 3]
         requests = [asyncio.create_task(send_request(*connection)) for connection in connections]
         await asyncio.sleep(0)
@@ -221,10 +230,10 @@
 
     async def scenario():
         async with Deployment(tmp_path, workers=2) as deployment:
-            await deployment.under_load(restart_workers(deployment), clients=8)
-            assert set(deployment.responses) == {200}
-            assert deployment.lost == 0
-            assert deployment.requests_served() == len(deployment.responses)
+            await deployment.run_under_load(restart_workers(deployment), client_count=8)
+            assert set(deployment.status_codes) == {200}
+            assert deployment.requests_without_response == 0
+            assert deployment.requests_served() == len(deployment.status_codes)
             await shut_down_with_requests_in_flight(deployment)
 
     run(scenario(), TEST_TIMEOUT_S)
@@ -238,7 +247,8 @@
             assert (await send_request(reader, writer))[0] == 200
             deployment.process.kill()
             await soon(deployment.process.wait())
-            assert (await send_request(reader, writer))[0] == 200  # open connections are served on
+            # The worker still serves its open connections.
+            assert (await send_request(reader, writer))[0] == 200
             writer.close()
             while any(is_running(pid) for pid in pids):
                 await asyncio.sleep(0.05)
@@ -255,13 +265,13 @@
 
 
 @pytest.mark.parametrize(
-    ("workers", "message"),
+    ("workers", "error_text"),
     [
         (40, "limits.sockets: expected at least 5120 for 40 workers"),
         (65, "node.workers"),
     ],
 )
-def test_limits_that_can_not_be_divided_are_a_usage_error(tmp_path, workers, message):
+def test_invalid_number_of_workers_is_a_usage_error(tmp_path, workers, error_text):
     path = tmp_path / "n.toml"
     path.write_text(
         CONFIG.format(
@@ -271,10 +281,10 @@
             socket=tmp_path / "n.sock",
         )
     )
-    ended = subprocess.run(
+    process = subprocess.run(
         [*SERVE, str(path)], capture_output=True, text=True, timeout=60, check=False
     )
-    assert ended.returncode == 2
-    assert message in ended.stderr
-    assert str(path) in ended.stderr
-    assert "Traceback" not in ended.stderr
+    assert process.returncode == 2
+    assert error_text in process.stderr
+    assert str(path) in process.stderr
+    assert "Traceback" not in process.stderr
--- a/tests/workers/test_unacknowledged.py
+++ b/tests/workers/test_unacknowledged.py
@@ -1,4 +1,4 @@
-"""The connections that a dead worker leaves: those that it never acknowledged, and no other."""
+"""The connections that are left when a worker exits: exactly those that it did not acknowledge."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_connections_stay_until_they_are_acknowledged(seed):
+def test_connections_are_kept_until_they_are_acknowledged(seed):
     rng = random.Random(seed)
     connections = UnacknowledgedConnections[int]()
     sent = acknowledged = 0
@@ -17,7 +17,7 @@
             connections.add(sent)
             sent += 1
         elif rng.random() < 0.8:
-            # Also an old report, and one of more connections than were sent.
+            # This includes old reports and reports of more connections than were sent.
             reported = rng.randint(0, sent + 3)
             expected = list(range(acknowledged, min(max(acknowledged, reported), sent)))
             assert connections.acknowledge(reported) == expected
