--- a/oakbridge/control/handler.py
+++ b/oakbridge/control/handler.py
@@ -48,7 +48,7 @@
         self._peers = peers
         self._sites = sites
         self._spread = spread
-        self._started_at = time.monotonic()
+        self._started_at_s = time.monotonic()
 
     def handle(self, request: Request) -> JsonObject:
         """Execute a request and return its result.
@@ -83,7 +83,7 @@
             pid=os.getpid(),
             version=__version__,
             config_digest=self._config_digest,
-            uptime_s=round(time.monotonic() - self._started_at, 1),
+            uptime_s=round(time.monotonic() - self._started_at_s, 1),
             listen_addresses=tuple(node.server.addresses),
             is_ready=node.has_usable_server() and not node.server.shutting_down,
             is_shutting_down=node.server.shutting_down,
--- a/oakbridge/control/protocol.py
+++ b/oakbridge/control/protocol.py
@@ -51,7 +51,7 @@
 
 
 class LineSplitter:
-    """Split a stream of bytes into lines of bounded length."""
+    """Splits a stream of bytes into lines of bounded length."""
 
     def __init__(self, max_line_bytes: int) -> None:
         self._max_line_bytes = max_line_bytes
--- a/oakbridge/control/server.py
+++ b/oakbridge/control/server.py
@@ -144,15 +144,15 @@
 def claim_socket_path(path: Path) -> None:
     """Create the socket's directory, and remove the socket of a node that no longer runs.
 
-    Raises SocketInUseError if another node listens at the path or it is another kind of file, and
-    OSError if the directory or the socket can't be changed.
+    Raises SocketInUseError if another node listens at the path or another kind of file is there,
+    and OSError if the directory can't be created or the socket can't be removed.
     """
     path.parent.mkdir(mode=DIRECTORY_MODE, parents=True, exist_ok=True)
     try:
-        found = path.lstat()
+        file_status = path.lstat()
     except FileNotFoundError:
         return
-    if not stat.S_ISSOCK(found.st_mode):
+    if not stat.S_ISSOCK(file_status.st_mode):
         raise SocketInUseError(path, "expected a socket or no file, got another kind of file")
     if _is_listening(path):
         raise SocketInUseError(path, "another node listens on this socket")
@@ -162,7 +162,7 @@
 def _is_listening(path: Path) -> bool:
     """Return whether a process listens on a socket.
 
-    Raises SocketInUseError if connecting fails in a way that leaves this open.
+    Raises SocketInUseError if a connection is neither accepted nor refused.
     """
     with socket.socket(socket.AF_UNIX) as client:
         client.settimeout(CONNECT_TIMEOUT_S)
--- a/oakbridge/workers/control_handler.py
+++ b/oakbridge/workers/control_handler.py
@@ -35,11 +35,11 @@
         balancer: ConnectionBalancer,
         peers: PeerDirectory | None,
         *,
-        started_at: float,
+        started_at_s: float,
     ) -> None:
         """``socket_path``: of the node's control socket; the workers' sockets are beside it.
 
-        ``peers``: None if the configuration has no [peers].  ``started_at``: when the supervisor
+        ``peers``: None if the configuration has no [peers].  ``started_at_s``: when the supervisor
         started, in seconds of ``time.monotonic``.
         """
         self._name = name
@@ -48,7 +48,7 @@
         self._pool = pool
         self._balancer = balancer
         self._peers = peers
-        self._started_at = started_at
+        self._started_at_s = started_at_s
 
     async def handle(self, request: Request) -> JsonObject:
         """Have all workers execute a request, and return one result.
@@ -89,7 +89,7 @@
             "name": self._name,
             "pid": os.getpid(),
             "version": __version__,
-            "uptime_s": round(time.monotonic() - self._started_at, 1),
+            "uptime_s": round(time.monotonic() - self._started_at_s, 1),
             "listen": [f"{host}:{port}" for host, port in self._addresses],
             "handed": self._balancer.connection_counts(),
             "crashes": {worker: process.total_crashes for worker, process in processes.items()},
--- a/oakbridge/workers/supervisor.py
+++ b/oakbridge/workers/supervisor.py
@@ -71,7 +71,7 @@
         """
         self.name = name
         self._loop = asyncio.get_running_loop()
-        self._started_at = time.monotonic()
+        self._started_at_s = time.monotonic()
         self._command_line = command_line
         self._control_socket = control_socket
         self._pool = WorkerPool(worker_count)
@@ -143,7 +143,7 @@
             self._pool,
             self._balancer,
             peers,
-            started_at=self._started_at,
+            started_at_s=self._started_at_s,
         )
         return ControlServer(self._control_socket, handler.handle)
 
--- a/tests/workers/test_control_handler.py
+++ b/tests/workers/test_control_handler.py
@@ -40,7 +40,7 @@
     """Handle a request for two workers, of which those in ``responding`` have a socket."""
     path = tmp_path / "n.sock"
     handler = WorkersControlHandler(
-        "n", [("127.0.0.1", 80)], path, WorkerPool(2), ConnectionBalancer(), None, started_at=0.0
+        "n", [("127.0.0.1", 80)], path, WorkerPool(2), ConnectionBalancer(), None, started_at_s=0.0
     )
     async with contextlib.AsyncExitStack() as stack:
         for worker in responding:
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -171,7 +171,8 @@
             status = await deployment.wait_for_status(lambda status: count_ready(status) == 4)
             pid = status["workers"][index]["pid"]
             if index == 2:
-                deployment.process.send_signal(signal.SIGHUP)  # kills this worker during a reload
+                # The worker is killed during a reload.
+                deployment.process.send_signal(signal.SIGHUP)
             os.kill(pid, signal.SIGKILL)
             await deployment.wait_for_status(
                 lambda status, index=index, pid=pid: status["workers"][index].get("pid", pid) != pid
