--- a/oakbridge/handover/actions.py
+++ b/oakbridge/handover/actions.py
@@ -1,4 +1,4 @@
-"""What the state machines of a hand-over ask their process to do."""
+"""The actions that the state machines of a hand-over return, for their process to carry out."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from oakbridge.handover.messages import (
     EndpointListUpdate,
     Message,
-    OperatorCommand,
+    RelayedCommand,
     RemainingLoad,
     TakeOver,
     Welcome,
@@ -16,57 +16,57 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to the other process."""
+    """Send a message to the node's other process."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class SendWelcome:
-    """Send the node as it is, with its listening sockets."""
+    """Send a :class:`Welcome` with the node's state, and its listening sockets."""
 
 
 @dataclass(frozen=True, slots=True)
 class DrainToSuccessor:
-    """Accept nothing more, send what the policy learned, and migrate idle client connections."""
+    """Stop accepting, send the policy's state, and migrate idle client connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeServing:
-    """Accept again: the successor is gone, and this process is the node alone."""
+    """Accept connections again, because the successor has disconnected."""
 
 
 @dataclass(frozen=True, slots=True)
 class BuildNode:
-    """Build the node as the predecessor has it, or from this process's own configuration (None)."""
+    """Build the node from the predecessor's welcome; None: from this process's configuration."""
 
     welcome: Welcome | None
 
 
 @dataclass(frozen=True, slots=True)
 class StartServing:
-    """Serve from now on, with what the predecessor knew, or with nothing (None)."""
+    """Begin to serve with the predecessor's state; None: without state, as there is none."""
 
-    predecessor: TakeOver | None
+    take_over: TakeOver | None
 
 
 @dataclass(frozen=True, slots=True)
 class ReserveForPredecessor:
-    """Leave so much of the node's limits to the predecessor."""
+    """Reduce this process's limits by the load that the predecessor still has."""
 
     load: RemainingLoad
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyCommand:
-    """Carry out an operator's command that came in at the other process and was answered there."""
+    """Carry out an operator's command that the other process received and answered."""
 
-    command: OperatorCommand
+    command: RelayedCommand
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyEndpointList:
-    """Use a list that the other process has read."""
+    """Use an endpoint list that the other process has read from discovery."""
 
     update: EndpointListUpdate
 
--- a/oakbridge/handover/channel.py
+++ b/oakbridge/handover/channel.py
@@ -1,4 +1,4 @@
-"""The connection between the two processes of a node: messages with descriptors, in order."""
+"""The connection between the two processes of a node: it carries messages and file descriptors."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DESCRIPTORS = 8  # that come with one packet
-MAX_PACKETS_PER_TURN = 32  # read in one turn of the loop
-MAX_QUEUED_PACKETS = 4096  # waiting to be written; a process that leaves more unread counts as gone
+MAX_DESCRIPTORS = 8  # received with one packet
+MAX_PACKETS_PER_READ = 32  # read in one iteration of the event loop
+# Packets waiting to be written.  A process that leaves more unread counts as disconnected.
+MAX_QUEUED_PACKETS = 4096
 
-WRITE_RETRY_S = 0.02  # after a write for which the system had no room
+WRITE_RETRY_S = 0.02  # delay after a transient write error
 
-# The system is short of buffers, or too many descriptors are on their way.
-_PASSING_WRITE_ERRORS = RESOURCE_ERRORS | {errno.ETOOMANYREFS}
+# The system is short of buffers, or too many descriptors are in transit.
+_TRANSIENT_WRITE_ERRORS = RESOURCE_ERRORS | {errno.ETOOMANYREFS}
 _TRUNCATED = socket.MSG_TRUNC | socket.MSG_CTRUNC
 
 OnMessage = Callable[["Channel", Message, list[int]], None]
@@ -33,7 +34,7 @@
 
 
 class Channel:
-    """One connection between the two processes.  It owns its socket."""
+    """One connection between the two processes of a node.  It owns its socket."""
 
     def __init__(
         self,
@@ -42,13 +43,14 @@
         on_message: OnMessage,
         on_disconnect: OnDisconnect,
     ) -> None:
-        """Begin to read.
+        """Start to read messages.
 
         Args:
-            loop: The loop in which this is called, and calls back.
-            sock: A connected socket of type SOCK_SEQPACKET that does not block.
-            on_message: Called with each message and its descriptors, which the callee closes.
-            on_disconnect: Called once when the other process has closed or broken the connection.
+            loop: The event loop that runs this channel and its callbacks.
+            sock: A connected, non-blocking socket of type SOCK_SEQPACKET.
+            on_message: Called with each message and its descriptors, which the callback owns.
+            on_disconnect: Called once when the other process closes the connection or it fails;
+                not after :meth:`close`.
         """
         self.closed = False
         self._loop = loop
@@ -56,15 +58,16 @@
         self._on_message = on_message
         self._on_disconnect = on_disconnect
         self._assembler = PacketAssembler()
-        self._received_descriptors: list[int] = []  # of packets whose message is not complete yet
+        self._received_descriptors: list[int] = []  # with packets of an incomplete message
         self._unsent: deque[tuple[bytes, list[int]]] = deque()
         self._write_blocked = False
         loop.add_reader(sock, self._read)
 
     def send(self, message: Message, descriptors: Sequence[int] = ()) -> bool:
-        """Send a message, now or once the other process has room; False if the connection is over.
+        """Send a message, or queue it while the socket's buffer is full.
 
-        The descriptors are closed here once they are sent; after False they are the caller's.
+        Returns False if the connection is closed or fails, or if too many packets are queued.  The
+        channel closes the descriptors once they are sent; after False the caller still owns them.
         """
         if self.closed or len(self._unsent) > MAX_QUEUED_PACKETS:
             return False
@@ -73,19 +76,21 @@
         self._unsent.append((last, list(descriptors)))
         if self._write_blocked or self._write_unsent():
             return True
-        self._unsent.pop()  # the caller keeps its descriptors; what waited before is told of
+        # The caller still owns these descriptors.  Those of earlier messages stay in the queue for
+        # take_unsent_descriptors.
+        self._unsent.pop()
         self.close()
         self._loop.call_soon(self._on_disconnect, self)
         return False
 
     def take_unsent_descriptors(self) -> list[int]:
-        """Give up all that waits to be sent, and return its descriptors for the caller to close."""
+        """Drop all queued packets and return their descriptors, which the caller then owns."""
         unsent = [descriptor for _, descriptors in self._unsent for descriptor in descriptors]
         self._unsent.clear()
         return unsent
 
     def close(self) -> None:
-        """Close the connection; :meth:`take_unsent_descriptors` still returns what was not sent."""
+        """Close the connection; :meth:`take_unsent_descriptors` can still be called."""
         if self.closed:
             return
         self.closed = True
@@ -102,16 +107,16 @@
             self._disconnect()
 
     def _write_unsent(self) -> bool:
-        """Write what the other process has room for; return False if the connection is broken."""
+        """Write packets until the socket's buffer is full; False if the connection failed."""
         while self._unsent:
             packet, descriptors = self._unsent[0]
             try:
                 self._sock.sendmsg([packet], _as_ancillary_data(descriptors))
             except BlockingIOError:
-                self._write_once_possible()
+                self._write_when_possible()
                 return True
             except OSError as error:
-                if error.errno not in _PASSING_WRITE_ERRORS:
+                if error.errno not in _TRANSIENT_WRITE_ERRORS:
                     return False
                 self._loop.call_later(WRITE_RETRY_S, self._write)
                 return True
@@ -123,19 +128,19 @@
             self._loop.remove_writer(self._sock)
         return True
 
-    def _write_once_possible(self) -> None:
+    def _write_when_possible(self) -> None:
         if not self._write_blocked:
             self._write_blocked = True
             self._loop.add_writer(self._sock, self._write)
 
     def _read(self) -> None:
-        for _ in range(MAX_PACKETS_PER_TURN):
+        for _ in range(MAX_PACKETS_PER_READ):
             if self.closed:
                 return
             try:
                 received = socket.recv_fds(self._sock, MAX_PACKET_BYTES, MAX_DESCRIPTORS)
             except OSError as error:
-                # Nothing has come, or what came can't be read for a moment: the loop calls again.
+                # After a transient error, also where no packet waits, the event loop calls again.
                 if error.errno not in RESOURCE_ERRORS:
                     self._disconnect()
                 return
@@ -150,8 +155,8 @@
         try:
             text = self._assembler.add(packet)
             message = None if text is None else decode(text)
-        except HandoverMessageError as e:
-            log.warning("unusable hand-over message: error=%s", e)
+        except HandoverMessageError as error:
+            log.warning("invalid hand-over message received: error=%s", error)
             self._disconnect()
             return
         if message is not None:
--- a/oakbridge/handover/messages.py
+++ b/oakbridge/handover/messages.py
@@ -1,7 +1,7 @@
-"""The messages between the two processes of a node, with their encoder and decoder.  Pure.
+"""The messages between the two processes of a node, with their encoder and decoder.  No I/O.
 
-A message is one JSON object with the version of the protocol, the kind of message, and the fields
-of that kind.  The two processes may be of different releases: the names on the wire stand in
+A message is one JSON object with the protocol version, the kind of message, and the fields of that
+kind.  The two processes may run different releases: the names on the wire are defined in
 ``_FORMATS`` only and never change, and fields that a later release adds are ignored.
 """
 
@@ -20,60 +20,65 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Successor to predecessor: ask to take over the node of this name."""
+    """Successor to predecessor: a request to take over the node of this name."""
 
     node_name: str
-    shares_lists: bool | None = None  # whether it takes, and sends, EndpointListUpdate
+    shares_lists: bool | None = None  # whether the sender sends and accepts EndpointListUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """Predecessor to successor: the node as it is.  The listening sockets are sent along."""
-
-    configuration: JsonObject  # the object of the configuration file
-    endpoint_list: JsonObject  # all listed servers, in the form that discovery gives them
-    outages: JsonObject  # the servers that operators hold out, see OfflineServers.saved
-    draining: bool
-    # The node's clock less the monotonic clock, in microseconds: all times in what is handed over
-    # are of that clock.  None: a release that did not tell.
-    clock_offset: int | None = None
+    """Predecessor to successor: the node's state, sent with its listening sockets."""
+
+    configuration: JsonObject  # the content of the configuration file
+    endpoint_list: JsonObject  # all listed servers, as discovery encodes a complete list
+    outages: JsonObject  # the servers that operators took out, see OfflineServers.saved
+    is_draining: bool
+    # The node's clock minus the monotonic clock, in microseconds.  All times in the messages are
+    # times of the node's clock.  None: the predecessor's release does not send the offset.
+    clock_offset_us: int | None = None
     shares_lists: bool | None = None  # as in Hello
 
 
 @dataclass(frozen=True, slots=True)
 class Decline:
-    """Predecessor to successor: there is nothing to take over here."""
+    """Predecessor to successor: the request to take over, or an unexpected message, is rejected."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """Successor to predecessor: the node is built and can serve at once."""
+    """Successor to predecessor: the node is built and can serve immediately."""
 
 
 @dataclass(frozen=True, slots=True)
 class TakeOver:
-    """Predecessor to successor: serve from now on, as the predecessor accepts nothing more."""
+    """Predecessor to successor: begin to serve, as the predecessor has stopped accepting."""
 
-    policy_state: JsonObject  # what its policy learned, see oakbridge.policy.state
-    # What it was told since the welcome counts as told to this node.  None: a release that did not
-    # tell, or whose list is not of discovery.
+    policy_state: JsonObject  # what the predecessor's policy learned, see oakbridge.policy.state
+    # A list that discovery sent the predecessor since the welcome counts as sent to the node, so
+    # the successor must know it too.  None: the predecessor's release does not send its list, or
+    # the list does not come from discovery.
     endpoint_list: JsonObject | None = None
-    list_age: int | None = None  # since it was known to be up to date, in microseconds
+    # Microseconds since the list was known to be up to date; None: unknown.
+    list_age_us: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """Either way: the list as this process has just read it; both are one node, which was told."""
+    """In both directions: the endpoint list that the sender has just read from discovery.
 
-    endpoint_list: JsonObject  # complete, in the form that discovery gives it
-    list_age: int | None  # since it was known to be up to date, in microseconds; None: unknown
+    A list that discovery sent to one process counts as sent to the node, so both must use it.
+    """
+
+    endpoint_list: JsonObject  # complete, as discovery encodes it
+    list_age_us: int | None  # since the list was known to be up to date; None: unknown
 
 
 @dataclass(frozen=True, slots=True)
-class OperatorCommand:
-    """Either way: carry out an operator's command that came in at the other process."""
+class RelayedCommand:
+    """In both directions: an operator's command that the sender received and carried out."""
 
     verb: str
     server_id: str  # empty if the command names no server
@@ -81,23 +86,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RemainingLoad:
-    """Predecessor to successor: what it still has, which counts against the limits of the node."""
+    """Predecessor to successor: the predecessor's load, which counts against the node's limits."""
 
-    attempts: int  # in flight
-    connections: int  # of clients and to servers; each is one descriptor
+    attempts: int  # in flight to servers
+    connections: int  # from clients and to servers; each is one descriptor
 
 
 @dataclass(frozen=True, slots=True)
 class ClientConnection:
-    """Predecessor to successor: an idle connection of a client, whose descriptor is sent along."""
+    """Predecessor to successor: an idle client connection, sent with its descriptor."""
 
 
-SuccessorMessage = Hello | Ready | OperatorCommand | EndpointListUpdate
+SuccessorMessage = Hello | Ready | RelayedCommand | EndpointListUpdate
 PredecessorMessage = (
     Welcome
     | Decline
     | TakeOver
-    | OperatorCommand
+    | RelayedCommand
     | RemainingLoad
     | ClientConnection
     | EndpointListUpdate
@@ -112,12 +117,12 @@
     attribute: str
     wire_name: str
     json_type: type
-    is_optional: bool = False  # later releases tell it; where it is missing it is None
+    is_optional: bool = False  # not sent by earlier releases; None where it is missing
 
 
 @dataclass(frozen=True, slots=True)
 class _Format:
-    """The form of one kind of message on the wire."""
+    """The wire format of one kind of message."""
 
     kind: str
     message_type: type[Message]
@@ -140,8 +145,8 @@
             _Field("configuration", "file", dict),
             _Field("endpoint_list", "known", dict),
             _Field("outages", "outages", dict),
-            _Field("draining", "draining", bool),
-            _Field("clock_offset", "clock", int, is_optional=True),
+            _Field("is_draining", "draining", bool),
+            _Field("clock_offset_us", "clock", int, is_optional=True),
             _Field("shares_lists", "lists", bool, is_optional=True),
         ),
     ),
@@ -153,7 +158,7 @@
         (
             _Field("policy_state", "learned", dict),
             _Field("endpoint_list", "known", dict, is_optional=True),
-            _Field("list_age", "age", int, is_optional=True),
+            _Field("list_age_us", "age", int, is_optional=True),
         ),
     ),
     _Format(
@@ -161,12 +166,12 @@
         EndpointListUpdate,
         (
             _Field("endpoint_list", "known", dict),
-            _Field("list_age", "age", int, is_optional=True),
+            _Field("list_age_us", "age", int, is_optional=True),
         ),
     ),
     _Format(
         "call",
-        OperatorCommand,
+        RelayedCommand,
         (
             _Field("verb", "word", str),
             _Field("server_id", "server", str),
@@ -187,12 +192,12 @@
 
 
 def wire_kind(message: Message) -> str:
-    """Return the name of the kind of this message on the wire."""
+    """Return the name that this kind of message has on the wire."""
     return _FORMAT_BY_TYPE[type(message)].kind
 
 
 def encode(message: Message) -> bytes:
-    """Return the JSON text of a message."""
+    """Return a message as JSON text."""
     wire_format = _FORMAT_BY_TYPE[type(message)]
     values = ((field.wire_name, getattr(message, field.attribute)) for field in wire_format.fields)
     fields = {wire_name: value for wire_name, value in values if value is not None}
@@ -200,10 +205,11 @@
 
 
 def decode(text: bytes) -> Message:
-    """Return the message of a JSON text.
+    """Return the message that a JSON text encodes.
 
     Raises:
-        HandoverMessageError: It is no message of this version; the error names the field.
+        HandoverMessageError: The text is not a valid message of this protocol version; the error
+            names the field where one is wrong.
     """
     raw = _parse_object(text)
     version = raw.get("v")
@@ -211,7 +217,7 @@
         raise HandoverMessageError(f"version {PROTOCOL_VERSION}", received=_shortened(version))
     kind = raw.get("kind")
     if not isinstance(kind, str) or kind not in _FORMAT_BY_KIND:
-        raise HandoverMessageError("a kind of message that is known", received=_shortened(kind))
+        raise HandoverMessageError("a known kind of message", received=_shortened(kind))
     wire_format = _FORMAT_BY_KIND[kind]
     values = {field.attribute: _decode_field(kind, field, raw) for field in wire_format.fields}
     return wire_format.message_type(**values)
--- a/oakbridge/handover/packets.py
+++ b/oakbridge/handover/packets.py
@@ -1,41 +1,44 @@
-"""Divide the text of a message into packets, and put it together again.  Pure.
+"""Split the text of a message into packets, and reassemble it.  No I/O.
 
-A SOCK_SEQPACKET socket keeps the bounds of packets, so that descriptors sent along belong to one
-message.  A long message, such as a list of servers, takes several packets and counts once the last
-one has come.
+A SOCK_SEQPACKET socket preserves packet boundaries, so the descriptors sent with a packet belong to
+one message.  A long message, such as an endpoint list, takes several packets and is complete once
+its last packet has been received.
 """
 
 from __future__ import annotations
 
 from oakbridge.handover.errors import HandoverMessageError
 
-MAX_TEXT_BYTES = 32 * 1024  # of a packet without its mark: less than a Unix socket's buffer takes
+# The text in one packet, without the mark.  It is smaller than a Unix socket's buffer.
+MAX_TEXT_BYTES = 32 * 1024
 MAX_PACKET_BYTES = MAX_TEXT_BYTES + 1
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 
-_CONTINUED_MARK = b"+"  # first byte of each packet but the last of its message
-_LAST_MARK = b"."
+# The first byte of each packet.
+_CONTINUED_MARK = b"+"  # more packets of the same message follow
+_LAST_MARK = b"."  # the packet completes its message
 
 
 def split_into_packets(text: bytes) -> list[bytes]:
-    """Return the packets of a message, in order."""
+    """Return the packets of a message's text, in order."""
     parts = [text[start : start + MAX_TEXT_BYTES] for start in range(0, len(text), MAX_TEXT_BYTES)]
     continued = [_CONTINUED_MARK + part for part in parts[:-1]]
     return [*continued, _LAST_MARK + parts[-1]]
 
 
 class PacketAssembler:
-    """Collects the packets of one message after another."""
+    """Reassembles messages from their packets, one message after another."""
 
     def __init__(self) -> None:
         self._parts: list[bytes] = []
         self._size_bytes = 0
 
     def add(self, packet: bytes) -> bytes | None:
-        """Add a packet and return the text of its message if it is complete, else None.
+        """Add a packet; return the text of its message, or None while packets of it are missing.
 
         Raises:
-            HandoverMessageError: The packet has no mark, or the message is too long.
+            HandoverMessageError: The packet has no mark, or the message is longer than
+                ``MAX_MESSAGE_BYTES``.
         """
         mark, part = packet[:1], packet[1:]
         if mark not in (_CONTINUED_MARK, _LAST_MARK):
--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -1,4 +1,4 @@
-"""The process that runs: it listens for a successor, and hands the node over to it."""
+"""The predecessor's side: listen for a successor, and hand the node over to it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     ClientConnection,
     Decline,
     Message,
-    OperatorCommand,
+    RelayedCommand,
     RemainingLoad,
     TakeOver,
     Welcome,
@@ -44,8 +44,8 @@
 
 log = logging.getLogger(__name__)
 
-LOAD_REPORT_INTERVAL_S = 0.02
-LISTEN_RETRY_S = 0.2
+LOAD_REPORT_INTERVAL_S = 0.02  # between checks whether the remaining load has changed
+LISTEN_RETRY_S = 0.2  # delay after a transient error of the listening socket
 US_PER_S = 1e6
 
 
@@ -53,9 +53,9 @@
     """Carries the actions of a :class:`PredecessorStateMachine` out on the node and its sockets."""
 
     def __init__(self, node: Node, apply_command: Callable[[str, str], None], path: Path) -> None:
-        """Take charge of a node.
+        """``path``: where to listen for a successor.
 
-        ``apply_command`` carries out an operator's command, given its verb and the server it names.
+        ``apply_command``: carries out an operator's command, given its verb and its server's id.
         """
         self._node = node
         self._apply_command = apply_command
@@ -63,34 +63,35 @@
         self._loop = asyncio.get_running_loop()
         self._machine = PredecessorStateMachine(node.config.name)
         self._listener: UnixListener | None = None
-        self._listen_again: asyncio.TimerHandle | None = None
-        self._channel: Channel | None = None  # to the successor, or to a process that asks to be it
+        self._listen_timer: asyncio.TimerHandle | None = None
+        # To the successor, or to a process that asks to become the successor.
+        self._channel: Channel | None = None
         self._lists = SharedLists(node, lambda: self._machine.relays_lists, self._send)
 
     def listen(self) -> None:
-        """Listen for a successor.
+        """Listen for a successor; retry after a transient error.
 
-        A node that can't listen still serves: by SO_REUSEPORT a successor can listen beside it.
-        Meanwhile it tries again, where the failure may pass.
+        A node that can't listen here still serves.  A new process then can't take over from it, but
+        can listen on the same port through SO_REUSEPORT.
         """
         try:
             self._listener = UnixListener(self._path)
-        except OSError as e:
-            log.warning("hot restart unavailable: path=%s error=%s", self._path, e.strerror)
-            if is_resource_error(e):
-                self._listen_again = self._loop.call_later(LISTEN_RETRY_S, self.listen)
+        except OSError as error:
+            log.warning("hot restart unavailable: path=%s error=%s", self._path, error.strerror)
+            if is_resource_error(error):
+                self._listen_timer = self._loop.call_later(LISTEN_RETRY_S, self.listen)
             return
         self._watch_listener()
 
     def relay_command(self, verb: str, server_id: str) -> None:
-        """Have an operator's command that came in here carried out in the successor too."""
+        """Send an operator's command that this process carried out to the successor."""
         if self._machine.relays_commands:
-            self._send(OperatorCommand(verb, server_id))
+            self._send(RelayedCommand(verb, server_id))
 
     def close(self) -> None:
         """Stop listening, and close the channel to the successor."""
-        if self._listen_again is not None:
-            self._listen_again.cancel()
+        if self._listen_timer is not None:
+            self._listen_timer.cancel()
         if self._listener is not None:
             self._loop.remove_reader(self._listener)
             self._listener.close()
@@ -102,10 +103,10 @@
         assert self._listener is not None
         outcome = self._listener.accept()
         if outcome.connection is not None:
-            # The loop keeps it; the first message makes it the channel to the successor.
+            # The event loop references the channel; its first message sets self._channel.
             Channel(self._loop, outcome.connection, self._on_message, self._on_disconnect)
         elif outcome.status is not AcceptStatus.QUEUE_EMPTY:
-            self._loop.remove_reader(self._listener)  # it would fail again at once
+            self._loop.remove_reader(self._listener)  # accept would fail again at once
             self._loop.call_later(ACCEPT_RETRY_US / US_PER_S, self._watch_listener)
 
     def _watch_listener(self) -> None:
@@ -114,13 +115,13 @@
 
     def _on_message(self, channel: Channel, message: Message, descriptors: list[int]) -> None:
         for descriptor in descriptors:
-            os.close(descriptor)  # a successor sends none
+            os.close(descriptor)  # the protocol has none in this direction
         if self._channel not in (None, channel):
             channel.send(Decline(HAS_SUCCESSOR))
             channel.close()
             return
         self._channel = channel
-        self._notice_shutdown()
+        self._check_shutdown()
         self._perform(self._machine.receive(message))
 
     def _on_disconnect(self, channel: Channel) -> None:
@@ -128,10 +129,10 @@
             return
         for descriptor in channel.take_unsent_descriptors():
             self._node.server.admit(socket.socket(fileno=descriptor))
-        self._notice_shutdown()
+        self._check_shutdown()
         self._perform(self._machine.disconnected())
 
-    def _notice_shutdown(self) -> None:
+    def _check_shutdown(self) -> None:
         if self._node.server.shutting_down:
             self._machine.begin_shutdown()
 
@@ -167,18 +168,18 @@
             configuration=node.config.raw,
             endpoint_list=self._lists.update().endpoint_list,
             outages=node.offline_servers.saved(),
-            draining=node.server.lifecycle.draining,
-            clock_offset=node.clock.offset,
+            is_draining=node.server.lifecycle.draining,
+            clock_offset_us=node.clock.offset,
             shares_lists=True,
         )
         try:
             descriptors = node.server.listener.duplicate_descriptors()
         except OSError as error:
-            # Without an answer the successor goes on alone, and listens beside this process.
-            log.warning("no descriptors for a successor: %s", error)
+            # Without a welcome the successor times out, and serves beside this process.
+            log.warning("listening sockets can't be duplicated for the successor: error=%s", error)
             return
         if self._send(welcome, descriptors):
-            log.info("successor welcomed")
+            log.info("welcome sent to the successor")
             return
         for descriptor in descriptors:
             os.close(descriptor)
@@ -188,27 +189,30 @@
         node.server.hand_over(self._migrate_connection)
         node.pool.close_idle()
         self._send(self._take_over_message())
-        # docs/operations.md quotes this line: client connections migrate as they become idle.
-        log.info("handed over; %d callers move on as they rest", node.server.connection_count())
+        # docs/operations.md quotes this line.  The client connections migrate as they become idle.
+        log.info(
+            "node handed over to the successor: client_connections=%d",
+            node.server.connection_count(),
+        )
         self._report_load(None)
         node.server.hand_over_idle_connections()
 
     def _take_over_message(self) -> TakeOver:
         node = self._node
-        learned = policy_state.save(node.balancer, node.clock.now())
+        saved_state = policy_state.save(node.balancer, node.clock.now())
         if not isinstance(node.source, DiscoverySource):
-            return TakeOver(learned)
+            return TakeOver(saved_state)
         update = self._lists.update()
-        return TakeOver(learned, update.endpoint_list, update.list_age)
+        return TakeOver(saved_state, update.endpoint_list, update.list_age_us)
 
     def _migrate_connection(self, descriptor: int) -> bool:
-        """Send an idle client connection to the successor; False if that is gone."""
+        """Send an idle client connection to the successor; False if it has disconnected."""
         return self._send(ClientConnection(), [descriptor])
 
     def _report_load(self, last_report: RemainingLoad | None) -> None:
-        """Report this process's remaining load while it drains, now and after each change.
+        """Report the remaining load to the successor now and, while draining, after each change.
 
-        The node's limits apply to both processes together, so the successor has to know it.
+        The node's limits apply to both processes together, so the successor needs the load.
         """
         if self._channel is None or self._machine.state is not PredecessorState.DRAINING:
             return
@@ -222,6 +226,6 @@
         self._loop.call_later(LOAD_REPORT_INTERVAL_S, self._report_load, load)
 
     def _resume_serving(self) -> None:
-        log.warning("the process that took over is gone: serving again")
+        log.warning("successor disconnected: accepting connections again")
         self._node.balancer.slow_start.is_handed_over = False
         self._node.server.cancel_hand_over()
--- a/oakbridge/handover/shared_lists.py
+++ b/oakbridge/handover/shared_lists.py
@@ -1,7 +1,8 @@
-"""Endpoint lists that one process of a node reads and both use, while one hands over to the other.
+"""Share endpoint lists between the two processes of a node during a hand-over.
 
-What either was told counts as told to the node.  Only where discovery is polled: an agent that pushes
-lists tells each process at once, and agents have versions of their own.
+A list that discovery sent to either process counts as sent to the node, so both have to use it.
+Lists are shared only where discovery is polled: an agent that pushes lists sends them to each
+process itself, and the version numbers of its lists are its own.
 """
 
 from __future__ import annotations
@@ -19,39 +20,39 @@
 
 
 class SharedLists:
-    """Sends what this process reads to the other one, and uses what that one reads."""
+    """Sends the lists that this process reads, and applies those that it receives."""
 
     def __init__(
         self,
         node: Node,
-        relays: Callable[[], bool],
+        should_relay: Callable[[], bool],
         send: Callable[[EndpointListUpdate], object],
     ) -> None:
-        """``relays``: whether there is another process that shares lists."""
+        """``should_relay``: returns whether the node has another process that accepts lists."""
         self._node = node
-        self._relays = relays
+        self._should_relay = should_relay
         self._send = send
         if isinstance(node.source, DiscoverySource) and node.settings.poll_discovery:
             node.source.read_listeners.append(self._relay)
 
     def update(self) -> EndpointListUpdate:
-        """Return the list as this process has it."""
+        """Return this process's current endpoint list.  Its age is None without discovery."""
         source, endpoints = self._node.source, self._node.endpoints.current()
         if not isinstance(source, DiscoverySource):
             return EndpointListUpdate(encode_endpoint_list(0, endpoints), None)
-        known = encode_endpoint_list(source.version, endpoints)
-        return EndpointListUpdate(known, source.list_age_us())
+        encoded = encode_endpoint_list(source.version, endpoints)
+        return EndpointListUpdate(encoded, source.list_age_us())
 
     def apply(self, update: EndpointListUpdate) -> None:
-        """Use a list that the other process has read."""
+        """Apply a list that the other process has read, if it is newer than this process's."""
         source = self._node.source
         if not isinstance(source, DiscoverySource):
             return
         try:
-            source.adopt(parse_endpoint_list(update.endpoint_list), update.list_age)
+            source.adopt(parse_endpoint_list(update.endpoint_list), update.list_age_us)
         except EndpointListError as error:
-            log.warning("unusable list from the node's other process: error=%s", error)
+            log.warning("invalid endpoint list from the node's other process: error=%s", error)
 
     def _relay(self) -> None:
-        if self._relays():
+        if self._should_relay():
             self._send(self.update())
--- a/oakbridge/handover/state_machine.py
+++ b/oakbridge/handover/state_machine.py
@@ -1,9 +1,9 @@
-"""Both sides of a hand-over as state machines: messages and events in, actions out.  Pure.
+"""Both sides of a hand-over as state machines: messages and events in, actions out.  No I/O.
 
-The predecessor serves unchanged until the successor is ready, so that a successor that fails
-before that changes nothing.  From then on the successor accepts clients, and the predecessor
-completes what it has.  The successor waits for the predecessor at each step for a bounded time and
-goes on without it: no failure of the predecessor ends the successor.
+The predecessor serves unchanged until the successor is ready, so a successor that fails before then
+has no effect.  From then on the successor accepts the clients' connections, and the predecessor
+finishes the requests that it has.  At each step the successor waits for the predecessor for a
+bounded time and then goes on without it, so no failure of the predecessor makes the successor exit.
 """
 
 from __future__ import annotations
@@ -29,21 +29,21 @@
     EndpointListUpdate,
     Hello,
     Message,
-    OperatorCommand,
     Ready,
+    RelayedCommand,
     RemainingLoad,
     TakeOver,
     Welcome,
     wire_kind,
 )
 
-# Reasons on the wire for which a successor is declined.
+# Reasons to decline a successor, as sent in a Decline message.
 HAS_SUCCESSOR = "another process takes over"
 SHUTTING_DOWN = "ends"
 
 
 class PredecessorState(Enum):
-    """The state of the process that runs."""
+    """The state of the running process."""
 
     SERVING = "serving"  # without a successor
     SUCCESSOR_STARTING = "successor starting"
@@ -51,23 +51,23 @@
 
 
 class PredecessorStateMachine:
-    """The process that runs and hands over to one successor at most."""
+    """The running process, which hands over to one successor at most."""
 
     def __init__(self, node_name: str) -> None:
         self.node_name = node_name
         self.state = PredecessorState.SERVING
-        self.shutting_down = False
+        self.is_shutting_down = False
         self._successor_shares_lists = False
 
     def receive(self, message: Message) -> list[PredecessorAction]:
-        """Handle a message of the successor, or of a process that asks to become it."""
+        """Handle a message from the successor, or from a process that asks to become it."""
         match message:
             case Hello():
                 return self._welcome_or_decline(message)
             case Ready() if self.state is PredecessorState.SUCCESSOR_STARTING:
                 self.state = PredecessorState.DRAINING
                 return [DrainToSuccessor()]
-            case OperatorCommand() if self.relays_commands:
+            case RelayedCommand() if self.relays_commands:
                 return [ApplyCommand(message)]
             case EndpointListUpdate() if self.relays_lists:
                 return [ApplyEndpointList(message)]
@@ -86,59 +86,59 @@
     def _reason_to_decline(self, hello: Hello) -> str | None:
         if hello.node_name != self.node_name:
             return f"this is {self.node_name}"
-        if self.shutting_down:
+        if self.is_shutting_down:
             return SHUTTING_DOWN
         if self.state is not PredecessorState.SERVING:
             return HAS_SUCCESSOR
         return None
 
     def disconnected(self) -> list[PredecessorAction]:
-        """Handle that the successor is gone, or breaks the protocol."""
+        """Handle that the successor has disconnected, or has sent an unexpected message."""
         was_draining = self.state is PredecessorState.DRAINING
         self.state = PredecessorState.SERVING
-        if was_draining and not self.shutting_down:
+        if was_draining and not self.is_shutting_down:
             return [Disconnect(), ResumeServing()]
         return [Disconnect()]
 
     def begin_shutdown(self) -> None:
-        """Handle that this process was told to end: it never serves again."""
-        self.shutting_down = True
+        """Handle that this process shuts down: it does not resume serving after a hand-over."""
+        self.is_shutting_down = True
 
     @property
     def relays_commands(self) -> bool:
-        """Whether operators' commands have to be carried out in the successor too."""
+        """Whether operators' commands have to be carried out by the successor too."""
         return self.state is not PredecessorState.SERVING
 
     @property
     def relays_lists(self) -> bool:
-        """Whether lists that are read have to be used by both processes."""
+        """Whether endpoint lists that one process reads have to be sent to the other."""
         return self.state is PredecessorState.DRAINING and self._successor_shares_lists
 
 
 class SuccessorState(Enum):
-    """The state of the process that was started, beside another one or alone."""
+    """The state of a new process, with or without a predecessor."""
 
     CONNECTING = "connecting"  # until the predecessor's welcome
     BUILDING = "building"
-    TAKING_OVER = "taking over"  # ready, until the predecessor lets it serve
+    TAKING_OVER = "taking over"  # ready, until the predecessor has stopped accepting
     SERVING = "serving"
 
 
 class SuccessorStateMachine:
-    """The process that was started: it takes over if it can, and serves in any case."""
+    """A new process: it takes over from a predecessor if there is one, and serves in any case."""
 
     def __init__(self, node_name: str) -> None:
         self.node_name = node_name
         self.state = SuccessorState.CONNECTING
-        self.has_predecessor = True  # until the contrary is known
+        self.has_predecessor = True  # assumed until there is none, or it disconnects
         self._predecessor_shares_lists = False
 
     def connected(self) -> list[SuccessorAction]:
-        """Handle that a predecessor was found."""
+        """Handle that a connection to the predecessor is open."""
         return [Send(Hello(self.node_name, shares_lists=True))]
 
     def receive(self, message: Message) -> list[SuccessorAction]:
-        """Handle a message of the predecessor; one that declines is done without."""
+        """Handle a message from the predecessor; disconnect if it is a Decline or unexpected."""
         match message:
             case Welcome() if self.state is SuccessorState.CONNECTING:
                 self.state = SuccessorState.BUILDING
@@ -149,7 +149,7 @@
                 return [StartServing(message)]
             case RemainingLoad() if self.state is SuccessorState.SERVING:
                 return [ReserveForPredecessor(message)]
-            case OperatorCommand() if self.state is not SuccessorState.CONNECTING:
+            case RelayedCommand() if self.state is not SuccessorState.CONNECTING:
                 return [ApplyCommand(message)]
             case EndpointListUpdate() if self.relays_lists:
                 return [ApplyEndpointList(message)]
@@ -165,13 +165,13 @@
         return [StartServing(None)]
 
     def timed_out(self) -> list[SuccessorAction]:
-        """Handle that the predecessor has not answered in time."""
+        """Handle that the predecessor has not replied within the timeout."""
         if self.state in (SuccessorState.CONNECTING, SuccessorState.TAKING_OVER):
             return self.disconnected()
         return []
 
     def disconnected(self) -> list[SuccessorAction]:
-        """Handle that there is no predecessor, or that it declines or breaks the protocol."""
+        """Handle that there is no predecessor, or that the hand-over with it has failed."""
         if not self.has_predecessor:
             return []
         self.has_predecessor = False
@@ -185,11 +185,11 @@
 
     @property
     def relays_commands(self) -> bool:
-        """Whether operators' commands have to be carried out in the predecessor too."""
+        """Whether operators' commands have to be carried out by the predecessor too."""
         return self.has_predecessor and self.state is not SuccessorState.CONNECTING
 
     @property
     def relays_lists(self) -> bool:
-        """Whether lists that are read have to be used by both processes."""
+        """Whether endpoint lists that one process reads have to be sent to the other."""
         is_serving = self.state is SuccessorState.SERVING
         return is_serving and self.has_predecessor and self._predecessor_shares_lists
--- a/oakbridge/handover/successor.py
+++ b/oakbridge/handover/successor.py
@@ -1,4 +1,4 @@
-"""The process that was started: it takes the node over from a predecessor, or serves alone."""
+"""The successor's side: take the node over from a predecessor, or serve without one."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     EndpointListUpdate,
     JsonObject,
     Message,
-    OperatorCommand,
+    RelayedCommand,
     RemainingLoad,
     TakeOver,
     Welcome,
@@ -39,16 +39,17 @@
 
 log = logging.getLogger(__name__)
 
-REPLY_TIMEOUT_S = 1.0  # a predecessor that takes longer to answer is frozen, and is done without
+# A predecessor that takes longer to reply counts as frozen, and the successor goes on without it.
+REPLY_TIMEOUT_S = 1.0
 
 
 class Successor:
     """Carries the actions of a :class:`SuccessorStateMachine` out on the node and its sockets.
 
     Attributes:
-        path: Where the predecessor listens.
-        welcome: The node as the predecessor has it; None if there is no predecessor.
-        listeners: The predecessor's listening sockets, for the node to own.
+        path: The path of the predecessor's Unix socket.
+        welcome: The node's state from the predecessor; None if there is no predecessor.
+        listeners: The predecessor's listening sockets, which the node takes over.
     """
 
     def __init__(self, node_name: str, path: Path) -> None:
@@ -57,16 +58,16 @@
         self.listeners: list[socket.socket] = []
         self._loop = asyncio.get_running_loop()
         self._machine = SuccessorStateMachine(node_name)
-        self._progress = asyncio.Event()  # set after each event that may have changed the state
+        self._progress = asyncio.Event()  # set after each event that may change the state
         self._channel: Channel | None = None
         self._node: Node | None = None
         self._lists: SharedLists | None = None
         self._apply_command: Callable[[str, str], None] | None = None
-        self._early_commands: list[OperatorCommand] = []  # received before the node was there
-        self._early_connections: list[socket.socket] = []  # received before it served
+        self._early_commands: list[RelayedCommand] = []  # received before attach()
+        self._early_connections: list[socket.socket] = []  # received before serving
 
     async def connect(self) -> None:
-        """Receive the predecessor's welcome, or find that there is no predecessor that answers."""
+        """Wait for the predecessor's welcome, or until it is known that no predecessor replies."""
         sock = connect(self.path)
         if sock is None:
             self._perform(self._machine.disconnected())
@@ -76,9 +77,9 @@
         await self._wait_until(lambda: self._machine.state is not SuccessorState.CONNECTING)
 
     def attach(self, node: Node, apply_command: Callable[[str, str], None]) -> None:
-        """Go on with the node, once it is built.
+        """Use the node that was built, and carry out the commands received meanwhile.
 
-        ``apply_command`` carries out an operator's command, given its verb and the server it names.
+        ``apply_command``: carries out an operator's command, given its verb and its server's id.
         """
         self._node = node
         self._lists = SharedLists(node, lambda: self._machine.relays_lists, self._send)
@@ -88,17 +89,17 @@
         self._early_commands = []
 
     async def take_over(self) -> None:
-        """Have the predecessor stop accepting, and serve in its place from then on."""
+        """Have the predecessor stop accepting connections, then serve in its place."""
         self._perform(self._machine.node_built())
         await self._wait_until(lambda: self._machine.state is SuccessorState.SERVING)
 
     def relay_command(self, verb: str, server_id: str) -> None:
-        """Have an operator's command that came in here carried out in the predecessor too."""
+        """Send an operator's command that this process carried out to the predecessor."""
         if self._machine.relays_commands:
-            self._send(OperatorCommand(verb, server_id))
+            self._send(RelayedCommand(verb, server_id))
 
     def close(self) -> None:
-        """Leave the predecessor alone."""
+        """Close the connection to the predecessor."""
         if self._channel is not None:
             self._channel.close()
 
@@ -109,7 +110,7 @@
                     self._progress.clear()
                     await self._progress.wait()
         except TimeoutError:
-            log.warning("the process that runs does not answer: going on without it")
+            log.warning("predecessor did not reply in time: going on without it")
             self._perform(self._machine.timed_out())
 
     def _on_message(self, _channel: Channel, message: Message, descriptors: list[int]) -> None:
@@ -122,7 +123,7 @@
                 self.listeners = [socket.socket(fileno=descriptor) for descriptor in descriptors]
             case _:
                 for descriptor in descriptors:
-                    os.close(descriptor)  # none is expected
+                    os.close(descriptor)  # other messages have no descriptors
         self._perform(self._machine.receive(message))
 
     def _on_disconnect(self, _channel: Channel) -> None:
@@ -142,7 +143,7 @@
                 case BuildNode():
                     self.welcome = action.welcome
                 case StartServing():
-                    self._start_serving(action.predecessor)
+                    self._start_serving(action.take_over)
                 case ReserveForPredecessor():
                     self._reserve_for_predecessor(action.load)
                 case ApplyEndpointList():
@@ -169,36 +170,37 @@
             self._node.share_descriptors(load.connections)
             self._node.post(PredecessorInFlight(load.attempts))
 
-    def _apply(self, command: OperatorCommand) -> None:
+    def _apply(self, command: RelayedCommand) -> None:
         if self._apply_command is None:
             self._early_commands.append(command)
         else:
             self._apply_command(command.verb, command.server_id)
 
-    def _start_serving(self, predecessor: TakeOver | None) -> None:
+    def _start_serving(self, take_over: TakeOver | None) -> None:
         node = self._node
         assert node is not None
-        if predecessor is not None:
-            self._take_over_list(node, predecessor)
-            self._restore_policy_state(node, predecessor.policy_state)
-            log.info("taken over")
+        if take_over is not None:
+            self._take_over_list(node, take_over)
+            self._restore_policy_state(node, take_over.policy_state)
+            log.info("node taken over from the predecessor")
         for sock in self._early_connections:
             node.server.admit(sock)
         self._early_connections = []
 
-    def _take_over_list(self, node: Node, predecessor: TakeOver) -> None:
-        """Go on from the predecessor's list, which may be newer than the one of its welcome.
+    def _take_over_list(self, node: Node, take_over: TakeOver) -> None:
+        """Continue with the predecessor's list, which may be newer than that of its welcome.
 
-        The list's age goes on too: a bound that began anew with each process would not be one.
+        The list keeps its age: the limit on the age of a list would otherwise start anew with each
+        process and so would not be a limit.
         """
-        if self._lists is not None and predecessor.endpoint_list is not None:
-            self._lists.apply(EndpointListUpdate(predecessor.endpoint_list, predecessor.list_age))
+        if self._lists is not None and take_over.endpoint_list is not None:
+            self._lists.apply(EndpointListUpdate(take_over.endpoint_list, take_over.list_age_us))
         if node.settings.poll_discovery:
             node.source.watch(True)
 
     @staticmethod
-    def _restore_policy_state(node: Node, learned: JsonObject) -> None:
+    def _restore_policy_state(node: Node, saved_state: JsonObject) -> None:
         try:
-            policy_state.restore(node.balancer, learned, node.clock.now())
-        except (KeyError, TypeError, ValueError) as e:
-            log.warning("unusable policy state from the predecessor: error=%s", e)
+            policy_state.restore(node.balancer, saved_state, node.clock.now())
+        except (KeyError, TypeError, ValueError) as error:
+            log.warning("invalid policy state from the predecessor: error=%s", error)
--- a/oakbridge/handover/unix_socket.py
+++ b/oakbridge/handover/unix_socket.py
@@ -1,4 +1,4 @@
-"""The Unix socket by which the processes of a node find one another."""
+"""The Unix socket at which the running process of a node listens for its successor."""
 
 from __future__ import annotations
 
@@ -14,27 +14,29 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ADDRESS_BYTES = 100  # a Unix address holds 107
-MAX_NAME_CHARACTERS = 64  # of the node's name in that of the socket
+MAX_ADDRESS_BYTES = 100  # the system's limit for the path of a Unix socket is 107
+MAX_NAME_CHARACTERS = 64  # of the node's name that are used in the file name of the socket
 BACKLOG = 4
-CONNECT_PATIENCE_S = 1.0  # with a connect that fails for a moment; then it counts as none listens
+# Connects that fail with a transient error are retried for this time.  After it, the successor goes
+# on as if no predecessor listened.
+CONNECT_TIMEOUT_S = 1.0
 
 
 def socket_path(node_name: str, folder: str | None = None) -> Path:
-    """Return where the processes of a node meet: in this folder, ``TMPDIR`` or ``/tmp``."""
-    safe_name = "".join(c if c.isalnum() or c in "-_" else "_" for c in node_name)
-    meeting_folder = folder or os.environ.get("TMPDIR") or "/tmp"
-    return Path(meeting_folder) / f"oakbridge-{safe_name[:MAX_NAME_CHARACTERS]}.sock"
+    """Return the path of a node's Unix socket, in ``folder``, else in ``TMPDIR`` or ``/tmp``."""
+    safe_name = "".join(char if char.isalnum() or char in "-_" else "_" for char in node_name)
+    socket_folder = folder or os.environ.get("TMPDIR") or "/tmp"
+    return Path(socket_folder) / f"oakbridge-{safe_name[:MAX_NAME_CHARACTERS]}.sock"
 
 
 class UnixListener:
-    """A listening socket under a name that other processes know.  It owns both."""
+    """A listening Unix socket at a path.  It owns the socket and its file."""
 
     def __init__(self, path: Path) -> None:
-        """Listen at this path, in place of whatever has the name.
+        """Listen at this path; a file that is already there is replaced.
 
         Raises:
-            OSError: The name can't be taken.
+            OSError: The socket can't be created, bound or listened on.
         """
         self._path = path
         self._failures = AcceptFailureLog()
@@ -51,18 +53,18 @@
             raise
 
     def fileno(self) -> int:
-        """Return the descriptor, for a loop to watch."""
+        """Return the socket's descriptor, for an event loop to watch."""
         return self._sock.fileno()
 
     def accept(self) -> AcceptResult:
-        """Return a connection that waits, set not to block, or why there is none."""
-        outcome = accept(self._sock, self._failures)
-        if outcome.connection is not None:
-            outcome.connection.setblocking(False)
-        return outcome
+        """Accept a connection as a non-blocking socket; the status says why there is none."""
+        accepted = accept(self._sock, self._failures)
+        if accepted.connection is not None:
+            accepted.connection.setblocking(False)
+        return accepted
 
     def close(self) -> None:
-        """Listen no more, and remove the name unless another process has it by now."""
+        """Stop listening, and remove the file unless another process has replaced it."""
         self._sock.close()
         with contextlib.suppress(OSError):
             if self._path.stat().st_ino == self._inode:
@@ -70,16 +72,20 @@
 
 
 def connect(path: Path) -> socket.socket | None:
-    """Connect to the process that listens there; None if there is none (any more)."""
+    """Connect to the process that listens at this path; None if no process listens.
+
+    Transient errors are retried, which blocks: to connect, for ``CONNECT_TIMEOUT_S`` at most.
+    Raises OSError if no socket can be created.
+    """
     if not path.exists():
         return None
-    sock = retry_resource_errors(_unix_socket, "making a socket to the predecessor")
+    sock = retry_resource_errors(_unix_socket, "creating a socket to the predecessor")
     try:
-        what = "connecting to the predecessor"
-        retry_resource_errors(lambda: _connect(sock, path), what, CONNECT_PATIENCE_S)
-    except OSError as e:
+        activity = "connecting to the predecessor"
+        retry_resource_errors(lambda: _connect(sock, path), activity, CONNECT_TIMEOUT_S)
+    except OSError as error:
         sock.close()
-        log.info("no predecessor listens: path=%s error=%s", path.name, e.strerror)
+        log.info("no predecessor listens: path=%s error=%s", path.name, error.strerror)
         return None
     return sock
 
@@ -95,7 +101,7 @@
 
 @contextlib.contextmanager
 def _short_address(path: Path) -> Iterator[str]:
-    """Give an address that fits for a socket in a folder with a long name."""
+    """Yield an address for this path that is within the system's limit on its length."""
     if len(os.fsencode(path)) <= MAX_ADDRESS_BYTES:
         yield str(path)
         return
--- a/oakbridge/operators/protocol.py
+++ b/oakbridge/operators/protocol.py
@@ -60,8 +60,8 @@
     """Have the command of a line carried out and return the line of the answer."""
     try:
         return encode_acceptance(execute(decode_command(line)))
-    except CommandRejectedError as e:
-        return encode_rejection(e.reason)
+    except CommandRejectedError as error:
+        return encode_rejection(error.reason)
 
 
 def decode_command(line: bytes) -> OperatorCommand:
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -45,8 +45,8 @@
         config, config_error = None, None
         try:
             config = load_config(self._environment)
-        except ConfigError as e:
-            config_error = e
+        except ConfigError as error:
+            config_error = error
         name = config.name if config is not None else self._environment.get("NODE_NAME")
         if not name:
             raise config_error or ConfigError("NODE_NAME: missing")
@@ -64,7 +64,7 @@
         listeners, successor.listeners = successor.listeners, []
         inherited_sockets = _inherit_listeners(listeners, config.listen)
         listening = ListenOptions(inherited=inherited_sockets, reuse_port=True)
-        clock_offset = None if inherited is None else inherited.clock_offset
+        clock_offset = None if inherited is None else inherited.clock_offset_us
         return Node(
             config,
             loop,
@@ -102,7 +102,7 @@
 
         predecessor = Predecessor(node, apply, successor.path)
         executor = NodeCommandExecutor(node, on_executed=relay)
-        if successor.welcome is not None and successor.welcome.draining:
+        if successor.welcome is not None and successor.welcome.is_draining:
             node.server.drain()
         with ExitStack() as stack:
             stack.callback(successor.close)
@@ -141,5 +141,5 @@
         return
     try:
         NodeCommandExecutor(node, is_started=True).execute(command)
-    except CommandRejectedError as e:
-        log.warning("relayed command rejected: verb=%s server=%s error=%s", verb, server_id, e)
+    except CommandRejectedError as error:
+        log.warning("relayed command rejected: verb=%s server=%s error=%s", verb, server_id, error)
--- a/tests/formats/test_handover.py
+++ b/tests/formats/test_handover.py
@@ -14,8 +14,8 @@
     EndpointListUpdate,
     Hello,
     Message,
-    OperatorCommand,
     Ready,
+    RelayedCommand,
     RemainingLoad,
     TakeOver,
     Welcome,
@@ -68,15 +68,15 @@
         configuration=CONFIG_FILE,
         endpoint_list={"index": 41, "snapshot": True, "endpoints": ENDPOINTS},
         outages={"s-1": [5000000, 0, 0], "s-2": [6000000, 7000000, 7000000]},
-        draining=True,
+        is_draining=True,
     ),
     "decline": Decline(reason="another process takes over"),
     "ready": Ready(),
     "over": TakeOver(policy_state=POLICY_STATE),
     "list": EndpointListUpdate(
-        endpoint_list={"index": 41, "snapshot": True, "endpoints": ENDPOINTS}, list_age=250_000
+        endpoint_list={"index": 41, "snapshot": True, "endpoints": ENDPOINTS}, list_age_us=250_000
     ),
-    "call": OperatorCommand(verb="OFFLINE", server_id="s-1"),
+    "call": RelayedCommand(verb="OFFLINE", server_id="s-1"),
     "still": RemainingLoad(attempts=2, connections=9),
     "caller": ClientConnection(),
 }
--- a/tests/handover/test_passing_errors.py
+++ b/tests/handover/test_passing_errors.py
@@ -95,7 +95,7 @@
 def test_a_predecessor_is_found_though_a_connect_fails_for_a_moment(
     monkeypatch, tmp_path, error, times, connects
 ):
-    monkeypatch.setattr(unix_socket, "CONNECT_PATIENCE_S", 0.3)
+    monkeypatch.setattr(unix_socket, "CONNECT_TIMEOUT_S", 0.3)
     monkeypatch.setattr(unix_socket, "_connect", FailsAtFirst(unix_socket._connect, error, times))
     listener = UnixListener(tmp_path / "node.sock")
     sock = connect(tmp_path / "node.sock")
--- a/tests/handover/test_state_machine.py
+++ b/tests/handover/test_state_machine.py
@@ -22,8 +22,8 @@
     Decline,
     EndpointListUpdate,
     Hello,
-    OperatorCommand,
     Ready,
+    RelayedCommand,
     RemainingLoad,
     TakeOver,
     Welcome,
@@ -35,7 +35,7 @@
     SuccessorStateMachine,
 )
 
-WELCOME = Welcome(configuration={}, endpoint_list={}, outages={}, draining=False)
+WELCOME = Welcome(configuration={}, endpoint_list={}, outages={}, is_draining=False)
 
 
 def test_ordinary_course():
@@ -49,7 +49,7 @@
     assert new.receive(TakeOver({"a": 1})) == [StartServing(TakeOver({"a": 1}))]
     load = RemainingLoad(attempts=2, connections=9)
     assert new.receive(load) == [ReserveForPredecessor(load)]
-    command = OperatorCommand("OFFLINE", "s")
+    command = RelayedCommand("OFFLINE", "s")
     assert old.receive(command) == new.receive(command) == [ApplyCommand(command)]
     assert old.disconnected()[-1] == ResumeServing()  # it was not told to end: it is the node again
     assert old.state == PredecessorState.SERVING
@@ -118,7 +118,7 @@
         Decline(""),
         TakeOver({}),
         RemainingLoad(attempts=1, connections=1),
-        OperatorCommand("JOIN", ""),
+        RelayedCommand("JOIN", ""),
         EndpointListUpdate({}, None),
     ]
 )
@@ -163,7 +163,7 @@
             over = True
         if ResumeServing() in actions:
             assert over
-            assert not old.shutting_down
+            assert not old.is_shutting_down
             over = False
         asked = old.state != PredecessorState.SERVING
         over = over and old.state == PredecessorState.DRAINING
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -166,7 +166,7 @@
             old = await site.started()
             old.send_signal(signal.SIGSTOP)
             new = await site.started()
-            assert "does not answer" in site.log()
+            assert "predecessor did not reply in time" in site.log()
             old.send_signal(signal.SIGCONT)
             old.kill()
             await with_timeout(old.wait())
