--- a/oakbridge/operators/__init__.py
+++ b/oakbridge/operators/__init__.py
@@ -1,6 +1,7 @@
-"""Operators' commands, on an address of their own: servers, drains and health.
+"""Operators' commands on a separate address: health, servers taken out, and drains.
 
-- ``protocol``: the lines, without I/O; ``listener``: the connections that they come on;
+- ``protocol``: the line protocol, without I/O;
+- ``listener``: the connections of operators;
 - ``executor``: carries the commands out on a node;
-- ``service``: a node with both, and with the hand-over from one process to the next (hot restart).
+- ``service``: a node with operators' commands and hot restart.
 """
--- a/oakbridge/operators/executor.py
+++ b/oakbridge/operators/executor.py
@@ -19,17 +19,17 @@
         is_started: bool = False,
         on_executed: Callable[[OperatorCommand], None] | None = None,
     ) -> None:
-        """Begin with HEALTH rejected unless ``is_started``.
+        """``is_started``: whether the node serves; HEALTH is rejected until then.
 
-        ``on_executed``: called with each command that was carried out, except HEALTH; during a
-        hand-over it relays them to the node's other process.
+        ``on_executed``: called with each command that was carried out, except HEALTH.  During a
+        hand-over it relays the command to the node's other process.
         """
         self.is_started = is_started
         self._node = node
         self._on_executed = on_executed
 
     def execute(self, command: OperatorCommand) -> str:
-        """Carry out a command and return the text of its answer.  Raises CommandRejectedError."""
+        """Carry out a command and return the text of its response.  Raises CommandRejectedError."""
         match command.verb:
             case Verb.HEALTH:
                 return self._health()
@@ -48,9 +48,9 @@
         return result
 
     def _health(self) -> str:
-        """Report the node's state.  Raises CommandRejectedError if this process can't serve requests.
+        """Return the node's state.  Raises CommandRejectedError if it can't serve requests.
 
-        A draining node can, and so can one whose servers have all been taken out.
+        A draining node counts as able to, and so does one whose servers operators all took out.
         """
         node = self._node
         if not self.is_started:
@@ -62,7 +62,7 @@
         return f"{node.server.lifecycle.phase.value}, {len(node.pool.endpoints)} servers in use{suffix}"
 
     def _take_out(self, server_id: str) -> str:
-        """Take a server out until it is put back, whatever the endpoint lists say."""
+        """Take a server out of use until it is put back, whatever later endpoint lists contain."""
         offline_servers = self._node.offline_servers
         if offline_servers.is_full() and not offline_servers.is_offline(server_id):
             raise CommandRejectedError("as many servers are held out as can be")
@@ -72,13 +72,13 @@
         return f"{server_id} is out" if has_changed else f"{server_id} was out already"
 
     def _put_back(self, server_id: str) -> str:
-        """Put a server back in use, however often it was taken out."""
+        """Put a server back in use, even if it was taken out several times."""
         has_changed = self._node.put_back(server_id)
         if has_changed is None:
             raise CommandRejectedError(f"no server {server_id} is listed or held out")
         return f"{server_id} is back" if has_changed else f"{server_id} was not out"
 
-    # The texts of the answers are part of the operators' protocol, so they keep its older words.
+    # The response texts are part of the operators' protocol and must not change.
 
     def _drain(self) -> str:
         has_changed = self._node.server.drain()
--- a/oakbridge/operators/protocol.py
+++ b/oakbridge/operators/protocol.py
@@ -1,8 +1,8 @@
-"""The operators' line protocol: a command in, a line out that begins with YES or NO.  No I/O.
+"""The operators' line protocol: each command line gets a line that begins with YES or NO.  No I/O.
 
-A command is a verb and, for two of them, the id of one server.  Verbs count in any case, the space
-around them is free, and a line may end in CR LF.  Anything else gets a NO that says what was
-expected.
+A command is a verb and, for OFFLINE and ONLINE, the id of one server.  Verbs are case-insensitive,
+white space around the words is ignored, and a line may end in CR LF.  Any other line gets a NO that
+says what was expected.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_LINE_BYTES = 1024  # without the line's end
+MAX_LINE_BYTES = 1024  # without the line end
 FIRST_PRINTABLE = " "
 DELETE = "\x7f"
 
 
 class Verb(Enum):
-    """What can be asked; the value is the word on the wire."""
+    """The commands' verbs; the value is the word on the wire."""
 
     HEALTH = "HEALTH"
     OFFLINE = "OFFLINE"  # take a server out
-    ONLINE = "ONLINE"  # use it again
+    ONLINE = "ONLINE"  # put a server back in use
     LEAVE = "LEAVE"  # drain the node
     JOIN = "JOIN"  # end the drain
 
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorCommand:
-    """One command."""
+    """A command line, decoded."""
 
     verb: Verb
-    server_id: str = ""  # of OFFLINE and ONLINE; empty for the others
+    server_id: str = ""  # the server of OFFLINE and ONLINE; empty for other verbs
 
 
 class CommandRejectedError(ValueError):
-    """A command that gets a NO with this reason."""
+    """A command can't be carried out; the response is a NO with ``reason``."""
 
     def __init__(self, reason: str) -> None:
         self.reason = reason
@@ -46,18 +46,20 @@
 
 
 class InvalidCommandError(CommandRejectedError):
-    """A line that is no command."""
+    """A line is not a valid command; the reason says what was expected."""
 
     def __init__(self, expected: str) -> None:
         self.expected = expected
         super().__init__(f"expected {expected}")
 
 
-Execute = Callable[[OperatorCommand], str]  # returns what holds now, or raises CommandRejectedError
+Execute = Callable[
+    [OperatorCommand], str
+]  # returns the resulting state; raises CommandRejectedError
 
 
 def respond(line: bytes, execute: Execute) -> bytes:
-    """Have the command of a line carried out and return the line of the answer."""
+    """Have a line's command carried out by ``execute``, and return the response line."""
     try:
         return encode_acceptance(execute(decode_command(line)))
     except CommandRejectedError as error:
@@ -65,12 +67,12 @@
 
 
 def decode_command(line: bytes) -> OperatorCommand:
-    """Read a command from its line, without the line's end.  Raises InvalidCommandError."""
-    name, *server_ids = _decode_text(line).split() or [""]
+    """Decode a command from its line, without the line end.  Raises InvalidCommandError."""
+    name, *server_ids = _decode_printable(line).split() or [""]
     try:
         verb = Verb(name.upper())
     except ValueError:
-        raise InvalidCommandError(f"one of {', '.join(v.value for v in Verb)}") from None
+        raise InvalidCommandError(f"one of {', '.join(known.value for known in Verb)}") from None
     if verb in VERBS_WITH_SERVER:
         if len(server_ids) != 1:
             raise InvalidCommandError(f"{verb.value} and one server's id, got {len(server_ids)}")
@@ -81,22 +83,22 @@
 
 
 def encode_acceptance(result: str) -> bytes:
-    """Return the line of a YES."""
+    """Return a YES line."""
     return b"YES " + result.encode() + b"\n"
 
 
 def encode_rejection(reason: str) -> bytes:
-    """Return the line of a NO; it is one line whatever the reason quotes."""
+    """Return a NO line; white space in the reason, such as line ends, becomes single spaces."""
     return b"NO " + " ".join(reason.split()).encode("utf-8", "replace") + b"\n"
 
 
 def line_too_long() -> InvalidCommandError:
-    """Return the error for a line of more than MAX_LINE_BYTES."""
+    """Return the error for a line of more than ``MAX_LINE_BYTES``."""
     return InvalidCommandError(f"a line of at most {MAX_LINE_BYTES} bytes")
 
 
-def _decode_text(line: bytes) -> str:
-    """Return a line's text.  Raises InvalidCommandError where it is too long or no printable text."""
+def _decode_printable(line: bytes) -> str:
+    """Return a line's text.  Raises InvalidCommandError if it is too long or not printable."""
     if len(line) > MAX_LINE_BYTES:
         raise line_too_long()
     try:
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -1,7 +1,8 @@
 """A node with operators' commands and hot restart.
 
-A new process gets the state and the listening sockets from the one that runs, serves beside it, and
-takes over; later it hands over in turn.  While both run, a command is carried out in both.
+A new process gets the node's state and listening sockets from the running process, its predecessor,
+and takes over from it; later it hands over to its own successor.  While both processes run, each
+carries out the commands that the other one receives.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
         self._successor: Successor | None = None
 
     async def build(self, loop: asyncio.AbstractEventLoop) -> Node:
-        """Return the node, with the state of its running process if there is one.
+        """Return the node, with the state of its predecessor if there is one.
 
         Raises ConfigError or OSError.
         """
@@ -76,19 +77,20 @@
     def _inherit_config(
         self, config: Config | None, config_error: ConfigError | None, inherited: Welcome
     ) -> Config:
-        """Return the configuration with the endpoint list of the running process.
+        """Return the configuration with the endpoint list of the predecessor.
 
-        If the file can't be used, use that process's configuration too.
+        If the configuration file is invalid, or lacks a key that the predecessor's configuration
+        has, the predecessor's configuration is used.
         """
         if config is None or missing_key(inherited.configuration, config.raw):
-            reason = config_error or "it lacks a key"
-            log.error("the configuration can't be used, the running process's is: %s", reason)
+            reason = config_error or "a key of the predecessor's configuration is missing"
+            log.error("configuration is invalid, using the predecessor's: error=%s", reason)
             config = parse_config(self._environment, inherited.configuration)
         return replace(config, saved_list=inherited.endpoint_list)
 
     @asynccontextmanager
     async def lifespan(self, node: Node) -> AsyncIterator[None]:
-        """Accept commands, take over, and listen for a successor, for as long as the node runs."""
+        """Accept commands, take over from a predecessor, and listen for a successor until exit."""
         address, successor = node.config.control, self._successor
         assert address is not None
         assert successor is not None
@@ -120,7 +122,7 @@
 
 
 def _inherit_listeners(listeners: list[socket.socket], address: Address) -> list[socket.socket]:
-    """Return the running process's listening sockets if they are bound to ``address``; else close them."""
+    """Return the predecessor's listening sockets if bound to ``address``; else close them."""
     if listeners and listeners[0].getsockname() == address:
         for listener in listeners:
             listener.setblocking(False)
@@ -131,12 +133,12 @@
 
 
 def _apply_relayed_command(node: Node, verb: str, server_id: str) -> None:
-    """Carry out a command that the node's other process received and has answered."""
+    """Carry out a command that the node's other process received and responded to."""
     try:
         command = OperatorCommand(Verb(verb), server_id)
     except ValueError:
         log.warning(
-            "unknown command relayed by the other process: verb=%s server=%s", verb, server_id
+            "unknown command from the node's other process: verb=%s server=%s", verb, server_id
         )
         return
     try:
--- a/oakbridge/process/__init__.py
+++ b/oakbridge/process/__init__.py
@@ -1,1 +1,1 @@
-"""Supervision of one process of this project: starts, retries with backoff, crash loops.  No I/O."""
+"""Supervision of one oakbridge process: starts, restarts with backoff, crash loops.  No I/O."""
--- a/oakbridge/process/supervisor.py
+++ b/oakbridge/process/supervisor.py
@@ -1,8 +1,9 @@
-"""Keep one process running: when to start it, when to retry, what is a crash loop.  No I/O.
+"""Keep one process running: start it, restart it with backoff, detect crash loops.  No I/O.
 
-The caller reports what happened (:meth:`Supervisor.ready`, :meth:`Supervisor.exited`, ...) and carries
-out the actions that come back.  A process that ends without having been asked to has crashed, whatever
-its exit code; one that ends after a stop has not.  All times are in microseconds of a monotonic clock.
+The owner reports events (:meth:`Supervisor.ready`, :meth:`Supervisor.exited`, ...) and carries out
+the actions that these calls return.  A process that exits without being asked to has crashed,
+whatever its exit code; a process that exits after a stop has not crashed.  All times are in
+microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,44 +15,45 @@
 SECOND_US = 1_000_000
 FIRST_BACKOFF_US = SECOND_US // 5
 MAX_BACKOFF_US = 30 * SECOND_US
-CRASH_LOOP_CRASHES = 5  # within the window are a crash loop
+# This many crashes within the window are a crash loop, in which the backoff is multiplied.
+CRASH_LOOP_CRASHES = 5
 CRASH_LOOP_WINDOW_US = 60 * SECOND_US
 CRASH_LOOP_BACKOFF_FACTOR = 4
-STABLE_RUN_US = 60 * SECOND_US  # a run of this length forgives the crashes before it
-READY_TIMEOUT_US = (
-    15 * SECOND_US
-)  # a process that is not ready by then is killed and counts as crashed
-STOP_TIMEOUT_US = 6 * SECOND_US  # a process that goes on for so long after a stop is killed
+STABLE_RUN_US = 60 * SECOND_US  # after a run of this length, earlier crashes no longer count
+# A process that is not ready within this time is killed, and counts as crashed.
+READY_TIMEOUT_US = 15 * SECOND_US
+# A process that still runs this long after a stop is killed.
+STOP_TIMEOUT_US = 6 * SECOND_US
 
 
 class State(Enum):
-    """The state of a process; operators see the values."""
+    """The state of a process; the values are reported to operators."""
 
     STOPPED = "stopped"
     STARTING = "starting"
     RUNNING = "running"
-    WAITING = "waiting"  # for its next start, after a crash
+    WAITING = "waiting"  # for the backoff after a crash
     STOPPING = "stopping"
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Start the process; report ``ready``, and ``exited`` also where it can't be started."""
+    """Start the process; call ``ready`` once it serves, ``exited`` also if it can't be started."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Ask the process to end (SIGTERM)."""
+    """Ask the process to exit (SIGTERM)."""
 
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """End the process at once (SIGKILL)."""
+    """Kill the process (SIGKILL)."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call ``tick`` at this time, in place of any time that was asked for before."""
+    """Call ``tick`` at this time; replaces any earlier SetTimer."""
 
     at: int
 
@@ -63,13 +65,16 @@
     """The state machine of one process."""
 
     def __init__(self, reset_backoff_after_us: int = STABLE_RUN_US) -> None:
-        """After a run of ``reset_backoff_after_us`` the backoff begins anew; its end is a crash still."""
+        """``reset_backoff_after_us``: a run of this length resets the backoff.
+
+        The exit of the process after such a run still counts as a crash.
+        """
         self.state = State.STOPPED
         self.should_run = False
         self.total_crashes = 0
-        self.last_exit = ""  # how the process ended last, for people
+        self.last_exit = ""  # how the process exited last, for operators to read
         self._reset_backoff_after_us = reset_backoff_after_us
-        self._short_runs = 0  # in a row: those that ended sooner, or never were ready
+        self._short_runs = 0  # consecutive runs that were too short to reset the backoff
         self._recent_crashes: deque[int] = deque(maxlen=CRASH_LOOP_CRASHES)
         self._state_entered_at = 0
         self._start_after_stop = False
@@ -77,23 +82,23 @@
 
     @property
     def is_crash_looping(self) -> bool:
-        """Whether the process crashes again and again, rather than once."""
+        """Whether the last ``CRASH_LOOP_CRASHES`` crashes are within the window."""
         crashes = self._recent_crashes
         return (
             len(crashes) == CRASH_LOOP_CRASHES and crashes[-1] - crashes[0] <= CRASH_LOOP_WINDOW_US
         )
 
     def backoff_us(self) -> int:
-        """Return the time until the next start, which doubles with each run that was too short."""
+        """Return the delay before the next start; it doubles with each consecutive short run."""
         backoff: int = FIRST_BACKOFF_US * 2 ** max(0, self._short_runs - 1)
         if self.is_crash_looping and self._short_runs > 1:
             backoff *= CRASH_LOOP_BACKOFF_FACTOR
         return min(MAX_BACKOFF_US, backoff)
 
-    # ---- what should be
+    # ---- commands
 
     def start(self, now: int) -> list[Action]:
-        """Have the process run."""
+        """Request that the process runs: start it if it is stopped, or once a stop has finished."""
         self.should_run = True
         if self.state is State.STOPPING:
             self._start_after_stop = True
@@ -101,7 +106,7 @@
         return self._start(now) if self.state is State.STOPPED else []
 
     def stop(self, now: int) -> list[Action]:
-        """Have the process not run."""
+        """Request that the process does not run: stop it, or cancel its next start."""
         self.should_run = False
         self._start_after_stop = False
         if self.state in (State.STARTING, State.RUNNING):
@@ -111,8 +116,8 @@
         return []
 
     def restart(self, now: int) -> list[Action]:
-        """Have the process run anew, without backoff; its crashes until now are forgiven."""
-        self._forgive_crashes()
+        """Start the process anew without backoff; earlier crashes no longer count."""
+        self._reset_crashes()
         self.should_run = True
         if self.state in (State.STARTING, State.RUNNING):
             self._start_after_stop = True
@@ -123,41 +128,41 @@
         return self._start(now)
 
     def adopt(self) -> None:
-        """Supervise a process that runs already."""
+        """Begin to supervise a process that already runs."""
         self.state = State.RUNNING
         self.should_run = True
 
-    # ---- what happened
+    # ---- events
 
     def ready(self, now: int) -> list[Action]:
-        """Note that the process serves."""
+        """Handle that the process serves."""
         if self.state is not State.STARTING:
             return []
         self._enter(State.RUNNING, now)
         return self._set_timer(now + STABLE_RUN_US)
 
-    def exited(self, now: int, how: str) -> list[Action]:
-        """Note that the process has ended, or could not be started."""
+    def exited(self, now: int, reason: str) -> list[Action]:
+        """Handle that the process has exited or could not be started, with the reason as text."""
         if self.state is State.STOPPING:
-            return self._stopped(now, how)
+            return self._stopped(now, reason)
         if self.state in (State.STARTING, State.RUNNING):
-            return self._crashed(now, how)
+            return self._crashed(now, reason)
         return []
 
     def tick(self, now: int) -> list[Action]:
-        """Act if the time of the last SetTimer has come; any other call changes nothing."""
+        """Handle the time of the last SetTimer; has no effect before that time."""
         if self._timer_at is None or now < self._timer_at:
             return []
         self._timer_at = None
         match self.state:
             case State.WAITING:
                 return self._start(now)
-            case State.STARTING:  # it hangs; its end will count as a crash
+            case State.STARTING:  # the process hangs; its exit will count as a crash
                 return [Kill(), *self._set_timer(now + READY_TIMEOUT_US)]
             case State.STOPPING:
                 return [Kill(), *self._set_timer(now + STOP_TIMEOUT_US)]
             case State.RUNNING:
-                self._forgive_crashes()
+                self._reset_crashes()
         return []
 
     # ---- transitions
@@ -170,15 +175,15 @@
         self._enter(State.STOPPING, now)
         return [Stop(), *self._set_timer(now + STOP_TIMEOUT_US)]
 
-    def _stopped(self, now: int, how: str) -> list[Action]:
+    def _stopped(self, now: int, reason: str) -> list[Action]:
         self._enter(State.STOPPED, now)
-        self.last_exit = how
+        self.last_exit = reason
         if self._start_after_stop and self.should_run:
             self._start_after_stop = False
             return self._start(now)
         return []
 
-    def _crashed(self, now: int, how: str) -> list[Action]:
+    def _crashed(self, now: int, reason: str) -> list[Action]:
         run_us = now - self._state_entered_at
         if self.state is State.RUNNING and run_us >= self._reset_backoff_after_us:
             self._short_runs = 1
@@ -186,14 +191,14 @@
             self._short_runs = min(self._short_runs + 1, CRASH_LOOP_CRASHES)
         self._recent_crashes.append(now)
         self.total_crashes += 1
-        self.last_exit = how
+        self.last_exit = reason
         if not self.should_run:
             self._enter(State.STOPPED, now)
             return []
         self._enter(State.WAITING, now)
         return self._set_timer(now + self.backoff_us())
 
-    def _forgive_crashes(self) -> None:
+    def _reset_crashes(self) -> None:
         self._recent_crashes.clear()
         self._short_runs = 0
 
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -190,7 +190,7 @@
             old = await site.started()
             site.write("{")
             await site.started()
-            assert "the running process's is" in site.log()
+            assert "configuration is invalid, using the predecessor's" in site.log()
             old.kill()
             site.processes[1].kill()
             await with_timeout(asyncio.gather(old.wait(), site.processes[1].wait()))
