--- a/tests/formats/test_handover.py
+++ b/tests/formats/test_handover.py
@@ -1,6 +1,6 @@
-"""The packets between the two processes of a node, of which one may be older than the other.
+"""The packets between the two processes of a node, which may run different releases.
 
-Each fixture is one packet, written by the program before its code was renamed; they never change.
+Each fixture is one packet as an earlier release wrote it.  The fixtures never change.
 """
 
 from pathlib import Path
@@ -82,8 +82,8 @@
 }
 
 
-def read(*packets: bytes) -> Message:
-    """Read a message from its packets, of which only the last one completes it."""
+def decode_packets(*packets: bytes) -> Message:
+    """Decode a message from its packets, of which only the last one completes it."""
     assembler = PacketAssembler()
     *incomplete, text = [assembler.add(packet) for packet in packets]
     assert incomplete == [None] * (len(packets) - 1)
@@ -91,30 +91,30 @@
     return decode(text)
 
 
-def written(message: Message) -> list[bytes]:
+def encode_packets(message: Message) -> list[bytes]:
     return split_into_packets(encode(message))
 
 
-def test_each_kind_of_message_has_a_fixture():
+def test_each_kind_of_message_has_fixture():
     assert {path.stem for path in FIXTURES.iterdir()} == set(MESSAGES)
     assert {type(message) for message in MESSAGES.values()} == set(get_args(Message))
 
 
 @pytest.mark.parametrize("kind", MESSAGES)
-def test_a_packet_is_read_and_written_as_before(kind):
+def test_message_of_each_kind_is_encoded_and_decoded_as_in_fixture(kind):
     packet = (FIXTURES / f"{kind}.packet").read_bytes()
-    assert read(packet) == MESSAGES[kind]
-    assert written(MESSAGES[kind]) == [packet]
+    assert decode_packets(packet) == MESSAGES[kind]
+    assert encode_packets(MESSAGES[kind]) == [packet]
 
 
-def test_a_long_message_is_divided_as_before():
+def test_long_message_is_split_as_in_earlier_releases():
     message = Decline("x" * 40_000)
     text = b'{"v": 1, "kind": "decline", "why": "' + b"x" * 40_000 + b'"}'
     packets = [b"+" + text[: 32 * 1024], b"." + text[32 * 1024 :]]
-    assert written(message) == packets
-    assert read(*packets) == message
+    assert encode_packets(message) == packets
+    assert decode_packets(*packets) == message
 
 
-def test_fields_that_a_later_version_adds_are_passed_over():
+def test_field_added_by_later_release_is_ignored():
     packet = b'.{"v": 1, "kind": "still", "out": 2, "held": 9, "waiting": 4}'
-    assert read(packet) == RemainingLoad(attempts=2, connections=9)
+    assert decode_packets(packet) == RemainingLoad(attempts=2, connections=9)
--- a/tests/handover/test_channel.py
+++ b/tests/handover/test_channel.py
@@ -1,4 +1,4 @@
-"""The connection between two processes: what arrives, who closes descriptors, how it ends."""
+"""The channel between two processes: order of messages, ownership of descriptors, disconnects."""
 
 import asyncio
 import os
@@ -12,14 +12,14 @@
 from oakbridge.handover.packets import MAX_TEXT_BYTES
 
 
-class Ends:
-    """Two channels over a pair of sockets, and what the second one has received."""
+class ChannelPair:
+    """Two channels over a pair of sockets, with their received messages and disconnects."""
 
     def __init__(self) -> None:
         self.received: list[tuple[object, list[int]]] = []
         self.disconnects: list[Channel] = []
 
-    async def __aenter__(self) -> "Ends":
+    async def __aenter__(self) -> "ChannelPair":
         loop = asyncio.get_running_loop()
         first, second = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         for sock in (first, second):
@@ -48,16 +48,16 @@
     return True
 
 
-def test_a_descriptor_comes_with_its_own_message_and_is_closed_where_it_was():
+def test_descriptor_is_received_with_its_message_and_closed_by_sender():
     async def scenario():
-        async with Ends() as ends:
+        async with ChannelPair() as pair:
             descriptor = os.open(os.devnull, os.O_RDONLY)
-            assert ends.sender.send(Ready())
-            assert ends.sender.send(ClientConnection(), [descriptor])
+            assert pair.sender.send(Ready())
+            assert pair.sender.send(ClientConnection(), [descriptor])
             assert not is_open(descriptor)
-            await until(lambda: len(ends.received) == 2)
-            assert ends.received[0] == (Ready(), [])
-            message, [received] = ends.received[1]
+            await until(lambda: len(pair.received) == 2)
+            assert pair.received[0] == (Ready(), [])
+            message, [received] = pair.received[1]
             assert message == ClientConnection()
             assert is_open(received)
             os.close(received)
@@ -65,24 +65,24 @@
     run(scenario())
 
 
-def test_messages_that_fill_the_socket_arrive_in_order():
+def test_messages_larger_than_socket_buffer_arrive_in_order():
     async def scenario():
-        async with Ends() as ends:
+        async with ChannelPair() as pair:
             sent = [Decline(f"{number} " + "x" * 3 * MAX_TEXT_BYTES) for number in range(20)]
             for message in sent:
-                assert ends.sender.send(message)
-            await until(lambda: len(ends.received) == len(sent))
-            assert [message for message, _ in ends.received] == sent
+                assert pair.sender.send(message)
+            await until(lambda: len(pair.received) == len(sent))
+            assert [message for message, _ in pair.received] == sent
 
     run(scenario())
 
 
-def test_a_process_that_reads_nothing_counts_as_gone():
+def test_send_fails_once_too_many_packets_are_unread():
     async def scenario():
-        async with Ends() as ends:
-            ends.freeze_receiver()
+        async with ChannelPair() as pair:
+            pair.freeze_receiver()
             sent = 0
-            while ends.sender.send(Ready()):
+            while pair.sender.send(Ready()):
                 sent += 1
             assert MAX_QUEUED_PACKETS < sent < 2 * MAX_QUEUED_PACKETS
 
@@ -98,49 +98,49 @@
     ],
     ids=["no mark", "another version", "too long"],
 )
-def test_a_packet_that_is_no_message_ends_the_connection_once(packet):
+def test_invalid_packet_closes_connection_and_is_reported_once(packet):
     async def scenario():
-        async with Ends() as ends:
-            ends.sending_socket.send(packet)
-            await until(lambda: ends.receiver in ends.disconnects)
-            assert ends.receiver.closed
-            await until(lambda: ends.sender in ends.disconnects)
-            assert len(ends.disconnects) == 2
-            assert ends.received == []
-            assert not ends.receiver.send(Ready())
+        async with ChannelPair() as pair:
+            pair.sending_socket.send(packet)
+            await until(lambda: pair.receiver in pair.disconnects)
+            assert pair.receiver.closed
+            await until(lambda: pair.sender in pair.disconnects)
+            assert len(pair.disconnects) == 2
+            assert pair.received == []
+            assert not pair.receiver.send(Ready())
 
     run(scenario())
 
 
-def test_descriptors_that_were_not_sent_are_given_back_when_the_other_process_goes():
+def test_unsent_descriptors_are_returned_after_disconnect():
     async def scenario():
-        async with Ends() as ends:
-            ends.freeze_receiver()
+        async with ChannelPair() as pair:
+            pair.freeze_receiver()
             for _ in range(100):
-                ends.sender.send(Decline("x" * MAX_TEXT_BYTES))
+                pair.sender.send(Decline("x" * MAX_TEXT_BYTES))
             descriptor = os.open(os.devnull, os.O_RDONLY)
-            assert ends.sender.send(ClientConnection(), [descriptor])
-            ends.receiver.close()
-            await until(lambda: ends.sender in ends.disconnects)
-            assert ends.sender.take_unsent_descriptors() == [descriptor]
-            assert ends.sender.take_unsent_descriptors() == []
+            assert pair.sender.send(ClientConnection(), [descriptor])
+            pair.receiver.close()
+            await until(lambda: pair.sender in pair.disconnects)
+            assert pair.sender.take_unsent_descriptors() == [descriptor]
+            assert pair.sender.take_unsent_descriptors() == []
             assert is_open(descriptor)
             os.close(descriptor)
 
     run(scenario())
 
 
-def test_descriptor_that_could_not_be_sent_is_the_senders_alone():
-    """Guards against a client's connection that two parts of one process own."""
+def test_descriptor_of_failed_send_stays_with_the_caller():
+    """Guards against a client's connection that both the channel and the caller own."""
 
     async def scenario():
-        async with Ends() as ends:
-            ends.receiving_socket.shutdown(socket.SHUT_RDWR)
+        async with ChannelPair() as pair:
+            pair.receiving_socket.shutdown(socket.SHUT_RDWR)
             descriptor = os.open(os.devnull, os.O_RDONLY)
-            assert not ends.sender.send(ClientConnection(), [descriptor])
+            assert not pair.sender.send(ClientConnection(), [descriptor])
             assert is_open(descriptor)
-            assert ends.sender.take_unsent_descriptors() == []
-            await until(lambda: ends.sender in ends.disconnects)
+            assert pair.sender.take_unsent_descriptors() == []
+            await until(lambda: pair.sender in pair.disconnects)
             os.close(descriptor)
 
     run(scenario())
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the two processes: one that can't be used is named, and ends the connection."""
+"""Encode and decode the messages between the two processes of a node, also invalid ones."""
 
 import json
 
@@ -18,7 +18,7 @@
 
 
 @given(st.text(max_size=200), st.integers(1, 4))
-def test_long_messages_go_in_packets_and_come_back_complete(text, times):
+def test_long_message_is_split_into_packets_and_reassembled(text, times):
     sent = Decline(text * times * 400)
     assembler, packets = PacketAssembler(), split_into_packets(encode(sent))
     assert all(len(packet) <= MAX_PACKET_BYTES for packet in packets)
@@ -27,7 +27,7 @@
     assert decode(received) == sent
 
 
-WELCOME_WITH_A_LIST = {"file": {}, "known": [], "outages": {}, "draining": True}
+WELCOME_WITH_INVALID_LIST = {"file": {}, "known": [], "outages": {}, "draining": True}
 
 
 @pytest.mark.parametrize(
@@ -41,23 +41,26 @@
         (b'{"v": 1, "kind": ["hello"]}', "a known kind of message"),
         (b'{"v": 1, "kind": "hello"}', "hello.name"),
         (b'{"v": 1, "kind": "call", "word": 5}', "call.word"),
-        (json.dumps({"v": 1, "kind": "welcome"} | WELCOME_WITH_A_LIST).encode(), "welcome.known"),
+        (
+            json.dumps({"v": 1, "kind": "welcome"} | WELCOME_WITH_INVALID_LIST).encode(),
+            "welcome.known",
+        ),
     ],
 )
-def test_what_is_no_message_is_told_what_was_expected(text, expected):
+def test_error_for_invalid_message_says_what_was_expected(text, expected):
     with pytest.raises(HandoverMessageError, match=expected):
         decode(text)
 
 
-def test_the_error_has_the_field_and_what_came_instead():
-    with pytest.raises(HandoverMessageError) as caught:
+def test_error_has_field_and_received_value():
+    with pytest.raises(HandoverMessageError) as raised:
         decode(b'{"v": 1, "kind": "call", "word": 5, "server": ""}')
-    error = caught.value
+    error = raised.value
     assert (error.field, error.expected, error.received) == ("call.word", "str", "5")
     assert str(error) == "call.word: expected str, got 5"
 
 
-def error_of(packet: bytes) -> HandoverMessageError | None:
+def error_for(packet: bytes) -> HandoverMessageError | None:
     try:
         text = PacketAssembler().add(packet)
         if text is not None:
@@ -68,12 +71,12 @@
 
 
 @given(st.binary(max_size=60))
-def test_no_packet_brings_the_reader_down(packet):
-    error = error_of(packet)
+def test_packet_with_random_bytes_raises_only_message_errors(packet):
+    error = error_for(packet)
     assert error is None or "expected" in str(error)
 
 
-def test_a_message_without_end_is_given_up():
+def test_message_without_last_packet_is_rejected_above_size_limit():
     assembler = PacketAssembler()
     packet = b"+" + b" " * MAX_TEXT_BYTES
     for _ in range(MAX_MESSAGE_BYTES // MAX_TEXT_BYTES):
--- a/tests/handover/test_state_machine.py
+++ b/tests/handover/test_state_machine.py
@@ -1,4 +1,7 @@
-"""Both sides, with every message lost, late or cut off: one of them serves, one at a time."""
+"""Both state machines of a hand-over, with messages and failures in any order.
+
+One of the two processes serves at any time, whatever fails.
+"""
 
 from dataclasses import replace
 
@@ -38,76 +41,87 @@
 WELCOME = Welcome(configuration={}, endpoint_list={}, outages={}, is_draining=False)
 
 
-def test_ordinary_course():
-    old, new = PredecessorStateMachine("n"), SuccessorStateMachine("n")
-    [hello] = new.connected()
+def test_hand_over_without_failures():
+    predecessor, successor = PredecessorStateMachine("n"), SuccessorStateMachine("n")
+    [hello] = successor.connected()
     assert hello == Send(Hello("n", shares_lists=True))
-    assert old.receive(hello.message) == [SendWelcome()]
-    assert new.receive(WELCOME) == [BuildNode(WELCOME)]
-    assert new.node_built() == [Send(Ready())]
-    assert old.receive(Ready()) == [DrainToSuccessor()]
-    assert new.receive(TakeOver({"a": 1})) == [StartServing(TakeOver({"a": 1}))]
+    assert predecessor.receive(hello.message) == [SendWelcome()]
+    assert successor.receive(WELCOME) == [BuildNode(WELCOME)]
+    assert successor.node_built() == [Send(Ready())]
+    assert predecessor.receive(Ready()) == [DrainToSuccessor()]
+    assert successor.receive(TakeOver({"a": 1})) == [StartServing(TakeOver({"a": 1}))]
     load = RemainingLoad(attempts=2, connections=9)
-    assert new.receive(load) == [ReserveForPredecessor(load)]
+    assert successor.receive(load) == [ReserveForPredecessor(load)]
     command = RelayedCommand("OFFLINE", "s")
-    assert old.receive(command) == new.receive(command) == [ApplyCommand(command)]
-    assert old.disconnected()[-1] == ResumeServing()  # it was not told to end: it is the node again
-    assert old.state == PredecessorState.SERVING
+    assert predecessor.receive(command) == successor.receive(command) == [ApplyCommand(command)]
+    # The predecessor is not shutting down, so it serves again.
+    assert predecessor.disconnected()[-1] == ResumeServing()
+    assert predecessor.state == PredecessorState.SERVING
+
+
+@pytest.mark.parametrize("predecessor_shares", [True, None])
+@pytest.mark.parametrize("successor_shares", [True, None])
+def test_endpoint_lists_are_relayed_if_release_of_other_process_accepts_them(
+    predecessor_shares, successor_shares
+):
+    """A list that discovery sent to one process counts as sent to the node."""
+    update = EndpointListUpdate({"index": 4}, 0)
+    predecessor, successor = PredecessorStateMachine("n"), SuccessorStateMachine("n")
+    successor.connected()
+    predecessor.receive(Hello("n", shares_lists=successor_shares))
+    successor.receive(replace(WELCOME, shares_lists=predecessor_shares))
+    successor.node_built()
+    assert not predecessor.relays_lists
+    assert not successor.relays_lists
+    predecessor.receive(Ready())
+    successor.receive(TakeOver({}))
+    assert (predecessor.relays_lists, successor.relays_lists) == (
+        bool(successor_shares),
+        bool(predecessor_shares),
+    )
+    if predecessor.relays_lists and successor.relays_lists:
+        assert (
+            predecessor.receive(update) == successor.receive(update) == [ApplyEndpointList(update)]
+        )
+    predecessor.disconnected()
+    successor.disconnected()
+    assert not predecessor.relays_lists
+    assert not successor.relays_lists
+
+
+def test_wrong_name_second_successor_and_shutdown_are_declined():
+    predecessor = PredecessorStateMachine("n")
+    assert predecessor.receive(Hello("m")) == [Send(Decline("this is n")), Disconnect()]
+    assert predecessor.state == PredecessorState.SERVING
+    predecessor.receive(Hello("n"))
+    second_reply = predecessor.receive(Hello("n"))
+    assert second_reply == [Send(Decline("another process takes over")), Disconnect()]
+    exiting = PredecessorStateMachine("n")
+    exiting.begin_shutdown()
+    assert exiting.receive(Hello("n")) == [Send(Decline("ends")), Disconnect()]
+
+
+def test_unexpected_message_is_declined_with_its_kind_as_reason():
+    predecessor = PredecessorStateMachine("n")
+    assert predecessor.receive(TakeOver({})) == [
+        Send(Decline("over is not expected now")),
+        Disconnect(),
+    ]
 
 
-@pytest.mark.parametrize("old_shares", [True, None])
-@pytest.mark.parametrize("new_shares", [True, None])
-def test_lists_go_to_the_other_process_if_its_release_takes_them(old_shares, new_shares):
-    """Both are one node: what either was told counts as told to it."""
-    update = EndpointListUpdate({"index": 4}, 0)
-    old, new = PredecessorStateMachine("n"), SuccessorStateMachine("n")
-    new.connected()
-    old.receive(Hello("n", shares_lists=new_shares))
-    new.receive(replace(WELCOME, shares_lists=old_shares))
-    new.node_built()
-    assert not old.relays_lists
-    assert not new.relays_lists
-    old.receive(Ready())
-    new.receive(TakeOver({}))
-    assert (old.relays_lists, new.relays_lists) == (bool(new_shares), bool(old_shares))
-    if old.relays_lists and new.relays_lists:
-        assert old.receive(update) == new.receive(update) == [ApplyEndpointList(update)]
-    old.disconnected()
-    new.disconnected()
-    assert not old.relays_lists
-    assert not new.relays_lists
-
-
-def test_another_name_a_third_process_and_one_that_ends_are_declined():
-    old = PredecessorStateMachine("n")
-    assert old.receive(Hello("m")) == [Send(Decline("this is n")), Disconnect()]
-    assert old.state == PredecessorState.SERVING
-    old.receive(Hello("n"))
-    third = old.receive(Hello("n"))
-    assert third == [Send(Decline("another process takes over")), Disconnect()]
-    ending = PredecessorStateMachine("n")
-    ending.begin_shutdown()
-    assert ending.receive(Hello("n")) == [Send(Decline("ends")), Disconnect()]
-
-
-def test_a_message_out_of_turn_is_declined_by_its_name_on_the_wire():
-    old = PredecessorStateMachine("n")
-    assert old.receive(TakeOver({})) == [Send(Decline("over is not expected now")), Disconnect()]
-
-
-def test_a_process_that_fails_before_its_yes_changes_nothing():
-    old = PredecessorStateMachine("n")
-    old.receive(Hello("n"))
-    assert old.disconnected() == [Disconnect()]
-    assert old.receive(Hello("n")) == [SendWelcome()]
-
-
-def test_one_that_was_told_to_end_takes_nothing_back():
-    old = PredecessorStateMachine("n")
-    old.receive(Hello("n"))
-    old.receive(Ready())
-    old.begin_shutdown()
-    assert old.disconnected() == [Disconnect()]
+def test_successor_that_fails_before_it_is_ready_has_no_effect():
+    predecessor = PredecessorStateMachine("n")
+    predecessor.receive(Hello("n"))
+    assert predecessor.disconnected() == [Disconnect()]
+    assert predecessor.receive(Hello("n")) == [SendWelcome()]
+
+
+def test_predecessor_that_shuts_down_does_not_resume_serving():
+    predecessor = PredecessorStateMachine("n")
+    predecessor.receive(Hello("n"))
+    predecessor.receive(Ready())
+    predecessor.begin_shutdown()
+    assert predecessor.disconnected() == [Disconnect()]
 
 
 MESSAGES = st.sampled_from(
@@ -127,44 +141,44 @@
 
 
 @given(st.lists(st.one_of(MESSAGES, SUCCESSOR_EVENTS), max_size=12))
-def test_the_successor_builds_once_serves_once_and_never_ends(course):
-    new, actions = SuccessorStateMachine("n"), []
-    new.connected()
-    for event in course:
+def test_successor_builds_once_and_begins_to_serve_once_after_any_events(events):
+    successor, actions = SuccessorStateMachine("n"), []
+    successor.connected()
+    for event in events:
         if not isinstance(event, str):
-            actions += new.receive(event) if new.has_predecessor else []
+            actions += successor.receive(event) if successor.has_predecessor else []
         elif event == "node_built":
-            actions += new.node_built() if new.state == SuccessorState.BUILDING else []
+            actions += successor.node_built() if successor.state == SuccessorState.BUILDING else []
         else:
-            actions += getattr(new, event)()
-    actions += new.timed_out()
-    if new.state == SuccessorState.BUILDING:
-        actions += new.node_built()
-    actions += new.timed_out()
-    assert new.state == SuccessorState.SERVING
+            actions += getattr(successor, event)()
+    actions += successor.timed_out()
+    if successor.state == SuccessorState.BUILDING:
+        actions += successor.node_built()
+    actions += successor.timed_out()
+    assert successor.state == SuccessorState.SERVING
     steps = [type(action) for action in actions if isinstance(action, BuildNode | StartServing)]
     assert steps == [BuildNode, StartServing]
 
 
 @given(st.lists(st.one_of(MESSAGES, PREDECESSOR_EVENTS), max_size=12))
-def test_the_predecessor_hands_over_only_to_one_that_asked_and_is_ready(course):
-    old, asked, over = PredecessorStateMachine("n"), False, False
-    for event in course:
+def test_predecessor_hands_over_only_to_successor_that_said_hello_and_is_ready(events):
+    predecessor, has_successor, is_handed_over = PredecessorStateMachine("n"), False, False
+    for event in events:
         actions = []
         if event == "begin_shutdown":
-            old.begin_shutdown()
+            predecessor.begin_shutdown()
         elif event == "disconnected":
-            actions = old.disconnected()
+            actions = predecessor.disconnected()
         else:
-            actions = old.receive(event)
+            actions = predecessor.receive(event)
         if DrainToSuccessor() in actions:
-            assert asked
+            assert has_successor
             assert event == Ready()
-            over = True
+            is_handed_over = True
         if ResumeServing() in actions:
-            assert over
-            assert not old.is_shutting_down
-            over = False
-        asked = old.state != PredecessorState.SERVING
-        over = over and old.state == PredecessorState.DRAINING
-        assert (old.state == PredecessorState.DRAINING) == over
+            assert is_handed_over
+            assert not predecessor.is_shutting_down
+            is_handed_over = False
+        has_successor = predecessor.state != PredecessorState.SERVING
+        is_handed_over = is_handed_over and predecessor.state == PredecessorState.DRAINING
+        assert (predecessor.state == PredecessorState.DRAINING) == is_handed_over
--- a/tests/operators/test_protocol.py
+++ b/tests/operators/test_protocol.py
@@ -1,4 +1,4 @@
-"""Every line gets one answer; a line that is no command gets a NO that says what was expected."""
+"""Every line gets one response line; an invalid command gets a NO that says what was expected."""
 
 import pytest
 from hypothesis import given
@@ -32,7 +32,7 @@
         (b"online \t S-1 \r", OperatorCommand(Verb.ONLINE, "S-1")),
     ],
 )
-def test_commands_are_read_in_any_case_and_spacing(line, command):
+def test_verbs_are_case_insensitive_and_white_space_is_ignored(line, command):
     executed = []
 
     def record(command):
@@ -57,22 +57,22 @@
         (b"OFFLINE nobody", b"no server nobody is listed"),
     ],
 )
-def test_a_rejected_line_gets_one_line_that_says_why(line, reason):
-    answer = respond(line, execute)
-    assert answer.startswith(b"NO ")
-    assert reason in answer
-    assert answer.count(b"\n") == 1
+def test_rejected_line_gets_one_line_with_reason(line, reason):
+    response = respond(line, execute)
+    assert response.startswith(b"NO ")
+    assert reason in response
+    assert response.count(b"\n") == 1
 
 
 @given(st.binary(max_size=80))
-def test_every_line_gets_one_answer(line):
-    answer = respond(line, execute)
-    assert answer.startswith((b"YES ", b"NO "))
-    assert answer.endswith(b"\n")
-    assert answer.count(b"\n") == 1
+def test_every_line_gets_one_response_line(line):
+    response = respond(line, execute)
+    assert response.startswith((b"YES ", b"NO "))
+    assert response.endswith(b"\n")
+    assert response.count(b"\n") == 1
     try:
         command = decode_command(line)
     except InvalidCommandError:
-        assert answer.startswith(b"NO ")
+        assert response.startswith(b"NO ")
     else:
         assert bool(command.server_id) == (command.verb in (Verb.OFFLINE, Verb.ONLINE))
--- a/tests/process/test_supervisor.py
+++ b/tests/process/test_supervisor.py
@@ -1,4 +1,4 @@
-"""One supervised process: backoff, crash loops, stops that are no crashes, starts that hang."""
+"""The supervisor of one process: backoff, crash loops, stops, and starts that hang."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -21,25 +21,25 @@
 
 
 def types_without_timers(actions) -> list[type]:
-    return [type(a) for a in actions if not isinstance(a, SetTimer)]
+    return [type(action) for action in actions if not isinstance(action, SetTimer)]
 
 
-def running(now: int = 0) -> Supervisor:
+def running_supervisor(now: int = 0) -> Supervisor:
     supervisor = Supervisor()
     assert types_without_timers(supervisor.start(now)) == [Start]
     supervisor.ready(now)
     return supervisor
 
 
-def test_a_crash_is_followed_by_a_start_after_a_growing_backoff():
-    supervisor, now, waits = running(), 0, []
+def test_process_that_crashed_is_restarted_with_growing_backoff():
+    supervisor, now, delays = running_supervisor(), 0, []
     for _ in range(4):
-        [wake] = supervisor.exited(now, "exit 1")
-        waits.append(wake.at - now)
-        assert supervisor.tick(wake.at - 1) == []
-        now = wake.at
+        [timer] = supervisor.exited(now, "exit 1")
+        delays.append(timer.at - now)
+        assert supervisor.tick(timer.at - 1) == []
+        now = timer.at
         assert types_without_timers(supervisor.tick(now)) == [Start]
-    assert waits == [
+    assert delays == [
         FIRST_BACKOFF_US,
         2 * FIRST_BACKOFF_US,
         4 * FIRST_BACKOFF_US,
@@ -48,12 +48,12 @@
     assert not supervisor.is_crash_looping
 
 
-def test_five_crashes_within_a_minute_are_a_crash_loop_and_one_is_not():
-    supervisor, now = running(), 0
-    for n in range(5):
-        assert supervisor.is_crash_looping is False, n
-        [wake] = supervisor.exited(now, "exit 1")
-        now = wake.at
+def test_five_crashes_within_a_minute_are_a_crash_loop_and_fewer_are_not():
+    supervisor, now = running_supervisor(), 0
+    for crash_count in range(5):
+        assert supervisor.is_crash_looping is False, crash_count
+        [timer] = supervisor.exited(now, "exit 1")
+        now = timer.at
         supervisor.tick(now)
     assert supervisor.is_crash_looping
     assert supervisor.backoff_us() <= MAX_BACKOFF_US
@@ -63,31 +63,35 @@
     assert supervisor.total_crashes == 5
 
 
-def test_a_run_that_was_long_enough_resets_the_backoff_and_still_counts_as_a_crash():
-    """Killed each second for a minute a worker is back within 0.2 s each time; one that dies in its start is not."""
-    doubled = {FIRST_BACKOFF_US * n for n in (1, 2, 4, 8, 64)}
+def test_long_enough_run_resets_backoff_and_counts_as_crash():
+    """Guards against a backoff that keeps a worker down although each of its runs was long enough.
+
+    A worker that is killed every second restarts after 0.2 s each time.  With a longer run required
+    to reset the backoff, the backoff grows.
+    """
+    doubled = {FIRST_BACKOFF_US * factor for factor in (1, 2, 4, 8, 64)}
     for reset_after_us, expected in ((SECOND_US, {FIRST_BACKOFF_US}), (STABLE_RUN_US, doubled)):
-        supervisor, now, seen = Supervisor(reset_after_us), 0, set()
+        supervisor, now, backoffs = Supervisor(reset_after_us), 0, set()
         supervisor.start(now)
         for _ in range(20):
             supervisor.ready(now)
             supervisor.exited(now + SECOND_US, "signal 9")
-            seen.add(supervisor.backoff_us())
+            backoffs.add(supervisor.backoff_us())
             now += SECOND_US + supervisor.backoff_us()
             supervisor.tick(now)
-        assert seen == expected
+        assert backoffs == expected
         assert supervisor.total_crashes == 20
 
 
-def test_a_stop_is_no_crash():
-    supervisor = running()
+def test_exit_after_stop_is_not_a_crash():
+    supervisor = running_supervisor()
     assert types_without_timers(supervisor.stop(5)) == [Stop]
     assert supervisor.exited(6, "exit 0") == []
     assert (supervisor.state, supervisor.total_crashes) == (State.STOPPED, 0)
 
 
-def test_a_stop_that_has_no_effect_is_followed_by_a_kill():
-    supervisor = running()
+def test_process_that_does_not_exit_after_stop_is_killed():
+    supervisor = running_supervisor()
     supervisor.stop(5)
     assert types_without_timers(supervisor.tick(5 + STOP_TIMEOUT_US - 1)) == []
     assert types_without_timers(supervisor.tick(5 + STOP_TIMEOUT_US)) == [Kill]
@@ -95,7 +99,7 @@
     assert supervisor.state is State.STOPPED
 
 
-def test_a_start_that_hangs_is_killed_and_counts_as_a_crash():
+def test_process_that_hangs_at_start_is_killed_and_counts_as_crash():
     supervisor = Supervisor()
     supervisor.start(0)
     assert types_without_timers(supervisor.tick(READY_TIMEOUT_US)) == [Kill]
@@ -103,82 +107,82 @@
     assert (supervisor.state, supervisor.total_crashes) == (State.WAITING, 1)
 
 
-def test_a_restart_starts_once_the_old_process_has_ended():
-    supervisor = running()
+def test_restart_starts_new_process_after_old_one_has_exited():
+    supervisor = running_supervisor()
     assert types_without_timers(supervisor.restart(5)) == [Stop]
     assert types_without_timers(supervisor.restart(6)) == []
     assert types_without_timers(supervisor.exited(7, "exit 0")) == [Start]
     assert supervisor.total_crashes == 0
 
 
-def test_a_stop_cancels_a_pending_start():
-    supervisor = running()
+def test_stop_cancels_pending_start():
+    supervisor = running_supervisor()
     supervisor.restart(5)
     supervisor.stop(6)
     assert supervisor.exited(7, "exit 0") == []
     assert supervisor.state is State.STOPPED
-    supervisor = running()
+    supervisor = running_supervisor()
     supervisor.exited(1, "exit 1")
     assert supervisor.stop(2) == []
     assert supervisor.state is State.STOPPED
     assert supervisor.tick(10 * SECOND_US) == []
 
 
-class AnyProcess(RuleBasedStateMachine):
-    """A process that does what it likes, under orders that come as they like."""
+class RandomProcess(RuleBasedStateMachine):
+    """A process that becomes ready and exits at random, with commands at random times."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.supervisor, self.now, self.alive, self.due = Supervisor(), 0, False, None
+        self.supervisor, self.now, self.is_alive, self.timer_at = Supervisor(), 0, False, None
 
-    def do(self, actions):
+    def perform(self, actions):
         for action in actions:
             if isinstance(action, Start):
-                assert not self.alive, "two processes at once"
-                self.alive = True
+                assert not self.is_alive, "two processes at the same time"
+                self.is_alive = True
             elif isinstance(action, SetTimer):
-                self.due = action.at
+                self.timer_at = action.at
             else:
-                assert self.alive, "nothing to end"
+                assert self.is_alive, "no process to stop or kill"
 
-    @rule(what=st.sampled_from(["start", "stop", "restart"]))
-    def order(self, what):
-        self.do(getattr(self.supervisor, what)(self.now))
+    @rule(command=st.sampled_from(["start", "stop", "restart"]))
+    def command(self, command):
+        self.perform(getattr(self.supervisor, command)(self.now))
 
-    @precondition(lambda self: self.alive)
+    @precondition(lambda self: self.is_alive)
     @rule()
-    def is_ready(self):
-        self.do(self.supervisor.ready(self.now))
+    def become_ready(self):
+        self.perform(self.supervisor.ready(self.now))
 
-    @precondition(lambda self: self.alive)
+    @precondition(lambda self: self.is_alive)
     @rule()
-    def ends(self):
-        self.alive = False
-        self.do(self.supervisor.exited(self.now, "exit"))
+    def exit(self):
+        self.is_alive = False
+        self.perform(self.supervisor.exited(self.now, "exit"))
 
     @rule(seconds=st.integers(1, 40))
     def wait(self, seconds):
         self.now += seconds * SECOND_US
-        if self.due is not None and self.due <= self.now:
-            self.due = None
-            self.do(self.supervisor.tick(self.now))
+        if self.timer_at is not None and self.timer_at <= self.now:
+            self.timer_at = None
+            self.perform(self.supervisor.tick(self.now))
 
     @invariant()
-    def the_state_agrees_with_the_process(self):
-        assert self.alive == (
+    def state_matches_process(self):
+        assert self.is_alive == (
             self.supervisor.state in (State.STARTING, State.RUNNING, State.STOPPING)
         )
 
     def teardown(self):
-        """What is wanted comes about, if the process lets it."""
+        """Check that the process finally runs if, and only if, it should."""
         for _ in range(6):
             if self.supervisor.state is State.STOPPING:
-                self.ends()
+                self.exit()
             self.wait(40)
-        assert self.alive == self.supervisor.should_run
+        assert self.is_alive == self.supervisor.should_run
 
 
-AnyProcess.TestCase.settings = settings(
+RandomProcess.TestCase.settings = settings(
     max_examples=100, stateful_step_count=40, deadline=None, derandomize=True
 )
-TestProcess = AnyProcess.TestCase
+TestProcess = RandomProcess.TestCase
