--- a/oakbridge/handover/actions.py
+++ b/oakbridge/handover/actions.py
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyCommand:
-    """Carry out an operator's command that the other process received and answered."""
+    """Carry out an operator's command that the other process received and responded to."""
 
     command: RelayedCommand
 
--- a/oakbridge/handover/messages.py
+++ b/oakbridge/handover/messages.py
@@ -32,7 +32,7 @@
 
     configuration: JsonObject  # the content of the configuration file
     endpoint_list: JsonObject  # all listed servers, as discovery encodes a complete list
-    outages: JsonObject  # the servers that operators took out, see OfflineServers.saved
+    outages: JsonObject  # the servers that operators took offline, see OfflineServers.saved
     is_draining: bool
     # The node's clock minus the monotonic clock, in microseconds.  All times in the messages are
     # times of the node's clock.  None: the predecessor's release does not send the offset.
--- a/oakbridge/operators/__init__.py
+++ b/oakbridge/operators/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' commands on a separate address: health, servers taken out, and drains.
+"""Operators' commands on a separate address: health, servers taken offline, and drains.
 
 - ``protocol``: the line protocol, without I/O;
 - ``listener``: the connections of operators;
--- a/oakbridge/operators/executor.py
+++ b/oakbridge/operators/executor.py
@@ -34,9 +34,9 @@
             case Verb.HEALTH:
                 return self._health()
             case Verb.OFFLINE:
-                result = self._take_out(command.server_id)
+                result = self._take_offline(command.server_id)
             case Verb.ONLINE:
-                result = self._put_back(command.server_id)
+                result = self._bring_online(command.server_id)
             case Verb.LEAVE:
                 result = self._drain()
             case Verb.JOIN:
@@ -50,19 +50,19 @@
     def _health(self) -> str:
         """Return the node's state.  Raises CommandRejectedError if it can't serve requests.
 
-        A draining node counts as able to, and so does one whose servers operators all took out.
+        A draining node counts as able to, and so does one whose servers are all offline.
         """
         node = self._node
         if not self.is_started:
             raise CommandRejectedError("this process does not serve yet")
-        taken_out = node.offline_servers.names()
-        if not node.has_usable_server() and not taken_out:
+        offline_ids = node.offline_servers.names()
+        if not node.has_usable_server() and not offline_ids:
             raise CommandRejectedError("no server is known yet")
-        suffix = f", {len(taken_out)} held out" if taken_out else ""
+        suffix = f", {len(offline_ids)} held out" if offline_ids else ""
         return f"{node.server.lifecycle.phase.value}, {len(node.pool.endpoints)} servers in use{suffix}"
 
-    def _take_out(self, server_id: str) -> str:
-        """Take a server out of use until it is put back, whatever later endpoint lists contain."""
+    def _take_offline(self, server_id: str) -> str:
+        """Take a server offline until it is brought online, whatever endpoint lists contain."""
         offline_servers = self._node.offline_servers
         if offline_servers.is_full() and not offline_servers.is_offline(server_id):
             raise CommandRejectedError("as many servers are held out as can be")
@@ -71,8 +71,8 @@
             raise CommandRejectedError(f"no server {server_id} is listed")
         return f"{server_id} is out" if has_changed else f"{server_id} was out already"
 
-    def _put_back(self, server_id: str) -> str:
-        """Put a server back in use, even if it was taken out several times."""
+    def _bring_online(self, server_id: str) -> str:
+        """Bring a server back online, even if it was taken offline several times."""
         has_changed = self._node.put_back(server_id)
         if has_changed is None:
             raise CommandRejectedError(f"no server {server_id} is listed or held out")
--- a/oakbridge/operators/protocol.py
+++ b/oakbridge/operators/protocol.py
@@ -20,8 +20,8 @@
     """The commands' verbs; the value is the word on the wire."""
 
     HEALTH = "HEALTH"
-    OFFLINE = "OFFLINE"  # take a server out
-    ONLINE = "ONLINE"  # put a server back in use
+    OFFLINE = "OFFLINE"  # take a server offline
+    ONLINE = "ONLINE"  # bring a server back online
     LEAVE = "LEAVE"  # drain the node
     JOIN = "JOIN"  # end the drain
 
@@ -53,9 +53,8 @@
         super().__init__(f"expected {expected}")
 
 
-Execute = Callable[
-    [OperatorCommand], str
-]  # returns the resulting state; raises CommandRejectedError
+# Carries out a command and returns the resulting state as text; raises CommandRejectedError.
+Execute = Callable[[OperatorCommand], str]
 
 
 def respond(line: bytes, execute: Execute) -> bytes:
--- a/oakbridge/process/supervisor.py
+++ b/oakbridge/process/supervisor.py
@@ -15,10 +15,9 @@
 SECOND_US = 1_000_000
 FIRST_BACKOFF_US = SECOND_US // 5
 MAX_BACKOFF_US = 30 * SECOND_US
-# This many crashes within the window are a crash loop, in which the backoff is multiplied.
-CRASH_LOOP_CRASHES = 5
+CRASH_LOOP_CRASHES = 5  # this many crashes within CRASH_LOOP_WINDOW_US are a crash loop
 CRASH_LOOP_WINDOW_US = 60 * SECOND_US
-CRASH_LOOP_BACKOFF_FACTOR = 4
+CRASH_LOOP_BACKOFF_FACTOR = 4  # multiplies the backoff in a crash loop
 STABLE_RUN_US = 60 * SECOND_US  # after a run of this length, earlier crashes no longer count
 # A process that is not ready within this time is killed, and counts as crashed.
 READY_TIMEOUT_US = 15 * SECOND_US
@@ -53,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call ``tick`` at this time; replaces any earlier SetTimer."""
+    """Call ``tick`` at the time ``at``; replaces any earlier SetTimer."""
 
     at: int
 
