--- a/oakbridge/handover/messages.py
+++ b/oakbridge/handover/messages.py
@@ -32,7 +32,7 @@
 
     configuration: JsonObject  # the content of the configuration file
     endpoint_list: JsonObject  # all listed servers, as discovery encodes a complete list
-    outages: JsonObject  # the servers that operators took offline, see OfflineServers.saved
+    offline_servers: JsonObject  # the servers that operators took offline, see OfflineServers.saved
     is_draining: bool
     # The node's clock minus the monotonic clock, in microseconds.  All times in the messages are
     # times of the node's clock.  None: the predecessor's release does not send the offset.
@@ -144,7 +144,7 @@
         (
             _Field("configuration", "file", dict),
             _Field("endpoint_list", "known", dict),
-            _Field("outages", "outages", dict),
+            _Field("offline_servers", "outages", dict),
             _Field("is_draining", "draining", bool),
             _Field("clock_offset_us", "clock", int, is_optional=True),
             _Field("shares_lists", "lists", bool, is_optional=True),
--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -167,7 +167,7 @@
         welcome = Welcome(
             configuration=node.config.raw,
             endpoint_list=self._lists.update().endpoint_list,
-            outages=node.offline_servers.saved(),
+            offline_servers=node.offline_servers.saved(),
             is_draining=node.server.lifecycle.draining,
             clock_offset_us=node.clock.offset,
             shares_lists=True,
--- a/oakbridge/operators/executor.py
+++ b/oakbridge/operators/executor.py
@@ -10,7 +10,10 @@
 
 
 class NodeCommandExecutor:
-    """Carry out commands on this process's node."""
+    """Carry out commands on this process's node.
+
+    The response texts are part of the operators' protocol and must not change.
+    """
 
     def __init__(
         self,
@@ -78,8 +81,6 @@
             raise CommandRejectedError(f"no server {server_id} is listed or held out")
         return f"{server_id} is back" if has_changed else f"{server_id} was not out"
 
-    # The response texts are part of the operators' protocol and must not change.
-
     def _drain(self) -> str:
         has_changed = self._node.server.drain()
         return "the node empties" if has_changed else "the node was emptied already"
--- a/oakbridge/operators/service.py
+++ b/oakbridge/operators/service.py
@@ -61,7 +61,7 @@
             raise config_error or ConfigError("NODE_CONFIG: missing")
         offline_servers = OfflineServers()
         if inherited is not None:
-            offline_servers.restore(inherited.outages)
+            offline_servers.restore(inherited.offline_servers)
         listeners, successor.listeners = successor.listeners, []
         inherited_sockets = _inherit_listeners(listeners, config.listen)
         listening = ListenOptions(inherited=inherited_sockets, reuse_port=True)
--- a/tests/formats/test_handover.py
+++ b/tests/formats/test_handover.py
@@ -67,7 +67,7 @@
     "welcome": Welcome(
         configuration=CONFIG_FILE,
         endpoint_list={"index": 41, "snapshot": True, "endpoints": ENDPOINTS},
-        outages={"s-1": [5000000, 0, 0], "s-2": [6000000, 7000000, 7000000]},
+        offline_servers={"s-1": [5000000, 0, 0], "s-2": [6000000, 7000000, 7000000]},
         is_draining=True,
     ),
     "decline": Decline(reason="another process takes over"),
--- a/tests/handover/test_state_machine.py
+++ b/tests/handover/test_state_machine.py
@@ -38,7 +38,7 @@
     SuccessorStateMachine,
 )
 
-WELCOME = Welcome(configuration={}, endpoint_list={}, outages={}, is_draining=False)
+WELCOME = Welcome(configuration={}, endpoint_list={}, offline_servers={}, is_draining=False)
 
 
 def test_hand_over_without_failures():
