--- a/tests/formats/test_operators.py
+++ b/tests/formats/test_operators.py
@@ -1,7 +1,7 @@
-"""The operators' line protocol, held by a fixture that the program wrote before its names were changed.
+"""The operators' line protocol, compared with a fixture that an earlier release wrote.
 
-The fixture is a conversation with a node of two servers: the line after ``> `` is sent (as a Python bytes literal,
-since some are no text), the line after ``< `` must come back.
+The fixture is a conversation with a node of two servers.  The line after ``> `` is sent; it is a
+Python bytes literal, since some lines are not text.  The line after ``< `` is the response.
 """
 
 import ast
@@ -15,7 +15,7 @@
 FIXTURE = Path(__file__).parent / "fixtures" / "operators" / "conversation.txt"
 
 
-def test_each_line_gets_the_same_answer():
+def test_each_line_gets_the_response_in_the_fixture():
     lines = FIXTURE.read_text().splitlines()
 
     async def scenario():
@@ -24,8 +24,10 @@
             ScriptedServer(lambda _: reply(200)) as b,
             RunningNode(a, b) as node,
         ):
-            starting = NodeCommandExecutor(node.node)
-            assert respond(b"HEALTH", starting.execute) == b"NO this process does not serve yet\n"
+            not_started = NodeCommandExecutor(node.node)
+            assert (
+                respond(b"HEALTH", not_started.execute) == b"NO this process does not serve yet\n"
+            )
             executor = NodeCommandExecutor(node.node, is_started=True)
             for sent, expected in zip(lines[::2], lines[1::2], strict=True):
                 assert (
--- a/tests/handover/processes.py
+++ b/tests/handover/processes.py
@@ -1,4 +1,4 @@
-"""Real processes of one node beside one another; servers and discovery are the test's own."""
+"""Real processes of one node, with the servers and the discovery of a test."""
 
 import asyncio
 import json
@@ -24,29 +24,30 @@
 ROOT = Path(__file__).parents[2]
 
 
-class Site:
-    """A node's configuration, and the processes that were started by it."""
+class NodeProcesses:
+    """The configuration of a node, and the processes that a test starts with it."""
 
-    def __init__(self, folder: Path, *peers: ScriptedServer, **settings: object) -> None:
+    def __init__(self, folder: Path, *servers: ScriptedServer, **settings: object) -> None:
         self.folder = folder
-        self.peers = peers
+        self.servers = servers
         self.settings = SETTINGS | {"discovery": "pushed"} | settings
-        self.port, *self.controls = free_ports(14)
+        self.port, *self.operator_ports = free_ports(14)
         self.processes: list[asyncio.subprocess.Process] = []
         self.logs: list[list[bytes]] = []
         self.readers: list[asyncio.Task[None]] = []
 
-    async def __aenter__(self) -> "Site":
-        self.registry = await ScriptedDiscovery().__aenter__()
-        self.listed = [endpoint(f"s-{i}", p.port) for i, p in enumerate(self.peers)]
-        self.write()
+    async def __aenter__(self) -> "NodeProcesses":
+        self.discovery = await ScriptedDiscovery().__aenter__()
+        self.listed = [endpoint(f"s-{i}", server.port) for i, server in enumerate(self.servers)]
+        self.write_config()
         return self
 
-    def write(self, text: str | None = None, **changes: object) -> None:
+    def write_config(self, text: str | None = None, **changes: object) -> None:
+        """Write the configuration file with these changes, or with this text instead."""
         raw = {
             "name": "n3",
             "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{self.registry.port}",
+            "discovery": f"127.0.0.1:{self.discovery.port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
             "known": listing(1, *self.listed),
@@ -61,16 +62,18 @@
                 process.kill()
             await process.wait()
         await asyncio.gather(*self.readers)
-        await self.registry.__aexit__()
+        await self.discovery.__aexit__()
 
     async def start(self, program: Path = ROOT) -> asyncio.subprocess.Process:
-        """Start one more process, of the program in that folder, and wait for nothing."""
-        inherited = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
+        """Start a process of the program in this folder; do not wait until it is ready."""
+        inherited = {
+            name: value for name, value in os.environ.items() if not name.startswith("NODE_")
+        }
         variables = {
             "NODE_CONFIG": str(self.folder / "c.json"),
             "TMPDIR": str(self.folder),
             "NODE_NAME": "n3",
-            "NODE_CONTROL": f"127.0.0.1:{self.controls[len(self.processes)]}",
+            "NODE_CONTROL": f"127.0.0.1:{self.operator_ports[len(self.processes)]}",
         }
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -94,74 +97,79 @@
     def log(self, number: int = -1) -> str:
         return b"".join(self.logs[number]).decode()
 
-    async def call(self, line: str, number: int = -1) -> str:
-        """An operator's call to a process; empty if it does not listen."""
-        controls = self.controls[: len(self.processes)]
+    async def send_command(self, line: str, number: int = -1) -> str:
+        """Return a process's response to an operator's command; empty if it does not listen."""
+        ports = self.operator_ports[: len(self.processes)]
         try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", controls[number])
+            reader, writer = await asyncio.open_connection("127.0.0.1", ports[number])
             writer.write(line.encode() + b"\n")
-            said = await with_timeout(reader.read())
+            response = await with_timeout(reader.read())
             writer.close()
         except ConnectionError:
             return ""
-        return said.decode()
+        return response.decode()
 
-    async def started(self, program: Path = ROOT) -> asyncio.subprocess.Process:
-        """Start one more process, of the program in that folder, and wait for its yes."""
+    async def start_and_wait(self, program: Path = ROOT) -> asyncio.subprocess.Process:
+        """Start a process of the program in this folder, and wait for its YES to HEALTH."""
         process = await self.start(program)
-        while not (await self.call("HEALTH")).startswith("YES"):
+        while not (await self.send_command("HEALTH")).startswith("YES"):
             assert process.returncode is None, self.log()
             await asyncio.sleep(0.01)
         return process
 
-    async def health_until(self, accepted: Callable[[str], bool], number: int = -1) -> None:
-        """Wait until a process gives an accepted answer to HEALTH."""
+    async def wait_for_health(self, is_expected: Callable[[str], bool], number: int = -1) -> None:
+        """Wait until a process gives an expected response to HEALTH."""
         while True:
-            if accepted(await self.call("HEALTH", number)):
+            if is_expected(await self.send_command("HEALTH", number)):
                 return
             await asyncio.sleep(0.005)
 
-    async def caller(self) -> Client:
+    async def connect_client(self) -> Client:
         return await Client.connect(self.port)
 
 
-class Load:
-    """Clients that keep their connections, and some that open one for each request; counts both."""
+class ClientLoad:
+    """Clients that reuse their connection, and clients that open one for each request.
+
+    ``counts``: the requests sent, the responses, and the connections closed before a response.
+    """
 
-    def __init__(self, site: Site, kept: int = 6, fresh: int = 2, **request: Any) -> None:
-        self.site, self.request = site, request
-        self.counts = {"sent": 0, "answered": 0, "closed": 0}
+    def __init__(
+        self, node: NodeProcesses, reusing: int = 6, reconnecting: int = 2, **request: Any
+    ) -> None:
+        self.node, self.request = node, request
+        self.counts = {"sent": 0, "responses": 0, "disconnects": 0}
         self.statuses: list[int] = []
         self.stop = asyncio.Event()
-        keeps = [True] * kept + [False] * fresh
-        self.tasks = [asyncio.create_task(self._one(keep=keep)) for keep in keeps]
+        reuses = [True] * reusing + [False] * reconnecting
+        self.tasks = [asyncio.create_task(self._run_client(reuse=reuse)) for reuse in reuses]
 
-    async def _one(self, *, keep: bool) -> None:
-        caller = None
+    async def _run_client(self, *, reuse: bool) -> None:
+        client = None
         while not self.stop.is_set():
-            caller = caller or await self.site.caller()
+            client = client or await self.node.connect_client()
             self.counts["sent"] += 1
-            caller.send(**self.request)
+            client.send(**self.request)
             try:
-                status, headers, _ = await caller.read_response()
+                status, headers, _ = await client.read_response()
             except (asyncio.IncompleteReadError, ConnectionError):
-                self.counts["closed"] += 1
-                caller = None
+                self.counts["disconnects"] += 1
+                client = None
                 continue
-            self.counts["answered"] += 1
+            self.counts["responses"] += 1
             self.statuses.append(status)
-            if not keep or headers.get("connection") == "close":
-                caller.close()
-                caller = None
+            if not reuse or headers.get("connection") == "close":
+                client.close()
+                client = None
             await asyncio.sleep(0.002)
-        if caller is not None:
-            caller.close()
+        if client is not None:
+            client.close()
 
-    async def answered(self, more: int) -> None:
-        """Wait for so many more answers."""
-        enough = self.counts["answered"] + more
-        await until(lambda: self.counts["answered"] >= enough)
+    async def wait_for_responses(self, count: int) -> None:
+        """Wait for this number of further responses."""
+        expected = self.counts["responses"] + count
+        await until(lambda: self.counts["responses"] >= expected)
 
-    async def end(self) -> None:
+    async def finish(self) -> None:
         self.stop.set()
         await asyncio.gather(*self.tasks)
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A process replaced under load, and each way in which either of the two can fail."""
+"""Hot restarts of a node's processes, under load and with failures of either process."""
 
 import asyncio
 import signal
@@ -6,177 +6,194 @@
 
 import pytest
 from peers import SETTINGS, ScriptedServer, endpoint, listing, reply, run, until, with_timeout
-from processes import Load, Site
+from processes import ClientLoad, NodeProcesses
 
 
-def test_ten_replacements_lose_no_request_and_run_none_twice(tmp_path):
+def test_ten_restarts_lose_no_request_and_run_none_twice(tmp_path):
     async def scenario():
         async with (
             ScriptedServer(lambda _: reply(200)) as a,
             ScriptedServer(lambda _: reply(200)) as b,
-            Site(tmp_path, a, b) as site,
+            NodeProcesses(tmp_path, a, b) as node,
         ):
-            old = await site.started()
-            load = Load(site, priority_class="book", method="POST", body=b"x")
+            predecessor = await node.start_and_wait()
+            load = ClientLoad(node, priority_class="book", method="POST", body=b"x")
             for _ in range(10):
-                new = await site.started()
-                old.send_signal(signal.SIGTERM)
-                assert await with_timeout(old.wait()) == 0
-                await load.answered(50)
-                old = new
-            await load.end()
+                successor = await node.start_and_wait()
+                predecessor.send_signal(signal.SIGTERM)
+                assert await with_timeout(predecessor.wait()) == 0
+                await load.wait_for_responses(50)
+                predecessor = successor
+            await load.finish()
             counts = load.counts
-            assert counts["closed"] == 0
-            assert counts["answered"] == counts["sent"] > 500
+            assert counts["disconnects"] == 0
+            assert counts["responses"] == counts["sent"] > 500
             assert Counter(load.statuses) == {200: counts["sent"]}
-            ran = Counter()
-            for peer in (a, b):
-                while peer.requests.qsize():
-                    ran[peer.requests.get_nowait().headers["x-request-id"]] += 1
-            assert len(ran) == counts["sent"]
-            assert max(ran.values()) == 1
-            assert not any("Traceback" in site.log(i) for i in range(len(site.logs)))
+            executions = Counter()
+            for server in (a, b):
+                while server.requests.qsize():
+                    executions[server.requests.get_nowait().headers["x-request-id"]] += 1
+            assert len(executions) == counts["sent"]
+            assert max(executions.values()) == 1
+            assert not any("Traceback" in node.log(number) for number in range(len(node.logs)))
 
     run(scenario())
 
 
-def test_what_is_under_way_ends_in_the_old_process_and_kept_connections_move(tmp_path):
+def test_open_request_finishes_in_predecessor_and_idle_connections_migrate(tmp_path):
     async def scenario():
-        async def held():
-            await peer.release.wait()
+        async def respond_when_released():
+            await server.release.wait()
             return reply(200, b"held")
 
         async with (
-            ScriptedServer(lambda s: held() if s.url == "/held" else reply(200)) as peer,
-            Site(tmp_path, peer) as site,
+            ScriptedServer(
+                lambda request: respond_when_released() if request.url == "/held" else reply(200)
+            ) as server,
+            NodeProcesses(tmp_path, server) as node,
         ):
-            old = await site.started()
-            busy, idle, silent = [await site.caller() for _ in range(3)]
+            predecessor = await node.start_and_wait()
+            busy, idle, silent = [await node.connect_client() for _ in range(3)]
             idle.send()
             assert (await idle.read_response())[0] == 200
             busy.send(url="/held")
-            await until(lambda: peer.requests.qsize() >= 2)
-            await site.started()
-            old.send_signal(signal.SIGTERM)
-            for caller in (idle, silent):
-                caller.send()
-                assert (await caller.read_response())[0] == 200
-            assert old.returncode is None
-            peer.release.set()
+            await until(lambda: server.requests.qsize() >= 2)
+            await node.start_and_wait()
+            predecessor.send_signal(signal.SIGTERM)
+            for client in (idle, silent):
+                client.send()
+                assert (await client.read_response())[0] == 200
+            assert predecessor.returncode is None
+            server.release.set()
             status, headers, body = await busy.read_response()
             assert (status, body, headers.get("connection")) == (200, b"held", None)
-            assert await with_timeout(old.wait()) == 0
+            assert await with_timeout(predecessor.wait()) == 0
             busy.send()
             assert (await busy.read_response())[0] == 200
 
     run(scenario())
 
 
-def test_calls_hold_in_both_processes_and_go_along(tmp_path):
+def test_commands_apply_to_both_processes_and_are_kept_by_successor(tmp_path):
     async def scenario():
         async with (
             ScriptedServer(lambda _: reply(200)) as a,
             ScriptedServer(lambda _: reply(200)) as b,
-            Site(tmp_path, a, b) as site,
+            NodeProcesses(tmp_path, a, b) as node,
         ):
-            await site.started()
-            caller = await site.caller()
-
-            async def used(times: int = 12) -> tuple[bool, bool]:
-                for peer in (a, b):
-                    while peer.requests.qsize():
-                        peer.requests.get_nowait()
-                for _ in range(times):
-                    caller.send()
-                    assert (await caller.read_response())[0] == 200
+            await node.start_and_wait()
+            client = await node.connect_client()
+
+            async def servers_used(request_count: int = 12) -> tuple[bool, bool]:
+                for server in (a, b):
+                    while server.requests.qsize():
+                        server.requests.get_nowait()
+                for _ in range(request_count):
+                    client.send()
+                    assert (await client.read_response())[0] == 200
                 return bool(a.requests.qsize()), bool(b.requests.qsize())
 
-            assert (await site.call("OFFLINE s-0")).startswith("YES")
-            assert (await site.call("LEAVE")).startswith("YES")
-            await site.started()  # over an upgrade, with the first process still there
-            caller = await site.caller()
-            caller.send(url="/-/ready")
-            assert (await caller.read_response())[0] == 503
-            assert (await site.call("JOIN", 0)).startswith("YES")  # at the old one's address
+            assert (await node.send_command("OFFLINE s-0")).startswith("YES")
+            assert (await node.send_command("LEAVE")).startswith("YES")
+            await node.start_and_wait()  # a hot restart, while the predecessor still runs
+            client = await node.connect_client()
+            client.send(url="/-/ready")
+            assert (await client.read_response())[0] == 503
+            # At the predecessor's address.
+            assert (await node.send_command("JOIN", 0)).startswith("YES")
             while True:
-                caller = await site.caller()
-                caller.send(url="/-/ready")
-                if (await caller.read_response())[0] == 200:
+                client = await node.connect_client()
+                client.send(url="/-/ready")
+                if (await client.read_response())[0] == 200:
                     break
-            assert await used() == (False, True)
-            assert (await site.call("OFFLINE s-1", 0)).startswith("YES")
-            await site.health_until(lambda health: "1 servers" not in health, 1)
-            assert (await site.call("ONLINE s-1", 1)).startswith("YES")
-            await site.health_until(lambda health: "0 servers" not in health, 0)
-            site.processes[0].send_signal(signal.SIGTERM)
-            assert await with_timeout(site.processes[0].wait()) == 0
-            assert "1 held out" in await site.call("HEALTH")
+            assert await servers_used() == (False, True)
+            assert (await node.send_command("OFFLINE s-1", 0)).startswith("YES")
+            await node.wait_for_health(lambda health: "1 servers" not in health, 1)
+            assert (await node.send_command("ONLINE s-1", 1)).startswith("YES")
+            await node.wait_for_health(lambda health: "0 servers" not in health, 0)
+            node.processes[0].send_signal(signal.SIGTERM)
+            assert await with_timeout(node.processes[0].wait()) == 0
+            assert "1 held out" in await node.send_command("HEALTH")
 
     run(scenario())
 
 
-def test_second_process_that_can_not_start_leaves_the_first_as_it_was(tmp_path):
+def test_successor_that_fails_to_start_does_not_affect_predecessor(tmp_path):
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer, Site(tmp_path, peer) as site:
-            first = await site.started()
-            load = Load(site)
-            site.controls[1] = site.controls[0]  # its own address is taken
-            second = await site.start()
+        async with (
+            ScriptedServer(lambda _: reply(200)) as server,
+            NodeProcesses(tmp_path, server) as node,
+        ):
+            first = await node.start_and_wait()
+            load = ClientLoad(node)
+            # The successor's address for operators is in use, so it exits.
+            node.operator_ports[1] = node.operator_ports[0]
+            second = await node.start()
             assert await with_timeout(second.wait()) == 1
-            await load.answered(50)
-            await site.started()
+            await load.wait_for_responses(50)
+            await node.start_and_wait()
             first.send_signal(signal.SIGTERM)
             assert await with_timeout(first.wait()) == 0
-            await load.end()
-            assert load.counts["answered"] == load.counts["sent"]
+            await load.finish()
+            assert load.counts["responses"] == load.counts["sent"]
 
     run(scenario())
 
 
-@pytest.mark.parametrize("which", ["old", "new"])
-def test_either_process_killed_after_the_yes_leaves_the_other_serving(tmp_path, which):
+@pytest.mark.parametrize("killed", ["predecessor", "successor"])
+def test_either_process_keeps_serving_after_the_other_is_killed(tmp_path, killed):
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer, Site(tmp_path, peer) as site:
-            old = await site.started()
-            new = await site.started()
-            (old if which == "old" else new).kill()
-            await with_timeout((old if which == "old" else new).wait())
+        async with (
+            ScriptedServer(lambda _: reply(200)) as server,
+            NodeProcesses(tmp_path, server) as node,
+        ):
+            predecessor = await node.start_and_wait()
+            successor = await node.start_and_wait()
+            (predecessor if killed == "predecessor" else successor).kill()
+            await with_timeout((predecessor if killed == "predecessor" else successor).wait())
             while True:
                 try:
-                    caller = await site.caller()
-                    caller.send()
-                    assert (await caller.read_response())[0] == 200
+                    client = await node.connect_client()
+                    client.send()
+                    assert (await client.read_response())[0] == 200
                     break
                 except (OSError, asyncio.IncompleteReadError):
                     await asyncio.sleep(0.01)
-            left = new if which == "old" else old
-            if which == "new":  # and can be replaced again
-                await site.started()
-            left.send_signal(signal.SIGTERM)
-            assert await with_timeout(left.wait()) == 0
+            remaining = successor if killed == "predecessor" else predecessor
+            if killed == "successor":  # the predecessor accepts another successor
+                await node.start_and_wait()
+            remaining.send_signal(signal.SIGTERM)
+            assert await with_timeout(remaining.wait()) == 0
 
     run(scenario())
 
 
-def test_a_frozen_process_is_done_without(tmp_path):
-    """SO_REUSEPORT lets the new one listen; it goes by its own file, as nobody sends it another."""
+def test_successor_serves_without_predecessor_that_is_frozen(tmp_path):
+    """Guards against a successor that waits for a frozen predecessor.
+
+    SO_REUSEPORT lets the successor listen on the same port.  It uses its own configuration file, as
+    it receives none.
+    """
 
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer, Site(tmp_path, peer) as site:
-            old = await site.started()
-            old.send_signal(signal.SIGSTOP)
-            new = await site.started()
-            assert "predecessor did not reply in time" in site.log()
-            old.send_signal(signal.SIGCONT)
-            old.kill()
-            await with_timeout(old.wait())
-            caller = await site.caller()
-            caller.send()
-            assert (await caller.read_response())[0] == 200
-            third = await site.started()
-            assert "taken over" in site.log()
-            new.send_signal(signal.SIGTERM)
-            assert await with_timeout(new.wait()) == 0
+        async with (
+            ScriptedServer(lambda _: reply(200)) as server,
+            NodeProcesses(tmp_path, server) as node,
+        ):
+            predecessor = await node.start_and_wait()
+            predecessor.send_signal(signal.SIGSTOP)
+            successor = await node.start_and_wait()
+            assert "predecessor did not reply in time" in node.log()
+            predecessor.send_signal(signal.SIGCONT)
+            predecessor.kill()
+            await with_timeout(predecessor.wait())
+            client = await node.connect_client()
+            client.send()
+            assert (await client.read_response())[0] == 200
+            third = await node.start_and_wait()
+            assert "taken over" in node.log()
+            successor.send_signal(signal.SIGTERM)
+            assert await with_timeout(successor.wait()) == 0
             third.send_signal(signal.SIGTERM)
             assert await with_timeout(third.wait()) == 0
             assert not list(tmp_path.glob("*.sock"))
@@ -184,60 +201,67 @@
     run(scenario())
 
 
-def test_broken_file_at_the_start_is_done_without_and_a_stale_name_is_no_process(tmp_path):
+def test_invalid_configuration_is_replaced_by_predecessors_and_stale_socket_is_ignored(tmp_path):
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer, Site(tmp_path, peer) as site:
-            old = await site.started()
-            site.write("{")
-            await site.started()
-            assert "configuration is invalid, using the predecessor's" in site.log()
-            old.kill()
-            site.processes[1].kill()
-            await with_timeout(asyncio.gather(old.wait(), site.processes[1].wait()))
-            assert list(tmp_path.glob("*.sock"))  # left by one that was killed
-            site.write()
-            last = await site.started()
-            assert "taken over" not in site.log()
+        async with (
+            ScriptedServer(lambda _: reply(200)) as server,
+            NodeProcesses(tmp_path, server) as node,
+        ):
+            predecessor = await node.start_and_wait()
+            node.write_config("{")
+            await node.start_and_wait()
+            assert "configuration is invalid, using the predecessor's" in node.log()
+            predecessor.kill()
+            node.processes[1].kill()
+            await with_timeout(asyncio.gather(predecessor.wait(), node.processes[1].wait()))
+            assert list(tmp_path.glob("*.sock"))  # left by a process that was killed
+            node.write_config()
+            last = await node.start_and_wait()
+            assert "taken over" not in node.log()
             last.send_signal(signal.SIGTERM)
             assert await with_timeout(last.wait()) == 0
 
     run(scenario())
 
 
-def test_a_long_folder_is_no_hindrance(tmp_path):
+def test_hot_restart_works_in_folder_with_long_path(tmp_path):
     folder = tmp_path / ("f" * 60) / ("g" * 60)
     folder.mkdir(parents=True)
 
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer, Site(folder, peer) as site:
-            await site.started()
-            await site.started()
-            assert "taken over" in site.log()
+        async with (
+            ScriptedServer(lambda _: reply(200)) as server,
+            NodeProcesses(folder, server) as node,
+        ):
+            await node.start_and_wait()
+            await node.start_and_wait()
+            assert "taken over" in node.log()
 
     run(scenario())
 
 
-def test_what_discovery_tells_one_process_both_know_while_one_hands_over(tmp_path):
-    """Guards against a drain that one process of a node knows, and the other one sends into."""
+def test_endpoint_list_that_one_process_reads_is_used_by_both_during_hand_over(tmp_path):
+    """Guards against a process that sends to a server of whose drain only the other one knows."""
     invariants = SETTINGS["invariants"] | {"ask-within": 10_000_000}
 
     async def scenario():
         async with (
-            ScriptedServer(lambda _: reply(200)) as peer,
-            Site(tmp_path, peer, discovery="on_request", invariants=invariants) as site,
+            ScriptedServer(lambda _: reply(200)) as server,
+            NodeProcesses(tmp_path, server, discovery="on_request", invariants=invariants) as node,
         ):
-            await site.started()
-            busy = await site.caller()
-            await with_timeout(site.registry.requests.get())
-            site.registry.put(listing(2, is_complete=False))
-            await site.started()
-            drained = listing(3, endpoint("s-0", peer.port, "draining"), is_complete=False)
+            await node.start_and_wait()
+            busy = await node.connect_client()
+            await with_timeout(node.discovery.requests.get())
+            node.discovery.put(listing(2, is_complete=False))
+            await node.start_and_wait()
+            drained = listing(3, endpoint("s-0", server.port, "draining"), is_complete=False)
             async with asyncio.timeout(20):
-                while not any("list 3:" in site.log(i) for i in (0, 1)):
-                    site.registry.put(drained)  # one whose call was given up takes its turn too
+                while not any("list 3:" in node.log(number) for number in (0, 1)):
+                    # A discovery request that was cancelled consumes a response too.
+                    node.discovery.put(drained)
                     await asyncio.sleep(0.5)
             await asyncio.sleep(0.2)
-            assert all("list 3:" in site.log(i) for i in (0, 1))
+            assert all("list 3:" in node.log(number) for number in (0, 1))
             busy.close()
 
     run(scenario())
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands on a running node: each over a socket, beside clients and servers."""
+"""Operators' commands over a socket to a node that serves clients' requests."""
 
 import asyncio
 import contextlib
@@ -17,13 +17,13 @@
 from oakbridge.operators.protocol import respond
 
 
-class Operators:
-    """The operators' address of a node in this process, and those who use it."""
+class OperatorAddress:
+    """A listener for operators' commands on a node in this process, and connections to it."""
 
     def __init__(self, node) -> None:
         self.node = node
 
-    async def __aenter__(self) -> "Operators":
+    async def __aenter__(self) -> "OperatorAddress":
         executor = NodeCommandExecutor(self.node, is_started=True)
         loop = asyncio.get_running_loop()
         self.listener = OperatorListener(
@@ -35,98 +35,99 @@
     async def __aexit__(self, *_) -> None:
         self.listener.close()
 
-    async def open(self):
+    async def connect(self):
         return await asyncio.open_connection(*self.listener.address)
 
-    async def call(self, line: bytes) -> bytes:
-        reader, writer = await self.open()
+    async def send_command(self, line: bytes) -> bytes:
+        reader, writer = await self.connect()
         writer.write(line)
-        answer = await with_timeout(reader.read())
+        response = await with_timeout(reader.read())
         writer.close()
-        return answer
+        return response
 
 
-async def status_of_request(caller, **extra) -> int:
-    caller.send(**extra)
-    return (await caller.read_response())[0]
+async def status_of_request(client, **extra) -> int:
+    client.send(**extra)
+    return (await client.read_response())[0]
 
 
-def test_server_taken_out_gets_nothing_until_it_is_put_back_whatever_lists_say():
+def test_offline_server_gets_no_request_until_online_whatever_endpoint_lists_contain():
     async def scenario():
         async with (
             ScriptedServer(lambda _: reply(200)) as a,
             ScriptedServer(lambda _: reply(200)) as b,
             RunningNode(a, b) as node,
-            Operators(node.node) as operators,
+            OperatorAddress(node.node) as operators,
         ):
-            caller = await node.client()
-            assert (await operators.call(b"OFFLINE s-9\n")).startswith(b"NO ")
-            assert (await operators.call(b"OFFLINE s-0\r\n")).startswith(b"YES ")
-            assert (await operators.call(b"offline s-0\n")).startswith(b"YES ")
-            again = listing(2, endpoint("s-0", a.port), endpoint("s-1", b.port))
-            for known in (
+            client = await node.client()
+            assert (await operators.send_command(b"OFFLINE s-9\n")).startswith(b"NO ")
+            assert (await operators.send_command(b"OFFLINE s-0\r\n")).startswith(b"YES ")
+            assert (await operators.send_command(b"offline s-0\n")).startswith(b"YES ")
+            same_list = listing(2, endpoint("s-0", a.port), endpoint("s-1", b.port))
+            for endpoint_list in (
                 None,
-                again,
+                same_list,
                 listing(3, endpoint("s-0", a.port, since_ms=5), is_complete=False),
             ):
-                if known is not None:
-                    node.node.endpoints.on_endpoint_list(parse_endpoint_list(known))
-                assert [await status_of_request(caller) for _ in range(10)] == [200] * 10
+                if endpoint_list is not None:
+                    node.node.endpoints.on_endpoint_list(parse_endpoint_list(endpoint_list))
+                assert [await status_of_request(client) for _ in range(10)] == [200] * 10
             assert a.requests.qsize() == 0
-            assert (await operators.call(b"ONLINE s-0\n")).startswith(b"YES ")
+            assert (await operators.send_command(b"ONLINE s-0\n")).startswith(b"YES ")
             while not a.requests.qsize():
-                assert await status_of_request(caller) == 200
-            assert (await operators.call(b"ONLINE s-0\n")).startswith(b"YES ")
-            assert (await operators.call(b"ONLINE s-9\n")).startswith(b"NO ")
+                assert await status_of_request(client) == 200
+            assert (await operators.send_command(b"ONLINE s-0\n")).startswith(b"YES ")
+            assert (await operators.send_command(b"ONLINE s-9\n")).startswith(b"NO ")
 
     run(scenario())
 
 
-def test_last_server_may_be_taken_out_and_requests_are_refused_at_once():
+def test_last_server_can_be_taken_offline_and_requests_are_rejected_immediately():
     async def scenario():
         async with (
             ScriptedServer(lambda _: reply(200)) as a,
             RunningNode(a) as node,
-            Operators(node.node) as operators,
+            OperatorAddress(node.node) as operators,
         ):
-            caller = await node.client()
-            assert (await operators.call(b"OFFLINE s-0\n")).startswith(b"YES ")
-            assert (await operators.call(b"HEALTH\n")).startswith(b"YES ")
-            began = asyncio.get_running_loop().time()
-            assert await status_of_request(caller, X_Timeout="2000m") == 503
-            assert asyncio.get_running_loop().time() - began < 1
-            assert (await operators.call(b"ONLINE s-0\n")).startswith(b"YES ")
-            while (
-                await status_of_request(caller) != 200
-            ):  # it counts as cold: how soon it gets one is the module's
+            client = await node.client()
+            assert (await operators.send_command(b"OFFLINE s-0\n")).startswith(b"YES ")
+            assert (await operators.send_command(b"HEALTH\n")).startswith(b"YES ")
+            started_at = asyncio.get_running_loop().time()
+            assert await status_of_request(client, X_Timeout="2000m") == 503
+            assert asyncio.get_running_loop().time() - started_at < 1
+            assert (await operators.send_command(b"ONLINE s-0\n")).startswith(b"YES ")
+            # The server counts as cold, and the policy decides how soon it gets a request.
+            while await status_of_request(client) != 200:
                 pass
 
     run(scenario())
 
 
-def test_drained_node_serves_who_comes_closes_after_answers_and_joins_again(monkeypatch):
+def test_draining_node_serves_requests_closes_connections_and_can_end_drain(monkeypatch):
     monkeypatch.setattr(lifecycle, "DRAIN_NOTICE_US", 150_000)
 
     async def scenario():
-        async def held():
+        async def respond_when_released():
             await a.release.wait()
             return reply(200)
 
         async with (
-            ScriptedServer(lambda s: held() if s.url == "/held" else reply(200)) as a,
+            ScriptedServer(
+                lambda request: respond_when_released() if request.url == "/held" else reply(200)
+            ) as a,
             RunningNode(a) as node,
-            Operators(node.node) as operators,
+            OperatorAddress(node.node) as operators,
         ):
-            kept, idle, busy = [await node.client() for _ in range(3)]
-            assert [await status_of_request(kept), await status_of_request(idle)] == [200, 200]
+            active, idle, busy = [await node.client() for _ in range(3)]
+            assert [await status_of_request(active), await status_of_request(idle)] == [200, 200]
             busy.send(url="/held")
-            assert (await operators.call(b"LEAVE\n")).startswith(b"YES ")
-            assert (await operators.call(b"LEAVE\n")).startswith(b"YES ")
-            assert await status_of_request(kept, url="/-/ready") == 503
+            assert (await operators.send_command(b"LEAVE\n")).startswith(b"YES ")
+            assert (await operators.send_command(b"LEAVE\n")).startswith(b"YES ")
+            assert await status_of_request(active, url="/-/ready") == 503
             late = await node.client()
             assert await status_of_request(late) == 200
             assert await idle.read_until_close() == b""
-            assert await kept.read_until_close() == b""
+            assert await active.read_until_close() == b""
             later = await node.client()
             later.send()
             status, headers, _ = await later.read_response()
@@ -134,38 +135,40 @@
             a.release.set()
             status, headers, _ = await busy.read_response()
             assert (status, headers["connection"]) == (200, "close")
-            assert (await operators.call(b"HEALTH\n")).startswith(b"YES ")
-            assert (await operators.call(b"JOIN\n")).startswith(b"YES ")
-            again = await node.client()
-            assert await status_of_request(again, url="/-/ready") == 200
-            assert await status_of_request(again) == 200
-            assert (await operators.call(b"JOIN\n")).startswith(b"YES ")
+            assert (await operators.send_command(b"HEALTH\n")).startswith(b"YES ")
+            assert (await operators.send_command(b"JOIN\n")).startswith(b"YES ")
+            after_drain = await node.client()
+            assert await status_of_request(after_drain, url="/-/ready") == 200
+            assert await status_of_request(after_drain) == 200
+            assert (await operators.send_command(b"JOIN\n")).startswith(b"YES ")
 
     run(scenario())
 
 
-def test_commands_are_answered_beside_connections_that_hold_half_a_line(monkeypatch):
+def test_connections_with_incomplete_commands_do_not_delay_other_commands(monkeypatch):
     monkeypatch.setattr(listener, "LINE_TIMEOUT_S", 0.5)
 
     async def scenario():
         async with (
             ScriptedServer(lambda _: reply(200)) as a,
             RunningNode(a) as node,
-            Operators(node.node) as operators,
+            OperatorAddress(node.node) as operators,
         ):
-            holders = [await operators.open() for _ in range(3 * MAX_CONNECTIONS)]
-            for _, writer in holders[::2]:
+            stalled = [await operators.connect() for _ in range(3 * MAX_CONNECTIONS)]
+            for _, writer in stalled[::2]:
                 writer.write(b"OFFLINE s-")
-            assert (await operators.call(b"HEALTH\n")).startswith(b"YES ")
+            assert (await operators.send_command(b"HEALTH\n")).startswith(b"YES ")
             assert operators.listener.connection_count <= MAX_CONNECTIONS
-            for reader, writer in holders:
-                with contextlib.suppress(ConnectionError):  # it has made room
-                    assert await with_timeout(reader.read()) == b""  # or is closed after its time
+            for reader, writer in stalled:
+                with contextlib.suppress(ConnectionError):  # closed above the limit
+                    assert await with_timeout(reader.read()) == b""  # closed after the timeout
                 writer.close()
-            assert (await operators.call(b"x" * 100_000)).startswith(
+            assert (await operators.send_command(b"x" * 100_000)).startswith(
                 b"NO expected a line of at most"
             )
-            assert (await operators.call(b"HEALTH\nHEALTH\n")).startswith(b"NO expected one line")
+            assert (await operators.send_command(b"HEALTH\nHEALTH\n")).startswith(
+                b"NO expected one line"
+            )
 
     run(scenario())
 
@@ -173,37 +176,63 @@
 @pytest.mark.parametrize(
     "broken",
     [
-        "", "{", json.dumps({"settings": SETTINGS})[:200], json.dumps({}), json.dumps([1]),
-        json.dumps({"settings": {k: v for k, v in SETTINGS.items() if k != "allowed"}}),
+        "",
+        "{",
+        json.dumps({"settings": SETTINGS})[:200],
+        json.dumps({}),
+        json.dumps([1]),
+        json.dumps(
+            {"settings": {key: value for key, value in SETTINGS.items() if key != "allowed"}}
+        ),
         json.dumps({"settings": SETTINGS | {"classes": []}}),
         json.dumps({"settings": SETTINGS | {"allowed": SETTINGS["allowed"] | {"max-attempts": 0}}}),
-        json.dumps({"settings": SETTINGS | {
-            "classes": [*SETTINGS["classes"][:-1], SETTINGS["classes"][-1] | {"deadline": 0}]}}),
-        json.dumps({"settings": SETTINGS | {
-            "classes": [{k: v for k, v in c.items() if k != "aim"} for c in SETTINGS["classes"]]}}),
+        json.dumps(
+            {
+                "settings": SETTINGS
+                | {
+                    "classes": [
+                        *SETTINGS["classes"][:-1],
+                        SETTINGS["classes"][-1] | {"deadline": 0},
+                    ]
+                }
+            }
+        ),
+        json.dumps(
+            {
+                "settings": SETTINGS
+                | {
+                    "classes": [
+                        {key: value for key, value in class_.items() if key != "aim"}
+                        for class_ in SETTINGS["classes"]
+                    ]
+                }
+            }
+        ),
     ],
-)  # fmt: skip
-def test_broken_file_leaves_the_old_settings_whole_and_a_good_one_counts_at_once(tmp_path, broken):
+)
+def test_reload_keeps_settings_for_invalid_file_and_applies_valid_file_immediately(
+    tmp_path, broken
+):
     new_class = SETTINGS["classes"][0] | {"name": "fresh"}
     base = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1"}
     good = base | {"settings": SETTINGS}
-    given, path = {"NODE_CONFIG": str(tmp_path / "c.json")}, tmp_path / "c.json"
+    environment, path = {"NODE_CONFIG": str(tmp_path / "c.json")}, tmp_path / "c.json"
     path.write_text(json.dumps(good))
 
     async def scenario():
         async with ScriptedServer(lambda _: reply(200)) as a, RunningNode(a) as node:
-            node.node.config = load_config(given)
-            caller = await node.client()
-            assert await status_of_request(caller, priority_class="look") == 200
+            node.node.config = load_config(environment)
+            client = await node.client()
+            assert await status_of_request(client, priority_class="look") == 200
             path.write_text(broken)
-            with pytest.raises(ConfigError) as e:
-                node.node.reload(load_config(given, node.node.config))
-            assert "\n" not in str(e.value)
-            assert await status_of_request(caller, priority_class="look") == 200
+            with pytest.raises(ConfigError) as raised:
+                node.node.reload(load_config(environment, node.node.config))
+            assert "\n" not in str(raised.value)
+            assert await status_of_request(client, priority_class="look") == 200
             changed = SETTINGS | {"classes": [new_class]}
             path.write_text(json.dumps(base | {"settings": changed}))
-            node.node.reload(load_config(given, node.node.config))
-            assert await status_of_request(caller, priority_class="fresh") == 200
-            assert await status_of_request(caller, priority_class="look") == 400
+            node.node.reload(load_config(environment, node.node.config))
+            assert await status_of_request(client, priority_class="fresh") == 200
+            assert await status_of_request(client, priority_class="look") == 400
 
     run(scenario())
