--- a/tests/formats/test_operators.py
+++ b/tests/formats/test_operators.py
@@ -20,9 +20,9 @@
 
     async def scenario():
         async with (
-            ScriptedServer(lambda _: reply(200)) as a,
-            ScriptedServer(lambda _: reply(200)) as b,
-            RunningNode(a, b) as node,
+            ScriptedServer(lambda _: reply(200)) as first,
+            ScriptedServer(lambda _: reply(200)) as second,
+            RunningNode(first, second) as node,
         ):
             not_started = NodeCommandExecutor(node.node)
             assert (
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -12,9 +12,9 @@
 def test_ten_restarts_lose_no_request_and_run_none_twice(tmp_path):
     async def scenario():
         async with (
-            ScriptedServer(lambda _: reply(200)) as a,
-            ScriptedServer(lambda _: reply(200)) as b,
-            NodeProcesses(tmp_path, a, b) as node,
+            ScriptedServer(lambda _: reply(200)) as first,
+            ScriptedServer(lambda _: reply(200)) as second,
+            NodeProcesses(tmp_path, first, second) as node,
         ):
             predecessor = await node.start_and_wait()
             load = ClientLoad(node, priority_class="book", method="POST", body=b"x")
@@ -30,7 +30,7 @@
             assert counts["responses"] == counts["sent"] > 500
             assert Counter(load.statuses) == {200: counts["sent"]}
             executions = Counter()
-            for server in (a, b):
+            for server in (first, second):
                 while server.requests.qsize():
                     executions[server.requests.get_nowait().headers["x-request-id"]] += 1
             assert len(executions) == counts["sent"]
@@ -77,21 +77,21 @@
 def test_commands_apply_to_both_processes_and_are_kept_by_successor(tmp_path):
     async def scenario():
         async with (
-            ScriptedServer(lambda _: reply(200)) as a,
-            ScriptedServer(lambda _: reply(200)) as b,
-            NodeProcesses(tmp_path, a, b) as node,
+            ScriptedServer(lambda _: reply(200)) as first,
+            ScriptedServer(lambda _: reply(200)) as second,
+            NodeProcesses(tmp_path, first, second) as node,
         ):
             await node.start_and_wait()
             client = await node.connect_client()
 
             async def servers_used(request_count: int = 12) -> tuple[bool, bool]:
-                for server in (a, b):
+                for server in (first, second):
                     while server.requests.qsize():
                         server.requests.get_nowait()
                 for _ in range(request_count):
                     client.send()
                     assert (await client.read_response())[0] == 200
-                return bool(a.requests.qsize()), bool(b.requests.qsize())
+                return bool(first.requests.qsize()), bool(second.requests.qsize())
 
             assert (await node.send_command("OFFLINE s-0")).startswith("YES")
             assert (await node.send_command("LEAVE")).startswith("YES")
@@ -124,16 +124,16 @@
             ScriptedServer(lambda _: reply(200)) as server,
             NodeProcesses(tmp_path, server) as node,
         ):
-            first = await node.start_and_wait()
+            predecessor = await node.start_and_wait()
             load = ClientLoad(node)
             # The successor's address for operators is in use, so it exits.
             node.operator_ports[1] = node.operator_ports[0]
-            second = await node.start()
-            assert await with_timeout(second.wait()) == 1
+            failed_successor = await node.start()
+            assert await with_timeout(failed_successor.wait()) == 1
             await load.wait_for_responses(50)
             await node.start_and_wait()
-            first.send_signal(signal.SIGTERM)
-            assert await with_timeout(first.wait()) == 0
+            predecessor.send_signal(signal.SIGTERM)
+            assert await with_timeout(predecessor.wait()) == 0
             await load.finish()
             assert load.counts["responses"] == load.counts["sent"]
 
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -54,27 +54,27 @@
 def test_offline_server_gets_no_request_until_online_whatever_endpoint_lists_contain():
     async def scenario():
         async with (
-            ScriptedServer(lambda _: reply(200)) as a,
-            ScriptedServer(lambda _: reply(200)) as b,
-            RunningNode(a, b) as node,
+            ScriptedServer(lambda _: reply(200)) as first,
+            ScriptedServer(lambda _: reply(200)) as second,
+            RunningNode(first, second) as node,
             OperatorAddress(node.node) as operators,
         ):
             client = await node.client()
             assert (await operators.send_command(b"OFFLINE s-9\n")).startswith(b"NO ")
             assert (await operators.send_command(b"OFFLINE s-0\r\n")).startswith(b"YES ")
             assert (await operators.send_command(b"offline s-0\n")).startswith(b"YES ")
-            same_list = listing(2, endpoint("s-0", a.port), endpoint("s-1", b.port))
+            same_list = listing(2, endpoint("s-0", first.port), endpoint("s-1", second.port))
             for endpoint_list in (
                 None,
                 same_list,
-                listing(3, endpoint("s-0", a.port, since_ms=5), is_complete=False),
+                listing(3, endpoint("s-0", first.port, since_ms=5), is_complete=False),
             ):
                 if endpoint_list is not None:
                     node.node.endpoints.on_endpoint_list(parse_endpoint_list(endpoint_list))
                 assert [await status_of_request(client) for _ in range(10)] == [200] * 10
-            assert a.requests.qsize() == 0
+            assert first.requests.qsize() == 0
             assert (await operators.send_command(b"ONLINE s-0\n")).startswith(b"YES ")
-            while not a.requests.qsize():
+            while not first.requests.qsize():
                 assert await status_of_request(client) == 200
             assert (await operators.send_command(b"ONLINE s-0\n")).startswith(b"YES ")
             assert (await operators.send_command(b"ONLINE s-9\n")).startswith(b"NO ")
@@ -85,8 +85,8 @@
 def test_last_server_can_be_taken_offline_and_requests_are_rejected_immediately():
     async def scenario():
         async with (
-            ScriptedServer(lambda _: reply(200)) as a,
-            RunningNode(a) as node,
+            ScriptedServer(lambda _: reply(200)) as server,
+            RunningNode(server) as node,
             OperatorAddress(node.node) as operators,
         ):
             client = await node.client()
@@ -108,14 +108,14 @@
 
     async def scenario():
         async def respond_when_released():
-            await a.release.wait()
+            await server.release.wait()
             return reply(200)
 
         async with (
             ScriptedServer(
                 lambda request: respond_when_released() if request.url == "/held" else reply(200)
-            ) as a,
-            RunningNode(a) as node,
+            ) as server,
+            RunningNode(server) as node,
             OperatorAddress(node.node) as operators,
         ):
             active, idle, busy = [await node.client() for _ in range(3)]
@@ -132,7 +132,7 @@
             later.send()
             status, headers, _ = await later.read_response()
             assert (status, headers["connection"]) == (200, "close")
-            a.release.set()
+            server.release.set()
             status, headers, _ = await busy.read_response()
             assert (status, headers["connection"]) == (200, "close")
             assert (await operators.send_command(b"HEALTH\n")).startswith(b"YES ")
@@ -150,8 +150,8 @@
 
     async def scenario():
         async with (
-            ScriptedServer(lambda _: reply(200)) as a,
-            RunningNode(a) as node,
+            ScriptedServer(lambda _: reply(200)) as server,
+            RunningNode(server) as node,
             OperatorAddress(node.node) as operators,
         ):
             stalled = [await operators.connect() for _ in range(3 * MAX_CONNECTIONS)]
@@ -220,7 +220,7 @@
     path.write_text(json.dumps(good))
 
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as a, RunningNode(a) as node:
+        async with ScriptedServer(lambda _: reply(200)) as server, RunningNode(server) as node:
             node.node.config = load_config(environment)
             client = await node.client()
             assert await status_of_request(client, priority_class="look") == 200
