--- a/oakbridge/operators/executor.py
+++ b/oakbridge/operators/executor.py
@@ -10,7 +10,10 @@
 
 
 class NodeCommandExecutor:
-    """Carry out commands on this process's node."""
+    """Carry out commands on this process's node.
+
+    The response texts are part of the operators' protocol and must not change.
+    """
 
     def __init__(
         self,
@@ -19,24 +22,24 @@
         is_started: bool = False,
         on_executed: Callable[[OperatorCommand], None] | None = None,
     ) -> None:
-        """Begin with HEALTH rejected unless ``is_started``.
+        """``is_started``: whether the node serves; HEALTH is rejected until then.
 
-        ``on_executed``: called with each command that was carried out, except HEALTH; during a
-        hand-over it relays them to the node's other process.
+        ``on_executed``: called with each command that was carried out, except HEALTH.  During a
+        hand-over it relays the command to the node's other process.
         """
         self.is_started = is_started
         self._node = node
         self._on_executed = on_executed
 
     def execute(self, command: OperatorCommand) -> str:
-        """Carry out a command and return the text of its answer.  Raises CommandRejectedError."""
+        """Carry out a command and return the text of its response.  Raises CommandRejectedError."""
         match command.verb:
             case Verb.HEALTH:
                 return self._health()
             case Verb.OFFLINE:
-                result = self._take_out(command.server_id)
+                result = self._take_offline(command.server_id)
             case Verb.ONLINE:
-                result = self._put_back(command.server_id)
+                result = self._bring_online(command.server_id)
             case Verb.LEAVE:
                 result = self._drain()
             case Verb.JOIN:
@@ -48,21 +51,21 @@
         return result
 
     def _health(self) -> str:
-        """Report the node's state.  Raises CommandRejectedError if this process can't serve requests.
+        """Return the node's state.  Raises CommandRejectedError if it can't serve requests.
 
-        A draining node can, and so can one whose servers have all been taken out.
+        A draining node counts as able to, and so does one whose servers are all offline.
         """
         node = self._node
         if not self.is_started:
             raise CommandRejectedError("this process does not serve yet")
-        taken_out = node.offline_servers.names()
-        if not node.has_usable_server() and not taken_out:
+        offline_ids = node.offline_servers.names()
+        if not node.has_usable_server() and not offline_ids:
             raise CommandRejectedError("no server is known yet")
-        suffix = f", {len(taken_out)} held out" if taken_out else ""
+        suffix = f", {len(offline_ids)} held out" if offline_ids else ""
         return f"{node.server.lifecycle.phase.value}, {len(node.pool.endpoints)} servers in use{suffix}"
 
-    def _take_out(self, server_id: str) -> str:
-        """Take a server out until it is put back, whatever the endpoint lists say."""
+    def _take_offline(self, server_id: str) -> str:
+        """Take a server offline until it is brought online, whatever endpoint lists contain."""
         offline_servers = self._node.offline_servers
         if offline_servers.is_full() and not offline_servers.is_offline(server_id):
             raise CommandRejectedError("as many servers are held out as can be")
@@ -71,15 +74,13 @@
             raise CommandRejectedError(f"no server {server_id} is listed")
         return f"{server_id} is out" if has_changed else f"{server_id} was out already"
 
-    def _put_back(self, server_id: str) -> str:
-        """Put a server back in use, however often it was taken out."""
+    def _bring_online(self, server_id: str) -> str:
+        """Bring a server back online, even if it was taken offline several times."""
         has_changed = self._node.put_back(server_id)
         if has_changed is None:
             raise CommandRejectedError(f"no server {server_id} is listed or held out")
         return f"{server_id} is back" if has_changed else f"{server_id} was not out"
 
-    # The texts of the answers are part of the operators' protocol, so they keep its older words.
-
     def _drain(self) -> str:
         has_changed = self._node.server.drain()
         return "the node empties" if has_changed else "the node was emptied already"
