--- a/oakbridge/__init__.py
+++ b/oakbridge/__init__.py
@@ -1,4 +1,4 @@
-"""A load balancer for services that call services: its decisions without any I/O, and what runs them."""
+"""A client-side load balancer for services that call services, and the nodes that run it."""
 
 from oakbridge.policy.balancer import Balancer
 
--- a/oakbridge/policy/__init__.py
+++ b/oakbridge/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: which server, whether to retry, what waits, what is rejected.  No I/O here."""
+"""Load-balancing decisions without I/O: server selection, retries, queueing and load shedding."""
--- a/oakbridge/policy/actions.py
+++ b/oakbridge/policy/actions.py
@@ -1,6 +1,7 @@
-"""What comes out of :meth:`oakbridge.policy.balancer.Balancer.handle`.
+"""The actions that :meth:`oakbridge.policy.balancer.Balancer.handle` returns.
 
-Each call returns the actions to carry out at the time of its event, in order.  Times are whole microseconds.
+The caller carries them out in order, at the time of the event that it passed in.  Times are whole
+microseconds.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 
 class UnservedReason(Enum):
-    """Why a request ended without a server's response."""
+    """Why a request finished without a server's response."""
 
     SHED = "shed by the plan for all replicas"
     QUEUE_FULL = "more requests waited than would have had a turn"
@@ -25,17 +26,17 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Start an attempt; attempts of a request count from 0 in the order in which they are sent."""
+    """Start an attempt.  The attempts of a request are numbered from 0 in the order of sending."""
 
     request_id: int
     server: str
     timeout: int
-    start_within: int = 0  # its first byte may go no later, a slow connect included; 0: no limit
+    start_within: int = 0  # limit until the first byte is sent, connecting included; 0: none
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final response: the request was rejected, and trying again is harmless."""
+    """Send the final response: the request is rejected, and the client may safely retry it."""
 
     request_id: int
     retry_after: int = 0
@@ -44,7 +45,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final response: the request failed, with no promise about its effect."""
+    """Send the final response: the request failed, and may or may not have taken effect."""
 
     request_id: int
     reason: UnservedReason = UnservedReason.OUT_OF_TIME
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel an attempt; it still gets its result."""
+    """Cancel an attempt.  Its result is still reported by an ``AttemptEnded``."""
 
     request_id: int
     attempt: int
@@ -60,7 +61,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a :class:`oakbridge.policy.events.TimerFired`."""
+    """Request a :class:`oakbridge.policy.events.TimerFired` with this token after the delay."""
 
     delay: int
     token: int
@@ -68,7 +69,7 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Subscribe to the endpoint list; answered by ``EndpointListReceived``."""
+    """Request the endpoint list from discovery; it arrives as an ``EndpointListReceived``."""
 
     on: bool = True
 
--- a/oakbridge/policy/balancer.py
+++ b/oakbridge/policy/balancer.py
@@ -1,8 +1,8 @@
-"""All decisions of one replica: a face that hands each event to its part.
+"""All decisions of one replica: passes each event to the component that handles it.
 
-See ``settings.py``, ``events.py`` and ``actions.py``.  The ordinary path: a request
-goes at once to the less busy of two members of an adaptive subset, by own attempts in flight; what
-fails is retried after a growing random delay while the windowed retry budget allows it.
+See ``settings.py``, ``events.py`` and ``actions.py``.  In the normal case a request is sent at once
+to the less loaded of two random servers of an adaptive subset, by own attempts in flight.  A failed
+attempt is retried after a growing random delay, while the retry budget allows it.
 """
 
 import random
@@ -29,35 +29,35 @@
 from oakbridge.policy.subset import Subset
 from oakbridge.policy.timers import SECOND_US, Timers
 
-GUESS_PART = 5  # of so many of the latency objective, before the first answer
-CALM_LATENCY = 2.0  # times the least latency,
-CALM_OBJECTIVE = 0.45  # or this part of the objective: well inside it
-UNSEEN_RETRY_COST = 0.2  # after an attempt that is known not to have run: it did no work
-BACKOFF_DIVISOR = 100  # of the objective: the first retry waits so long, times 0.5 to 1.5
-REVIEW_US = SECOND_US // 2
-UPLOAD_US = 30 * SECOND_US  # a streamed body is awaited for so long
+INITIAL_MEAN_DIVISOR = 5  # latency objective / mean latency assumed before the first response
+TARGET_MULTIPLE = 2.0  # target latency as a multiple of the lowest mean latency
+TARGET_FRACTION = 0.45  # the same as a fraction of the latency objective; the higher one applies
+NEVER_RAN_RETRY_COST = 0.2  # low, as an attempt that never ran cost the server no work
+BACKOFF_DIVISOR = 100  # latency objective / delay of the first retry, before jitter of 0.5 to 1.5
+REVIEW_INTERVAL_US = SECOND_US // 2
+UPLOAD_TIMEOUT_US = 30 * SECOND_US  # for a streamed body to be sent
 
 
 class Balancer:
-    """The decisions of one replica: ``handle`` takes what happened and says what to do."""
+    """The decisions of one replica: ``handle`` takes events and returns the actions to perform."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin without servers; ``seed``: of all random draws."""
+        """Start without servers; ``seed``: the seed of all random choices."""
         rng = self.random = random.Random(seed)
         self.requests: dict[int, OpenRequest] = {}
-        self.predecessor_in_flight = 0  # in the other process of this node
+        self.predecessor_in_flight = 0  # attempts of the predecessor during a hot restart
         self.reviewed_at = 0
         self.must_poll = settings.poll_discovery
-        self._poll_is_due = False  # a timer is out: a second one would poll as often again
-        self._resuming = False
+        self._is_poll_scheduled = False  # a second timer would double the rate of polls
+        self._is_resuming = False
         self._actions: list[actions.Action] = []
-        # Inner tiers leave time for their callers, also when requests carry no time left.
-        self.time_share = 1 - settings.tier / (2 * settings.tier_count)
-        crossing_costs = settings.prices.cross_zone > 0 and len(settings.zones) > 1
-        self.members = Membership(settings.zone if crossing_costs else "")
-        self.servers = self.members.servers  # those that may be sent to
+        # Inner tiers leave time for their clients, even if requests do not carry their time left.
+        self.time_fraction = 1 - settings.tier / (2 * settings.tier_count)
+        has_cross_zone_price = settings.prices.cross_zone > 0 and len(settings.zones) > 1
+        self.members = Membership(settings.zone if has_cross_zone_price else "")
+        self.servers = self.members.servers  # the servers that may get attempts
         self.latency = LatencyAverages()
-        self.times = RequestTimes(settings, self.latency, self.time_share)
+        self.times = RequestTimes(settings, self.latency, self.time_fraction)
         self.quotas = Quotas()
         self.safety = RetrySafety(settings)
         self.budget = RetryBudget(settings)
@@ -83,45 +83,48 @@
             events.EndpointsAnnounced: self.endpoints.announce,
             events.SettingsChanged: self._configure,
             events.PredecessorInFlight: self._on_predecessor_in_flight,
-            events.PeerFailureReports: self.outliers.take_peer_reports,
+            events.PeerFailureReports: self.outliers.apply_peer_reports,
             events.ZoneWeights: self._on_zone_weights,
             events.LoadSheddingLevel: self._on_load_shedding_level,
             events.SubsetAssignment: self._on_subset_assignment,
         }
 
     def handle(self, now: int, event: events.Event) -> list[actions.Action]:
-        """Take one event; returns the actions to carry out now, in order."""
+        """Handle an event; return the actions to carry out now, in order."""
         if self.must_poll:
             self.must_poll = False
             self._poll_after(now, self.random.randrange(self.settings.poll_interval // 4))
         if handler := self._handlers.get(type(event)):
             handler(now, event)
-        done, self._actions = self._actions, []
-        return done
+        actions_to_perform, self._actions = self._actions, []
+        return actions_to_perform
 
     def _configure(self, _: int, event: events.SettingsChanged) -> None:
-        """Go by these settings from now on; a request keeps the class that it came with."""
+        """Apply settings; open requests keep the class settings that they arrived with."""
         self.settings = settings = event.settings
         self.safety.settings = self.budget.settings = self.admission.settings = settings
         self.shedding.settings = self.subset.settings = settings
         self.slow_start.settings = self.endpoints.settings = self.times.settings = settings
-        every, tenants = SECOND_US * settings.replica_count, settings.tenants
-        self.quotas.configure({t.name: every / t.quota_per_s for t in tenants if t.quota_per_s})
+        interval, tenants = SECOND_US * settings.replica_count, settings.tenants
+        self.quotas.configure({t.name: interval / t.quota_per_s for t in tenants if t.quota_per_s})
         self.classes = {klass.name: klass for klass in settings.classes}
         used = {r.klass.name: r.klass for r in self.requests.values()} | self.classes
-        guesses = {n: c.latency_objective / GUESS_PART * self.time_share for n, c in used.items()}
-        self.latency.configure(guesses)
+        initial_means = {
+            name: c.latency_objective / INITIAL_MEAN_DIVISOR * self.time_fraction
+            for name, c in used.items()
+        }
+        self.latency.configure(initial_means)
 
     def _set_timer(self, delay: int, token: int) -> None:
         self._actions.append(actions.SetTimer(delay, token))
 
     def _poll_after(self, now: int, delay: float) -> None:
-        if not self._poll_is_due:
-            self._poll_is_due = True
+        if not self._is_poll_scheduled:
+            self._is_poll_scheduled = True
             self.timers.call_later(now, delay, self._poll)
 
     def _poll(self, _: int) -> None:
-        self._poll_is_due = False
+        self._is_poll_scheduled = False
         self._actions.append(actions.WatchEndpoints())
 
     def _on_endpoint_list(self, now: int, event: events.EndpointListReceived) -> None:
@@ -132,19 +135,19 @@
         oldest = self.members.oldest_version()
         if self.settings.pin_endpoint_list and self.safety.oldest_version != oldest:
             self.safety.oldest_version = oldest
-            self._fail_stranded(oldest)
+            self._finish_pinned_requests(oldest)
         if not event.more_follow:
             self.admission.resize(self.endpoints.size_before, len(self.servers))
             self.subset.fill(now)
             self._dispatch(now)
 
-    def _fail_stranded(self, oldest: float) -> None:
+    def _finish_pinned_requests(self, oldest: float) -> None:
         for request in [r for r in self.requests.values() if r.attempts and not r.in_flight]:
             if request.list_version < oldest:
                 self._reject_or_fail(request, UnservedReason.PINNED_SERVERS_REMOVED)
 
     def _on_zone_weights(self, now: int, event: events.ZoneWeights) -> None:
-        self.subset.weigh_zones(event, now)
+        self.subset.set_zone_weights(event, now)
         self._dispatch(now)
 
     def _on_subset_assignment(self, now: int, event: events.SubsetAssignment) -> None:
@@ -155,28 +158,28 @@
         self.shedding.level = event
 
     def _on_predecessor_in_flight(self, now: int, event: events.PredecessorInFlight) -> None:
-        """Count what the other process has in flight: it is within the same limit."""
+        """Count the predecessor's attempts in flight against the common limit."""
         self.admission.change_in_flight(event.count - self.predecessor_in_flight, now)
         self.predecessor_in_flight = event.count
         self._dispatch(now)
 
     def _review(self, now: int) -> None:
-        """Look at the rate of servers, attempts that hang, and the subset's size, now and then."""
-        if (elapsed := now - self.reviewed_at) < REVIEW_US:
+        """Update the servers' rate, cancel hung attempts and size the subset, at intervals."""
+        if (elapsed := now - self.reviewed_at) < REVIEW_INTERVAL_US:
             return
         self.reviewed_at = now
-        self.slow_start.update_rate(self.outliers.answers, len(self.servers), elapsed, now)
-        self._cancel_hung(now)
-        self.subset.review(self.admission.in_flight, self.outliers.recent_failure_rate, now)
+        self.slow_start.update_rate(self.outliers.responses, len(self.servers), elapsed, now)
+        self._cancel_hung_attempts(now)
+        self.subset.adjust_size(self.admission.in_flight, self.outliers.recent_failure_rate, now)
 
-    def _cancel_hung(self, now: int) -> None:
-        """Cancel what waits at a server that hangs, to go elsewhere: it holds places upstream."""
-        left = self.budget.left(now) if self.settings.cancellation_allowed else 0.0
+    def _cancel_hung_attempts(self, now: int) -> None:
+        """Cancel attempts at hung servers for a retry elsewhere: they use up clients' limits."""
+        retries_left = self.budget.left(now) if self.settings.cancellation_allowed else 0.0
         for request in self.requests.values():
-            if left < 1 or not request.in_flight or not request.repeatable:
+            if retries_left < 1 or not request.in_flight or not request.is_retryable:
                 continue
             if self.outliers.eject_if_hung(request.attempts[-1], now):
-                left -= 1
+                retries_left -= 1
                 self._actions.append(actions.CancelAttempt(request.id, len(request.attempts) - 1))
 
     def _on_request_received(self, now: int, event: events.RequestReceived) -> None:
@@ -190,59 +193,61 @@
         self.times.set(request, event.time_left, now)
         latency = self.latency[klass.name]
         latency.arrivals += 1
-        request.over_quota = not (self.settings.tier or self.quotas.take(request.tenant, now))
+        request.is_over_quota = not (self.settings.tier or self.quotas.take(request.tenant, now))
         if self.shedding.rejects(request, event.key):
             self._reject_or_fail(request, UnservedReason.SHED)
             return
-        share = self.settings.over_quota_weight if request.over_quota else 1.0
-        value = klass.priority_weight * share / max(1.0, latency.mean)
-        request.value = self.admission.usual_value.relative(value)
+        factor = self.settings.over_quota_weight if request.is_over_quota else 1.0
+        value = klass.priority_weight * factor / max(1.0, latency.mean)
+        request.value = self.admission.mean_value.relative(value)
         if request.expires_at <= now:
             self._reject_or_fail(request, UnservedReason.OUT_OF_TIME)
             return
-        if request.streamed:
-            request.expires_at = now + UPLOAD_US
+        if request.is_streamed:
+            request.expires_at = now + UPLOAD_TIMEOUT_US
         self.timers.expire_at(now, request.expires_at, request.id)
-        may_go = not self.admission.waiting.count and self.admission.admits(request.value, now)
-        if not may_go or not self._send(request, now):
+        is_admitted = not self.admission.waiting.count and self.admission.admits(request.value, now)
+        if not is_admitted or not self._send_attempt(request, now):
             self._enqueue(request, now, front=False)
             self._dispatch(now)
 
     def _on_request_body_sent(self, now: int, event: events.RequestBodySent) -> None:
-        """Count the time of a request whose body went on as it came from now."""
+        """Restart the times of a request whose streamed body has been sent."""
         if (request := self.requests.get(event.request_id)) and request.in_flight:
             request.attempts[-1].sent_at = now
             self.times.set(request, event.time_left, now)
             self.timers.expire_at(now, request.expires_at, request.id)
 
-    def _send(self, request: OpenRequest, now: int) -> bool:
-        """Start an attempt at the less busy of two, if servers may have it."""
+    def _send_attempt(self, request: OpenRequest, now: int) -> bool:
+        """Send an attempt to the less loaded of two candidates, if there are any."""
         candidates = self.selection.choose_candidates(request, self.admission.in_flight, now)
         if candidates:
-            self._start(request, min(candidates, key=lambda s: self.selection.load(s, now)), now)
+            self._start_attempt(
+                request, min(candidates, key=lambda s: self.selection.load(s, now)), now
+            )
         return bool(candidates)
 
-    def _start(self, request: OpenRequest, server: Server, now: int) -> None:
-        """Start an attempt at this server; the last look at whether it is allowed is here."""
+    def _start_attempt(self, request: OpenRequest, server: Server, now: int) -> None:
+        """Send an attempt to this server, after the final check that it is allowed."""
         if not self.safety.allows_attempt(request, server, now):
             self._reject_or_fail(request, UnservedReason.RETRY_UNSAFE)
             return
         number = len(request.attempts)
-        begin_within = self.safety.begin_within(request, now)
+        start_within = self.safety.start_within(request, now)
         if not number:
             self.budget.window.add_first(now)
             request.list_version = self.members.version
-        if server.started and self.slow_start.capacity_share(server, now) < 1:
+        if server.started_at and self.slow_start.capacity_share(server, now) < 1:
             server.tokens -= 1
-        sent_at = now + UPLOAD_US * request.streamed
-        attempt = Attempt(server, sent_at, self.outliers.answers, server.zone, server.cell)
+        sent_at = now + UPLOAD_TIMEOUT_US * request.is_streamed
+        attempt = Attempt(server, sent_at, self.outliers.responses, server.zone, server.cell)
         request.attempts.append(attempt)
         request.in_flight += 1
         self.admission.change_in_flight(1, now)
         server.in_flight[request.id, number] = attempt
         server.last_sent_at = now
         timeout = max(1, request.expires_at - now)
-        self._actions.append(actions.SendAttempt(request.id, server.id, timeout, begin_within))
+        self._actions.append(actions.SendAttempt(request.id, server.id, timeout, start_within))
 
     def _on_attempt_ended(self, now: int, event: events.AttemptEnded) -> None:
         if (server := self.endpoints.known.get(event.server)) is None:
@@ -251,21 +256,21 @@
         attempt = server.in_flight.get(key)
         if attempt is None or attempt.result is not None:
             if event.request_finished and event.result == AttemptResult.RESET:
-                self.outliers.update_score(server, True, now)  # it broke behind its beginning
+                self.outliers.update_score(server, True, now)  # the response broke off
             return
         attempt.result = event.result
         if event.result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED):
-            # The server may well work on: it counts as busy for about as long as a request takes.
+            # The server may still be working: the attempt counts for another mean latency.
             self.timers.call_later(now, self.latency.mean, lambda t: self._release(server, key, t))
         else:
             self._release(server, key, now)
         if event.load_report and "queued" in event.load_report:
-            server.queued, server.reported_at = max(0.0, event.load_report["queued"]), now
-        self._learn(server, event, now)
+            server.reported_queued, server.reported_at = max(0.0, event.load_report["queued"]), now
+        self._record_result(server, event, now)
         if (request := self.requests.get(event.request_id)) is not None:
             request.in_flight -= 1
             if event.request_finished:
-                self._forget(request)
+                self._close_request(request)
             elif not request.in_flight:
                 request.failures += 1
                 self._retry(request, now)
@@ -278,33 +283,33 @@
         self.admission.change_in_flight(-1, now)
         self._dispatch(now)
 
-    def _learn(self, server: Server, event: events.AttemptEnded, now: int) -> None:
-        """Take an outcome into the server's history, latencies and the limit."""
+    def _record_result(self, server: Server, event: events.AttemptEnded, now: int) -> None:
+        """Record a result in the server's history, the latencies and the limit."""
         request = self.requests.get(event.request_id)
         result, served = event.result, event.result == AttemptResult.OK
-        seen = self.latency[request.klass.name] if request else None
+        average = self.latency[request.klass.name] if request else None
         if served or result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED):
-            latency = event.latency / (seen or self.latency).mean
+            latency = event.latency / (average or self.latency).mean
             self.selection.record_latency(server, latency, served, now)
         if result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
             return
         ejected_until = server.ejected_until
         self.outliers.record(server, result, event.latency, now)
         if server.zone in self.subset.closed_zones:
-            self.subset.keep_out(server, now)
+            self.subset.exclude(server, now)
         elif server.ejected_until != ejected_until:
             self.members.update_ejection(server, now)
-        if request and seen:
+        if request and average:
             if served:
-                seen.add(event.latency)
+                average.add(event.latency)
                 self.latency.update_mean()
-            objective = CALM_OBJECTIVE * request.klass.latency_objective * self.time_share
-            calm = max(CALM_LATENCY * seen.least, objective)
-            self.admission.record(event.latency, seen.least, calm, served, now)
+            objective = TARGET_FRACTION * request.klass.latency_objective * self.time_fraction
+            target = max(TARGET_MULTIPLE * average.min_mean, objective)
+            self.admission.record(event.latency, average.min_mean, target, served, now)
 
     def _retry(self, request: OpenRequest, now: int) -> None:
-        """Retry after a growing random delay, if safety, time and the budget allow it."""
-        cost = UNSEEN_RETRY_COST if request.attempts[-1].result in NEVER_RAN else 1.0
+        """Retry after a growing random delay, if safety, the deadline and the budget allow it."""
+        cost = NEVER_RAN_RETRY_COST if request.attempts[-1].result in NEVER_RAN else 1.0
         backoff = request.klass.latency_objective / BACKOFF_DIVISOR * 2 ** (request.failures - 1)
         delay = backoff * self.random.uniform(0.5, 1.5)
         if now + delay >= request.expires_at:
@@ -317,12 +322,12 @@
             self.timers.call_later(now, delay, lambda then: self._retry_now(request, then))
 
     def _retry_now(self, request: OpenRequest, now: int) -> None:
-        if request.id in self.requests and not request.in_flight and not request.queued:
+        if request.id in self.requests and not request.in_flight and not request.is_queued:
             self._send_or_enqueue(request, now)
 
     def _send_or_enqueue(self, request: OpenRequest, now: int) -> bool:
-        """Send a request; if no server may have it now, it waits in front."""
-        if self._send(request, now):
+        """Send a request, or queue it in front if no server can take it; return if sent."""
+        if self._send_attempt(request, now):
             return True
         if self.safety.allows_attempt(request, None, now):
             self._enqueue(request, now, front=True)
@@ -331,16 +336,16 @@
         return False
 
     def _enqueue(self, request: OpenRequest, now: int, *, front: bool) -> None:
-        """Let a request wait; it is rejected once late, while its client can still retry."""
+        """Queue a request; it is rejected once it is too late to be sent."""
         self.admission.waiting.push(request.queue_key(), request, front=front)
         if excess := self.admission.excess_request():
-            # At once: its client can come again while that is of use.
+            # An immediate rejection leaves its client time for a retry.
             self._reject_or_fail(excess, UnservedReason.QUEUE_FULL)
         delay = self.times.latest_dispatch(request) - now
         self.timers.call_later(now, delay, lambda then: self._reject_late(request, then))
 
     def _reject_late(self, request: OpenRequest, now: int) -> None:
-        if request.queued and now >= self.times.latest_dispatch(request):
+        if request.is_queued and now >= self.times.latest_dispatch(request):
             self._reject_or_fail(request, UnservedReason.WAITED_TOO_LONG)
 
     def _dispatch(self, now: int) -> None:
@@ -350,42 +355,42 @@
                 self._reject_or_fail(request, UnservedReason.WAITED_TOO_LONG)
             elif not self._send_or_enqueue(request, now):
                 return
-        if self.admission.waiting.count and not self._resuming and not self.admission.in_flight:
-            self._resuming = True
-            self.timers.call_later(now, self.admission.time_to_credit(), self._resume)
+        if self.admission.waiting.count and not self._is_resuming and not self.admission.in_flight:
+            self._is_resuming = True
+            self.timers.call_later(now, self.admission.credit_delay_us(), self._resume)
 
     def _resume(self, now: int) -> None:
-        self._resuming = False
+        self._is_resuming = False
         self._dispatch(now)
 
     def _on_expired(self, request: OpenRequest) -> None:
         self._reject_or_fail(request, UnservedReason.OUT_OF_TIME)
 
     def _reject_or_fail(self, request: OpenRequest, reason: UnservedReason) -> None:
-        """Give the final answer, if owed: rejected where that is a promise we can keep."""
+        """Finish a request, if open: reject it if its client may safely retry it, else fail it."""
         if request.id not in self.requests:
             return
         if self.safety.allows_rejection(request):
             mean = self.latency[request.klass.name].mean
             shed = reason is UnservedReason.SHED
-            wait = self.shedding.retry_after(request, mean, self.admission.in_flight, shed=shed)
-            self._actions.append(actions.RejectRequest(request.id, wait, reason))
+            delay = self.shedding.retry_after(request, mean, self.admission.in_flight, shed=shed)
+            self._actions.append(actions.RejectRequest(request.id, delay, reason))
         else:
             self._actions.append(actions.FailRequest(request.id, reason))
-        self._forget(request)
+        self._close_request(request)
 
     def _on_client_disconnected(self, now: int, event: events.ClientDisconnected) -> None:
         if request := self.requests.get(event.request_id):
-            self._forget(request)
+            self._close_request(request)
             self._dispatch(now)
 
     def _on_response_started(self, now: int, event: events.ResponseStarted) -> None:
         if request := self.requests.get(event.request_id):
-            self._forget(request, streaming=event.attempt)
+            self._close_request(request, streaming=event.attempt)
             self._dispatch(now)
 
-    def _forget(self, request: OpenRequest, streaming: int | None = None) -> None:
-        """End a request: what is in flight for it is cancelled, but the attempt that streams."""
+    def _close_request(self, request: OpenRequest, streaming: int | None = None) -> None:
+        """Close a request, and cancel its attempts in flight except the one that is streaming."""
         if self.settings.cancellation_allowed:
             for number, attempt in enumerate(request.attempts):
                 if attempt.result is None and number != streaming:
--- a/oakbridge/policy/endpoint_reconciler.py
+++ b/oakbridge/policy/endpoint_reconciler.py
@@ -1,4 +1,4 @@
-"""The list of servers from discovery, as it is taken over, and when discovery is polled again."""
+"""Applies endpoint lists from discovery, and computes the delay until discovery is polled again."""
 
 import random
 from dataclasses import dataclass, field
@@ -10,35 +10,36 @@
 from oakbridge.policy.slow_start import SlowStart
 from oakbridge.policy.subset import Subset
 
-STEADY_WEIGHTS = WeightSource.NOMINAL, WeightSource.ROUGH  # live ones echo what replicas did
+# Live weights are ignored, as they reflect what the replicas themselves did.
+STEADY_WEIGHTS = WeightSource.NOMINAL, WeightSource.ROUGH
 
 
 @dataclass(eq=False)
 class EndpointReconciler:
-    """Reconciles the members with the list."""
+    """Keeps the membership in line with the endpoint list."""
 
     settings: Settings
     random: random.Random
     subset: Subset
     slow_start: SlowStart
-    is_partial: bool = False  # more of this version follows
-    known: dict[str, Server] = field(default_factory=dict)  # also what drains or has attempts
-    size_before: int = 0  # servers before this version
-    subset_share: float = 0.0  # of these
-    announced: list[str] = field(default_factory=list)  # servers that the next list will name
+    is_partial: bool = False  # more changes of this version follow
+    known: dict[str, Server] = field(default_factory=dict)  # listed, draining or with attempts
+    size_before: int = 0  # number of servers before this version
+    subset_fraction: float = 0.0  # fraction of them in the subset
+    announced: list[str] = field(default_factory=list)  # ids of servers of the next list
 
     def poll_delay(self, event: events.EndpointListReceived) -> float:
-        """Return when to poll again, in microseconds, after a poll failed."""
+        """Return the delay from a failed poll to the next, in microseconds; below 0: now."""
         interval = self.settings.poll_interval
         return poll_backoff(self.random, interval, event.waited, event.staleness)
 
     def apply(self, event: events.EndpointListReceived, now: int) -> None:
-        """Keep to the list at once: what drains or is gone gets nothing more."""
+        """Apply a list or changes; servers that drain or were removed get no further attempts."""
         members = self.subset.members
         if not self.is_partial:
             members.version += 1
             self.size_before = len(members.servers)
-            self.subset_share = len(members.subset) / max(1, self.size_before)
+            self.subset_fraction = len(members.subset) / max(1, self.size_before)
         self.is_partial = event.more_follow
         dropped: list[Server] = []
         for entry in event.endpoints:
@@ -68,35 +69,37 @@
         self.announced = []
 
     def _joins_subset(self, entry: events.Endpoint, event: events.EndpointListReceived) -> bool:
-        """Whether a new server is used: as likely as any, else it would be in fewer subsets."""
+        """Whether a new server joins the subset, with the same probability as the others had."""
         if assignment := self.subset.assignment:
             return entry.id in assignment
-        return event.restored or self.random.random() < self.subset_share
+        return event.restored or self.random.random() < self.subset_fraction
 
     def _update(self, entry: events.Endpoint, now: int) -> Server:
-        """Take the facts of an entry over."""
-        sized = self.settings.weight_source in STEADY_WEIGHTS and entry.weight > 0
-        weight = (entry.weight if sized else 1.0) * self.subset.zone_weights.get(entry.zone, 1.0)
+        """Create or update the record of a server from its entry in a list."""
+        uses_weight = self.settings.weight_source in STEADY_WEIGHTS and entry.weight > 0
+        weight = (entry.weight if uses_weight else 1.0) * self.subset.zone_weights.get(
+            entry.zone, 1.0
+        )
         weight *= self.subset.assignment.get(entry.id, 1.0)
         if (server := self.known.get(entry.id)) is None:
-            server = Server(id=entry.id, started=entry.started_at, address=entry.address)
+            server = Server(id=entry.id, started_at=entry.started_at, address=entry.address)
             self.known[entry.id] = server
-        self.subset.members.relist(server, entry, weight, now)
+        self.subset.members.update_entry(server, entry, weight, now)
         if entry.started_at:
             self.slow_start.warming[entry.id] = server
         if entry.zone in self.subset.closed_zones:
-            self.subset.keep_out(server, now)
+            self.subset.exclude(server, now)
         return server
 
     def announce(self, now: int, event: events.EndpointsAnnounced) -> None:
-        """Make records of new servers ahead; nothing is sent there before a list names them."""
+        """Create records of new servers ahead; they get no attempts before a list contains them."""
         for entry in event.endpoints:
             if entry.id not in self.known:
                 self._update(entry, now)
                 self.announced.append(entry.id)
 
     def forget(self, server: Server) -> None:
-        """Keep nothing of a server that is gone, once no attempt is in flight: ids are ever new."""
+        """Drop a removed server without attempts in flight: new ids would pile up otherwise."""
         if server.delisted and not server.in_flight:
             self.known.pop(server.id, None)
             self.slow_start.warming.pop(server.id, None)
--- a/oakbridge/policy/events.py
+++ b/oakbridge/policy/events.py
@@ -1,7 +1,7 @@
-"""What goes into :meth:`oakbridge.policy.balancer.Balancer.handle`.
+"""The events that :meth:`oakbridge.policy.balancer.Balancer.handle` takes.
 
-All times are whole microseconds on one clock that only moves forward.  Events go in with the time at which they
-happened.
+All times are whole microseconds of one monotonic clock.  Each event is passed in with the time at
+which it happened.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
     """How an attempt ended."""
 
     OK = 10
-    ERROR = 20  # the server reported a failure; it may have run
-    REJECTED = 30  # the server had no capacity; it never ran
-    TIMEOUT = 40  # no response in time; it may have run
-    CONNECT_FAILED = 50  # never ran
-    RESET = 60  # the connection broke; it may have run
-    CANCELLED = 70  # it may have run
-    NOT_SENT = 80  # never ran
+    ERROR = 20  # the server reported a failure; the request may have run
+    REJECTED = 30  # the server had no capacity; the request did not run
+    TIMEOUT = 40  # no response in time; the request may have run
+    CONNECT_FAILED = 50  # the request did not run
+    RESET = 60  # the connection was reset; the request may have run
+    CANCELLED = 70  # the request may have run
+    NOT_SENT = 80  # the request did not run
 
 
 NEVER_RAN = frozenset(
@@ -31,7 +31,7 @@
 
 
 class EndpointState(StrEnum):
-    """What discovery says of an endpoint."""
+    """The state of an endpoint in an endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One server as an endpoint list names it."""
+    """One server's entry in an endpoint list."""
 
     id: str
     state: EndpointState = EndpointState.UP
@@ -48,14 +48,15 @@
     cell: int = 0
     weight: float = 1.0
     started_at: int = 0  # 0: long ago
-    address: str = ""  # ``host:port``: another address under one id is another process
+    address: str = ""  # ``host:port``; a new address under the same id is a new process
 
 
 @dataclass(slots=True)
 class SubsetAssignment:
-    """The servers to use where replicas divide them, each with the share of its weight that counts here, up to 1.
+    """The servers that this replica uses, when the replicas divide the servers among themselves.
 
-    Without any, each replica draws a subset of its own.
+    Each server comes with the fraction of its weight that this replica uses, above 0 up to 1.
+    Without an assignment each replica draws a random subset.
     """
 
     weights: dict[str, float]
@@ -63,16 +64,17 @@
 
 @dataclass(slots=True)
 class PeerFailureReports:
-    """Servers that other replicas find failing, and how strong the evidence is, 0 to 1."""
+    """Servers that other replicas report as failing, by the strength of the evidence, 0 to 1."""
 
     suspicions: dict[str, float]
 
 
 @dataclass(slots=True)
 class ZoneWeights:
-    """The share of their usual requests that zones get from now on, 0 to 1; zones not named get all.
+    """The fraction of its usual requests that each zone gets, 0 to 1; zones not named get all.
 
-    A zone of weight 0 gets nothing; of each of ``probe_zones`` one server is tried now, by one idempotent request.
+    A zone of weight 0 gets no requests, except probes: in each of ``probe_zones`` one server is
+    probed with one idempotent request.
     """
 
     weights: dict[str, float]
@@ -81,47 +83,47 @@
 
 @dataclass(slots=True)
 class LoadSheddingLevel:
-    """The fraction of each class's requests that all replicas reject alike from now on.
+    """The fraction of each class's requests that all replicas reject.
 
-    ``over_quota_fraction`` does so for requests beyond their tenants' quotas, of any class.
+    ``over_quota_fraction`` applies to requests of any class that exceed their tenant's quota.
     """
 
     class_fractions: dict[str, float]
     over_quota_fraction: float = 0.0
-    salt: int = 0  # with the request's key: which ones; requests without a key are drawn at random each time
+    salt: int = 0  # hashed with a request's key; requests without a key are rejected at random
 
 
 @dataclass(slots=True)
 class EndpointListReceived:
-    """Discovery's view: the complete list, or changes to the current one; or that a poll or watch failed."""
+    """An endpoint list or changes to the current one; or the failure of a poll or watch."""
 
     endpoints: list[Endpoint] = field(default_factory=list)
     complete: bool = True
     failed: bool = False
-    cached: bool = False  # the list as it was before this replica started, maybe old
-    more_follow: bool = False  # further changes follow: all of them are one version of the list
-    restored: bool = False  # servers that operators had taken out of service and use again
-    waited: int = 0  # of a failed poll: how long it took; 0: an open watch broke
-    staleness: int = 0  # of a failed poll: how long ago the list was last known to be up to date
+    cached: bool = False  # a list saved before this replica started, which may be out of date
+    more_follow: bool = False  # further changes of the same version follow
+    restored: bool = False  # operators have put these servers back into service
+    waited: int = 0  # how long the failed poll took; 0: an open watch was interrupted
+    staleness: int = 0  # how long before the failure the list was last known to be up to date
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings count from now on; a request in progress keeps its class as it was."""
+    """New settings apply; open requests keep the class settings that they arrived with."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class PredecessorInFlight:
-    """How many attempts the other process of this node has in flight from now on, during a hot restart."""
+    """The number of attempts that the predecessor still has in flight during a hot restart."""
 
     count: int
 
 
 @dataclass(slots=True)
 class EndpointsAnnounced:
-    """Endpoints that the next list will name: records are made ahead, so that taking the list is quick."""
+    """Endpoints of the next list, sent ahead so that records exist and the list applies quickly."""
 
     endpoints: list[Endpoint] = field(default_factory=list)
 
@@ -134,18 +136,18 @@
     class_name: str
     time_left: int
     tenant: str = ""
-    client_retry: bool = False  # the client says that it has tried before
-    key: str = ""  # what it is about; requests with one key go together
-    expected_work: int = 0  # roughly; 0: not told
+    client_retry: bool = False  # the client marked the request as a retry
+    key: str = ""  # names the request's subject; requests with the same key are shed alike
+    expected_work: int = 0  # a rough estimate; 0: unknown
     write: bool = False
     streamed: bool = (
-        False  # its body is forwarded as it comes: one attempt, timed from RequestBodySent
+        False  # the body is forwarded as it arrives: one attempt, timed from RequestBodySent
     )
 
 
 @dataclass(slots=True)
 class RequestBodySent:
-    """The last of a streamed body is written; the response is due within ``time_left``."""
+    """The end of a streamed body was sent; the response is due within ``time_left``."""
 
     request_id: int
     attempt: int
@@ -154,7 +156,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The response has begun; the attempt that it comes from now belongs to the client."""
+    """The response is being streamed to the client; the request is over for the balancer."""
 
     request_id: int
     attempt: int
@@ -162,7 +164,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one result of one attempt.  ``request_finished``: its request is over, too."""
+    """The result of an attempt; ``request_finished``: its request is finished, too."""
 
     request_id: int
     attempt: int
@@ -175,14 +177,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has left; its request needs no response any more."""
+    """The client has disconnected; its request needs no response."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that was set has come due."""
+    """A timer set by a ``SetTimer`` action has fired."""
 
     token: int
 
--- a/oakbridge/policy/group_index.py
+++ b/oakbridge/policy/group_index.py
@@ -1,6 +1,6 @@
-"""Items by a key that many of them share.
+"""An index of items by a key that several items share.
 
-The structure knows nothing of servers and requests; it decides nothing.
+A generic data structure: it is independent of servers and requests and makes no decisions.
 """
 
 from collections.abc import Hashable
@@ -8,10 +8,10 @@
 
 
 class GroupIndex(dict[Any, dict[str, Any]]):
-    """Groups of named items by key, in the order in which the keys came; an empty group is gone."""
+    """Groups of named items by key, in order of the first use of the keys; no group is empty."""
 
     def move(self, name: str, item: object, old: Hashable | None, new: Hashable | None) -> None:
-        """Move an item to another key; None: it was, or is, under none."""
+        """Move an item from the old key's group to the new key's; None stands for no group."""
         if old == new:
             return
         if old is not None:
--- a/oakbridge/policy/latency.py
+++ b/oakbridge/policy/latency.py
@@ -1,48 +1,53 @@
 """Moving averages of latencies by name.
 
-The structures know nothing of servers and requests; they decide nothing.
+Generic data structures: they are independent of servers and requests and make no decisions.
 """
 
 from collections.abc import Mapping
 
-MIN_GAIN = 0.03  # of the latest value
-SETTLED_AFTER = 8  # values until the least mean counts
-LEAST_GROWTH = 1.0001  # for each value, so that the least mean can follow a lasting change
+MIN_GAIN = 0.03  # smallest weight of a new value in the moving averages
+MIN_MEAN_AFTER = 8  # number of values after which the lowest mean is tracked
+MIN_MEAN_GROWTH = 1.0001  # growth per value, so that the lowest mean follows a lasting change
 
 
 class LatencyAverage:
-    """Mean, mean deviation and least mean of the latest latencies."""
+    """Moving mean, mean deviation and lowest mean of latencies."""
 
-    def __init__(self, guess: float) -> None:
-        """Begin at a guess."""
-        self.mean = guess
-        self.deviation = guess / 2
-        self.least = guess
+    def __init__(self, initial_mean: float) -> None:
+        """Start at a mean that is assumed until there are latencies."""
+        self.mean = initial_mean
+        self.deviation = initial_mean / 2
+        self.min_mean = initial_mean
         self.count = 0
-        self.arrivals = 0  # of what may get a latency later
+        self.arrivals = 0  # requests received, whether or not they got a latency
 
     def add(self, latency: float) -> None:
-        """Take one latency in."""
+        """Add a latency."""
         self.count += 1
         gain = max(MIN_GAIN, 1 / (self.count + 1))
         self.deviation += gain * (abs(latency - self.mean) - self.deviation)
         self.mean += gain * (latency - self.mean)
-        settled = self.count > SETTLED_AFTER
-        self.least = min(self.least * LEAST_GROWTH, self.mean) if settled else self.mean
+        has_min_mean = self.count > MIN_MEAN_AFTER
+        self.min_mean = (
+            min(self.min_mean * MIN_MEAN_GROWTH, self.mean) if has_min_mean else self.mean
+        )
 
 
 class LatencyAverages(dict[str, LatencyAverage]):
-    """Averages by name, and the mean over the names."""
+    """Latency averages by name, and the mean over all names."""
 
     mean = 0.0
 
-    def configure(self, guesses: Mapping[str, float]) -> None:
-        """Keep averages of these names from now on; a new one begins at its guess."""
-        kept = {name: self.get(name) or LatencyAverage(guess) for name, guess in guesses.items()}
+    def configure(self, initial_means: Mapping[str, float]) -> None:
+        """Keep exactly these names; a new name starts at its initial mean."""
+        averages = {
+            name: self.get(name) or LatencyAverage(initial_mean)
+            for name, initial_mean in initial_means.items()
+        }
         self.clear()
-        self.update(kept)
+        self.update(averages)
         self.update_mean()
 
     def update_mean(self) -> None:
-        """Set the mean anew, after an average has changed."""
+        """Recompute the mean over all names after an average has changed."""
         self.mean = sum([latency.mean for latency in self.values()]) / len(self)
--- a/oakbridge/policy/load_shedding.py
+++ b/oakbridge/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Requests that are rejected at once by a plan for all replicas, and when clients may retry."""
+"""Load shedding by a plan common to all replicas, and the Retry-After of rejected requests."""
 
 import random
 import zlib
@@ -8,37 +8,40 @@
 from oakbridge.policy.records import OpenRequest
 from oakbridge.policy.settings import Settings
 
-GOLDEN_RATIO = 0.618  # multiples of it spread evenly
+GOLDEN_RATIO = 0.618  # the fractional parts of its multiples are spread evenly
 MIN_RETRY_AFTER_US = 1000
 
 
 @dataclass(eq=False)
 class LoadShedding:
-    """Rejects shares of classes, and of what is over quota; the same requests in all replicas."""
+    """Rejects a fraction of each class and of over-quota requests, the same in all replicas."""
 
     settings: Settings
     random: random.Random
     level: LoadSheddingLevel
-    rejected: int = 0
+    rejected: int = 0  # requests rejected since the start
 
     def rejects(self, request: OpenRequest, key: str) -> bool:
-        """Whether to reject a request now; counts it if so."""
+        """Return whether to shed a request, and count it if so; an empty key means no key."""
         level = self.level
         if not level.class_fractions and not level.over_quota_fraction:
             return False
-        over_quota = level.over_quota_fraction * request.over_quota
-        fraction = max(level.class_fractions.get(request.klass.name, 0.0), over_quota)
-        # By its key the same ones everywhere, and again: else each gets in at some time, too late.
+        over_quota_fraction = level.over_quota_fraction * request.is_over_quota
+        fraction = max(level.class_fractions.get(request.klass.name, 0.0), over_quota_fraction)
+        # The key makes all replicas reject the same requests, and reject their retries, too.
+        # Otherwise each request would be admitted after some retries, when it is too late.
         hashed = zlib.crc32(b"%d %s" % (level.salt, key.encode())) / 2**32
-        rejects = (hashed if key else self.random.random()) < fraction
-        self.rejected += rejects
-        return rejects
-
-    def retry_after(self, request: OpenRequest, mean: float, in_flight: int, *, shed: bool) -> int:
-        """Return when a client may retry, in microseconds: spread; 0: it is not told."""
-        longest = self.settings.max_retry_after
-        if not longest or self.settings.tier:
+        is_rejected = (hashed if key else self.random.random()) < fraction
+        self.rejected += is_rejected
+        return is_rejected
+
+    def retry_after(
+        self, request: OpenRequest, mean_latency: float, in_flight: int, *, shed: bool
+    ) -> int:
+        """Return the delay until a client may retry, in microseconds with jitter; 0: not given."""
+        max_delay = self.settings.max_retry_after
+        if not max_delay or self.settings.tier:
             return 0
-        wait = longest if shed else min(longest, mean / max(1, in_flight))
-        spread = 0.5 + request.id * GOLDEN_RATIO % 1
-        return min(longest, max(MIN_RETRY_AFTER_US, int(wait * spread)))
+        delay = max_delay if shed else min(max_delay, mean_latency / max(1, in_flight))
+        jitter = 0.5 + request.id * GOLDEN_RATIO % 1
+        return min(max_delay, max(MIN_RETRY_AFTER_US, int(delay * jitter)))
--- a/oakbridge/policy/request_times.py
+++ b/oakbridge/policy/request_times.py
@@ -1,4 +1,4 @@
-"""When a request's answer is late, when it is worth nothing, and when it must be sent for either."""
+"""A request's latency objective and deadline, and the latest time to dispatch it."""
 
 from dataclasses import dataclass
 
@@ -13,18 +13,21 @@
 
     settings: Settings
     latency: LatencyAverages
-    share: float  # of a class's times: inner tiers leave the rest to their callers
+    time_fraction: float  # of a class's times; inner tiers leave the rest to their clients
 
     def set(self, request: OpenRequest, time_left: int, now: int) -> None:
-        """Set when an answer is late, and when it is worth nothing: waiting only wastes work."""
+        """Set the latency objective and the deadline, after which an attempt only wastes work."""
         klass = request.klass
-        useful = klass.deadline if klass.late_weight > 0 else klass.latency_objective
-        left = min(time_left, int(useful * self.share)) - 2 * self.settings.tick
-        request.expires_at = now + max(0, left)
-        request.objective_at = now + int(klass.latency_objective * self.share)
+        max_time = klass.deadline if klass.late_weight > 0 else klass.latency_objective
+        remaining = min(time_left, int(max_time * self.time_fraction)) - 2 * self.settings.tick
+        request.expires_at = now + max(0, remaining)
+        request.objective_at = now + int(klass.latency_objective * self.time_fraction)
 
     def latest_dispatch(self, request: OpenRequest) -> int:
-        """Return when a request must go to meet its objective, or if tried before, to be served."""
+        """Return the latest time to send a request.
+
+        It is set by the latency objective; for inner tiers and retries, by the deadline.
+        """
         latency = self.latency[request.klass.name]
         if self.settings.tier or request.attempts:
             return request.expires_at - int(latency.mean)
--- a/oakbridge/policy/retry_budget.py
+++ b/oakbridge/policy/retry_budget.py
@@ -1,25 +1,28 @@
-"""The windowed retry budget: how many retries a replica may make, by its first attempts."""
+"""The retry budget: limits a replica's retries in relation to its first attempts."""
 
 from oakbridge.policy.settings import Settings
 from oakbridge.policy.sliding_window import SlidingWindow
 
 
 class RetryBudget:
-    """Retries in the window stay under ratio x first attempts + floor; tenants share them."""
+    """Limits retries in a sliding window to ratio x first attempts + floor, shared by tenants."""
 
     def __init__(self, settings: Settings) -> None:
-        """Begin with an empty window."""
+        """Start with an empty window."""
         self.settings = settings
         self.window = SlidingWindow(settings.retry_window)
 
     def left(self, now: int) -> float:
-        """Return how many retries the window still allows."""
+        """Return the number of retries that the window still allows."""
         self.window.advance(now)
         floor = self.settings.retry_floor * self.window.seconds
         return self.settings.retry_ratio * self.window.first + floor - self.window.further
 
     def take(self, now: int, tenant: str, cost: float) -> bool:
-        """Spend a retry if the budget allows it; a tenant may spend as many as it leaves."""
+        """Spend ``cost`` retries if the budget allows it; return whether it does.
+
+        A tenant may not spend more retries than it leaves to the others.
+        """
         left = self.left(now)
         spent = self.window.further_by_name.get(tenant, 0)
         if left < cost or (tenant and spent > 0 and spent + cost > left):
--- a/oakbridge/policy/settings.py
+++ b/oakbridge/policy/settings.py
@@ -1,9 +1,8 @@
-"""Settings of a :class:`oakbridge.policy.balancer.Balancer`, checked as they are made.
+"""Settings of a :class:`oakbridge.policy.balancer.Balancer`, validated on construction.
 
-Times are whole microseconds.  The names that the platform and ``oakbridge.toml`` give these
-settings are mapped by their readers alone: ``oakbridge.node.settings`` and
-``oakbridge.config.node_config``.  Messages of :class:`SettingsError` keep the names that users
-write.
+Times are whole microseconds unless noted.  The platform and ``oakbridge.toml`` use other names for
+these settings; ``oakbridge.node.settings`` and ``oakbridge.config.node_config`` map them.  Messages
+of :class:`SettingsError` use the names that users write.
 """
 
 from __future__ import annotations
@@ -14,28 +13,28 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or impossible; the message names the field and what was expected."""
+    """A setting is missing or invalid; the message names the setting and the expected value."""
 
 
 class Idempotency(StrEnum):
-    """Whether a request of a class may be attempted again once an earlier attempt may have run."""
+    """Whether a request may be retried after an attempt that may have run."""
 
     IDEMPOTENT = "safe"
-    IDEMPOTENT_WITH_KEY = "keyed"  # by servers that drop repeats of its key, while they remember it
+    IDEMPOTENT_WITH_KEY = "keyed"  # servers drop duplicates while they remember the key
     NOT_IDEMPOTENT = "unsafe"
 
 
 class WeightSource(StrEnum):
-    """What the weights in an endpoint list are."""
+    """What the weights in an endpoint list stand for."""
 
     OFF = "off"
     NOMINAL = "nominal"
     ROUGH = "rough"
-    LIVE = "live"  # they change with the load
+    LIVE = "live"  # weights that change with the load
 
 
 class ReportSource(StrEnum):
-    """Which messages of servers carry load reports."""
+    """Which messages from servers carry load reports."""
 
     OFF = "off"
     RESPONSES = "answers"
@@ -49,21 +48,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of request: its priority, its latency objective, and whether it may be repeated."""
+    """A request class: its priority, its latency objective and whether requests may be retried."""
 
     name: str
     latency_objective: int
     deadline: int
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # what a response after the objective is still worth, as a share
+    late_weight: float = 0.0  # fraction of the weight that a response after the objective earns
     idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
-    dedup_scope: str = "all"  # with a key: the servers that drop a repeat ("all", "zone" or "cell")
-    dedup_window: int = 0  # with a key: how long they remember it
+    dedup_scope: str = "all"  # with a key: servers that drop duplicates ("all", "zone" or "cell")
+    dedup_window: int = 0  # with a key: how long servers remember it
     streamed: bool = False
     aim_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
 
     def __post_init__(self) -> None:
-        """Refuse impossible values."""
+        """Raise SettingsError for an invalid value."""
         idempotencies = tuple(Idempotency)
         _check(self.latency_objective > 0, "class.aim", "a time above 0", self.latency_objective)
         _check(self.deadline > 0, "class.deadline", "a time above 0", self.deadline)
@@ -95,30 +94,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Whose requests these are, and the rate that is within its quota (all replicas together)."""
+    """A tenant and its quota, in requests per second over all replicas together."""
 
     name: str
     quota_per_s: float
     share: float = 0.0
 
     def __post_init__(self) -> None:
-        """Refuse impossible values."""
+        """Raise SettingsError for an invalid value."""
         _check(self.quota_per_s >= 0, "tenant.quota_per_s", "a rate of 0 or more", self.quota_per_s)
 
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """How the parts of the result are weighted; ``nines`` counts tenfold steps of what is not served."""
+    """Weights of the parts of the score.
+
+    ``nines`` weights availability on a logarithmic scale: each tenfold drop of the unserved
+    fraction adds one.
+    """
 
     whole: float = 1.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
     nines: float = 0.0
-    nines_full: float = 3.0  # so many nines earn the whole of that part
+    nines_full: float = 3.0  # number of nines that earns the full weight
 
     def __post_init__(self) -> None:
-        """Refuse impossible values."""
+        """Raise SettingsError for an invalid value."""
         for name in ("whole", "worst_window", "worst_class", "worst_tenant", "nines"):
             value = getattr(self, name)
             _check(value >= 0, f"goal.{name}", "a weight of 0 or more", value)
@@ -127,19 +130,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result for each unit; what no action of this module causes is not carried."""
+    """Points deducted from the score per unit, for costs that actions of the balancer cause."""
 
-    cross_zone: float = 0.0  # attempts that cross zones, by first attempt
-    waste: float = 0.0  # server work that served no response
-    late_fail: float = 0.0  # weight that ended unserved after its latency objective
-    handshake: float = 0.0  # new connections, by first attempt
+    cross_zone: float = 0.0  # attempts sent to other zones / first attempts
+    waste: float = 0.0  # server work that produced no served response
+    late_fail: float = 0.0  # weight of requests that failed after their latency objective
+    handshake: float = 0.0  # new connections / first attempts
     connection: float = 0.0  # open connections / (100 x servers)
-    probe: float = 0.0  # health checks, by first attempt
+    probe: float = 0.0  # health checks / first attempts
     peer: float = 0.0  # bytes of messages / (256 x first attempts)
     discovery: float = 0.0  # list lines / (100 x first attempts)
 
     def __post_init__(self) -> None:
-        """Refuse impossible values."""
+        """Raise SettingsError for an invalid value."""
         for name in self.__slots__:
             value = getattr(self, name)
             _check(
@@ -149,61 +152,61 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a replica is told at its start."""
+    """The settings of one replica; ``SettingsChanged`` replaces them."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    replica_count: int = 1  # replicas of this tier
+    replica_count: int = 1  # number of replicas in this tier
     replica_index: int = 0
     tier: int = 0  # the tier that this replica sends to, from 0
     tier_count: int = 1
     zone: str = ""
     zones: tuple[str, ...] = ()
-    tick: int = 1000  # events come no closer together than this
+    tick: int = 1000  # shortest time between two events
     max_attempts: int = 3
     cancellation_allowed: bool = False
     hedging_allowed: bool = False
     probes: bool = False
     peers: bool = False
-    max_retry_after: int = 0  # 0: no Retry-After is sent
-    poll_discovery: bool = False  # discovery has to be polled
+    max_retry_after: int = 0  # 0: send no Retry-After
+    poll_discovery: bool = False  # whether the balancer polls discovery
     poll_interval: int = 10_000_000
     weight_source: WeightSource = WeightSource.OFF
     passes_deadline: bool = False
     answer_slack: int = 0
-    drain_grace: int = 0  # sends to a server that drains or is gone may go on for so long
-    slow_start_minimum: float = 1.0  # share of its capacity that a server has as it starts
-    slow_start_window: int = 0  # until it has all of it
-    overload_factor: float = 4.0  # times its present capacity that pushes a starting server over
+    drain_grace: int = 0  # how long sends to a draining or removed server may continue
+    slow_start_minimum: float = 1.0  # fraction of its capacity that a server has at its start
+    slow_start_window: int = 0  # time from its start until a server has its full capacity
+    overload_factor: float = 4.0  # load, over current capacity, at which a starting server fails
     overload_window: int = 1_000_000
-    over_quota_weight: float = 1.0  # factor on the weight of requests beyond their tenant's quota
+    over_quota_weight: float = 1.0  # factor on the weight of requests over their tenant's quota
     goal: Goal = Goal()
     prices: Prices = Prices()
     report_source: ReportSource = ReportSource.OFF
     report_names: tuple[str, ...] = ()
-    marks_repeats: bool = False  # clients mark their retries
-    keys_stay_warm: bool = False  # a server that served a key lately serves it again with less work
-    worth_by_work: bool = False  # weight counts by work, not by request
-    connection_idle_timeout: int = 0  # 0: not told
-    connect_timeout: int = 0  # 0: not told
+    marks_repeats: bool = False  # whether clients mark their retries
+    keys_stay_warm: bool = False  # whether a server does less work for a key that it served lately
+    worth_by_work: bool = False  # whether weight counts per unit of work instead of per request
+    connection_idle_timeout: int = 0  # 0: unknown
+    connect_timeout: int = 0  # 0: unknown
     streams_per_connection: int = 1
-    max_open_requests: int = 0  # requests that a replica may hold; 0: not told
-    cpu_per_second: int = 0  # this replica's share of CPU; 0: not told
-    cpu_per_request: float = 0.0  # 0: no such limit
+    max_open_requests: int = 0  # limit of open requests of a replica; 0: unknown
+    cpu_per_second: int = 0  # CPU time that this replica may use each second; 0: unknown
+    cpu_per_request: float = 0.0  # CPU time limit for each request; 0: none
     pin_endpoint_list: bool = (
-        False  # retries keep to the list of the first attempt; see RetrySafety
+        False  # retries use only servers listed since the first attempt; see RetrySafety
     )
-    retry_ratio: float = 0.2  # retries in the window stay under this share of its first attempts,
-    retry_floor: float = 0.1  # and so many a second
-    retry_window: int = 10  # seconds
+    retry_ratio: float = 0.2  # retries allowed per first attempt in the window
+    retry_floor: float = 0.1  # retries allowed per second in addition
+    retry_window: int = 10  # length of the window in seconds
 
     @property
-    def any_repeatable(self) -> bool:
-        """Whether requests of any class may be repeated once they may have run."""
-        return any(c.idempotency != Idempotency.NOT_IDEMPOTENT for c in self.classes)
+    def has_retryable_class(self) -> bool:
+        """Whether some class allows retries after an attempt that may have run."""
+        return any(klass.idempotency != Idempotency.NOT_IDEMPOTENT for klass in self.classes)
 
     def __post_init__(self) -> None:
-        """Refuse impossible values."""
+        """Raise SettingsError for an invalid value."""
         _check(len(self.classes) > 0, "classes", "at least one class", self.classes)
         _check(self.replica_count >= 1, "instances", "a count of 1 or more", self.replica_count)
         _check(
--- a/oakbridge/policy/sliding_window.py
+++ b/oakbridge/policy/sliding_window.py
@@ -1,6 +1,6 @@
-"""Counts in a sliding window of seconds, in all and by name.
+"""Two counts in a sliding window of seconds, in total and by name.
 
-The structures know nothing of servers and requests; they decide nothing.
+A generic data structure: it is independent of servers and requests and makes no decisions.
 """
 
 from collections import deque
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Slot:
-    """What was counted in one second."""
+    """The counts of one second."""
 
     second: int
     first: float = 0.0
@@ -20,10 +20,10 @@
 
 
 class SlidingWindow:
-    """Sums of two counts, ``first`` and ``further``; the latter also by name."""
+    """Sums of the counts ``first`` and ``further``, such as first attempts and retries."""
 
     def __init__(self, seconds: int) -> None:
-        """Begin empty."""
+        """Start empty; ``seconds`` is the length of the window."""
         self.seconds = seconds
         self.slots: deque[Slot] = deque()
         self.first = 0.0
@@ -31,7 +31,7 @@
         self.further_by_name: dict[str, float] = {}
 
     def advance(self, now: int) -> Slot:
-        """Let go of what is older than the window; returns the slot of this second."""
+        """Drop the slots that have left the window; return the slot of the current second."""
         second = now // SECOND_US
         while self.slots and self.slots[0].second <= second - self.seconds:
             old = self.slots.popleft()
@@ -44,12 +44,12 @@
         return self.slots[-1]
 
     def add_first(self, now: int) -> None:
-        """Count one."""
+        """Add 1 to ``first``."""
         self.advance(now).first += 1
         self.first += 1
 
     def add_further(self, now: int, count: float, name: str | None = None) -> None:
-        """Count so much, by that name if any."""
+        """Add a count to ``further``, in total and for the name, if there is one."""
         slot = self.advance(now)
         slot.further += count
         self.further += count
@@ -58,7 +58,7 @@
             self.further_by_name[name] = self.further_by_name.get(name, 0) + count
 
     def restore(self, slots: list[Slot]) -> None:
-        """Go on from these slots."""
+        """Replace all counts with those of the given slots."""
         self.slots = deque(slots)
         self.first = sum(slot.first for slot in slots)
         self.further = sum(slot.further for slot in slots)
--- a/oakbridge/policy/slow_start.py
+++ b/oakbridge/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""How much a server that has started lately is sent, while it warms up."""
+"""Slow start: limits on the requests that a recently started server gets while it warms up."""
 
 import random
 from dataclasses import dataclass, field
@@ -9,46 +9,57 @@
 from oakbridge.policy.throughput import Rate
 from oakbridge.policy.timers import SECOND_US
 
-OVERLOAD_SHARE = 0.8  # of what pushes a cold server over
+SAFE_OVERLOAD_FRACTION = 0.8  # of the load at which a starting server fails
 
 
 @dataclass(eq=False)
 class SlowStart:
-    """Bounds on what servers get while they warm up, by what a warm one was seen to carry."""
+    """Limits requests to starting servers, based on the rate that warm servers have carried."""
 
     settings: Settings
     random: random.Random
     latency: LatencyAverages
-    is_handed_over: bool = False  # the process that took over has this one's part of cold servers
-    warming: dict[str, Server] = field(default_factory=dict)  # servers that may still warm up
-    rate: Rate = field(default_factory=Rate)  # answers of a warm server
+    is_handed_over: bool = False  # the successor sends this node's share to starting servers
+    warming: dict[str, Server] = field(default_factory=dict)  # servers that may still be cold
+    rate: Rate = field(default_factory=Rate)  # responses of one warm server
 
     def capacity_share(self, server: Server, now: int) -> float:
-        """Return the least share of its capacity that a server can have, also before its start."""
-        settings, age = self.settings, now - server.started
-        if not server.started or age >= settings.slow_start_window:
+        """Return the lowest share of its full capacity that a server has now, above 0 up to 1."""
+        settings, age = self.settings, now - server.started_at
+        if not server.started_at or age >= settings.slow_start_window:
             return 1.0
-        warmed = max(0, age) / max(1, settings.slow_start_window)
-        return settings.slow_start_minimum + (1 - settings.slow_start_minimum) * warmed
+        warm_fraction = max(0, age) / max(1, settings.slow_start_window)
+        return settings.slow_start_minimum + (1 - settings.slow_start_minimum) * warm_fraction
 
     def is_exhausted(self, server: Server, now: int) -> bool:
-        """Whether a cold server has had this replica's part of most that it bears."""
+        """Whether a cold server has received all requests that this replica may send it now."""
         share = self.capacity_share(server, now)
         if share >= 1 or self.is_handed_over:
             return share < 1
-        rate = self.rate.peak * share * max(1.0, OVERLOAD_SHARE * self.settings.overload_factor)
+        rate = (
+            self.rate.peak
+            * share
+            * max(1.0, SAFE_OVERLOAD_FRACTION * self.settings.overload_factor)
+        )
         if server.tokens_at < 0:
-            server.tokens = self.random.random()  # not all replicas send at once
+            server.tokens = self.random.random()  # random, so that not all replicas send at once
         else:
             server.tokens = min(1.0, server.tokens + rate * (now - server.tokens_at) / SECOND_US)
         server.tokens_at = now
         return server.tokens < 1
 
-    def update_rate(self, answers: int, servers: int, elapsed: int, now: int) -> None:
-        """Take in what servers carried; a cold one counts as little as it may be able to."""
+    def update_rate(self, responses: int, servers: int, elapsed: int, now: int) -> None:
+        """Update the rate of a warm server; a cold one counts as its lowest share of capacity.
+
+        ``responses``: number since the start; ``servers``: number listed; ``elapsed``: microseconds
+        since the last update.
+        """
         warming = {name: s for name, s in self.warming.items() if s.partition is not None}
         shares = {name: self.capacity_share(server, now) for name, server in warming.items()}
         self.warming = {name: server for name, server in warming.items() if shares[name] < 1}
-        able = servers - sum(1 - share for share in shares.values() if share < 1)
-        least = SECOND_US / self.latency.mean / self.settings.replica_count  # one request at a time
-        self.rate.update(answers, max(able, self.settings.slow_start_minimum), elapsed, least)
+        warm_equivalents = servers - sum(1 - share for share in shares.values() if share < 1)
+        # A server that handles one request at a time, shared by all replicas.
+        min_rate = SECOND_US / self.latency.mean / self.settings.replica_count
+        self.rate.update(
+            responses, max(warm_equivalents, self.settings.slow_start_minimum), elapsed, min_rate
+        )
--- a/oakbridge/policy/state.py
+++ b/oakbridge/policy/state.py
@@ -1,7 +1,8 @@
-"""What a balancer learned, as plain values, for the process that takes over.
+"""Saves what a balancer has learned as JSON values, and restores them in the successor process.
 
-No decision is made here.  Both processes are one node: what the next one is given to spend, the
-first one gives up.  Values of servers, admission and the node are saved by position.
+This module makes no decisions.  Predecessor and successor share the limits of one node: the
+predecessor gives up what it saves for the successor to spend.  The values of servers, latencies and
+admission are saved by position.
 """
 
 import math
@@ -19,28 +20,28 @@
 ADMISSION_VALUES = 8
 
 _SERVER_FIELDS = (
-    "started",
+    "started_at",
     "address",
     "score",
     "scored_at",
     "ejected_until",
     "ejection_us",
     "last_sent_at",
-    "answered_at",
+    "responded_at",
     "tokens",
     "tokens_at",
     "slowness",
     "slowness_at",
-    "queued",
+    "reported_queued",
     "reported_at",
 )
 
 
 def save(balancer: Balancer, now: int) -> Saved:
-    """Return all that was learned.
+    """Return what the balancer has learned.
 
-    The process that saves goes on with what it has in flight, and gives up half of the retries that
-    are left.  It gives up all of its part in cold servers: the next one has the node's part.
+    The predecessor continues with its attempts in flight.  It gives up half of its remaining
+    retries, and sends nothing more to starting servers: the successor has the node's share.
     """
     slow_start, window = balancer.slow_start, balancer.budget.window
     window.add_further(now, max(0.0, balancer.budget.left(now) / 2))
@@ -49,8 +50,8 @@
     return {
         "servers": servers,
         "latency": {
-            name: [seen.mean, seen.deviation, seen.least, seen.count]
-            for name, seen in balancer.latency.items()
+            name: [average.mean, average.deviation, average.min_mean, average.count]
+            for name, average in balancer.latency.items()
         },
         "admission": _save_admission(balancer.admission),
         "due": balancer.quotas.due,
@@ -71,8 +72,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Learned:
-    """A saved state, read and not yet applied."""
+class _LearnedState:
+    """A saved state that has been validated and not yet applied."""
 
     servers: list[tuple[Server, list[Any]]]
     latency: dict[str, LatencyAverage]
@@ -86,9 +87,9 @@
 
 
 def restore(balancer: Balancer, saved: Saved, now: int) -> None:
-    """Go on from what another process learned, but for servers that are not listed or restarted.
+    """Apply the predecessor's saved state, except to servers not listed or restarted since.
 
-    Raise KeyError, TypeError or ValueError for what no process saved; then nothing has changed.
+    Raise KeyError, TypeError or ValueError if the saved state is invalid; nothing is changed then.
     """
     learned = _read(balancer, saved)
     for server, values in learned.servers:
@@ -103,10 +104,10 @@
     balancer.slow_start.rate.peak = learned.peak_rate
     balancer.budget.window.restore(learned.slots)
     balancer.reviewed_at = now
-    balancer.must_poll = False  # the watch goes on where the other process's is
+    balancer.must_poll = False  # the successor continues the predecessor's watch
 
 
-def _read(balancer: Balancer, saved: Saved) -> _Learned:
+def _read(balancer: Balancer, saved: Saved) -> _LearnedState:
     servers = [
         (balancer.servers[name], values)
         for name, values in saved["servers"].items()
@@ -115,11 +116,13 @@
     admission = [float(value) for value in saved["admission"]]
     recent_failure_rate, mean_rate, peak_rate = map(float, saved["copy"])
     if len(admission) != ADMISSION_VALUES:
-        raise ValueError(f"expected {ADMISSION_VALUES} values of admission")
+        raise ValueError(f"admission: expected {ADMISSION_VALUES} values, got {len(admission)}")
     for _, values in servers:
         if len(values) != len(_SERVER_FIELDS) + 2:
-            raise ValueError("expected a server's record")
-    return _Learned(
+            raise ValueError(
+                f"servers: expected {len(_SERVER_FIELDS) + 2} values, got {len(values)}"
+            )
+    return _LearnedState(
         servers=servers,
         latency={
             name: _read_latency(values)
@@ -127,7 +130,11 @@
             if name in balancer.latency
         },
         admission=admission,
-        quotas_due={n: float(at) for n, at in saved["due"].items() if n in balancer.quotas.due},
+        quotas_due={
+            tenant: float(due_at)
+            for tenant, due_at in saved["due"].items()
+            if tenant in balancer.quotas.due
+        },
         failure_rate=float(saved["rate"]),
         recent_failure_rate=recent_failure_rate,
         mean_rate=mean_rate,
@@ -141,7 +148,7 @@
 
 def _read_latency(values: list[float]) -> LatencyAverage:
     latency = LatencyAverage(0.0)
-    latency.mean, latency.deviation, latency.least = (float(x) for x in values[:3])
+    latency.mean, latency.deviation, latency.min_mean = (float(value) for value in values[:3])
     latency.count = int(values[3])
     return latency
 
@@ -150,32 +157,32 @@
     return [
         admission.limit,
         admission.credit,
-        admission.credited_at,
+        admission.credit_updated_at,
         admission.window.served_us,
         admission.latency_ratio,
-        admission.usual_value.mean,
+        admission.mean_value.mean,
         admission.window_size,
         admission.capacity,
     ]
 
 
 def _restore_admission(admission: AdmissionControl, values: list[float]) -> None:
-    """Take over what ``_save_admission`` returned."""
+    """Restore the values that ``_save_admission`` returned."""
     admission.limit = values[0]
     admission.credit = values[1]
-    admission.credited_at = int(values[2])
+    admission.credit_updated_at = int(values[2])
     admission.window.served_us = values[3]
     admission.latency_ratio = values[4]
-    admission.usual_value.mean = values[5]
+    admission.mean_value.mean = values[5]
     admission.window_size = int(values[6])
     admission.capacity = values[7]
 
 
 def _restore_server(balancer: Balancer, server: Server, values: list[Any], now: int) -> None:
-    *facts, max_in_flight, in_subset = values
-    if facts[:2] != [server.started, server.address]:
-        return  # it has restarted since, or moved: a clean record is right
-    for name, value in zip(_SERVER_FIELDS, facts, strict=True):
+    *saved_values, max_in_flight, in_subset = values
+    if saved_values[:2] != [server.started_at, server.address]:
+        return  # it has restarted or moved since, so its history starts anew
+    for name, value in zip(_SERVER_FIELDS, saved_values, strict=True):
         setattr(server, name, value)
     server.max_in_flight = math.inf if max_in_flight is None else float(max_in_flight)
     members = balancer.members
--- a/oakbridge/policy/throughput.py
+++ b/oakbridge/policy/throughput.py
@@ -1,6 +1,6 @@
-"""Rates of what is counted, counts between two looks, and values that fade.
+"""Rates, moving means, exponential decay and counts of results.
 
-The structures know nothing of servers and requests; they decide nothing.
+Generic data structures: they are independent of servers and requests and make no decisions.
 """
 
 import math
@@ -8,64 +8,68 @@
 
 from oakbridge.policy.timers import SECOND_US
 
-RATE_COUNT = 48  # a rate is the mean over so many
-PEAK_FADE_US = 60 * SECOND_US
+RATE_MEAN_EVENTS = 48  # number of events that a mean rate averages over
+PEAK_DECAY_US = 60 * SECOND_US
 
 
-def faded(value: float, floor: float, elapsed: int, fade_us: int) -> float:
-    """Return what is left of a value after so many microseconds; it falls to the floor."""
-    return floor + (value - floor) * math.exp(-max(0, elapsed) / fade_us)
+def decayed(value: float, floor: float, elapsed: int, decay_us: int) -> float:
+    """Return a value that has decayed exponentially towards a floor; times in microseconds."""
+    return floor + (value - floor) * math.exp(-max(0, elapsed) / decay_us)
 
 
-class UsualValue:
-    """Values as multiples of what is usual, which is their moving mean."""
+class MovingMean:
+    """A moving mean, and values as multiples of it."""
 
     def __init__(self) -> None:
-        """Begin without values."""
+        """Start without values."""
         self.mean = 0.0
 
     def relative(self, value: float) -> float:
-        """Take a value in; returns it as a multiple of the usual."""
+        """Add a value to the mean; return the value as a multiple of the mean."""
         self.mean += 0.02 * (value - self.mean) if self.mean else value
         return value / self.mean if self.mean else 1.0
 
 
 class Rate:
-    """How many a second come of one unit, and the highest of late."""
+    """Events per second and unit of capacity: the mean and the recent peak."""
 
     def __init__(self) -> None:
-        """Begin at nothing."""
+        """Start at 0."""
         self.mean = 0.0
         self.peak = 0.0
         self._total = 0
 
-    def update(self, total: int, units: float, elapsed: int, least: float) -> None:
-        """Take in the total after so many microseconds; the peak is never below ``least``."""
-        new = total - self._total
+    def update(self, total: int, units: float, elapsed: int, min_peak: float) -> None:
+        """Add the events since the last update.
+
+        ``total``: number of events since the start; ``units``: units of capacity that shared them;
+        ``elapsed``: microseconds since the last update; ``min_peak``: lower bound of the peak.
+        """
+        new_events = total - self._total
         self._total = total
-        rate = SECOND_US * new / elapsed / units
-        self.mean += (rate - self.mean) * (1 - math.exp(-new / RATE_COUNT))
-        self.peak = max(least, self.mean, self.peak * math.exp(-elapsed / PEAK_FADE_US))
+        rate = SECOND_US * new_events / elapsed / units
+        self.mean += (rate - self.mean) * (1 - math.exp(-new_events / RATE_MEAN_EVENTS))
+        self.peak = max(min_peak, self.mean, self.peak * math.exp(-elapsed / PEAK_DECAY_US))
 
 
 @dataclass(slots=True)
-class OutcomeWindow:
-    """Outcomes since the last look."""
+class ResultWindow:
+    """Results of attempts since the window was opened; times in microseconds."""
 
-    began: int = 0
-    outcomes: int = 0
+    started_at: int = 0  # time of the first result
+    results: int = 0
     served: int = 0
-    served_us: float = 0.0  # time that the served would have taken at the least
-    peak: int = 0  # of what was in flight beside them
+    served_us: float = 0.0  # time that the served attempts would take at the lowest mean latency
+    peak_in_flight: int = 0
 
     def add(self, now: int, in_flight: int) -> None:
-        """Count an outcome."""
-        if not self.outcomes:
-            self.began = now
-        self.outcomes += 1
-        if in_flight > self.peak:
-            self.peak = in_flight
+        """Count a result."""
+        if not self.results:
+            self.started_at = now
+        self.results += 1
+        if in_flight > self.peak_in_flight:
+            self.peak_in_flight = in_flight
 
     def concurrency(self, now: int) -> float:
-        """Return how many at once would have carried what was served, at the least time."""
-        return self.served_us / max(1, now - self.began)
+        """Return how many attempts in flight would carry the served ones at the lowest latency."""
+        return self.served_us / max(1, now - self.started_at)
--- a/oakbridge/policy/timers.py
+++ b/oakbridge/policy/timers.py
@@ -1,6 +1,6 @@
-"""Queues by time: items that become due, and callbacks and expiries behind one timer.
+"""Queues ordered by time: due items, and callbacks and expiries that share one timer.
 
-The structures know nothing of servers and requests; they decide nothing.
+Generic data structures: they are independent of servers and requests and make no decisions.
 """
 
 import heapq
@@ -9,35 +9,38 @@
 from typing import Generic, TypeVar
 
 SECOND_US = 1_000_000
-SPARE_EXPIRIES = 512  # so many of keys that are gone are kept before they are cleared out
+MAX_STALE_EXPIRIES = 512  # expiries of keys no longer live that are kept before they are removed
 
 Item = TypeVar("Item")
 
 
 class DueQueue(Generic[Item]):
-    """Items by the time at which they are due; of those due at one time the first in is first."""
+    """Items ordered by due time; items due at the same time keep their order of insertion."""
 
     def __init__(self) -> None:
-        """Begin empty."""
-        self.next_due = math.inf  # when the first item is due
+        """Start empty."""
+        self.next_due = math.inf  # due time of the first item
         self._heap: list[tuple[int, int, Item]] = []
         self._count = 0
 
     def push(self, when: int, item: Item) -> None:
-        """Put an item in."""
+        """Add an item that is due at ``when``."""
         self._count += 1
         heapq.heappush(self._heap, (when, self._count, item))
         self.next_due = self._heap[0][0]
 
     def pop(self) -> Item:
-        """Take the first item out."""
+        """Remove and return the first item."""
         item = heapq.heappop(self._heap)[2]
         self.next_due = self._heap[0][0] if self._heap else math.inf
         return item
 
 
 class Timers(Generic[Item]):
-    """Calls back at given times; times are whole microseconds of one clock."""
+    """Callbacks and expiries at given times, in whole microseconds of one clock.
+
+    Only the earliest of them has a timer; a timer that an earlier one has replaced is ignored.
+    """
 
     def __init__(
         self,
@@ -46,38 +49,39 @@
         set_timer: Callable[[int, int], None],
         expire: Callable[[Item], None],
     ) -> None:
-        """Have ``set_timer(delay, token)`` ask for a timer, and ``expire`` take items.
+        """Start without callbacks.
 
-        ``live``: items that may still expire, by key; ``min_delay``: no callback comes sooner.
+        ``min_delay``: shortest delay; ``live``: items that may still expire, by key;
+        ``set_timer(delay, token)``: requests a timer; ``expire(item)``: handles an expired item.
         """
-        self.token = 0  # of the timer that is outstanding
+        self.token = 0  # token of the current timer
         self.callbacks = DueQueue[Callable[[int], None]]()
-        # Plain numbers, as nearly all keys are gone by then and must not be held on to.
+        # Holds keys, not items: most items are closed before they expire and must be released.
         self._expiries: list[tuple[int, int]] = []
-        self._due = math.inf  # of the timer that is outstanding
+        self._timer_due = math.inf  # due time of the current timer
         self._min_delay = min_delay
         self._live = live
         self._set_timer = set_timer
         self._expire = expire
 
     def call_later(self, now: int, delay: float, callback: Callable[[int], None]) -> None:
-        """Call back with the time after a delay."""
+        """Call ``callback(now)`` after a delay."""
         self.callbacks.push(now + max(self._min_delay, int(delay)), callback)
         self._arm(now)
 
     def expire_at(self, now: int, when: int, key: int) -> None:
-        """Have a key expire then, if it is still live."""
+        """Expire the item of a key at ``when``, if the key is still live then."""
         heapq.heappush(self._expiries, (max(when, now + self._min_delay), key))
-        if len(self._expiries) > SPARE_EXPIRIES + 2 * len(self._live):
+        if len(self._expiries) > MAX_STALE_EXPIRIES + 2 * len(self._live):
             self._expiries = [(at, key) for at, key in self._expiries if key in self._live]
             heapq.heapify(self._expiries)
         self._arm(now)
 
     def fire(self, now: int, token: int) -> None:
-        """Do all that is due.  A timer that an earlier one has replaced does nothing."""
+        """Run all that is due, unless the token is not that of the current timer."""
         if token != self.token:
             return
-        self._due = math.inf
+        self._timer_due = math.inf
         while self.callbacks.next_due <= now:
             self.callbacks.pop()(now)
         while self._expiries and self._expiries[0][0] <= now:
@@ -87,14 +91,14 @@
         self._arm(now)
 
     def _arm(self, now: int) -> None:
-        """Have a timer out for the earliest callback or expiry."""
+        """Set a timer for the earliest callback or expiry, unless one is set for that time."""
         expiries = self._expiries
         while expiries and expiries[0][1] not in self._live:
             heapq.heappop(expiries)
         due = self.callbacks.next_due
         if expiries and expiries[0][0] < due:
             due = expiries[0][0]
-        if due < self._due:
-            self._due = due
+        if due < self._timer_due:
+            self._timer_due = due
             self.token += 1
             self._set_timer(max(1, int(due) - now), self.token)
--- a/oakbridge/policy/waiting_queues.py
+++ b/oakbridge/policy/waiting_queues.py
@@ -1,6 +1,6 @@
-"""Queues by key, from which what waits may be withdrawn at any place.
+"""Queues by key, from which an item may be removed at any position.
 
-The structure knows nothing of servers and requests; it decides nothing.
+Generic data structures: they are independent of servers and requests and make no decisions.
 """
 
 from collections import deque
@@ -9,48 +9,48 @@
 
 
 class Queueable(Protocol):
-    """What may wait."""
+    """An item that can be queued."""
 
-    queued: bool
+    is_queued: bool
 
 
 Item = TypeVar("Item", bound=Queueable)
 
 
 class WaitingQueues(Generic[Item]):
-    """One queue for each key."""
+    """One queue for each key; removed items stay in their queue until they reach an end of it."""
 
     def __init__(self) -> None:
-        """Begin empty."""
-        self.count = 0  # of what waits
+        """Start empty."""
+        self.count = 0  # queued items
         self._queues: dict[Hashable, deque[Item]] = {}
 
     def push(self, key: Hashable, item: Item, *, front: bool) -> None:
-        """Let an item wait, at the back or in front."""
+        """Queue an item at the back, or at the front."""
         queue = self._queues.setdefault(key, deque())
         (queue.appendleft if front else queue.append)(item)
-        item.queued = True
+        item.is_queued = True
         self.count += 1
 
     def withdraw(self, item: Item) -> None:
-        """Let an item wait no longer, if it does; it stays in its queue until it is at an end."""
-        if not item.queued:
+        """Remove an item if it is queued; ``queues`` drops it when it reaches an end."""
+        if not item.is_queued:
             return
-        item.queued = False
+        item.is_queued = False
         self.count -= 1
-        if not self.count:  # what was withdrawn is not held on to
+        if not self.count:  # releases the references to removed items
             for queue in self._queues.values():
                 queue.clear()
 
     def queues(self) -> list[deque[Item]]:
-        """Return the queues in which something waits: at both ends is what does."""
+        """Return the queues that hold items; the first and the last item of each are queued."""
         for queue in self._queues.values():
-            while queue and not (queue[0].queued and queue[-1].queued):
-                (queue.pop if queue[0].queued else queue.popleft)()
+            while queue and not (queue[0].is_queued and queue[-1].is_queued):
+                (queue.pop if queue[0].is_queued else queue.popleft)()
         return [queue for queue in self._queues.values() if queue]
 
     def pop(self, queue: deque[Item], *, newest: bool) -> Item:
-        """Take the newest or the oldest of a queue."""
+        """Remove and return the newest or the oldest item of a queue."""
         item = queue.pop() if newest else queue.popleft()
         self.withdraw(item)
         return item
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -9,7 +9,12 @@
     RejectRequest,
     SendAttempt,
 )
-from oakbridge.policy.admission import BURST, CROWDED_START_LIMIT, MAX_WAITING, START_LIMIT
+from oakbridge.policy.admission import (
+    BURST_ATTEMPTS,
+    CROWDED_START_LIMIT_PER_SERVER,
+    MAX_WAITING_FRACTION,
+    START_LIMIT_PER_SERVER,
+)
 from oakbridge.policy.events import (
     AttemptResult,
     Endpoint,
@@ -41,7 +46,7 @@
     d.serve(60)
     d.balancer.admission.limit = 40.0
     out = [a for _ in range(40) for a in d.send_request("pay") if isinstance(a, SendAttempt)]
-    room = int(MAX_WAITING * 40)
+    room = int(MAX_WAITING_FRACTION * 40)
     waiting = [(d.send_request("read"), d.id)[1] for _ in range(room // 2)] + [
         (d.send_request("pay"), d.id)[1] for _ in range(room - room // 2)
     ]
@@ -63,10 +68,10 @@
         servers=2, over_quota_weight=0.1, tenants=(Tenant("big", 1.0), Tenant("small", 1000.0))
     )
     d.serve(70)
-    d.balancer.admission.limit = BURST
+    d.balancer.admission.limit = BURST_ATTEMPTS
     first, *_ = (
         a
-        for _ in range(int(BURST))
+        for _ in range(int(BURST_ATTEMPTS))
         for a in d.send_request("read", tenant="small")
         if isinstance(a, SendAttempt)
     )
@@ -156,11 +161,14 @@
 
 def test_start_is_limited_by_this_copys_part_of_the_servers():
     """Incident i874b61: copies rushed in before their first answers, and servers stayed slow."""
-    for servers, instances, each in ((10, 20, CROWDED_START_LIMIT), (40, 10, START_LIMIT)):
+    for servers, instances, each in (
+        (10, 20, CROWDED_START_LIMIT_PER_SERVER),
+        (40, 10, START_LIMIT_PER_SERVER),
+    ):
         d = Driver(servers=servers, replica_count=instances)
         assert d.balancer.admission.limit == each * servers / instances
         sent = sum(isinstance(a, SendAttempt) for _ in range(90) for a in d.send_request())
-        assert sent == max(BURST, each * servers / instances)
+        assert sent == max(BURST_ATTEMPTS, each * servers / instances)
 
 
 def test_limits_below_a_call_hold_on_average():
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -33,7 +33,7 @@
 from oakbridge.policy.membership import Membership
 from oakbridge.policy.records import Attempt, OpenRequest, Server
 from oakbridge.policy.settings import Prices, RequestClass, Settings, WeightSource
-from oakbridge.policy.weighted_pool import RING_STEP
+from oakbridge.policy.weighted_pool import SCAN_LENGTH
 
 SECOND = 1_000_000
 SIZES = (0.001, 0.5, 1.0, 1.0, 3.0, 1000.0)
@@ -58,12 +58,12 @@
         entry = Endpoint(str(name), zone=zone, cell=name % 7, address="x" if moved else "")
         self.m.version = self.version
         if (s := self.model.get(str(name))) is not None:
-            self.m.relist(s, entry, size, self.now)
+            self.m.update_entry(s, entry, size, self.now)
         else:
             s = self.model[str(name)] = Server(
-                id=entry.id, started=entry.started_at, address=entry.address
+                id=entry.id, started_at=entry.started_at, address=entry.address
             )
-            self.m.relist(s, entry, size, self.now)
+            self.m.update_entry(s, entry, size, self.now)
             s.listed_since = self.version
             self.m.add(s, self.m.reserve, self.now)
         self.version += 1
@@ -86,7 +86,7 @@
     @rule(by=st.integers(0, 20))
     def wait(self, by):
         self.now += by
-        self.m.readmit(self.now)
+        self.m.end_ejections(self.now)
 
     @invariant()
     def all_is_where_it_belongs(self):
@@ -101,7 +101,7 @@
         )
         for side in sides:
             for pool, near, out in zip(
-                side.sets(with_inactive=True), (1, 0, 1, 0), (0, 0, 1, 1), strict=True
+                side.pools(with_inactive=True), (1, 0, 1, 0), (0, 0, 1, 1), strict=True
             ):
                 members = [s for group in pool.groups.values() for s in group]
                 assert all(
@@ -189,7 +189,7 @@
         if draw.random() < 0.2:
             s.ejected_until = 9 * SECOND
             b.members.update_ejection(s, SECOND)
-    return b, OpenRequest(1, klass, "", SECOND, streamed=False)
+    return b, OpenRequest(1, klass, "", SECOND, is_streamed=False)
 
 
 ZONES = {"zone": "a", "zones": ("a", "b"), "prices": Prices(cross_zone=1.0)}
@@ -312,7 +312,7 @@
     lines, sent = cost(
         10_000, entries=entries, slow_start_window=60 * SECOND, slow_start_minimum=0.1
     )
-    assert lines < 40 * (24 + RING_STEP) * 3
+    assert lines < 40 * (24 + SCAN_LENGTH) * 3
     assert sent > 0
 
 
@@ -374,7 +374,9 @@
             with Lines() as traced:
                 b.handle(2, event)
             worst = max(worst, traced.count) if split else worst
-        states = {s.id: (s.listed_since, s.started, s.delisted) for s in b.endpoints.known.values()}
+        states = {
+            s.id: (s.listed_since, s.started_at, s.delisted) for s in b.endpoints.known.values()
+        }
         ends.append(
             (
                 set(b.servers),
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -111,7 +111,7 @@
         d.end_attempt(sends[0], AttemptResult.OK)
     server = d.balancer.servers[sends[0].server]
     assert not d.balancer.outliers.is_hung(server, d.now)
-    server.answered_at = next(
+    server.responded_at = next(
         iter(server.in_flight.values())
     ).sent_at  # but one that has answered nothing since does
     assert d.balancer.outliers.is_hung(server, d.now)
--- a/tests/policy/test_streamed.py
+++ b/tests/policy/test_streamed.py
@@ -4,7 +4,7 @@
 from driver import READ, Driver
 
 from oakbridge.policy.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
-from oakbridge.policy.balancer import UPLOAD_US
+from oakbridge.policy.balancer import UPLOAD_TIMEOUT_US
 from oakbridge.policy.events import AttemptEnded, AttemptResult, RequestBodySent, RequestReceived
 
 LEFT = 2_000_000
@@ -57,7 +57,7 @@
 def test_one_whose_body_never_ends_is_given_up():
     d = Driver(classes=(READ,))
     send = begin(d)
-    d.run_to(UPLOAD_US + 10_000)
+    d.run_to(UPLOAD_TIMEOUT_US + 10_000)
     assert [a.request_id for a in d.actions_of(RejectRequest)] == [send.request_id]
 
 
--- a/tests/policy/test_structures.py
+++ b/tests/policy/test_structures.py
@@ -15,8 +15,8 @@
 from oakbridge.policy.group_index import GroupIndex
 from oakbridge.policy.quota import BURST_US, Quotas
 from oakbridge.policy.sliding_window import SlidingWindow
-from oakbridge.policy.throughput import OutcomeWindow, Rate, UsualValue, faded
-from oakbridge.policy.timers import SECOND_US, SPARE_EXPIRIES, DueQueue, Timers
+from oakbridge.policy.throughput import MovingMean, Rate, ResultWindow, decayed
+from oakbridge.policy.timers import MAX_STALE_EXPIRIES, SECOND_US, DueQueue, Timers
 from oakbridge.policy.waiting_queues import WaitingQueues
 
 ROOT = Path(__file__).parents[2]
@@ -95,13 +95,13 @@
 
 def test_only_live_items_expire_and_others_are_not_held_on_to():
     timers = Recorder()
-    for key in range(3 * SPARE_EXPIRIES):
+    for key in range(3 * MAX_STALE_EXPIRIES):
         timers.live[key] = f"item {key}"
         timers.queue.expire_at(0, 1000 + key, key)
         if key != 7:
             del timers.live[key]
     timers.queue.expire_at(0, 5000, 7)
-    assert len(timers.queue._expiries) <= SPARE_EXPIRIES + 2
+    assert len(timers.queue._expiries) <= MAX_STALE_EXPIRIES + 2
     timers.queue.fire(1007, timers.queue.token)
     assert timers.expired == ["item 7"]
 
@@ -109,7 +109,7 @@
 @dataclass
 class Item:
     name: str
-    queued: bool = False
+    is_queued: bool = False
 
 
 def test_what_waits_is_withdrawn_at_any_place_and_ends_are_what_waits():
@@ -176,14 +176,14 @@
     assert rate.peak == pytest.approx(50, rel=0.01)
     rate.update(2900, 2.0, 60 * SECOND_US, 1.0)
     assert rate.peak == pytest.approx(50, rel=0.02)  # nothing came: the mean stands
-    assert faded(5.0, 1.0, 0, 10) == 5.0
-    assert faded(5.0, 1.0, 10_000, 10) == pytest.approx(1.0)
-    usual = UsualValue()
+    assert decayed(5.0, 1.0, 0, 10) == 5.0
+    assert decayed(5.0, 1.0, 10_000, 10) == pytest.approx(1.0)
+    usual = MovingMean()
     assert [usual.relative(4.0), usual.relative(4.0)] == [1.0, 1.0]
     assert usual.relative(8.0) > 1.9
-    window = OutcomeWindow()
+    window = ResultWindow()
     for now in (50, 100, 150):
         window.add(now, in_flight=now // 50)
         window.served_us += 100.0
-    assert (window.began, window.outcomes, window.peak) == (50, 3, 3)
+    assert (window.started_at, window.results, window.peak_in_flight) == (50, 3, 3)
     assert window.concurrency(150) == 3.0
