--- a/oakbridge/simhost/__init__.py
+++ b/oakbridge/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts instances of the decisions on the simulator's wire."""
+"""Runs balancers for the simulator, by its line protocol."""
--- a/oakbridge/simhost/__main__.py
+++ b/oakbridge/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m oakbridge.simhost``: the simulator's wire on standard input and output."""
+"""``python -m oakbridge.simhost``: the simulator's line protocol on standard input and output."""
 
 import sys
 
--- a/tests/simhost/test_adapter.py
+++ b/tests/simhost/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: what it reads, what it writes, and how it fails."""
+"""Tests of the simulator adapter: messages in, messages out, and errors."""
 
 import io
 import json
@@ -6,7 +6,7 @@
 import pytest
 
 from oakbridge.node.settings import read_settings
-from oakbridge.policy import balancer as choice
+from oakbridge.policy import balancer
 from oakbridge.policy.actions import (
     CancelAttempt,
     FailRequest,
@@ -54,13 +54,14 @@
 
 
 def run(*messages):
-    lines = [m if isinstance(m, str) else json.dumps(m) for m in messages]
+    """Run the adapter on messages; return its exit code, its messages and its error output."""
+    lines = [message if isinstance(message, str) else json.dumps(message) for message in messages]
     out, err = io.StringIO(), io.StringIO()
     code = adapter.main(io.StringIO("".join(line + "\n" for line in lines)), out, err)
     return code, [json.loads(line) for line in out.getvalue().splitlines()], err.getvalue()
 
 
-def test_a_request_is_sent_and_its_end_read():
+def test_a_request_is_sent_and_the_result_of_its_attempt_is_read():
     done = {
         "msg": "done",
         "node-id": 1,
@@ -75,31 +76,37 @@
     )
     assert (code, err) == (0, "")
     assert {"msg": "yield"} in got
-    sends = [m for m in got if m["msg"] == "transmit"]
+    sends = [message for message in got if message["msg"] == "transmit"]
     assert sends[0]["server"] == "server.a"
     assert sends[0]["node-id"] == 1
     assert sends[0]["op-id"] == 9
-    assert [m for m in got if m["msg"] == "after"]
+    assert [message for message in got if message["msg"] == "after"]
 
 
-def test_end_of_input_and_an_empty_batch():
+def test_empty_input_and_an_empty_batch():
     assert run() == (0, [], "")
     assert run(SYNC, END) == (0, [{"msg": "yield"}], "")
 
 
 @pytest.mark.parametrize(
-    ("message", "fault"),
+    ("message", "error"),
     [
         ("{nonsense", "not JSON"),
         ("[1]", "not an object"),
         ({"msg": "riddle", "node-id": 1}, "unknown message 'riddle'"),
-        ({**KNOCK, "node-id": 8}, "instance 8 was never started"),
-        ({**UPDATE, "roster-id": 7}, "list 7 was never given"),
+        ({**KNOCK, "node-id": 8}, "knock: node-id: expected the id of a started replica, got 8"),
+        (
+            {**UPDATE, "roster-id": 7},
+            "update: roster-id: expected the id of a list that was sent, got 7",
+        ),
         (
             {**UPDATE, "mode": "odd"},
             "update: mode: expected incr, total, warm_copy or lost, got 'odd'",
         ),
-        ({**UPDATE, "roster-id": None}, "update: roster-id: list None was never given"),
+        (
+            {**UPDATE, "roster-id": None},
+            "update: roster-id: expected the id of a list that was sent, got None",
+        ),
         ({"msg": "knock", "node-id": 1, "op-id": 9}, "knock: category: missing, expected a string"),
         ({**KNOCK, "op-id": "9"}, "knock: op-id: expected a whole number, got '9'"),
         ({**KNOCK, "op-id": True}, "knock: op-id: expected a whole number, got True"),
@@ -108,7 +115,10 @@
         ({"msg": "sync"}, "sync: ts: missing, expected a whole number"),
         ({"msg": "sync", "ts": 1.5}, "sync: ts: expected a whole number, got 1.5"),
         ({"msg": "reminder", "node-id": 1}, "reminder: label: missing, expected a whole number"),
-        ({"msg": "killed", "node-id": 9}, "killed: node-id: instance 9 was never started"),
+        (
+            {"msg": "killed", "node-id": 9},
+            "killed: node-id: expected the id of a started replica, got 9",
+        ),
         (
             {"msg": "from-peer", "node-id": 1, "by": 2},
             "from-peer: data: missing, expected a string",
@@ -131,21 +141,21 @@
         ("[" * 100_000, "not JSON"),
         (
             {"msg": "done", "node-id": 1, "op-id": 1, "server": "a", "disposition": 5},
-            "disposition: expected an",
+            "done: disposition: expected the code of a result, got 5",
         ),
         ({"msg": "page", "roster-id": 1, "entries": 4}, "page: entries: expected a list, got 4"),
     ],
 )
-def test_bad_input_ends_with_one_line_that_names_it(message, fault):
+def test_invalid_input_exits_with_one_line_that_names_the_error(message, error):
     code, _got, err = run(SYNC, SPAWN, PAGE, UPDATE, message, END)
     assert code == 1
     assert err.startswith("line 5: ")
-    assert fault in err
+    assert error in err
     assert err.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "said"),
+    ("path", "value", "expected"),
     [
         ("classes", None, "settings.classes: missing"),
         ("instances", "3", "settings.instances: expected a whole number, got '3'"),
@@ -158,100 +168,101 @@
         ("stage", 2, "tier: expected a number from 0 below 2, got 2"),
     ],
 )
-def test_bad_settings_are_one_message(path, value, said):
-    settings = {k: v for k, v in SETTINGS.items() if k != path} | (
+def test_invalid_settings_are_reported_as_a_fault(path, value, expected):
+    settings = {name: setting for name, setting in SETTINGS.items() if name != path} | (
         {path: value} if value is not None else {}
     )
     code, got, err = run(SYNC, {**SPAWN, "settings": settings}, END)
     assert code == 0
     assert err == ""
     assert got[0]["msg"] == "fault"
-    assert got[0]["text"].startswith(said)
+    assert got[0]["text"].startswith(expected)
 
 
-def test_bad_class_is_named():
+def test_an_invalid_class_is_named_in_the_fault():
     settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "aim": -1}]}
     _, got, _ = run(SYNC, {**SPAWN, "settings": settings}, END)
     assert got[0]["text"] == "settings.classes[0]: class.aim: expected a time above 0, got -1"
 
 
-def test_an_exception_in_the_module_is_a_fault_of_that_instance_alone(monkeypatch):
+def test_an_exception_in_a_balancer_is_a_fault_of_its_replica_alone(monkeypatch):
     def fail(self, now, event):
         raise RuntimeError("lost its way")
 
-    monkeypatch.setattr(choice.Balancer, "_on_request_received", fail)
+    monkeypatch.setattr(balancer.Balancer, "_on_request_received", fail)
     other = {**SPAWN, "node-id": 2}
     code, got, _ = run(SYNC, SPAWN, other, PAGE, UPDATE, KNOCK, {**UPDATE, "node-id": 2}, END)
     assert code == 0
-    assert [m for m in got if m["msg"] == "fault"] == [
+    assert [message for message in got if message["msg"] == "fault"] == [
         {"msg": "fault", "node-id": 1, "text": "RuntimeError: lost its way"}
     ]
 
 
-def test_a_killed_instance_forgets_and_a_new_life_starts_clean():
+def test_a_replica_started_again_after_a_kill_has_no_state():
     killed = {"msg": "killed", "node-id": 1}
     code, got, _ = run(SYNC, SPAWN, PAGE, UPDATE, killed, SPAWN, KNOCK, END)
     assert code == 0
-    assert not [m for m in got if m["msg"] == "transmit"]  # the new life was given no list yet
-
-
-WIRE = [  # a setting, a value for it, and where the module finds it
-    ("instances", 7, lambda s: s.replica_count),
-    ("classes[].aim-stretch", 1.5, lambda s: s.classes[0].aim_stretch),
-    ("classes[].late-worth", 0.5, lambda s: s.classes[0].late_weight),
-    ("classes[].group", "cell", lambda s: s.classes[0].dedup_scope),
-    ("classes[].repeat-window", 9, lambda s: s.classes[0].dedup_window),
-    ("classes[].importance", 9.5, lambda s: s.classes[0].priority_weight),
-    ("classes[].streamed", True, lambda s: s.classes[0].streamed),
-    ("client-habits.marks-retry", True, lambda s: s.marks_repeats),
-    ("discovery", "on_request", lambda s: s.poll_discovery and "on_request"),
-    ("extra.passes-deadline", True, lambda s: s.passes_deadline),
-    ("extra.warm-keys", True, lambda s: s.keys_stay_warm),
-    ("goal.availability", 0.4, lambda s: s.goal.nines),
-    ("goal.top-nines", 2, lambda s: s.goal.nines_full),
-    ("goal.whole", 0.3, lambda s: s.goal.whole),
-    ("goal.worst-class", 0.3, lambda s: s.goal.worst_class),
-    ("goal.worst-tenant", 0.3, lambda s: s.goal.worst_tenant),
-    ("goal.worst-window", 0.3, lambda s: s.goal.worst_window),
-    ("allowed.cancelling", False, lambda s: s.cancellation_allowed),
-    ("allowed.conn-idle", 5, lambda s: s.connection_idle_timeout),
-    ("allowed.connect-timeout", 5, lambda s: s.connect_timeout),
-    ("allowed.cpu-us-per-request", 5.5, lambda s: s.cpu_per_request),
-    ("allowed.cpu-us-per-s", 5, lambda s: s.cpu_per_second),
-    ("allowed.max-attempts", 4, lambda s: s.max_attempts),
-    ("allowed.max-open", 5, lambda s: s.max_open_requests),
-    ("allowed.max-retry-after", 5, lambda s: s.max_retry_after),
-    ("allowed.may-tell", True, lambda s: s.peers),
-    ("allowed.probing", True, lambda s: s.probes),
-    ("allowed.second-copies", False, lambda s: s.hedging_allowed),
-    ("allowed.streams-per-conn", 4, lambda s: s.streams_per_connection),
-    ("me", 2, lambda s: s.replica_index),
-    ("over-share-worth", 0.2, lambda s: s.over_quota_weight),
-    ("prices.connection", 0.1, lambda s: s.prices.connection),
-    ("prices.cross-zone", 0.1, lambda s: s.prices.cross_zone),
-    ("prices.discovery", 0.1, lambda s: s.prices.discovery),
-    ("prices.handshake", 0.1, lambda s: s.prices.handshake),
-    ("prices.late-fail", 0.1, lambda s: s.prices.late_fail),
-    ("prices.peer", 0.1, lambda s: s.prices.peer),
-    ("prices.probe", 0.1, lambda s: s.prices.probe),
-    ("prices.waste", 0.1, lambda s: s.prices.waste),
-    ("report.source", "inline", lambda s: {"answers": "inline"}[s.report_source]),
-    ("report.source", "on_probe", lambda s: {"probes": "on_probe"}[s.report_source]),
-    ("invariants.answer-slack", 5, lambda s: s.answer_slack),
-    ("invariants.ask-within", 5, lambda s: s.poll_interval),
-    ("invariants.stop-sending-within", 5, lambda s: s.drain_grace),
-    ("resolution", 5, lambda s: s.tick),
-    ("weight-source", "nominal", lambda s: s.weight_source),
-    ("weight-source", "rough", lambda s: s.weight_source),
-    ("weight-source", "live", lambda s: s.weight_source),
-    ("worth-by", "work", lambda s: s.worth_by_work and "work"),
-    ("zone", "z", lambda s: s.zone),
-    ("zones", ["y", "z"], lambda s: list(s.zones)),
+    # The new replica has received no list yet.
+    assert not [message for message in got if message["msg"] == "transmit"]
+
+
+SETTING_PATHS = [  # path on the wire, value, and how to read it from the settings
+    ("instances", 7, lambda settings: settings.replica_count),
+    ("classes[].aim-stretch", 1.5, lambda settings: settings.classes[0].aim_stretch),
+    ("classes[].late-worth", 0.5, lambda settings: settings.classes[0].late_weight),
+    ("classes[].group", "cell", lambda settings: settings.classes[0].dedup_scope),
+    ("classes[].repeat-window", 9, lambda settings: settings.classes[0].dedup_window),
+    ("classes[].importance", 9.5, lambda settings: settings.classes[0].priority_weight),
+    ("classes[].streamed", True, lambda settings: settings.classes[0].streamed),
+    ("client-habits.marks-retry", True, lambda settings: settings.marks_repeats),
+    ("discovery", "on_request", lambda settings: settings.poll_discovery and "on_request"),
+    ("extra.passes-deadline", True, lambda settings: settings.passes_deadline),
+    ("extra.warm-keys", True, lambda settings: settings.keys_stay_warm),
+    ("goal.availability", 0.4, lambda settings: settings.goal.nines),
+    ("goal.top-nines", 2, lambda settings: settings.goal.nines_full),
+    ("goal.whole", 0.3, lambda settings: settings.goal.whole),
+    ("goal.worst-class", 0.3, lambda settings: settings.goal.worst_class),
+    ("goal.worst-tenant", 0.3, lambda settings: settings.goal.worst_tenant),
+    ("goal.worst-window", 0.3, lambda settings: settings.goal.worst_window),
+    ("allowed.cancelling", False, lambda settings: settings.cancellation_allowed),
+    ("allowed.conn-idle", 5, lambda settings: settings.connection_idle_timeout),
+    ("allowed.connect-timeout", 5, lambda settings: settings.connect_timeout),
+    ("allowed.cpu-us-per-request", 5.5, lambda settings: settings.cpu_per_request),
+    ("allowed.cpu-us-per-s", 5, lambda settings: settings.cpu_per_second),
+    ("allowed.max-attempts", 4, lambda settings: settings.max_attempts),
+    ("allowed.max-open", 5, lambda settings: settings.max_open_requests),
+    ("allowed.max-retry-after", 5, lambda settings: settings.max_retry_after),
+    ("allowed.may-tell", True, lambda settings: settings.peers),
+    ("allowed.probing", True, lambda settings: settings.probes),
+    ("allowed.second-copies", False, lambda settings: settings.hedging_allowed),
+    ("allowed.streams-per-conn", 4, lambda settings: settings.streams_per_connection),
+    ("me", 2, lambda settings: settings.replica_index),
+    ("over-share-worth", 0.2, lambda settings: settings.over_quota_weight),
+    ("prices.connection", 0.1, lambda settings: settings.prices.connection),
+    ("prices.cross-zone", 0.1, lambda settings: settings.prices.cross_zone),
+    ("prices.discovery", 0.1, lambda settings: settings.prices.discovery),
+    ("prices.handshake", 0.1, lambda settings: settings.prices.handshake),
+    ("prices.late-fail", 0.1, lambda settings: settings.prices.late_fail),
+    ("prices.peer", 0.1, lambda settings: settings.prices.peer),
+    ("prices.probe", 0.1, lambda settings: settings.prices.probe),
+    ("prices.waste", 0.1, lambda settings: settings.prices.waste),
+    ("report.source", "inline", lambda settings: {"answers": "inline"}[settings.report_source]),
+    ("report.source", "on_probe", lambda settings: {"probes": "on_probe"}[settings.report_source]),
+    ("invariants.answer-slack", 5, lambda settings: settings.answer_slack),
+    ("invariants.ask-within", 5, lambda settings: settings.poll_interval),
+    ("invariants.stop-sending-within", 5, lambda settings: settings.drain_grace),
+    ("resolution", 5, lambda settings: settings.tick),
+    ("weight-source", "nominal", lambda settings: settings.weight_source),
+    ("weight-source", "rough", lambda settings: settings.weight_source),
+    ("weight-source", "live", lambda settings: settings.weight_source),
+    ("worth-by", "work", lambda settings: settings.worth_by_work and "work"),
+    ("zone", "z", lambda settings: settings.zone),
+    ("zones", ["y", "z"], lambda settings: list(settings.zones)),
 ]
 
 
 def put(settings, path, value):
-    """The settings with one changed, by its dotted path; [] is the first of a list."""
+    """Return the settings with one value changed, by its dotted path; [] is the first of a list."""
     head, _, rest = path.partition(".")
     if head.endswith("[]"):
         first, *others = settings[head[:-2]]
@@ -259,12 +270,12 @@
     return {**settings, head: put(settings.get(head, {}), rest, value) if rest else value}
 
 
-@pytest.mark.parametrize(("path", "value", "find"), WIRE)
-def test_each_setting_reaches_the_module(path, value, find):
+@pytest.mark.parametrize(("path", "value", "find"), SETTING_PATHS)
+def test_each_setting_is_read(path, value, find):
     assert find(read_settings(put(SETTINGS, path, value))) == value
 
 
-@pytest.mark.parametrize("path", sorted({p for p, _, _ in WIRE}))
+@pytest.mark.parametrize("path", sorted({path for path, _, _ in SETTING_PATHS}))
 def test_a_setting_of_the_wrong_type_is_a_fault_that_names_it(path):
     settings = put(SETTINGS, path, {"odd": 1})
     code, got, err = run(SYNC, {**SPAWN, "settings": settings}, END)
@@ -275,13 +286,13 @@
 
 
 @pytest.mark.parametrize(
-    "path", sorted({p for p, _, _ in WIRE} - {"instances", "allowed.max-attempts"})
+    "path", sorted({path for path, _, _ in SETTING_PATHS} - {"instances", "allowed.max-attempts"})
 )
 def test_an_absent_setting_has_a_default(path):
     assert read_settings(put(SETTINGS, path, None))
 
 
-def test_report_names_are_the_fields_own():
+def test_report_names_on_the_wire_are_mapped_to_field_names():
     names = ["rif", "q", "busy", "lat_ms", "rate", "fail_rate", "x0"]
     got = read_settings(put(SETTINGS, "report.names", names)).report_names
     assert got == ("in_flight", "queued", "utilisation", "latency_ms", "rate", "fail_rate", "x0")
@@ -291,7 +302,7 @@
     "stats",
     [[], [3], [3, 0.5, 9, 9], [None, None], ["x", True], [-5, 1e300], [float("nan"), float("inf")]],
 )
-def test_odd_reports_stop_nothing(stats):
+def test_invalid_load_reports_are_ignored(stats):
     settings = put(put(SETTINGS, "report.names", ["q", "busy"]), "report.source", "inline")
     again = {**KNOCK, "op-id": 10}
     code, got, err = run(
@@ -307,13 +318,13 @@
         END,
     )
     assert (code, err) == (0, "")
-    assert [m["op-id"] for m in got if m["msg"] == "transmit"] == [9, 10]
+    assert [message["op-id"] for message in got if message["msg"] == "transmit"] == [9, 10]
 
 
-def test_a_request_and_a_list_entry_carry_all_that_the_wire_says(monkeypatch):
+def test_all_fields_of_a_request_and_a_list_entry_are_read(monkeypatch):
     seen = []
     monkeypatch.setattr(
-        choice.Balancer, "handle", lambda self, now, event: seen.append(event) or []
+        balancer.Balancer, "handle", lambda self, now, event: seen.append(event) or []
     )
     entry = {
         "server": "a",
@@ -359,13 +370,15 @@
         (WatchEndpoints(), {"msg": "watch", "on": True}),
         (WatchEndpoints(False), {"msg": "watch", "on": False}),
     ]
-    monkeypatch.setattr(choice.Balancer, "handle", lambda self, now, event: [a for a, _ in actions])
+    monkeypatch.setattr(
+        balancer.Balancer, "handle", lambda self, now, event: [action for action, _ in actions]
+    )
     _, got, _ = run(SYNC, SPAWN, KNOCK, END)
-    assert got[:-1] == [{**form, "node-id": 1} for _, form in actions]
+    assert got[:-1] == [{**message, "node-id": 1} for _, message in actions]
 
 
-def test_odd_but_legal_events_change_nothing():
-    odd = [
+def test_events_for_unknown_requests_and_servers_cause_nothing_but_timers():
+    events = [
         {"msg": "reminder", "node-id": 1, "label": 999},
         {"msg": "client-left", "node-id": 1, "op-id": 77},
         {**DONE, "op-id": 77},
@@ -382,9 +395,9 @@
         {"msg": "from-peer", "node-id": 1, "by": 2, "data": "hi"},
         {"msg": "update", "node-id": 1, "mode": "lost", "index": 0},
     ]
-    plain = {**SPAWN, "settings": put(SETTINGS, "discovery", "pushed")}
-    code, got, err = run(SYNC, plain, PAGE, UPDATE, END, SYNC, *odd, END)
+    spawn = {**SPAWN, "settings": put(SETTINGS, "discovery", "pushed")}
+    code, got, err = run(SYNC, spawn, PAGE, UPDATE, END, SYNC, *events, END)
     assert (code, err) == (0, "")
-    assert {m["msg"] for m in got} <= {"yield", "after"}
+    assert {message["msg"] for message in got} <= {"yield", "after"}
     killed = {"msg": "killed", "node-id": 1}
     assert run(SYNC, SPAWN, killed, killed, KNOCK, END)[0] == 0
