--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""The limit of attempts in flight, and which of those that wait go first."""
+"""Tests of admission: the limit of attempts in flight, and the order of waiting requests."""
 
 import dataclasses
 
@@ -26,181 +26,211 @@
 )
 
 
-def test_calls_that_cannot_make_the_aim_are_refused_before_it():
-    """Incident i2e7f05: the oldest first made every answer late."""
-    d = Driver(servers=2)
-    d.serve(60, latency=100_000)
-    d.balancer.admission.limit = 1.0
-    start = d.now
-    overload(d, 40, 1_000)
-    d.run_to(start + 999_000)
-    assert len(d.actions_of(RejectRequest)) >= 30
+def test_requests_that_cannot_meet_the_objective_are_rejected_before_it():
+    """Guards against sending the oldest request first, which made every response late (i2e7f05)."""
+    driver = Driver(servers=2)
+    driver.serve(60, latency=100_000)
+    driver.balancer.admission.limit = 1.0
+    start = driver.now
+    overload(driver, 40, 1_000)
+    driver.run_to(start + 999_000)
+    assert len(driver.actions_of(RejectRequest)) >= 30
 
 
-def test_more_than_have_a_turn_are_refused_at_once_the_oldest_of_least_worth_first():
-    """Zone day at 200 nodes: 2,000 calls waited for 600 places.
+def test_excess_waiting_requests_are_rejected_at_once_lowest_priority_and_oldest_first():
+    """Guards against a queue of far more requests than will get their turn.
 
-    They were refused too late to come again, and held connections that 2,474 others did not get.
+    With 2,000 requests waiting for 600 places, they were rejected too late for a retry, and held
+    connections that 2,474 others did not get.
     """
-    d = Driver(servers=2)
-    d.serve(60)
-    d.balancer.admission.limit = 40.0
-    out = [a for _ in range(40) for a in d.send_request("pay") if isinstance(a, SendAttempt)]
+    driver = Driver(servers=2)
+    driver.serve(60)
+    driver.balancer.admission.limit = 40.0
+    sent = [
+        action
+        for _ in range(40)
+        for action in driver.send_request("pay")
+        if isinstance(action, SendAttempt)
+    ]
     room = int(MAX_WAITING_FRACTION * 40)
-    waiting = [(d.send_request("read"), d.id)[1] for _ in range(room // 2)] + [
-        (d.send_request("pay"), d.id)[1] for _ in range(room - room // 2)
+    waiting = [(driver.send_request("read"), driver.id)[1] for _ in range(room // 2)] + [
+        (driver.send_request("pay"), driver.id)[1] for _ in range(room - room // 2)
     ]
-    assert len(out) == 40
-    assert not d.actions_of(RejectRequest)
+    assert len(sent) == 40
+    assert not driver.actions_of(RejectRequest)
     for n in range(3):
-        d.send_request("pay")
-        assert [a.request_id for a in d.actions_of(RejectRequest)] == waiting[: n + 1]  # reads
-    before = len(d.actions_of(RejectRequest))
-    d.balancer.admission.in_flight = (
-        10  # it is not the limit that they wait for, but servers: all may be served yet
-    )
-    overload(d, room, 1)
-    assert len(d.actions_of(RejectRequest)) == before
+        driver.send_request("pay")
+        # Only reads are rejected.
+        assert [action.request_id for action in driver.actions_of(RejectRequest)] == waiting[
+            : n + 1
+        ]
+    before = len(driver.actions_of(RejectRequest))
+    # Below the limit, requests wait for servers instead, and all may still be served.
+    driver.balancer.admission.in_flight = 10
+    overload(driver, room, 1)
+    assert len(driver.actions_of(RejectRequest)) == before
 
 
-def test_worth_and_share_decide_who_waits():
-    d = Driver(
+def test_priority_and_quota_decide_which_requests_wait():
+    driver = Driver(
         servers=2, over_quota_weight=0.1, tenants=(Tenant("big", 1.0), Tenant("small", 1000.0))
     )
-    d.serve(70)
-    d.balancer.admission.limit = BURST_ATTEMPTS
+    driver.serve(70)
+    driver.balancer.admission.limit = BURST_ATTEMPTS
     first, *_ = (
-        a
+        action
         for _ in range(int(BURST_ATTEMPTS))
-        for a in d.send_request("read", tenant="small")
-        if isinstance(a, SendAttempt)
+        for action in driver.send_request("read", tenant="small")
+        if isinstance(action, SendAttempt)
     )
     for _ in range(5):
-        d.send_request("pay", tenant="big")  # beyond its share from the third on
-    read, pay = d.send_request("read", tenant="small"), d.send_request("pay", tenant="small")
-    assert not [a for a in read + pay if isinstance(a, SendAttempt)]
+        driver.send_request("pay", tenant="big")  # over its quota from the third on
+    read, pay = (
+        driver.send_request("read", tenant="small"),
+        driver.send_request("pay", tenant="small"),
+    )
+    assert not [action for action in read + pay if isinstance(action, SendAttempt)]
     order = []
     send = first
     for _ in range(7):
-        [send] = [a for a in d.end_attempt(send, AttemptResult.OK) if isinstance(a, SendAttempt)]
+        [send] = [
+            action
+            for action in driver.end_attempt(send, AttemptResult.OK)
+            if isinstance(action, SendAttempt)
+        ]
         order.append(send.request_id)
-    assert order.index(d.id) < order.index(d.id - 1)  # the dearer class first
-    assert set(order[-3:]) == {78, 79, 80}  # what is over the share goes last
+    assert order.index(driver.id) < order.index(driver.id - 1)  # the class of higher priority first
+    assert set(order[-3:]) == {78, 79, 80}  # requests over the quota go last
 
 
-def test_calls_given_up_count_as_out_for_a_while():
-    """Incident i9a1a82: time-outs stop no work, and the node filled servers it took for idle."""
-    d = Driver(servers=2)
-    d.serve(30, latency=100_000)
-    send = next(a for a in d.send_request() if isinstance(a, SendAttempt))
-    d.end_attempt(send, AttemptResult.TIMEOUT)
-    assert len(d.balancer.endpoints.known[send.server].in_flight) == 1
-    d.run_to(d.now + 200_000)
-    assert not d.balancer.endpoints.known[send.server].in_flight
+def test_attempts_that_timed_out_count_as_in_flight_for_a_while():
+    """Guards against overloading servers that still work on attempts that timed out (i9a1a82)."""
+    driver = Driver(servers=2)
+    driver.serve(30, latency=100_000)
+    send = next(action for action in driver.send_request() if isinstance(action, SendAttempt))
+    driver.end_attempt(send, AttemptResult.TIMEOUT)
+    assert len(driver.balancer.endpoints.known[send.server].in_flight) == 1
+    driver.run_to(driver.now + 200_000)
+    assert not driver.balancer.endpoints.known[send.server].in_flight
 
 
-def test_many_copies_have_no_more_out_than_servers_bear():
-    """Each of 300 copies has one call out at 40 servers where answers are late, not several."""
-    d = Driver(servers=40, replica_count=300)
-    d.serve(900, latency=3_000_000)
-    assert d.balancer.admission.limit < 3
+def test_many_replicas_keep_the_limit_low_while_responses_are_late():
+    """300 replicas of 40 servers must not have several attempts in flight each."""
+    driver = Driver(servers=40, replica_count=300)
+    driver.serve(900, latency=3_000_000)
+    assert driver.balancer.admission.limit < 3
 
 
-@pytest.mark.parametrize(("part", "well"), [(0.2, True), (0.4, True), (0.8, False)])
-def test_calls_may_take_a_good_part_of_the_aim_before_the_limit_falls(part, well):
-    """Days of replaced servers.
+@pytest.mark.parametrize(("fraction", "is_on_target"), [(0.2, True), (0.4, True), (0.8, False)])
+def test_the_limit_falls_only_when_latency_is_a_large_fraction_of_the_objective(
+    fraction, is_on_target
+):
+    """Guards against rejections while latency is far inside the objective.
 
-    Two in five were turned away at 0.95 s a call, where 2.5 s are in time.
+    Two in five requests were rejected at a latency of 0.95 s, where 2.5 s meet the objective.
     """
-    d = Driver(servers=4)
-    d.serve(40)
-    d.serve(100, latency=int(part * READ.latency_objective))
-    assert (d.balancer.admission.latency_ratio <= 1) is well
-
-
-def test_the_limit_shrinks_and_grows_with_the_list():
-    """Incident i2a22b9: most of a tier was taken away, and the rest got what all had carried."""
-    d = Driver(servers=12)
-    d.serve(40)
-    d.balancer.admission.capacity, d.balancer.admission.limit = 24.0, 36.0
-    d.feed(
+    driver = Driver(servers=4)
+    driver.serve(40)
+    driver.serve(100, latency=int(fraction * READ.latency_objective))
+    assert (driver.balancer.admission.latency_ratio <= 1) is is_on_target
+
+
+def test_the_limit_scales_with_the_number_of_servers():
+    """Guards against sending the load of a whole tier to the few servers left of it (i2a22b9)."""
+    driver = Driver(servers=12)
+    driver.serve(40)
+    driver.balancer.admission.capacity, driver.balancer.admission.limit = 24.0, 36.0
+    driver.feed(
         EndpointListReceived(
             [Endpoint(f"s{i}", EndpointState.REMOVED) for i in range(4, 12)], complete=False
         )
     )
-    assert (d.balancer.admission.capacity, d.balancer.admission.limit) == (8.0, 12.0)
-    d.feed(EndpointListReceived([Endpoint(f"new{i}") for i in range(8)], complete=False))
-    assert (d.balancer.admission.capacity, d.balancer.admission.limit) == (24.0, 36.0)
-    d.feed(EndpointListReceived([]))
-    d.feed(EndpointListReceived([Endpoint("s0")]))
-    assert len([a for a in d.send_request() if isinstance(a, SendAttempt)]) == 1
-
-
-def test_limit_does_not_sink_while_answers_come_in_good_time():
-    """Incident i662b88: the limit held the rate down, and the lower rate brought the limit down."""
-    d = Driver(8, classes=(dataclasses.replace(READ, latency_objective=4_000_000),), tier_count=3)
+    assert (driver.balancer.admission.capacity, driver.balancer.admission.limit) == (8.0, 12.0)
+    driver.feed(EndpointListReceived([Endpoint(f"new{i}") for i in range(8)], complete=False))
+    assert (driver.balancer.admission.capacity, driver.balancer.admission.limit) == (24.0, 36.0)
+    driver.feed(EndpointListReceived([]))
+    driver.feed(EndpointListReceived([Endpoint("s0")]))
+    assert len([action for action in driver.send_request() if isinstance(action, SendAttempt)]) == 1
+
+
+def test_the_limit_does_not_fall_while_responses_are_in_time():
+    """Guards against a spiral: the limit lowers the rate, and the rate the limit (i662b88)."""
+    driver = Driver(
+        8, classes=(dataclasses.replace(READ, latency_objective=4_000_000),), tier_count=3
+    )
     waiting = []
-    for tick in range(
-        4500
-    ):  # answers take twice the least latency from second 4 on, whatever the load
-        d.run_to(tick * 5000)
+    # From second 4 on, responses take over twice the lowest latency, whatever the load.
+    for tick in range(4500):
+        driver.run_to(tick * 5000)
         waiting += [
-            (d.now + (50_000 if tick < 800 else 120_000), a)
-            for a in d.send_request()
-            if isinstance(a, SendAttempt)
+            (driver.now + (50_000 if tick < 800 else 120_000), action)
+            for action in driver.send_request()
+            if isinstance(action, SendAttempt)
         ]
-        while waiting and waiting[0][0] <= d.now:
-            _due, send = waiting.pop(0)
+        while waiting and waiting[0][0] <= driver.now:
+            _, send = waiting.pop(0)
             latency = 50_000 if tick < 800 else 120_000
-            more = d.end_attempt(send, AttemptResult.OK, 0, latency)
-            waiting += [(d.now + latency, a) for a in more if isinstance(a, SendAttempt)]
+            more = driver.end_attempt(send, AttemptResult.OK, 0, latency)
+            waiting += [
+                (driver.now + latency, action) for action in more if isinstance(action, SendAttempt)
+            ]
         if tick == 2000:
-            early = d.balancer.admission.limit
-    assert d.balancer.admission.limit > 0.7 * early
+            early = driver.balancer.admission.limit
+    assert driver.balancer.admission.limit > 0.7 * early
 
 
-def test_start_is_limited_by_this_copys_part_of_the_servers():
-    """Incident i874b61: copies rushed in before their first answers, and servers stayed slow."""
-    for servers, instances, each in (
+def test_the_start_limit_is_set_by_the_servers_per_replica():
+    """Guards against replicas that flood servers before their first responses (i874b61)."""
+    for servers, replicas, each in (
         (10, 20, CROWDED_START_LIMIT_PER_SERVER),
         (40, 10, START_LIMIT_PER_SERVER),
     ):
-        d = Driver(servers=servers, replica_count=instances)
-        assert d.balancer.admission.limit == each * servers / instances
-        sent = sum(isinstance(a, SendAttempt) for _ in range(90) for a in d.send_request())
-        assert sent == max(BURST_ATTEMPTS, each * servers / instances)
-
-
-def test_limits_below_a_call_hold_on_average():
-    """Day hanoi big-1: hundreds of copies with one call each filled servers past what they bear."""
-    d = Driver(servers=10, replica_count=100)
-    d.balancer.admission.limit = d.balancer.admission.min_limit = 0.5
-    busy, waiting = 0, []
-    for tick in range(20_000):  # far more is asked for than the limit lets through
-        d.run_to(tick * 1000)
-        for due, send in [w for w in waiting if w[0] <= d.now]:
+        driver = Driver(servers=servers, replica_count=replicas)
+        assert driver.balancer.admission.limit == each * servers / replicas
+        sent = sum(
+            isinstance(action, SendAttempt) for _ in range(90) for action in driver.send_request()
+        )
+        assert sent == max(BURST_ATTEMPTS, each * servers / replicas)
+
+
+def test_limits_below_one_attempt_hold_on_average():
+    """Guards against overload by hundreds of replicas with one attempt in flight each."""
+    driver = Driver(servers=10, replica_count=100)
+    driver.balancer.admission.limit = driver.balancer.admission.min_limit = 0.5
+    in_flight, waiting = 0, []
+    for tick in range(20_000):  # the load far exceeds the limit
+        driver.run_to(tick * 1000)
+        for due, send in [item for item in waiting if item[0] <= driver.now]:
             waiting.remove((due, send))
-            d.end_attempt(send, AttemptResult.OK, 0, 200_000)
+            driver.end_attempt(send, AttemptResult.OK, 0, 200_000)
         if tick % 20 == 0:
-            d.send_request(left=900_000)
-        out = {a.request_id for a in d.actions_of(SendAttempt)} - {a.request_id for _, a in waiting}
+            driver.send_request(left=900_000)
+        new = {action.request_id for action in driver.actions_of(SendAttempt)} - {
+            action.request_id for _, action in waiting
+        }
         waiting += [
-            (d.now + 200_000, a)
-            for a in d.actions_of(SendAttempt)
-            if a.request_id in out and a.request_id > d.id - 40
+            (driver.now + 200_000, action)
+            for action in driver.actions_of(SendAttempt)
+            if action.request_id in new and action.request_id > driver.id - 40
         ]
-        d.balancer.admission.limit = 0.5
-        busy += d.balancer.admission.in_flight
-    assert 0.3 < busy / 20_000 < 0.75
-
-
-def test_dear_calls_may_overdraw_a_limit_below_a_call():
-    """Every dakar day: a copy with few calls has no queue to put the dearest class first in."""
-    dear = dataclasses.replace(READ, name="dear", priority_weight=30)
-    d = Driver(servers=10, replica_count=100, classes=(READ, dear))
-    d.serve(40)
-    d.balancer.admission.limit, d.balancer.admission.credit = 0.5, 0.0
-    assert not [a for a in d.send_request("read") if isinstance(a, SendAttempt)]
-    assert [a.request_id for a in d.send_request("dear") if isinstance(a, SendAttempt)] == [d.id]
-    d.balancer.admission.credit = -0.5  # overdrawn
-    assert not [a for a in d.send_request("dear") if isinstance(a, SendAttempt)]
+        driver.balancer.admission.limit = 0.5
+        in_flight += driver.balancer.admission.in_flight
+    assert 0.3 < in_flight / 20_000 < 0.75
+
+
+def test_valuable_requests_may_overdraw_a_limit_below_one_attempt():
+    """A replica with few requests has no queue in which a class of high priority goes first."""
+    valuable = dataclasses.replace(READ, name="valuable", priority_weight=30)
+    driver = Driver(servers=10, replica_count=100, classes=(READ, valuable))
+    driver.serve(40)
+    driver.balancer.admission.limit, driver.balancer.admission.credit = 0.5, 0.0
+    assert not [action for action in driver.send_request("read") if isinstance(action, SendAttempt)]
+    assert [
+        action.request_id
+        for action in driver.send_request("valuable")
+        if isinstance(action, SendAttempt)
+    ] == [driver.id]
+    driver.balancer.admission.credit = -0.5  # overdrawn
+    assert not [
+        action for action in driver.send_request("valuable") if isinstance(action, SendAttempt)
+    ]
--- a/tests/policy/test_endpoint_reconciler.py
+++ b/tests/policy/test_endpoint_reconciler.py
@@ -1,4 +1,4 @@
-"""What becomes of servers as lists come, and when discovery is polled again."""
+"""Tests of applying endpoint lists, and of the delay until discovery is polled again."""
 
 import pytest
 from driver import Driver
@@ -16,75 +16,83 @@
 from oakbridge.policy.timers import SECOND_US as SECOND
 
 
-def test_nothing_goes_to_what_drains_and_a_returned_server_starts_clean():
-    d = Driver(servers=2)
-    d.serve(10)
-    d.feed(EndpointListReceived([Endpoint("s0", EndpointState.DRAINING)], complete=False))
-    assert set(d.serve(20)) == {"s1"}
-    d.balancer.endpoints.known["s0"].score = 5.0
-    d.feed(EndpointListReceived([Endpoint("s0", started_at=1)], complete=False))
-    assert d.balancer.servers["s0"].score < 0
+def test_draining_servers_get_no_attempts_and_a_restarted_server_has_no_history():
+    driver = Driver(servers=2)
+    driver.serve(10)
+    driver.feed(EndpointListReceived([Endpoint("s0", EndpointState.DRAINING)], complete=False))
+    assert set(driver.serve(20)) == {"s1"}
+    driver.balancer.endpoints.known["s0"].score = 5.0
+    driver.feed(EndpointListReceived([Endpoint("s0", started_at=1)], complete=False))
+    assert driver.balancer.servers["s0"].score < 0
 
 
-@pytest.mark.parametrize("out", [False, True])
-def test_servers_that_are_gone_are_forgotten_once_no_call_is_out(out):
-    """Guards against growth on a long day, on which servers are replaced under ever new ids."""
-    d = Driver(servers=0)
+@pytest.mark.parametrize("is_in_flight", [False, True])
+def test_removed_servers_are_dropped_once_no_attempt_is_in_flight(is_in_flight):
+    """Guards against memory growth while servers are replaced under new ids."""
+    driver = Driver(servers=0)
     for i in range(50):
-        d.feed(EndpointListReceived([Endpoint(f"new{i}", started_at=1)], complete=i % 2 == 0))
-        sends = [a for a in d.send_request() if isinstance(a, SendAttempt)]
-        if not out:
-            d.end_attempt(sends[0], AttemptResult.OK)
-        d.feed(EndpointListReceived([Endpoint(f"new{i}", EndpointState.REMOVED)], complete=False))
-        if out:
-            assert f"new{i}" in d.balancer.endpoints.known
-            d.end_attempt(sends[0], AttemptResult.OK)
-    assert d.balancer.endpoints.known == d.balancer.servers == d.balancer.slow_start.warming == {}
-    assert not d.balancer.members.subset
-    assert not d.balancer.members.reserve
+        driver.feed(EndpointListReceived([Endpoint(f"new{i}", started_at=1)], complete=i % 2 == 0))
+        sends = [action for action in driver.send_request() if isinstance(action, SendAttempt)]
+        if not is_in_flight:
+            driver.end_attempt(sends[0], AttemptResult.OK)
+        driver.feed(
+            EndpointListReceived([Endpoint(f"new{i}", EndpointState.REMOVED)], complete=False)
+        )
+        if is_in_flight:
+            assert f"new{i}" in driver.balancer.endpoints.known
+            driver.end_attempt(sends[0], AttemptResult.OK)
+    assert (
+        driver.balancer.endpoints.known
+        == driver.balancer.servers
+        == driver.balancer.slow_start.warming
+        == {}
+    )
+    assert not driver.balancer.members.subset
+    assert not driver.balancer.members.reserve
 
 
-def asked_after(seed, **lost):
-    """How long a copy waits before it asks again, the first time and the tenth."""
-    d = Driver(seed=seed, poll_discovery=True, poll_interval=10 * SECOND)
-    d.run_to(20 * SECOND)
-    assert len(d.actions_of(WatchEndpoints)) == 1
+def poll_delays(seed, **failure):
+    """Return the delay after the first and after the tenth failed poll of a replica."""
+    driver = Driver(seed=seed, poll_discovery=True, poll_interval=10 * SECOND)
+    driver.run_to(20 * SECOND)
+    assert len(driver.actions_of(WatchEndpoints)) == 1
     gaps = []
     for _ in range(10):
-        before = d.now
-        d.feed(EndpointListReceived(failed=True, **lost))
-        d.run_to(d.now + 6 * SECOND)
-        gaps.append([t for t, a in d.actions if isinstance(a, WatchEndpoints)][-1] - before)
-    assert len(d.actions_of(WatchEndpoints)) == 11
+        before = driver.now
+        driver.feed(EndpointListReceived(failed=True, **failure))
+        driver.run_to(driver.now + 6 * SECOND)
+        gaps.append(
+            [at for at, action in driver.actions if isinstance(action, WatchEndpoints)][-1] - before
+        )
+    assert len(driver.actions_of(WatchEndpoints)) == 11
     return gaps[0], gaps[-1]
 
 
 @pytest.mark.parametrize(
-    ("lost", "least", "most"),
+    ("failure", "min_delay_s", "max_delay_s"),
     [
-        ({}, 0.3, 4.5),  # a watch that was on: all copies' may have broken
-        (
-            {"waited": 20_000},
-            2.5,
-            4.5,
-        ),  # turned away at once: the line is full, and this list is young
+        ({}, 0.3, 4.5),  # an interrupted watch: those of all replicas may be
+        ({"waited": 20_000}, 2.5, 4.5),  # refused at once: the queue is full, the list is young
         ({"waited": 20_000, "staleness": 2 * SECOND}, 0.5, 2.5),
-        ({"waited": 20_000, "staleness": 5 * SECOND}, 0.3, 1.0),  # first of all
-        ({"waited": SECOND}, 3, 5),  # it stood in line, and cost discovery as much as an answer
+        ({"waited": 20_000, "staleness": 5 * SECOND}, 0.3, 1.0),  # an old list goes first
+        ({"waited": SECOND}, 3, 5),  # it was queued, and cost as much as an answer
         ({"waited": 2 * SECOND, "staleness": 5 * SECOND}, 3, 5),
     ],
 )
-def test_copies_that_lose_discovery_at_once_ask_again_apart_and_the_oldest_lists_first(
-    lost, least, most
+def test_replicas_that_lose_discovery_together_poll_apart_and_oldest_lists_first(
+    failure, min_delay_s, max_delay_s
 ):
-    """Discovery works off calls in turn, and news counts as told after six seconds.
+    """Discovery handles polls one after another, and a change must be known within six seconds.
 
-    No wait grows with failures.
+    The delay does not grow with the number of failures.
     """
-    for gaps in zip(*(asked_after(seed, **lost) for seed in range(60)), strict=True):
-        began = [gap + lost.get("waited", 0) for gap in gaps]
-        assert least * SECOND <= min(began)
-        assert max(began) <= most * SECOND + 1000
-        third = (most - least) / 3
+    for gaps in zip(*(poll_delays(seed, **failure) for seed in range(60)), strict=True):
+        delays = [gap + failure.get("waited", 0) for gap in gaps]
+        assert min_delay_s * SECOND <= min(delays)
+        assert max(delays) <= max_delay_s * SECOND + 1000
+        third = (max_delay_s - min_delay_s) / 3
         for i in range(3):
-            assert sum(i * third <= b / SECOND - least < (i + 1) * third for b in began) >= 8
+            assert (
+                sum(i * third <= delay / SECOND - min_delay_s < (i + 1) * third for delay in delays)
+                >= 8
+            )
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""When a client that was rejected may come again."""
+"""Tests of the Retry-After of rejected requests."""
 
 import pytest
 from driver import Driver, overload
@@ -9,15 +9,16 @@
 from oakbridge.policy.timers import SECOND_US as SECOND
 
 
-@pytest.mark.parametrize(("most", "tier"), [(0, 0), (SECOND, 0), (SECOND, 1)])
-def test_refusal_says_when_to_come_back_where_clients_may_be_told(most, tier):
-    d = Driver(servers=2, max_retry_after=most, tier=tier, tier_count=2)
-    overload(d, 600, 2_000)
-    d.run_to(d.now + 5 * SECOND)
-    advice = [a.retry_after for a in d.actions_of(RejectRequest)]
-    assert advice
-    if most and not tier:
-        assert all(0 < x <= most for x in advice)
-        assert len(set(advice)) > len(advice) // 4  # not all at once
+@pytest.mark.parametrize(("max_retry_after", "tier"), [(0, 0), (SECOND, 0), (SECOND, 1)])
+def test_rejections_give_a_retry_after_where_it_is_allowed(max_retry_after, tier):
+    driver = Driver(servers=2, max_retry_after=max_retry_after, tier=tier, tier_count=2)
+    overload(driver, 600, 2_000)
+    driver.run_to(driver.now + 5 * SECOND)
+    delays = [action.retry_after for action in driver.actions_of(RejectRequest)]
+    assert delays
+    if max_retry_after and not tier:
+        assert all(0 < delay <= max_retry_after for delay in delays)
+        # The delays are spread, so that clients do not retry at the same time.
+        assert len(set(delays)) > len(delays) // 4
     else:
-        assert set(advice) == {0}
+        assert set(delays) == {0}
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget, and the delays of retries."""
+"""Tests of the retry budget, and of the delays of retries."""
 
 from driver import Driver
 
@@ -16,7 +16,7 @@
 )
 from oakbridge.policy.timers import SECOND_US as SECOND
 
-RATIO, FLOOR_PER_S, WINDOW_S = 0.2, 0.1, 10  # the settings' own
+RATIO, FLOOR_PER_S, WINDOW_S = 0.2, 0.1, 10  # the defaults of the settings
 BUDGET = Settings(
     (RequestClass("any", 1, 2),),
     retry_ratio=RATIO,
@@ -33,10 +33,11 @@
     taken = sum(budget.take(0, "", 1.0) for _ in range(50))
     assert taken == int(allowed)
     assert not budget.take((WINDOW_S - 1) * SECOND, "", 1.0)
-    assert budget.left(WINDOW_S * SECOND) == FLOOR_PER_S * WINDOW_S  # the window has moved on
+    # The first attempts have left the window.
+    assert budget.left(WINDOW_S * SECOND) == FLOOR_PER_S * WINDOW_S
 
 
-def test_one_tenants_failing_burst_leaves_half_of_the_budget():
+def test_one_tenants_failures_leave_half_of_the_budget_to_others():
     budget = RetryBudget(BUDGET)
     for _ in range(100):
         budget.window.add_first(0)
@@ -46,44 +47,44 @@
     assert other == 5
 
 
-def test_retries_do_not_multiply():
-    """With every server failing, attempts stay near 1 + the ratio for each first try."""
-    d = Driver(servers=6)
+def test_retries_stay_within_the_budget():
+    """With all servers failing, attempts per request stay near 1 + the ratio."""
+    driver = Driver(servers=6)
     for _ in range(300):
-        d.run_to(d.now + 20_000)
-        for send in [a for a in d.send_request() if isinstance(a, SendAttempt)]:
-            d.end_attempt(send, AttemptResult.ERROR)
-        for send in d.actions_of(SendAttempt)[-3:]:
-            d.feed(AttemptEnded(send.request_id, 1, send.server, AttemptResult.ERROR, 5))
-    assert len(d.actions_of(SendAttempt)) <= 300 * (1 + RATIO) + FLOOR_PER_S * WINDOW_S + 1
+        driver.run_to(driver.now + 20_000)
+        for send in [action for action in driver.send_request() if isinstance(action, SendAttempt)]:
+            driver.end_attempt(send, AttemptResult.ERROR)
+        for send in driver.actions_of(SendAttempt)[-3:]:
+            driver.feed(AttemptEnded(send.request_id, 1, send.server, AttemptResult.ERROR, 5))
+    assert len(driver.actions_of(SendAttempt)) <= 300 * (1 + RATIO) + FLOOR_PER_S * WINDOW_S + 1
 
 
 def test_retry_delays_are_random_and_grow():
-    first, second = [], []
+    first_delays, second_delays = [], []
     for seed in range(40):
-        d = Driver(seed=seed, max_attempts=6)
-        d.serve(60)
-        sent = next(a for a in d.send_request() if isinstance(a, SendAttempt))
-        at = d.now
-        d.end_attempt(sent, AttemptResult.ERROR)
-        d.run_to(at + 200_000)
-        again = [
-            (t, a)
-            for t, a in d.actions
-            if isinstance(a, SendAttempt) and a.request_id == sent.request_id
+        driver = Driver(seed=seed, max_attempts=6)
+        driver.serve(60)
+        sent = next(action for action in driver.send_request() if isinstance(action, SendAttempt))
+        at = driver.now
+        driver.end_attempt(sent, AttemptResult.ERROR)
+        driver.run_to(at + 200_000)
+        retry = [
+            (when, action)
+            for when, action in driver.actions
+            if isinstance(action, SendAttempt) and action.request_id == sent.request_id
         ][1]
-        first.append(again[0] - at)
-        at = d.now
-        d.end_attempt(again[1], AttemptResult.ERROR, 1)
-        d.run_to(at + 400_000)
-        second.append(
+        first_delays.append(retry[0] - at)
+        at = driver.now
+        driver.end_attempt(retry[1], AttemptResult.ERROR, 1)
+        driver.run_to(at + 400_000)
+        second_delays.append(
             [
-                t
-                for t, a in d.actions
-                if isinstance(a, SendAttempt) and a.request_id == sent.request_id
+                when
+                for when, action in driver.actions
+                if isinstance(action, SendAttempt) and action.request_id == sent.request_id
             ][2]
             - at
         )
-    assert min(first) > 0
-    assert len(set(first)) > 20
-    assert sum(second) > 1.5 * sum(first)
+    assert min(first_delays) > 0
+    assert len(set(first_delays)) > 20
+    assert sum(second_delays) > 1.5 * sum(first_delays)
--- a/tests/policy/test_streamed.py
+++ b/tests/policy/test_streamed.py
@@ -1,4 +1,4 @@
-"""Requests whose body goes on as it comes, and answers that break behind their beginning."""
+"""Tests of streamed request bodies, and of responses that break off."""
 
 import pytest
 from driver import READ, Driver
@@ -7,14 +7,15 @@
 from oakbridge.policy.balancer import UPLOAD_TIMEOUT_US
 from oakbridge.policy.events import AttemptEnded, AttemptResult, RequestBodySent, RequestReceived
 
-LEFT = 2_000_000
+TIME_LEFT_US = 2_000_000
 
 
-def begin(d: Driver, number: int = 1000) -> SendAttempt:
+def send_streamed(driver: Driver, number: int = 1000) -> SendAttempt:
+    """Send a request with a streamed body; return its attempt."""
     [send] = [
-        a
-        for a in d.feed(RequestReceived(number, "read", LEFT, streamed=True))
-        if isinstance(a, SendAttempt)
+        action
+        for action in driver.feed(RequestReceived(number, "read", TIME_LEFT_US, streamed=True))
+        if isinstance(action, SendAttempt)
     ]
     return send
 
@@ -28,52 +29,57 @@
         AttemptResult.RESET,
     ],
 )
-def test_it_is_sent_once_and_refused_where_it_never_ran(result):
-    """Guards against a second attempt for which there is no body any more."""
-    d = Driver(classes=(READ,))
-    d.serve(60)
-    send = begin(d)
-    got = d.end_attempt(send, result)
-    assert [type(a) for a in got if isinstance(a, RejectRequest | FailRequest)] == [
-        RejectRequest
-    ]  # a safe one
-    d.run_to(d.now + 2_000_000)
-    assert [s.request_id for s in d.actions_of(SendAttempt)].count(send.request_id) == 1
+def test_a_streamed_request_is_not_retried(result):
+    """Guards against a retry when the body is no longer there."""
+    driver = Driver(classes=(READ,))
+    driver.serve(60)
+    send = send_streamed(driver)
+    actions = driver.end_attempt(send, result)
+    # The class is idempotent, so the client may retry.
+    assert [
+        type(action) for action in actions if isinstance(action, RejectRequest | FailRequest)
+    ] == [RejectRequest]
+    driver.run_to(driver.now + 2_000_000)
+    assert [action.request_id for action in driver.actions_of(SendAttempt)].count(
+        send.request_id
+    ) == 1
 
 
-def test_its_time_counts_from_the_end_of_its_body():
-    d = Driver(classes=(READ,))
-    send = begin(d)
-    assert send.timeout > LEFT
-    d.run_to(5_000_000)
-    assert not d.actions_of(RejectRequest)
-    d.feed(RequestBodySent(send.request_id, 0, LEFT))
-    d.run_to(5_000_000 + LEFT - 100_000)
-    assert not d.actions_of(RejectRequest)
-    d.run_to(5_000_000 + LEFT)
-    assert [a.request_id for a in d.actions_of(RejectRequest)] == [send.request_id]
+def test_the_time_of_a_streamed_request_counts_from_the_end_of_its_body():
+    driver = Driver(classes=(READ,))
+    send = send_streamed(driver)
+    assert send.timeout > TIME_LEFT_US
+    driver.run_to(5_000_000)
+    assert not driver.actions_of(RejectRequest)
+    driver.feed(RequestBodySent(send.request_id, 0, TIME_LEFT_US))
+    driver.run_to(5_000_000 + TIME_LEFT_US - 100_000)
+    assert not driver.actions_of(RejectRequest)
+    driver.run_to(5_000_000 + TIME_LEFT_US)
+    assert [action.request_id for action in driver.actions_of(RejectRequest)] == [send.request_id]
 
 
-def test_one_whose_body_never_ends_is_given_up():
-    d = Driver(classes=(READ,))
-    send = begin(d)
-    d.run_to(UPLOAD_TIMEOUT_US + 10_000)
-    assert [a.request_id for a in d.actions_of(RejectRequest)] == [send.request_id]
+def test_a_request_whose_body_never_ends_is_rejected():
+    driver = Driver(classes=(READ,))
+    send = send_streamed(driver)
+    driver.run_to(UPLOAD_TIMEOUT_US + 10_000)
+    assert [action.request_id for action in driver.actions_of(RejectRequest)] == [send.request_id]
 
 
-def test_a_server_that_takes_a_long_body_does_not_count_as_hanging():
-    d = Driver(servers=2, classes=(READ,), cancellation_allowed=True)
-    send = begin(d)
-    d.serve(200)
-    assert not d.balancer.outliers.is_hung(d.balancer.endpoints.known[send.server], d.now)
-    assert not d.actions_of(CancelAttempt)
+def test_a_server_that_receives_a_long_body_does_not_hang():
+    driver = Driver(servers=2, classes=(READ,), cancellation_allowed=True)
+    send = send_streamed(driver)
+    driver.serve(200)
+    assert not driver.balancer.outliers.is_hung(
+        driver.balancer.endpoints.known[send.server], driver.now
+    )
+    assert not driver.actions_of(CancelAttempt)
 
 
-def test_an_answer_that_breaks_behind_its_beginning_counts_against_its_server():
-    d = Driver(classes=(READ,))
-    d.serve(60)
-    before = d.balancer.endpoints.known["s0"].score
+def test_a_response_that_breaks_off_counts_as_a_failure_of_its_server():
+    driver = Driver(classes=(READ,))
+    driver.serve(60)
+    before = driver.balancer.endpoints.known["s0"].score
     for i in range(4):
-        d.feed(AttemptEnded(i, 0, "s0", AttemptResult.RESET, 0, True))
-    assert d.balancer.endpoints.known["s0"].score > before
-    d.feed(AttemptEnded(9, 0, "nobody", AttemptResult.RESET, 0, True))
+        driver.feed(AttemptEnded(i, 0, "s0", AttemptResult.RESET, 0, True))
+    assert driver.balancer.endpoints.known["s0"].score > before
+    driver.feed(AttemptEnded(9, 0, "unknown", AttemptResult.RESET, 0, True))
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -1,4 +1,4 @@
-"""How the subset follows the load."""
+"""Tests of the size and the members of the subset."""
 
 import pytest
 from driver import Driver
@@ -13,37 +13,37 @@
 )
 
 
-def test_subset_widens_under_load_and_narrows_when_quiet():
-    d = Driver(servers=40, replica_count=40)
-    d.balancer.admission.limit = 99.0
-    least = len(d.balancer.members.subset)
-    assert least < 40
+def test_the_subset_widens_under_load_and_narrows_without_it():
+    driver = Driver(servers=40, replica_count=40)
+    driver.balancer.admission.limit = 99.0
+    min_size = len(driver.balancer.members.subset)
+    assert min_size < 40
     sent = []
     for _ in range(60):
-        d.run_to(d.now + 600_000 // 10)
-        sent += [a for a in d.send_request() if isinstance(a, SendAttempt)]
-    wide = len(d.balancer.members.subset)
-    assert wide > least
+        driver.run_to(driver.now + 600_000 // 10)
+        sent += [action for action in driver.send_request() if isinstance(action, SendAttempt)]
+    wide_size = len(driver.balancer.members.subset)
+    assert wide_size > min_size
     for send in sent:
-        d.end_attempt(send, AttemptResult.OK)
-    d.serve(40, gap=600_000)
-    assert len(d.balancer.members.subset) < wide
+        driver.end_attempt(send, AttemptResult.OK)
+    driver.serve(40, gap=600_000)
+    assert len(driver.balancer.members.subset) < wide_size
 
 
-@pytest.mark.parametrize("pieces", [1, 4])
-def test_new_servers_are_in_as_many_copies_subsets_as_old_ones(pieces):
-    """Zone day at 200 nodes.
+@pytest.mark.parametrize("batches", [1, 4])
+def test_new_servers_are_in_as_many_subsets_as_old_ones(batches):
+    """Guards against servers that get few requests after their return.
 
-    Of 67 servers 20 that were back got a tenth of their part for seconds.
+    With 67 servers and 200 nodes, 20 that came back got a tenth of their share for seconds.
     """
     counts = {"old": 0, "new": 0}
     for seed in range(150):
-        d = Driver(servers=40, seed=seed, replica_count=40)
-        d.serve(3)
+        driver = Driver(servers=40, seed=seed, replica_count=40)
+        driver.serve(3)
         new = [Endpoint(f"n{i}") for i in range(20)]
-        for n in range(pieces):
-            part = new[n * 20 // pieces : (n + 1) * 20 // pieces]
-            d.feed(EndpointListReceived(part, complete=False, more_follow=n + 1 < pieces))
-        for s in d.balancer.members.subset.items(with_inactive=True):
-            counts["new" if s.id[0] == "n" else "old"] += 1
+        for n in range(batches):
+            part = new[n * 20 // batches : (n + 1) * 20 // batches]
+            driver.feed(EndpointListReceived(part, complete=False, more_follow=n + 1 < batches))
+        for server in driver.balancer.members.subset.items(with_inactive=True):
+            counts["new" if server.id[0] == "n" else "old"] += 1
     assert 0.8 < counts["new"] / 20 / (counts["old"] / 40) < 1.25
