--- a/oakbridge/simhost/adapter.py
+++ b/oakbridge/simhost/adapter.py
@@ -3,13 +3,15 @@
 The adapter translates messages to events and actions to messages; it makes no decisions.
 
 These settings are read but used in no decision so far: ``me``, ``parties[].fraction``, ``goal.*``,
-``prices.*`` but ``cross-zone``, ``classes[].aim-stretch``, ``report.source``, ``invariants.answer-slack``,
-``invariants.stop-sending-within`` and ``invariants.fall``, ``client-habits.marks-retry``, ``worth-by``,
-``extra.*``, and of ``allowed``: ``probing``, ``may-tell``, ``max-retry-after``, ``conn-idle``,
-``connect-timeout``, ``streams-per-conn``, ``max-open``, ``cpu-us-per-s``, ``cpu-us-per-request``; of a
-request ``again-by-client``, ``entity``, ``hint`` and ``is-write``; of load reports all but ``q``.
-These are ignored, as no decision could use them: ``domain-type``, ``models`` and a server's ``flavor``, the
-names in ``layers`` and the prices ``origin``, ``moves`` and ``fleet``, which no action causes.
+``prices.*`` but ``cross-zone``, ``classes[].aim-stretch``, ``report.source``,
+``invariants.answer-slack``, ``invariants.stop-sending-within`` and ``invariants.fall``,
+``client-habits.marks-retry``, ``worth-by``, ``extra.*``, and of ``allowed``: ``probing``,
+``may-tell``, ``max-retry-after``, ``conn-idle``, ``connect-timeout``, ``streams-per-conn``,
+``max-open``, ``cpu-us-per-s``, ``cpu-us-per-request``; of a request ``again-by-client``,
+``entity``, ``hint`` and ``is-write``; of load reports all but ``q``.
+These are ignored, as no decision could use them: ``domain-type``, ``models`` and a server's
+``flavor``, the names in ``layers`` and the prices ``origin``, ``moves`` and ``fleet``, which no
+action causes.
 """
 
 from __future__ import annotations
@@ -229,8 +231,8 @@
     "update": (_NODE_FIELD, ("mode", str, True), ("roster-id", int, False)),
 }  # fmt: skip
 _ENTRY_FIELDS = (
-    ("server", str, True), ("availability", str, False), ("locality", str, False), ("bay", int, False),
-    ("units", NUMBER, False), ("start-time", int, False),
+    ("server", str, True), ("availability", str, False), ("locality", str, False),
+    ("bay", int, False), ("units", NUMBER, False), ("start-time", int, False),
 )  # fmt: skip
 
 
--- a/tests/formats/test_policy_state.py
+++ b/tests/formats/test_policy_state.py
@@ -1,6 +1,6 @@
-"""The saved state of the decision module: one process writes it, the next one reads it by position.
+"""Tests of the saved state of the policy, which a successor process reads by position.
 
-The fixtures were written by the program before its code was renamed; they never change.
+The fixtures were written before the code was renamed; they never change.
 """
 
 import json
@@ -28,7 +28,7 @@
     "report_source": ReportSource.RESPONSES,
     "report_names": ("queued", "in_flight"),
 }
-STARTED_AT_US = {"s6": LISTED_AT_US}  # by server; the others have run since 0
+STARTED_AT_US = {"s6": LISTED_AT_US}  # by server; the others started at 0
 SERVERS = [
     Endpoint(
         f"s{i}",
@@ -39,20 +39,20 @@
     )
     for i in range(10)
 ]
-# The results of attempts by server; the others answer OK.
-ANSWERS = {"s1": AttemptResult.ERROR, "s2": AttemptResult.REJECTED, "s3": AttemptResult.TIMEOUT}
+# The results of attempts with odd request ids by server; all others are OK.
+RESULTS = {"s1": AttemptResult.ERROR, "s2": AttemptResult.REJECTED, "s3": AttemptResult.TIMEOUT}
 
 
-def copy_of_a_node(seed: int) -> Driver:
-    """Make a decision module that knows ten servers, one of which has just started."""
+def new_driver(seed: int) -> Driver:
+    """Return a driver of a balancer with ten servers, one of which has just started."""
     driver = Driver(seed=seed, entries=SERVERS, **SETTINGS)
     driver.run_to(LISTED_AT_US)
     return driver
 
 
-def one_that_has_served() -> Driver:
-    """Make one that has met an ejection, a full server, retries of two tenants and load reports."""
-    driver = copy_of_a_node(seed=1)
+def driver_that_has_served() -> Driver:
+    """Return one with an ejection, a full server, retries of two tenants and load reports."""
+    driver = new_driver(seed=1)
     attempts = Counter[int]()
     for number in range(1, 121):
         driver.run_to(driver.now + 25_000)
@@ -60,40 +60,40 @@
         driver.feed(RequestReceived(number, klass, 4_000_000, tenant))
         while sends := driver.actions_of(SendAttempt)[attempts.total() :]:
             for send in sends:
-                answer_to(driver, send, attempts[send.request_id])
+                end_attempt(driver, send, attempts[send.request_id])
                 attempts[send.request_id] += 1
     return driver
 
 
-def answer_to(driver: Driver, send: SendAttempt, attempt: int) -> None:
-    """End an attempt, as its server does with every second of them."""
+def end_attempt(driver: Driver, send: SendAttempt, attempt: int) -> None:
+    """End an attempt with the result and the load report of its server."""
     latency = 20_000 + 1_000 * int(send.server[1:])
     driver.run_to(driver.now + latency)
-    result = ANSWERS.get(send.server, AttemptResult.OK) if send.request_id % 2 else AttemptResult.OK
-    finished = result == AttemptResult.OK
+    result = RESULTS.get(send.server, AttemptResult.OK) if send.request_id % 2 else AttemptResult.OK
+    is_finished = result == AttemptResult.OK
     report = {"queued": float(send.request_id % 3), "in_flight": 1.0}
     driver.feed(
-        AttemptEnded(send.request_id, attempt, send.server, result, latency, finished, report)
+        AttemptEnded(send.request_id, attempt, send.server, result, latency, is_finished, report)
     )
 
 
-def written(saved: object) -> str:
-    """Write one top-level entry a line, and one server a line, so that a person can read it."""
+def formatted(saved: object) -> str:
+    """Return JSON with each top-level entry and each server in a line of its own."""
     text = json.dumps(saved)
     for key in ('"latency": ', '"admission": ', '"due": ', '"rate": ', '"copy": ', '"slots": '):
         text = text.replace(", " + key, ",\n" + key)
     return text.replace('"s0": ', '\n"s0": ').replace('], "', '],\n"') + "\n"
 
 
-def test_a_seeded_run_is_saved_as_before():
-    driver = one_that_has_served()
+def test_a_seeded_run_is_saved_as_in_the_fixture():
+    driver = driver_that_has_served()
     fixture = (FIXTURES / "saved.json").read_text()
-    assert written(state.save(driver.balancer, driver.now)) == fixture
+    assert formatted(state.save(driver.balancer, driver.now)) == fixture
 
 
-def test_a_saved_state_is_read_and_written_as_before():
-    driver = copy_of_a_node(seed=9)
-    driver.run_to(one_that_has_served().now)
+def test_a_restored_state_is_saved_as_in_the_fixture():
+    driver = new_driver(seed=9)
+    driver.run_to(driver_that_has_served().now)
     state.restore(driver.balancer, json.loads((FIXTURES / "saved.json").read_text()), driver.now)
     fixture = (FIXTURES / "saved_after_restore.json").read_text()
-    assert written(state.save(driver.balancer, driver.now)) == fixture
+    assert formatted(state.save(driver.balancer, driver.now)) == fixture
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -1,6 +1,7 @@
-"""Choice among many servers.
+"""Tests of choosing among many servers.
 
-Pools against a model, the old rule as reference, and cost counted in lines run.
+The pools are compared with a model, the choice with a reference that looks at all servers, and the
+cost is counted in executed lines.
 """
 
 import math
@@ -36,99 +37,113 @@
 from oakbridge.policy.weighted_pool import SCAN_LENGTH
 
 SECOND = 1_000_000
-SIZES = (0.001, 0.5, 1.0, 1.0, 3.0, 1000.0)
+WEIGHT_CHOICES = (0.001, 0.5, 1.0, 1.0, 3.0, 1000.0)
 
 
 class Pools(RuleBasedStateMachine):
-    """Servers that come, go, change and are ejected; the model is a plain dict."""
+    """Servers that are added, removed, changed and ejected; the model is a plain dict."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.m, self.now, self.version = Membership("a"), 0, 1
+        self.members, self.now, self.version = Membership("a"), 0, 1
         self.model: dict[str, Server] = {}
-        self.draw = random.Random(1)
+        self.random = random.Random(1)
 
     @rule(
         name=st.integers(0, 5),
         zone=st.sampled_from("abc"),
-        size=st.sampled_from(SIZES),
-        moved=st.booleans(),
+        weight=st.sampled_from(WEIGHT_CHOICES),
+        is_moved=st.booleans(),
     )
-    def listed(self, name, zone, size, moved):
-        entry = Endpoint(str(name), zone=zone, cell=name % 7, address="x" if moved else "")
-        self.m.version = self.version
-        if (s := self.model.get(str(name))) is not None:
-            self.m.update_entry(s, entry, size, self.now)
+    def list_server(self, name, zone, weight, is_moved):
+        entry = Endpoint(str(name), zone=zone, cell=name % 7, address="x" if is_moved else "")
+        self.members.version = self.version
+        if (server := self.model.get(str(name))) is not None:
+            self.members.update_entry(server, entry, weight, self.now)
         else:
-            s = self.model[str(name)] = Server(
+            server = self.model[str(name)] = Server(
                 id=entry.id, started_at=entry.started_at, address=entry.address
             )
-            self.m.update_entry(s, entry, size, self.now)
-            s.listed_since = self.version
-            self.m.add(s, self.m.reserve, self.now)
+            self.members.update_entry(server, entry, weight, self.now)
+            server.listed_since = self.version
+            self.members.add(server, self.members.reserve, self.now)
         self.version += 1
 
     @precondition(lambda self: self.model)
     @rule(
         data=st.data(),
-        what=st.sampled_from(["remove", "widen", "narrow", "eject", "eject", "forgive"]),
+        operation=st.sampled_from(["remove", "widen", "narrow", "eject", "eject", "readmit"]),
     )
-    def change(self, data, what):
-        s = self.model[data.draw(st.sampled_from(sorted(self.model)))]
-        if what == "remove":
-            self.m.remove(self.model.pop(s.id))
-        elif what in ("widen", "narrow"):
-            self.m.move(s, self.m.subset if what == "widen" else self.m.reserve, self.now)
+    def change_server(self, data, operation):
+        server = self.model[data.draw(st.sampled_from(sorted(self.model)))]
+        if operation == "remove":
+            self.members.remove(self.model.pop(server.id))
+        elif operation in ("widen", "narrow"):
+            self.members.move(
+                server,
+                self.members.subset if operation == "widen" else self.members.reserve,
+                self.now,
+            )
         else:
-            s.ejected_until = self.now + self.draw.randrange(1, 30) if what == "eject" else 0
-            self.m.update_ejection(s, self.now)
+            server.ejected_until = (
+                self.now + self.random.randrange(1, 30) if operation == "eject" else 0
+            )
+            self.members.update_ejection(server, self.now)
 
-    @rule(by=st.integers(0, 20))
-    def wait(self, by):
-        self.now += by
-        self.m.end_ejections(self.now)
+    @rule(delay=st.integers(0, 20))
+    def wait(self, delay):
+        self.now += delay
+        self.members.end_ejections(self.now)
 
     @invariant()
-    def all_is_where_it_belongs(self):
-        sides = (self.m.subset, self.m.reserve)
+    def pools_and_indexes_match_the_model(self):
+        partitions = (self.members.subset, self.members.reserve)
         assert (
-            sorted(s.id for side in sides for s in side.items(with_inactive=True))
+            sorted(
+                server.id
+                for partition in partitions
+                for server in partition.items(with_inactive=True)
+            )
             == sorted(self.model)
-            == sorted(self.m.servers)
+            == sorted(self.members.servers)
         )
-        assert self.m.ejected_count() == sum(
-            s.ejected_until > self.now for s in self.model.values()
+        assert self.members.ejected_count() == sum(
+            server.ejected_until > self.now for server in self.model.values()
         )
-        for side in sides:
-            for pool, near, out in zip(
-                side.pools(with_inactive=True), (1, 0, 1, 0), (0, 0, 1, 1), strict=True
+        for partition in partitions:
+            for pool, is_near, is_ejected in zip(
+                partition.pools(with_inactive=True), (1, 0, 1, 0), (0, 0, 1, 1), strict=True
             ):
-                members = [s for group in pool.groups.values() for s in group]
+                members = [server for group in pool.groups.values() for server in group]
                 assert all(
-                    (s.zone == "a") == near and (s.ejected_until > self.now) == out for s in members
+                    (server.zone == "a") == is_near
+                    and (server.ejected_until > self.now) == is_ejected
+                    for server in members
                 )
                 assert all(
-                    pool.groups[rank][s.slot] is s for rank, g in pool.groups.items() for s in g
+                    pool.groups[exponent][server.slot] is server
+                    for exponent, group in pool.groups.items()
+                    for server in group
                 )
                 assert pool.count == len(members)
                 assert math.isclose(
-                    pool.total, sum(s.weight for s in members), abs_tol=1e-9, rel_tol=1e-9
+                    pool.total, sum(server.weight for server in members), abs_tol=1e-9, rel_tol=1e-9
                 )
                 if members:
-                    assert pool.draw(self.draw) in members
-        assert self.m.oldest_version() == min(
-            (s.listed_since for s in self.model.values()), default=math.inf
+                    assert pool.draw(self.random) in members
+        assert self.members.oldest_version() == min(
+            (server.listed_since for server in self.model.values()), default=math.inf
         )
         for index, key in (
-            (self.m.by_zone, "zone"),
-            (self.m.by_cell, "cell"),
-            (self.m.by_version, "listed_since"),
+            (self.members.by_zone, "zone"),
+            (self.members.by_cell, "cell"),
+            (self.members.by_version, "listed_since"),
         ):
-            told = {k: sorted(v) for k, v in index.items()}
-            real: dict = {}
-            for s in self.model.values():
-                real.setdefault(getattr(s, key), []).append(s.id)
-            assert told == {k: sorted(v) for k, v in real.items()}
+            indexed = {value: sorted(group) for value, group in index.items()}
+            expected: dict = {}
+            for server in self.model.values():
+                expected.setdefault(getattr(server, key), []).append(server.id)
+            assert indexed == {value: sorted(names) for value, names in expected.items()}
 
 
 Pools.TestCase.settings = settings(
@@ -137,34 +152,37 @@
 TestPools = Pools.TestCase
 
 
-def reference(b: Balancer, call, now) -> list[Server]:
-    """The rule before: the whole subset in a weighted random order, then the spare servers."""
-    tried = {a.server.id for a in call.attempts}
-    even = math.ceil((b.admission.in_flight + 1) / max(1, len(b.members.subset)))
-    for members, most in (
-        (b.members.subset, even),
-        (b.members.subset, math.inf),
-        (b.members.reserve, math.inf),
+def reference_pair(balancer: Balancer, request, now) -> list[Server]:
+    """Choose candidates from the whole subset in weighted random order, then from the reserve."""
+    tried = {attempt.server.id for attempt in request.attempts}
+    fair_share = math.ceil(
+        (balancer.admission.in_flight + 1) / max(1, len(balancer.members.subset))
+    )
+    for members, max_load in (
+        (balancer.members.subset, fair_share),
+        (balancer.members.subset, math.inf),
+        (balancer.members.reserve, math.inf),
     ):
         order = sorted(
-            members.items(with_inactive=True), key=lambda s: b.random.expovariate(s.weight)
+            members.items(with_inactive=True),
+            key=lambda server: balancer.random.expovariate(server.weight),
         )
-        own = [
+        local = [
             i
-            for i, s in enumerate(order)
-            if s.zone == b.members.local_zone and s.ejected_until <= now
+            for i, server in enumerate(order)
+            if server.zone == balancer.members.local_zone and server.ejected_until <= now
         ]
-        near = own[0] if b.members.local_zone and own else 0
-        order.insert(0, order.pop(near)) if near else None
+        first = local[0] if balancer.members.local_zone and local else 0
+        order.insert(0, order.pop(first)) if first else None
         pair = []
-        for s in order:
+        for server in order:
             if (
-                s.id not in tried
-                and len(s.in_flight) < most
-                and b.safety.allows_attempt(call, s, now)
-                and b.selection.is_usable(s, call, now)
+                server.id not in tried
+                and len(server.in_flight) < max_load
+                and balancer.safety.allows_attempt(request, server, now)
+                and balancer.selection.is_usable(server, request, now)
             ):
-                pair.append(s)
+                pair.append(server)
                 if len(pair) == 2:
                     break
         if pair:
@@ -172,64 +190,70 @@
     return []
 
 
-def world(count: int, seed: int, **more) -> tuple[Balancer, OpenRequest]:
-    """A balancer whose members differ in size, zone, calls out and health; and a call."""
-    klass = RequestClass("look", 2 * SECOND, 6 * SECOND, idempotency=more.pop("repeat", "safe"))
-    b = Balancer(Settings(classes=(klass,), replica_count=2, **more), seed)
-    draw = random.Random(seed)
+def balancer_and_request(count: int, seed: int, **options) -> tuple[Balancer, OpenRequest]:
+    """Return a balancer whose servers differ in weight, zone, load and ejection; and a request."""
+    klass = RequestClass(
+        "look", 2 * SECOND, 6 * SECOND, idempotency=options.pop("idempotency", "safe")
+    )
+    balancer = Balancer(Settings(classes=(klass,), replica_count=2, **options), seed)
+    rng = random.Random(seed)
     entries = [
-        Endpoint(f"s{i}", zone="ab"[i % 2], cell=i // 2, weight=draw.choice((0.2, 1.0, 1.0, 4.0)))
+        Endpoint(f"s{i}", zone="ab"[i % 2], cell=i // 2, weight=rng.choice((0.2, 1.0, 1.0, 4.0)))
         for i in range(count)
     ]  # fmt: skip
-    b.handle(SECOND, EndpointListReceived(entries))
-    for s in b.servers.values():
-        for k in range(draw.choice((0, 0, 1, 2))):
-            s.in_flight[-k - 1, 0] = Attempt(s, SECOND, 0, s.zone, s.cell)
-            b.admission.in_flight += 1
-        if draw.random() < 0.2:
-            s.ejected_until = 9 * SECOND
-            b.members.update_ejection(s, SECOND)
-    return b, OpenRequest(1, klass, "", SECOND, is_streamed=False)
+    balancer.handle(SECOND, EndpointListReceived(entries))
+    for server in balancer.servers.values():
+        for k in range(rng.choice((0, 0, 1, 2))):
+            server.in_flight[-k - 1, 0] = Attempt(server, SECOND, 0, server.zone, server.cell)
+            balancer.admission.in_flight += 1
+        if rng.random() < 0.2:
+            server.ejected_until = 9 * SECOND
+            balancer.members.update_ejection(server, SECOND)
+    return balancer, OpenRequest(1, klass, "", SECOND, is_streamed=False)
 
 
 ZONES = {"zone": "a", "zones": ("a", "b"), "prices": Prices(cross_zone=1.0)}
 
 
 @pytest.mark.parametrize(
-    "more",
+    "options",
     [{}, {"weight_source": WeightSource.NOMINAL}, ZONES | {"weight_source": WeightSource.NOMINAL}],
 )
 @pytest.mark.parametrize(("count", "seed"), [(2, 1), (5, 2), (12, 3), (60, 4), (300, 5)])
-def test_choices_have_the_distribution_of_the_old_rule(count, seed, more):
-    """Each server's part of pairs and first places, by a chi-square test of two samples (1e-4)."""
-    b, call = world(count, seed, **more)
+def test_choices_have_the_distribution_of_the_reference(count, seed, options):
+    """Compare how often each server is a candidate, by a chi-square test of two samples (1e-4)."""
+    balancer, request = balancer_and_request(count, seed, **options)
     rounds = 4000
-    seen: list[Counter] = []
-    for pick in (
-        lambda: b.selection.choose_candidates(call, b.admission.in_flight, SECOND),
-        lambda: reference(b, call, SECOND),
+    samples: list[Counter] = []
+    for choose in (
+        lambda: balancer.selection.choose_candidates(request, balancer.admission.in_flight, SECOND),
+        lambda: reference_pair(balancer, request, SECOND),
     ):
         counts: Counter = Counter()
         for _ in range(rounds):
-            pair = pick()
-            counts.update({s.id: 1 for s in pair})
-            counts["", len(pair), tuple(s.zone for s in pair) if b.members.local_zone else ""] += 1
-        seen.append(counts)
+            pair = choose()
+            counts.update({server.id: 1 for server in pair})
+            counts[
+                "",
+                len(pair),
+                tuple(server.zone for server in pair) if balancer.members.local_zone else "",
+            ] += 1
+        samples.append(counts)
     statistic = freedom = 0.0
-    for key in seen[0].keys() | seen[1].keys():
-        x, y = seen[0][key], seen[1][key]
-        if x + y >= 10:
-            statistic += (x - y) ** 2 / (x + y)
+    for key in samples[0].keys() | samples[1].keys():
+        first, second = samples[0][key], samples[1][key]
+        if first + second >= 10:
+            statistic += (first - second) ** 2 / (first + second)
             freedom += 1
     # The normal approximation of chi-square's upper quantile (Wilson and Hilferty), 3.72 for 1e-4.
     bound = freedom * (1 - 2 / (9 * freedom) + 3.72 * math.sqrt(2 / (9 * freedom))) ** 3
     assert statistic < bound, (statistic, freedom)
 
 
-class Lines:
-    """Counts the lines that the policy runs: a cost that is the same on every machine."""
+class LineCounter:
+    """Counts the executed lines of the policy, a cost that is the same on every machine."""
 
-    def __enter__(self) -> "Lines":
+    def __enter__(self) -> "LineCounter":
         self.count = 0
         self._before = sys.gettrace()
         sys.settrace(self._call)
@@ -246,68 +270,78 @@
         return self._line
 
 
-def serve(b: Balancer, now: int, number: int) -> int:
-    """One request and its good end, if it was sent; how often it was."""
+def serve(balancer: Balancer, now: int, number: int) -> int:
+    """Send a request and let its attempt succeed; return the number of attempts, 0 or 1."""
     sent = [
-        a
-        for a in b.handle(now, RequestReceived(number, "look", 3 * SECOND))
-        if isinstance(a, SendAttempt)
+        action
+        for action in balancer.handle(now, RequestReceived(number, "look", 3 * SECOND))
+        if isinstance(action, SendAttempt)
     ]
-    for a in sent:
-        b.handle(
+    for action in sent:
+        balancer.handle(
             now + 900,
-            AttemptEnded(number, 0, a.server, AttemptResult.OK, 900, request_finished=True),
+            AttemptEnded(number, 0, action.server, AttemptResult.OK, 900, request_finished=True),
         )
     return len(sent)
 
 
-def eject_all_but(b: Balancer, now: int, few: int) -> None:
-    for s in list(b.servers.values())[few:]:
-        s.ejected_until = now + 60 * SECOND
-        b.members.update_ejection(s, now)
+def eject_all_but(balancer: Balancer, now: int, count: int) -> None:
+    for server in list(balancer.servers.values())[count:]:
+        server.ejected_until = now + 60 * SECOND
+        balancer.members.update_ejection(server, now)
 
 
-def cost(count: int, prepare=lambda b, now: None, entries=None, **more) -> tuple[float, int]:
-    """Lines a request, and how many of a hundred were sent."""
-    b = Balancer(
+def cost(
+    count: int, prepare=lambda balancer, now: None, entries=None, **options
+) -> tuple[float, int]:
+    """Return the executed lines per request, and how many of a hundred requests were sent."""
+    balancer = Balancer(
         Settings(
-            classes=(RequestClass("look", 2 * SECOND, 6 * SECOND, idempotency="safe"),), **more
+            classes=(RequestClass("look", 2 * SECOND, 6 * SECOND, idempotency="safe"),), **options
         ),
         5,
     )
-    b.handle(
+    balancer.handle(
         1, EndpointListReceived(entries or [Endpoint(f"s{i}", zone="b") for i in range(count)])
     )
     now = 2 * SECOND
     for i in range(20):
-        serve(b, now := now + 1000, i)
-    prepare(b, now)
-    with Lines() as lines:
-        sent = sum(serve(b, now := now + 1000, 100 + i) for i in range(100))
-    return lines.count / 100, sent
+        serve(balancer, now := now + 1000, i)
+    prepare(balancer, now)
+    with LineCounter() as counter:
+        sent = sum(serve(balancer, now := now + 1000, 100 + i) for i in range(100))
+    return counter.count / 100, sent
 
 
-WEIGHTS = [Endpoint(f"s{i}", weight=10.0 ** random.Random(i).uniform(-3, 3)) for i in range(10_000)]
+WEIGHTED_ENDPOINTS = [
+    Endpoint(f"s{i}", weight=10.0 ** random.Random(i).uniform(-3, 3)) for i in range(10_000)
+]
 
 
 @pytest.mark.parametrize(
-    ("prepare", "more", "most"),
+    ("prepare", "options", "max_ratio"),
     [
-        (lambda b, now: None, {"replica_count": 4}, 1.5),
-        (lambda b, now: None, {"replica_count": 4, "weight_source": WeightSource.NOMINAL}, 2.5),
-        (lambda b, now: None, ZONES | {"replica_count": 2000}, 3),
-        (lambda b, now: eject_all_but(b, now, 3), {"replica_count": 4}, 3),
+        (lambda balancer, now: None, {"replica_count": 4}, 1.5),
+        (
+            lambda balancer, now: None,
+            {"replica_count": 4, "weight_source": WeightSource.NOMINAL},
+            2.5,
+        ),
+        (lambda balancer, now: None, ZONES | {"replica_count": 2000}, 3),
+        (lambda balancer, now: eject_all_but(balancer, now, 3), {"replica_count": 4}, 3),
     ],
     ids=["plain", "weights", "all in another zone", "all but three ejected"],
-)  # fmt: skip
-def test_a_decision_costs_the_same_with_ten_thousand_servers(prepare, more, most):
-    small, _ = cost(10, **more)
-    large, sent = cost(10_000, prepare, WEIGHTS if "size_source" in more else None, **more)
+)
+def test_a_decision_costs_the_same_with_ten_thousand_servers(prepare, options, max_ratio):
+    small, _ = cost(10, **options)
+    large, sent = cost(
+        10_000, prepare, WEIGHTED_ENDPOINTS if "size_source" in options else None, **options
+    )
     assert sent == 100
-    assert large < most * small, (small, large)
+    assert large < max_ratio * small, (small, large)
 
 
-def test_all_cold_at_once_costs_a_bounded_look():
+def test_the_cost_is_bounded_while_all_servers_are_starting():
     entries = [Endpoint(f"s{i}", started_at=SECOND) for i in range(10_000)]
     lines, sent = cost(
         10_000, entries=entries, slow_start_window=60 * SECOND, slow_start_minimum=0.1
@@ -316,92 +350,94 @@
     assert sent > 0
 
 
-def test_a_delta_costs_by_its_size_and_a_long_list_by_its_length():
-    def lines(count: int, entries, whole: bool) -> int:
-        b = Balancer(
+def test_changes_cost_by_their_number_and_a_complete_list_by_its_length():
+    def lines(count: int, entries, is_complete: bool) -> int:
+        balancer = Balancer(
             Settings(
                 classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True
             ),
             3,
         )
-        b.handle(1, EndpointListReceived([Endpoint(f"s{i}") for i in range(count)]))
-        with Lines() as traced:
-            b.handle(2, EndpointListReceived(entries, complete=whole))
-        return traced.count
-
-    delta = [Endpoint("new"), Endpoint("s1", state=EndpointState.REMOVED)]
-    assert lines(10_000, delta, False) < 1.2 * lines(100, delta, False)
-    half = [
+        balancer.handle(1, EndpointListReceived([Endpoint(f"s{i}") for i in range(count)]))
+        with LineCounter() as counter:
+            balancer.handle(2, EndpointListReceived(entries, complete=is_complete))
+        return counter.count
+
+    changes = [Endpoint("new"), Endpoint("s1", state=EndpointState.REMOVED)]
+    assert lines(10_000, changes, False) < 1.2 * lines(100, changes, False)
+    costs = [
         lines(n, [Endpoint(f"s{i}") for i in range(n // 2, n + n // 2)], True) for n in (200, 2000)
     ]
-    assert half[1] < 12 * half[0]
+    assert costs[1] < 12 * costs[0]
 
 
-def test_a_list_in_pieces_comes_to_the_same_as_in_one_and_none_of_them_holds_up():
-    """Half of ten thousand replaced, some draining.
+def test_a_list_in_batches_has_the_same_effect_as_at_once_and_each_batch_is_cheap():
+    """Replace half of ten thousand servers, with some draining.
 
-    Servers, versions, limits and what is still known, and the cost.
+    The resulting servers, versions, limits and records are the same.
     """
-    draw = random.Random(8)
+    rng = random.Random(8)
     listed = [
         Endpoint(
             f"s{i}",
-            EndpointState.DRAINING if draw.random() < 0.1 else EndpointState.UP,
+            EndpointState.DRAINING if rng.random() < 0.1 else EndpointState.UP,
             started_at=i,
         )
         for i in range(5_000, 15_000)
     ]
     listing = EndpointList(
-        7, True, [ListedEndpoint(s, ("127.0.0.1", 1)) for s in draw.sample(listed, len(listed))]
+        7,
+        True,
+        [ListedEndpoint(server, ("127.0.0.1", 1)) for server in rng.sample(listed, len(listed))],
     )
-    ends, worst = [], 0
-    for split in (False, True):
-        b = Balancer(
+    results, max_cost = [], 0
+    for is_split in (False, True):
+        balancer = Balancer(
             Settings(
                 classes=(RequestClass("x", 10, 20),), replica_count=100, pin_endpoint_list=True
             ),
             3,
         )
-        b.handle(1, EndpointListReceived([Endpoint(f"s{i}", started_at=i) for i in range(10_000)]))
-        b.admission.capacity = 500.0
-        parts = split_into_batches(listing, b.members.servers) if split else [listing]
-        for n, part in enumerate(parts):
+        balancer.handle(
+            1, EndpointListReceived([Endpoint(f"s{i}", started_at=i) for i in range(10_000)])
+        )
+        balancer.admission.capacity = 500.0
+        batches = split_into_batches(listing, balancer.members.servers) if is_split else [listing]
+        for n, batch in enumerate(batches):
             event = EndpointListReceived(
-                [e.server for e in part.endpoints],
-                complete=part.complete,
-                more_follow=n + 1 < len(parts),
+                [entry.server for entry in batch.endpoints],
+                complete=batch.complete,
+                more_follow=n + 1 < len(batches),
             )
-            with Lines() as traced:
-                b.handle(2, event)
-            worst = max(worst, traced.count) if split else worst
+            with LineCounter() as counter:
+                balancer.handle(2, event)
+            max_cost = max(max_cost, counter.count) if is_split else max_cost
         states = {
-            s.id: (s.listed_since, s.started_at, s.delisted) for s in b.endpoints.known.values()
+            server.id: (server.listed_since, server.started_at, server.delisted)
+            for server in balancer.endpoints.known.values()
         }
-        ends.append(
+        results.append(
             (
-                set(b.servers),
+                set(balancer.servers),
                 states,
-                b.members.version,
-                b.admission.capacity,
-                b.safety.oldest_version,
+                balancer.members.version,
+                balancer.admission.capacity,
+                balancer.safety.oldest_version,
             )
         )
-    assert ends[0] == ends[1]
-    assert len(parts) > 20
-    assert worst < 150 * BATCH_SIZE
+    assert results[0] == results[1]
+    assert len(batches) > 20
+    assert max_cost < 150 * BATCH_SIZE
     assert (
         split_into_batches(
-            EndpointList(8, False, listing.endpoints[:BATCH_SIZE]), b.members.servers
+            EndpointList(8, False, listing.endpoints[:BATCH_SIZE]), balancer.members.servers
         )[0].endpoints
         == listing.endpoints[:BATCH_SIZE]
     )
 
 
-def test_a_keyed_call_finds_the_one_other_server_of_its_group():
-    """Ten thousand servers in groups of two.
-
-    A repeat may go to one alone, also where that is a spare one.
-    """
+def test_a_retry_by_key_finds_the_other_server_of_its_cell():
+    """Of ten thousand servers in cells of two, a retry may use one only, even from the reserve."""
     klass = RequestClass(
         "look",
         2 * SECOND,
@@ -410,28 +446,32 @@
         dedup_scope="cell",
         dedup_window=60 * SECOND,
     )
-    b = Balancer(Settings(classes=(klass,), replica_count=500), 5)
-    b.handle(1, EndpointListReceived([Endpoint(f"s{i}", cell=i // 2) for i in range(10_000)]))
+    balancer = Balancer(Settings(classes=(klass,), replica_count=500), 5)
+    balancer.handle(
+        1, EndpointListReceived([Endpoint(f"s{i}", cell=i // 2) for i in range(10_000)])
+    )
     found = 0
     for number in range(20):
         now = SECOND * (2 + number)
         (send,) = [
-            a
-            for a in b.handle(now, RequestReceived(number, "look", 5 * SECOND))
-            if isinstance(a, SendAttempt)
+            action
+            for action in balancer.handle(now, RequestReceived(number, "look", 5 * SECOND))
+            if isinstance(action, SendAttempt)
         ]
-        b.handle(now + 1000, AttemptEnded(number, 0, send.server, AttemptResult.RESET, 1000))
+        balancer.handle(now + 1000, AttemptEnded(number, 0, send.server, AttemptResult.RESET, 1000))
         for _ in range(3):
-            again = []
-            while not again and b.timers.callbacks.next_due < now + SECOND:
-                timer = TimerFired(b.timers.token)
-                again = [
-                    a
-                    for a in b.handle(b.timers.callbacks.next_due, timer)
-                    if isinstance(a, SendAttempt)
+            retries = []
+            while not retries and balancer.timers.callbacks.next_due < now + SECOND:
+                timer = TimerFired(balancer.timers.token)
+                retries = [
+                    action
+                    for action in balancer.handle(balancer.timers.callbacks.next_due, timer)
+                    if isinstance(action, SendAttempt)
                 ]
-            found += sum(int(a.server[1:]) // 2 == int(send.server[1:]) // 2 for a in again)
-            assert all(a.server != send.server for a in again)
-            if again:
+            found += sum(
+                int(action.server[1:]) // 2 == int(send.server[1:]) // 2 for action in retries
+            )
+            assert all(action.server != send.server for action in retries)
+            if retries:
                 break
-    assert found >= 4  # the retry budget allows a fifth and a floor
+    assert found >= 4  # the retry budget allows a fifth of the requests, and a floor
--- a/tests/policy/test_structures.py
+++ b/tests/policy/test_structures.py
@@ -1,7 +1,4 @@
-"""The structures beside the decisions.
-
-What each keeps, and that none knows of servers or requests.
-"""
+"""Tests of the generic data structures, and that they are independent of servers and requests."""
 
 import ast
 import math
@@ -30,11 +27,11 @@
     "waiting_queues",
     "weighted_pool",
 )
-DECIDE_NOTHING = ("__init__", "records", "state", "view", "settings", "events", "actions")
+WITHOUT_DECISIONS = ("__init__", "records", "state", "view", "settings", "events", "actions")
 
 
 def imported(module: str) -> set[str]:
-    """The modules of this project that a module of the policy imports."""
+    """Return the modules of this project that a module of the policy imports."""
     tree = ast.parse((ROOT / f"oakbridge/policy/{module}.py").read_text())
     names = {node.module or "" for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
     names |= {a.name for node in ast.walk(tree) if isinstance(node, ast.Import) for a in node.names}
@@ -42,21 +39,21 @@
 
 
 @pytest.mark.parametrize("module", STRUCTURES)
-def test_a_structure_imports_structures_alone(module):
+def test_a_structure_imports_structures_only(module):
     assert imported(module) <= {f"oakbridge.policy.{other}" for other in STRUCTURES}
 
 
-def test_every_module_that_decides_counts_as_policy_and_the_rest_as_node():
+def test_modules_with_decisions_are_deployed_as_policy_and_the_others_as_node():
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     modules = {f"oakbridge/policy/{p.name}" for p in (ROOT / "oakbridge/policy").glob("*.py")}
-    beside = {f"oakbridge/policy/{name}.py" for name in (*STRUCTURES, *DECIDE_NOTHING)}
-    assert set(deploy["policy"]) == modules - beside
+    others = {f"oakbridge/policy/{name}.py" for name in (*STRUCTURES, *WITHOUT_DECISIONS)}
+    assert set(deploy["policy"]) == modules - others
     assert {f"oakbridge/policy/{name}.py" for name in (*STRUCTURES, "records", "state")} <= set(
         deploy["node"]
     )
 
 
-def test_due_items_come_by_time_and_then_in_the_order_in_which_they_came_in():
+def test_due_items_are_ordered_by_time_and_then_by_insertion():
     queue: DueQueue[str] = DueQueue()
     assert queue.next_due == math.inf
     for when, name in ((5, "b"), (3, "a"), (5, "c"), (3, "d")):
@@ -67,7 +64,7 @@
 
 
 class Recorder:
-    """A timer queue, and what it asked for and did."""
+    """A ``Timers`` and the timers that it set and the items that it expired."""
 
     def __init__(self, min_delay: int = 10) -> None:
         self.live: dict[int, str] = {}
@@ -78,7 +75,7 @@
         )
 
 
-def test_one_timer_is_out_for_the_earliest_and_a_replaced_one_does_nothing():
+def test_there_is_one_timer_for_the_earliest_callback_and_a_replaced_timer_is_ignored():
     timers, called = Recorder(), []
     timers.queue.call_later(0, 500, called.append)
     timers.queue.call_later(0, 100, called.append)
@@ -90,10 +87,10 @@
     assert called == [100]
     assert timers.set[-1] == (400, 3)
     timers.queue.call_later(100, 0, called.append)
-    assert timers.set[-1] == (10, 4)  # never sooner than the least delay
+    assert timers.set[-1] == (10, 4)  # the shortest delay
 
 
-def test_only_live_items_expire_and_others_are_not_held_on_to():
+def test_only_live_items_expire_and_others_are_not_kept():
     timers = Recorder()
     for key in range(3 * MAX_STALE_EXPIRIES):
         timers.live[key] = f"item {key}"
@@ -112,7 +109,7 @@
     is_queued: bool = False
 
 
-def test_what_waits_is_withdrawn_at_any_place_and_ends_are_what_waits():
+def test_items_are_withdrawn_at_any_position_and_queues_end_with_queued_items():
     queues: WaitingQueues[Item] = WaitingQueues()
     items = [Item(name) for name in "abcde"]
     for item in items[:4]:
@@ -132,7 +129,7 @@
     assert queues.queues() == []
 
 
-def test_a_group_that_is_empty_is_gone_and_the_others_keep_their_order():
+def test_empty_groups_are_removed_and_the_others_keep_their_order():
     index = GroupIndex()
     for name, key in (("a", 1), ("b", 2), ("c", 3), ("d", 2)):
         index.move(name, name.upper(), None, key)
@@ -142,7 +139,7 @@
     assert index == {2: {"b": "B", "d": "D", "a": "A"}}
 
 
-def test_a_quota_is_a_rate_with_a_burst_and_names_without_one_are_free():
+def test_a_quota_is_a_rate_with_a_burst_and_other_names_are_unlimited():
     quotas = Quotas()
     quotas.configure({"a": SECOND_US / 10})
     now = 100 * SECOND_US
@@ -153,7 +150,7 @@
     assert all(quotas.take("b", now) for _ in range(100))
 
 
-def test_counts_leave_the_window_with_their_second():
+def test_counts_leave_the_window_after_its_length():
     window = SlidingWindow(3)
     for second, name in ((0, "a"), (1, "a"), (2, "b")):
         window.add_first(second * SECOND_US)
@@ -168,19 +165,19 @@
     assert Counter(copy.further_by_name) == {"b": 0.5}
 
 
-def test_rates_values_and_windows():
+def test_rates_decay_moving_means_and_result_windows():
     rate = Rate()
     for second in range(1, 30):
         rate.update(100 * second, 2.0, SECOND_US, 1.0)
     assert rate.mean == pytest.approx(50, rel=0.01)
     assert rate.peak == pytest.approx(50, rel=0.01)
     rate.update(2900, 2.0, 60 * SECOND_US, 1.0)
-    assert rate.peak == pytest.approx(50, rel=0.02)  # nothing came: the mean stands
+    assert rate.peak == pytest.approx(50, rel=0.02)  # the mean does not change without events
     assert decayed(5.0, 1.0, 0, 10) == 5.0
     assert decayed(5.0, 1.0, 10_000, 10) == pytest.approx(1.0)
-    usual = MovingMean()
-    assert [usual.relative(4.0), usual.relative(4.0)] == [1.0, 1.0]
-    assert usual.relative(8.0) > 1.9
+    values = MovingMean()
+    assert [values.relative(4.0), values.relative(4.0)] == [1.0, 1.0]
+    assert values.relative(8.0) > 1.9
     window = ResultWindow()
     for now in (50, 100, 150):
         window.add(now, in_flight=now // 50)
