--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -335,7 +335,7 @@
 def test_a_decision_costs_the_same_with_ten_thousand_servers(prepare, options, max_ratio):
     small, _ = cost(10, **options)
     large, sent = cost(
-        10_000, prepare, WEIGHTED_ENDPOINTS if "size_source" in options else None, **options
+        10_000, prepare, WEIGHTED_ENDPOINTS if "weight_source" in options else None, **options
     )
     assert sent == 100
     assert large < max_ratio * small, (small, large)
