--- a/oakbridge/policy/admission.py
+++ b/oakbridge/policy/admission.py
@@ -20,7 +20,7 @@
 MAX_WAITING_FRACTION = 0.5  # of the limit; more waiting requests would not get their turn in time
 WINDOW_RESULTS = 32  # results between two updates of the limit
 START_WINDOW_RESULTS = 8  # the same at the start, where replicas outnumber servers
-START_LIMIT_PER_SERVER = 12.0  # attempts
+START_LIMIT_PER_SERVER = 12.0  # attempts, until the capacity is known
 CROWDED_START_LIMIT_PER_SERVER = 3.5  # the same where replicas outnumber servers
 MIN_LIMIT_PER_SERVER = 2.0  # attempts
 
--- a/oakbridge/policy/endpoint_reconciler.py
+++ b/oakbridge/policy/endpoint_reconciler.py
@@ -23,7 +23,9 @@
     subset: Subset
     slow_start: SlowStart
     is_partial: bool = False  # more changes of this version follow
-    known: dict[str, Server] = field(default_factory=dict)  # listed, draining or with attempts
+    known: dict[str, Server] = field(
+        default_factory=dict
+    )  # listed, announced, draining or with attempts
     size_before: int = 0  # number of servers before this version
     subset_fraction: float = 0.0  # fraction of them in the subset
     announced: list[str] = field(default_factory=list)  # ids of servers of the next list
@@ -53,7 +55,7 @@
                 members.add(server, partition, now)
         if event.complete:
             listed = {entry.id for entry in event.endpoints}
-            for server in [s for s in self.known.values() if s.id not in listed]:
+            for server in [known for known in self.known.values() if known.id not in listed]:
                 server.delisted = True
                 dropped.append(server)
         for server in dropped:
@@ -69,7 +71,7 @@
         self.announced = []
 
     def _joins_subset(self, entry: events.Endpoint, event: events.EndpointListReceived) -> bool:
-        """Whether a new server joins the subset, with the same probability as the others had."""
+        """Whether a new server joins the subset: as likely as others, so that no fewer use it."""
         if assignment := self.subset.assignment:
             return entry.id in assignment
         return event.restored or self.random.random() < self.subset_fraction
@@ -99,7 +101,7 @@
                 self.announced.append(entry.id)
 
     def forget(self, server: Server) -> None:
-        """Drop a removed server without attempts in flight: new ids would pile up otherwise."""
+        """Drop a removed server without attempts in flight; each new server adds a record."""
         if server.delisted and not server.in_flight:
             self.known.pop(server.id, None)
             self.slow_start.warming.pop(server.id, None)
--- a/oakbridge/policy/outlier_detection.py
+++ b/oakbridge/policy/outlier_detection.py
@@ -18,12 +18,12 @@
 SCORE_DECAY_US = 8 * SECOND_US
 MAX_EJECTION_US = 16 * SECOND_US
 MAX_SUSPICION_AGE_US = 5 * SECOND_US  # peers repeat their reports every 2 s
-# A server hangs if an attempt has been in flight for longer than this multiple of the mean latency,
-# and all servers have given this many responses since the attempt was sent.
+# A server with an attempt in flight hangs if it has not responded for this multiple of the mean
+# latency, while all servers together have given this many responses since the attempt was sent.
 HUNG_LATENCY_MULTIPLE = 4.0
 HUNG_MIN_RESPONSES = 8
 # A zone fails if this many of its servers fail within the window without a response in between, and
-# independent failures would do the same with at most this probability.
+# if so many independent failures have at most this probability.
 ZONE_MIN_FAILING_SERVERS = 3
 ZONE_FAILURE_WINDOW_US = 3 * SECOND_US
 ZONE_MAX_PROBABILITY = 0.01
@@ -57,7 +57,9 @@
                 self.eject(server, now)
             self.failures_by_zone.pop(server.zone, None)
             return
-        for _ in range(1 + (result == AttemptResult.CONNECT_FAILED)):  # counts twice
+        for _ in range(
+            1 + (result == AttemptResult.CONNECT_FAILED)
+        ):  # counts twice: the server is down
             self.update_score(server, failed, now)
         if failed:
             server.failed_at = now
@@ -68,10 +70,8 @@
             self.responses += 1
             server.responded_at = now
             server.max_in_flight += 0.5 / server.max_in_flight
-        if result in (
-            AttemptResult.OK,
-            AttemptResult.ERROR,
-        ):  # either shows that the zone is reachable
+        # Either result shows that the zone is reachable.
+        if result in (AttemptResult.OK, AttemptResult.ERROR):
             self.failures_by_zone.pop(server.zone, None)
         else:
             self._suspect_zone(server, now)
@@ -105,7 +105,10 @@
 
     @staticmethod
     def eject(server: Server, now: int) -> None:
-        """Eject a server, each time for longer; does nothing if it is ejected already."""
+        """Eject a server, each time for longer.
+
+        Failures of an ejected server do not count, as their attempts were sent before the ejection.
+        """
         if now >= server.ejected_until:
             server.ejected_until = now + server.ejection_us
             server.ejection_us = min(2 * server.ejection_us, MAX_EJECTION_US)
--- a/oakbridge/policy/records.py
+++ b/oakbridge/policy/records.py
@@ -76,7 +76,7 @@
     suspicion: float = 0.0  # strength of peers' failure reports, 0 to 1
     suspicion_until: int = 0
     failed_at: int = 0
-    failed_without_response: bool = False  # the last failure was a timeout or a hang
+    failed_without_response: bool = False  # last failure: timeout, hang or slower than the mean
     tokens: float = 0.0  # attempts that slow start allows now
     tokens_at: int = -1  # time of the last change of tokens; -1: none
     slowness: float = 1.0  # its recent latencies, as a multiple of the mean
--- a/oakbridge/policy/slow_start.py
+++ b/oakbridge/policy/slow_start.py
@@ -24,7 +24,10 @@
     rate: Rate = field(default_factory=Rate)  # responses of one warm server
 
     def capacity_share(self, server: Server, now: int) -> float:
-        """Return the lowest share of its full capacity that a server has now, above 0 up to 1."""
+        """Return the share of its capacity that a server has at least, above 0 up to 1.
+
+        Before its start, a server counts as just started.
+        """
         settings, age = self.settings, now - server.started_at
         if not server.started_at or age >= settings.slow_start_window:
             return 1.0
@@ -54,7 +57,9 @@
         ``responses``: number since the start; ``servers``: number listed; ``elapsed``: microseconds
         since the last update.
         """
-        warming = {name: s for name, s in self.warming.items() if s.partition is not None}
+        warming = {
+            name: server for name, server in self.warming.items() if server.partition is not None
+        }
         shares = {name: self.capacity_share(server, now) for name, server in warming.items()}
         self.warming = {name: server for name, server in warming.items() if shares[name] < 1}
         warm_equivalents = servers - sum(1 - share for share in shares.values() if share < 1)
--- a/oakbridge/policy/state.py
+++ b/oakbridge/policy/state.py
@@ -19,6 +19,7 @@
 
 ADMISSION_VALUES = 8
 
+# Attributes of a server; their values are saved by position, so the order must not change.
 _SERVER_FIELDS = (
     "started_at",
     "address",
--- a/oakbridge/policy/subset.py
+++ b/oakbridge/policy/subset.py
@@ -109,8 +109,7 @@
 
     def exclude(self, server: Server, now: int) -> None:
         """Eject a server of a closed zone for a long time, so that it is not drawn."""
-        if (
-            server.ejected_until < now + CLOSED_ZONE_EJECTION_US // 2
-        ):  # renewed once half of it is over
+        # Renews the ejection only once half of it is over, however often this is called.
+        if server.ejected_until < now + CLOSED_ZONE_EJECTION_US // 2:
             server.ejected_until = now + CLOSED_ZONE_EJECTION_US
             self.members.update_ejection(server, now)
