--- a/oakbridge/peers/__init__.py
+++ b/oakbridge/peers/__init__.py
@@ -1,6 +1,7 @@
-"""Membership: which nodes are there, which have failed, and how complete a node's view is.
+"""Cluster membership: which nodes exist, which have failed, and how complete a node's view is.
 
-SWIM with Lifeguard's corrections.  The protocol is pure, messages and the time in, actions out:
-``member`` is its face, ``failure_detector``, ``membership``, ``dissemination``, ``push_pull`` and
-``join`` its parts.  ``service`` gives it sockets; ``simulation`` a network by seed.
+The protocol is SWIM with Lifeguard's extensions.  It does no I/O: messages and the time go in,
+actions come out.  ``member`` is its interface; ``failure_detector``, ``membership``,
+``dissemination``, ``push_pull`` and ``join`` implement it.  ``service`` runs it on sockets,
+``simulation`` on a simulated network.
 """
--- a/oakbridge/peers/actions.py
+++ b/oakbridge/peers/actions.py
@@ -1,4 +1,4 @@
-"""What a member asks its runner to do, and what it reports."""
+"""Actions that a member returns for its runner to carry out, and the events that it counts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send this message."""
+    """Send a datagram, encoded in ``version``, to ``address``."""
 
     address: str
     message: Datagram
@@ -19,18 +19,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StartPushPull:
-    """Begin a push-pull exchange with the member at this address, and report how it ends."""
+    """Start a push-pull exchange with the member at this address, and report its result."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member's state has changed."""
+    """The state of a member has changed in this member's view."""
 
     at_us: int
     name: str
-    before: str  # a state's label, "" for a member that was not known
+    before: str  # label of the previous state, "" for a member that was unknown
     after: str
     reported_by: str
     cause: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NameTaken:
-    """A later start has taken this member's name: this process is no member any more."""
+    """A process that started later uses this member's name: this process is no longer a member."""
 
     by_address: str
 
@@ -48,12 +48,12 @@
 
 
 class MemberCounter(StrEnum):
-    """What a member counts; the values stand in the JSON of ``oakbridge peers``."""
+    """Events that a member counts; the values are keys in the JSON of ``oakbridge peers``."""
 
     LATE_TIMERS = "late"
-    OWN_NAME = "own name"
+    SENDER_HAS_OWN_NAME = "own name"
     OLD_GENERATIONS = "of old lives"
-    NOT_FOR_ME = "not for me"
+    WRONG_TARGET = "not for me"
     RELAYS_REFUSED = "relays refused"
     REFUTATIONS = "refuted"
     GENERATIONS_RAISED = "lives"
--- a/oakbridge/peers/addresses.py
+++ b/oakbridge/peers/addresses.py
@@ -1,4 +1,4 @@
-"""Members' addresses as they are written in records: ``IPv4:port``."""
+"""Text form of members' addresses in records: ``IPv4:port``."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def format_address(address: Address) -> str:
-    """Return the written form."""
+    """Return the text form of an address."""
     return f"{address[0]}:{address[1]}"
 
 
 @functools.lru_cache(CACHED_ADDRESSES)
 def parse_member_address(text: str) -> Address:
-    """Return the address.  Raises ValueError, also for a host name, which is never looked up."""
+    """Parse the text form.  Raises ValueError, also for a host name: names are never resolved."""
     return parse_address(text)
--- a/oakbridge/peers/codec.py
+++ b/oakbridge/peers/codec.py
@@ -1,11 +1,12 @@
-"""The binary form of what members send: a version, a tag made with the shared secret, msgpack.
+"""Binary format of datagrams and push-pull states: version, authentication tag, msgpack body.
 
     1 byte version, 16 bytes tag, msgpack of one structure of :mod:`oakbridge.peers.messages`
 
-The tag is blake2b keyed with the secret over version and body (RFC 7693, section 2.5).  It keeps
-strangers and other clusters out; it hides nothing, and a repeated datagram is harmless: every
-message may arrive twice.  A reader takes the versions that it knows; a writer uses the newest one
-that the reader is known to read.  What can't be read is counted by reason and changes nothing.
+The tag is keyed blake2b over version and body; its key is derived from the shared secret (RFC 7693,
+section 2.5).  It rejects messages of strangers and of other clusters.  It doesn't encrypt, and it
+doesn't prevent replay: the protocol tolerates duplicate messages.  A reader accepts the versions
+that it knows; a writer uses the newest version that the recipient is known to read.  A message that
+can't be decoded is counted by reason and changes nothing.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class RejectReason(StrEnum):
-    """Why a message can't be read, as operators find it in ``counts``."""
+    """Why a message was rejected; the values are part of keys of ``counts`` in operators' JSON."""
 
     TOO_LONG = "long"
     TOO_SHORT = "short"
@@ -42,7 +43,7 @@
 
 
 class PeerMessageError(Exception):
-    """A datagram or a push-pull state that can't be read."""
+    """A datagram or a push-pull state that can't be decoded."""
 
     def __init__(self, reason: RejectReason) -> None:
         super().__init__(reason.value)
@@ -50,7 +51,7 @@
 
 
 class Codec:
-    """Encodes and decodes what members send each other, with one secret."""
+    """Encodes and decodes datagrams and push-pull states with one shared secret."""
 
     def __init__(self, secret: bytes) -> None:
         self.rejected: Counter[RejectReason] = Counter()
@@ -60,27 +61,27 @@
         self._push_pull_states = msgspec.msgpack.Decoder(PushPullState)
 
     def encode(self, message: Datagram, version: int = OLDEST_VERSION) -> bytes:
-        """Return a datagram in the given version."""
+        """Encode a datagram in the given version; reports are left out of version 1."""
         if version < FIRST_VERSION_WITH_REPORTS and message.reports:
             message = msgspec.structs.replace(message, reports=())
         return self.seal(version, self._encoder.encode(message))
 
     def encode_state(self, state: PushPullState, version: int = OLDEST_VERSION) -> bytes:
-        """Return one side of a push-pull exchange."""
+        """Encode one side of a push-pull exchange."""
         return self.seal(version, self._encoder.encode(state))
 
     def decode(self, data: bytes) -> Datagram:
-        """Return a datagram's message.  Raises PeerMessageError, which is counted."""
+        """Decode a datagram.  Raises PeerMessageError and counts it."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise self._reject(RejectReason.TOO_LONG)
         return self._open(data, self._datagrams)
 
     def decode_state(self, data: bytes) -> PushPullState:
-        """Return one side of a push-pull exchange.  Raises PeerMessageError, which is counted."""
+        """Decode one side of a push-pull exchange.  Raises PeerMessageError and counts it."""
         return self._open(data, self._push_pull_states)
 
     def seal(self, version: int, body: bytes) -> bytes:
-        """Put version and tag before a body."""
+        """Return the body with version and tag in front of it."""
         return bytes((version,)) + self._tag(version, body) + body
 
     def _tag(self, version: int, body: bytes) -> bytes:
--- a/oakbridge/peers/dissemination.py
+++ b/oakbridge/peers/dissemination.py
@@ -1,6 +1,7 @@
-"""Dissemination: what changed is piggybacked on every datagram, and gossiped while there is any.
+"""Dissemination: changes are piggybacked on every datagram, and gossiped while any are queued.
 
-Source: SWIM, section 4.1; Lifeguard, section IV-C (a suspected member is told first of all).
+Sources: SWIM, section 4.1; Lifeguard, section IV-C (a datagram to a suspected member carries that
+suspicion first).
 """
 
 from __future__ import annotations
@@ -28,20 +29,21 @@
 from oakbridge.peers.node_reports import ITEM_OVERHEAD_BYTES, NodeReports
 from oakbridge.peers.timers import TimerKind
 
-FIELDS_BYTES = 180  # of a datagram with the longest names and addresses
-GOSSIP_BYTES = MAX_DATAGRAM_BYTES - HEADER_BYTES - FIELDS_BYTES
-MIN_REPORT_ROOM_BYTES = 64
+# Size of a datagram's own fields with the longest names and addresses.
+MAX_FIELDS_BYTES = 180
+MAX_GOSSIP_BYTES = MAX_DATAGRAM_BYTES - HEADER_BYTES - MAX_FIELDS_BYTES
+MIN_REPORT_SPACE_BYTES = 64  # with less space left, no reports of other members are added
 
 
 class Destination(NamedTuple):
-    """Where a datagram goes, and the newest version that is read there."""
+    """The address of a recipient, and the newest format version that it reads."""
 
     address: str
     max_version: int = OLDEST_VERSION
 
 
 class Header(NamedTuple):
-    """What a datagram asks or answers."""
+    """The fields of a datagram that depend on its kind."""
 
     kind: MessageKind
     sequence: int = 0
@@ -50,44 +52,44 @@
 
 
 class Dissemination:
-    """Sends datagrams, and fills each up with what other members may not know yet."""
+    """Sends datagrams, and fills each with queued records and reports."""
 
     def __init__(self, local: LocalMember, reports: NodeReports) -> None:
         self._local = local
         self._reports = reports
         self._broadcasts: GossipQueue[MemberRecord] = GossipQueue(local.options.max_members + 1)
-        self._is_gossiping = False
+        self._is_gossip_scheduled = False
 
     # ---- broadcasts
 
     def broadcast(self, record: MemberRecord) -> None:
-        """Tell other members of this record."""
+        """Queue this record for other members."""
         if record.state not in (MemberState.ALIVE, MemberState.LEFT) and record.tags:
             record = record.without_tags()
         self._broadcasts.put(record.name, record, _item_size(record))
 
-    def broadcast_soon(self, now_us: int, record: MemberRecord) -> None:
-        """Tell other members of this record, and gossip if that is not under way."""
+    def broadcast_and_gossip(self, now_us: int, record: MemberRecord) -> None:
+        """Queue this record for other members, and schedule gossip if none is scheduled."""
         self.broadcast(record)
         self.start_gossip(now_us)
 
     def stop_broadcast(self, name: str) -> None:
-        """Tell nothing about this member any more."""
+        """Remove the queued record about this member."""
         self._broadcasts.discard(name)
 
     # ---- gossip
 
     def start_gossip(self, now_us: int) -> None:
-        """Gossip soon, if that is not under way."""
-        if not self._is_gossiping:
-            self._is_gossiping = True
+        """Schedule gossip at a random point of the next interval, if none is scheduled."""
+        if not self._is_gossip_scheduled:
+            self._is_gossip_scheduled = True
             delay_us = self._local.random.randrange(self._local.options.gossip_interval_us)
             self._local.timers.add(now_us + delay_us, TimerKind.GOSSIP)
 
     def gossip(self, now_us: int) -> None:
-        """Send to some members at random while there is anything to tell; else rest."""
+        """Send queued records to random members; schedule the next round if any were queued."""
         local = self._local
-        self._is_gossiping = False
+        self._is_gossip_scheduled = False
         if not self._broadcasts or local.replaced_by is not None:
             return
         recipients = local.table.sample(
@@ -95,7 +97,7 @@
         )
         for known in recipients:
             self.send(known.record, Header(MessageKind.GOSSIP), now_us)
-        self._is_gossiping = True
+        self._is_gossip_scheduled = True
         local.timers.add(now_us + local.options.gossip_interval_us, TimerKind.GOSSIP)
 
     # ---- datagrams
@@ -107,7 +109,7 @@
         now_us: int,
         first: MemberRecord | None = None,
     ) -> None:
-        """Send to a member; one that is suspected or held for failed is told so before all else."""
+        """Send a datagram to a member; if it is suspected or failed, its own record goes first."""
         if first is None and recipient.state in (MemberState.SUSPECT, MemberState.FAILED):
             first = recipient
         destination = Destination(recipient.address, recipient.max_version)
@@ -122,30 +124,30 @@
         first: MemberRecord | None = None,
         with_own_report: bool = False,
     ) -> None:
-        """Send to an address; ``first`` is a record that goes before those of the queue."""
+        """Send a datagram to an address; ``first`` is a record that goes before the queued ones."""
         own_reports: tuple[NodeReport, ...] = ()
         if with_own_report:
-            own_reports = (self._reports.own_to_send(now_us),)
-        room_bytes = GOSSIP_BYTES - sum(map(_item_size, own_reports))
-        records = self._take_records(room_bytes, first)
-        room_bytes -= sum(map(_item_size, records))
+            own_reports = (self._reports.own_with_age(now_us),)
+        available_bytes = MAX_GOSSIP_BYTES - sum(map(_item_size, own_reports))
+        records = self._take_records(available_bytes, first)
+        available_bytes -= sum(map(_item_size, records))
         version = min(destination.max_version, self._local.options.max_version)
         reports: tuple[NodeReport, ...] = ()
         if version >= FIRST_VERSION_WITH_REPORTS:
             reports = own_reports
-            if room_bytes > MIN_REPORT_ROOM_BYTES and self._reports.has_pending:
-                reports += self._reports.take(room_bytes, self._transmit_limit(), now_us)
+            if available_bytes > MIN_REPORT_SPACE_BYTES and self._reports.has_pending:
+                reports += self._reports.take(available_bytes, self._transmit_limit(), now_us)
         message = self._message(header, records, reports)
         self._local.emit(SendDatagram(destination.address, message, version))
 
-    def _take_records(self, room_bytes: int, first: MemberRecord | None) -> list[MemberRecord]:
+    def _take_records(self, available_bytes: int, first: MemberRecord | None) -> list[MemberRecord]:
         records: list[MemberRecord] = []
         if first is not None:
             first = first if first.state == MemberState.ALIVE else first.without_tags()
             records.append(first)
-            room_bytes -= _item_size(first)
+            available_bytes -= _item_size(first)
         return records + self._broadcasts.take(
-            room_bytes, self._transmit_limit(), MAX_DATAGRAM_ITEMS - 1
+            available_bytes, self._transmit_limit(), MAX_DATAGRAM_ITEMS - 1
         )
 
     def _transmit_limit(self) -> int:
--- a/oakbridge/peers/failure_detector.py
+++ b/oakbridge/peers/failure_detector.py
@@ -1,8 +1,9 @@
-"""SWIM's failure detector: direct probes, indirect probes by helpers, and probes for others.
+"""SWIM's failure detector: direct probes, indirect probes through helpers, and relayed probes.
 
-Each probe interval one member is pinged.  If it does not acknowledge in time, helpers are asked to
-ping it; if the interval ends without an acknowledgement, it is suspected.  Sources: SWIM, section
-3.1; Lifeguard, section IV-A (helpers answer with a NACK, intervals follow the local health).
+In each probe interval one member is pinged.  If it doesn't acknowledge within the timeout, helpers
+are asked to ping it; if there is no acknowledgement by the end of the interval, it is suspected.
+Sources: SWIM, section 3.1; Lifeguard, section IV-A (helpers reply with a NACK, intervals grow with
+the local health score).
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 from oakbridge.peers.probe_rotation import ProbeRotation
 from oakbridge.peers.timers import TimerKind
 
-MAX_RELAYS = 256  # probes for other members at once
+MAX_RELAYS = 256  # concurrent probes on behalf of other members
 
 
 @dataclass(slots=True)
 class _Probe:
     target: str
     sequence: int
-    nacks: int = 0
-    acked: bool = False
+    nack_count: int = 0
+    is_acked: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class _Relay:
-    """A probe for another member."""
+    """A probe on behalf of another member."""
 
     requester: str
     requester_sequence: int
@@ -39,7 +40,7 @@
 
 
 class FailureDetector:
-    """Probes the other members, answers their probes, and probes for them."""
+    """Probes other members, acknowledges their probes, and probes on their behalf."""
 
     def __init__(
         self,
@@ -57,26 +58,26 @@
         self._relays: dict[int, _Relay] = {}
 
     def start(self, now_us: int) -> None:
-        """Schedule the first probe at a random point of an interval."""
+        """Schedule the first probe at a random point of one interval."""
         delay_us = self._local.random.randrange(self._local.options.probe_interval_us)
         self._local.timers.add(now_us + delay_us, TimerKind.PROBE)
 
     # ---- own probes
 
     def on_probe_timer(self, now_us: int) -> None:
-        """End this interval's probe, begin the next one, and schedule the one after it."""
+        """Finish the current probe, start the next one, and schedule the one after it."""
         local = self._local
         if local.is_active:
-            self._end_probe(now_us)
-            self._begin_probe(now_us)
+            self._finish_probe(now_us)
+            self._start_probe(now_us)
         interval_us = local.options.probe_interval_us * local.health.multiplier
         local.timers.add(now_us + interval_us, TimerKind.PROBE)
 
     def on_indirect_probe_timer(self, now_us: int, sequence: str | int) -> None:
-        """Ask helpers to probe a target that has not answered in time."""
+        """Ask helpers to probe a target that has not acknowledged within the timeout."""
         local = self._local
         probe = self._probe
-        if not local.is_active or probe is None or probe.sequence != sequence or probe.acked:
+        if not local.is_active or probe is None or probe.sequence != sequence or probe.is_acked:
             return
         if not local.table.is_live(probe.target):
             return
@@ -91,17 +92,17 @@
         for helper in helpers:
             self._dissemination.send(helper.record, header, now_us)
 
-    def _end_probe(self, now_us: int) -> None:
+    def _finish_probe(self, now_us: int) -> None:
         probe = self._probe
         self._probe = None
-        if probe is None or probe.acked:
+        if probe is None or probe.is_acked:
             return
-        # A helper that hears us answers in any case: if all are silent, it may be ourselves.
-        if not probe.nacks:
-            self._local.health.worse_by_silence()
+        # A reachable helper sends an ACK or a NACK.  If none did, this member may be the cause.
+        if not probe.nack_count:
+            self._local.health.record_silence()
         self._membership.suspect(now_us, probe.target)
 
-    def _begin_probe(self, now_us: int) -> None:
+    def _start_probe(self, now_us: int) -> None:
         local = self._local
         target = self._rotation.next_target()
         if target is None:
@@ -122,9 +123,9 @@
     def on_ping(
         self, now_us: int, source: str, message: Datagram, sender: KnownMember | None
     ) -> None:
-        """Acknowledge a probe, unless it is for another member that had this address before."""
+        """Acknowledge a probe, unless its target is an earlier member at this address."""
         if message.target != self._local.record.name:
-            self._local.counts[MemberCounter.NOT_FOR_ME] += 1
+            self._local.counts[MemberCounter.WRONG_TARGET] += 1
             return
         destination = Destination(source)
         first = None
@@ -135,24 +136,24 @@
         self._dissemination.send_to(destination, header, now_us, first=first)
 
     def on_ack(self, now_us: int, message: Datagram) -> None:
-        """Take an acknowledgement: of a relayed probe, or of this interval's."""
+        """Handle the acknowledgement of a relayed probe or of the current probe."""
         relay = self._relays.pop(message.sequence, None)
         if relay is not None:
             if relay.target == message.sender:
-                self._answer(now_us, relay, MessageKind.ACK)
+                self._reply(now_us, relay, MessageKind.ACK)
             return
         probe = self._probe
-        if probe is not None and probe.sequence == message.sequence and not probe.acked:
-            probe.acked = True
-            self._local.health.better()
+        if probe is not None and probe.sequence == message.sequence and not probe.is_acked:
+            probe.is_acked = True
+            self._local.health.record_timely_ack()
 
     def on_nack(self, message: Datagram) -> None:
-        """Note that a helper hears us, and not the target."""
+        """Count a helper that is reachable but could not reach the target."""
         if self._probe is not None and self._probe.sequence == message.sequence:
-            self._probe.nacks += 1
+            self._probe.nack_count += 1
 
     def on_ping_req(self, now_us: int, message: Datagram) -> None:
-        """Probe a target for another member."""
+        """Probe a target on behalf of another member."""
         local = self._local
         is_full = len(self._relays) >= MAX_RELAYS
         if is_full or local.table.get(message.sender) is None or not message.target_address:
@@ -170,12 +171,12 @@
         local.timers.add(now_us + timeout_us, TimerKind.RELAY, sequence)
 
     def on_relay_timer(self, now_us: int, sequence: str | int) -> None:
-        """Tell whoever asked that a relayed probe was not answered in time."""
+        """Send a NACK to the requester: a relayed probe was not acknowledged within its timeout."""
         relay = self._relays.pop(int(sequence), None)
         if relay is not None and self._local.is_active:
-            self._answer(now_us, relay, MessageKind.NACK)
+            self._reply(now_us, relay, MessageKind.NACK)
 
-    def _answer(self, now_us: int, relay: _Relay, kind: MessageKind) -> None:
+    def _reply(self, now_us: int, relay: _Relay, kind: MessageKind) -> None:
         requester = self._local.table.get(relay.requester)
         if requester is not None:
             header = Header(kind, relay.requester_sequence)
--- a/oakbridge/peers/initial_states.py
+++ b/oakbridge/peers/initial_states.py
@@ -1,4 +1,4 @@
-"""Runs of three members without loss, crash or choice, and the states in which searches begin."""
+"""Deterministic runs of three members, and the initial states of the model checker's searches."""
 
 from __future__ import annotations
 
@@ -15,32 +15,36 @@
     InFlight,
     SystemState,
     after_step,
-    freeze,
+    deserialize,
+    in_flight_from,
     new_member,
-    sent_by,
-    thaw,
+    serialize,
 )
 
-DELIVERY_US = 2 * MS_US  # that each message takes
+DELIVERY_DELAY_US = 2 * MS_US  # of each message
 
 
-def run_without_choice(
+def run_deterministically(
     state: SystemState,
     duration_us: int,
     is_blocked: Callable[[str, str], bool] = nothing_blocked,
 ) -> dict[str, Member]:
-    """Return the members after so long.
+    """Return the members after ``duration_us``, without crashes or a choice of the next event.
 
-    Timers keep their time, and only what is blocked from one member to another is lost.
+    Timers fire on time, and no messages are lost but those that ``is_blocked`` selects.
     """
-    members = {NAMES[i]: thaw(data) for i, data in enumerate(state.members) if data is not None}
-    # By when it arrives, as all messages take as long.
+    members = {
+        NAMES[i]: deserialize(data) for i, data in enumerate(state.members) if data is not None
+    }
+    # Ordered by arrival time, as all messages have the same delay.
     in_flight = deque((state.now_us, item) for item in state.in_flight)
     now_us = state.now_us
     end_us = now_us + duration_us
 
     def perform(name: str, actions: list[Action]) -> None:
-        in_flight.extend((now_us + DELIVERY_US, item) for item in sent_by(name, actions))
+        in_flight.extend(
+            (now_us + DELIVERY_DELAY_US, item) for item in in_flight_from(name, actions)
+        )
 
     while members:
         due_us, name = min((member.next_due_us(), name) for name, member in members.items())
@@ -53,15 +57,15 @@
             continue
         _, item = in_flight.popleft()
         if not is_blocked(item.sender, item.recipient):
-            for recipient, actions in _arrive(members, item, now_us):
+            for recipient, actions in _deliver(members, item, now_us):
                 perform(recipient, actions)
     return members
 
 
-def _arrive(
+def _deliver(
     members: dict[str, Member], item: InFlight, now_us: int
 ) -> Iterator[tuple[str, list[Action]]]:
-    """Yield what each member that an arrival concerns does then."""
+    """Deliver a message or an exchange; yield the actions of each member involved."""
     sender = members.get(item.sender)
     recipient = members.get(item.recipient)
     if not item.is_push_pull:
@@ -76,15 +80,15 @@
         yield item.sender, sender.push_pull_failed()
 
 
-def state_at_rest() -> SystemState:
-    """Return three members that know each other, at rest."""
+def converged_state() -> SystemState:
+    """Return three members that know each other, with nothing in flight."""
     members = [new_member(name, 1, 0) for name in NAMES]
     for member in members:
         member.join(0, NAMES)
     for member in members:
         for other in members:
             member.push_pull_completed(0, other.push_pull_state(), initiated=True)
-    state = SystemState(0, tuple(map(freeze, members)), ())
+    state = SystemState(0, tuple(map(serialize, members)), ())
     return _state_after(state, 300 * MS_US)
 
 
@@ -93,9 +97,9 @@
     duration_us: int,
     is_blocked: Callable[[str, str], bool] = nothing_blocked,
 ) -> SystemState:
-    """Return the state after so long; what is in flight then is lost."""
-    members = run_without_choice(state, duration_us, is_blocked)
-    kept = tuple(freeze(members[name]) if name in members else None for name in NAMES)
+    """Return the state after ``duration_us``; messages in flight at its end are lost."""
+    members = run_deterministically(state, duration_us, is_blocked)
+    kept = tuple(serialize(members[name]) if name in members else None for name in NAMES)
     return replace(state, now_us=state.now_us + duration_us, members=kept, in_flight=())
 
 
@@ -108,17 +112,17 @@
 
 
 def initial_states() -> dict[str, SystemState]:
-    """Return beginnings: what a search would not come to from rest is a beginning of its own."""
-    rest = state_at_rest()
-    lost = replace(rest, members=(*rest.members[:2], None), crashes_left=0)
-    assert rest.members[2] is not None
-    leaver = thaw(rest.members[2])
-    leaving = after_step(rest, 2, leaver, leaver.leave(rest.now_us), leaves_left=0)
+    """Return named initial states, among them those that a search from "all alive" can't reach."""
+    all_alive = converged_state()
+    crashed = replace(all_alive, members=(*all_alive.members[:2], None), remaining_crashes=0)
+    assert all_alive.members[2] is not None
+    leaver = deserialize(all_alive.members[2])
+    leaving = after_step(all_alive, 2, leaver, leaver.leave(all_alive.now_us), remaining_leaves=0)
     return {
-        "at rest": rest,
-        "one of them is silent for a second": _state_after(rest, 1_000 * MS_US, _involves_c),
-        "one is called failed, and lives": _state_after(rest, 6_000 * MS_US, _involves_c),
-        "one hears nobody, and is heard": _state_after(rest, 2_500 * MS_US, _is_to_c),
-        "one has left, and is still there": _state_after(leaving, 200 * MS_US),
-        "one has crashed, and is called failed": _state_after(lost, 6_000 * MS_US),
+        "all alive": all_alive,
+        "one unreachable for 1 s": _state_after(all_alive, 1_000 * MS_US, _involves_c),
+        "one declared failed while running": _state_after(all_alive, 6_000 * MS_US, _involves_c),
+        "one sends but receives nothing": _state_after(all_alive, 2_500 * MS_US, _is_to_c),
+        "one left and its process still runs": _state_after(leaving, 200 * MS_US),
+        "one crashed and was declared failed": _state_after(crashed, 6_000 * MS_US),
     }
--- a/oakbridge/peers/interleavings.py
+++ b/oakbridge/peers/interleavings.py
@@ -1,17 +1,18 @@
-"""Every order of what can happen to three members, to a depth, by explicit-state model checking.
+"""Explicit-state model checker: explores all interleavings of three members' events to a depth.
 
-A state is the members, the messages in flight, and the time.  From each state every transition is
-taken that is possible: one message arrives (and may arrive again), one member's next timer fires
-(the others' are late from then on, as those of a frozen process are), one member crashes, starts
-again, leaves.  A message that never arrives is lost.  States are told apart by all that they hold,
-random generators included, so that none is left out for looking like another.
+A state consists of the members, the messages in flight, and the time.  From each state every
+possible transition is taken: a message arrives (and may arrive again), a member's next timer fires
+(those of the other members are late afterwards, as in a frozen process), a member crashes, restarts
+or leaves.  A message that never arrives is lost.  States are compared by all their contents,
+including the random generators, so that no distinct state is skipped.
 
-Invariants: what a member holds of another never goes back, nor does its own incarnation; whoever
-has heard that one left never calls it anything else; and from a state, once messages arrive again
-and timers keep their time, the members that are up come to hold exactly each other for alive.
+Invariants: the precedence of a member's record never decreases in another member's view, nor does
+a member's own; a member that is known to have left gets no other state in the same incarnation; and
+from each state, once messages arrive and timers fire on time, all running members consider exactly
+each other alive.
 
-Source of the method: G. Holzmann, "The Model Checker SPIN", 1997; no reduction is used but that
-equal states are visited once.
+Method: G. Holzmann, "The Model Checker SPIN", 1997; the only reduction is that equal states are
+visited once.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
-from oakbridge.peers.initial_states import initial_states, run_without_choice
+from oakbridge.peers.initial_states import initial_states, run_deterministically
 from oakbridge.peers.member import Member
 from oakbridge.peers.messages import MemberState
 from oakbridge.peers.system_state import (
@@ -28,17 +29,17 @@
     InFlight,
     SystemState,
     after_step,
+    deserialize,
     new_member,
-    thaw,
 )
 
 SECOND_US = 1_000_000
-CONVERGENCE_US = 30 * SECOND_US  # in which members that hear each other must agree
-MAX_PATH_LENGTH = 2000  # characters
+CONVERGENCE_US = 30 * SECOND_US  # time within which members without faults must agree
+MAX_PATH_LENGTH = 2000  # characters; a longer path of labels is not extended
 
 
 class Transition(NamedTuple):
-    """One thing that can happen."""
+    """One possible event, the state after it, and the invariant that it violates, if any."""
 
     label: str
     state: SystemState
@@ -47,7 +48,7 @@
 
 @dataclass(slots=True)
 class ExplorationReport:
-    """What a search has found."""
+    """The results of a search."""
 
     transitions: int = 0
     states: set[bytes] = field(default_factory=set)
@@ -55,7 +56,7 @@
     violations: list[str] = field(default_factory=list)
 
     def add(self, other: ExplorationReport) -> None:
-        """Add another search's findings."""
+        """Add the results of another search."""
         self.transitions += other.transitions
         self.states |= other.states
         self.convergence_checks += other.convergence_checks
@@ -65,38 +66,44 @@
 # ---- invariants
 
 
-def _violation(before: Member, after: Member) -> str:
-    """Return which invariant a step broke, "" if none."""
+def _find_violation(before: Member, after: Member) -> str:
+    """Return the invariant that a transition violates, "" if none."""
     own_before = before.record
     own_after = after.record
     is_same_process = own_after.process_key == own_before.process_key
     if is_same_process and own_after.precedence < own_before.precedence:
-        return f"{own_after.name}'s own incarnation went back: {own_before.precedence} to {own_after.precedence}"
+        return (
+            f"{own_after.name}'s own record went backwards: "
+            f"{own_before.precedence} to {own_after.precedence}"
+        )
     for name, known in before.members.items():
-        now = after.members.get(name)
-        if now is None:
+        known_after = after.members.get(name)
+        if known_after is None:
             continue
         old = known.record
-        new = now.record
+        new = known_after.record
         is_same_incarnation = new.precedence[:3] == old.precedence[:3]
         has_returned = old.state == MemberState.LEFT and new.state != MemberState.LEFT
         if has_returned and is_same_incarnation:
-            return f"{own_after.name} calls {name} {new.state.label}, which left"
+            return f"{own_after.name} considers {name} {new.state.label} after it left"
         if new.precedence < old.precedence:
-            return f"{own_after.name} went back on {name}: {old.precedence} to {new.precedence}"
+            return (
+                f"{own_after.name}: record of {name} went backwards: "
+                f"{old.precedence} to {new.precedence}"
+            )
     return ""
 
 
 def check_convergence(state: SystemState) -> str:
-    """Return "" if members that hear each other again come to hold each other for alive."""
-    members = run_without_choice(state, CONVERGENCE_US)
-    up = {name for name, member in members.items() if not member.has_left}
-    for name in sorted(up):
-        held = {*members[name].live_names(), name}
-        if held != up:
+    """Return "" if the members, once without faults, come to consider each other alive."""
+    members = run_deterministically(state, CONVERGENCE_US)
+    running = {name for name, member in members.items() if not member.has_left}
+    for name in sorted(running):
+        considered_alive = {*members[name].live_names(), name}
+        if considered_alive != running:
             return (
-                f"after {CONVERGENCE_US // SECOND_US} s of calm {name} holds {sorted(held)} "
-                f"for alive, and {sorted(up)} are"
+                f"after {CONVERGENCE_US // SECOND_US} s without faults {name} considers "
+                f"{sorted(considered_alive)} alive, but {sorted(running)} are running"
             )
     return ""
 
@@ -105,7 +112,7 @@
 
 
 def transitions(state: SystemState) -> Iterator[Transition]:
-    """Yield everything that can happen next."""
+    """Yield all possible transitions from a state."""
     for index, data in enumerate(state.members):
         if data is None:
             yield _start(state, index)
@@ -121,25 +128,25 @@
 
 def _member_transitions(state: SystemState, index: int, data: bytes) -> Iterator[Transition]:
     name = NAMES[index]
-    member = thaw(data)
+    member = deserialize(data)
     now_us = max(state.now_us, member.next_due_us())
     actions = member.tick(now_us)
     after = after_step(state, index, member, actions, now_us=now_us)
-    yield Transition(f"{name}'s timer", after, _violation(thaw(data), member))
-    if state.leaves_left and not member.has_left:
-        member = thaw(data)
+    yield Transition(f"{name}'s timer", after, _find_violation(deserialize(data), member))
+    if state.remaining_leaves and not member.has_left:
+        member = deserialize(data)
         actions = member.leave(state.now_us)
-        leaves_left = state.leaves_left - 1
-        after = after_step(state, index, member, actions, leaves_left=leaves_left)
+        remaining_leaves = state.remaining_leaves - 1
+        after = after_step(state, index, member, actions, remaining_leaves=remaining_leaves)
         yield Transition(f"{name} leaves", after)
-    if state.crashes_left:
-        crashes_left = state.crashes_left - 1
-        after = after_step(state, index, None, [], crashes_left=crashes_left)
+    if state.remaining_crashes:
+        remaining_crashes = state.remaining_crashes - 1
+        after = after_step(state, index, None, [], remaining_crashes=remaining_crashes)
         yield Transition(f"{name} crashes", after)
 
 
 def _start(state: SystemState, index: int) -> Transition:
-    """Start a process where there is none; its clock tells more than that of the last one."""
+    """Start a process that is down; its generation is above those of all earlier processes."""
     generation = state.last_generation + 1
     member = new_member(NAMES[index], generation, state.now_us)
     actions = member.join(state.now_us, NAMES)
@@ -156,56 +163,60 @@
     recipient_data = state.members[recipient_index]
     if sender_data is None:
         return
-    sender = thaw(sender_data)
+    sender = deserialize(sender_data)
     if recipient_data is None:
         actions = sender.push_pull_failed()
         after = after_step(state, sender_index, sender, actions, in_flight=rest)
-        yield Transition("an exchange fails", after)
+        yield Transition("a push-pull exchange fails", after)
         return
-    recipient = thaw(recipient_data)
+    recipient = deserialize(recipient_data)
     own = sender.push_pull_state()
     other = recipient.push_pull_state()
     actions = recipient.push_pull_completed(state.now_us, own, initiated=False)
     after = after_step(state, recipient_index, recipient, actions, in_flight=rest)
     actions = sender.push_pull_completed(state.now_us, other, initiated=True)
     after = after_step(after, sender_index, sender, actions)
-    violation = _violation(thaw(recipient_data), recipient) or _violation(thaw(sender_data), sender)
-    yield Transition(f"{item.sender} and {item.recipient} exchange", after, violation)
+    violation = _find_violation(deserialize(recipient_data), recipient) or _find_violation(
+        deserialize(sender_data), sender
+    )
+    yield Transition(
+        f"{item.sender} and {item.recipient} complete a push-pull exchange", after, violation
+    )
 
 
 def _deliver(
     state: SystemState, item: InFlight, rest: tuple[InFlight, ...]
 ) -> Iterator[Transition]:
-    """Yield the arrival of a message, and the arrival after which it may arrive once more."""
+    """Yield the arrival of a message, once without and once with a duplicate still in flight."""
     index = NAMES.index(item.recipient)
     data = state.members[index]
     if data is None:
         return
     kind = item.datagram().kind
-    label = f"{item.sender}'s message of kind {kind} comes to {item.recipient}"
-    for is_kept in (False,) if item.is_duplicate else (False, True):
-        member = thaw(data)
+    label = f"{item.sender}'s message of kind {kind} arrives at {item.recipient}"
+    for is_duplicated in (False,) if item.is_duplicate else (False, True):
+        member = deserialize(data)
         actions = member.receive(state.now_us, item.sender, item.datagram())
-        in_flight = (*rest, replace(item, is_duplicate=True)) if is_kept else rest
+        in_flight = (*rest, replace(item, is_duplicate=True)) if is_duplicated else rest
         after = after_step(state, index, member, actions, in_flight=in_flight)
-        yield Transition(label, after, _violation(thaw(data), member))
+        yield Transition(label, after, _find_violation(deserialize(data), member))
 
 
-# ---- the search
+# ---- search
 
 
 def explore(state: SystemState, depth: int, convergence_sample: int = 50) -> ExplorationReport:
-    """Visit all states that so many transitions lead to.
+    """Visit all states within ``depth`` transitions of a state.
 
-    From one in ``convergence_sample`` of the last ones convergence is checked.
+    Convergence is checked from one in ``convergence_sample`` states of the last level.
     """
     report = ExplorationReport(states={state.digest()})
     level = [(state, "")]
-    for number in range(depth):
-        is_last = number + 1 == depth
+    for level_number in range(depth):
+        is_last = level_number + 1 == depth
         next_level: list[tuple[SystemState, str]] = []
-        for one, path in level:
-            for label, after, violation in transitions(one):
+        for current, path in level:
+            for label, after, violation in transitions(current):
                 report.transitions += 1
                 if violation:
                     report.violations.append(f"{violation}: {path}{label}")
@@ -228,22 +239,22 @@
 
 
 def starting_points(depth: int) -> list[tuple[str, SystemState]]:
-    """Return the states that so many transitions lead to from every beginning.
+    """Return the states at exactly ``depth`` transitions from each initial state, with its name.
 
-    They divide a search among several processes.
+    Several processes can share a search by exploring from different ones of these states.
     """
     found: list[tuple[str, SystemState]] = []
-    for name, beginning in initial_states().items():
-        level = [beginning]
-        visited = {beginning.digest()}
+    for name, initial in initial_states().items():
+        level = [initial]
+        visited = {initial.digest()}
         for _ in range(depth):
             next_level = []
-            for one in level:
-                for transition in transitions(one):
+            for current in level:
+                for transition in transitions(current):
                     digest = transition.state.digest()
                     if digest not in visited:
                         visited.add(digest)
                         next_level.append(transition.state)
             level = next_level
-        found += [(name, one) for one in level]
+        found += [(name, current) for current in level]
     return found
--- a/oakbridge/peers/join.py
+++ b/oakbridge/peers/join.py
@@ -1,4 +1,4 @@
-"""How a member joins by its seeds, and how it finds members again that it has lost."""
+"""Joins the cluster through seeds, and reconnects to failed members and unknown seeds."""
 
 from __future__ import annotations
 
@@ -13,47 +13,47 @@
 
 FIRST_BACKOFF_US = 250_000
 MAX_BACKOFF_US = 5_000_000
-MAX_BACKOFF_DOUBLINGS = 5
+MAX_BACKOFF_DOUBLINGS = 5  # keeps the power of two small; MAX_BACKOFF_US caps the delay
 
 
 class Join:
-    """Asks one seed after another, in a random order, with backoff."""
+    """Starts exchanges with the seeds in random order, with backoff, until one succeeds."""
 
     def __init__(self, local: LocalMember) -> None:
         self.seeds: list[str] = []
         self._local = local
-        self._attempts = 0
+        self._attempt_count = 0
 
     def start(self, now_us: int, seeds: Iterable[str]) -> None:
-        """Join by these addresses, in place of earlier ones; with none begin alone."""
+        """Join through these addresses instead of earlier ones; with none, start a new cluster."""
         own_address = self._local.record.address
         self.seeds = [seed for seed in dict.fromkeys(seeds) if seed != own_address]
         if not self.seeds:
             self._local.is_joining = False
-        elif self._local.is_joining and not self._attempts:
-            self._try_next(now_us)
+        elif self._local.is_joining and not self._attempt_count:
+            self._try_next_seed(now_us)
 
     def on_timer(self, now_us: int) -> None:
-        """Try the next seed unless this member has joined."""
+        """Try the next seed, unless this member has joined or left."""
         if self._local.is_joining and self._local.is_active:
-            self._try_next(now_us)
+            self._try_next_seed(now_us)
 
-    def _try_next(self, now_us: int) -> None:
-        position = self._attempts % len(self.seeds)
+    def _try_next_seed(self, now_us: int) -> None:
+        position = self._attempt_count % len(self.seeds)
         if position == 0:
             self._local.random.shuffle(self.seeds)
         self._local.emit(StartPushPull(self.seeds[position]))
-        self._attempts += 1
-        doublings = min(self._attempts, MAX_BACKOFF_DOUBLINGS)
+        self._attempt_count += 1
+        doublings = min(self._attempt_count, MAX_BACKOFF_DOUBLINGS)
         backoff_us = min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2**doublings)
         self._local.timers.add(now_us + self._local.jitter(backoff_us), TimerKind.JOIN)
 
 
 class Reconnect:
-    """Tries members that failed, and seeds that are not among the members.
+    """Retries failed members, and seeds that are not among the live members.
 
-    A part that was cut off is found again.  A cluster whose first members met in pairs is several
-    clusters until the seeds have met, too.
+    This heals partitions.  It also merges clusters: if the first members join in separate groups,
+    these stay separate clusters until their seeds meet.
     """
 
     def __init__(
@@ -74,22 +74,22 @@
         self._local.timers.add(now_us + delay_us, TimerKind.RECONNECT)
 
     def on_timer(self, now_us: int) -> None:
-        """Try one of them, and schedule the next attempt."""
+        """Try a random failed member or unknown seed, and schedule the next attempt."""
         if self._local.is_active:
-            self._try_one(now_us)
+            self._try_random_address(now_us)
         self.start(now_us)
 
-    def _try_one(self, now_us: int) -> None:
+    def _try_random_address(self, now_us: int) -> None:
         local = self._local
-        failed = [k for k in local.table if k.record.state == MemberState.FAILED]
+        failed = [member for member in local.table if member.record.state == MemberState.FAILED]
         live_addresses = {known.record.address for known in local.table if known.is_live}
-        lost_seeds = sorted(seed for seed in self._join.seeds if seed not in live_addresses)
-        if not failed and not lost_seeds:
+        unknown_seeds = sorted(seed for seed in self._join.seeds if seed not in live_addresses)
+        if not failed and not unknown_seeds:
             return
-        number = local.random.randrange(len(failed) + len(lost_seeds))
-        if number < len(failed):
-            record = failed[number].record
+        index = local.random.randrange(len(failed) + len(unknown_seeds))
+        if index < len(failed):
+            record = failed[index].record
             header = Header(MessageKind.PING, target=record.name)
             self._dissemination.send(record, header, now_us)
         else:
-            self._push_pull.request(now_us, lost_seeds[number - len(failed)])
+            self._push_pull.request(now_us, unknown_seeds[index - len(failed)])
--- a/oakbridge/peers/local_health.py
+++ b/oakbridge/peers/local_health.py
@@ -1,18 +1,19 @@
-"""Lifeguard's local health: how slow this member itself seems to be.
+"""Lifeguard's local health score: how slow this member itself appears to be.
 
 Source: "Lifeguard", section IV-A (the local health multiplier); memberlist calls it awareness.
 """
 
 from __future__ import annotations
 
-MAX_SCORE = 8  # Lifeguard's S
-# How far the silence of others raises the score.  It may as well be that this member is cut off,
-# and slowness would only delay finding that out; late timers, which only it can cause, go on.
-MAX_SCORE_BY_SILENCE = 1
+MAX_SCORE = 8  # S in Lifeguard
+# The score up to which missing responses raise it.  They may also mean that this member is cut off,
+# and longer timeouts would only delay detecting that.  Faults of this member itself, such as late
+# timers, raise the score further.
+MAX_SCORE_FROM_SILENCE = 1
 
 
 class LocalHealth:
-    """A score from 0, for well, to the greatest; time-outs are multiplied by it plus one."""
+    """A score from 0 (healthy) to MAX_SCORE; timeouts are multiplied by the score plus one."""
 
     def __init__(self, *, enabled: bool) -> None:
         self.score = 0
@@ -20,20 +21,20 @@
 
     @property
     def multiplier(self) -> int:
-        """Return by how much this member's intervals and time-outs are longer."""
+        """Return the factor by which this member's probe intervals and timeouts are multiplied."""
         return self.score + 1
 
-    def better(self) -> None:
-        """Note a probe that was answered in time."""
+    def record_timely_ack(self) -> None:
+        """Lower the score: a probe was acknowledged in time."""
         self._adjust(-1)
 
-    def worse(self) -> None:
-        """Note a sign of slowness that only this member can have caused."""
+    def record_local_fault(self) -> None:
+        """Raise the score on a sign of slowness that only this member can have caused."""
         self._adjust(1)
 
-    def worse_by_silence(self) -> None:
-        """Note that neither a target nor any helper has answered."""
-        if self.score < MAX_SCORE_BY_SILENCE:
+    def record_silence(self) -> None:
+        """Raise the score to MAX_SCORE_FROM_SILENCE at most: no target or helper responded."""
+        if self.score < MAX_SCORE_FROM_SILENCE:
             self._adjust(1)
 
     def _adjust(self, change: int) -> None:
--- a/oakbridge/peers/local_member.py
+++ b/oakbridge/peers/local_member.py
@@ -1,4 +1,4 @@
-"""The member that this process is: the state that the parts of the protocol share."""
+"""State of this process's own member, shared by the components of the protocol."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LocalMember:
-    """Own record, options, timers, the other members, and the actions collected so far."""
+    """The own record, options and timers, the table of other members, and pending actions."""
 
     def __init__(
         self, record: MemberRecord, options: ProtocolOptions, generator: random.Random
@@ -28,38 +28,38 @@
         self.table = MemberTable()
         self.health = LocalHealth(enabled=options.local_health)
         self.counts: Counter[MemberCounter] = Counter()
-        self.is_joining = True  # until a first push-pull exchange
+        self.is_joining = True  # until the first push-pull exchange
         self.has_left = False
-        self.replaced_by: MemberRecord | None = None  # a later process of this name
+        self.replaced_by: MemberRecord | None = None  # a process of this name that started later
         self._actions: list[Action] = []
 
     @property
     def is_active(self) -> bool:
-        """Return whether this process still is a member."""
+        """Return whether this process is still a member."""
         return not self.has_left and self.replaced_by is None
 
     def emit(self, action: Action) -> None:
-        """Have the runner carry this out."""
+        """Add an action for the runner to carry out."""
         self._actions.append(action)
 
     def take_actions(self) -> list[Action]:
-        """Return the actions since the last call."""
+        """Return and clear the actions emitted since the last call."""
         actions = self._actions
         self._actions = []
         return actions
 
     def jitter(self, mean_us: int) -> int:
-        """Draw between half of the mean and half more, so that members don't move in step."""
+        """Return 0.5 to 1.5 times the mean, at random, so that members don't synchronize."""
         return mean_us // 2 + self.random.randrange(mean_us)
 
     def raise_incarnation(self, generation: int, incarnation: int) -> None:
-        """Become a greater incarnation, or generation, of this member."""
+        """Set this member's generation and incarnation."""
         self.record = msgspec.structs.replace(
             self.record, generation=generation, incarnation=incarnation
         )
 
     def mark_left(self) -> None:
-        """Become a member that has left on purpose."""
+        """Mark this member as left, in a new incarnation."""
         self.has_left = True
         self.record = msgspec.structs.replace(
             self.record,
--- a/oakbridge/peers/member.py
+++ b/oakbridge/peers/member.py
@@ -1,20 +1,21 @@
-"""One member: a face over the parts of the protocol.  Pure: messages and the time in, actions out.
+"""One member: the interface to the protocol.  No I/O: messages and the time in, actions out.
 
-SWIM with Lifeguard's corrections, and own ones, each for one way in which members are wrong:
+The protocol is SWIM with Lifeguard's extensions and these of oakbridge, each against one kind of
+false verdict:
 
-- A process that was frozen or starved of its processor finds all its time-outs past at once.  A
-  timer that fires late delays all others by as much: time in which the process did not run does not
-  count against others.
-- Another member's verdict about one that is held for alive is only an accusation
+- A process that was frozen or starved of CPU finds all its timeouts expired at once.  So a timer
+  that fires late delays all others by the same time: time in which this process did not run doesn't
+  count against other members.
+- Another member's claim that a live member failed only starts a suspicion
   (:mod:`~oakbridge.peers.membership`).
-- How suspicions ended lately tells how long the next one lasts
+- The recent fraction of refuted suspicions lengthens the next ones
   (:mod:`~oakbridge.peers.suspicion_monitor`).
-- Whoever was held for failed missed all gossip meanwhile, and asks for all that there is
+- A member that was declared failed has missed all gossip since, and requests a push-pull exchange
   (:mod:`~oakbridge.peers.push_pull`).
-- Members that failed are tried again now and then (:mod:`~oakbridge.peers.join`).
-- A name that is taken by a later start is given up (:mod:`~oakbridge.peers.refutation`).
+- Failed members are retried at intervals (:mod:`~oakbridge.peers.join`).
+- A process gives up its name to one that started later (:mod:`~oakbridge.peers.refutation`).
 
-Times are microseconds of a clock that never goes back.
+Times are microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -46,13 +47,13 @@
 from oakbridge.peers.timers import Timer, TimerKind
 
 TOKEN_BITS = 62
-# Of the probe time-out: a timer that fires later than this tells of a starved process.
-LATE_PART = 0.4
-FANOUTS_TOLD_OF_LEAVING = 4
+# Fraction of the probe timeout.  If a timer fires later than that, this process was paused.
+MAX_TIMER_DELAY_FRACTION = 0.4
+LEAVE_FANOUT_MULTIPLIER = 4  # a leaving member notifies this many times the gossip fanout
 
 
 class Member:
-    """The member that this process is, and all that it holds of the others."""
+    """The member of this process, with its view of the other members."""
 
     def __init__(
         self,
@@ -64,10 +65,10 @@
         now_us: int,
         options: ProtocolOptions | None = None,
     ) -> None:
-        """Become a member that knows nobody.
+        """Create a member that knows no others.
 
-        ``generation`` is above those of earlier starts as far as is known, such as the time of day;
-        ``seed`` is that of all random draws.
+        ``generation`` is above all known generations of this name, for example the time of day;
+        ``seed`` seeds the random generator.
         """
         options = options or ProtocolOptions()
         generator = random.Random(seed)
@@ -103,7 +104,7 @@
         self._membership.start(now_us)
         self._dissemination.start_gossip(now_us)
 
-    # ---- what can be asked
+    # ---- queries
 
     @property
     def record(self) -> MemberRecord:
@@ -112,22 +113,22 @@
 
     @property
     def members(self) -> dict[str, KnownMember]:
-        """Return the other members by name, those that failed or left included."""
+        """Return the other members by name, including those that failed or left."""
         return self._local.table.members
 
     @property
     def counts(self) -> Counter[MemberCounter]:
-        """Return what has been counted since the start."""
+        """Return the event counters since the start."""
         return self._local.counts
 
     @property
     def health_score(self) -> int:
-        """Return Lifeguard's local health score; 0 is well."""
+        """Return Lifeguard's local health score; 0 is healthy."""
         return self._local.health.score
 
     @property
     def is_joining(self) -> bool:
-        """Return whether this member still waits for a first push-pull exchange."""
+        """Return whether this member has yet to complete a first push-pull exchange."""
         return self._local.is_joining
 
     @property
@@ -137,45 +138,45 @@
 
     @property
     def replaced_by(self) -> MemberRecord | None:
-        """Return the later start that has taken this member's name, if there is one."""
+        """Return the record of a process that started later under this member's name, if any."""
         return self._local.replaced_by
 
     def live_names(self) -> list[str]:
-        """Return the names of the other members held for alive."""
+        """Return the names of the other live members, including suspected ones."""
         return self._local.table.live_names()
 
     def live_count(self) -> int:
-        """Return the number of members held for alive, this one included."""
+        """Return the number of live members, including this one."""
         return self._local.table.live_count
 
     def next_due_us(self) -> int:
-        """Return when :meth:`tick` has to be called next."""
+        """Return the time at which :meth:`tick` is to be called next."""
         return self._local.timers.next_due_us()
 
     def pending_timers(self, kind: TimerKind) -> list[str | int]:
-        """Return the keys of the timers of a kind."""
+        """Return the keys of the pending timers of a kind."""
         return self._local.timers.pending(kind)
 
     def push_pull_state(self) -> PushPullState:
-        """Return all that is known, for a push-pull exchange."""
+        """Return this member's side of a push-pull exchange: all known records."""
         return self._push_pull.state()
 
     def report(self, name: str, now_us: int) -> AgedReport | None:
-        """Return a member's last report of its load, this one's own included."""
+        """Return the last load report of a member or of this one, None if there is none."""
         return self._reports.get(name, now_us)
 
     # ---- commands
 
     def join(self, now_us: int, seeds: Iterable[str]) -> list[Action]:
-        """Join by the members at these addresses; with none but this one's, begin alone.
+        """Join through the members at these addresses; without any other address, start a cluster.
 
-        Called again, the addresses replace the earlier ones; a join under way goes on with them.
+        Addresses of a later call replace the earlier ones, also in a join that is in progress.
         """
         self._join.start(now_us, seeds)
         return self._local.take_actions()
 
-    def introduce(self, now_us: int, records: Iterable[MemberRecord]) -> None:
-        """Hold these members for known to everybody, as after a long rest: nothing is gossiped."""
+    def add_known_members(self, now_us: int, records: Iterable[MemberRecord]) -> None:
+        """Add members of a converged cluster: neither they nor this member are gossiped."""
         table = self._local.table
         for record in records:
             if record.name != self.record.name and table.get(record.name) is None:
@@ -185,26 +186,26 @@
         self._local.is_joining = False
 
     def leave(self, now_us: int) -> list[Action]:
-        """Leave on purpose: tell some members at once, and the rest by them."""
+        """Leave the cluster: notify some members directly, which gossip it to the others."""
         local = self._local
         if local.is_active:
             local.mark_left()
             self._dissemination.broadcast(local.record)
-            count = FANOUTS_TOLD_OF_LEAVING * local.options.gossip_fanout
+            count = LEAVE_FANOUT_MULTIPLIER * local.options.gossip_fanout
             for known in local.table.sample(local.random, count):
                 header = Header(MessageKind.GOSSIP)
                 self._dissemination.send(known.record, header, now_us, first=local.record)
         return local.take_actions()
 
     def set_load(self, now_us: int, load: LocalLoad) -> list[Action]:
-        """Report this load to the others, where datagrams have room."""
+        """Set the load to report; datagrams with space left carry it to the other members."""
         self._reports.set_own(now_us, load)
         return self._local.take_actions()
 
     def send_report(self, now_us: int, names: Iterable[str]) -> list[Action]:
-        """Send the own report to these members directly.
+        """Send this member's load report directly to these members.
 
-        By others it comes the later the more members there are.
+        A report that others pass on arrives later the more members there are.
         """
         local = self._local
         if local.is_active and self._reports.has_own:
@@ -218,7 +219,7 @@
         return local.take_actions()
 
     def use_generator(self, generator: random.Random) -> None:
-        """Draw from this generator from now on."""
+        """Replace the random generator."""
         self._local.random = generator
 
     # ---- events
@@ -226,7 +227,7 @@
     def push_pull_completed(
         self, now_us: int, state: PushPullState, *, initiated: bool
     ) -> list[Action]:
-        """Take what a push-pull exchange brought; ``initiated``: this member began it."""
+        """Apply the other side of an exchange; ``initiated``: whether this member started it."""
         if self._local.is_active:
             self._compensate_for_pause(now_us)
             for record in state.records:
@@ -238,12 +239,12 @@
         return self._local.take_actions()
 
     def push_pull_failed(self) -> list[Action]:
-        """Note that a push-pull exchange has come to nothing."""
+        """Count a push-pull exchange that failed."""
         self._push_pull.failed()
         return self._local.take_actions()
 
     def receive(self, now_us: int, source: str, message: Datagram) -> list[Action]:
-        """Take a datagram."""
+        """Handle a datagram from the address ``source``."""
         if self._local.is_active:
             self._compensate_for_pause(now_us)
             self._receive(now_us, source, message)
@@ -259,11 +260,13 @@
     def _receive(self, now_us: int, source: str, message: Datagram) -> None:
         local = self._local
         if message.sender == local.record.name:
-            local.counts[MemberCounter.OWN_NAME] += 1  # records decide which process stays
+            local.counts[MemberCounter.SENDER_HAS_OWN_NAME] += (
+                1  # its record decides which process keeps the name
+            )
             return
         known = local.table.get(message.sender)
         if known is not None and known.record.generation > message.generation:
-            self._tell_replaced(now_us, source, known)
+            self._notify_replaced(now_us, source, known)
             return
         for record in message.records:
             self._membership.apply(now_us, record, message.sender, "news")
@@ -287,19 +290,19 @@
             case MessageKind.NACK:
                 self._detector.on_nack(message)
             case MessageKind.GOSSIP:
-                self._correct(now_us, sender)
+                self._send_correction(now_us, sender)
 
-    def _tell_replaced(self, now_us: int, source: str, known: KnownMember) -> None:
-        """Tell a process of an old generation who has its name."""
+    def _notify_replaced(self, now_us: int, source: str, known: KnownMember) -> None:
+        """Send an older process of a name the record of the process that replaced it."""
         self._local.counts[MemberCounter.OLD_GENERATIONS] += 1
         destination = Destination(source, known.record.max_version)
         header = Header(MessageKind.GOSSIP)
         self._dissemination.send_to(destination, header, now_us, first=known.record)
 
-    def _correct(self, now_us: int, sender: KnownMember | None) -> None:
-        """Tell a member that gossips what is claimed about it, if it is held for gone.
+    def _send_correction(self, now_us: int, sender: KnownMember | None) -> None:
+        """Send a member that gossips its own record, if it is considered failed or left.
 
-        Seldom, as it may hold the same of this one and answer likewise.
+        At most once per probe timeout, as that member may consider this one failed and reply alike.
         """
         if sender is None or sender.is_live:
             return
@@ -310,18 +313,18 @@
     # ---- timers
 
     def _compensate_for_pause(self, now_us: int) -> None:
-        """Find out, before anything else is done, whether this process did not run for a while."""
+        """Detect a pause of this process and delay all timers by it, before any other work."""
         local = self._local
-        late_us = now_us - local.timers.next_due_us()
+        delay_us = now_us - local.timers.next_due_us()
         if not local.options.local_health:
             return
-        if late_us > local.options.probe_timeout_us * LATE_PART:
+        if delay_us > local.options.probe_timeout_us * MAX_TIMER_DELAY_FRACTION:
             local.counts[MemberCounter.LATE_TIMERS] += 1
-            local.health.worse()
-            local.timers.delay_all(late_us)
-            self._suspicions.delay_all(late_us)
+            local.health.record_local_fault()
+            local.timers.delay_all(delay_us)
+            self._suspicions.delay_all(delay_us)
 
-    def _fire(self, now_us: int, timer: Timer) -> None:  # noqa: C901  # a table: one case a kind
+    def _fire(self, now_us: int, timer: Timer) -> None:  # noqa: C901  # one case per kind
         match timer.kind:
             case TimerKind.PROBE:
                 self._detector.on_probe_timer(now_us)
--- a/oakbridge/peers/member_query.py
+++ b/oakbridge/peers/member_query.py
@@ -1,4 +1,4 @@
-"""Ask one member for all that it knows, by a push-pull exchange that tells it nothing."""
+"""Queries one member for all members that it knows, by an empty push-pull exchange."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from oakbridge.peers.framing import STREAM_LIMIT_BYTES, read_frame, write_frame
 from oakbridge.peers.messages import MemberRecord, PushPullState
 
-SENDER = "visitor"  # no member: nothing is kept of what it sends
+QUERY_SENDER = "visitor"  # not a member; the queried member adds no record for it
 
 
 class MemberQueryError(Exception):
-    """The member could not be asked."""
+    """The query of a member failed."""
 
     def __init__(self, address: Address, cause: str) -> None:
         super().__init__(f"{format_address(address)}: {cause}")
@@ -28,7 +28,7 @@
 async def query_members(
     address: Address, secret: bytes, timeout_s: float = 5.0
 ) -> list[dict[str, Any]]:
-    """Return a row for each member that the one at this address knows, itself included.
+    """Return a row for each member that the one at this address knows, including itself.
 
     Raises MemberQueryError.
     """
@@ -36,11 +36,15 @@
         async with asyncio.timeout(timeout_s):
             state = await _exchange(address, Codec(secret))
     except TimeoutError:
-        raise MemberQueryError(address, f"no answer within {timeout_s:g} s") from None
+        raise MemberQueryError(
+            address, f"expected a response within {timeout_s:g} s, got none"
+        ) from None
     except EOFError:
-        raise MemberQueryError(address, "hung up; is the secret the members' own?") from None
+        raise MemberQueryError(
+            address, "connection closed by the member; does the secret match?"
+        ) from None
     except PeerMessageError as e:
-        raise MemberQueryError(address, f"its answer can't be read: {e.reason}") from None
+        raise MemberQueryError(address, f"response can't be decoded: {e.reason}") from None
     except (OSError, ValueError) as e:
         raise MemberQueryError(address, str(e)) from None
     return [_row(record) for record in sorted(state.records, key=lambda r: r.name)]
@@ -49,7 +53,7 @@
 async def _exchange(address: Address, codec: Codec) -> PushPullState:
     reader, writer = await asyncio.open_connection(*address, limit=STREAM_LIMIT_BYTES)
     with closing(writer):
-        request = PushPullState(SENDER, generation=int(time.time()), records=())
+        request = PushPullState(QUERY_SENDER, generation=int(time.time()), records=())
         await write_frame(writer, codec.encode_state(request))
         return codec.decode_state(await read_frame(reader))
 
--- a/oakbridge/peers/member_table.py
+++ b/oakbridge/peers/member_table.py
@@ -1,4 +1,4 @@
-"""The other members as this one holds them, and random draws from those that are alive."""
+"""The table of the other members known to this one, with random selection of live ones."""
 
 from __future__ import annotations
 
@@ -11,29 +11,31 @@
 from oakbridge.peers.suspicion import Suspicion
 
 NEVER_US = -(2**62)
-DRAWS_PER_NAME = 4  # until a sample stays smaller than it was asked for
+MAX_DRAWS_PER_MEMBER = 4  # random draws per requested member; then a sample stays smaller
 
 
 @dataclass(slots=True)
 class KnownMember:
-    """What is held of one other member."""
+    """What is known of one other member."""
 
     record: MemberRecord
-    since_us: int  # when it came into its state
-    last_corrected_us: int = NEVER_US  # when it was last sent, unasked, what is claimed of it
+    since_us: int  # time of its last state change
+    last_corrected_us: int = NEVER_US  # when its own record was last sent to it as a correction
     suspicion: Suspicion | None = None
     report: NodeReport | None = None
     report_at_us: int = 0
-    history: tuple[MemberChanged, ...] = ()  # a tuple, as thousands of members have none
+    history: tuple[
+        MemberChanged, ...
+    ] = ()  # a tuple, as all members without changes share the empty one
 
     @property
     def is_live(self) -> bool:
-        """Return whether it counts as alive; a suspected one does until its time is over."""
+        """Return whether it counts as alive, as a suspected member does until it is failed."""
         return self.record.state <= MemberState.SUSPECT
 
 
 class MemberTable:
-    """Known members by name, and a list of those alive."""
+    """Known members by name, and a list of the live ones."""
 
     def __init__(self) -> None:
         self.members: dict[str, KnownMember] = {}
@@ -41,7 +43,7 @@
         self._live_position: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Return the number of known members, this one not included."""
+        """Return the number of known members, without this one."""
         return len(self.members)
 
     def __iter__(self) -> Iterator[KnownMember]:
@@ -49,45 +51,47 @@
         return iter(self.members.values())
 
     def get(self, name: str) -> KnownMember | None:
-        """Return the member of this name, if it is known."""
+        """Return the member of this name, None if it is unknown."""
         return self.members.get(name)
 
     def add(self, record: MemberRecord, now_us: int) -> KnownMember:
-        """Add a member that was not known."""
+        """Add a member that was unknown."""
         known = self.members[record.name] = KnownMember(record, now_us)
         return known
 
     def remove(self, name: str) -> None:
-        """Forget a member that is not alive."""
+        """Remove a member that is not alive."""
         del self.members[name]
 
-    def longest_gone(self) -> str | None:
-        """Return the name of the member that has not been alive for longest, if there is any."""
-        gone = [(known.since_us, name) for name, known in self.members.items() if not known.is_live]
-        return min(gone)[1] if gone else None
+    def longest_not_live(self) -> str | None:
+        """Return the member that failed or left the longest time ago, None if there is none."""
+        not_live = [
+            (known.since_us, name) for name, known in self.members.items() if not known.is_live
+        ]
+        return min(not_live)[1] if not_live else None
 
-    # ---- those alive
+    # ---- live members
 
     @property
     def live_count(self) -> int:
-        """Return the number of members alive, this one included."""
+        """Return the number of live members, including this one."""
         return len(self._live) + 1
 
     def live_names(self) -> list[str]:
-        """Return the names of the members alive, without this one's."""
+        """Return the names of the live members, without this one."""
         return list(self._live)
 
     def is_live(self, name: str) -> bool:
-        """Return whether the member of this name is on the list."""
+        """Return whether the member of this name is on the list of live members."""
         return name in self._live_position
 
     def add_live(self, name: str) -> None:
-        """Put a member on the list of those alive."""
+        """Add a member to the list of live members."""
         self._live_position[name] = len(self._live)
         self._live.append(name)
 
     def remove_live(self, name: str) -> None:
-        """Take a member off the list; the last one takes its position."""
+        """Remove a member from the list; the last one takes its position."""
         position = self._live_position.pop(name)
         last = self._live.pop()
         if last != name:
@@ -95,7 +99,7 @@
             self._live_position[last] = position
 
     def random_live(self, generator: random.Random) -> KnownMember | None:
-        """Return any member that is alive."""
+        """Return a random live member, None if there is none."""
         return self.members[generator.choice(self._live)] if self._live else None
 
     def sample(
@@ -106,9 +110,9 @@
         exclude: str = "",
         allow_suspects: bool = True,
     ) -> list[KnownMember]:
-        """Return up to so many members that are alive."""
+        """Return up to ``count`` random live members."""
         drawn: dict[str, KnownMember] = {}
-        for _ in range(DRAWS_PER_NAME * count if self._live else 0):
+        for _ in range(MAX_DRAWS_PER_MEMBER * count if self._live else 0):
             name = generator.choice(self._live)
             known = self.members[name]
             is_suspect = known.record.state == MemberState.SUSPECT
--- a/oakbridge/peers/membership.py
+++ b/oakbridge/peers/membership.py
@@ -1,8 +1,8 @@
-"""Who is a member: how claims of others change what this member holds of each.
+"""Applies claims of other members, and this member's own verdicts, to its member table.
 
-Own corrections to SWIM: another member's verdict about one that is held for alive is only an
-accusation, with the shortest time to refute it, and the accused is told at once; so two parts that
-were cut off from each other heal without calling their own neighbours failed.
+Differs from SWIM: a claim that a live member failed only starts a suspicion, with the shortest
+timeout, and the member concerned is notified at once.  So two partitions merge again without
+declaring members of their own partition failed.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from oakbridge.peers.suspicion_monitor import SuspicionMonitor
 from oakbridge.peers.timers import TimerKind
 
-HISTORY_LENGTH = 8  # changes of one member that are kept, for ``oakbridge peers why``
-ACCUSERS_NAMED = 4
-FORGET_CHECKS = 24  # within the time after which a member is forgotten
+MAX_HISTORY_LENGTH = 8  # state changes kept per member, for ``oakbridge peers why``
+MAX_REPORTERS_NAMED = 4  # in the cause of a failure
+FORGET_CHECKS_PER_PERIOD = 24  # the period is ProtocolOptions.forget_after_us
 
 
 class Membership:
-    """Applies claims about members to the table, and tells others what changed."""
+    """Applies claims about members to the table, and broadcasts the changes."""
 
     def __init__(
         self,
@@ -44,16 +44,16 @@
         self._refutation = Refutation(local, dissemination, push_pull)
 
     def start(self, now_us: int) -> None:
-        """Schedule the first look for members to forget."""
-        delay_us = self._local.options.forget_after_us // FORGET_CHECKS
+        """Schedule the next check for members to forget."""
+        delay_us = self._local.options.forget_after_us // FORGET_CHECKS_PER_PERIOD
         self._local.timers.add(now_us + delay_us, TimerKind.FORGET)
 
     # ---- claims
 
     def apply(self, now_us: int, claim: MemberRecord, sender: str, channel: str) -> None:
-        """Take a claim about a member; ``channel`` says how it came, for the history."""
+        """Apply a claim about a member; ``channel`` says how it was received, for the history."""
         if claim.name == self._local.record.name:
-            self._refutation.answer(now_us, claim)
+            self._refutation.respond(now_us, claim)
             return
         known = self._local.table.get(claim.name)
         if known is None:
@@ -62,7 +62,7 @@
             self._apply_to_same_process(now_us, known, claim, sender, channel)
         elif claim.supersedes(known.record):
             reporter = claim.reported_by or sender
-            self._set(now_us, known, claim, reporter, "a new process of this name")
+            self._set_record(now_us, known, claim, reporter, "a new process of this name")
 
     def _apply_to_same_process(
         self, now_us: int, known: KnownMember, claim: MemberRecord, sender: str, channel: str
@@ -74,32 +74,34 @@
         if not claim.supersedes(old):
             return
         if claim.state != MemberState.ALIVE:
-            # Others' claims come without what only the member itself can change.
+            # Only the member itself changes its tags and address; other members' claims lack them.
             claim = msgspec.structs.replace(claim, tags=old.tags, address=old.address)
         if claim.state == MemberState.FAILED and old.state <= MemberState.SUSPECT:
-            self._accuse(now_us, known, claim, sender)
+            self._apply_failure_report(now_us, known, claim, sender)
         else:
-            self._set(now_us, known, claim, claim.reported_by or sender, channel)
+            self._set_record(now_us, known, claim, claim.reported_by or sender, channel)
 
-    def _accuse(self, now_us: int, known: KnownMember, claim: MemberRecord, sender: str) -> None:
-        """Take another member's verdict that a live one has failed.
+    def _apply_failure_report(
+        self, now_us: int, known: KnownMember, claim: MemberRecord, sender: str
+    ) -> None:
+        """Apply another member's claim that a live one has failed.
 
-        A verdict that is heard during a suspicion, or again, shortens nothing: after a cut heals
-        it often comes before the refutation, which has the shortest time since the suspicion began
-        in any case.
+        The claim shortens the suspicion to its shortest timeout, counted from its start; repeated
+        claims have no further effect.  So a refutation always has that time: after a partition
+        heals, such claims often arrive before it.
         """
         reporter = claim.reported_by or sender
         if known.suspicion is None:
-            accusation = claim.with_state(MemberState.SUSPECT, claim.reported_by)
-            self._set(now_us, known, accusation, reporter, "called failed, not by us")
+            suspicion_claim = claim.with_state(MemberState.SUSPECT, claim.reported_by)
+            self._set_record(now_us, known, suspicion_claim, reporter, "called failed, not by us")
             header = Header(MessageKind.PING, target=claim.name)
             self._dissemination.send(known.record, header, now_us)
         suspicion = known.suspicion
-        if suspicion is None or suspicion.failure_reported:
+        if suspicion is None or suspicion.is_failure_reported:
             return
         suspicion.report_failure()
         if suspicion.deadline_us() <= now_us:
-            self._set(now_us, known, claim, reporter, "heard it while suspecting it")
+            self._set_record(now_us, known, claim, reporter, "heard it while suspecting it")
         else:
             self._local.timers.add(suspicion.deadline_us(), TimerKind.SUSPICION, claim.name)
 
@@ -114,13 +116,13 @@
         self._update_live(known)
         cause = f"first heard of by {channel}"
         self._report_change(now_us, known, "", claim.reported_by or sender, cause)
-        self._dissemination.broadcast_soon(now_us, claim)
+        self._dissemination.broadcast_and_gossip(now_us, claim)
 
     def _make_room(self, claim: MemberRecord) -> bool:
-        """Forget the member that has been gone for longest, for one that is alive."""
+        """Make room for a live member by forgetting the one that failed or left longest ago."""
         if claim.state > MemberState.SUSPECT:
             return False
-        name = self._local.table.longest_gone()
+        name = self._local.table.longest_not_live()
         if name is not None:
             self._local.table.remove(name)
         return name is not None
@@ -128,7 +130,7 @@
     # ---- own verdicts
 
     def suspect(self, now_us: int, name: str) -> None:
-        """Suspect a member that has answered neither this one nor its helpers."""
+        """Suspect a member that neither this one nor its helpers could reach."""
         known = self._local.table.get(name)
         if known is None or not known.is_live:
             return
@@ -137,10 +139,10 @@
             self._suspicions.confirm(now_us, known, own_name)
             return
         claim = known.record.with_state(MemberState.SUSPECT, own_name)
-        self._set(now_us, known, claim, own_name, "no answer to a probe, nor by others")
+        self._set_record(now_us, known, claim, own_name, "no answer to a probe, nor by others")
 
     def on_suspicion_timer(self, now_us: int, name: str) -> None:
-        """Hold a suspected member for failed whose time to refute is over."""
+        """Declare a suspected member failed if its suspicion has expired."""
         known = self._local.table.get(name)
         if not self._local.is_active or known is None or known.suspicion is None:
             return
@@ -148,9 +150,9 @@
             return
         own_name = self._local.record.name
         claim = known.record.with_state(MemberState.FAILED, own_name)
-        accusers = ", ".join(sorted(known.suspicion.accusers)[:ACCUSERS_NAMED])
-        cause = f"suspected by {accusers} and not refuted in time"
-        self._set(now_us, known, claim, own_name, cause)
+        reporters = ", ".join(sorted(known.suspicion.reporters)[:MAX_REPORTERS_NAMED])
+        cause = f"suspected by {reporters} and not refuted in time"
+        self._set_record(now_us, known, claim, own_name, cause)
 
     def on_forget_timer(self, now_us: int) -> None:
         """Forget members that failed or left long ago."""
@@ -166,13 +168,13 @@
 
     # ---- changes
 
-    def _set(
+    def _set_record(
         self, now_us: int, known: KnownMember, record: MemberRecord, reporter: str, cause: str
     ) -> None:
         before = known.record.state
         is_new_process = record.process_key != known.record.process_key
         if before == MemberState.SUSPECT and not is_new_process:
-            self._note_suspicion_end(now_us, record.state)
+            self._record_suspicion_end(now_us, record.state)
         known.record = record
         known.suspicion = None
         if is_new_process:
@@ -184,12 +186,12 @@
             self._report_change(now_us, known, before.label, reporter, cause)
         self._update_live(known)
         if before == MemberState.FAILED and known.is_live:
-            self._push_pull.request(now_us, record.address)  # it may be one of many that are back
-        self._dissemination.broadcast_soon(now_us, record)
+            self._push_pull.request(now_us, record.address)  # others may have come back with it
+        self._dissemination.broadcast_and_gossip(now_us, record)
 
-    def _note_suspicion_end(self, now_us: int, state: MemberState) -> None:
+    def _record_suspicion_end(self, now_us: int, state: MemberState) -> None:
         if state in (MemberState.ALIVE, MemberState.FAILED):
-            self._suspicions.note_end(now_us, refuted=state == MemberState.ALIVE)
+            self._suspicions.record_end(now_us, refuted=state == MemberState.ALIVE)
 
     def _report_change(
         self, now_us: int, known: KnownMember, before: str, reporter: str, cause: str
@@ -198,11 +200,11 @@
         change = MemberChanged(
             now_us, record.name, before, record.state.label, reporter, cause, record.address
         )
-        known.history = (*known.history[1 - HISTORY_LENGTH :], change)
+        known.history = (*known.history[1 - MAX_HISTORY_LENGTH :], change)
         self._local.emit(change)
 
     def _update_live(self, known: KnownMember) -> None:
-        """Keep the list of members alive; a new one is probed at a random point of this round."""
+        """Update the list of live members; a new one is probed at a random point of this round."""
         table = self._local.table
         name = known.record.name
         if known.is_live and not table.is_live(name):
--- a/oakbridge/peers/node_adapter.py
+++ b/oakbridge/peers/node_adapter.py
@@ -1,4 +1,4 @@
-"""Ties a member to the node beside it: load out, failure reports in; and a file of seeds."""
+"""Connects a member to its node: load reports, failure reports, and a watched file of seeds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def load_source(node: Node) -> Callable[[], LocalLoad]:
-    """Return what tells the load of a node."""
+    """Return a function that returns the current load of a node."""
 
     def load() -> LocalLoad:
         in_flight, subset_size, failing_servers = load_summary(node.balancer, node.clock.now())
@@ -24,15 +24,15 @@
 
 
 def failure_report_sink(node: Node) -> Callable[[dict[str, float]], None]:
-    """Return what passes others' reports of failing servers to a node's outlier detection."""
+    """Return a function that passes weights of failure reports to a node's outlier detection."""
     return lambda weights: node.post(PeerFailureReports(weights))
 
 
 class SeedFile:
-    """Seeds from a watched server file; the names in it count for nothing."""
+    """Takes seeds from a watched server file; the names in the file are ignored."""
 
     def __init__(self, options: FileOptions, service: MembershipService) -> None:
-        """Begin to watch."""
+        """Start to watch the file."""
         self._service = service
         self._endpoints: dict[str, ListedEndpoint] = {}
         self._source = FileSource(options, monotonic_us)
@@ -40,13 +40,13 @@
         self._source.start()
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop watching the file."""
         self._source.stop()
 
     def prepare(self, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Nothing is needed before a list holds."""
+        """Do nothing: no preparation is needed before a list applies."""
 
-    def on_endpoint_list(self, new: EndpointList, *, saved: bool = False) -> None:  # noqa: ARG002  # a source's
-        """Join by these from now on."""
+    def on_endpoint_list(self, new: EndpointList, *, saved: bool = False) -> None:  # noqa: ARG002  # an interface
+        """Set the file's addresses as the seeds."""
         new.apply_to(self._endpoints)
         self._service.set_seeds([endpoint.address for endpoint in self._endpoints.values()])
--- a/oakbridge/peers/node_reports.py
+++ b/oakbridge/peers/node_reports.py
@@ -1,4 +1,4 @@
-"""Members' reports of their load: this member's own, those that it heard, and their ages."""
+"""Load reports: this member's own, those received from other members, and their ages."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
     encoded_size,
 )
 
-ITEM_OVERHEAD_BYTES = 3  # of an array's head around an item
+ITEM_OVERHEAD_BYTES = 3  # msgpack array header of an item
 MAX_REPORTS_PER_DATAGRAM = 16
 US_PER_MS = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class LocalLoad:
-    """What the node beside a member has to report."""
+    """The current load of a node, as it reports it to the other members."""
 
     in_flight: int  # requests
     subset_size: int  # servers in use
     failing_servers: tuple[str, ...] = ()
     site_report: SiteReport | None = None
-    requests_per_10s: int = 0
+    requests_per_10s: int = 0  # 0: not reported
 
 
 class AgedReport(NamedTuple):
-    """A report, and how old it is."""
+    """A report and its age."""
 
     report: NodeReport
     age_us: int
 
 
 class NodeReports:
-    """The reports that a member holds, and the queue of those that it passes on."""
+    """The reports known to this member, and the queue of those to pass on."""
 
     def __init__(self, local: LocalMember) -> None:
         self._local = local
@@ -51,12 +51,12 @@
 
     @property
     def has_own(self) -> bool:
-        """Return whether this member has reported anything."""
+        """Return whether this member has a report of its own."""
         return self._own is not None
 
     @property
     def has_pending(self) -> bool:
-        """Return whether any report is still to be passed on."""
+        """Return whether any report is queued."""
         return len(self._queue) > 0
 
     def set_own(self, now_us: int, load: LocalLoad) -> None:
@@ -76,7 +76,7 @@
         self._queue.put(local.name, local.name, encoded_size(self._own))
 
     def receive(self, now_us: int, report: NodeReport) -> None:
-        """Keep another member's report if it is newer than the one held."""
+        """Store and queue another member's report if it is newer than the known one."""
         known = self._local.table.get(report.name)
         if known is None or report.generation != known.record.generation:
             return
@@ -87,7 +87,7 @@
             self._queue.put(report.name, report.name, size_bytes)
 
     def get(self, name: str, now_us: int) -> AgedReport | None:
-        """Return a member's last report, this one's own included."""
+        """Return a member's last report, None if there is none; the name may be this member's."""
         if name == self._local.record.name:
             if self._own is None:
                 return None
@@ -98,18 +98,20 @@
         age_us = known.report.age_ms * US_PER_MS + now_us - known.report_at_us
         return AgedReport(known.report, age_us)
 
-    def own_to_send(self, now_us: int) -> NodeReport:
-        """Return this member's report with its age."""
-        return self._to_send(self._local.record.name, now_us)
+    def own_with_age(self, now_us: int) -> NodeReport:
+        """Return this member's own report with its current age."""
+        return self._with_age(self._local.record.name, now_us)
 
-    def take(self, room_bytes: int, transmit_limit: int, now_us: int) -> tuple[NodeReport, ...]:
-        """Return reports that fit into the room, with their ages."""
-        names = self._queue.take(room_bytes, transmit_limit, MAX_REPORTS_PER_DATAGRAM)
-        return tuple(self._to_send(name, now_us) for name in names)
+    def take(
+        self, available_bytes: int, transmit_limit: int, now_us: int
+    ) -> tuple[NodeReport, ...]:
+        """Return queued reports that fit into ``available_bytes``, with their current ages."""
+        names = self._queue.take(available_bytes, transmit_limit, MAX_REPORTS_PER_DATAGRAM)
+        return tuple(self._with_age(name, now_us) for name in names)
 
-    def _to_send(self, name: str, now_us: int) -> NodeReport:
+    def _with_age(self, name: str, now_us: int) -> NodeReport:
         found = self.get(name, now_us)
-        if found is None:  # the member was forgotten meanwhile
+        if found is None:  # the member has been forgotten since
             return NodeReport(self._local.record.name, self._local.record.generation, sequence=0)
         age_ms = min(MAX_REPORT_AGE_MS, found.age_us // US_PER_MS)
         return msgspec.structs.replace(found.report, age_ms=age_ms)
--- a/oakbridge/peers/operator_view.py
+++ b/oakbridge/peers/operator_view.py
@@ -1,6 +1,6 @@
-"""What operators are told: the JSON of ``oakbridge peers`` and ``oakbridge peers why``.
+"""Builds the JSON of ``oakbridge peers`` and ``oakbridge peers why``.
 
-The names of its fields are mapped here, and only here, to the program's own terms.
+Only this module maps the code's terms to the names of JSON fields.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 def describe(service: MembershipService, now_us: int) -> dict[str, Any]:
-    """Return a node's view of all members."""
+    """Return a node's view of all members as JSON for operators."""
     member = service.member
     view = service.view
-    index = service.views.replica_index.current
+    index = service.view_monitor.replica_index.current
     return {
         "name": member.record.name,
         "stance": None if view is None else str(view),
@@ -34,12 +34,12 @@
         "doubted": _failing_servers(service.failure_reports),
         "members": _member_rows(service, now_us),
         "counts": _counts(service),
-        "longest_turn_ms": round(service.longest_turn_s * 1e3, 3),
+        "longest_turn_ms": round(service.longest_callback_s * 1e3, 3),
     }
 
 
 def history(known: KnownMember, now_us: int) -> list[dict[str, Any]]:
-    """Return how a member came into its state, oldest change first."""
+    """Return the state changes of a member, oldest first."""
     return [
         {
             "ago_s": round((now_us - change.at_us) / US_PER_S, 1),
--- a/oakbridge/peers/periodic_update.py
+++ b/oakbridge/peers/periodic_update.py
@@ -1,4 +1,4 @@
-"""Call a function again and again beside a member, whatever becomes of a single call."""
+"""Calls a function periodically; a failed call doesn't stop the next ones."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 
 class PeriodicUpdate:
-    """A task that calls a function at an interval; an error of one call is logged and contained.
+    """A task that calls a function at an interval; exceptions of a call are logged, not raised.
 
-    Requests are served whatever becomes of it.
+    So a failed update doesn't affect requests.
     """
 
     def __init__(
         self, update: Callable[[], Awaitable[None]], interval_s: float, failure_message: str
     ) -> None:
-        """Begin nothing yet; ``failure_message``: what is logged of a call that failed."""
+        """Prepare the task; ``failure_message`` is the log message for a failed call."""
         self._update = update
         self._interval_s = interval_s
         self._failure_message = failure_message
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin with a first call."""
+        """Start the task; it calls the function at once."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """End, also in the midst of a call."""
+        """Stop the task; a call in progress is cancelled."""
         if self._task is None:
             return
         self._task.cancel()
--- a/oakbridge/peers/probe_rotation.py
+++ b/oakbridge/peers/probe_rotation.py
@@ -1,6 +1,7 @@
-"""Whom to probe next: round by round, each round in a new order.
+"""Selects the next member to probe: in rounds over all live members, each round in random order.
 
-No member waits longer than two rounds.  Source: SWIM, section 4.3 (round-robin probe targets).
+The time between two probes of a member is two rounds at most.  Source: SWIM, section 4.3
+(round-robin probe targets).
 """
 
 from __future__ import annotations
@@ -9,23 +10,23 @@
 
 
 class ProbeRotation:
-    """The targets that this round still has, the next one last."""
+    """The remaining targets of the current round, the next one last."""
 
     def __init__(self, local: LocalMember) -> None:
         self._local = local
         self._targets: list[str] = []
 
     def insert(self, name: str) -> None:
-        """Have a new member probed at a random point of this round."""
+        """Insert a new member at a random position of this round."""
         position = self._local.random.randrange(len(self._targets) + 1)
         self._targets.insert(position, name)
 
     def put_next(self, name: str) -> None:
-        """Have this member probed next."""
+        """Make this member the next target."""
         self._targets.append(name)
 
     def next_target(self) -> str | None:
-        """Return the next member to probe, None if there is none."""
+        """Return the next member to probe, None if there is none to probe."""
         for _ in range(2):
             while self._targets:
                 name = self._targets.pop()
@@ -36,9 +37,9 @@
         return None
 
     def _is_confirmed(self, name: str) -> bool:
-        """Return whether as many suspect it as count.
+        """Return whether the suspicion of this member is confirmed already.
 
-        Where many fail at once, probes go to those of whom nothing is known yet.
+        Confirmed ones are skipped: if many members fail at once, probes go to those in doubt.
         """
         suspicion = self._local.table.members[name].suspicion
         return suspicion is not None and suspicion.is_confirmed
--- a/oakbridge/peers/push_pull.py
+++ b/oakbridge/peers/push_pull.py
@@ -1,7 +1,7 @@
-"""Anti-entropy by push-pull exchanges: two members tell each other all that they know.
+"""Anti-entropy by push-pull exchanges: two members send each other all records that they know.
 
-Exchanges are scheduled, requested where one brings much that is new, and asked for again and again
-by a member that was held for failed: nobody gossiped to it meanwhile.
+Exchanges are scheduled periodically, and requested when one is likely to bring many changes.  A
+member that was declared failed retries until one succeeds, as it received no gossip meanwhile.
 """
 
 from __future__ import annotations
@@ -11,20 +11,22 @@
 from oakbridge.peers.messages import PushPullState
 from oakbridge.peers.timers import TimerKind
 
-MIN_REQUEST_INTERVAL_US = 2_000_000  # between two exchanges that are not scheduled
-MEMBERS_AT_FULL_RATE = 64  # an exchange is O(n) bytes: with more members it gets rarer
-CATCH_UP_INTERVAL_US = 4_000_000  # until another member is asked, twice as long each time
+MIN_REQUEST_INTERVAL_US = 2_000_000  # between two exchanges started by request()
+MEMBERS_AT_FULL_RATE = (
+    64  # beyond it the interval grows in proportion, as an exchange is O(n) bytes
+)
+CATCH_UP_INTERVAL_US = 4_000_000  # to the first retry; doubles with each further one
 MAX_CATCH_UP_DOUBLINGS = 4
 
 
 class PushPull:
-    """When this member begins a push-pull exchange, and with whom."""
+    """Decides when this member starts a push-pull exchange, and with which member."""
 
     def __init__(self, local: LocalMember, now_us: int) -> None:
         self._local = local
         self._last_request_us = now_us - MIN_REQUEST_INTERVAL_US
-        self._catch_up_attempts = 0  # 0: nothing was missed
-        self._failed_incarnation = -1  # the last one that was held for failed
+        self._catch_up_attempts = 0  # 0: no catch-up in progress
+        self._failed_incarnation = -1  # last own incarnation that was declared failed
 
     def start(self, now_us: int) -> None:
         """Schedule the first exchange."""
@@ -32,54 +34,54 @@
         self._local.timers.add(now_us + delay_us, TimerKind.PUSH_PULL)
 
     def state(self) -> PushPullState:
-        """Return all that this member knows."""
+        """Return this member's side of an exchange: all records that it knows."""
         local = self._local
         records = (local.record, *(known.record for known in local.table))
         return PushPullState(local.record.name, local.record.generation, records)
 
     def request(self, now_us: int, address: str) -> None:
-        """Begin an exchange that is not scheduled.
+        """Start an exchange, unless one was started within MIN_REQUEST_INTERVAL_US.
 
-        Where many would bring news at once, one tells of the others.
+        If several members have changes at once, the exchange with one of them brings all changes.
         """
         if now_us - self._last_request_us >= MIN_REQUEST_INTERVAL_US:
             self._last_request_us = now_us
             self._local.emit(StartPushPull(address))
 
     def on_timer(self, now_us: int) -> None:
-        """Begin a scheduled exchange with any member, and schedule the next one."""
+        """Start the scheduled exchange with a random live member, and schedule the next one."""
         local = self._local
         if local.is_active and (partner := local.table.random_live(local.random)) is not None:
             self.request(now_us, partner.record.address)
-        rarer = max(1, local.table.live_count // MEMBERS_AT_FULL_RATE)
-        delay_us = local.jitter(local.options.push_pull_interval_us * rarer)
+        interval_factor = max(1, local.table.live_count // MEMBERS_AT_FULL_RATE)
+        delay_us = local.jitter(local.options.push_pull_interval_us * interval_factor)
         local.timers.add(now_us + delay_us, TimerKind.PUSH_PULL)
 
     def completed(self) -> None:
-        """Note that an exchange which this member began has come about."""
+        """Record that an exchange started by this member has succeeded."""
         self._local.is_joining = False
         self._catch_up_attempts = 0
 
     def failed(self) -> None:
-        """Note that an exchange has come to nothing."""
+        """Count a failed exchange."""
         self._local.counts[MemberCounter.PUSH_PULLS_FAILED] += 1
 
     # ---- catching up
 
     def catch_up(self, now_us: int, failed_incarnation: int) -> None:
-        """Ask for what was gossiped while this incarnation was held for failed, once."""
+        """Start, once per failed incarnation, to catch up on gossip missed meanwhile."""
         if failed_incarnation > self._failed_incarnation:
             self._failed_incarnation = failed_incarnation
             self._catch_up_attempts = 0
-            self._ask_any(now_us)
+            self._request_from_any(now_us)
 
     def on_catch_up_timer(self, now_us: int, failed_incarnation: str | int) -> None:
-        """Ask another member unless an exchange has come about."""
+        """Retry with another random member unless an exchange has succeeded."""
         is_current = failed_incarnation == self._failed_incarnation
         if self._catch_up_attempts and is_current and self._local.is_active:
-            self._ask_any(now_us)
+            self._request_from_any(now_us)
 
-    def _ask_any(self, now_us: int) -> None:
+    def _request_from_any(self, now_us: int) -> None:
         local = self._local
         partner = local.table.random_live(local.random)
         if partner is not None:
--- a/oakbridge/peers/push_pull_transport.py
+++ b/oakbridge/peers/push_pull_transport.py
@@ -1,4 +1,4 @@
-"""Push-pull exchanges on TCP: one a connection, each side's state in a frame."""
+"""Push-pull exchanges over TCP: one exchange per connection, one frame per side."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from oakbridge.peers.messages import PushPullState
 from oakbridge.peers.service_counter import ServiceCounter
 
-MAX_CONCURRENT = 16  # each way
-TIMEOUT_S = 3.0  # of one exchange
+MAX_CONCURRENT_EXCHANGES = 16  # in each direction
+EXCHANGE_TIMEOUT_S = 3.0
 ANY_PORT = 0
 EXCHANGE_ERRORS = (OSError, EOFError, TimeoutError, ValueError, PeerMessageError)
 
 
 class PushPullHandler(Protocol):
-    """Whose exchanges these are."""
+    """The member on whose behalf exchanges are made."""
 
     def own_state(self) -> PushPullState:
-        """Return the own side of an exchange."""
+        """Return this side of an exchange."""
 
     async def push_pull_completed(self, state: PushPullState, *, initiated: bool) -> None:
-        """Take the other side; ``initiated``: this side connected."""
+        """Handle the other side; ``initiated`` says whether this side connected."""
 
     def push_pull_failed(self) -> None:
-        """Note that an exchange which this side initiated has come to nothing."""
+        """Handle the failure of an exchange that this side initiated."""
 
 
 class PushPullTransport:
-    """Initiates and serves exchanges, a bounded number at once."""
+    """Initiates and serves a bounded number of concurrent exchanges."""
 
     def __init__(
         self,
@@ -51,14 +51,14 @@
 
     @property
     def can_initiate(self) -> bool:
-        """Return whether one more exchange may be initiated."""
-        return self._outgoing < MAX_CONCURRENT
+        """Return whether another exchange may be initiated."""
+        return self._outgoing < MAX_CONCURRENT_EXCHANGES
 
     async def initiate(self, address: str) -> None:
-        """Exchange states with the member at this address."""
+        """Exchange states with the member at this address; a failure is reported to the handler."""
         self._outgoing += 1
         try:
-            async with asyncio.timeout(TIMEOUT_S):
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 state = await self._exchange(address)
             await self._handler.push_pull_completed(state, initiated=True)
         except EXCHANGE_ERRORS:
@@ -77,14 +77,14 @@
             return await self._read(reader)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Exchange states with whoever has connected."""
-        if self._incoming >= MAX_CONCURRENT:
+        """Exchange states with a member that has connected."""
+        if self._incoming >= MAX_CONCURRENT_EXCHANGES:
             self._counts[ServiceCounter.PUSH_PULLS_REFUSED] += 1
             writer.transport.abort()
             return
         self._incoming += 1
         try:
-            async with asyncio.timeout(TIMEOUT_S):
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 state = await self._read(reader)
                 await self._write(writer)
             await self._handler.push_pull_completed(state, initiated=False)
--- a/oakbridge/peers/random_scenarios.py
+++ b/oakbridge/peers/random_scenarios.py
@@ -1,8 +1,8 @@
-"""Random scenarios of a few members, by seed, and the invariants that must hold in each.
+"""Random scenarios of a few members, determined by a seed, and the invariants to hold in each.
 
-In one view nobody's record ever goes back; whoever has heard that a member left on purpose never
-holds it for failed; once all is quiet no two live members disagree.  Each invariant is shown to
-fail on a planted fault (tests/members).
+The precedence of a record never decreases in a member's view.  A member that is known to have left
+gets no other state in the same incarnation.  Once faults have ended, the views of all live members
+agree.  The tests (tests/members) show that each invariant detects a planted fault.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 SECOND_US = 1_000_000
 MAX_FAULT_INTERVAL_US = 800_000
 MIN_FAULT_INTERVAL_US = 50_000
-QUIET_S = 40  # in which views must become the truth
-AGREED_CHECKS = 6  # half seconds for which they have to stay it
+MAX_CONVERGENCE_S = 40  # after the last fault; views must be correct by then
+REQUIRED_AGREEING_CHECKS = 6  # consecutive ones, half a second apart
 SEED_MEMBERS = 2
 OPTIONS = ProtocolOptions(
     probe_interval_us=200_000,
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class ScenarioResult:
-    """What one scenario came to."""
+    """The result of one scenario."""
 
     seed: int
     events: list[str] = field(default_factory=list)
@@ -48,16 +48,17 @@
 
 
 class RandomScenario:
-    """Members start, die, freeze, leave, come back and are cut off, on a random network."""
+    """Members start, crash, freeze, leave, return and are cut off, on a random network."""
 
-    def __init__(self, seed: int, members: int = 4, seconds: int = 20) -> None:
+    def __init__(self, seed: int, members: int = 4, duration_s: int = 20) -> None:
         self.result = ScenarioResult(seed)
-        self.cluster = SimulatedCluster(seed, options=OPTIONS, measure=False)
+        self.cluster = SimulatedCluster(seed, options=OPTIONS, count_bytes=False)
         self.random = self.cluster.random
         self.names = [f"m{i}" for i in range(members)]
         self.generations = dict.fromkeys(self.names, 0)
-        self.seconds = seconds
-        self.seen: dict[tuple[int, str], Precedence] = {}  # by holder's token, and name
+        self.duration_s = duration_s
+        # By token of the observer and name of the subject.
+        self.last_precedence: dict[tuple[int, str], Precedence] = {}
         self.network = SimulatedNetwork(
             loss=self.random.choice((0, 0.1, 0.3)),
             duplication=self.random.choice((0, 0.2)),
@@ -65,23 +66,23 @@
         )
 
     def run(self) -> ScenarioResult:
-        """Play it to its end."""
+        """Run the scenario to its end."""
         cluster = self.cluster
         cluster.network = self.network
         for name in self.names:
             cluster.call_later(self.random.randrange(SECOND_US), lambda n=name: self.start(n))  # type: ignore[misc]
-        while cluster.now_us < self.seconds * SECOND_US:
+        while cluster.now_us < self.duration_s * SECOND_US:
             interval_us = self.random.randrange(MIN_FAULT_INTERVAL_US, MAX_FAULT_INTERVAL_US)
             cluster.run_until(cluster.now_us + interval_us)
             self.inject_fault()
             self.check_invariants()
-        self._end_faults()
+        self._clear_faults()
         self._wait_for_agreement()
         self.result.violations += self.disagreements()
         return self.result
 
     def start(self, name: str) -> None:
-        """Start a process of this name; its clock may be behind the last one's."""
+        """Start a process of this name; its generation may be below that of the last one."""
         drift = self.random.choice((-1, 0, 1, 2))
         generation = self.generations[name] = max(1, self.generations[name] + drift)
         self.cluster.start(name, self._seeds(), generation=generation)
@@ -96,7 +97,7 @@
     # ---- faults
 
     def inject_fault(self) -> None:
-        """Have something happen to one member, or nothing."""
+        """Inject a random fault into a random member, or none; a stopped member is started."""
         name = self.random.choice(self.names)
         process = self.cluster.processes.get(name)
         fault = self.random.choice(FAULTS)
@@ -133,83 +134,90 @@
         )
 
     def _end_process(self, name: str, member: Member) -> None:
-        """End a process that has left, unless another one has its name by now."""
+        """Kill a process that has left, unless another one has been started under its name."""
         if self.cluster.processes[name].member is member:
             self.cluster.kill(name)
 
-    def _end_faults(self) -> None:
+    def _clear_faults(self) -> None:
         cluster = self.cluster
         cluster.is_blocked = nothing_blocked
         cluster.network = SimulatedNetwork()
         for name in self.names:
             if name in cluster.processes and cluster.processes[name].is_frozen:
                 cluster.thaw(name)
-        for name in self._seeds():  # without them and a snapshot nobody can find anybody
+        for name in self._seeds():  # without seeds or a snapshot members can't find each other
             process = cluster.processes.get(name)
             if process is None or not process.is_up or process.member.has_left:
                 self.start(name)
 
     def _wait_for_agreement(self) -> None:
-        agreed_checks = 0
-        for _ in range(QUIET_S * 2):
+        agreeing_checks = 0
+        for _ in range(MAX_CONVERGENCE_S * 2):
             self.cluster.run_until(self.cluster.now_us + SECOND_US // 2)
             self.check_invariants()
-            agreed_checks = 0 if self.disagreements() else agreed_checks + 1
-            if agreed_checks == AGREED_CHECKS:
+            agreeing_checks = 0 if self.disagreements() else agreeing_checks + 1
+            if agreeing_checks == REQUIRED_AGREEING_CHECKS:
                 break
 
     # ---- invariants
 
     def check_invariants(self) -> None:
-        """Check what must hold at every moment."""
+        """Check the invariants that hold at every point in time."""
         self.result.checks += 1
-        for holder, process in self.cluster.processes.items():
+        for observer, process in self.cluster.processes.items():
             token = process.member.record.token
-            for about, known in process.member.members.items():
+            for subject, known in process.member.members.items():
                 now = known.record.precedence
-                before = self.seen.get((token, about))
+                before = self.last_precedence.get((token, subject))
                 if before is not None:
-                    self._check_change(holder, about, before, now)
-                self.seen[token, about] = now
+                    self._check_change(observer, subject, before, now)
+                self.last_precedence[token, subject] = now
 
-    def _check_change(self, holder: str, about: str, before: Precedence, now: Precedence) -> None:
+    def _check_change(
+        self, observer: str, subject: str, before: Precedence, now: Precedence
+    ) -> None:
         if now < before:
-            self.result.violations.append(f"{holder} went back on {about}: {before} to {now}")
+            self.result.violations.append(
+                f"{observer}: record of {subject} went backwards: {before} to {now}"
+            )
         *incarnation_before, state_before = before
         *incarnation_now, state_now = now
         has_returned = state_before == MemberState.LEFT and state_now != MemberState.LEFT
         if has_returned and incarnation_now == incarnation_before:
             label = MemberState(state_now).label
-            self.result.violations.append(f"{holder} calls {about} {label}, which left")
+            self.result.violations.append(f"{observer} considers {subject} {label} after it left")
 
     def disagreements(self) -> list[str]:
-        """Return where views are not the truth, which they must be once all has been quiet."""
+        """Return the errors in the members' views; there must be none once faults have ended."""
         found: list[str] = []
         processes = self.cluster.processes
-        up = {name for name, process in processes.items() if _is_member(process)}
-        for holder in sorted(up):
-            held = {*processes[holder].member.live_names(), holder}
-            if held != up:
-                found.append(f"{holder} holds {sorted(held)} for alive, and {sorted(up)} are")
+        running = {name for name, process in processes.items() if _is_member(process)}
+        for observer in sorted(running):
+            considered_alive = {*processes[observer].member.live_names(), observer}
+            if considered_alive != running:
+                found.append(
+                    f"{observer} considers {sorted(considered_alive)} alive, "
+                    f"but {sorted(running)} are running"
+                )
             found += [
-                f"{holder} holds an older process of {about}"
-                for about in sorted(up - {holder})
-                if self._holds_older_process(holder, about)
+                f"{observer} has the record of an older process of {subject}"
+                for subject in sorted(running - {observer})
+                if self._has_older_process(observer, subject)
             ]
         found += [
-            f"{name} gave its name up, and nobody else has it"
+            f"{name} gave up its name, and no other process uses it"
             for name, process in processes.items()
             if process.is_up and process.member.replaced_by is not None
         ]
         return found
 
-    def _holds_older_process(self, holder: str, about: str) -> bool:
-        record = self.cluster.record_held(holder, about)
-        truth = self.cluster.processes[about].member.record
+    def _has_older_process(self, observer: str, subject: str) -> bool:
+        record = self.cluster.record_in_view(observer, subject)
+        actual = self.cluster.processes[subject].member.record
         return (
             record is not None
             and record.state == MemberState.ALIVE
-            and record.process_key != truth.process_key
+            and record.process_key != actual.process_key
         )
 
 
--- a/oakbridge/peers/refutation.py
+++ b/oakbridge/peers/refutation.py
@@ -1,4 +1,4 @@
-"""How a member answers claims about itself: it refutes, or gives its name up to a later start."""
+"""Responds to claims about this member: refutes them, or gives up the name to a later process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Refutation:
-    """Answers claims about this member's name."""
+    """Responds to claims about this member's name."""
 
     def __init__(
         self, local: LocalMember, dissemination: Dissemination, push_pull: PushPull
@@ -19,24 +19,25 @@
         self._dissemination = dissemination
         self._push_pull = push_pull
 
-    def answer(self, now_us: int, claim: MemberRecord) -> None:
-        """Answer one claim."""
+    def respond(self, now_us: int, claim: MemberRecord) -> None:
+        """Respond to one claim."""
         own = self._local.record
         if claim.process_key < own.process_key:
             self._dissemination.broadcast(own)
         elif claim.process_key == own.process_key:
-            self._answer_about_this_process(now_us, claim)
-        elif self._is_own_past(claim):
+            self._respond_about_this_process(now_us, claim)
+        elif self._is_from_earlier_process(claim):
             self._local.counts[MemberCounter.GENERATIONS_RAISED] += 1
             self._raise_incarnation(now_us, claim.generation + 1, incarnation=0)
         elif self._local.replaced_by is None:
             self._local.replaced_by = claim
             self._local.emit(NameTaken(claim.address))
 
-    def _is_own_past(self, claim: MemberRecord) -> bool:
-        """Return whether a greater generation is an earlier process, not a later one.
+    def _is_from_earlier_process(self, claim: MemberRecord) -> bool:
+        """Return whether a claim with a greater generation is about an earlier process.
 
-        Its seeds did not know of it.  Nobody lives at this address but this process.
+        It is while this member joins, as it learns of that generation only then.  It also is if
+        that process failed or left, or had this member's address, which no other process uses now.
         """
         return (
             self._local.is_joining
@@ -44,7 +45,7 @@
             or claim.address == self._local.record.address
         )
 
-    def _answer_about_this_process(self, now_us: int, claim: MemberRecord) -> None:
+    def _respond_about_this_process(self, now_us: int, claim: MemberRecord) -> None:
         own = self._local.record
         if claim.state == MemberState.FAILED:
             self._push_pull.catch_up(now_us, claim.incarnation)
@@ -53,9 +54,9 @@
         if is_refuted or is_agreed:
             return
         self._local.counts[MemberCounter.REFUTATIONS] += 1
-        self._local.health.worse()
+        self._local.health.record_local_fault()
         self._raise_incarnation(now_us, own.generation, claim.incarnation + 1)
 
     def _raise_incarnation(self, now_us: int, generation: int, incarnation: int) -> None:
         self._local.raise_incarnation(generation, incarnation)
-        self._dissemination.broadcast_soon(now_us, self._local.record)
+        self._dissemination.broadcast_and_gossip(now_us, self._local.record)
--- a/oakbridge/peers/replica_index.py
+++ b/oakbridge/peers/replica_index.py
@@ -1,9 +1,9 @@
-"""Each node's replica index: it is number I of N in its tier, so that subsets can be disjoint.
+"""Each node's replica index, "number I of N in its tier", from which disjoint subsets follow.
 
-Every node orders the names by their hash, so views that agree give indices that agree.  While views
-differ, indices may overlap, which costs evenness and nothing else.  So an index changes only when
-the new one has been the same for a while, and not at all while a part of the members is out of
-reach: those that are cut off still have theirs.
+Every node sorts the names by their hash, so equal views give consistent indices.  While views
+differ, indices may overlap, which only makes load less even.  An index changes only after the new
+one has been stable for SETTLE_TIME_US, and not at all during a partition: the unreachable members
+keep their indices, too.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from oakbridge.peers.view_state import REPLICA_INDEX, ClusterView, Reaction
 
-SETTLE_US = 3_000_000  # that a new index must have been the same
+SETTLE_TIME_US = 3_000_000  # for which a new index must be stable
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,9 +36,9 @@
 
 
 class ReplicaIndexTracker:
-    """Follow this node's replica index over time."""
+    """Tracks this node's replica index over time."""
 
-    def __init__(self, own_name: str, settle_us: int = SETTLE_US) -> None:
+    def __init__(self, own_name: str, settle_us: int = SETTLE_TIME_US) -> None:
         self.current: ReplicaIndex | None = None
         self._own_name = own_name
         self._settle_us = settle_us
@@ -47,11 +47,11 @@
 
     @property
     def is_settling(self) -> bool:
-        """Return whether a new index has yet to prove stable."""
+        """Return whether a new index is pending until it has been stable for the settle time."""
         return self._candidate is not None
 
     def update(self, now_us: int, view: ClusterView, names: Iterable[str]) -> ReplicaIndex | None:
-        """Return the new index where it has changed, None where it has not.
+        """Return the new index if it has changed, else None.
 
         ``names`` are the reachable members of the tier.
         """
@@ -61,14 +61,14 @@
         if reaction != Reaction.UPDATE:
             self._candidate = None
             return None
-        wanted = replica_index(self._own_name, names)
-        if wanted == self.current:
+        computed = replica_index(self._own_name, names)
+        if computed == self.current:
             self._candidate = None
-        elif wanted != self._candidate:
-            self._candidate = wanted
+        elif computed != self._candidate:
+            self._candidate = computed
             self._candidate_since_us = now_us
         elif now_us - self._candidate_since_us >= self._settle_us:
-            self.current = wanted
+            self.current = computed
             self._candidate = None
-            return wanted
+            return computed
         return None
--- a/oakbridge/peers/service.py
+++ b/oakbridge/peers/service.py
@@ -1,7 +1,8 @@
-"""A member on sockets: datagrams on UDP, push-pull exchanges on TCP, timers, the snapshot.
+"""Runs a member on sockets: datagrams over UDP, push-pull exchanges over TCP, timers, snapshots.
 
-It decides nothing.  Everything is bounded: one datagram in a turn of the loop, so many exchanges at
-once and each so long, and what they bring is taken in pieces between turns.
+Protocol decisions are made in :mod:`~oakbridge.peers.member`.  Work per iteration of the event loop
+is bounded: each callback handles one datagram, exchanges are limited in number and time, and a
+received state is applied in batches.
 """
 
 from __future__ import annotations
@@ -40,44 +41,45 @@
 log = logging.getLogger(__name__)
 
 US_PER_S = 1_000_000
-RECORDS_PER_TURN = 24  # of a push-pull state, taken in one turn of the loop
-DIRECT_REPORTS_PER_TURN = 16
-DIRECT_REPORTS_PAUSE_S = 0.005
+RECORDS_PER_ITERATION = 24  # of a push-pull state, applied per event loop iteration
+DIRECT_REPORTS_PER_BATCH = 16
+DIRECT_REPORT_BATCH_DELAY_S = 0.005
 VIEW_INTERVAL_S = 0.5
-REPORT_EVERY = 4  # view intervals
-URGENT_REPORT_EVERY = 2
+UPDATES_PER_REPORT = 4  # updates run at VIEW_INTERVAL_S
+UPDATES_PER_URGENT_REPORT = 2
 SAVE_INTERVAL_S = 10.0
-LEAVE_S = 1.0  # that a leaving member takes to tell the others
+LEAVE_DELAY_S = 1.0  # time for a leaving member to gossip that it leaves
 RECEIVE_BUFFER_BYTES = 1024 * 1024
 ACCEPT_BACKLOG = 256
 SEED_BITS = 64
-NOTED_STATES = (MemberState.ALIVE.label, MemberState.SUSPECT.label)
+# Changes between these states are logged at DEBUG.
+LIVE_STATES = (MemberState.ALIVE.label, MemberState.SUSPECT.label)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceOptions:
-    """A member's own settings."""
+    """Options of one member."""
 
     name: str
     listen: Address
     secret: bytes = field(repr=False)
-    advertise: Address | None = None  # if others reach it elsewhere
+    advertise: Address | None = None  # address at which others reach it, if not ``listen``
     seeds: tuple[Address, ...] = ()
-    expects_more_seeds: bool = False  # by :meth:`MembershipService.set_seeds`
+    expects_more_seeds: bool = False  # whether set_seeds() is called later
     tags: dict[str, str] = field(default_factory=dict)
     snapshot_path: Path | None = None
     protocol: ProtocolOptions = field(default_factory=ProtocolOptions)
 
 
 def monotonic_us() -> int:
-    """Return the time of a clock that never goes back, in microseconds."""
+    """Return the time of a monotonic clock, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class MembershipService(asyncio.DatagramProtocol):
     """Runs this process as a member."""
 
-    member: Member  # from start() on
+    member: Member  # set by start()
 
     def __init__(
         self,
@@ -86,23 +88,29 @@
         on_failure_reports: Callable[[dict[str, float]], None] | None = None,
         clock: Callable[[], int] = monotonic_us,
     ) -> None:
-        """Prepare a member.
-
-        ``load_source`` returns what is reported to the others; ``on_failure_reports`` is told every
-        two seconds how much the others' reports of each failing server weigh.
+        """Prepare a member; :meth:`start` runs it.
+
+        Args:
+            options: the member's options.
+            load_source: returns the load to report to other members.
+            on_failure_reports: called every two seconds with the weight (0 to 1) of other members'
+                failure reports for each server, if any has weight.
+            clock: returns monotonic time in microseconds.
         """
         self.options = options
         self.codec = Codec(options.secret)
         self.counts: Counter[ServiceCounter] = Counter()
-        self.longest_turn_s = 0.0
-        self.views = ViewMonitor(options.name, options.tags.get("tier", ""))
+        self.longest_callback_s = 0.0
+        self.view_monitor = ViewMonitor(options.name, options.tags.get("tier", ""))
         self.failure_reports: dict[str, FailureReports] = {}
         self.on_failure_reports = on_failure_reports
-        # Set by what runs beside this member: sites and subsets.
+        # Set by the runners of sites and of subset assignment.
         self.site_report: Callable[[], SiteReport] | None = None
-        self.requests_per_10s: Callable[[], int] | None = None  # requests in 10 s
-        self.direct_recipients: Callable[[], list[str]] = list  # of reports, not only by others
-        self.is_report_urgent: Callable[[], bool] = lambda: False  # report twice as often
+        self.requests_per_10s: Callable[[], int] | None = None  # this node's rate
+        self.direct_recipients: Callable[[], list[str]] = list  # names to send reports directly
+        self.is_report_urgent: Callable[[], bool] = lambda: (
+            False
+        )  # whether to report twice as often
         self._load_source = load_source
         self._clock = clock
         self._address = format_address(options.advertise or options.listen)
@@ -118,13 +126,13 @@
 
     @property
     def view(self) -> ClusterView | None:
-        """Return how complete this node's view is, None until it is known."""
-        return self.views.current
+        """Return the view of the cluster, None before the first assessment."""
+        return self.view_monitor.current
 
     # ---- life cycle
 
     async def start(self) -> None:
-        """Listen and join.  Raises OSError or SnapshotError."""
+        """Listen on the sockets and join the cluster.  Raises OSError or SnapshotError."""
         saved = self._load_snapshot()
         self.member = Member(
             self.options.name,
@@ -163,15 +171,15 @@
             raise
 
     async def stop(self) -> None:
-        """Leave on purpose, and take a moment to tell the others."""
+        """Leave the cluster, wait LEAVE_DELAY_S for gossip to spread, and close the sockets."""
         if self._transport is not None and not self._is_closed:
             self.perform(self.member.leave(self._clock()))
             if self.member.live_names():
-                await asyncio.sleep(LEAVE_S)
+                await asyncio.sleep(LEAVE_DELAY_S)
         self.close()
 
     def close(self) -> None:
-        """End at once: the others find out."""
+        """Close the sockets and cancel all tasks; other members detect this as a failure."""
         self._is_closed = True
         for task in self._tasks:
             task.cancel()
@@ -183,9 +191,9 @@
             self._transport.close()
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
-        """Join by these addresses beside those of the options and the snapshot.
+        """Join through these addresses and those of the options and the snapshot.
 
-        They replace the ones of the last call.
+        They replace the addresses of the previous call.
         """
         addresses = (*self._seeds, *map(format_address, seeds))
         self.perform(self.member.join(self._clock(), addresses))
@@ -198,28 +206,28 @@
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("membership: %s", error, exc_info=error)
+            log.error("membership task failed: error=%s", error, exc_info=error)
 
     # ---- datagrams and timers
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Take one datagram; one that can't be read is counted and changes nothing."""
+        """Handle one datagram; one that can't be decoded is counted and changes nothing."""
         try:
             message = self.codec.decode(data)
         except PeerMessageError:
             return
-        with self._measure_turn():
+        with self._measure_callback():
             self.counts[ServiceCounter.RECEIVED] += 1
             self.counts[ServiceCounter.RECEIVED_BYTES] += len(data)
             source = format_address(addr[:2])
             self.perform(self.member.receive(self._clock(), source, message))
 
     def error_received(self, exc: Exception) -> None:  # noqa: ARG002  # asyncio's signature
-        """Count an ICMP message: nobody listens there, which the probes find out."""
+        """Count an ICMP error: no process listens at the recipient, which probes detect as well."""
         self.counts[ServiceCounter.ICMP_REFUSED] += 1
 
     def perform(self, actions: list[Action]) -> None:
-        """Carry out what the member asks for."""
+        """Carry out the member's actions."""
         for action in actions:
             match action:
                 case SendDatagram():
@@ -231,7 +239,7 @@
                     self._on_change(action)
                 case NameTaken(address):
                     log.error(
-                        "%s: %s has taken this name; this is no member any more",
+                        "name taken by a later process, membership closed: name=%s address=%s",
                         self.options.name,
                         address,
                     )
@@ -245,24 +253,24 @@
             return
         try:
             self._transport.sendto(data, parse_member_address(action.address))
-        except (OSError, ValueError):  # an address that someone made up
+        except (OSError, ValueError):  # another member sent an invalid address
             self.counts[ServiceCounter.SEND_FAILED] += 1
 
     def _on_change(self, change: MemberChanged) -> None:
         self._is_snapshot_stale = True
-        self.views.invalidate()
+        self.view_monitor.invalidate()
         level = logging.INFO
         if change.after == MemberState.FAILED.label:
             level = logging.WARNING
-        elif change.before in NOTED_STATES and change.after in NOTED_STATES:
+        elif change.before in LIVE_STATES and change.after in LIVE_STATES:
             level = logging.DEBUG
         log.log(
             level,
-            "member %s is %s (was %s) by the word of %s: %s",
+            "member state changed: member=%s state=%s previous=%s reported_by=%s cause=%s",
             change.name,
             change.after,
-            change.before or "not known",
-            change.reported_by or "its own",
+            change.before or "unknown",
+            change.reported_by or "itself",
             change.cause,
             extra={
                 "member": change.name,
@@ -279,21 +287,21 @@
             self._timer.cancel()
         if self._is_closed:
             return
-        wait_s = max(0, self.member.next_due_us() - self._clock()) / US_PER_S
-        self._timer = asyncio.get_running_loop().call_later(wait_s, self._on_timer)
+        delay_s = max(0, self.member.next_due_us() - self._clock()) / US_PER_S
+        self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
-        with self._measure_turn():
+        with self._measure_callback():
             now_us = self._clock()
             is_due = self.member.next_due_us() <= now_us
             self.perform(self.member.tick(now_us) if is_due else [])
 
     @contextmanager
-    def _measure_turn(self) -> Iterator[None]:
-        began_s = time.perf_counter()
+    def _measure_callback(self) -> Iterator[None]:
+        started_s = time.perf_counter()
         yield
-        self.longest_turn_s = max(self.longest_turn_s, time.perf_counter() - began_s)
+        self.longest_callback_s = max(self.longest_callback_s, time.perf_counter() - started_s)
 
     # ---- push-pull exchanges
 
@@ -302,29 +310,31 @@
         return self.member.push_pull_state()
 
     async def push_pull_completed(self, state: PushPullState, *, initiated: bool) -> None:
-        """Take the other side in pieces, so that no turn of the loop is long."""
-        for start in range(0, max(1, len(state.records)), RECORDS_PER_TURN):
-            records = state.records[start : start + RECORDS_PER_TURN]
-            piece = msgspec.structs.replace(state, records=records)
-            with self._measure_turn():
+        """Apply the other side in batches, so that no iteration of the event loop takes long."""
+        for start in range(0, max(1, len(state.records)), RECORDS_PER_ITERATION):
+            records = state.records[start : start + RECORDS_PER_ITERATION]
+            part_of_state = msgspec.structs.replace(state, records=records)
+            with self._measure_callback():
                 now_us = self._clock()
-                actions = self.member.push_pull_completed(now_us, piece, initiated=initiated)
+                actions = self.member.push_pull_completed(
+                    now_us, part_of_state, initiated=initiated
+                )
                 self.perform(actions)
             await asyncio.sleep(0)
         if initiated:
-            self.views.invalidate()
+            self.view_monitor.invalidate()
 
     def push_pull_failed(self) -> None:
-        """Note that an exchange which this member began has come to nothing."""
+        """Handle the failure of an exchange that this member initiated."""
         self.perform(self.member.push_pull_failed())
 
-    # ---- what follows from it
+    # ---- view, load reports and failure reports
 
     async def _run_periodically(self) -> None:
         for number in itertools.count():
-            self.views.update(self._clock(), self.member)
-            is_urgent_turn = number % URGENT_REPORT_EVERY == 0 and self.is_report_urgent()
-            if number % REPORT_EVERY == 0 or is_urgent_turn:
+            self.view_monitor.update(self._clock(), self.member)
+            is_urgent_update = number % UPDATES_PER_URGENT_REPORT == 0 and self.is_report_urgent()
+            if number % UPDATES_PER_REPORT == 0 or is_urgent_update:
                 await self._report_load()
                 self.weigh_failure_reports()
             await asyncio.sleep(VIEW_INTERVAL_S)
@@ -339,13 +349,13 @@
         )
         self.perform(self.member.set_load(self._clock(), load))
         names = self.direct_recipients()
-        for start in range(0, len(names), DIRECT_REPORTS_PER_TURN):
-            turn_names = names[start : start + DIRECT_REPORTS_PER_TURN]
-            self.perform(self.member.send_report(self._clock(), turn_names))
-            await asyncio.sleep(DIRECT_REPORTS_PAUSE_S)
+        for start in range(0, len(names), DIRECT_REPORTS_PER_BATCH):
+            batch = names[start : start + DIRECT_REPORTS_PER_BATCH]
+            self.perform(self.member.send_report(self._clock(), batch))
+            await asyncio.sleep(DIRECT_REPORT_BATCH_DELAY_S)
 
     def weigh_failure_reports(self) -> None:
-        """Weigh the others' reports of failing servers, and tell the node beside this member."""
+        """Weigh other members' failure reports, and pass the weights to ``on_failure_reports``."""
         now_us = self._clock()
         state = self.view.state if self.view is not None else ViewState.STARTING
         found = (self.member.report(name, now_us) for name in self.member.live_names())
@@ -359,7 +369,7 @@
         if weights and self.on_failure_reports is not None:
             self.on_failure_reports(weights)
 
-    # ---- the snapshot
+    # ---- snapshot
 
     def _load_snapshot(self) -> snapshot.Snapshot:
         path = self.options.snapshot_path
@@ -372,8 +382,8 @@
                 try:
                     await asyncio.to_thread(snapshot.save, path, self._snapshot())
                 except OSError as e:
-                    self._is_snapshot_stale = True  # it is written with the next interval
-                    log.warning("the snapshot was not kept: %s: %s", path, e.strerror or e)
+                    self._is_snapshot_stale = True  # retried at the next interval
+                    log.warning("snapshot not written: path=%s error=%s", path, e.strerror or e)
             await asyncio.sleep(SAVE_INTERVAL_S)
 
     def _snapshot(self) -> snapshot.Snapshot:
@@ -382,12 +392,12 @@
         )
         return snapshot.Snapshot(self.member.record.generation, members)
 
-    # ---- what operators see
+    # ---- operators' requests
 
     def describe(self) -> dict[str, Any]:
         """Return this node's view of all members, for ``oakbridge peers --json``."""
         return operator_view.describe(self, self._clock())
 
     def state_history(self, name: str) -> list[dict[str, Any]]:
-        """Return how this node came to hold what it holds of a member.  Raises KeyError."""
+        """Return the state changes of a member, oldest first.  Raises KeyError if it is unknown."""
         return operator_view.history(self.member.members[name], self._clock())
--- a/oakbridge/peers/service_counter.py
+++ b/oakbridge/peers/service_counter.py
@@ -1,4 +1,4 @@
-"""What the member's sockets count."""
+"""Events that a member's sockets count."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ServiceCounter(StrEnum):
-    """The values stand in the JSON of ``oakbridge peers``."""
+    """Counted datagrams and exchanges; the values are keys in the JSON of ``oakbridge peers``."""
 
     RECEIVED = "received"
     RECEIVED_BYTES = "bytes received"
--- a/oakbridge/peers/simulation.py
+++ b/oakbridge/peers/simulation.py
@@ -1,6 +1,6 @@
-"""Members on a simulated network, by a seed: for figures at any size, and for tests.
+"""Members on a simulated network, for measurements of large clusters and for tests.
 
-Everything is drawn from the seed; the same one plays the same run to the last message.
+All random values follow from a seed; the same seed gives the same run to the last message.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 IP_UDP_HEADER_BYTES = 28
 SOCKET_BUFFER_DATAGRAMS = 256
 SEED_BITS = 64
-PUSH_PULL_DELAYS = 3  # a connection is set up, then each side sends
+PUSH_PULL_DELAYS = 3  # one-way delays of an exchange: connect, then each side sends
 
 
 @dataclass(slots=True)
 class SimulatedNetwork:
-    """What happens to what is sent."""
+    """Properties of the network: probabilities of loss and duplication, and range of delays."""
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -42,29 +42,29 @@
 
 @dataclass(slots=True)
 class SimulatedProcess:
-    """One process."""
+    """One process of a member."""
 
     member: Member
     address: str
     is_up: bool = True
     is_frozen: bool = False
-    max_starvation_us: float = 0.0  # every time slice is taken away for up to as long
-    wake_ups: int = 0
-    inbox: list[tuple[str, Datagram]] | None = None  # of a frozen process
+    max_starvation_us: float = 0.0  # each wake-up and delivery is late by up to this time
+    wake_up_count: int = 0
+    inbox: list[tuple[str, Datagram]] | None = None  # datagrams received while frozen
 
     @property
     def is_running(self) -> bool:
-        """Return whether it is up and not frozen."""
+        """Return whether the process is up and not frozen."""
         return self.is_up and not self.is_frozen
 
 
 def nothing_blocked(_source: str, _destination: str) -> bool:
-    """Let everything through."""
+    """Block no datagrams."""
     return False
 
 
 class SimulatedCluster:
-    """Members, their network, and the time."""
+    """Members, their network, and simulated time."""
 
     def __init__(
         self,
@@ -72,20 +72,22 @@
         network: SimulatedNetwork | None = None,
         options: ProtocolOptions | None = None,
         *,
-        measure: bool = True,
+        count_bytes: bool = True,
     ) -> None:
-        """Begin with no member; ``measure``: count bytes, too."""
+        """Start without members; ``count_bytes``: also count the bytes sent."""
         self.random = random.Random(seed)
         self.network = network or SimulatedNetwork()
         self.options = options or ProtocolOptions()
-        self.measure = measure
+        self.count_bytes = count_bytes
         self.now_us = 0
         self.processes: dict[str, SimulatedProcess] = {}  # by name
-        self.by_address: dict[str, SimulatedProcess] = {}
-        self.changes: list[tuple[str, MemberChanged]] = []  # who holds it, what
-        self.replaced: list[str] = []  # addresses
+        self.processes_by_address: dict[str, SimulatedProcess] = {}
+        self.changes: list[tuple[str, MemberChanged]] = []  # observer, change in its view
+        self.replaced_addresses: list[str] = []  # of processes that gave up their name
         self.counts: Counter[str] = Counter()
-        self.is_blocked: Callable[[str, str], bool] = nothing_blocked  # from and to address
+        self.is_blocked: Callable[[str, str], bool] = (
+            nothing_blocked  # source address, destination address
+        )
         self.on_change: Callable[[str, MemberChanged], None] | None = None
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._order = itertools.count()
@@ -102,7 +104,7 @@
     ) -> SimulatedProcess:
         """Start a process.
 
-        Of an earlier one of this name nothing is kept, unless it has another address.
+        It replaces an earlier one of this name, which keeps running only under another address.
         """
         address = address or name
         process = self._add_process(name, address, generation, tags or {})
@@ -111,12 +113,12 @@
         return process
 
     def start_converged(self, tags_by_name: dict[str, dict[str, str]]) -> None:
-        """Start members that met long ago."""
+        """Start members that already know each other."""
         for name, tags in tags_by_name.items():
             self._add_process(name, name, generation=1, tags=tags)
         records = [process.member.record for process in self.processes.values()]
         for process in self.processes.values():
-            process.member.introduce(self.now_us, records)
+            process.member.add_known_members(self.now_us, records)
             self.schedule_wake_up(process)
 
     def _add_process(
@@ -125,15 +127,15 @@
         seed = self.random.getrandbits(SEED_BITS)
         member = Member(name, address, generation, tags, seed, self.now_us, self.options)
         process = SimulatedProcess(member, address)
-        self.processes[name] = self.by_address[address] = process
+        self.processes[name] = self.processes_by_address[address] = process
         return process
 
     def kill(self, name: str) -> None:
-        """Send SIGKILL."""
+        """Kill a process as by SIGKILL."""
         self.processes[name].is_up = False
 
     def freeze(self, name: str, until_us: int | None = None) -> None:
-        """Send SIGSTOP; datagrams wait for the process, as many as a socket holds."""
+        """Stop a process as by SIGSTOP; its socket buffers SOCKET_BUFFER_DATAGRAMS datagrams."""
         process = self.processes[name]
         process.is_frozen = True
         process.inbox = []
@@ -141,7 +143,7 @@
             self.call_later(until_us - self.now_us, lambda: self.thaw(name))
 
     def thaw(self, name: str) -> None:
-        """Send SIGCONT: what is due is late, and what has waited is read."""
+        """Continue a process as by SIGCONT: it reads its datagrams and fires overdue timers."""
         process = self.processes[name]
         waiting = process.inbox or []
         process.inbox = None
@@ -150,7 +152,7 @@
             return
         for number, (source, message) in enumerate(waiting):
             self.perform(process, process.member.receive(self.now_us, source, message))
-            if not number:  # a loop reads a socket before it looks at its timers
+            if not number:  # the event loop reads a datagram before it runs due timers
                 self._tick(process)
         self._tick(process)
         self.schedule_wake_up(process)
@@ -158,26 +160,26 @@
     # ---- time
 
     def call_later(self, delay_us: int, callback: Callable[[], None]) -> None:
-        """Call back after so long."""
+        """Call ``callback`` after ``delay_us`` of simulated time."""
         self._call_at(self.now_us + delay_us, callback)
 
     def run_until(self, until_us: int) -> None:
-        """Let time pass."""
+        """Advance simulated time to ``until_us``, running all callbacks due by then."""
         while self._queue and self._queue[0][0] <= until_us:
             self.now_us, _, callback = heapq.heappop(self._queue)
             callback()
         self.now_us = until_us
 
     def schedule_wake_up(self, process: SimulatedProcess) -> None:
-        """Wake a process when its next timer is due, in place of an earlier wake-up."""
-        process.wake_ups += 1
-        number = process.wake_ups
+        """Schedule a wake-up at the process's next timer; it replaces an earlier one."""
+        process.wake_up_count += 1
+        number = process.wake_up_count
         due_us = max(self.now_us, process.member.next_due_us())
         if process.max_starvation_us:
             due_us += int(self.random.random() * process.max_starvation_us)
 
         def wake_up() -> None:
-            if process.wake_ups == number and process.is_running:
+            if process.wake_up_count == number and process.is_running:
                 self._tick(process)
                 self.schedule_wake_up(process)
 
@@ -191,7 +193,7 @@
             self.perform(process, process.member.tick(self.now_us))
 
     def perform(self, process: SimulatedProcess, actions: list[Action]) -> None:
-        """Carry out what a member asks for."""
+        """Carry out a member's actions."""
         for action in actions:
             match action:
                 case SendDatagram():
@@ -201,25 +203,25 @@
                 case MemberChanged():
                     self._note_change(process.member.record.name, action)
                 case NameTaken():
-                    self.replaced.append(process.address)
+                    self.replaced_addresses.append(process.address)
 
-    def _note_change(self, holder: str, change: MemberChanged) -> None:
-        self.changes.append((holder, change))
+    def _note_change(self, observer: str, change: MemberChanged) -> None:
+        self.changes.append((observer, change))
         if self.on_change is not None:
-            self.on_change(holder, change)
+            self.on_change(observer, change)
 
     # ---- the network
 
     def _draw_delay_us(self, recipient: SimulatedProcess | None = None) -> int:
-        starved_us = 0
+        starvation_us = 0
         if recipient is not None and recipient.max_starvation_us:
-            starved_us = int(self.random.random() * recipient.max_starvation_us)
+            starvation_us = int(self.random.random() * recipient.max_starvation_us)
         delay_us = self.random.randint(self.network.min_delay_us, self.network.max_delay_us)
-        return delay_us + starved_us
+        return delay_us + starvation_us
 
     def _send(self, process: SimulatedProcess, action: SendDatagram) -> None:
         self.counts["messages"] += 1
-        if self.measure:
+        if self.count_bytes:
             body_bytes = encoded_size(action.message)
             self.counts["bytes"] += HEADER_BYTES + body_bytes + IP_UDP_HEADER_BYTES
         self._transmit(process, action)
@@ -230,7 +232,7 @@
         is_lost = self.random.random() < self.network.loss
         if is_lost or self.is_blocked(process.address, action.address):
             return
-        recipient = self.by_address.get(action.address)
+        recipient = self.processes_by_address.get(action.address)
         if recipient is not None:
             delay_us = self._draw_delay_us(recipient)
             self.call_later(
@@ -248,7 +250,7 @@
         self.schedule_wake_up(recipient)
 
     def _start_push_pull(self, process: SimulatedProcess, address: str) -> None:
-        partner = self.by_address.get(address)
+        partner = self.processes_by_address.get(address)
         delay_us = PUSH_PULL_DELAYS * self._draw_delay_us(partner)
         self.call_later(delay_us, lambda: self._end_push_pull(process, partner, address))
 
@@ -265,7 +267,7 @@
             return
         own = process.member.push_pull_state()
         other = partner.member.push_pull_state()
-        if self.measure:
+        if self.count_bytes:
             self.counts["exchange bytes"] += encoded_size(own) + encoded_size(other)
         self.perform(partner, partner.member.push_pull_completed(self.now_us, own, initiated=False))
         self.perform(
@@ -274,17 +276,17 @@
         self.schedule_wake_up(partner)
         self.schedule_wake_up(process)
 
-    # ---- what can be asked
+    # ---- queries
 
-    def count_view_errors(self, part: set[str] | None = None) -> int:
-        """Count pairs (who, about whom) where the view is not the truth.
+    def count_view_errors(self, partition: set[str] | None = None) -> int:
+        """Return the number of pairs (observer, subject) in which the view is wrong.
 
-        Within a ``part`` that is cut off its own members are the truth.
+        Only the members of ``partition``, if it is given, are expected to be alive in each view.
         """
         up = {
             name
             for name, process in self.processes.items()
-            if process.is_up and (part is None or name in part)
+            if process.is_up and (partition is None or name in partition)
         }
         return sum(
             len(({*self.processes[name].member.live_names(), name}) ^ up)
@@ -292,12 +294,12 @@
             if not self.processes[name].is_frozen
         )
 
-    def state_held(self, holder: str, about: str) -> str:
-        """Return the state that one holds of another, "" if it does not know it."""
-        record = self.record_held(holder, about)
+    def state_in_view(self, observer: str, subject: str) -> str:
+        """Return the state of ``subject`` in the view of ``observer``, "" if it is unknown."""
+        record = self.record_in_view(observer, subject)
         return record.state.label if record is not None else ""
 
-    def record_held(self, holder: str, about: str) -> MemberRecord | None:
-        """Return the record that one holds of another."""
-        known = self.processes[holder].member.members.get(about)
+    def record_in_view(self, observer: str, subject: str) -> MemberRecord | None:
+        """Return the record of ``subject`` in the view of ``observer``, None if it is unknown."""
+        known = self.processes[observer].member.members.get(subject)
         return known.record if known is not None else None
--- a/oakbridge/peers/snapshot.py
+++ b/oakbridge/peers/snapshot.py
@@ -1,6 +1,6 @@
-"""What a member keeps over a restart: its generation, and where others were.
+"""A member's state across restarts: its generation and the addresses of other members.
 
-A JSON file that is replaced atomically; :func:`encode` and :func:`decode` are its format.
+It is a JSON file that is replaced atomically; :func:`encode` and :func:`decode` define its format.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 from oakbridge.sources.atomic_file import write_atomically
 
 MAX_SNAPSHOT_BYTES = 4 * 1024 * 1024
-MAX_SEEDS = 64
+MAX_SEEDS = 64  # addresses of a snapshot that are used as seeds
 MAX_GENERATION = 2**62 - 1
 EXPECTED_FORM = '{"life": NUMBER, "members": [[NAME, ADDRESS], ...]}'
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The last generation, and addresses to join by."""
+    """The last generation, and names and addresses of live members."""
 
     generation: int = 0
     members: tuple[tuple[str, str], ...] = ()  # name, address
 
     def seeds(self) -> tuple[str, ...]:
-        """Return addresses to try besides those that are configured."""
+        """Return addresses to use as seeds besides the configured ones."""
         return tuple(address for _, address in self.members[:MAX_SEEDS])
 
 
 class SnapshotError(ValueError):
-    """A file that is no snapshot."""
+    """A snapshot file that is invalid or can't be read."""
 
     def __init__(self, path: Path, problem: str) -> None:
         super().__init__(f"{path}: {problem}")
@@ -41,12 +41,12 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Return the stored form."""
+    """Encode a snapshot as JSON."""
     return json.dumps({"life": snapshot.generation, "members": snapshot.members}).encode()
 
 
 def decode(data: bytes) -> Snapshot:
-    """Return the snapshot of a stored form.  Raises ValueError, KeyError or TypeError."""
+    """Decode a snapshot from JSON.  Raises ValueError, KeyError or TypeError."""
     stored = json.loads(data)
     members = tuple((name, address) for name, address in stored["members"])
     if not _is_generation(stored["life"]) or not all(map(_is_text, _flatten(members))):
@@ -67,7 +67,7 @@
 
 
 def load(path: Path) -> Snapshot:
-    """Return the snapshot, an empty one where there is no file.  Raises SnapshotError."""
+    """Read a snapshot; return an empty one if there is no file.  Raises SnapshotError."""
     try:
         if path.stat().st_size > MAX_SNAPSHOT_BYTES:
             raise SnapshotError(path, f"expected at most {MAX_SNAPSHOT_BYTES} bytes")
@@ -83,5 +83,5 @@
 
 
 def save(path: Path, snapshot: Snapshot) -> None:
-    """Replace the file.  Raises OSError."""
+    """Replace the snapshot file atomically.  Raises OSError."""
     write_atomically(path, encode(snapshot))
--- a/oakbridge/peers/system_state.py
+++ b/oakbridge/peers/system_state.py
@@ -1,7 +1,7 @@
-"""The state of a system of three members, as the search of all interleavings keeps it.
+"""The state of a system of three members, as the model checker stores it.
 
-States are told apart by all that they hold, random generators included, so that none is left out
-for looking like another.
+States are compared by all their contents, including the random generators, so that no distinct
+state is skipped.
 """
 
 from __future__ import annotations
@@ -31,98 +31,98 @@
     gossip_fanout=1,
 )
 NAMES = ("a", "b", "c")
-MAX_IN_FLIGHT = 4  # beyond it the oldest message is lost
+MAX_IN_FLIGHT = 4  # messages; beyond it the oldest ones are lost
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Datagram)
 
 
 class SmallGenerator(random.Random):
-    """A generator of 64 bits, so that a state is small.
+    """A random generator with 64 bits of state, which keeps serialized members small.
 
-    Source: Knuth's MMIX constants, and xorshift of the top.
+    Source: linear congruential generator with Knuth's MMIX constants, output by xorshift.
     """
 
     def __init__(self, state: int = 1) -> None:
-        """Begin with this state, which is all that it holds."""
+        """Start with this state."""
         super().__init__(0)
         self.state = state
 
     def random(self) -> float:
-        """Draw from [0, 1)."""
+        """Return a number from [0, 1)."""
         return self.getrandbits(53) / (1 << 53)
 
     def getrandbits(self, k: int) -> int:
-        """Draw so many bits, at most 64."""
+        """Return ``k`` random bits, at most 64."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % (1 << 64)
         x = self.state
         return ((x ^ x >> 32) * 0x9E3779B97F4A7C15 % (1 << 64)) >> (64 - k)
 
     def __reduce__(self) -> tuple[Any, ...]:
-        """Return its form for pickle."""
+        """Return the constructor and state for pickle."""
         return SmallGenerator, (self.state,)
 
 
 @dataclass(frozen=True, slots=True)
 class InFlight:
-    """One message, or a push-pull exchange that was asked for."""
+    """A message in flight, or a requested push-pull exchange."""
 
     recipient: str
     sender: str
-    message: bytes  # empty for an exchange
-    is_duplicate: bool = False  # it has arrived once
+    message: bytes  # encoded; empty for an exchange
+    is_duplicate: bool = False  # it has arrived once already
 
     @property
     def is_push_pull(self) -> bool:
-        """Return whether this is an exchange."""
+        """Return whether this is a push-pull exchange."""
         return not self.message
 
     def datagram(self) -> Datagram:
-        """Return the message as its recipient reads it."""
+        """Decode the message."""
         return _decoder.decode(self.message)
 
 
 @dataclass(frozen=True, slots=True)
 class SystemState:
-    """All there is: members as bytes (None: there is no such process), messages, time."""
+    """Time, serialized members (None if the process is down), and messages in flight."""
 
     now_us: int
     members: tuple[bytes | None, ...]
     in_flight: tuple[InFlight, ...]
-    crashes_left: int = 1
-    leaves_left: int = 1
-    last_generation: int = 1  # of the last process that was started
+    remaining_crashes: int = 1
+    remaining_leaves: int = 1
+    last_generation: int = 1  # of the process started last
 
     def digest(self) -> bytes:
-        """Return what tells states apart."""
+        """Return a hash of the state's contents."""
         content = (
             self.now_us,
             self.members,
             self.in_flight,
-            self.crashes_left,
-            self.leaves_left,
+            self.remaining_crashes,
+            self.remaining_leaves,
             self.last_generation,
         )
         return blake2b(pickle.dumps(content), digest_size=8).digest()
 
 
-def freeze(member: Member) -> bytes:
-    """Return a member as bytes, without what decides nothing."""
+def serialize(member: Member) -> bytes:
+    """Serialize a member without counters and history, which don't affect its behaviour."""
     member.counts.clear()
     for known in member.members.values():
         known.history = ()
     return pickle.dumps(member)
 
 
-def thaw(data: bytes) -> Member:
-    """Return the member again."""
-    member = pickle.loads(data)  # our own bytes, of this process
+def deserialize(data: bytes) -> Member:
+    """Deserialize a member."""
+    member = pickle.loads(data)  # trusted: serialized by this process
     assert isinstance(member, Member)
     return member
 
 
 def new_member(name: str, generation: int, now_us: int) -> Member:
-    """Return a member of small state, whose draws follow from name and generation."""
+    """Return a member with a small random generator, seeded by name and generation."""
     index = NAMES.index(name)
     member = Member(name, name, generation, {}, generation * 31 + index, now_us, OPTIONS)
     member.use_generator(SmallGenerator(generation * 1009 + index * 101 + 7))
@@ -132,16 +132,16 @@
 def after_step(
     state: SystemState, index: int, member: Member | None, actions: list[Action], **changes: Any
 ) -> SystemState:
-    """Return the state after a member's step."""
+    """Return the state after a step of one member; ``changes`` are further fields of the state."""
     members = list(state.members)
-    members[index] = None if member is None else freeze(member)
-    in_flight = (*changes.pop("in_flight", state.in_flight), *sent_by(NAMES[index], actions))
+    members[index] = None if member is None else serialize(member)
+    in_flight = (*changes.pop("in_flight", state.in_flight), *in_flight_from(NAMES[index], actions))
     distinct = tuple(dict.fromkeys(in_flight))
     return replace(state, members=tuple(members), in_flight=distinct[-MAX_IN_FLIGHT:], **changes)
 
 
-def sent_by(sender: str, actions: list[Action]) -> Iterator[InFlight]:
-    """Yield what a member's step sets in flight."""
+def in_flight_from(sender: str, actions: list[Action]) -> Iterator[InFlight]:
+    """Yield the messages and exchanges that a member's actions put in flight."""
     for action in actions:
         if isinstance(action, SendDatagram):
             yield InFlight(action.address, sender, _encoder.encode(action.message))
--- a/oakbridge/peers/timers.py
+++ b/oakbridge/peers/timers.py
@@ -1,4 +1,4 @@
-"""A member's timers: a queue ordered by time, and by registration where times are equal."""
+"""A member's timer queue, ordered by due time and then by registration."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TimerKind(StrEnum):
-    """What is due."""
+    """The event that a timer triggers."""
 
     PROBE = "probe"
     INDIRECT_PROBE = "indirect probe"  # key: the probe's sequence number
@@ -23,7 +23,7 @@
 
 
 class Timer(NamedTuple):
-    """One timer."""
+    """One timer; ``number`` orders timers that are due at the same time."""
 
     due_us: int
     number: int
@@ -32,19 +32,19 @@
 
 
 class TimerQueue:
-    """Timers by when they are due."""
+    """A priority queue of timers."""
 
     def __init__(self) -> None:
         self._heap: list[Timer] = []
         self._added = 0
 
     def add(self, due_us: int, kind: TimerKind, key: str | int = 0) -> None:
-        """Have this timer fire at the given time."""
+        """Add a timer that fires at ``due_us``."""
         self._added += 1
         heapq.heappush(self._heap, Timer(due_us, self._added, kind, key))
 
     def next_due_us(self) -> int:
-        """Return when the next timer is due.  Raises IndexError if there is none."""
+        """Return the due time of the next timer.  Raises IndexError if there is none."""
         return self._heap[0].due_us
 
     def pop_due(self, now_us: int) -> Timer | None:
@@ -54,10 +54,10 @@
         return heapq.heappop(self._heap)
 
     def delay_all(self, delay_us: int) -> None:
-        """Move all timers by as much."""
+        """Delay all timers by ``delay_us``."""
         self._heap = [timer._replace(due_us=timer.due_us + delay_us) for timer in self._heap]
         heapq.heapify(self._heap)
 
     def pending(self, kind: TimerKind) -> list[str | int]:
-        """Return the keys of the timers of a kind."""
+        """Return the keys of the pending timers of a kind."""
         return [timer.key for timer in self._heap if timer.kind == kind]
--- a/oakbridge/peers/view_monitor.py
+++ b/oakbridge/peers/view_monitor.py
@@ -11,11 +11,13 @@
 
 log = logging.getLogger(__name__)
 
-MAX_UNCHANGED_US = 10_000_000  # until the view is assessed anyway: some changes by time alone
+MAX_ASSESSMENT_AGE_US = (
+    10_000_000  # the view also depends on time, so it is assessed again after this
+)
 
 
 class ViewMonitor:
-    """The view is assessed again only where something may have changed it."""
+    """Holds the current view; assesses it again only if it may have changed."""
 
     def __init__(self, own_name: str, tier: str) -> None:
         self.current: ClusterView | None = None
@@ -26,12 +28,12 @@
         self._assessed_at_us = 0
 
     def invalidate(self) -> None:
-        """Have the next update assess the view again."""
+        """Mark the view as stale, so that the next update assesses it again."""
         self._is_stale = True
 
     def update(self, now_us: int, member: Member) -> None:
-        """Assess the view and the replica index by what the member holds now."""
-        is_recent = now_us - self._assessed_at_us < MAX_UNCHANGED_US
+        """Update the view and the replica index from the member's current table."""
+        is_recent = now_us - self._assessed_at_us < MAX_ASSESSMENT_AGE_US
         if not self._is_stale and not self.replica_index.is_settling and is_recent:
             return
         self._is_stale = False
@@ -41,16 +43,16 @@
         self.current = view
         index = self.replica_index.update(now_us, view, self._tier_names(member))
         if index is not None:
-            log.info("place: %d of %d", index.index, index.count)
+            log.info("replica index changed: index=%d count=%d", index.index, index.count)
 
     def assess(self, now_us: int, member: Member) -> ClusterView:
-        """Return the view by what the member holds now."""
+        """Return the view from the member's current table."""
         return assess(
             self._own_name,
             member_views(member),
             now_us,
-            starting=member.is_joining,
-            replaced=member.replaced_by is not None,
+            is_starting=member.is_joining,
+            is_replaced=member.replaced_by is not None,
         )
 
     def _log_change(self, view: ClusterView) -> None:
@@ -61,7 +63,9 @@
         ):
             return
         is_expected = view.state in (ViewState.COMPLETE, ViewState.STARTING)
-        log.log(logging.INFO if is_expected else logging.WARNING, "stance: %s", view)
+        log.log(
+            logging.INFO if is_expected else logging.WARNING, "cluster view changed: view=%s", view
+        )
 
     def _tier_names(self, member: Member) -> list[str]:
         return [
@@ -72,7 +76,7 @@
 
 
 def member_views(member: Member) -> list[MemberView]:
-    """Return all members as they are held, but for those that left."""
+    """Return all known members except those that left, this one included."""
     views = []
     if member.replaced_by is None:
         own = member.record
--- a/oakbridge/peers/view_state.py
+++ b/oakbridge/peers/view_state.py
@@ -1,7 +1,7 @@
-"""How complete a node's view of the other members is, and what each use of membership does then.
+"""Assesses how complete a node's view of the members is, and how each use of membership reacts.
 
-A pure function from the members as a node holds them to a state.  Callers' requests are served in
-every state, from the node's own endpoint list: membership never rejects a request.
+A pure function maps a node's known members to a state.  Clients' requests are served in every state
+from the node's own endpoint list: membership never rejects a request.
 """
 
 from __future__ import annotations
@@ -11,14 +11,15 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-FORGET_FAILED_AFTER_US = 3_600_000_000  # a member that failed longer ago is gone, not out of reach
-LARGE_PART = 0.2  # of the members last known; fewer are single failures
-MIN_PART_MEMBERS = 2
-MAX_REPORTERS = 3
+# A member that failed longer ago counts as removed, not as unreachable.
+FORGET_FAILED_AFTER_US = 3_600_000_000
+MIN_PARTITION_FRACTION = 0.2  # of the known members; fewer unreachable ones are single failures
+MIN_PARTITION_MEMBERS = 2
+MAX_REPORTERS = 3  # named in a view
 
 
 class ViewState(StrEnum):
-    """How complete the view is; operators read the values."""
+    """How complete the view is; the values are shown to operators."""
 
     STARTING = "starting"
     COMPLETE = "whole"
@@ -28,13 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """One member as a node holds it, the node itself included."""
+    """One member in a node's view, which includes the node itself."""
 
     name: str
     is_reachable: bool
-    since_us: int  # in this state
+    since_us: int  # time of its last state change
     site: str = ""
-    reported_by: str = ""  # by whose report it is out of reach
+    reported_by: str = ""  # member whose report made it unreachable
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,14 +43,14 @@
     """A node's view of all members."""
 
     state: ViewState
-    known: int  # members last known, itself included; those that left are not
-    unreachable: int  # of them
+    known: int  # known members, including the node itself, without those that left
+    unreachable: int  # of the known members
     unreachable_sites: tuple[str, ...] = ()  # sites without any reachable member
-    is_larger_partition: bool = True  # of two halves the one with the first name is
-    reporters: tuple[str, ...] = ()  # whose reports it rests on, the most frequent first
+    is_larger_partition: bool = True  # of two halves, the one with the first name
+    reporters: tuple[str, ...] = ()  # who reported members unreachable, most frequent first
 
     def __str__(self) -> str:
-        """Return the line that an operator reads."""
+        """Return a one-line summary for operators."""
         if self.state in (ViewState.COMPLETE, ViewState.STARTING):
             return f"{self.state}: {self.known - self.unreachable} of {self.known} in reach"
         part = f"{self.unreachable} of {self.known}"
@@ -65,19 +66,25 @@
     members: Iterable[MemberView],
     now_us: int,
     *,
-    starting: bool = False,
-    replaced: bool = False,
+    is_starting: bool = False,
+    is_replaced: bool = False,
 ) -> ClusterView:
-    """Return the view of ``own_name``; ``members`` are all that it holds but those that left."""
-    known = [m for m in members if m.is_reachable or now_us - m.since_us <= FORGET_FAILED_AFTER_US]
-    reachable = [m for m in known if m.is_reachable]
-    unreachable = [m for m in known if not m.is_reachable]
+    """Return the view of ``own_name``; ``members`` are all known ones except those that left."""
+    known = [
+        member
+        for member in members
+        if member.is_reachable or now_us - member.since_us <= FORGET_FAILED_AFTER_US
+    ]
+    reachable = [member for member in known if member.is_reachable]
+    unreachable = [member for member in known if not member.is_reachable]
     sites = _unreachable_sites(reachable, unreachable)
-    if replaced or (len(reachable) <= 1 and unreachable):
+    if is_replaced or (len(reachable) <= 1 and unreachable):
         state = ViewState.ISOLATED
-    elif starting:
+    elif is_starting:
         state = ViewState.STARTING
-    elif sites or len(unreachable) >= max(MIN_PART_MEMBERS, LARGE_PART * len(known)):
+    elif sites or len(unreachable) >= max(
+        MIN_PARTITION_MEMBERS, MIN_PARTITION_FRACTION * len(known)
+    ):
         state = ViewState.PARTITIONED
     else:
         state = ViewState.COMPLETE
@@ -86,7 +93,7 @@
         known=len(known),
         unreachable=len(unreachable),
         unreachable_sites=sites,
-        is_larger_partition=_is_larger_part(own_name, known, reachable),
+        is_larger_partition=_is_larger_partition(own_name, known, reachable),
         reporters=_reporters(unreachable),
     )
 
@@ -94,32 +101,34 @@
 def _unreachable_sites(
     reachable: list[MemberView], unreachable: list[MemberView]
 ) -> tuple[str, ...]:
-    reachable_sites = {m.site for m in reachable}
-    counts = Counter(m.site for m in unreachable)
+    reachable_sites = {member.site for member in reachable}
+    counts = Counter(member.site for member in unreachable)
     return tuple(
         sorted(
             site
             for site, members in counts.items()
-            if site and site not in reachable_sites and members >= MIN_PART_MEMBERS
+            if site and site not in reachable_sites and members >= MIN_PARTITION_MEMBERS
         )
     )
 
 
-def _is_larger_part(own_name: str, known: list[MemberView], reachable: list[MemberView]) -> bool:
+def _is_larger_partition(
+    own_name: str, known: list[MemberView], reachable: list[MemberView]
+) -> bool:
     if 2 * len(reachable) != len(known):
         return 2 * len(reachable) > len(known)
-    first_name = min((m.name for m in known), default=own_name)
-    return any(m.name == first_name for m in reachable)
+    first_name = min((member.name for member in known), default=own_name)
+    return any(member.name == first_name for member in reachable)
 
 
 def _reporters(unreachable: list[MemberView]) -> tuple[str, ...]:
-    counts = Counter(m.reported_by for m in unreachable if m.reported_by)
+    counts = Counter(member.reported_by for member in unreachable if member.reported_by)
     by_frequency = sorted(counts.items(), key=lambda item: (-item[1], item[0]))
     return tuple(name for name, _ in by_frequency[:MAX_REPORTERS])
 
 
 class Reaction(StrEnum):
-    """What a use of membership does in one state."""
+    """How a use of membership reacts to a state; the values are part of operators' pages."""
 
     SERVE = "serve"
     WAIT = "wait"
@@ -132,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewUse:
-    """What one use of membership does in each state, as a row of the operators' page."""
+    """The reactions of one use of membership: a row of the table in operators' pages."""
 
     name: str
     starting: Reaction
@@ -141,7 +150,7 @@
     isolated: Reaction
 
     def reaction(self, state: ViewState) -> Reaction:
-        """Return what it does in this state."""
+        """Return the reaction to this state."""
         match state:
             case ViewState.STARTING:
                 return self.starting
@@ -153,7 +162,7 @@
                 return self.isolated
 
 
-CALLERS_REQUESTS = ViewUse(
+CLIENT_REQUESTS = ViewUse(
     "callers' requests",
     starting=Reaction.SERVE,
     complete=Reaction.SERVE,
@@ -197,7 +206,7 @@
 )
 
 VIEW_USES = (
-    CALLERS_REQUESTS,
+    CLIENT_REQUESTS,
     REPLICA_INDEX,
     FAILURE_REPORTS,
     LOAD_REPORTS,
--- a/tests/formats/test_peers.py
+++ b/tests/formats/test_peers.py
@@ -112,10 +112,14 @@
     peers.member.receive(3_000_000, "10.0.0.2:7946", peers.codec.decode(gossip))
     peers.member.counts["late"] += 2
     monkeypatch.setattr(Member, "health_score", 1)
-    peers.counts["received"], peers.codec.rejected["tag"], peers.longest_turn_s = 3, 1, 0.0012344
-    peers.views.replica_index.current = ReplicaIndex(1, 3)
+    peers.counts["received"], peers.codec.rejected["tag"], peers.longest_callback_s = (
+        3,
+        1,
+        0.0012344,
+    )
+    peers.view_monitor.replica_index.current = ReplicaIndex(1, 3)
     now_us = 4_500_000
-    peers.views.current = peers.views.assess(now_us, peers.member)
+    peers.view_monitor.current = peers.view_monitor.assess(now_us, peers.member)
     peers.weigh_failure_reports()
     told = {
         "peers": peers.describe(),
--- a/tests/members/test_cluster.py
+++ b/tests/members/test_cluster.py
@@ -19,7 +19,7 @@
     count: int, seed: int, settled: int = 12, **how
 ) -> tuple[SimulatedCluster, list[str]]:
     """So many that have started within a second, by three seeds, and have had time to meet."""
-    cluster = SimulatedCluster(seed, measure=False, **how)
+    cluster = SimulatedCluster(seed, count_bytes=False, **how)
     names = [f"n{i:03d}" for i in range(count)]
     for i, name in enumerate(names):
         cluster.call_later(
@@ -147,7 +147,7 @@
     cluster.run_until(cluster.now_us + 60 * S)
     assert not failed(cluster)
     assert cluster.count_view_errors() == 0
-    assert cluster.state_held(names[20], names[0]) == "left"
+    assert cluster.state_in_view(names[20], names[0]) == "left"
 
 
 def test_one_that_wakes_after_ten_minutes_changes_nothing():
@@ -178,16 +178,16 @@
     )  # the same generation: it has nothing from before
     cluster.run_until(cluster.now_us + 20 * S)
     assert all(
-        cluster.record_held(n, names[5]).address == "elsewhere" for n in names if n != names[5]
+        cluster.record_in_view(n, names[5]).address == "elsewhere" for n in names if n != names[5]
     )
-    assert cluster.replaced == (["n005"] if old == "alive" else [])
+    assert cluster.replaced_addresses == (["n005"] if old == "alive" else [])
     if old == "frozen":
         before.is_frozen, waited, before.inbox = False, before.inbox, None
         for source, message in waited:
             cluster.perform(before, before.member.receive(cluster.now_us, source, message))
         cluster.schedule_wake_up(before)
         cluster.run_until(cluster.now_us + 20 * S)
-        assert cluster.replaced == ["n005"]
+        assert cluster.replaced_addresses == ["n005"]
     assert cluster.processes[names[5]].member.replaced_by is None
 
 
@@ -200,7 +200,7 @@
     cluster.run_until(20 * S)
     cluster.start("n4", ["n0"], generation=3)  # the clock was set back
     cluster.run_until(30 * S)
-    assert cluster.record_held("n1", "n4").generation == 1001
+    assert cluster.record_in_view("n1", "n4").generation == 1001
     assert cluster.count_view_errors() == 0
 
 
@@ -262,7 +262,7 @@
 
 def test_a_report_that_is_sent_directly_is_fresh_where_piggybacked_ones_are_old():
     """Sixty members with a report a second each: more than their datagrams hold."""
-    cluster = SimulatedCluster(1, measure=False)
+    cluster = SimulatedCluster(1, count_bytes=False)
     cluster.start_converged({f"n{i:02d}": {} for i in range(60)})
     about = SiteReport(tuple(SiteObservation(site, 3) for site in "abc"), 50, 100)
     load = LocalLoad(3, 5, ("s001", "s002"), about, 10)
--- a/tests/members/test_failure_reports.py
+++ b/tests/members/test_failure_reports.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from oakbridge.peers.failure_reports import MAX_AGE_US, weigh_failure_reports
+from oakbridge.peers.failure_reports import MAX_REPORT_AGE_US, weigh_failure_reports
 from oakbridge.peers.messages import NodeReport
 from oakbridge.peers.view_state import ViewState
 
@@ -41,5 +41,7 @@
     assert not weigh_failure_reports(ViewState.ISOLATED, reports_of(*said), "me")
     assert not weigh_failure_reports(ViewState.STARTING, reports_of(*said), "me")
     assert not weigh_failure_reports(
-        ViewState.COMPLETE, [(report, MAX_AGE_US + 1) for report, _ in reports_of(*said)], "me"
+        ViewState.COMPLETE,
+        [(report, MAX_REPORT_AGE_US + 1) for report, _ in reports_of(*said)],
+        "me",
     )
--- a/tests/members/test_invariants.py
+++ b/tests/members/test_invariants.py
@@ -1,4 +1,4 @@
-"""What holds in random scenarios and in every interleaving, and that a planted fault breaks it."""
+"""Invariants in random scenarios and in all interleavings; each must detect a planted fault."""
 
 import pytest
 
@@ -10,60 +10,60 @@
 from oakbridge.peers.refutation import Refutation
 
 
-def test_what_holds_in_random_scenarios():
+def test_random_scenarios_violate_no_invariant():
     for seed in range(30):
         result = RandomScenario(seed, members=3 + seed % 3).run()
         assert result.violations == [], (seed, result.events)
 
 
-def go_back(monkeypatch):
+def apply_older_records(monkeypatch):
     monkeypatch.setattr(MemberRecord, "supersedes", lambda *_: True)
 
 
 def never_refute(monkeypatch):
-    monkeypatch.setattr(Refutation, "answer", lambda *_: None)
+    monkeypatch.setattr(Refutation, "respond", lambda *_: None)
 
 
-def hold_who_left_for_live(monkeypatch):
+def count_left_members_as_live(monkeypatch):
     monkeypatch.setattr(
         KnownMember, "is_live", property(lambda self: self.record.state != MemberState.FAILED)
     )
 
 
 @pytest.mark.parametrize(
-    ("fault", "told"),
+    ("fault", "violation"),
     [
-        (go_back, "went back"),
-        (never_refute, "for alive, and"),
-        (hold_who_left_for_live, "which left"),
+        (apply_older_records, "went backwards"),
+        (never_refute, "alive, but"),
+        (count_left_members_as_live, "after it left"),
     ],
 )
-def test_a_planted_fault_breaks_a_scenario(monkeypatch, fault, told):
+def test_random_scenarios_detect_a_planted_fault(monkeypatch, fault, violation):
     fault(monkeypatch)
-    broken = [line for seed in range(4) for line in RandomScenario(seed).run().violations]
-    assert any(told in line for line in broken)
+    found = [line for seed in range(4) for line in RandomScenario(seed).run().violations]
+    assert any(violation in line for line in found)
 
 
-@pytest.mark.parametrize("scene", sorted(initial_states()))
-def test_what_holds_in_every_interleaving_of_three_members(scene):
-    report = explore(initial_states()[scene], 3, convergence_sample=20)
+@pytest.mark.parametrize("initial_state", sorted(initial_states()))
+def test_interleavings_of_three_members_violate_no_invariant(initial_state):
+    report = explore(initial_states()[initial_state], 3, convergence_sample=20)
     assert report.violations == []
     assert len(report.states) > 50
     assert report.convergence_checks > 0
 
 
 @pytest.mark.parametrize(
-    ("fault", "scene", "told"),
+    ("fault", "initial_state", "violation"),
     [
-        (go_back, "one of them is silent for a second", "went back"),
-        (never_refute, "one is called failed, and lives", "of calm"),
-        (hold_who_left_for_live, "one has left, and is still there", "which left"),
+        (apply_older_records, "one unreachable for 1 s", "went backwards"),
+        (never_refute, "one declared failed while running", "without faults"),
+        (count_left_members_as_live, "one left and its process still runs", "after it left"),
     ],
 )
-def test_a_planted_fault_breaks_an_interleaving(monkeypatch, fault, scene, told):
-    every = 20 if told == "of calm" else 10**9
-    begins = [initial_states()[scene]]
+def test_interleavings_detect_a_planted_fault(monkeypatch, fault, initial_state, violation):
+    convergence_sample = 20 if violation == "without faults" else 10**9
+    states = [initial_states()[initial_state]]
     fault(monkeypatch)
-    begins.append(initial_states()[scene])  # a fault may show in what leads there
-    broken = [line for state in begins for line in explore(state, 4, every).violations]
-    assert any(told in line for line in broken)
+    states.append(initial_states()[initial_state])  # a fault may also change the initial state
+    found = [line for state in states for line in explore(state, 4, convergence_sample).violations]
+    assert any(violation in line for line in found)
--- a/tests/members/test_member.py
+++ b/tests/members/test_member.py
@@ -91,7 +91,7 @@
         "b",
         Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (records[1].with_state(first, "x"),)),
     )
-    ends = S + one.members["c"].suspicion.min_us
+    ends = S + one.members["c"].suspicion.shortest_timeout_us
     for at in ((S + ends) // 2 + 1, ends - 1):
         one.receive(at, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (verdict,)))
         assert one.members["c"].record.state == MemberState.SUSPECT
--- a/tests/members/test_service.py
+++ b/tests/members/test_service.py
@@ -35,7 +35,7 @@
     """One of them tells a stranger with the secret of all, and nobody comes to know the stranger."""
     told = await query_members(("127.0.77.1", port), b"s" * 16)
     assert {row["name"]: row["state"] for row in told} == states | {"n0": "alive"}
-    with pytest.raises(MemberQueryError, match="hung up"):
+    with pytest.raises(MemberQueryError, match="connection closed by the member"):
         await query_members(("127.0.77.1", port), b"t" * 16)
     (tmp_path / "secret").write_text("s" * 16)
     words = [
--- a/tests/members/test_view_state.py
+++ b/tests/members/test_view_state.py
@@ -5,7 +5,7 @@
 import pytest
 
 from oakbridge.peers.replica_index import ReplicaIndex, ReplicaIndexTracker, replica_index
-from oakbridge.peers.view_state import CALLERS_REQUESTS, VIEW_USES, MemberView, ViewState, assess
+from oakbridge.peers.view_state import CLIENT_REQUESTS, VIEW_USES, MemberView, ViewState, assess
 
 S = 1_000_000
 
@@ -58,10 +58,10 @@
 
 
 def test_calls_are_served_in_every_state():
-    assert VIEW_USES[0] is CALLERS_REQUESTS
-    assert {CALLERS_REQUESTS.reaction(state) for state in ViewState} == {"serve"}
-    assert assess("a", views("a"), 0, starting=True).state == "starting"
-    assert assess("a", views("aa"), 0, replaced=True).state == "alone"
+    assert VIEW_USES[0] is CLIENT_REQUESTS
+    assert {CLIENT_REQUESTS.reaction(state) for state in ViewState} == {"serve"}
+    assert assess("a", views("a"), 0, is_starting=True).state == "starting"
+    assert assess("a", views("aa"), 0, is_replaced=True).state == "alone"
 
 
 def test_the_operators_page_tells_the_same_table():
