--- a/tests/members/test_failure_reports.py
+++ b/tests/members/test_failure_reports.py
@@ -1,4 +1,4 @@
-"""How much others' reports of failing servers weigh."""
+"""Weights of other members' reports of failing servers."""
 
 import pytest
 
@@ -6,42 +6,42 @@
 from oakbridge.peers.messages import NodeReport
 from oakbridge.peers.view_state import ViewState
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
-def reports_of(*said: str) -> list[tuple[NodeReport, int]]:
-    """``"a: x y"``: member a finds x and y failing."""
+def reports_of(*texts: str) -> list[tuple[NodeReport, int]]:
+    """Return reports; ``"a: x y"`` means that member a reports servers x and y as failing."""
     return [
-        (NodeReport(who, 1, 1, 0, 0, 0, tuple(servers.split())), S)
-        for who, _, servers in (w.partition(":") for w in said)
+        (NodeReport(member, 1, 1, 0, 0, 0, tuple(servers.split())), SECOND_US)
+        for member, _, servers in (text.partition(":") for text in texts)
     ]
 
 
 @pytest.mark.parametrize(
-    ("said", "weight"),
+    ("texts", "weight"),
     [
-        (("a: x",), 0.0),  # a lone vote, be it a liar's or an ill member's
-        (("a: x", "a: x"), 0.0),  # which is one, however often it speaks
+        (("a: x",), 0.0),  # a single vote, which may be of a faulty or lying member
+        (("a: x", "a: x"), 0.0),  # repeated reports of a member are one vote
         (("a: x", "b: x"), 0.5),
         (("a: x", "b: x", "c: x", "d: x"), 1.0),
         (("a: x y", "b: x y"), 0.5),
         (
             ("a: 1 2 3 4 5 6 7 x", "b: 1 2 3 4 5 6 7 x"),
             0.0,
-        ),  # who finds everything failing is likelier ill
+        ),  # members that report many servers are more likely faulty themselves
         (("a: 1 2 3 x", "b: x", "c: 1 2 3 x"), 0.5),
-        (("me: x", "a: x"), 0.0),  # one's own is not hearsay
+        (("me: x", "a: x"), 0.0),  # this member's own report is left out
     ],
 )
-def test_what_reports_of_a_failing_server_weigh(said, weight):
-    assert weigh_failure_reports(ViewState.COMPLETE, reports_of(*said), "me")["x"].weight == weight
+def test_weight_of_reports_of_a_failing_server(texts, weight):
+    assert weigh_failure_reports(ViewState.COMPLETE, reports_of(*texts), "me")["x"].weight == weight
     assert (
-        weigh_failure_reports(ViewState.PARTITIONED, reports_of(*said), "me")["x"].weight == weight
+        weigh_failure_reports(ViewState.PARTITIONED, reports_of(*texts), "me")["x"].weight == weight
     )
-    assert not weigh_failure_reports(ViewState.ISOLATED, reports_of(*said), "me")
-    assert not weigh_failure_reports(ViewState.STARTING, reports_of(*said), "me")
+    assert not weigh_failure_reports(ViewState.ISOLATED, reports_of(*texts), "me")
+    assert not weigh_failure_reports(ViewState.STARTING, reports_of(*texts), "me")
     assert not weigh_failure_reports(
         ViewState.COMPLETE,
-        [(report, MAX_REPORT_AGE_US + 1) for report, _ in reports_of(*said)],
+        [(report, MAX_REPORT_AGE_US + 1) for report, _ in reports_of(*texts)],
         "me",
     )
--- a/tests/members/test_member.py
+++ b/tests/members/test_member.py
@@ -1,4 +1,4 @@
-"""One member by itself: verdicts, refutation, catching up."""
+"""A single member: verdicts, refutation, catching up on missed gossip."""
 
 import msgspec
 import pytest
@@ -16,105 +16,129 @@
 from oakbridge.peers.push_pull import CATCH_UP_INTERVAL_US
 from oakbridge.peers.timers import TimerKind
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
-def test_who_was_held_for_failed_asks_for_what_it_missed():
-    """Also where it has refuted the suspicion before it hears of the verdict; until an exchange ends."""
-    one = Member("a", "a", 1, {}, 1, 0, ProtocolOptions(probe_interval_us=1000 * S))
-    one.push_pull_completed(
+def test_a_member_that_was_declared_failed_requests_exchanges_until_one_succeeds():
+    """It does so even if it has refuted the suspicion before it learns of the verdict."""
+    member = Member("a", "a", 1, {}, 1, 0, ProtocolOptions(probe_interval_us=1000 * SECOND_US))
+    member.push_pull_completed(
         0,
         PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE),)),
         initiated=True,
     )
-    told = one.record.with_state(MemberState.SUSPECT, "b")
+    claim = member.record.with_state(MemberState.SUSPECT, "b")
 
-    def hear(record, incarnation=0):
+    def receive(record, incarnation=0):
         record = msgspec.structs.replace(record, incarnation=incarnation)
-        actions = one.receive(S, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (record,)))
-        return [a for a in actions if isinstance(a, StartPushPull)]
-
-    def waits(until):
-        asked = []
-        while one.next_due_us() <= until:
-            asked += [a for a in one.tick(one.next_due_us()) if isinstance(a, StartPushPull)]
-        return asked
-
-    assert not hear(told)
-    assert one.record.incarnation == 1
-    assert hear(told.with_state(MemberState.FAILED, "c")) == [StartPushPull("b")]
-    one.push_pull_failed()
-    assert waits(S + CATCH_UP_INTERVAL_US * 3 // 2)  # another one is asked
-    one.push_pull_completed(3 * S, PushPullState("b", 1, ()), initiated=True)
-    assert not hear(told.with_state(MemberState.FAILED, "c"))  # the same verdict again
-    assert hear(told.with_state(MemberState.FAILED, "c"), incarnation=1) == [
+        actions = member.receive(
+            SECOND_US, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (record,))
+        )
+        return [action for action in actions if isinstance(action, StartPushPull)]
+
+    def run_until(until_us):
+        exchanges = []
+        while member.next_due_us() <= until_us:
+            exchanges += [
+                action
+                for action in member.tick(member.next_due_us())
+                if isinstance(action, StartPushPull)
+            ]
+        return exchanges
+
+    assert not receive(claim)
+    assert member.record.incarnation == 1
+    assert receive(claim.with_state(MemberState.FAILED, "c")) == [StartPushPull("b")]
+    member.push_pull_failed()
+    assert run_until(SECOND_US + CATCH_UP_INTERVAL_US * 3 // 2)  # retry with another member
+    member.push_pull_completed(3 * SECOND_US, PushPullState("b", 1, ()), initiated=True)
+    assert not receive(claim.with_state(MemberState.FAILED, "c"))  # the same verdict again
+    assert receive(claim.with_state(MemberState.FAILED, "c"), incarnation=1) == [
         StartPushPull("b")
-    ]  # a new one
+    ]  # a new verdict
 
 
-def test_gossip_that_is_read_before_late_timers_is_not_delayed_by_them():
-    """A process that wakes reads its socket first: what it then suspects fails in the usual time."""
-    one = Member("a", "a", 1, {}, 1, 0)
-    dead = MemberRecord("c", "c", 1, 1, 0, MemberState.ALIVE)
-    one.push_pull_completed(
+def test_suspicions_from_gossip_received_before_late_timers_are_not_delayed():
+    """A resumed process reads its socket before its timers fire.
+
+    Members that it then suspects fail after the usual timeout.
+    """
+    member = Member("a", "a", 1, {}, 1, 0)
+    failed = MemberRecord("c", "c", 1, 1, 0, MemberState.ALIVE)
+    member.push_pull_completed(
         0,
-        PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE), dead)),
+        PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE), failed)),
         initiated=True,
     )
-    woken = 40 * S
-    one.receive(
-        woken,
+    resumed_us = 40 * SECOND_US
+    member.receive(
+        resumed_us,
         "b",
         Datagram(
-            MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (dead.with_state(MemberState.FAILED, "b"),)
+            MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (failed.with_state(MemberState.FAILED, "b"),)
         ),
     )
-    while one.next_due_us() <= woken + 3 * S:
-        one.tick(max(woken, one.next_due_us()))
-    assert one.members["c"].record.state == MemberState.FAILED
+    while member.next_due_us() <= resumed_us + 3 * SECOND_US:
+        member.tick(max(resumed_us, member.next_due_us()))
+    assert member.members["c"].record.state == MemberState.FAILED
 
 
 @pytest.mark.parametrize("first", [MemberState.FAILED, MemberState.SUSPECT])
-def test_a_verdict_heard_while_one_is_suspected_leaves_the_time_to_refute_it(first):
-    """After a cut of 198 processes healed, neighbours were held for failed by the other part's verdict.
+def test_a_failure_claim_about_a_suspected_member_leaves_time_to_refute_it(first):
+    """After a partition of 198 processes healed, members were declared failed by mistake.
 
-    It had been told once more, or after a suspicion that was heard before it.
+    The other partition's verdict about them arrived twice, or after a suspicion.
     """
-    one = Member(
-        "a", "a", 1, {}, 1, 0, ProtocolOptions(probe_interval_us=1000 * S, local_health=False)
+    member = Member(
+        "a",
+        "a",
+        1,
+        {},
+        1,
+        0,
+        ProtocolOptions(probe_interval_us=1000 * SECOND_US, local_health=False),
     )
-    records = [MemberRecord(n, n, 1, 1, 0, MemberState.ALIVE) for n in "bcdefg"]
-    one.push_pull_completed(0, PushPullState("b", 1, tuple(records)), initiated=True)
+    records = [MemberRecord(name, name, 1, 1, 0, MemberState.ALIVE) for name in "bcdefg"]
+    member.push_pull_completed(0, PushPullState("b", 1, tuple(records)), initiated=True)
     verdict = records[1].with_state(MemberState.FAILED, "x")
-    one.receive(
-        S,
+    member.receive(
+        SECOND_US,
         "b",
         Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (records[1].with_state(first, "x"),)),
     )
-    ends = S + one.members["c"].suspicion.shortest_timeout_us
-    for at in ((S + ends) // 2 + 1, ends - 1):
-        one.receive(at, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (verdict,)))
-        assert one.members["c"].record.state == MemberState.SUSPECT
-        assert one.members["c"].suspicion.deadline_us() == ends
-    while one.next_due_us() <= ends:
-        one.tick(one.next_due_us())
-    assert one.members["c"].record.state == MemberState.FAILED
-
-
-def test_one_chain_of_catching_up_however_often_it_is_held_for_failed():
-    one = Member("a", "a", 1, {}, 1, 0, ProtocolOptions(probe_interval_us=1000 * S))
-    one.push_pull_completed(
+    deadline_us = SECOND_US + member.members["c"].suspicion.shortest_timeout_us
+    for now_us in ((SECOND_US + deadline_us) // 2 + 1, deadline_us - 1):
+        member.receive(now_us, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (verdict,)))
+        assert member.members["c"].record.state == MemberState.SUSPECT
+        assert member.members["c"].suspicion.deadline_us() == deadline_us
+    while member.next_due_us() <= deadline_us:
+        member.tick(member.next_due_us())
+    assert member.members["c"].record.state == MemberState.FAILED
+
+
+def test_repeated_failures_cause_one_chain_of_catch_up_exchanges():
+    member = Member("a", "a", 1, {}, 1, 0, ProtocolOptions(probe_interval_us=1000 * SECOND_US))
+    member.push_pull_completed(
         0,
         PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE),)),
         initiated=True,
     )
-    for n in range(5):
+    for incarnation in range(5):
         verdict = msgspec.structs.replace(
-            one.record.with_state(MemberState.FAILED, "b"), incarnation=n
+            member.record.with_state(MemberState.FAILED, "b"), incarnation=incarnation
+        )
+        member.receive(
+            SECOND_US + incarnation,
+            "b",
+            Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (verdict,)),
         )
-        one.receive(S + n, "b", Datagram(MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (verdict,)))
-    assert one.pending_timers(TimerKind.CATCH_UP).count(4) == 1  # the last incarnation that was
-    asked = []
-    while one.next_due_us() <= S + 2 * CATCH_UP_INTERVAL_US:
-        asked += [a for a in one.tick(one.next_due_us()) if isinstance(a, StartPushPull)]
-    assert 1 <= len(asked) <= 2
+    # 4 is the last incarnation that was declared failed.
+    assert member.pending_timers(TimerKind.CATCH_UP).count(4) == 1
+    exchanges = []
+    while member.next_due_us() <= SECOND_US + 2 * CATCH_UP_INTERVAL_US:
+        exchanges += [
+            action
+            for action in member.tick(member.next_due_us())
+            if isinstance(action, StartPushPull)
+        ]
+    assert 1 <= len(exchanges) <= 2
--- a/tests/members/test_messages.py
+++ b/tests/members/test_messages.py
@@ -1,4 +1,4 @@
-"""Records: which of two claims about a member counts."""
+"""Records: which of two claims about a member supersedes the other."""
 
 import msgspec
 import pytest
--- a/tests/members/test_periodic_update.py
+++ b/tests/members/test_periodic_update.py
@@ -1,24 +1,24 @@
-"""What runs beside a member again and again."""
+"""Periodic updates: errors, and stopping."""
 
 import asyncio
 
 from oakbridge.peers.periodic_update import PeriodicUpdate
 
 
-def test_an_error_of_one_call_is_logged_and_contained(caplog):
+def test_a_failed_call_is_logged_and_the_next_one_still_runs(caplog):
     async def scenario():
         calls = []
-        twice = asyncio.Event()
+        called_twice = asyncio.Event()
 
         async def update():
             calls.append(len(calls))
             if len(calls) == 1:
                 raise RuntimeError("the first call fails")
-            twice.set()
+            called_twice.set()
 
         updates = PeriodicUpdate(update, 0.001, "an update failed")
         updates.start()
-        await asyncio.wait_for(twice.wait(), 10)
+        await asyncio.wait_for(called_twice.wait(), 10)
         await updates.stop()
         count = len(calls)
         await asyncio.sleep(0.02)
@@ -28,12 +28,12 @@
     assert [record.message for record in caplog.records] == ["an update failed"]
 
 
-def test_a_call_under_way_is_cancelled_by_stop():
+def test_stop_cancels_a_call_in_progress():
     async def scenario():
-        begun, cancelled = asyncio.Event(), asyncio.Event()
+        started, cancelled = asyncio.Event(), asyncio.Event()
 
         async def update():
-            begun.set()
+            started.set()
             try:
                 await asyncio.sleep(60)
             except asyncio.CancelledError:
@@ -42,14 +42,14 @@
 
         updates = PeriodicUpdate(update, 0.001, "an update failed")
         updates.start()
-        await asyncio.wait_for(begun.wait(), 10)
+        await asyncio.wait_for(started.wait(), 10)
         await updates.stop()
         assert cancelled.is_set()
 
     asyncio.run(scenario())
 
 
-def test_what_was_never_started_may_be_stopped():
+def test_stop_without_start_does_nothing():
     async def update():
         raise AssertionError("called without start")
 
--- a/tests/members/test_service.py
+++ b/tests/members/test_service.py
@@ -1,4 +1,4 @@
-"""Members on real sockets within one loop: they meet, are told apart, and exchange in pieces."""
+"""Members on real sockets in one event loop: join, leave, failure, restart and invalid input."""
 
 import asyncio
 from dataclasses import replace
@@ -8,14 +8,14 @@
 from peers import until
 
 from oakbridge.cli.main import cli
-from oakbridge.peers import snapshot as snap
+from oakbridge.peers import snapshot
 from oakbridge.peers.member_query import MemberQueryError, query_members
 from oakbridge.peers.messages import Datagram, MemberRecord, MemberState, MessageKind
 from oakbridge.peers.node_reports import LocalLoad
 from oakbridge.peers.protocol_options import ProtocolOptions
 from oakbridge.peers.service import MembershipService, ServiceOptions
 
-QUICK = ProtocolOptions(
+FAST_PROTOCOL = ProtocolOptions(
     probe_interval_us=60_000,
     probe_timeout_us=25_000,
     gossip_interval_us=20_000,
@@ -23,22 +23,27 @@
 )
 
 
-def member(n: int, port: int, secret: bytes = b"s" * 16, **more) -> MembershipService:
+def member_service(number: int, port: int, secret: bytes = b"s" * 16, **extra) -> MembershipService:
     options = ServiceOptions(
-        f"n{n}", (f"127.0.77.{n + 1}", port), secret, seeds=(("127.0.77.1", port),), protocol=QUICK,
-        tags={"site": "a"}, **more,
-    )  # fmt: skip
-    return MembershipService(options, lambda: LocalLoad(n, 1, ("s-9",)))
+        f"n{number}",
+        (f"127.0.77.{number + 1}", port),
+        secret,
+        seeds=(("127.0.77.1", port),),
+        protocol=FAST_PROTOCOL,
+        tags={"site": "a"},
+        **extra,
+    )
+    return MembershipService(options, lambda: LocalLoad(number, 1, ("s-9",)))
 
 
 async def _query(port: int, states: dict[str, str], tmp_path) -> None:
-    """One of them tells a stranger with the secret of all, and nobody comes to know the stranger."""
-    told = await query_members(("127.0.77.1", port), b"s" * 16)
-    assert {row["name"]: row["state"] for row in told} == states | {"n0": "alive"}
+    """A query with the members' secret returns all members, and adds no member."""
+    rows = await query_members(("127.0.77.1", port), b"s" * 16)
+    assert {row["name"]: row["state"] for row in rows} == states | {"n0": "alive"}
     with pytest.raises(MemberQueryError, match="connection closed by the member"):
         await query_members(("127.0.77.1", port), b"t" * 16)
     (tmp_path / "secret").write_text("s" * 16)
-    words = [
+    arguments = [
         "fleet",
         "status",
         "--via",
@@ -46,26 +51,26 @@
         "--secret-file",
         str(tmp_path / "secret"),
     ]
-    shown = await asyncio.to_thread(CliRunner().invoke, cli, words)
-    assert shown.exit_code == 1
-    assert "4 alive, 1 failed, 1 left" in shown.output
-    for wrong, code, text in (
-        (words[:4], 2, "expected --secret-file"),
-        ([*words[:3], "nowhere", *words[4:]], 2, "--via: expected"),
-        ([*words[:3], "127.0.77.1:9", *words[4:]], 1, "127.0.77.1:9"),
+    result = await asyncio.to_thread(CliRunner().invoke, cli, arguments)
+    assert result.exit_code == 1
+    assert "4 alive, 1 failed, 1 left" in result.output
+    for invalid, exit_code, message in (
+        (arguments[:4], 2, "expected --secret-file"),
+        ([*arguments[:3], "nowhere", *arguments[4:]], 2, "--via: expected"),
+        ([*arguments[:3], "127.0.77.1:9", *arguments[4:]], 1, "127.0.77.1:9"),
     ):
-        shown = await asyncio.to_thread(CliRunner().invoke, cli, wrong)
-        assert shown.exit_code == code
-        assert text in shown.output
-        assert "Traceback" not in shown.output
-
-
-async def _meet(port: int, tmp_path) -> None:
-    peers = [member(n, port, snapshot_path=tmp_path / f"{n}.json") for n in range(6)]
-    stranger = member(9, port, b"t" * 16)
-    for one in (*peers, stranger):
-        await one.start()
-    await until(lambda: all(len(p.member.live_names()) == 5 for p in peers))
+        result = await asyncio.to_thread(CliRunner().invoke, cli, invalid)
+        assert result.exit_code == exit_code
+        assert message in result.output
+        assert "Traceback" not in result.output
+
+
+async def _join_leave_fail_and_restart(port: int, tmp_path) -> None:
+    peers = [member_service(n, port, snapshot_path=tmp_path / f"{n}.json") for n in range(6)]
+    stranger = member_service(9, port, b"t" * 16)
+    for service in (*peers, stranger):
+        await service.start()
+    await until(lambda: all(len(peer.member.live_names()) == 5 for peer in peers))
     assert stranger.member.live_names() == []
     await until(lambda: peers[0].codec.rejected["tag"] + peers[0].counts["exchanges broken"])
     await until(lambda: peers[1].member.report("n2", 0) is not None)
@@ -74,80 +79,84 @@
     peers[4].close()
     await until(
         lambda: all(
-            set(p.member.live_names()) == {f"n{i}" for i in range(4)} - {p.options.name}
-            for p in peers[:4]
+            set(peer.member.live_names()) == {f"n{i}" for i in range(4)} - {peer.options.name}
+            for peer in peers[:4]
         )
     )
-    heard: list[dict[str, float]] = []
-    peers[0].on_failure_reports = heard.append
-    await until(lambda: heard)  # n1, n2 and n3 find it failing, which is all that votes can do
-    assert heard[0] == {"s-9": 1.0}
+    weights: list[dict[str, float]] = []
+    peers[0].on_failure_reports = weights.append
+    await until(lambda: weights)  # n1, n2 and n3 report it failing, which gives the full weight
+    assert weights[0] == {"s-9": 1.0}
     assert peers[0].describe()["doubted"][0]["by"] == ["n1", "n2", "n3"]
     states = {row["name"]: row["state"] for row in peers[0].describe()["members"]}
     await _query(port, states, tmp_path)
     assert (states["n5"], states["n4"]) == ("left", "failed")
-    assert [c["after"] for c in peers[0].state_history("n4")] == ["alive", "suspect", "failed"]
+    assert [change["after"] for change in peers[0].state_history("n4")] == [
+        "alive",
+        "suspect",
+        "failed",
+    ]
     await until(lambda: (tmp_path / "4.json").exists())
-    kept = snap.load(tmp_path / "4.json")
-    back = member(4, port, snapshot_path=tmp_path / "4.json")
-    await back.start()
-    assert back.member.record.generation > kept.generation
-    await until(lambda: all("n4" in p.member.live_names() for p in peers[:4]))
-    for one in (*peers[:4], stranger, back):
-        one.close()
+    saved = snapshot.load(tmp_path / "4.json")
+    restarted = member_service(4, port, snapshot_path=tmp_path / "4.json")
+    await restarted.start()
+    assert restarted.member.record.generation > saved.generation
+    await until(lambda: all("n4" in peer.member.live_names() for peer in peers[:4]))
+    for service in (*peers[:4], stranger, restarted):
+        service.close()
 
 
-def test_they_meet_leave_fail_and_come_back(tmp_path):
-    asyncio.run(_meet(17_901, tmp_path))
+def test_members_join_leave_fail_and_restart(tmp_path):
+    asyncio.run(_join_leave_fail_and_restart(17_901, tmp_path))
 
 
 async def _set_seeds_later(port: int) -> None:
-    first, late = member(0, port), member(1, port)
+    first, late = member_service(0, port), member_service(1, port)
     late.options = replace(late.options, seeds=(), expects_more_seeds=True)
     await first.start()
     await late.start()
-    assert late.member.is_joining  # whether there is anybody is not known yet
+    assert late.member.is_joining  # its seeds aren't known yet
     late.set_seeds([("127.0.77.1", port)])
     await until(lambda: late.member.live_names() == ["n0"] and first.member.live_names() == ["n1"])
     late.set_seeds([])
     assert not late.member.is_joining
     assert late.member.live_names() == ["n0"]
-    alone = member(2, port)
+    alone = member_service(2, port)
     alone.options = replace(alone.options, seeds=(), expects_more_seeds=True)
     await alone.start()
     alone.set_seeds([])
     assert not alone.member.is_joining
-    for one in (first, late, alone):
-        one.close()
+    for service in (first, late, alone):
+        service.close()
 
 
-def test_seeds_may_be_set_later():
+def test_seeds_can_be_set_after_start():
     asyncio.run(_set_seeds_later(17_903))
 
 
-async def _made_up_addresses(port: int) -> None:
-    one = member(0, port)
-    await one.start()
-    for n, address in enumerate(("localhost:1", "127.0.0.1:x", "", "127.0.0.1:70000")):
-        news = MemberRecord(f"m{n}", address, 1, 1, 0, MemberState.ALIVE)
-        one.perform(
-            one.member.receive(
-                0, "127.0.77.9:1", Datagram(MessageKind.GOSSIP, 0, "m9", 1, 0, "", "", (news,))
+async def _receive_invalid_addresses(port: int) -> None:
+    service = member_service(0, port)
+    await service.start()
+    for index, address in enumerate(("localhost:1", "127.0.0.1:x", "", "127.0.0.1:70000")):
+        record = MemberRecord(f"m{index}", address, 1, 1, 0, MemberState.ALIVE)
+        service.perform(
+            service.member.receive(
+                0, "127.0.77.9:1", Datagram(MessageKind.GOSSIP, 0, "m9", 1, 0, "", "", (record,))
             )
         )
-    await until(lambda: one.counts["could not send"] >= 8)
-    assert set(one.member.members) == {"m0", "m1", "m2", "m3"}
-    one.close()
+    await until(lambda: service.counts["could not send"] >= 8)
+    assert set(service.member.members) == {"m0", "m1", "m2", "m3"}
+    service.close()
 
 
-def test_an_address_with_a_name_is_not_looked_up():
-    asyncio.run(_made_up_addresses(17_904))
+def test_invalid_addresses_and_host_names_are_counted_and_not_resolved():
+    asyncio.run(_receive_invalid_addresses(17_904))
 
 
-async def _nonsense(port: int) -> None:
-    one = member(0, port)
-    await one.start()
-    before = one.member.push_pull_state()
+async def _receive_invalid_data(port: int) -> None:
+    service = member_service(0, port)
+    await service.start()
+    before = service.member.push_pull_state()
     loop = asyncio.get_running_loop()
     sender, _ = await loop.create_datagram_endpoint(
         asyncio.DatagramProtocol, remote_addr=("127.0.77.1", port)
@@ -159,12 +168,14 @@
         writer.write(data)
         writer.write_eof()
     await until(
-        lambda: one.counts["exchanges broken"] == 3 and sum(one.codec.rejected.values()) >= 4
+        lambda: (
+            service.counts["exchanges broken"] == 3 and sum(service.codec.rejected.values()) >= 4
+        )
     )
-    assert one.member.push_pull_state() == before
+    assert service.member.push_pull_state() == before
     sender.close()
-    one.close()
+    service.close()
 
 
-def test_nonsense_on_its_sockets_is_counted():
-    asyncio.run(_nonsense(17_902))
+def test_invalid_data_on_the_sockets_is_counted():
+    asyncio.run(_receive_invalid_data(17_902))
--- a/tests/members/test_suspicion.py
+++ b/tests/members/test_suspicion.py
@@ -1,19 +1,23 @@
-"""Suspicions: how long they last."""
+"""Timeouts of suspicions."""
 
 from oakbridge.peers.suspicion import Suspicion, min_timeout_us
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
-def test_suspicion_shrinks_with_independent_accusers():
-    period = 500_000
-    assert min_timeout_us(10, period) < min_timeout_us(100, period) < min_timeout_us(1000, period)
-    suspicion = Suspicion(0, 2 * S, 12 * S, {"a"})
-    ends = [suspicion.deadline_us()]
+def test_independent_reporters_shorten_the_timeout():
+    probe_interval_us = 500_000
+    assert (
+        min_timeout_us(10, probe_interval_us)
+        < min_timeout_us(100, probe_interval_us)
+        < min_timeout_us(1000, probe_interval_us)
+    )
+    suspicion = Suspicion(0, 2 * SECOND_US, 12 * SECOND_US, {"a"})
+    deadlines_us = [suspicion.deadline_us()]
     for reporter in ("a", "b", "b", "c", "d", "e", "f"):
         suspicion.confirm(reporter)
-        ends.append(suspicion.deadline_us())
-    assert ends == sorted(ends, reverse=True)
-    assert ends[0] == ends[1] == 12 * S
-    assert ends[-1] == 2 * S
+        deadlines_us.append(suspicion.deadline_us())
+    assert deadlines_us == sorted(deadlines_us, reverse=True)
+    assert deadlines_us[0] == deadlines_us[1] == 12 * SECOND_US
+    assert deadlines_us[-1] == 2 * SECOND_US
     assert len(suspicion.reporters) == 4
