--- a/oakbridge/peers/dissemination.py
+++ b/oakbridge/peers/dissemination.py
@@ -87,7 +87,7 @@
             self._local.timers.add(now_us + delay_us, TimerKind.GOSSIP)
 
     def gossip(self, now_us: int) -> None:
-        """Send queued records to random members; schedule the next round if any were queued."""
+        """Send queued records to random members and schedule the next round, if any are queued."""
         local = self._local
         self._is_gossip_scheduled = False
         if not self._broadcasts or local.replaced_by is not None:
--- a/oakbridge/peers/member.py
+++ b/oakbridge/peers/member.py
@@ -260,9 +260,8 @@
     def _receive(self, now_us: int, source: str, message: Datagram) -> None:
         local = self._local
         if message.sender == local.record.name:
-            local.counts[MemberCounter.SENDER_HAS_OWN_NAME] += (
-                1  # its record decides which process keeps the name
-            )
+            # The records of both processes decide which one keeps the name.
+            local.counts[MemberCounter.SENDER_HAS_OWN_NAME] += 1
             return
         known = local.table.get(message.sender)
         if known is not None and known.record.generation > message.generation:
@@ -300,7 +299,7 @@
         self._dissemination.send_to(destination, header, now_us, first=known.record)
 
     def _send_correction(self, now_us: int, sender: KnownMember | None) -> None:
-        """Send a member that gossips its own record, if it is considered failed or left.
+        """Send a member that gossips the claim about itself, if it is considered failed or left.
 
         At most once per probe timeout, as that member may consider this one failed and reply alike.
         """
--- a/oakbridge/peers/member_table.py
+++ b/oakbridge/peers/member_table.py
@@ -24,9 +24,8 @@
     suspicion: Suspicion | None = None
     report: NodeReport | None = None
     report_at_us: int = 0
-    history: tuple[
-        MemberChanged, ...
-    ] = ()  # a tuple, as all members without changes share the empty one
+    # A tuple, as all members without changes share the empty one.
+    history: tuple[MemberChanged, ...] = ()
 
     @property
     def is_live(self) -> bool:
--- a/oakbridge/peers/messages.py
+++ b/oakbridge/peers/messages.py
@@ -82,9 +82,8 @@
     incarnation: UnsignedInt
     state: MemberState
     reported_by: OptionalNodeName = ""  # the member that suspects it or declared it failed
-    max_version: Annotated[int, msgspec.Meta(ge=1, le=255)] = (
-        1  # newest format version that the member reads
-    )
+    # Newest format version that the member reads.
+    max_version: Annotated[int, msgspec.Meta(ge=1, le=255)] = 1
     tags: Tags = {}
 
     @property
@@ -179,9 +178,8 @@
     sender: NodeName
     generation: UnsignedInt
     incarnation: UnsignedInt
-    target: OptionalNodeName = (
-        ""  # name of the probed member: another one at its address must not reply
-    )
+    # Name of the probed member: another one at its address must not reply.
+    target: OptionalNodeName = ""
     target_address: ShortText = ""  # of a PING_REQ
     records: Annotated[tuple[MemberRecord, ...], msgspec.Meta(max_length=MAX_DATAGRAM_ITEMS)] = ()
     reports: Annotated[tuple[NodeReport, ...], msgspec.Meta(max_length=MAX_DATAGRAM_ITEMS)] = ()
--- a/oakbridge/peers/protocol_options.py
+++ b/oakbridge/peers/protocol_options.py
@@ -20,9 +20,7 @@
     gossip_interval_us: int = 200_000  # while records are queued
     gossip_fanout: int = 3
     push_pull_interval_us: int = 30 * SECOND_US  # longer in proportion beyond 64 members
-    reconnect_interval_us: int = (
-        4 * SECOND_US
-    )  # between retries of one failed member or unknown seed
+    reconnect_interval_us: int = 4 * SECOND_US  # each retries one failed member or unknown seed
     forget_after_us: int = 24 * HOUR_US  # time after which failed and left members are forgotten
     max_members: int = 10_000  # including failed and left ones
     local_health: bool = True
--- a/oakbridge/peers/push_pull.py
+++ b/oakbridge/peers/push_pull.py
@@ -12,9 +12,8 @@
 from oakbridge.peers.timers import TimerKind
 
 MIN_REQUEST_INTERVAL_US = 2_000_000  # between two exchanges started by request()
-MEMBERS_AT_FULL_RATE = (
-    64  # beyond it the interval grows in proportion, as an exchange is O(n) bytes
-)
+# With more members the interval grows in proportion, as an exchange is O(n) bytes.
+MEMBERS_AT_FULL_RATE = 64
 CATCH_UP_INTERVAL_US = 4_000_000  # to the first retry; doubles with each further one
 MAX_CATCH_UP_DOUBLINGS = 4
 
--- a/oakbridge/peers/refutation.py
+++ b/oakbridge/peers/refutation.py
@@ -36,8 +36,9 @@
     def _is_from_earlier_process(self, claim: MemberRecord) -> bool:
         """Return whether a claim with a greater generation is about an earlier process.
 
-        It is while this member joins, as it learns of that generation only then.  It also is if
-        that process failed or left, or had this member's address, which no other process uses now.
+        True while this member joins, as it learns of greater generations only then.  True also if
+        the process of the claim failed, left, or used this member's address: only this process
+        uses that address now.
         """
         return (
             self._local.is_joining
--- a/oakbridge/peers/service.py
+++ b/oakbridge/peers/service.py
@@ -43,7 +43,7 @@
 US_PER_S = 1_000_000
 RECORDS_PER_ITERATION = 24  # of a push-pull state, applied per event loop iteration
 DIRECT_REPORTS_PER_BATCH = 16
-DIRECT_REPORT_BATCH_DELAY_S = 0.005
+DIRECT_REPORT_BATCH_DELAY_S = 0.005  # between two batches
 VIEW_INTERVAL_S = 0.5
 UPDATES_PER_REPORT = 4  # updates run at VIEW_INTERVAL_S
 UPDATES_PER_URGENT_REPORT = 2
@@ -108,9 +108,8 @@
         self.site_report: Callable[[], SiteReport] | None = None
         self.requests_per_10s: Callable[[], int] | None = None  # this node's rate
         self.direct_recipients: Callable[[], list[str]] = list  # names to send reports directly
-        self.is_report_urgent: Callable[[], bool] = lambda: (
-            False
-        )  # whether to report twice as often
+        # Whether to report twice as often.
+        self.is_report_urgent: Callable[[], bool] = lambda: False
         self._load_source = load_source
         self._clock = clock
         self._address = format_address(options.advertise or options.listen)
@@ -239,7 +238,7 @@
                     self._on_change(action)
                 case NameTaken(address):
                     log.error(
-                        "name taken by a later process, membership closed: name=%s address=%s",
+                        "name taken by a later process, no longer a member: name=%s address=%s",
                         self.options.name,
                         address,
                     )
@@ -331,10 +330,12 @@
     # ---- view, load reports and failure reports
 
     async def _run_periodically(self) -> None:
-        for number in itertools.count():
+        for update_number in itertools.count():
             self.view_monitor.update(self._clock(), self.member)
-            is_urgent_update = number % UPDATES_PER_URGENT_REPORT == 0 and self.is_report_urgent()
-            if number % UPDATES_PER_REPORT == 0 or is_urgent_update:
+            is_urgent_update = (
+                update_number % UPDATES_PER_URGENT_REPORT == 0 and self.is_report_urgent()
+            )
+            if update_number % UPDATES_PER_REPORT == 0 or is_urgent_update:
                 await self._report_load()
                 self.weigh_failure_reports()
             await asyncio.sleep(VIEW_INTERVAL_S)
--- a/oakbridge/peers/simulation.py
+++ b/oakbridge/peers/simulation.py
@@ -85,9 +85,8 @@
         self.changes: list[tuple[str, MemberChanged]] = []  # observer, change in its view
         self.replaced_addresses: list[str] = []  # of processes that gave up their name
         self.counts: Counter[str] = Counter()
-        self.is_blocked: Callable[[str, str], bool] = (
-            nothing_blocked  # source address, destination address
-        )
+        # Takes source and destination address.
+        self.is_blocked: Callable[[str, str], bool] = nothing_blocked
         self.on_change: Callable[[str, MemberChanged], None] | None = None
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._order = itertools.count()
--- a/oakbridge/peers/system_state.py
+++ b/oakbridge/peers/system_state.py
@@ -55,8 +55,8 @@
     def getrandbits(self, k: int) -> int:
         """Return ``k`` random bits, at most 64."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % (1 << 64)
-        x = self.state
-        return ((x ^ x >> 32) * 0x9E3779B97F4A7C15 % (1 << 64)) >> (64 - k)
+        value = self.state
+        return ((value ^ value >> 32) * 0x9E3779B97F4A7C15 % (1 << 64)) >> (64 - k)
 
     def __reduce__(self) -> tuple[Any, ...]:
         """Return the constructor and state for pickle."""
--- a/oakbridge/peers/view_monitor.py
+++ b/oakbridge/peers/view_monitor.py
@@ -11,9 +11,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ASSESSMENT_AGE_US = (
-    10_000_000  # the view also depends on time, so it is assessed again after this
-)
+# The view also depends on time, so it is assessed again after this time without changes.
+MAX_ASSESSMENT_AGE_US = 10_000_000
 
 
 class ViewMonitor:
--- a/tests/members/test_member.py
+++ b/tests/members/test_member.py
@@ -64,10 +64,10 @@
     Members that it then suspects fail after the usual timeout.
     """
     member = Member("a", "a", 1, {}, 1, 0)
-    failed = MemberRecord("c", "c", 1, 1, 0, MemberState.ALIVE)
+    record_c = MemberRecord("c", "c", 1, 1, 0, MemberState.ALIVE)
     member.push_pull_completed(
         0,
-        PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE), failed)),
+        PushPullState("b", 1, (MemberRecord("b", "b", 1, 1, 0, MemberState.ALIVE), record_c)),
         initiated=True,
     )
     resumed_us = 40 * SECOND_US
@@ -75,7 +75,14 @@
         resumed_us,
         "b",
         Datagram(
-            MessageKind.GOSSIP, 0, "b", 1, 0, "", "", (failed.with_state(MemberState.FAILED, "b"),)
+            MessageKind.GOSSIP,
+            0,
+            "b",
+            1,
+            0,
+            "",
+            "",
+            (record_c.with_state(MemberState.FAILED, "b"),),
         ),
     )
     while member.next_due_us() <= resumed_us + 3 * SECOND_US:
