--- a/benchmarks/even.py
+++ b/benchmarks/even.py
@@ -37,8 +37,8 @@
 from oakbridge.lab.simulation.server_pool import MEAN_WORK_US
 from oakbridge.lab.simulation.strategies import StrategyReplica
 from oakbridge.spread.arcs import subset_weights
-from oakbridge.spread.capacity_forecast import numbered_names
 from oakbridge.spread.request_rate import STEPS_PER_DOUBLING
+from oakbridge.spread.subset_forecast import numbered_names
 
 WORKERS, QUEUE = 1, 16
 SETTLED, LASTS = 15, 40
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -58,14 +58,14 @@
 def plans(fleets: int, sites: int) -> int:
     """Worth kept, and time."""
     from oakbridge.sites.plan_file import planned_losses
-    from oakbridge.sites.planning import SiteFigures, compute_plan, solve
-    from oakbridge.sites.proportional_routing import proportional_weight
+    from oakbridge.sites.planning import TopologyArrays, compute_plan, compute_scenario
+    from oakbridge.sites.proportional_routing import proportional_served_weight
 
     gains, worse = [], 0
     for seed in range(fleets):
-        figures = SiteFigures(random_topology(random.Random(seed), sites))
+        figures = TopologyArrays(random_topology(random.Random(seed), sites))
         for lost in planned_losses(figures.sites):
-            best, rule = solve(figures, lost), proportional_weight(figures, lost)
+            best, rule = compute_scenario(figures, lost), proportional_served_weight(figures, lost)
             if lost and best.offered_weight:
                 gains.append((best.served_weight - rule) / best.offered_weight)
                 worse += best.served_weight < rule - 1e-6 * best.offered_weight
--- a/oakbridge/cli/spread.py
+++ b/oakbridge/cli/spread.py
@@ -17,7 +17,7 @@
 from oakbridge.spread.arcs import MAX_RINGS
 
 if TYPE_CHECKING:
-    from oakbridge.spread.capacity_forecast import Forecast
+    from oakbridge.spread.subset_forecast import Forecast
 
 MAX_SIZE = 20_000  # nodes, and servers
 MAX_PAIRS = 1000 * MAX_SIZE  # of node and server
@@ -82,8 +82,8 @@
     as_json: bool,
 ) -> None:
     """Print the forecast for a size and for the size after a change."""
-    from oakbridge.spread.capacity_forecast import TierSize, forecast
     from oakbridge.spread.operator_view import forecast_row
+    from oakbridge.spread.subset_forecast import TierSize, forecast
 
     if nodes * servers > MAX_PAIRS:
         raise InvalidInputError(
@@ -103,10 +103,11 @@
 def _forecast_line(forecast: Forecast) -> str:
     highest = f"p99 {forecast.p99_load:.2f}, most {forecast.max_load:.2f}"
     load = f"{highest}, least {forecast.min_load:.2f}"
-    nodes = f"{forecast.mean_replicas:.1f}, most {forecast.max_replicas}"
+    nodes = f"{forecast.mean_replicas_per_server:.1f}, most {forecast.max_replicas_per_server}"
     return (
         f"{forecast.method:<11} load over fair share: {load}; nodes at a server: {nodes}; "
-        f"servers of a node: {forecast.mean_servers:.1f}; moved by the change: {forecast.moved:.0%}"
+        f"servers of a node: {forecast.mean_servers_per_replica:.1f}; "
+        f"moved by the change: {forecast.moved_fraction:.0%}"
     )
 
 
--- a/oakbridge/lab/simulation/site_control.py
+++ b/oakbridge/lab/simulation/site_control.py
@@ -62,7 +62,7 @@
         )
         everyone = ClusterView(ViewState.COMPLETE, known=len(self._balancers), unreachable=0)
         decision = plan.update(now, now // 1000, everyone, self._received_reports(replica), own)
-        if self._is_report_due(replica, is_urgent=plan.is_urgent):
+        if self._is_report_due(replica, is_urgent=plan.is_report_urgent):
             self._reports[replica] = now, plan.report()
         self._deliver(replica, ZoneWeights(decision.zone_weights, decision.probe_zones))
         self._deliver(
--- a/oakbridge/sites/node_sites.py
+++ b/oakbridge/sites/node_sites.py
@@ -139,7 +139,7 @@
         return self.plan.version if self.plan is not None else 0
 
     @property
-    def is_urgent(self) -> bool:
+    def is_report_urgent(self) -> bool:
         """Whether other members should soon hear this node's report."""
         settled = (SiteState.HEALTHY, SiteState.DRAINING)
         return self.shedding.level > 0 or any(s.state not in settled for s in self.sites.values())
@@ -165,7 +165,7 @@
 
     def direct_recipients(self, reachable: Sequence[str]) -> list[str]:
         """Return who gets reports directly: the leader from all, and all from the leader."""
-        if not self.is_urgent or not reachable:
+        if not self.is_report_urgent or not reachable:
             return []
         leader = elect_leader([self.name, *reachable])
         return list(reachable) if leader == self.name else [leader]
--- a/oakbridge/sites/planning.py
+++ b/oakbridge/sites/planning.py
@@ -26,7 +26,7 @@
 MIN_FLOW = 1e-9
 
 
-class SiteFigures:
+class TopologyArrays:
     """A topology's figures as arrays, indexed by site and class."""
 
     def __init__(self, topology: Topology) -> None:
@@ -63,17 +63,17 @@
 
 def compute_plan(topology: Topology) -> SitePlan:
     """Return the plan for all losses.  Raises PlanningError if the solver gives up."""
-    figures = SiteFigures(topology)
+    figures = TopologyArrays(topology)
     return SitePlan(
         topology.version,
         topology.digest,
         {site.name: site.requests_per_s for site in topology.sites},
         tuple(figures.classes),
-        tuple(solve(figures, lost) for lost in planned_losses(figures.sites)),
+        tuple(compute_scenario(figures, lost) for lost in planned_losses(figures.sites)),
     )
 
 
-def solve(figures: SiteFigures, lost_sites: tuple[str, ...]) -> LossScenario:
+def compute_scenario(figures: TopologyArrays, lost_sites: tuple[str, ...]) -> LossScenario:
     """Return the best without these sites.  Raises PlanningError if the solver gives up."""
     program = _RoutingProgram(figures, lost_sites)
     if not program.flows or not program.targets:
@@ -88,7 +88,7 @@
     and a last one for the highest load of any site.
     """
 
-    def __init__(self, figures: SiteFigures, lost_sites: tuple[str, ...]) -> None:
+    def __init__(self, figures: TopologyArrays, lost_sites: tuple[str, ...]) -> None:
         """Find flows and targets."""
         self.figures = figures
         self.lost_sites = lost_sites
--- a/oakbridge/sites/proportional_routing.py
+++ b/oakbridge/sites/proportional_routing.py
@@ -8,10 +8,10 @@
 
 import numpy as np
 
-from oakbridge.sites.planning import SiteFigures
+from oakbridge.sites.planning import TopologyArrays
 
 
-def proportional_weight(figures: SiteFigures, lost_sites: tuple[str, ...]) -> float:
+def proportional_served_weight(figures: TopologyArrays, lost_sites: tuple[str, ...]) -> float:
     """Return the priority weight a second that is served without a plan."""
     lost = np.array([site in lost_sites for site in figures.sites])
     free = np.where(lost, 0.0, figures.usable)
--- a/oakbridge/sites/runner.py
+++ b/oakbridge/sites/runner.py
@@ -52,7 +52,7 @@
     async def __aenter__(self) -> SitesRunner:
         """Report sites to other members, and begin to update."""
         self._membership.site_report = self._sites.report
-        self._membership.is_report_urgent = lambda: self._sites.is_urgent
+        self._membership.is_report_urgent = lambda: self._sites.is_report_urgent
         self._membership.direct_recipients = self._direct_recipients
         self._updates.start()
         return self
--- a/oakbridge/spread/operator_view.py
+++ b/oakbridge/spread/operator_view.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from oakbridge.spread.arcs import overlaps
-from oakbridge.spread.capacity_forecast import Forecast
 from oakbridge.spread.subset_assigner import SubsetAssigner, request_shares
+from oakbridge.spread.subset_forecast import Forecast
 
 MAX_OUTLIERS = 5
 OUTLIER_FACTOR = 2  # times the mean of requests
@@ -36,10 +36,10 @@
         "most": forecast.max_load,
         "p99": forecast.p99_load,
         "least": forecast.min_load,
-        "copies_each": forecast.mean_replicas,
-        "copies_most": forecast.max_replicas,
-        "servers_each": forecast.mean_servers,
-        "moved": forecast.moved,
+        "copies_each": forecast.mean_replicas_per_server,
+        "copies_most": forecast.max_replicas_per_server,
+        "servers_each": forecast.mean_servers_per_replica,
+        "moved": forecast.moved_fraction,
     }
 
 
--- a/oakbridge/spread/capacity_forecast.py
+++ b/oakbridge/spread/subset_forecast.py
@@ -39,10 +39,10 @@
     max_load: float  # of the busiest server, over its fair share
     p99_load: float
     min_load: float
-    mean_replicas: float  # at a server: idle connections that it holds at least
-    max_replicas: int
-    mean_servers: float  # of a replica
-    moved: float  # fraction of all pairs of replica and server that are others after the change
+    mean_replicas_per_server: float  # at a server: idle connections that it holds at least
+    max_replicas_per_server: int
+    mean_servers_per_replica: float  # of a replica
+    moved_fraction: float  # of all pairs of replica and server that are others after the change
 
 
 def forecast(
@@ -129,10 +129,10 @@
         max_load=loads[-1],
         p99_load=loads[min(len(loads) - 1, math.ceil(0.99 * len(loads)) - 1)],
         min_load=loads[0],
-        mean_replicas=sum(replica_counts) / len(replica_counts),
-        max_replicas=max(replica_counts),
-        mean_servers=sum(replica_counts) / max(1, len(replicas)),
-        moved=len(pairs - later_pairs) / len(pairs) if pairs else 0.0,
+        mean_replicas_per_server=sum(replica_counts) / len(replica_counts),
+        max_replicas_per_server=max(replica_counts),
+        mean_servers_per_replica=sum(replica_counts) / max(1, len(replicas)),
+        moved_fraction=len(pairs - later_pairs) / len(pairs) if pairs else 0.0,
     )
 
 
--- a/tests/sites/test_site_plans.py
+++ b/tests/sites/test_site_plans.py
@@ -11,8 +11,8 @@
 from oakbridge.config.sites import load_plan
 from oakbridge.config.sites_file import SitesFile, topology_of
 from oakbridge.sites.plan_file import check_plan, planned_losses, save_plan
-from oakbridge.sites.planning import SiteFigures, compute_plan, solve
-from oakbridge.sites.proportional_routing import proportional_weight
+from oakbridge.sites.planning import TopologyArrays, compute_plan, compute_scenario
+from oakbridge.sites.proportional_routing import proportional_served_weight
 
 
 def test_a_plan_keeps_most_weight_is_checked_and_written_whole(tmp_path):
@@ -59,9 +59,12 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_plan_never_keeps_less_than_passing_on_by_free_capacity(seed):
-    figures = SiteFigures(random_topology(random.Random(seed), 5))
+    figures = TopologyArrays(random_topology(random.Random(seed), 5))
     for lost in planned_losses(figures.sites):
-        assert solve(figures, lost).served_weight >= proportional_weight(figures, lost) - 1e-6
+        assert (
+            compute_scenario(figures, lost).served_weight
+            >= proportional_served_weight(figures, lost) - 1e-6
+        )
 
 
 def random_topology(rng, count):
--- a/tests/spread/test_arcs.py
+++ b/tests/spread/test_arcs.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from oakbridge.spread.arcs import overlaps, subset_weights
-from oakbridge.spread.capacity_forecast import numbered_names, random_shares
+from oakbridge.spread.subset_forecast import numbered_names, random_shares
 
 NAMES = st.text("abcdef", min_size=1, max_size=4)
 WEIGHTS = st.dictionaries(NAMES, st.floats(0.01, 100), min_size=1, max_size=30)
--- a/tests/spread/test_capacity_forecast.py
+++ b/tests/spread/test_subset_forecast.py
@@ -4,7 +4,7 @@
 from click.testing import CliRunner
 
 from oakbridge.cli.main import cli
-from oakbridge.spread.capacity_forecast import TierSize, forecast
+from oakbridge.spread.subset_forecast import TierSize, forecast
 
 
 @pytest.mark.parametrize(
@@ -15,11 +15,11 @@
     by_members, by_chance = forecast(before, after, rings=4, sigma=0.5, seed=1)
     assert by_members.max_load == pytest.approx(1)
     assert by_members.min_load == pytest.approx(1)
-    assert by_members.max_replicas <= max(replicas, 1)
+    assert by_members.max_replicas_per_server <= max(replicas, 1)
     assert by_chance.max_load >= by_members.max_load - 1e-9
     if replicas == 300:
         assert by_chance.p99_load > 1.8
-        assert by_members.moved < 0.75
+        assert by_members.moved_fraction < 0.75
 
 
 def run_plan(*options):
