--- a/oakbridge/sites/__init__.py
+++ b/oakbridge/sites/__init__.py
@@ -1,10 +1,11 @@
-"""Sites: which are lost, where their requests go, what is rejected meanwhile, how they recover.
+"""Sites: detect lost sites, route and shed load while they are lost, and ramp up their recovery.
 
-Pure: ``evidence`` (what nodes observe of servers, pooled by site), ``site_state`` (a site's state
-machine), ``recovery_ramp`` and ``drain_ramp`` (the way back, and out of use),
-``fleet_load_shedding`` (what all nodes reject alike), ``operator_overrides`` (drains and returns),
-``topology`` (what operators know of sites), ``planning`` (plans computed from it), ``plan_file``
-(a plan as it is kept), ``proportional_routing`` (the rule to compare plans with), ``zone_weights``
-(a plan applied), ``request_rates`` (a node's own load), ``node_sites`` (one node's part in all of
-this), ``operator_view`` (what operators are told). Shell: ``runner``.
+Pure: ``evidence`` (nodes' observations of servers, pooled by site), ``site_state`` (one site's
+state machine), ``recovery_ramp`` and ``drain_ramp`` (a site's way back into service, and out of
+it), ``fleet_load_shedding`` (the load-shedding level that all nodes apply), ``operator_overrides``
+(drains and returns), ``topology`` (capacities, classes, loads and distances of sites),
+``planning`` (plans computed from a topology), ``plan_file`` (a plan's file format),
+``proportional_routing`` (the baseline that plans are compared with), ``zone_weights`` (zone
+weights by a plan), ``request_rates`` (a node's own request rates), ``node_sites`` (all sites as
+one node holds them), ``operator_view`` (the JSON that operators read). Shell: ``runner``.
 """
--- a/oakbridge/sites/errors.py
+++ b/oakbridge/sites/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a plan, or with an operator's order."""
+"""Errors of site plans and of operators' overrides."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SitePlanError(SitesError, ValueError):
-    """A plan that can't be used, with all its mistakes."""
+    """A plan that is invalid; ``mistakes`` lists everything that is wrong with it."""
 
     def __init__(self, mistakes: Iterable[str]) -> None:
         self.mistakes = tuple(mistakes)
@@ -18,16 +18,16 @@
 
 
 class PlanningError(SitesError, ArithmeticError):
-    """The solver found no plan for the loss of these sites."""
+    """The solver found no solution for the loss of ``lost_sites``."""
 
     def __init__(self, lost_sites: Iterable[str], reason: str) -> None:
         self.lost_sites = tuple(lost_sites)
         self.reason = reason
-        super().__init__(f"no plan without {', '.join(self.lost_sites) or 'any loss'}: {reason}")
+        super().__init__(f"no plan with {', '.join(self.lost_sites) or 'nothing'} lost: {reason}")
 
 
 class SiteOverrideError(SitesError, ValueError):
-    """An operator's order that can't be taken."""
+    """An operator's override that is rejected."""
 
     def __init__(self, site: str, reason: str) -> None:
         self.site = site
@@ -35,7 +35,7 @@
 
 
 class UnknownSiteError(SiteOverrideError):
-    """There is no such site."""
+    """An override names a site that this node does not know."""
 
     def __init__(self, site: str, known: Iterable[str]) -> None:
         self.known = tuple(sorted(known))
@@ -44,14 +44,14 @@
 
 
 class SiteNotDrainedError(SiteOverrideError):
-    """A site to return that nobody has drained."""
+    """An override returns a site that no operator has drained."""
 
     def __init__(self, site: str) -> None:
         super().__init__(site, f"{site!r:.60} is not drained by anybody")
 
 
 class LastSiteError(SiteOverrideError):
-    """A site to drain without which no other one would carry anything."""
+    """An override drains the last site that gets requests."""
 
     def __init__(self, site: str) -> None:
         super().__init__(site, f"{site!r:.60} is the last one that carries anything")
--- a/oakbridge/sites/evidence.py
+++ b/oakbridge/sites/evidence.py
@@ -1,10 +1,10 @@
-"""What nodes observe of each site's servers, pooled.  Pure.
+"""Evidence about a site: the nodes' observations of its servers, pooled.  Pure.
 
-Many nodes that each called a few servers know together how a site is.  An observation counts
-servers, not calls: a single slow server can't condemn its site, however many calls it spoils.
-Whoever holds a site for lost sends nothing there and soon has no fresh observation: its verdict
-then stands for one failed server, to those that have no verdict of their own yet.  Whether a site
-is back is decided by fresh observations alone.
+Each node sends attempts to a few servers only; pooled, the nodes' observations show a site's
+health.  An observation counts servers, not attempts, so a single slow server can't make its site
+look lost, however many attempts fail there.  A node that holds a site lost sends it no requests
+but probes, so it soon has no fresh observations; its verdict then counts as one failed server for
+nodes that have no verdict of their own yet.  Recovery is decided by fresh observations alone.
 """
 
 from __future__ import annotations
@@ -14,82 +14,87 @@
 
 from oakbridge.peers.messages import SiteObservation, SiteVerdict
 
-MAX_AGE_US = 4_000_000  # an older observation says nothing of the present
-MIN_REPORTERS = 3  # that must have called a site's servers, or as many as are reachable
-MAX_REPORTERS_NAMED = 4
-UNKNOWN_SERVER_COUNT = 1000
+MAX_AGE_US = 4_000_000  # older observations are ignored
+MIN_REPORTERS = (
+    3  # nodes with attempts at a site that a verdict needs; all nodes if there are fewer
+)
+MAX_NAMED_REPORTERS = 4
+UNKNOWN_SERVER_COUNT = 1000  # listed servers of a site where the number is not given
 
 
 @dataclass(frozen=True, slots=True)
 class MemberObservations:
-    """What one member observes of sites, and how old that is."""
+    """One member's observations of sites, and their age."""
 
     name: str
-    site: str  # that the member itself is in
+    site: str  # the member's own site
     age_us: int
     observations: tuple[SiteObservation, ...]
 
     def of_site(self, site: str, *, with_verdicts: bool) -> MemberObservations:
-        """Return only what concerns one site."""
-        kept = (o for o in self.observations if o.site == site)
-        counted = (_with_verdict(o) for o in kept) if with_verdicts else kept
+        """Return the member with its observations of one site only.
+
+        ``with_verdicts``: whether a verdict counts as a failed server, see :func:`_with_verdict`.
+        """
+        of_site = (each for each in self.observations if each.site == site)
+        counted = (_with_verdict(each) for each in of_site) if with_verdicts else of_site
         return replace(self, observations=tuple(counted))
 
     @property
-    def has_called(self) -> bool:
-        """Whether the member has called any server."""
-        return any(o.responding + o.timed_out + o.failed for o in self.observations)
+    def has_called_servers(self) -> bool:
+        """Whether the member has had an attempt at any server."""
+        return any(each.responding + each.timed_out + each.failed for each in self.observations)
 
     @property
-    def blames(self) -> bool:
-        """Whether more servers failed it than responded."""
-        return any(o.timed_out + o.failed > o.responding for o in self.observations)
+    def has_mostly_failures(self) -> bool:
+        """Whether more servers of any site timed out or failed than responded."""
+        return any(each.timed_out + each.failed > each.responding for each in self.observations)
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
     """All fresh observations of one site; counts of servers are summed over nodes."""
 
-    responding: int = 0  # servers whose last call was answered
-    timed_out: int = 0  # whose last call was not
-    failed: int = 0  # whose last call was refused or broken off
-    reporters: int = 0  # nodes that called any of its servers
-    fresh_members: int = 0  # nodes that reported anything lately
-    failure_reporters: tuple[str, ...] = ()  # some of the nodes that found failures
-    reachable_elsewhere: bool = False  # nodes of a third site find it well while ours do not
-    is_unreachable: bool = False  # none of its nodes is reachable as a member either
+    responding: int = 0  # servers whose last attempt got a response
+    timed_out: int = 0  # servers whose last attempt timed out
+    failed: int = 0  # servers whose last attempt was refused or whose connection broke
+    reporters: int = 0  # nodes that had an attempt at any of the site's servers
+    fresh_members: int = 0  # nodes with a fresh report, on any site
+    failure_reporters: tuple[str, ...] = ()  # some of the nodes with mostly failed servers
+    reachable_elsewhere: bool = False  # nodes of third sites reach it, nodes of the home site don't
+    is_unreachable: bool = False  # none of the site's nodes is reachable as a member
     listed_servers: int = UNKNOWN_SERVER_COUNT
 
     @property
-    def unhealthy(self) -> int:
-        """Servers whose last call did not succeed."""
+    def unhealthy_servers(self) -> int:
+        """Servers whose last attempt timed out or failed."""
         return self.timed_out + self.failed
 
     @property
-    def called(self) -> int:
-        """Servers that were called."""
-        return self.responding + self.unhealthy
+    def called_servers(self) -> int:
+        """Servers that had an attempt."""
+        return self.responding + self.unhealthy_servers
 
     @property
     def unhealthy_fraction(self) -> float:
-        """The fraction of the called servers that is unhealthy; 0 where none was called."""
-        return self.unhealthy / self.called if self.called else 0.0
+        """The fraction of the called servers that is unhealthy; 0 if none was called."""
+        return self.unhealthy_servers / self.called_servers if self.called_servers else 0.0
 
     @property
-    def is_mostly_silent(self) -> bool:
+    def is_mostly_timed_out(self) -> bool:
         """Whether more servers time out than fail."""
         return self.timed_out > self.failed
 
     @property
     def is_sufficient(self) -> bool:
-        """Whether a verdict may rest on it."""
+        """Whether enough nodes had attempts at the site for a verdict."""
         if self.is_unreachable:
             return self.reporters >= 1
         return self.reporters >= min(MIN_REPORTERS, max(1, self.fresh_members))
 
-    def has_responses(self, wanted: int) -> bool:
-        """Return whether so many servers responded, or as many as the site has."""
-        return self.responding >= min(wanted, max(1, self.listed_servers))
+    def has_responses(self, min_servers: int) -> bool:
+        """Return whether ``min_servers`` responded, or all listed ones if there are fewer."""
+        return self.responding >= min(min_servers, max(1, self.listed_servers))
 
 
 def pool_evidence(
@@ -101,41 +106,45 @@
     listed_servers: int = UNKNOWN_SERVER_COUNT,
     with_verdicts: bool = False,
 ) -> Evidence:
-    """Return what is known of a site, as it concerns nodes of the site ``home``.
+    """Return the evidence about ``site`` for nodes of the site ``home``.
 
     ``is_unreachable``: none of the site's nodes is reachable as a member; ``with_verdicts``:
-    whether verdicts of others count beside what was observed.
+    whether verdicts of members without observations count.
 
-    Observations by nodes in the site itself count only where it is their own home: whether *they*
-    reach their servers says nothing about the way from here.  Where nodes of this home have called
-    it, theirs go before those of third sites: the way from there may be another one.
+    Observations by nodes of ``site`` count only if it is ``home``: those nodes reach their servers
+    by another network path.  So do nodes of third sites; they count only if fewer than
+    ``MIN_REPORTERS`` nodes of ``home`` have observations.
     """
     fresh = [member for member in members if member.age_us <= MAX_AGE_US]
     observed = [member.of_site(site, with_verdicts=with_verdicts) for member in fresh]
-    callers = [member for member in observed if member.has_called]
-    from_home = [member for member in callers if member.site == home]
-    from_third_sites = [member for member in callers if member.site not in (home, site)]
-    home_is_enough = len(from_home) >= MIN_REPORTERS or not from_third_sites
-    counted = from_home if home_is_enough else from_home + from_third_sites
-    responding, timed_out, failed = _sums(counted)
-    home_fails = bool(from_home) and timed_out + failed > responding
+    observers = [member for member in observed if member.has_called_servers]
+    from_home = [member for member in observers if member.site == home]
+    from_third_sites = [member for member in observers if member.site not in (home, site)]
+    is_home_sufficient = len(from_home) >= MIN_REPORTERS or not from_third_sites
+    counted = from_home if is_home_sufficient else from_home + from_third_sites
+    responding, timed_out, failed = _sum_counts(counted)
+    is_home_failing = bool(from_home) and timed_out + failed > responding
     return Evidence(
         responding,
         timed_out,
         failed,
         reporters=len(counted),
         fresh_members=len(fresh),
-        failure_reporters=tuple(sorted(m.name for m in counted if m.blames)[:MAX_REPORTERS_NAMED]),
-        reachable_elsewhere=home_fails and _is_reached_by(from_third_sites),
+        failure_reporters=tuple(
+            sorted(reporter.name for reporter in counted if reporter.has_mostly_failures)[
+                :MAX_NAMED_REPORTERS
+            ]
+        ),
+        reachable_elsewhere=is_home_failing and _is_reached_by(from_third_sites),
         is_unreachable=is_unreachable,
         listed_servers=listed_servers,
     )
 
 
 def _with_verdict(observation: SiteObservation) -> SiteObservation:
-    """Turn the verdict of a member that calls no server any more into one failed server."""
-    called = observation.responding + observation.timed_out + observation.failed
-    if not observation.verdict or called:
+    """Return an observation without attempts, but with a verdict, as one unhealthy server."""
+    called_servers = observation.responding + observation.timed_out + observation.failed
+    if not observation.verdict or called_servers:
         return observation
     return SiteObservation(
         observation.site,
@@ -145,15 +154,15 @@
 
 
 def _is_reached_by(members: Iterable[MemberObservations]) -> bool:
-    responding, timed_out, failed = _sums(members)
+    responding, timed_out, failed = _sum_counts(members)
     return responding > timed_out + failed
 
 
-def _sums(members: Iterable[MemberObservations]) -> tuple[int, int, int]:
+def _sum_counts(members: Iterable[MemberObservations]) -> tuple[int, int, int]:
     """Return how many servers responded, timed out and failed."""
-    observations = [o for member in members for o in member.observations]
+    observations = [each for member in members for each in member.observations]
     return (
-        sum(o.responding for o in observations),
-        sum(o.timed_out for o in observations),
-        sum(o.failed for o in observations),
+        sum(each.responding for each in observations),
+        sum(each.timed_out for each in observations),
+        sum(each.failed for each in observations),
     )
--- a/oakbridge/sites/operator_view.py
+++ b/oakbridge/sites/operator_view.py
@@ -1,6 +1,6 @@
-"""What operators are told: the JSON of ``oakbridge sites`` and ``oakbridge sites why``.
+"""The JSON of ``oakbridge sites`` and ``oakbridge sites why``.
 
-The names of its fields are mapped here, and only here, to the program's own terms.
+Only this module maps the code's names to the JSON keys.
 """
 
 from __future__ import annotations
@@ -22,7 +22,10 @@
 def describe(
     sites: NodeSites, now_us: int, reports: Sequence[ReceivedReport] = ()
 ) -> dict[str, Any]:
-    """Return one node's view of all sites."""
+    """Return one node's view of all sites, for ``oakbridge sites``.
+
+    ``now_us``: monotonic; ``reports``: of all reachable members.
+    """
     shedding = sites.shedding
     rejected = sites.decision.rejected_fractions
     versions = sorted((report.name, report.report.plan_version) for report in reports)
@@ -40,8 +43,8 @@
     }
 
 
-def history(site: SiteStateMachine, now_us: int) -> list[dict[str, Any]]:
-    """Return how a site came into its state, oldest change first."""
+def state_history(site: SiteStateMachine, now_us: int) -> list[dict[str, Any]]:
+    """Return the changes of a site's state, oldest first, for ``oakbridge sites why``."""
     return [
         {
             "ago_s": round((now_us - transition.at_us) / US_PER_S, 1),
--- a/oakbridge/sites/plan_file.py
+++ b/oakbridge/sites/plan_file.py
@@ -1,6 +1,7 @@
-"""A plan for lost sites as it is kept in a file: read whole and checked, or not used at all.
+"""Site plans: what to do while sites are lost, and the JSON file that a plan is kept in.
 
-The names of the file's fields are mapped here, and only here, to the program's own terms.
+A plan is used only if all of it is read and valid.  Only this module maps the code's names to the
+file's keys.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 from oakbridge.sites.topology import Topology
 from oakbridge.sources.atomic_file import write_atomically
 
-MAX_SITES_LOST = 2  # at once, that are planned for
-TOLERANCE = 1e-6
-SUM_TOLERANCE = 1e-3
+MAX_SITES_LOST = 2  # sites lost at once that a plan covers
+FRACTION_TOLERANCE = 1e-6  # by which a fraction may exceed 1
+SUM_TOLERANCE = 1e-3  # by which fractions of a whole may miss 1 in total
 
 
 class LossScenario(
@@ -32,14 +33,14 @@
         "offered_weight": "offered",
     },
 ):
-    """What to do while these sites are lost."""
+    """What to do while ``lost_sites`` are lost."""
 
     lost_sites: tuple[str, ...]
-    routing: dict[str, dict[str, float]]  # by where requests arrive and where they go; sums to 1
-    rejected_fractions: dict[str, float]  # of each class, all sites together
-    utilization: dict[str, float]  # of each site's capacity
-    served_weight: float  # priority weight a second
-    offered_weight: float
+    routing: dict[str, dict[str, float]]  # by arrival site: fractions by serving site; sums to 1
+    rejected_fractions: dict[str, float]  # by class, over all sites
+    utilization: dict[str, float]  # by site: used fraction of its capacity
+    served_weight: float  # priority weight of the served requests a second
+    offered_weight: float  # priority weight of all arriving requests a second
 
 
 class SitePlan(
@@ -47,33 +48,33 @@
     frozen=True,
     rename={"source_digest": "source", "capacities": "sites"},
 ):
-    """All scenarios."""
+    """The scenarios for all losses that are planned for."""
 
-    version: int
-    source_digest: str  # of the sites.toml that it was computed from
-    capacities: dict[str, float]  # requests a second of each site
+    version: int  # of the sites.toml that the plan was computed from
+    source_digest: str  # digest of that file
+    capacities: dict[str, float]  # by site: requests a second
     classes: tuple[str, ...]
     scenarios: tuple[LossScenario, ...]
 
-    def is_made_from(self, topology: Topology) -> bool:
-        """Return whether the plan was computed from this file's content."""
+    def is_computed_from(self, topology: Topology) -> bool:
+        """Return whether the plan was computed from this topology's file."""
         return (self.version, self.source_digest) == (topology.version, topology.digest)
 
     def scenario(self, lost_sites: Iterable[str]) -> LossScenario | None:
-        """Return the one for exactly these sites; sites that the plan does not know don't count."""
+        """Return the scenario for exactly these lost sites, without those unknown to the plan."""
         wanted = tuple(sorted(set(lost_sites) & self.capacities.keys()))
-        return next((s for s in self.scenarios if s.lost_sites == wanted), None)
+        return next((each for each in self.scenarios if each.lost_sites == wanted), None)
 
 
 def planned_losses(sites: Iterable[str], max_lost: int = MAX_SITES_LOST) -> list[tuple[str, ...]]:
-    """Return what is planned for: nothing lost, each site, each pair; never all."""
+    """Return the losses that a plan covers: none, each site, each pair; never all sites."""
     names = sorted(sites)
     sizes = range(min(max_lost, len(names) - 1) + 1)
     return [lost for size in sizes for lost in itertools.combinations(names, size)]
 
 
 def decode_plan(data: bytes) -> SitePlan:
-    """Read and check a plan.  Raises SitePlanError with every mistake."""
+    """Decode and check a plan.  Raises SitePlanError with every mistake."""
     try:
         plan = msgspec.json.decode(data, type=SitePlan)
     except msgspec.DecodeError as error:
@@ -84,18 +85,18 @@
 
 
 def save_plan(path: Path, plan: SitePlan) -> None:
-    """Write the file whole.  Raises OSError."""
+    """Write the plan's file atomically.  Raises OSError."""
     write_atomically(path, msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n")
 
 
 def check_plan(plan: SitePlan, topology: Topology | None = None) -> list[str]:
-    """Return all mistakes of a plan, in itself and against the topology that it is to come from."""
+    """Return all mistakes of a plan, and of its version if it is not computed from ``topology``."""
     mistakes = []
-    if topology is not None and not plan.is_made_from(topology):
+    if topology is not None and not plan.is_computed_from(topology):
         expected = f"expected {topology.version} with this content"
         mistakes.append(f"version: made from version {plan.version}, {expected}")
     wanted = planned_losses(plan.capacities)
-    if sorted(s.lost_sites for s in plan.scenarios) != sorted(wanted):
+    if sorted(each.lost_sites for each in plan.scenarios) != sorted(wanted):
         found = f"got {len(plan.scenarios)}"
         mistakes.append(f"scenarios: expected one for each of {len(wanted)} losses, {found}")
     for scenario in plan.scenarios:
@@ -106,9 +107,13 @@
 
 def _check_scenario(plan: SitePlan, scenario: LossScenario) -> Iterator[str]:
     for name, targets in scenario.routing.items():
-        gone = [s for s in targets if s not in plan.capacities or s in scenario.lost_sites]
-        if gone:
-            yield f"shares of {name}: expected sites that are there, got {', '.join(gone)}"
+        unavailable = [
+            target
+            for target in targets
+            if target not in plan.capacities or target in scenario.lost_sites
+        ]
+        if unavailable:
+            yield f"shares of {name}: expected sites that are there, got {', '.join(unavailable)}"
         total = sum(targets.values())
         if not _are_fractions(targets) or abs(total - 1) > SUM_TOLERANCE:
             yield f"shares of {name}: expected parts of 1, got {total:.4f} in all"
@@ -116,9 +121,9 @@
         yield "refused: expected parts from 0 to 1"
     if set(scenario.rejected_fractions) - set(plan.classes):
         yield "refused: expected classes of the plan"
-    if any(used > 1 + TOLERANCE for used in scenario.utilization.values()):
+    if any(fraction > 1 + FRACTION_TOLERANCE for fraction in scenario.utilization.values()):
         yield "used: expected at most the whole of each site"
 
 
 def _are_fractions(values: dict[str, float]) -> bool:
-    return all(0 <= value <= 1 + TOLERANCE for value in values.values())
+    return all(0 <= value <= 1 + FRACTION_TOLERANCE for value in values.values())
--- a/oakbridge/sites/proportional_routing.py
+++ b/oakbridge/sites/proportional_routing.py
@@ -1,7 +1,7 @@
-"""The rule that holds without a plan, to compare plans with.  Pure.
+"""Proportional routing, the rule without a plan: a baseline to compare plans with.  Pure.
 
-Each site serves what arrives there, most weight for its work first, and passes the rest on by free
-capacity.
+Each site serves the requests that arrive there, most priority weight for their work first.  It
+divides the rest among the sites in proportion to their free capacity.
 """
 
 from __future__ import annotations
@@ -11,26 +11,28 @@
 from oakbridge.sites.planning import TopologyArrays
 
 
-def proportional_served_weight(figures: TopologyArrays, lost_sites: tuple[str, ...]) -> float:
-    """Return the priority weight a second that is served without a plan."""
-    lost = np.array([site in lost_sites for site in figures.sites])
-    free = np.where(lost, 0.0, figures.usable)
-    arrivals = figures.arrivals(lost_sites)
-    most_weight_first = np.argsort(-figures.weight / figures.work, kind="stable")
+def proportional_served_weight(arrays: TopologyArrays, lost_sites: tuple[str, ...]) -> float:
+    """Return the priority weight a second that proportional routing serves."""
+    lost = np.array([site in lost_sites for site in arrays.sites])
+    free_capacity = np.where(lost, 0.0, arrays.usable)
+    arrivals = arrays.arrivals(lost_sites)
+    most_weight_first = np.argsort(-arrays.weight / arrays.work, kind="stable")
     served_weight = 0.0
-    unserved = np.zeros_like(figures.weight)
-    for site in range(len(free)):
-        for each in most_weight_first:
-            served = min(arrivals[site, each], free[site] / figures.work[each])
-            free[site] -= served * figures.work[each]
-            served_weight += served * figures.weight[each]
-            unserved[each] += arrivals[site, each] - served
-    if free.sum() <= 0:
+    unserved = np.zeros_like(arrays.weight)
+    for site in range(len(free_capacity)):
+        for class_index in most_weight_first:
+            served = min(
+                arrivals[site, class_index], free_capacity[site] / arrays.work[class_index]
+            )
+            free_capacity[site] -= served * arrays.work[class_index]
+            served_weight += served * arrays.weight[class_index]
+            unserved[class_index] += arrivals[site, class_index] - served
+    if free_capacity.sum() <= 0:
         return float(served_weight)
-    for fraction in free / free.sum():
-        left = fraction * free.sum()
-        for each in most_weight_first:
-            served = min(unserved[each] * fraction, left / figures.work[each])
-            left -= served * figures.work[each]
-            served_weight += served * figures.weight[each]
+    for fraction in free_capacity / free_capacity.sum():
+        remaining = fraction * free_capacity.sum()
+        for class_index in most_weight_first:
+            served = min(unserved[class_index] * fraction, remaining / arrays.work[class_index])
+            remaining -= served * arrays.work[class_index]
+            served_weight += served * arrays.weight[class_index]
     return float(served_weight)
--- a/oakbridge/sites/request_rates.py
+++ b/oakbridge/sites/request_rates.py
@@ -1,4 +1,4 @@
-"""What a node observes itself: its zones, its requests a second, its overload, their mix.  Pure."""
+"""A node's own observations: zones, admitted requests a second, overload, classes.  Pure."""
 
 from __future__ import annotations
 
@@ -8,42 +8,42 @@
 
 from oakbridge.policy.view import ZoneView
 
-WINDOW_US = 2_000_000  # over which requests and rejections are counted
-MIN_WINDOW_S = 0.1
+WINDOW_US = 2_000_000  # over which rates and fractions are computed
+MIN_WINDOW_S = 0.1  # after the start, rates are computed as if over this time at least
 US_PER_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class LocalObservations:
-    """What this node observes itself."""
+    """One node's own observations."""
 
     zones: Sequence[ZoneView]
-    calls_per_s: float  # without those that load shedding rejected
-    overload: float  # fraction of them that was rejected for want of capacity
-    class_mix: Mapping[str, float]  # fraction of all requests by class
+    admitted_per_s: float  # requests a second without those that the load-shedding level rejected
+    overload: float  # fraction of the admitted requests that was rejected for lack of capacity
+    class_fractions: Mapping[str, float]  # by class: fraction of all requests
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCounts:
-    """What a node and its balancer have counted since their start."""
+    """The requests that a node and its balancer have counted since their start."""
 
     at_us: int
     served: int
     rejected: int
     failed: int
-    shed: int  # of the rejected ones, those by the load-shedding level
+    shed: int  # part of ``rejected``: those that the load-shedding level rejected
     arrived: dict[str, int]  # by class
 
 
 class RequestRates:
-    """A node's requests a second, what became of them and their mix, over the last seconds."""
+    """A node's request rate, overload and classes over the last ``WINDOW_US``."""
 
     def __init__(self) -> None:
         """Begin without counts."""
         self._counts = deque[RequestCounts]()
 
     def update(self, counts: RequestCounts, zones: Sequence[ZoneView]) -> LocalObservations:
-        """Take in the counts of this moment; return what the node observes now."""
+        """Add the present counts; return the node's observations, with ``zones`` as given."""
         self._counts.append(counts)
         while len(self._counts) > 2 and self._counts[1].at_us <= counts.at_us - WINDOW_US:
             self._counts.popleft()
@@ -54,12 +54,14 @@
         served = counts.served - earlier.served
         failed = counts.failed - earlier.failed
         admitted = served + failed + without_capacity
-        before = earlier.arrived
-        arrived = {name: count - before.get(name, 0) for name, count in counts.arrived.items()}
+        earlier_arrived = earlier.arrived
+        arrived = {
+            name: count - earlier_arrived.get(name, 0) for name, count in counts.arrived.items()
+        }
         total = max(1, sum(arrived.values()))
         return LocalObservations(
             zones,
-            calls_per_s=admitted / seconds,
+            admitted_per_s=admitted / seconds,
             overload=without_capacity / admitted if admitted else 0.0,
-            class_mix={name: count / total for name, count in arrived.items()},
+            class_fractions={name: count / total for name, count in arrived.items()},
         )
--- a/oakbridge/sites/runner.py
+++ b/oakbridge/sites/runner.py
@@ -1,7 +1,7 @@
-"""Run the plan for lost sites beside a node and its member.
+"""Run a node's sites: update them twice a second and apply their decisions to its balancer.
 
-It updates the plan twice a second and applies what that decides; it decides nothing itself.  The
-node serves on, by its own balancer alone, whatever becomes of this.
+The runner decides nothing itself.  If it fails, the node goes on serving requests by its balancer
+alone.
 """
 
 from __future__ import annotations
@@ -37,20 +37,20 @@
 
 
 class SitesRunner:
-    """One node's sites, while the context lasts."""
+    """Updates one node's sites while its context is open."""
 
     def __init__(self, node: Node, membership: MembershipService, sites: NodeSites) -> None:
-        """Begin nothing yet."""
+        """Prepare; updates start when the context is entered."""
         self._node = node
         self._membership = membership
         self._sites = sites
         self._rates = RequestRates()
-        self._applied: SitesDecision | None = None
+        self._applied_decision: SitesDecision | None = None
         interval_s = 1 / UPDATES_PER_S
-        self._updates = PeriodicUpdate(self._update, interval_s, "a look at the sites failed")
+        self._updates = PeriodicUpdate(self._update, interval_s, "update of sites failed")
 
     async def __aenter__(self) -> SitesRunner:
-        """Report sites to other members, and begin to update."""
+        """Report sites to other members, and start the updates."""
         self._membership.site_report = self._sites.report
         self._membership.is_report_urgent = lambda: self._sites.is_report_urgent
         self._membership.direct_recipients = self._direct_recipients
@@ -58,30 +58,35 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """End; the node's zones keep what was decided last."""
+        """Stop the reports and updates; the balancer keeps the last decision."""
         self._membership.site_report = None
         self._membership.is_report_urgent = lambda: False
         self._membership.direct_recipients = list
         await self._updates.stop()
 
     def describe(self) -> dict[str, Any]:
-        """Return all that operators see of sites."""
+        """Return this node's view of all sites, for ``oakbridge sites``."""
         now_us = self._node.clock.now()
         described = operator_view.describe(self._sites, now_us, list(self._received_reports()))
         return {"name": self._membership.options.name, **described}
 
     def state_history(self, name: str) -> list[dict[str, Any]]:
-        """Return how one site came into its state.  Raises KeyError."""
-        return operator_view.history(self._sites.sites[name], self._node.clock.now())
+        """Return the changes of a site's state, oldest first.  Raises KeyError."""
+        return operator_view.state_history(self._sites.sites[name], self._node.clock.now())
 
     def drain_or_return(self, site: str, drain: bool, operator: str) -> dict[str, Any]:
-        """Drain a site, or return it.  Raises RequestRejectedError."""
+        """Drain a site if ``drain`` is set, else return it.  Raises RequestRejectedError."""
         try:
             override = self._sites.override(_clock_ms(), site, operator, drained=drain)
         except SiteOverrideError as error:
             raise RequestRejectedError(str(error)) from None
         order = "drained" if drain else "returned"
-        log.warning("operators: site %s is to be %s, by %s", site, order, operator or "somebody")
+        log.warning(
+            "operator override received: site=%s order=%s operator=%s",
+            site,
+            order,
+            operator or "somebody",
+        )
         self.update()
         return {
             "site": site,
@@ -91,7 +96,7 @@
         }
 
     def update(self) -> None:
-        """Take in what is known now, and apply what it decides."""
+        """Update the sites from the present observations and reports; apply the decision."""
         view = self._membership.view
         if view is None:
             return
@@ -107,29 +112,32 @@
         self.update()
 
     def _apply(self, decision: SitesDecision) -> None:
-        before = self._applied
+        previous = self._applied_decision
         weights = decision.zone_weights
-        if before is None or weights != before.zone_weights or decision.probe_zones:
+        if previous is None or weights != previous.zone_weights or decision.probe_zones:
             self._node.post(ZoneWeights(weights, decision.probe_zones))
         rejected = decision.rejected_fractions
-        if before is None or (rejected, decision.salt) != (before.rejected_fractions, before.salt):
+        if previous is None or (rejected, decision.salt) != (
+            previous.rejected_fractions,
+            previous.salt,
+        ):
             by_class = dict(rejected)
             over_quota = by_class.pop(OVER_QUOTA, 0.0)
             self._node.post(LoadSheddingLevel(by_class, over_quota, decision.salt))
-        self._applied = decision
+        self._applied_decision = decision
 
     def _direct_recipients(self) -> list[str]:
         return self._sites.direct_recipients(self._membership.member.live_names())
 
     def _received_reports(self) -> Iterator[ReceivedReport]:
-        """Yield what each reachable member reported last of sites."""
+        """Yield each reachable member's last report on sites."""
         member = self._membership.member
         now_us = time.monotonic_ns() // NS_PER_US
         for name in member.live_names():
-            found = member.report(name, now_us)
-            if found is not None and found.report.site_report is not None:
+            last = member.report(name, now_us)
+            if last is not None and last.report.site_report is not None:
                 site = member.members[name].record.tags.get("site", "")
-                yield ReceivedReport(name, site, found.age_us, found.report.site_report)
+                yield ReceivedReport(name, site, last.age_us, last.report.site_report)
 
     def _local_observations(self, now_us: int) -> LocalObservations:
         node, balancer = self._node, self._node.balancer
@@ -152,7 +160,7 @@
     is_good = transition.after in (SiteState.HEALTHY, SiteState.WARMING_UP)
     log.log(
         logging.INFO if is_good else logging.WARNING,
-        "site %s is %s (was %s): %s",
+        "site state changed: site=%s state=%s previous_state=%s cause=%s",
         transition.site,
         transition.after.value,
         transition.before.value,
--- a/oakbridge/sites/site_state.py
+++ b/oakbridge/sites/site_state.py
@@ -1,10 +1,11 @@
-"""One site's state, as the nodes of one site hold it: moved by evidence and operators.  Pure.
+"""One site's state machine at a node; evidence and operators change its state.  Pure.
 
     HEALTHY -> SUSPECT -> LOST | CUT_OFF -> RECOVERING -> WARMING_UP -> HEALTHY
-    any -> DRAINING (then without requests) -> RECOVERING
+    any -> DRAINING (at the end without requests) -> RECOVERING
 
-The servers of a LOST site refuse; those of one that is CUT_OFF time out, or others reach it and we
-do not.  Silence needs longer to be believed: it also comes from a moment's packet loss.
+The servers of a LOST site mostly fail; those of a CUT_OFF site mostly time out, possibly because
+this node's site alone can't reach them.  A verdict on timeouts needs a longer suspicion, as brief
+packet loss causes them, too.
 """
 
 from __future__ import annotations
@@ -16,25 +17,25 @@
 from oakbridge.sites.drain_ramp import DrainRamp
 from oakbridge.sites.evidence import Evidence
 from oakbridge.sites.recovery_ramp import (
-    FAULT_FRACTION,
+    FAULT_UNHEALTHY_FRACTION,
     MIN_RESPONDING_SERVERS,
     MIN_STEP_US,
     RampProgress,
     RecoveryRamp,
 )
 
-SUSPECT_ABOVE = 0.6  # unhealthy fraction of the servers called, from which on a site is suspect
-TRUST_BELOW = 0.3  # up to which it may become healthy again
-FAILED_VERDICT_AFTER_US = 500_000  # of suspicion, where servers refuse
-SILENT_VERDICT_AFTER_US = 1_500_000  # where they time out
-HEALTHY_AFTER_US = 1_000_000  # of good observations
-SUSPICION_TIMEOUT_US = 8_000_000  # without enough evidence: twice as long as observations count
-SUSPECT_FRACTION = 0.25  # of its usual requests
-MIN_PROBE_RESPONSES = 2  # servers that must answer health checks before the ramp begins
-# Observations from before the return count for some seconds more: it begins only well below the
-# fraction that would end it at once.
-RECOVER_BELOW = FAULT_FRACTION / 2
-DRAIN_ABORTED_ABOVE = 0.3  # servers that kept such a fraction of their requests are warm
+SUSPECT_UNHEALTHY_FRACTION = 0.6  # of the called servers, from which a site is suspect
+CLEAR_UNHEALTHY_FRACTION = 0.3  # up to which a suspect site may become healthy again
+FAILED_VERDICT_AFTER_US = 500_000  # how long a site is suspect first, if its servers fail
+TIMED_OUT_VERDICT_AFTER_US = 1_500_000  # likewise, if they time out
+HEALTHY_AFTER_US = 1_000_000  # how long good evidence must last to end a suspicion
+SUSPICION_TIMEOUT_US = 8_000_000  # without sufficient evidence; twice the age of observations
+SUSPECT_REQUEST_FRACTION = 0.25  # fraction of its usual requests that a suspect site gets
+MIN_PROBE_RESPONSES = 2  # servers that must respond to probes before a recovery begins
+# Observations from before the recovery still count for some seconds, and an unhealthy fraction
+# above the fault fraction ends a recovery at once; so it begins only well below that.
+RECOVERY_UNHEALTHY_FRACTION = FAULT_UNHEALTHY_FRACTION / 2
+WARM_REQUEST_FRACTION = 0.3  # servers that kept at least this fraction of their requests are warm
 MAX_HISTORY = 32
 
 
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteTransition:
-    """One change of a site's state, with its cause."""
+    """One change of a site's state, its cause, and nodes that reported failures."""
 
     at_us: int
     site: str
@@ -64,11 +65,11 @@
 
 @dataclass(slots=True)
 class SiteStateMachine:
-    """One site, its state and what may change it."""
+    """One site's state, and the ramps, overrides and evidence that change it."""
 
     name: str
-    is_home: bool  # whether the node that holds this is in it
-    warm_up_us: int = 0
+    is_home: bool  # whether it is the node's own site
+    warm_up_us: int = 0  # how long servers take to be warm after a recovery
     min_step_us: int = MIN_STEP_US
     state: SiteState = SiteState.HEALTHY
     since_us: int = 0
@@ -77,30 +78,30 @@
     drain: DrainRamp = field(init=False)
     _suspect_since_us: int = -1
     _good_since_us: int = -1
-    _sufficient_at_us: int = 0  # when evidence was sufficient last, while suspect
+    _sufficient_at_us: int = 0  # when the evidence was sufficient last; used while suspect
 
     def __post_init__(self) -> None:
-        """Make the ramps."""
+        """Create the ramps."""
         self.recovery = RecoveryRamp(self.is_home, self.min_step_us)
         self.drain = DrainRamp(self.min_step_us)
 
     @property
     def is_lost(self) -> bool:
-        """Whether its requests go elsewhere."""
+        """Whether the site is lost or cut off, so that its requests go to other sites."""
         return self.state in (SiteState.LOST, SiteState.CUT_OFF)
 
     @property
     def is_faulty(self) -> bool:
-        """Whether it is lost or suspect."""
+        """Whether the site is lost, cut off or suspect."""
         return self.is_lost or self.state == SiteState.SUSPECT
 
     def fraction(self) -> float:
-        """Return the fraction of its usual requests that it may have now."""
+        """Return the fraction of its usual requests that the site gets now."""
         match self.state:
             case SiteState.LOST | SiteState.CUT_OFF:
                 return 0.0
             case SiteState.SUSPECT:
-                return SUSPECT_FRACTION
+                return SUSPECT_REQUEST_FRACTION
             case SiteState.RECOVERING:
                 return self.recovery.fraction()
             case SiteState.DRAINING:
@@ -117,25 +118,27 @@
         other_site_faulty: bool,
         is_overloaded: bool,
     ) -> None:
-        """Take in what is known now.
+        """Update the state from present evidence and overrides.
 
-        ``drained``: operators want it out of use; ``is_overloaded``: the fleet rejects much.
+        ``drained``: whether operators drain the site; ``other_site_faulty``: whether any other site
+        is faulty, which holds a recovery; ``is_overloaded``: whether the fleet is, which holds a
+        drain.
         """
         if drained != (self.state == SiteState.DRAINING):
-            self._override(now_us, drained=drained)
+            self._apply_override(now_us, drained=drained)
         match self.state:
             case SiteState.HEALTHY | SiteState.WARMING_UP:
-                self._watch(now_us, evidence)
+                self._check_in_service(now_us, evidence)
             case SiteState.SUSPECT:
-                self._judge(now_us, evidence)
+                self._check_suspect(now_us, evidence)
             case SiteState.LOST | SiteState.CUT_OFF:
                 self._try_recovery(now_us, evidence)
             case SiteState.RECOVERING:
-                self._recover(now_us, evidence, other_site_faulty=other_site_faulty)
+                self._advance_recovery(now_us, evidence, other_site_faulty=other_site_faulty)
             case SiteState.DRAINING:
                 self.drain.advance(now_us, is_overloaded=is_overloaded)
 
-    def _become(
+    def _change_state(
         self, now_us: int, state: SiteState, cause: str, reporters: tuple[str, ...] = ()
     ) -> None:
         self.history.append(SiteTransition(now_us, self.name, self.state, state, cause, reporters))
@@ -143,70 +146,76 @@
         self.since_us = now_us
         self._suspect_since_us = self._good_since_us = -1
 
-    def _override(self, now_us: int, *, drained: bool) -> None:
+    def _apply_override(self, now_us: int, *, drained: bool) -> None:
         if drained:
             fraction = self.fraction()
-            self._become(now_us, SiteState.DRAINING, "operators drain it")
+            self._change_state(now_us, SiteState.DRAINING, "operators drain it")
             self.drain.begin(now_us, fraction)
             return
         self.recovery.retry_at_us = now_us
-        if self.drain.fraction() >= DRAIN_ABORTED_ABOVE:
+        if self.drain.fraction() >= WARM_REQUEST_FRACTION:
             cause = "operators took the drain back before it had lost its part"
-            self._become(now_us, SiteState.HEALTHY, cause)
+            self._change_state(now_us, SiteState.HEALTHY, cause)
             return
-        self.recovery.site_lost(now_us)
+        self.recovery.back_off(now_us)
         self.recovery.retry_at_us = now_us
         self.recovery.begin(now_us)
-        self._become(now_us, SiteState.RECOVERING, "operators return it")
+        self._change_state(now_us, SiteState.RECOVERING, "operators return it")
 
-    def _watch(self, now_us: int, evidence: Evidence) -> None:
-        if evidence.is_sufficient and evidence.unhealthy_fraction >= SUSPECT_ABOVE:
-            self._become(now_us, SiteState.SUSPECT, _describe(evidence), evidence.failure_reporters)
+    def _check_in_service(self, now_us: int, evidence: Evidence) -> None:
+        if evidence.is_sufficient and evidence.unhealthy_fraction >= SUSPECT_UNHEALTHY_FRACTION:
+            self._change_state(
+                now_us, SiteState.SUSPECT, _describe(evidence), evidence.failure_reporters
+            )
             self._suspect_since_us = self._sufficient_at_us = now_us
         if self.state == SiteState.WARMING_UP and now_us - self.since_us >= self.warm_up_us:
             cause = "has been back for as long as servers need to be warm"
-            self._become(now_us, SiteState.HEALTHY, cause)
+            self._change_state(now_us, SiteState.HEALTHY, cause)
 
-    def _judge(self, now_us: int, evidence: Evidence) -> None:
+    def _check_suspect(self, now_us: int, evidence: Evidence) -> None:
         if not evidence.is_sufficient:
-            # Failed servers are ejected, so nobody calls them: that is no good observation.
+            # Failed servers are ejected and get no attempts: lack of evidence is no good evidence.
             self._good_since_us = -1
             if now_us - self._sufficient_at_us >= SUSPICION_TIMEOUT_US:
-                self._become(now_us, SiteState.HEALTHY, "nobody has met its servers for long")
+                self._change_state(now_us, SiteState.HEALTHY, "nobody has met its servers for long")
             return
         self._sufficient_at_us = now_us
-        if evidence.unhealthy_fraction >= SUSPECT_ABOVE:
+        if evidence.unhealthy_fraction >= SUSPECT_UNHEALTHY_FRACTION:
             self._confirm_loss(now_us, evidence)
-        elif evidence.unhealthy_fraction > TRUST_BELOW:
-            # Neither: it stays suspect, and its time begins anew.
+        elif evidence.unhealthy_fraction > CLEAR_UNHEALTHY_FRACTION:
+            # Evidence for neither verdict restarts the suspicion.
             self._suspect_since_us = now_us
             self._good_since_us = -1
         elif self._good_since_us < 0:
             self._good_since_us = now_us
         elif now_us - self._good_since_us >= HEALTHY_AFTER_US:
-            self._become(now_us, SiteState.HEALTHY, f"{evidence.responding} servers answer again")
+            self._change_state(
+                now_us, SiteState.HEALTHY, f"{evidence.responding} servers answer again"
+            )
 
     def _confirm_loss(self, now_us: int, evidence: Evidence) -> None:
         self._good_since_us = -1
-        silent = evidence.is_mostly_silent
-        verdict_after_us = SILENT_VERDICT_AFTER_US if silent else FAILED_VERDICT_AFTER_US
+        timed_out = evidence.is_mostly_timed_out
+        verdict_after_us = TIMED_OUT_VERDICT_AFTER_US if timed_out else FAILED_VERDICT_AFTER_US
         if now_us - self._suspect_since_us >= verdict_after_us:
-            where = "; nodes of other sites reach it" if evidence.reachable_elsewhere else ""
-            self._lose(now_us, evidence, _describe(evidence) + where)
+            suffix = "; nodes of other sites reach it" if evidence.reachable_elsewhere else ""
+            self._mark_lost(now_us, evidence, _describe(evidence) + suffix)
 
-    def _lose(self, now_us: int, evidence: Evidence, cause: str) -> None:
-        self.recovery.site_lost(now_us)
-        state = SiteState.CUT_OFF if evidence.is_mostly_silent else SiteState.LOST
-        self._become(now_us, state, cause, evidence.failure_reporters)
+    def _mark_lost(self, now_us: int, evidence: Evidence, cause: str) -> None:
+        self.recovery.back_off(now_us)
+        state = SiteState.CUT_OFF if evidence.is_mostly_timed_out else SiteState.LOST
+        self._change_state(now_us, state, cause, evidence.failure_reporters)
 
     def _try_recovery(self, now_us: int, evidence: Evidence) -> None:
-        answered = evidence.has_responses(MIN_PROBE_RESPONSES)
-        is_well = answered and evidence.unhealthy_fraction <= RECOVER_BELOW
-        if is_well and self.recovery.begin(now_us):
+        has_responses = evidence.has_responses(MIN_PROBE_RESPONSES)
+        is_healthy = has_responses and evidence.unhealthy_fraction <= RECOVERY_UNHEALTHY_FRACTION
+        if is_healthy and self.recovery.begin(now_us):
             cause = f"{evidence.responding} servers answered calls that looked"
-            self._become(now_us, SiteState.RECOVERING, cause, evidence.failure_reporters)
+            self._change_state(now_us, SiteState.RECOVERING, cause, evidence.failure_reporters)
 
-    def _recover(self, now_us: int, evidence: Evidence, *, other_site_faulty: bool) -> None:
+    def _advance_recovery(
+        self, now_us: int, evidence: Evidence, *, other_site_faulty: bool
+    ) -> None:
         progress = self.recovery.advance(
             now_us,
             enough_responses=evidence.has_responses(MIN_RESPONDING_SERVERS),
@@ -214,13 +223,13 @@
             hold=other_site_faulty,
         )
         if progress == RampProgress.FAULT:
-            self._lose(now_us, evidence, "on its way back: " + _describe(evidence))
+            self._mark_lost(now_us, evidence, "on its way back: " + _describe(evidence))
         elif progress == RampProgress.COMPLETE:
-            self._become(now_us, SiteState.WARMING_UP, "carries its part again")
+            self._change_state(now_us, SiteState.WARMING_UP, "carries its part again")
 
 
 def _describe(evidence: Evidence) -> str:
     return (
-        f"of {evidence.called} servers met by {evidence.reporters} nodes "
+        f"of {evidence.called_servers} servers met by {evidence.reporters} nodes "
         f"{evidence.timed_out} are silent and {evidence.failed} refuse"
     )
--- a/oakbridge/sites/topology.py
+++ b/oakbridge/sites/topology.py
@@ -1,7 +1,7 @@
-"""What operators know of their sites: capacities, classes of requests, load and distances.
+"""The topology of sites as operators give it: capacities, classes, loads and distances.
 
-The names of these figures in ``sites.toml`` are mapped to the ones here by its reader,
-``oakbridge.config.sites_file``.
+``oakbridge.config.sites_file`` reads it from ``sites.toml`` and maps that file's keys to the names
+here.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteCapacity:
-    """What a site's servers can do."""
+    """The capacity of a site's servers."""
 
-    name: str  # the zone of its servers and nodes
-    requests_per_s: float  # of work 1
-    reserved_fraction: float = 0.1  # of it, that must stay free
+    name: str  # the zone of the site's servers and nodes
+    requests_per_s: float  # requests of work 1
+    reserved_fraction: float = 0.1  # fraction of the capacity that must stay free
 
 
 @dataclass(frozen=True, slots=True)
 class ClassDemand:
-    """What a request of a class costs, and what it is worth."""
+    """The priority weight and the work of a class's requests."""
 
     name: str
-    priority_weight: float  # of an answer in time
-    work: float = 1.0  # of a server, against other classes
+    priority_weight: float  # of a response in time
+    work: float = 1.0  # of a server for one request, relative to other classes
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteDistance:
-    """How far two sites are from each other, both ways; 1 where it is not told."""
+    """The distance between two sites, the same both ways; 1 if not given."""
 
     first: str
     second: str
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """All sites."""
+    """All sites, their classes, loads and distances."""
 
-    version: int  # raised with each change
-    digest: str  # of the file that it was read from
+    version: int  # raised with each change of the file
+    digest: str  # of the file
     sites: tuple[SiteCapacity, ...]
     classes: tuple[ClassDemand, ...]
     loads: tuple[SiteLoad, ...]
--- a/oakbridge/sites/zone_weights.py
+++ b/oakbridge/sites/zone_weights.py
@@ -1,4 +1,4 @@
-"""How a plan divides a node's requests among the remaining sites.  Pure."""
+"""Zone weights by which a node divides its requests among the remaining sites of a plan.  Pure."""
 
 from __future__ import annotations
 
@@ -6,13 +6,16 @@
 
 from oakbridge.sites.plan_file import SitePlan
 
-MIN_PLANNED_WEIGHT = 0.05  # a zone that is there is never given up for a plan's sake
+MIN_PLANNED_WEIGHT = 0.05  # a plan lowers a zone's weight at most to this fraction, never to 0
 
 
 def planned_weights(
     plan: SitePlan, home: str, lost_sites: Iterable[str], fractions: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return zones' weights by the plan; ``fractions``: what each may have at most."""
+    """Return each zone's weight by the plan.
+
+    ``home``: the node's own site; ``fractions``: the greatest weight of each zone.
+    """
     scenario = plan.scenario(lost_sites)
     routing = scenario.routing.get(home, {}) if scenario is not None else {}
     by_capacity = {
@@ -20,7 +23,9 @@
         for name in fractions
         if plan.capacities.get(name)
     }
-    greatest = max((w for name, w in by_capacity.items() if fractions[name] > 0), default=0.0)
+    greatest = max(
+        (value for name, value in by_capacity.items() if fractions[name] > 0), default=0.0
+    )
     weights = dict(fractions)
     if greatest > 0:
         for name, weight in by_capacity.items():
--- a/tests/formats/test_sites.py
+++ b/tests/formats/test_sites.py
@@ -74,7 +74,7 @@
         told.append({
             "at_s": now_s,
             "sites": {"name": "n1", **described},
-            "sites.why c": operator_view.history(sites.sites["c"], now_us),
+            "sites.why c": operator_view.state_history(sites.sites["c"], now_us),
             "report": msgspec.msgpack.encode(sites.report()).hex(),
         })  # fmt: skip
 
--- a/tests/sites/test_fleet_load_shedding.py
+++ b/tests/sites/test_fleet_load_shedding.py
@@ -8,13 +8,13 @@
 from oakbridge.sites import fleet_load_shedding
 from oakbridge.sites.fleet_load_shedding import (
     FleetLoadShedding,
-    level_of,
+    level_for,
     rank_classes,
-    rejected_at,
+    rejected_fraction_at,
 )
 
 RANKS = rank_classes({"look": 1.0, "status": 2.0, "book": 5.0}, has_quotas=True)
-MIX = [0.1, 0.4, 0.3, 0.2]
+RANK_FRACTIONS = [0.1, 0.4, 0.3, 0.2]
 
 
 def test_the_level_rejects_in_order_of_priority_weight():
@@ -23,7 +23,9 @@
     rejected = fleet_load_shedding.rejected_fractions(RANKS, 2.25)
     assert rejected == {"": 1.0, "look": 1.0, "status": 0.25}
     for fraction in (0.0, 0.05, 0.1, 0.3, 0.65, 0.9):
-        assert rejected_at(level_of(fraction, MIX), MIX) == pytest.approx(fraction)
+        assert rejected_fraction_at(
+            level_for(fraction, RANK_FRACTIONS), RANK_FRACTIONS
+        ) == pytest.approx(fraction)
 
 
 @pytest.mark.parametrize("offered_load", [1.0, 1.2, 2.0, 5.0])
@@ -34,11 +36,11 @@
     for second in range(150):
         now_us += SECOND_US
         offered = offered_load if second < 100 else 0.8
-        admitted = offered * (1 - rejected_at(shedding.level, MIX))
+        admitted = offered * (1 - rejected_fraction_at(shedding.level, RANK_FRACTIONS))
         overload = max(0.0, 1 - 1 / admitted) if admitted else 0.0
         overloads.append(overload)
-        rejected.append(rejected_at(shedding.level, MIX))
-        shedding.adjust(now_us, "me", overload, MIX)
+        rejected.append(rejected_fraction_at(shedding.level, RANK_FRACTIONS))
+        shedding.adjust(now_us, "me", overload, RANK_FRACTIONS)
     assert max(overloads[40:100]) < 1.2 * fleet_load_shedding.TARGET_OVERLOAD
     assert rejected[-1] < 0.02
     steps = [abs(later - earlier) for earlier, later in pairwise(rejected[30:100])]
--- a/tests/sites/test_node_sites.py
+++ b/tests/sites/test_node_sites.py
@@ -70,7 +70,7 @@
     update(sites, 1)
     decision = update(sites, 3, received=reports(c=(0, 0, 4)), observed=C_NOT_CALLED)
     assert decision.zone_weights == {"c": 0.0}
-    history = operator_view.history(sites.sites["c"], 4 * SECOND_US)
+    history = operator_view.state_history(sites.sites["c"], 4 * SECOND_US)
     assert history[-1]["after"] == SiteState.LOST
 
 
