--- a/oakbridge/spread/__init__.py
+++ b/oakbridge/spread/__init__.py
@@ -1,6 +1,7 @@
-"""Deterministic subsetting: which servers each replica uses, and what a change of size means.
+"""Deterministic subsetting: which servers each replica uses, and a forecast for other sizes.
 
-Pure: ``arcs`` (replicas and servers on rings), ``request_rate`` (what a replica reports of its
-load), ``subset_assigner`` (one replica's subset), ``subset_forecast`` (figures for a size before
-it is so), ``operator_view`` (what operators are told).  Shell: ``runner``.
+Pure: ``arcs`` (replicas and servers on rings), ``request_rate`` (the request rate that a replica
+reports), ``subset_assigner`` (one replica's subset), ``subset_forecast`` (evenness, connections and
+changed subsets at a given size), ``operator_view`` (the JSON that operators read).  Shell:
+``runner``.
 """
--- a/oakbridge/spread/arcs.py
+++ b/oakbridge/spread/arcs.py
@@ -1,16 +1,17 @@
-"""Deterministic subsetting: which servers each replica uses, so that all are used alike.  Pure.
-
-On each of K rings lie all servers, each on an arc as long as its weight, and over them all
-replicas, each on an arc as long as its share of the requests; the orders are by hash and differ
-from ring to ring. A replica uses the servers under its arcs, each by the length that they have in
-common. Every point of a ring belongs to one replica and to one server, so each server gets its
-weight's share of all requests, whatever the replicas' shares are: as exactly as the replicas agree
-on these, and as each divides its requests. Subsets drawn at random are uneven by one over the root
-of the replicas at a server.
-
-Source: one ring with equal arcs is the deterministic aperture of Finagle (Twitter, 2019); several
-rings are ours: with one, a replica that fails takes its load from the same few servers, and
-unequal shares do not fit.
+"""Deterministic subsetting by arcs of rings: each server gets its share of all requests.  Pure.
+
+There are K rings, each of length 1.  On each ring lie all servers, each on an arc proportional to
+its weight, and all replicas, each on an arc proportional to its share of the requests.  Their
+orders are by hash and differ from ring to ring.  A replica uses the servers whose arcs overlap its
+own, each in proportion to the overlap.  Every point of a ring belongs to one replica and one
+server, so each server gets its weight's share of all requests, whatever the replicas' shares are.
+How exactly depends on how far the replicas agree on the shares, and on how exactly each divides its
+requests.  With random subsets, the relative unevenness is one over the square root of the replicas
+per server.
+
+Source: one ring with equal arcs is the deterministic aperture of Finagle (Twitter, 2019).  Several
+rings with unequal arcs are an addition: with one ring, a failed replica takes its load from the
+same few servers; with equal arcs, unequal shares do not fit.
 """
 
 from __future__ import annotations
@@ -22,31 +23,32 @@
 from itertools import accumulate
 from typing import NamedTuple
 
-MAX_RINGS = 8  # a digest has 64 bytes, and each ring's order takes eight
+MAX_RINGS = 8  # a digest has 64 bytes, and each ring's order uses 8 of them
 BYTES_PER_RING = 8
 MAX_CACHED_DIGESTS = 32_768
-MIN_RELATIVE_LOAD = 0.02  # of the server that this replica loads most: those with less are left out
-REPLICA = b"copy"  # part of what is hashed: both ends of a fleet must agree on it
+MIN_RELATIVE_LOAD = 0.02  # of the replica's most loaded server; servers with less are left out
+# Personalization of the hashes.  All nodes of a fleet must use the same values.
+REPLICA = b"copy"
 SERVER = b"server"
 
 
 class Overlap(NamedTuple):
-    """A piece of a ring that belongs to one replica and to one server."""
+    """A segment of a ring that belongs to one replica and to one server."""
 
     replica: str
     server: str
-    length: float  # all overlaps together have the length 1
+    length: float  # the lengths of all overlaps on all rings add up to 1
 
 
 class _Arcs(NamedTuple):
-    """Names in their order on a ring of length 1, and where the arc of each one ends."""
+    """Names in their order on a ring of length 1, and the end of each name's arc."""
 
     names: list[str]
     ends: list[float]
 
-    def start(self, n: int) -> float:
-        """Return where the arc of the name at a position starts."""
-        return self.ends[n - 1] if n else 0.0
+    def start(self, index: int) -> float:
+        """Return the start of the arc of the name at this index."""
+        return self.ends[index - 1] if index else 0.0
 
 
 def overlaps(
@@ -57,15 +59,15 @@
     ``replicas``: their shares of the requests; ``servers``: their weights; all greater than 0.
     """
     for ring in range(rings):
-        above = _arcs(replicas, REPLICA, ring)
-        below = _arcs(servers, SERVER, ring)
+        replica_arcs = _arcs(replicas, REPLICA, ring)
+        server_arcs = _arcs(servers, SERVER, ring)
         position, i, j = 0.0, 0, 0
-        while i < len(above.names) and j < len(below.names):
-            end = min(above.ends[i], below.ends[j])
+        while i < len(replica_arcs.names) and j < len(server_arcs.names):
+            end = min(replica_arcs.ends[i], server_arcs.ends[j])
             if end > position:
-                yield Overlap(above.names[i], below.names[j], (end - position) / rings)
+                yield Overlap(replica_arcs.names[i], server_arcs.names[j], (end - position) / rings)
             position = max(position, end)
-            if above.ends[i] <= below.ends[j]:
+            if replica_arcs.ends[i] <= server_arcs.ends[j]:
                 i += 1
             else:
                 j += 1
@@ -74,9 +76,10 @@
 def subset_weights(
     name: str, replicas: Mapping[str, float], servers: Mapping[str, float], rings: int
 ) -> dict[str, float]:
-    """Return the servers that one replica uses, each with the fraction of its weight that counts.
+    """Return the subset of one replica: by server, the factor that its weight is multiplied by.
 
-    The largest fraction is 1.  Raises KeyError if ``name`` is none of the replicas.
+    The largest factor is 1.  ``replicas`` and ``servers`` are those of :func:`overlaps`.  Raises
+    KeyError if ``name`` is not one of the replicas.
     """
     if not servers:
         return {}
@@ -86,31 +89,34 @@
     for ring in range(rings):
         for server, fraction in _covered_fractions(name, replicas, servers, ring):
             covered[server] = covered.get(server, 0.0) + fraction
-    return _normalized(covered, servers)
+    return _normalize(covered, servers)
 
 
 def _covered_fractions(
     name: str, replicas: Mapping[str, float], servers: Mapping[str, float], ring: int
 ) -> Iterator[tuple[str, float]]:
-    """Yield the servers under a replica's arc on one ring, with the covered fraction of theirs."""
-    above = _arcs(replicas, REPLICA, ring)
-    below = _arcs(servers, SERVER, ring)
-    own = above.names.index(name)
-    position, end = above.start(own), above.ends[own]
-    j = bisect_right(below.ends, position)
-    while j < len(below.names) and position < end:
-        upto = min(end, below.ends[j])
-        if upto > position:
-            yield below.names[j], (upto - position) / (below.ends[j] - below.start(j))
-        position = upto
+    """Yield the servers that a replica's arc overlaps on one ring, with their covered fractions."""
+    replica_arcs = _arcs(replicas, REPLICA, ring)
+    server_arcs = _arcs(servers, SERVER, ring)
+    own_index = replica_arcs.names.index(name)
+    position, end = replica_arcs.start(own_index), replica_arcs.ends[own_index]
+    j = bisect_right(server_arcs.ends, position)
+    while j < len(server_arcs.names) and position < end:
+        segment_end = min(end, server_arcs.ends[j])
+        if segment_end > position:
+            yield (
+                server_arcs.names[j],
+                (segment_end - position) / (server_arcs.ends[j] - server_arcs.start(j)),
+            )
+        position = segment_end
         j += 1
 
 
-def _normalized(covered: Mapping[str, float], servers: Mapping[str, float]) -> dict[str, float]:
-    """Leave out servers with hardly any load, and scale to a largest fraction of 1."""
+def _normalize(covered: Mapping[str, float], servers: Mapping[str, float]) -> dict[str, float]:
+    """Leave out servers with little load, and scale the fractions so that the largest is 1."""
     load = {name: fraction * servers[name] for name, fraction in covered.items()}
-    least = MIN_RELATIVE_LOAD * max(load.values(), default=0.0)
-    kept = {name: fraction for name, fraction in covered.items() if load[name] >= least}
+    min_load = MIN_RELATIVE_LOAD * max(load.values(), default=0.0)
+    kept = {name: fraction for name, fraction in covered.items() if load[name] >= min_load}
     largest = max(kept.values(), default=1.0)
     return {name: fraction / largest for name, fraction in kept.items()}
 
--- a/oakbridge/spread/operator_view.py
+++ b/oakbridge/spread/operator_view.py
@@ -1,6 +1,6 @@
-"""What operators are told: the JSON of ``oakbridge spread`` and ``oakbridge spread plan``.
+"""The JSON of ``oakbridge spread`` and ``oakbridge spread plan``.
 
-The names of its fields are mapped here, and only here, to the program's own terms.
+Only this module maps the code's names to the JSON keys.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 from oakbridge.spread.subset_assigner import SubsetAssigner, request_shares
 from oakbridge.spread.subset_forecast import Forecast
 
-MAX_OUTLIERS = 5
-OUTLIER_FACTOR = 2  # times the mean of requests
+MAX_OUTLIERS = 5  # replicas shown
+OUTLIER_FACTOR = 2  # a replica with more than this many times the mean of requests is an outlier
 
 
 def describe(assigner: SubsetAssigner) -> dict[str, Any]:
-    """Return servers with their replicas and their load, and replicas that stand out."""
+    """Return servers with their replicas and load, and the replicas with the most requests."""
     return {
         "name": assigner.name,
         "rings": assigner.rings,
         "divided": bool(assigner.weights),
         "copies": len(assigner.replicas),
-        "moves": assigner.moves,
+        "moves": assigner.subset_changes,
         "servers": _server_rows(assigner),
         "stand_out": _outliers(request_shares(assigner.replicas)),
     }
 
 
 def forecast_row(forecast: Forecast) -> dict[str, Any]:
-    """Return one way of dividing, at one size."""
+    """Return one method's forecast as JSON."""
     return {
         "way": forecast.method,
         "most": forecast.max_load,
@@ -44,9 +44,9 @@
 
 
 def _server_rows(assigner: SubsetAssigner) -> list[dict[str, Any]]:
-    users, load = _users_and_load(assigner)
+    replicas_by_server, load = _replicas_and_load(assigner)
     total_weight = sum(weight for _, weight in assigner.servers.values())
-    over_fair = {
+    load_ratios = {
         name: round(load[name] * total_weight / weight, 3)
         for name, (_, weight) in assigner.servers.items()
     }
@@ -55,27 +55,27 @@
             "name": name,
             "zone": zone,
             "size": weight,
-            "copies": len(users[name]),
-            "load_over_fair": over_fair[name] if assigner.replicas else None,
+            "copies": len(replicas_by_server[name]),
+            "load_over_fair": load_ratios[name] if assigner.replicas else None,
             "own_part": round(assigner.weights.get(name, 0.0), 3),
         }
         for name, (zone, weight) in sorted(assigner.servers.items())
     ]
 
 
-def _users_and_load(assigner: SubsetAssigner) -> tuple[dict[str, set[str]], dict[str, float]]:
-    """Return each server's replicas, and its share of all requests while nothing fails."""
-    users: defaultdict[str, set[str]] = defaultdict(set)
+def _replicas_and_load(assigner: SubsetAssigner) -> tuple[dict[str, set[str]], dict[str, float]]:
+    """Return by server its replicas, and its share of all requests as long as nothing fails."""
+    replicas_by_server: defaultdict[str, set[str]] = defaultdict(set)
     load: defaultdict[str, float] = defaultdict(float)
     if not assigner.replicas:
-        return users, load
+        return replicas_by_server, load
     all_requests = sum(request_shares(assigner.replicas).values())
     for group in assigner.groups(only_preferred=True):
         share = sum(group.replicas.values()) / all_requests
         for overlap in overlaps(group.replicas, group.servers, assigner.rings):
-            users[overlap.server].add(overlap.replica)
+            replicas_by_server[overlap.server].add(overlap.replica)
             load[overlap.server] += overlap.length * share
-    return users, load
+    return replicas_by_server, load
 
 
 def _outliers(shares: dict[str, float]) -> list[dict[str, Any]]:
--- a/oakbridge/spread/runner.py
+++ b/oakbridge/spread/runner.py
@@ -1,7 +1,4 @@
-"""Run subset assignment beside a node and its member.
-
-It updates the assignment once a second and tells the node's balancer what has changed.
-"""
+"""Run a node's subset assignment: update it once a second and pass changes to its balancer."""
 
 from __future__ import annotations
 
@@ -22,80 +19,80 @@
 log = logging.getLogger(__name__)
 
 UPDATE_INTERVAL_S = 1.0
-THREAD_ABOVE_SERVERS = 500  # fewer are divided in less than a millisecond or two
-SERVERS_PER_TURN = 1000  # that are read in one turn of the event loop
-NO_LIST = -1
+MAX_INLINE_SERVERS = 500  # dividing fewer takes less than 1 to 2 ms; more are divided in a thread
+SERVERS_PER_TURN = 1000  # servers read in one turn of the event loop
+NO_LIST_VERSION = -1
 
 
 class SubsetRunner:
-    """One node's subset assignment, while the context lasts."""
+    """Updates one node's subset assignment while its context is open."""
 
     def __init__(self, node: Node, membership: MembershipService, rings: int) -> None:
-        """Begin nothing yet."""
+        """Prepare; updates start when the context is entered.  ``rings``: number of rings."""
         self._node = node
         self._membership = membership
         self._assigner = SubsetAssigner(
             membership.options.name, node.balancer.members.local_zone, rings
         )
         self._rate = ReportedRate()
-        self._list_version = NO_LIST
+        self._list_version = NO_LIST_VERSION
         self._servers: dict[str, ZoneAndWeight] = {}
         self._updates = PeriodicUpdate(
-            self.update, UPDATE_INTERVAL_S, "a look at how servers are divided failed"
+            self.update, UPDATE_INTERVAL_S, "update of the subset assignment failed"
         )
 
     async def __aenter__(self) -> SubsetRunner:
-        """Report the request rate to other members, and begin to update."""
+        """Report the request rate to other members, and start the updates."""
         self._membership.requests_per_10s = self.requests_per_10s
         self._updates.start()
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """End; the node's balancer keeps the subset that it has."""
+        """Stop the reports and updates; the balancer keeps its last subset."""
         self._membership.requests_per_10s = None
         await self._updates.stop()
 
     def describe(self) -> dict[str, Any]:
-        """Return all that operators see of the division of servers."""
+        """Return this node's view of the assignment, for ``oakbridge spread``."""
         return operator_view.describe(self._assigner)
 
     def requests_per_10s(self) -> int:
-        """Return what this node reports of its requests."""
+        """Return the requests in 10 s that this node reports."""
         node = self._node
         return self._rate.update(node.clock.now(), node.served + node.rejected + node.failed)
 
     async def update(self) -> None:
-        """Take in what is known now, and apply what it changes."""
+        """Update the assignment from the present members and servers; apply a change."""
         view = self._membership.view
         if view is None or self._membership.member.replaced_by is not None:
             return
         servers = await self._listed_servers()
-        known = (self._node.clock.now(), view, self._replicas(), servers)
-        if len(servers) > THREAD_ABOVE_SERVERS:
-            weights = await asyncio.to_thread(self._assigner.update, *known)
+        arguments = (self._node.clock.now(), view, self._replicas(), servers)
+        if len(servers) > MAX_INLINE_SERVERS:
+            weights = await asyncio.to_thread(self._assigner.update, *arguments)
         else:
-            weights = self._assigner.update(*known)
+            weights = self._assigner.update(*arguments)
         if weights is not None:
             count = len(weights) or len(servers)
             log.info("servers divided: %d of %d for this node", count, len(servers))
             self._node.post(SubsetAssignment(weights))
 
     def _replicas(self) -> Mapping[str, Replica]:
-        """Return the reachable members of this tier, this one among them."""
+        """Return the reachable replicas of this node's tier, including itself."""
         member, options = self._membership.member, self._membership.options
         own = member.report(options.name, self._node.clock.now())
         own_requests = own.report.requests_per_10s if own is not None else 0
         replicas = {options.name: Replica(options.tags.get("site", ""), own_requests)}
         for name in member.live_names():
-            known = member.members[name]
-            tags = known.record.tags
+            other = member.members[name]
+            tags = other.record.tags
             if tags.get("tier", "") == options.tags.get("tier", ""):
-                requests = known.report.requests_per_10s if known.report is not None else 0
+                requests = other.report.requests_per_10s if other.report is not None else 0
                 replicas[name] = Replica(tags.get("site", ""), requests)
         return replicas
 
     async def _listed_servers(self) -> dict[str, ZoneAndWeight]:
-        """Return the listed servers; read another list in short turns."""
+        """Return the listed servers; read a new list in several turns of the event loop."""
         balancer = self._node.balancer
         if balancer.members.version == self._list_version or balancer.endpoints.is_partial:
             return self._servers
--- a/oakbridge/spread/subset_forecast.py
+++ b/oakbridge/spread/subset_forecast.py
@@ -1,8 +1,7 @@
-"""What a number of replicas and servers will mean, before it is so.  Pure.
+"""Forecast the subsets of a tier of a given size: evenness, connections, changed subsets.  Pure.
 
-Evenness, connections, and what a change of size moves. Computed, not measured: each replica's
-requests are divided exactly as its draws are weighted. What chance adds in a window comes on top,
-and is told beside it.
+The figures are computed, not measured: each replica's requests are divided exactly by the weights
+of its servers.  Random variation within a time window comes on top of them.
 """
 
 from __future__ import annotations
@@ -16,16 +15,16 @@
 from oakbridge.policy.subset import SUBSETS_PER_SERVER
 from oakbridge.spread.arcs import overlaps
 
-MIN_RANDOM_SUBSET = 4
-BY_MEMBERS = "by members"
-BY_CHANCE = "by chance"
+MIN_RANDOM_SUBSET = 4  # servers
+BY_MEMBERS = "by members"  # deterministic subsets, see ``arcs``
+BY_CHANCE = "by chance"  # random subsets, as without members
 
-RequestShares = dict[str, dict[str, float]]  # by server: each replica's share of all requests there
+RequestShares = dict[str, dict[str, float]]  # by server and replica: share of all requests
 
 
 @dataclass(frozen=True, slots=True)
 class TierSize:
-    """How many replicas use how many servers."""
+    """The numbers of replicas of a tier and of the servers that they use."""
 
     replicas: int
     servers: int
@@ -33,36 +32,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Forecast:
-    """One way of dividing servers, at one size."""
+    """The forecast for one method at one size, and for a change to another size.
+
+    Loads are those of servers, as ratios to their fair shares.
+    """
 
     method: str
-    max_load: float  # of the busiest server, over its fair share
+    max_load: float
     p99_load: float
     min_load: float
-    mean_replicas_per_server: float  # at a server: idle connections that it holds at least
+    mean_replicas_per_server: float  # also the least number of a server's idle connections
     max_replicas_per_server: int
-    mean_servers_per_replica: float  # of a replica
-    moved_fraction: float  # of all pairs of replica and server that are others after the change
+    mean_servers_per_replica: float
+    moved_fraction: float  # of the pairs of replica and server: those that the change removes
 
 
 def forecast(
     before: TierSize, after: TierSize, *, rings: int, sigma: float, seed: int
 ) -> list[Forecast]:
-    """Return both ways, by members and by chance, and what the change of size moves.
+    """Return the forecasts of both methods, by members and by chance, for a change of size.
 
-    ``sigma``: how unequal the replicas' requests are.
+    ``sigma``: how unequal the replicas' requests are, see :func:`random_shares`.
     """
     replicas = random_shares(before.replicas, sigma, seed)
     servers = equal_weights(before.servers)
     later_replicas = random_shares(after.replicas, sigma, seed)
     later_servers = equal_weights(after.servers)
     by_members = (
-        divide_by_members(replicas, servers, rings),
-        divide_by_members(later_replicas, later_servers, rings),
+        divide_by_arcs(replicas, servers, rings),
+        divide_by_arcs(later_replicas, later_servers, rings),
     )
     by_chance = (
-        divide_by_chance(replicas, servers, seed),
-        divide_by_chance(later_replicas, later_servers, seed),
+        divide_by_random_subsets(replicas, servers, seed),
+        divide_by_random_subsets(later_replicas, later_servers, seed),
     )
     return [
         _summarize(BY_MEMBERS, *by_members, servers),
@@ -71,41 +73,44 @@
 
 
 def numbered_names(kind: str, count: int) -> list[str]:
-    """Return names for so many."""
-    return [f"{kind}{n:05d}" for n in range(count)]
+    """Return ``count`` names, each of the kind and a number."""
+    return [f"{kind}{index:05d}" for index in range(count)]
 
 
 def random_shares(count: int, sigma: float, seed: int) -> dict[str, float]:
-    """Return replicas' requests, as unequal as a lognormal of this sigma."""
+    """Return replicas' requests, drawn from a lognormal distribution of this sigma."""
     rng = random.Random(seed)
     return {name: rng.lognormvariate(0, sigma) for name in numbered_names("copy", count)}
 
 
 def equal_weights(count: int) -> dict[str, float]:
-    """Return so many servers of weight 1."""
+    """Return ``count`` servers of weight 1."""
     return dict.fromkeys(numbered_names("server", count), 1.0)
 
 
-def divide_by_members(
+def divide_by_arcs(
     replicas: Mapping[str, float], servers: Mapping[str, float], rings: int
 ) -> RequestShares:
-    """Divide by arcs of rings."""
+    """Return each server's requests if each replica uses the subset that its arcs give."""
     shares: RequestShares = defaultdict(dict)
     for replica, server, length in overlaps(replicas, servers, rings):
         shares[server][replica] = shares[server].get(replica, 0.0) + length
     return shares
 
 
-def divide_by_chance(
+def divide_by_random_subsets(
     replicas: Mapping[str, float], servers: Mapping[str, float], seed: int
 ) -> RequestShares:
-    """Divide as each replica draws a subset; each server is in ``SUBSETS_PER_SERVER`` of them."""
+    """Return each server's requests if each replica draws its subset at random.
+
+    Subsets are large enough that each server is in ``SUBSETS_PER_SERVER`` of them on average.
+    """
     shares: RequestShares = defaultdict(dict)
     names, total = list(servers), sum(replicas.values())
-    covering = math.ceil(SUBSETS_PER_SERVER * len(names) / len(replicas))
-    subset_size = min(len(names), max(MIN_RANDOM_SUBSET, covering))
+    covering_size = math.ceil(SUBSETS_PER_SERVER * len(names) / len(replicas))
+    subset_size = min(len(names), max(MIN_RANDOM_SUBSET, covering_size))
     for replica, requests in replicas.items():
-        rng = random.Random(f"{seed} {replica}")  # the same whoever else there is
+        rng = random.Random(f"{seed} {replica}")  # draws don't depend on the other replicas
         drawn = sorted(names, key=lambda name: rng.expovariate(servers[name]))[:subset_size]
         weight = sum(servers[name] for name in drawn)
         for name in drawn:
--- a/tests/spread/test_subset_assigner.py
+++ b/tests/spread/test_subset_assigner.py
@@ -39,7 +39,7 @@
     # It may be cut off itself.
     assert update(60, ViewState.ISOLATED, ONLY_ITSELF) is None
     assert update(90, ViewState.COMPLETE, ONLY_ITSELF) == {}
-    assert assigner.moves
+    assert assigner.subset_changes
 
 
 def test_with_zones_each_zones_servers_are_divided_among_its_own_replicas_and_among_the_others():
