--- a/tests/sites/example_sites.py
+++ b/tests/sites/example_sites.py
@@ -1,4 +1,4 @@
-"""A sites.toml of three sites and two classes, and what nodes may observe of sites."""
+"""A sites.toml of three sites and two classes, and examples of evidence about a site."""
 
 from oakbridge.config.sites_file import load_topology
 from oakbridge.sites.evidence import Evidence
--- a/tests/sites/test_node_sites.py
+++ b/tests/sites/test_node_sites.py
@@ -1,4 +1,4 @@
-"""One node's part in the plan for lost sites, by what it and other members observe."""
+"""One node's decisions about sites, from its own and other members' observations."""
 
 import pytest
 from example_sites import HALF_SECOND_US, SECOND_US, topology_from
@@ -21,26 +21,27 @@
 C_NOT_CALLED = {**ALL_RESPOND, "c": (0, 0, 0)}
 
 
-def view(state=ViewState.COMPLETE, **more):
-    return ClusterView(**{"state": state, "known": 9, "unreachable": 0, **more})
+def cluster_view(state=ViewState.COMPLETE, **fields):
+    return ClusterView(**{"state": state, "known": 9, "unreachable": 0, **fields})
 
 
-def local(observed, overload=0.0):
+def local_observations(observed, overload=0.0):
     zones = [ZoneView(zone, LISTED_SERVERS, *counts) for zone, counts in observed.items()]
     return LocalObservations(zones, 50.0, overload, {"look": 0.7, "book": 0.3})
 
 
-def node(plan=None, name="n1"):
+def node_sites(plan=None, name="n1"):
     return NodeSites(name, "a", {"look": 1.0, "book": 5.0}, 1, plan=plan)
 
 
 def reports(names="n2 n3 n4", site="a", **observed):
+    """Return the same report of each member; ``observed``: by site, counts of servers."""
     observations = tuple(SiteObservation(zone, *counts) for zone, counts in observed.items())
     report = SiteReport(observations, 50)
     return [ReceivedReport(name, site, SECOND_US, report) for name in names.split()]
 
 
-def from_nodes(nodes, age_us=SECOND_US):
+def reports_of(nodes, age_us=SECOND_US):
     return [ReceivedReport(sites.name, "a", age_us, sites.report()) for sites in nodes]
 
 
@@ -53,20 +54,20 @@
     start_us=0,
     overload=0.0,
 ):
-    """Update for so many seconds; return the last decision."""
+    """Update twice a second for ``seconds``; return the last decision."""
     for n in range(2 * seconds):
         decision = sites.update(
             start_us + n * HALF_SECOND_US,
             START_CLOCK_MS + n * 500,
-            cluster or view(),
+            cluster or cluster_view(),
             list(received),
-            local(observed, overload),
+            local_observations(observed, overload),
         )
     return decision
 
 
-def test_what_others_observe_is_enough_to_close_a_site_that_this_node_never_called():
-    sites = node()
+def test_others_observations_suffice_to_close_a_site_where_this_node_has_no_attempts():
+    sites = node_sites()
     update(sites, 1)
     decision = update(sites, 3, received=reports(c=(0, 0, 4)), observed=C_NOT_CALLED)
     assert decision.zone_weights == {"c": 0.0}
@@ -74,85 +75,90 @@
     assert history[-1]["after"] == SiteState.LOST
 
 
-LARGER_PART = view(
+LARGER_PARTITION = cluster_view(
     ViewState.PARTITIONED,
     unreachable=3,
     is_larger_partition=True,
     unreachable_sites=("c",),
 )
-SMALLER_PART = view(
+SMALLER_PARTITION = cluster_view(
     ViewState.PARTITIONED,
     unreachable=6,
     is_larger_partition=False,
     unreachable_sites=("b", "c"),
 )
-ISOLATED = view(ViewState.ISOLATED, unreachable=8, is_larger_partition=False)
+ISOLATED = cluster_view(ViewState.ISOLATED, unreachable=8, is_larger_partition=False)
 
 
 @pytest.mark.parametrize(
     ("cluster", "weights"),
     [
-        (LARGER_PART, {"b": 0.0, "c": 0.0}),
-        (SMALLER_PART, {"b": 0.0, "c": 0.0}),
+        (LARGER_PARTITION, {"b": 0.0, "c": 0.0}),
+        (SMALLER_PARTITION, {"b": 0.0, "c": 0.0}),
         (ISOLATED, {"b": 0.0, "c": 0.0}),
     ],
 )
-def test_who_is_in_the_smaller_part_keeps_to_its_own_site(cluster, weights):
-    sites = node()
+def test_a_node_in_the_smaller_partition_uses_its_own_site_and_judges_no_other(cluster, weights):
+    sites = node_sites()
     update(sites, 1)
     decision = update(sites, 4, cluster, observed={"a": (3, 0, 0), "b": (0, 3, 0), "c": (0, 3, 0)})
     assert decision.zone_weights == weights
-    if not cluster.is_larger_partition:  # it has judged nobody
+    if not cluster.is_larger_partition:
         assert {site.state for site in sites.sites.values()} == {SiteState.HEALTHY}
         assert update(sites, 1).zone_weights == {}
 
 
-def test_a_verdict_goes_on_counting_once_nobody_calls_the_site_any_more():
-    """Who closes a site early has no fresh observation: late ones would never be three with one."""
-    early = [node(name=name) for name in ("n2", "n3")]
+def test_verdicts_count_after_their_nodes_have_no_fresh_observations():
+    """A node that closes a site early has no fresh observations of it later.
+
+    If verdicts did not count, a node that observes failures later would never find enough
+    reporters for its own verdict.
+    """
+    early = [node_sites(name=name) for name in ("n2", "n3")]
     for sites in early:
         update(sites, 3, received=reports("m1 m2 m3", c=(0, 0, 4)))
         update(sites, 9, observed=C_NOT_CALLED, start_us=3 * SECOND_US)
-    received = from_nodes(early)
-    late = node()
+    received = reports_of(early)
+    late = node_sites()
     update(late, 1)
     decision = update(late, 2, received=received, observed={**ALL_RESPOND, "c": (0, 0, 1)})
     assert decision.zone_weights == {"c": 0.0}
-    # It says nothing against a recovery: fresh good observations alone decide that.
+    # Verdicts don't prevent a recovery: fresh observations alone decide on it.
     update(late, 3, received=received, observed=ALL_RESPOND, start_us=3 * SECOND_US)
     assert late.sites["c"].state == SiteState.RECOVERING
 
 
 def test_with_every_site_lost_all_are_used_again():
-    sites = node()
+    sites = node_sites()
     update(sites, 1)
     assert update(sites, 3, observed=dict.fromkeys("abc", (0, 0, 3))).zone_weights == {}
 
 
-def test_a_lost_site_is_probed_by_a_few_requests_of_all_nodes_together():
-    sites, probes = node(), 0
+def test_all_nodes_together_send_a_lost_site_a_few_probes_a_second():
+    sites, probe_count = node_sites(), 0
     update(sites, 1)
     received = reports(" ".join(f"m{n}" for n in range(49)), c=(0, 0, 4))
     for n in range(400):
         start_us = n * SECOND_US
         decision = update(sites, 1, received=received, observed=C_NOT_CALLED, start_us=start_us)
-        probes += len(decision.probe_zones)
-    # 50 nodes, 5 a second by all: 40 in 400 s by each (of every second update one is seen here)
-    assert 15 < probes < 70
+        probe_count += len(decision.probe_zones)
+    # 50 nodes send 5 probes a second, so each sends 40 in 400 s; of two updates a second, this test
+    # counts only the last one's probes, which makes 20.
+    assert 15 < probe_count < 70
 
 
-def test_an_operators_order_spreads_and_the_later_one_counts():
-    here, there = node(), node(name="n2")
+def test_an_override_spreads_and_the_later_one_counts():
+    here, there = node_sites(), node_sites(name="n2")
     for sites in (here, there):
         update(sites, 1)
     here.override(5_000, "b", "kari", drained=True)
-    again = here.override(6_000, "b", "ola", drained=True)
-    assert again.operator == "kari"  # the same again changes nothing
-    decision = update(there, 30, received=from_nodes([here], age_us=0))
+    repeated = here.override(6_000, "b", "ola", drained=True)
+    assert repeated.operator == "kari"  # a repeated override changes nothing
+    decision = update(there, 30, received=reports_of([here], age_us=0))
     assert decision.zone_weights == {"b": 0.0}
     assert operator_view.describe(there, 0)["sites"][1]["held_by"] == "kari"
-    there.override(1_000, "b", "ola", drained=False)  # by a clock that is behind
-    update(here, 1, received=from_nodes([there], age_us=0))
+    there.override(1_000, "b", "ola", drained=False)  # the clock of this node is behind
+    update(here, 1, received=reports_of([there], age_us=0))
     assert not here.overrides.is_drained("b")
     far_ahead = SiteReport(overrides=(SiteOverride("b", 10**15, True, "x"),))
     update(here, 1, received=[ReceivedReport("n9", "a", 0, far_ahead)])
@@ -166,10 +172,10 @@
         here.override(9_000, "a", "", drained=True)
 
 
-def test_all_nodes_of_a_part_follow_one_that_sets_the_level():
-    nodes = [node(name=f"n{n}") for n in range(6)]
+def test_all_nodes_follow_the_level_of_one_leader():
+    nodes = [node_sites(name=f"n{n}") for n in range(6)]
     for second in range(12):
-        received = from_nodes(nodes)
+        received = reports_of(nodes)
         for sites in nodes:
             others = [report for report in received if report.name != sites.name]
             update(sites, 1, received=others, start_us=second * SECOND_US, overload=0.5)
@@ -181,11 +187,11 @@
     assert rejected.get("book", 0) < rejected["look"]
 
 
-def test_with_a_faulty_site_all_report_directly_to_the_leader_and_it_to_all():
+def test_with_a_faulty_site_nodes_report_directly_to_the_leader_and_the_leader_to_all():
     names = [f"n{n}" for n in range(6)]
     leader = elect_leader(names)
     for name in names:
-        sites = node(name=name)
+        sites = node_sites(name=name)
         update(sites, 1)
         others = [other for other in names if other != name]
         assert sites.direct_recipients(others) == []
@@ -195,7 +201,7 @@
 
 
 def test_old_reports_do_not_move_the_level():
-    sites = node()
+    sites = node_sites()
     report = SiteReport((), 50, 900)
     old = [ReceivedReport(f"m{n}", "a", MAX_AGE_US + 1, report) for n in range(9)]
     update(sites, 30, received=old)
@@ -203,14 +209,14 @@
     assert sites.shedding.level == 0
 
 
-def test_a_plan_says_where_load_goes_and_what_is_rejected_from_the_first_moment(tmp_path):
+def test_a_plan_sets_weights_and_rejected_fractions_as_soon_as_a_site_is_lost(tmp_path):
     plan = compute_plan(topology_from(tmp_path))
-    sites = node(plan)
+    sites = node_sites(plan)
     update(sites, 1)
     a_fails = {**ALL_RESPOND, "a": (0, 0, 3)}
     decision = update(sites, 3, received=reports(a=(0, 0, 4)), observed=a_fails)
     assert decision.zone_weights["a"] == 0
-    # Its nodes have no part of their own in the plan then.
+    # The plan routes no requests of the lost site's nodes.
     assert "a" not in plan.scenario(["a"]).routing
     assert decision.rejected_fractions.get("look", 0) > 0
     assert operator_view.describe(sites, 0)["plan"] == 7
--- a/tests/sites/test_site_state.py
+++ b/tests/sites/test_site_state.py
@@ -28,8 +28,8 @@
 DRAINING = SiteState.DRAINING
 
 
-class Course:
-    """A site that is updated twice a second, and the states that it passed through."""
+class SiteDriver:
+    """Updates a site's state machine twice a second."""
 
     def __init__(self, site):
         self.site = site
@@ -45,15 +45,18 @@
             is_overloaded=False,
         )
 
-    def play(self, *steps):
-        """Play steps of (evidence, seconds, and anything where another site is faulty)."""
-        passed = [self.site.state]
+    def run(self, *steps):
+        """Update through steps of (evidence, seconds); return the states, the first one included.
+
+        A third value in a step means that another site is faulty.
+        """
+        states = [self.site.state]
         for evidence, seconds, *faulty in steps:
             for _ in range(round(2 * seconds)):
                 self.update(evidence, other_site_faulty=bool(faulty))
-                if self.site.state != passed[-1]:
-                    passed.append(self.site.state)
-        return passed
+                if self.site.state != states[-1]:
+                    states.append(self.site.state)
+        return states
 
 
 @pytest.mark.parametrize(
@@ -64,11 +67,11 @@
         ([(ALL_TIME_OUT, 1.5)], [HEALTHY, SUSPECT]),
         ([(ALL_TIME_OUT, 3)], [HEALTHY, SUSPECT, CUT_OFF]),
         ([(ALL_TIME_OUT, 1), (ALL_RESPOND, 3)], [HEALTHY, SUSPECT, HEALTHY]),
-        # none calls
+        # a suspicion lasts for some seconds without attempts at the site
         ([(ALL_FAIL, 0.5), (NO_EVIDENCE, 5), (ALL_FAIL, 0.5)], [HEALTHY, SUSPECT, LOST]),
         ([(ALL_FAIL, 0.5), (NO_EVIDENCE, 20)], [HEALTHY, SUSPECT, HEALTHY]),
         ([(ALL_FAIL, 2), (NO_EVIDENCE, 60)], [HEALTHY, SUSPECT, LOST]),
-        # observations of before: they would end a recovery at once
+        # old observations of failures still count and would end a recovery at once
         ([(ALL_FAIL, 2), (ONE_IN_FIVE_TIMES_OUT, 9)], [HEALTHY, SUSPECT, LOST]),
         (
             [(ALL_FAIL, 2), (ALL_RESPOND, 30)],
@@ -78,43 +81,43 @@
             [(ALL_FAIL, 2), (ALL_RESPOND, 4), (ALL_FAIL, 1)],
             [HEALTHY, SUSPECT, LOST, RECOVERING, LOST],
         ),
-        # a second faulty site stops the recovery
+        # another faulty site holds the recovery
         ([(ALL_FAIL, 2), (ALL_RESPOND, 30, "faulty")], [HEALTHY, SUSPECT, LOST, RECOVERING]),
     ],
 )
 def test_a_site_passes_through_its_states(steps, states):
     site = SiteStateMachine("x", is_home=False, warm_up_us=5 * SECOND_US)
-    assert Course(site).play(*steps) == states
+    assert SiteDriver(site).run(*steps) == states
 
 
 def test_each_loss_during_recovery_doubles_the_backoff():
-    course, backoffs = Course(SiteStateMachine("x", is_home=True)), []
-    site = course.site
-    course.play((ALL_FAIL, 2))
+    driver, backoffs = SiteDriver(SiteStateMachine("x", is_home=True)), []
+    site = driver.site
+    driver.run((ALL_FAIL, 2))
     for _ in range(4):
-        began_us = course.now_us
+        lost_at_us = driver.now_us
         while site.state != RECOVERING:
-            course.play((ALL_RESPOND, 0.5))
-        backoffs.append(course.now_us - began_us)
-        course.play((ALL_FAIL, 0.5))
+            driver.run((ALL_RESPOND, 0.5))
+        backoffs.append(driver.now_us - lost_at_us)
+        driver.run((ALL_FAIL, 0.5))
         assert site.state == LOST
         assert site.fraction() == 0
     for earlier, later in pairwise(backoffs[1:]):
         assert 2 * earlier - SECOND_US <= later <= 2 * earlier + SECOND_US
 
 
-def test_nodes_of_the_site_go_first_in_its_recovery():
+def test_nodes_of_the_site_are_ahead_in_its_recovery():
     home, other = RecoveryRamp(is_home=True), RecoveryRamp(is_home=False)
     fractions = []
     for ramp in (home, other):
         ramp.begin(0)
-        steps = []
-        for n in range(1, 10):
-            steps.append(ramp.fraction())
-            now_us = n * recovery_ramp.MIN_STEP_US
+        ramp_fractions = []
+        for step in range(1, 10):
+            ramp_fractions.append(ramp.fraction())
+            now_us = step * recovery_ramp.MIN_STEP_US
             ramp.advance(now_us, enough_responses=True, unhealthy_fraction=0.0, hold=False)
-        fractions.append(steps)
-    assert all(a >= b for a, b in zip(*fractions, strict=True))
+        fractions.append(ramp_fractions)
+    assert all(at_home >= elsewhere for at_home, elsewhere in zip(*fractions, strict=True))
     assert fractions[0] != fractions[1]
     assert fractions[0][-1] == fractions[1][-1] == 1.0
     assert home.is_complete
@@ -122,16 +125,16 @@
 
 
 @pytest.mark.parametrize("after_s", [0.5, 1.5, 30])
-def test_operators_drain_in_steps_and_may_take_it_back_at_each(after_s):
-    course = Course(SiteStateMachine("x", is_home=False, warm_up_us=SECOND_US))
-    site, fractions = course.site, [1.0]
+def test_a_drain_goes_in_steps_and_can_be_undone_at_each(after_s):
+    driver = SiteDriver(SiteStateMachine("x", is_home=False, warm_up_us=SECOND_US))
+    site, fractions = driver.site, [1.0]
     for _ in range(round(2 * after_s)):
-        course.update(ALL_RESPOND, drained=True)
+        driver.update(ALL_RESPOND, drained=True)
         fractions.append(site.fraction())
     assert site.state == DRAINING
     assert fractions == sorted(fractions, reverse=True)
     assert (fractions[-1] == 0) == (after_s == 30)
-    course.update(ALL_RESPOND, drained=False)
+    driver.update(ALL_RESPOND, drained=False)
     assert site.state == (HEALTHY if fractions[-1] >= 0.3 else RECOVERING)
 
 
@@ -142,18 +145,18 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(EVIDENCE, st.booleans(), st.booleans())))
-def test_whatever_comes_a_lost_site_gets_nothing_and_comes_back_only_in_steps(steps):
-    course, before = Course(SiteStateMachine("x", is_home=False, warm_up_us=SECOND_US)), 1.0
-    site, ramp_steps = course.site, recovery_ramp.STEPS
+def test_a_lost_site_gets_no_requests_and_recovers_only_in_steps(steps):
+    driver, previous = SiteDriver(SiteStateMachine("x", is_home=False, warm_up_us=SECOND_US)), 1.0
+    site, ramp_steps = driver.site, recovery_ramp.STEPS
     for evidence, drained, faulty in steps:
         state = site.state
-        course.update(evidence, drained=drained, other_site_faulty=faulty)
+        driver.update(evidence, drained=drained, other_site_faulty=faulty)
         fraction = site.fraction()
         assert 0 <= fraction <= 1
         assert not site.is_lost or fraction == 0
         if state in (LOST, CUT_OFF):
             assert fraction <= ramp_steps[0]
         if state == RECOVERING == site.state:
-            next_step = ramp_steps.index(before) + 1 if before else 0
-            assert fraction <= before or ramp_steps.index(fraction) <= next_step
-        before = fraction
+            next_step = ramp_steps.index(previous) + 1 if previous else 0
+            assert fraction <= previous or ramp_steps.index(fraction) <= next_step
+        previous = fraction
--- a/tests/sites/test_sites_real_processes.py
+++ b/tests/sites/test_sites_real_processes.py
@@ -1,4 +1,4 @@
-"""A site lost and recovered with real processes, small; and what operators type."""
+"""A site's loss and recovery with real processes, and the commands of ``oakbridge sites``."""
 
 import asyncio
 import json
@@ -44,24 +44,26 @@
 """ + "".join(f'[[site]]\nname = "{name}"\nnodes = 2\nservers = 3\n' for name in "abc")
 
 
-def test_a_site_is_lost_for_all_and_recovers(tmp_path):
+def test_nodes_agree_on_a_sites_loss_and_recovery(tmp_path):
     (tmp_path / "plan.toml").write_text(PLAN)
     out = tmp_path / "out"
     result = CliRunner().invoke(cli, ["lab", "run", str(tmp_path / "plan.toml"), "--out", str(out)])
     summary = (
         json.loads((out / "summary.json").read_text()) if (out / "summary.json").exists() else {}
     )
-    broken = [c for c in summary.get("checks", ()) if not c["holds"]]
-    assert (result.exit_code, broken) == (0, []), result.output
-    told = {}
+    failed_checks = [check for check in summary.get("checks", ()) if not check["holds"]]
+    assert (result.exit_code, failed_checks) == (0, []), result.output
+    states_by_node = {}
     for log in (out / "nodes").glob("*.log"):
         lines = [json.loads(line) for line in log.read_text().splitlines() if '"was"' in line]
-        told[log.name] = [line["state"] for line in lines if line["site"] == "c"]
-    # A node that meets none of its servers in these seconds needs no verdict.
-    held = [states for states in told.values() if "lost" in states]
-    assert len(told) == 6, told
-    assert len(held) >= 4, told
-    assert all(states.index("returning") > states.index("lost") for states in held), told
+        states_by_node[log.name] = [line["state"] for line in lines if line["site"] == "c"]
+    # A node may miss the loss if none of its attempts reaches the site's servers in these seconds.
+    with_loss = [states for states in states_by_node.values() if "lost" in states]
+    assert len(states_by_node) == 6, states_by_node
+    assert len(with_loss) >= 4, states_by_node
+    assert all(states.index("returning") > states.index("lost") for states in with_loss), (
+        states_by_node
+    )
 
 
 NODE = """
@@ -107,14 +109,14 @@
 
 def test_operators_show_drain_and_return_sites(files):
     (files / "node.toml").write_text(NODE.format(files, *free_ports(1), ""))
-    ask = ("--socket", files / "n1.sock")
+    socket_option = ("--socket", files / "n1.sock")
 
-    async def played() -> None:
+    async def run_commands() -> None:
         loop = asyncio.get_running_loop()
         loaded = ServeOptions(files / "node.toml", None, (), None).load()
         node = await build_ready_node(loaded, loop)
         async with asyncio.timeout(60), node_services(loaded, node, None):
-            while "well" not in (await asyncio.to_thread(run_command, "sites", *ask))[1]:
+            while "well" not in (await asyncio.to_thread(run_command, "sites", *socket_option))[1]:
                 await asyncio.sleep(0.05)
             for words, code, text in (
                 (("drain", "nowhere"), 1, "expected one of a, b"),
@@ -125,24 +127,26 @@
                 (("why", "b"), 0, "operators drain it"),
                 (("why", "x"), 1, "no site of the name"),
             ):
-                done = await asyncio.to_thread(run_command, "sites", *ask, *words)
-                assert done[0] == code, (words, done)
-                assert text in done[1], (words, done)
+                result = await asyncio.to_thread(run_command, "sites", *socket_option, *words)
+                assert result[0] == code, (words, result)
+                assert text in result[1], (words, result)
             while node.balancer.subset.closed_zones != {"b"}:
                 await asyncio.sleep(0.05)
-            assert "held out" in (await asyncio.to_thread(run_command, "sites", *ask))[1]
-            assert (await asyncio.to_thread(run_command, "sites", *ask, "return", "b"))[0] == 0
-            assert "returning" in (await asyncio.to_thread(run_command, "sites", *ask))[1]
+            assert "held out" in (await asyncio.to_thread(run_command, "sites", *socket_option))[1]
+            assert (await asyncio.to_thread(run_command, "sites", *socket_option, "return", "b"))[
+                0
+            ] == 0
+            assert "returning" in (await asyncio.to_thread(run_command, "sites", *socket_option))[1]
         node.close()
 
-    asyncio.run(played())
+    asyncio.run(run_commands())
 
 
-def test_plans_are_made_checked_and_refused_with_every_mistake(files):
-    made = run_command("sites", "plan", files / "sites.toml", "--out", files / "plan.json")
-    assert made[0] == 0
-    assert "a lost: 9" in made[1]
-    assert "a and b lost" in made[1]
+def test_plans_are_computed_checked_and_rejected_with_every_mistake(files):
+    computed = run_command("sites", "plan", files / "sites.toml", "--out", files / "plan.json")
+    assert computed[0] == 0
+    assert "a lost: 9" in computed[1]
+    assert "a and b lost" in computed[1]
     assert run_command("sites", "check", files / "sites.toml", files / "plan.json")[0] == 0
     (files / "node.toml").write_text(NODE.format(files, *free_ports(1), 'plan = "plan.json"'))
     assert run_command("check", files / "node.toml")[0] == 0
@@ -153,13 +157,13 @@
         ("check", files / "node.toml"),
         ("sites", "check", files / "sites.toml", files / "plan.json"),
     ):
-        code, said = run_command(*words)
+        code, output = run_command(*words)
         assert code == 2
-        assert "plan.json" in said
-        assert "expected a plan" in said
+        assert "plan.json" in output
+        assert "expected a plan" in output
     (files / "node.toml").write_text(
         NODE.format(files, *free_ports(1), "step = 5").replace('zone = "a"\nlisten', "listen")
     )
-    code, said = run_command("check", files / "node.toml")
+    code, output = run_command("check", files / "node.toml")
     assert code == 2
-    assert "sites.step" in said
+    assert "sites.step" in output
