--- a/tests/formats/test_sites.py
+++ b/tests/formats/test_sites.py
@@ -1,6 +1,6 @@
 """Formats of sites: files, messages between members, and operators' JSON and texts of 0.3.0.
 
-The fixtures were written by 0.3.0 and never change.
+The fixtures were written before the code's names were changed, and never change.
 """
 
 import io
--- a/tests/spread/test_request_rate.py
+++ b/tests/spread/test_request_rate.py
@@ -7,7 +7,7 @@
 SECOND_US = 1_000_000
 
 
-def test_a_rate_is_reported_in_steps_that_hardly_ever_change():
+def test_a_rate_is_reported_in_steps_that_seldom_change():
     rate, rng, count, reported = ReportedRate(), random.Random(1), 0, []
     for second in range(1200):
         count += sum(rng.random() < 0.1 for _ in range(100)) * (1 if second < 600 else 4)
--- a/tests/spread/test_spread_real_processes.py
+++ b/tests/spread/test_spread_real_processes.py
@@ -1,4 +1,4 @@
-"""Servers divided among real nodes, one of which is killed; and what an operator sees of it."""
+"""Division of servers among real nodes, one of which is killed, and ``oakbridge spread``."""
 
 import asyncio
 import json
@@ -39,7 +39,7 @@
 """
 
 
-def test_nodes_divide_the_servers_and_do_so_anew_without_one_that_is_dead(tmp_path):
+def test_nodes_divide_the_servers_and_divide_them_again_after_a_node_is_killed(tmp_path):
     (tmp_path / "plan.toml").write_text(PLAN)
     out = tmp_path / "out"
     result = CliRunner().invoke(cli, ["lab", "run", str(tmp_path / "plan.toml"), "--out", str(out)])
@@ -50,17 +50,17 @@
             json.loads(line) for line in log.read_text().splitlines() if "servers divided" in line
         ]
         divisions[log.name] = [line["event"] for line in lines]
-    killed = next(
-        s
-        for s in json.loads((out / "summary.json").read_text())["checks"]
-        if s["name"] == "changes"
+    changes = next(
+        check
+        for check in json.loads((out / "summary.json").read_text())["checks"]
+        if check["name"] == "changes"
     )
-    assert killed["figure"] > 0
+    assert changes["figure"] > 0
     assert len(divisions) == 6
     assert all(lines and "of 8 for this node" in lines[-1] for lines in divisions.values()), (
         divisions
     )
-    # Some arcs may stay where they are.
+    # The kill may leave the arcs of some nodes as they are.
     assert sum(len(lines) >= 2 for lines in divisions.values()) >= 3, divisions
 
 
@@ -87,7 +87,7 @@
 )
 
 
-def test_an_operator_sees_who_uses_which_server(tmp_path):
+def test_the_spread_command_needs_spread_and_peers_in_the_configuration(tmp_path):
     (tmp_path / "secret").write_text("s" * 16)
     node_port, plain_port = free_ports(2)
     files = {
@@ -95,23 +95,25 @@
         "plain": PEERS.format(plain_port),
         "alone": "[spread]",
     }
-    for name, more in files.items():
-        (tmp_path / f"{name}.toml").write_text(NODE.format(tmp_path, more, SERVERS))
-    ask = ("spread", "--socket", str(tmp_path / "n1.sock"))
+    for name, tables in files.items():
+        (tmp_path / f"{name}.toml").write_text(NODE.format(tmp_path, tables, SERVERS))
+    spread_command = ("spread", "--socket", str(tmp_path / "n1.sock"))
 
-    async def played(name, *looks) -> None:
+    async def run_commands(name, *commands) -> None:
         loop = asyncio.get_running_loop()
         loaded = ServeOptions(tmp_path / name, None, (), None).load()
         node = await build_ready_node(loaded, loop)
         async with asyncio.timeout(60), node_services(loaded, node, None):
-            for words, code, text in looks:
-                found = await asyncio.to_thread(CliRunner().invoke, cli, [*ask, *words])
-                assert (found.exit_code, text in found.output) == (code, True), found.output
+            for options, code, text in commands:
+                result = await asyncio.to_thread(
+                    CliRunner().invoke, cli, [*spread_command, *options]
+                )
+                assert (result.exit_code, text in result.output) == (code, True), result.output
         node.close()
 
-    divided = (((), 0, "each node draws its own"), (("--json",), 0, '"divided": false'))
-    asyncio.run(played("node.toml", *divided))
-    asyncio.run(played("plain.toml", ((), 1, "no [spread]")))
-    refused = CliRunner().invoke(cli, ["check", str(tmp_path / "alone.toml")])
-    assert refused.exit_code == 2
-    assert "[peers]" in refused.output
+    not_divided = (((), 0, "each node draws its own"), (("--json",), 0, '"divided": false'))
+    asyncio.run(run_commands("node.toml", *not_divided))
+    asyncio.run(run_commands("plain.toml", ((), 1, "no [spread]")))
+    rejected = CliRunner().invoke(cli, ["check", str(tmp_path / "alone.toml")])
+    assert rejected.exit_code == 2
+    assert "[peers]" in rejected.output
--- a/tests/spread/test_subset_forecast.py
+++ b/tests/spread/test_subset_forecast.py
@@ -1,4 +1,4 @@
-"""Figures for a number of replicas and servers before it is so."""
+"""Forecasts of subsets for given numbers of replicas and servers."""
 
 import pytest
 from click.testing import CliRunner
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize(
     ("replicas", "servers"), [(300, 300), (200, 10), (10, 1000), (1, 5), (2, 2)]
 )
-def test_forecasts_by_members_are_even_at_any_size(replicas, servers):
+def test_assigned_subsets_are_even_at_any_size(replicas, servers):
     before, after = TierSize(replicas, servers), TierSize(replicas + 1, servers)
     by_members, by_chance = forecast(before, after, rings=4, sigma=0.5, seed=1)
     assert by_members.max_load == pytest.approx(1)
@@ -26,11 +26,11 @@
     return CliRunner().invoke(cli, ["spread", "plan", *options])
 
 
-def test_operators_compute_a_size_before_it_is_so():
-    told = run_plan("--nodes", "30", "--servers", "30", "--to-nodes", "33")
-    assert told.exit_code == 0
-    assert "by members" in told.output
-    assert "moved by the change" in told.output
-    wrong = run_plan("--nodes", "20000", "--servers", "20000")
-    assert wrong.exit_code == 2
-    assert "pairs" in wrong.output
+def test_the_plan_command_prints_a_forecast_and_rejects_too_large_sizes():
+    result = run_plan("--nodes", "30", "--servers", "30", "--to-nodes", "33")
+    assert result.exit_code == 0
+    assert "by members" in result.output
+    assert "moved by the change" in result.output
+    too_large = run_plan("--nodes", "20000", "--servers", "20000")
+    assert too_large.exit_code == 2
+    assert "pairs" in too_large.output
