--- a/oakbridge/sites/evidence.py
+++ b/oakbridge/sites/evidence.py
@@ -3,8 +3,8 @@
 Each node sends attempts to a few servers only; pooled, the nodes' observations show a site's
 health.  An observation counts servers, not attempts, so a single slow server can't make its site
 look lost, however many attempts fail there.  A node that holds a site lost sends it no requests
-but probes, so it soon has no fresh observations; its verdict then counts as one failed server for
-nodes that have no verdict of their own yet.  Recovery is decided by fresh observations alone.
+but probes, so it soon has no fresh observations; its verdict then counts as one unhealthy server
+for nodes that have no verdict of their own yet.  Recovery is decided by fresh observations alone.
 """
 
 from __future__ import annotations
@@ -15,9 +15,7 @@
 from oakbridge.peers.messages import SiteObservation, SiteVerdict
 
 MAX_AGE_US = 4_000_000  # older observations are ignored
-MIN_REPORTERS = (
-    3  # nodes with attempts at a site that a verdict needs; all nodes if there are fewer
-)
+MIN_REPORTERS = 3  # a verdict needs attempts by this many nodes, or by all if fewer
 MAX_NAMED_REPORTERS = 4
 UNKNOWN_SERVER_COUNT = 1000  # listed servers of a site where the number is not given
 
@@ -34,7 +32,7 @@
     def of_site(self, site: str, *, with_verdicts: bool) -> MemberObservations:
         """Return the member with its observations of one site only.
 
-        ``with_verdicts``: whether a verdict counts as a failed server, see :func:`_with_verdict`.
+        ``with_verdicts``: whether verdicts count as unhealthy servers, see :func:`_with_verdict`.
         """
         of_site = (each for each in self.observations if each.site == site)
         counted = (_with_verdict(each) for each in of_site) if with_verdicts else of_site
--- a/oakbridge/sites/fleet_load_shedding.py
+++ b/oakbridge/sites/fleet_load_shedding.py
@@ -22,7 +22,8 @@
 MIN_OVERLOAD = 0.01  # a smaller fraction counts as no overload
 MAX_OVERLOAD = 0.95  # the highest overload that an adjustment takes into account
 MIN_DECREASE = 0.03  # least fraction of all work that is admitted again, if there is no overload
-DECREASE_FRACTION = 0.5  # fraction of the rejected work that is admitted again, likewise
+# Fraction of the rejected work that is admitted again, if there is no overload.
+DECREASE_FRACTION = 0.5
 MAX_REJECTED_FRACTION = 0.95  # some work is always admitted, to detect that capacity is back
 ADJUST_INTERVAL_US = 3_000_000  # reports are seconds old and must show the last adjustment's effect
 LEADER_TIMEOUT_US = 6_000_000  # how long the level holds without a report of the leader
--- a/oakbridge/sites/node_sites.py
+++ b/oakbridge/sites/node_sites.py
@@ -51,7 +51,7 @@
 OBSERVATION_WINDOW_US = 4_000_000  # how long an attempt's result counts as an observation
 SALT_PERIOD_MS = 60_000  # how long the same clients of a class are rejected
 MAX_REPORTED_REQUESTS_PER_S = 1_000_000
-MIN_RANK_FRACTION = 0.001  # of all requests; a rank with fewer requests counts as this much
+MIN_RANK_FRACTION = 0.001  # a rank with a smaller fraction of all requests counts as this
 PER_MILLE = 1000
 
 
@@ -171,7 +171,7 @@
     # ---- reports to other members
 
     def direct_recipients(self, reachable: Sequence[str]) -> list[str]:
-        """Return the members that this node sends its reports directly while they are urgent.
+        """Return the members to which this node sends urgent reports directly.
 
         The leader sends them to all reachable members, every other member to the leader.
         """
@@ -366,12 +366,12 @@
     """Return whether a node with this view may itself be the faulty one."""
     if view.state not in (ViewState.PARTITIONED, ViewState.ISOLATED):
         return False
-    use = (
+    view_use = (
         SITE_VERDICT_LARGER_PARTITION
         if view.is_larger_partition
         else SITE_VERDICT_SMALLER_PARTITION
     )
-    return use.reaction(view.state) == Reaction.DISCARD
+    return view_use.reaction(view.state) == Reaction.DISCARD
 
 
 def _verdict(site: SiteStateMachine) -> SiteVerdict:
--- a/oakbridge/sites/plan_file.py
+++ b/oakbridge/sites/plan_file.py
@@ -17,8 +17,8 @@
 from oakbridge.sources.atomic_file import write_atomically
 
 MAX_SITES_LOST = 2  # sites lost at once that a plan covers
-FRACTION_TOLERANCE = 1e-6  # by which a fraction may exceed 1
-SUM_TOLERANCE = 1e-3  # by which fractions of a whole may miss 1 in total
+FRACTION_TOLERANCE = 1e-6  # a fraction may exceed 1 by this
+SUM_TOLERANCE = 1e-3  # a site's routing fractions may miss a sum of 1 by this
 
 
 class LossScenario(
@@ -36,7 +36,7 @@
     """What to do while ``lost_sites`` are lost."""
 
     lost_sites: tuple[str, ...]
-    routing: dict[str, dict[str, float]]  # by arrival site: fractions by serving site; sums to 1
+    routing: dict[str, dict[str, float]]  # by arrival site: serving sites' fractions; sum to 1
     rejected_fractions: dict[str, float]  # by class, over all sites
     utilization: dict[str, float]  # by site: used fraction of its capacity
     served_weight: float  # priority weight of the served requests a second
@@ -90,7 +90,7 @@
 
 
 def check_plan(plan: SitePlan, topology: Topology | None = None) -> list[str]:
-    """Return all mistakes of a plan, and of its version if it is not computed from ``topology``."""
+    """Return all mistakes of a plan, in itself and, if given, against its ``topology``."""
     mistakes = []
     if topology is not None and not plan.is_computed_from(topology):
         expected = f"expected {topology.version} with this content"
--- a/oakbridge/sites/planning.py
+++ b/oakbridge/sites/planning.py
@@ -20,10 +20,9 @@
 from oakbridge.sites.plan_file import LossScenario, SitePlan, planned_losses
 from oakbridge.sites.topology import Topology
 
-# Costs are fractions of the least priority weight of a request, which the objective sets against
-# them.
-DISTANCE_COST = 1e-3  # of a request that is served at the longest distance
-IMBALANCE_COST = 1e-4  # of full load at the busiest site, for each unit of arriving work
+# Costs in the objective, as fractions of the least priority weight of a request.
+DISTANCE_COST = 1e-3  # cost of a request that is served at the longest distance
+IMBALANCE_COST = 1e-4  # cost of full load at the busiest site, for each unit of arriving work
 MIN_DISTANCE = 1e-9  # avoids a division by zero where all distances are 0
 MIN_FLOW = 1e-9  # smaller flows are left out of a plan
 
--- a/oakbridge/sites/recovery_ramp.py
+++ b/oakbridge/sites/recovery_ramp.py
@@ -14,13 +14,13 @@
 
 STEPS = (0.1, 0.25, 0.5, 1.0)  # fractions of a site's usual requests
 MIN_STEP_US = 1_000_000
-HOME_HEAD_START_STEPS = 1  # by which nodes of the site itself are ahead of others
-MIN_RESPONDING_SERVERS = 3  # that each step needs
+HOME_HEAD_START_STEPS = 1  # nodes of the site itself are ahead of other nodes by this
+MIN_RESPONDING_SERVERS = 3  # each step needs responses of this many servers
 FAULT_UNHEALTHY_FRACTION = 0.25  # a higher unhealthy fraction of the called servers is a fault
 INITIAL_BACKOFF_US = 2_000_000  # doubled with each loss
 MAX_BACKOFF_US = 120_000_000
 MAX_BACKOFF_DOUBLINGS = 16
-RESET_FAILURES_AFTER_US = 60_000_000  # a loss so long after a complete ramp counts as the first
+RESET_FAILURES_AFTER_US = 60_000_000  # a loss this long after a complete ramp counts as the first
 
 
 class RampProgress(Enum):
--- a/oakbridge/sites/request_rates.py
+++ b/oakbridge/sites/request_rates.py
@@ -8,8 +8,8 @@
 
 from oakbridge.policy.view import ZoneView
 
-WINDOW_US = 2_000_000  # over which rates and fractions are computed
-MIN_WINDOW_S = 0.1  # after the start, rates are computed as if over this time at least
+WINDOW_US = 2_000_000  # rates and fractions are computed over this time
+MIN_WINDOW_S = 0.1  # rates are divided by at least this time
 US_PER_S = 1e6
 
 
--- a/oakbridge/sites/site_state.py
+++ b/oakbridge/sites/site_state.py
@@ -24,13 +24,15 @@
     RecoveryRamp,
 )
 
-SUSPECT_UNHEALTHY_FRACTION = 0.6  # of the called servers, from which a site is suspect
-CLEAR_UNHEALTHY_FRACTION = 0.3  # up to which a suspect site may become healthy again
-FAILED_VERDICT_AFTER_US = 500_000  # how long a site is suspect first, if its servers fail
-TIMED_OUT_VERDICT_AFTER_US = 1_500_000  # likewise, if they time out
+# A site is suspect from this unhealthy fraction of its called servers on.
+SUSPECT_UNHEALTHY_FRACTION = 0.6
+CLEAR_UNHEALTHY_FRACTION = 0.3  # a suspect site with at most this fraction may become healthy
+FAILED_VERDICT_AFTER_US = 500_000  # time as suspect before a verdict on failures
+TIMED_OUT_VERDICT_AFTER_US = 1_500_000  # time as suspect before a verdict on timeouts
 HEALTHY_AFTER_US = 1_000_000  # how long good evidence must last to end a suspicion
-SUSPICION_TIMEOUT_US = 8_000_000  # without sufficient evidence; twice the age of observations
-SUSPECT_REQUEST_FRACTION = 0.25  # fraction of its usual requests that a suspect site gets
+# A suspicion without sufficient evidence ends after twice the age limit of observations.
+SUSPICION_TIMEOUT_US = 8_000_000
+SUSPECT_REQUEST_FRACTION = 0.25  # a suspect site gets this fraction of its usual requests
 MIN_PROBE_RESPONSES = 2  # servers that must respond to probes before a recovery begins
 # Observations from before the recovery still count for some seconds, and an unhealthy fraction
 # above the fault fraction ends a recovery at once; so it begins only well below that.
@@ -174,7 +176,7 @@
 
     def _check_suspect(self, now_us: int, evidence: Evidence) -> None:
         if not evidence.is_sufficient:
-            # Failed servers are ejected and get no attempts: lack of evidence is no good evidence.
+            # Failed servers are ejected and get no attempts: missing evidence is not good evidence.
             self._good_since_us = -1
             if now_us - self._sufficient_at_us >= SUSPICION_TIMEOUT_US:
                 self._change_state(now_us, SiteState.HEALTHY, "nobody has met its servers for long")
--- a/oakbridge/spread/arcs.py
+++ b/oakbridge/spread/arcs.py
@@ -26,7 +26,8 @@
 MAX_RINGS = 8  # a digest has 64 bytes, and each ring's order uses 8 of them
 BYTES_PER_RING = 8
 MAX_CACHED_DIGESTS = 32_768
-MIN_RELATIVE_LOAD = 0.02  # of the replica's most loaded server; servers with less are left out
+# A subset leaves out servers with less than this fraction of its most loaded server's load.
+MIN_RELATIVE_LOAD = 0.02
 # Personalization of the hashes.  All nodes of a fleet must use the same values.
 REPLICA = b"copy"
 SERVER = b"server"
--- a/oakbridge/spread/request_rate.py
+++ b/oakbridge/spread/request_rate.py
@@ -8,9 +8,9 @@
 
 import math
 
-MEAN_TIME_CONSTANT_US = 60_000_000  # of the exponential moving average of the rate
+MEAN_TIME_CONSTANT_US = 60_000_000  # time constant of the rate's exponential moving average
 STEPS_PER_DOUBLING = 2
-MIN_RATE_PER_S = 0.05  # requests; a replica without requests has a share, too
+MIN_RATE_PER_S = 0.05  # lower rates count as this; a replica without requests has a share, too
 REPORT_PERIOD_S = 10  # the report gives the requests in this time
 US_PER_S = 1e6
 
--- a/oakbridge/spread/subset_assigner.py
+++ b/oakbridge/spread/subset_assigner.py
@@ -18,7 +18,8 @@
 from oakbridge.spread.arcs import subset_weights
 
 KEEP_WHILE_PARTITIONED_US = 30_000_000  # how long replicas keep their subsets in a partition
-MIN_ASSIGNMENT_INTERVAL_US = 3_000_000  # between changes of replicas; changes of servers don't wait
+# Least time between assignments to changed replicas; changed servers are divided at once.
+MIN_ASSIGNMENT_INTERVAL_US = 3_000_000
 
 ZoneAndWeight = tuple[str, float]  # of a listed server
 
--- a/oakbridge/spread/subset_forecast.py
+++ b/oakbridge/spread/subset_forecast.py
@@ -15,7 +15,7 @@
 from oakbridge.policy.subset import SUBSETS_PER_SERVER
 from oakbridge.spread.arcs import overlaps
 
-MIN_RANDOM_SUBSET = 4  # servers
+MIN_RANDOM_SUBSET = 4  # least number of servers in a random subset
 BY_MEMBERS = "by members"  # deterministic subsets, see ``arcs``
 BY_CHANCE = "by chance"  # random subsets, as without members
 
