--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -35,7 +35,7 @@
         env={**os.environ, "NODE_CONFIG": str(config)},
     )
     assert process.stderr is not None
-    while b"listens on" not in process.stderr.readline():
+    while b"node listening" not in process.stderr.readline():
         assert process.poll() is None, "the node has ended"
     took = time.monotonic() - begin
     time.sleep(1)
--- a/oakbridge/__main__.py
+++ b/oakbridge/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m oakbridge``: a node that is configured by its environment; with arguments, the command line."""
+"""``python -m oakbridge``: runs a node configured by its environment; with arguments, the CLI."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 def reload(node: Node) -> None:
-    """Read the configuration anew; raise ConfigError if it can't be used, and leave the old one."""
+    """Reload the configuration; raise ConfigError and keep the old one if the new one is invalid."""
     node.reload(load_config(os.environ, node.config))
 
 
 async def build(loop: asyncio.AbstractEventLoop) -> Node:
-    """Build the node that the environment configures."""
+    """Create the node that the environment configures.  Raises ConfigError, OSError."""
     return with_trace(Node(load_config(os.environ), loop))
 
 
 def with_trace(node: Node) -> Node:
-    """Return the node, with a trace as its observer where OAKBRIDGE_TRACE is set."""
+    """Set a trace as the node's observer if OAKBRIDGE_TRACE is set; return the node."""
     if os.environ.get("OAKBRIDGE_TRACE"):
         from oakbridge.node.trace import Trace
 
@@ -35,7 +35,7 @@
 
 
 async def run() -> None:
-    """Serve until told to end; operators' commands are imported only where there is an address for them."""
+    """Serve until a signal; import operators' commands only if an address for them is configured."""
     if not has_control_address(os.environ):
         await serve(build, reload)
         return
@@ -54,7 +54,7 @@
     logging.basicConfig(
         level=level, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s"
     )
-    logging.raiseExceptions = False  # a line that can't be written is lost, and nothing else
+    logging.raiseExceptions = False  # an error in writing a log line must not print a traceback
 
 
 def main() -> int:
@@ -63,7 +63,8 @@
         print("oakbridge: NODE_CONFIG: missing, expected the path of the configuration"
               " (without the platform: `oakbridge --help`, `oakbridge demo`)", file=sys.stderr)  # fmt: skip
         return 2
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it: it ends no node
+    # Until the event loop handles SIGHUP, the signal must not terminate the process.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_logging()
     try:
         run_in_new_loop(run())
--- a/oakbridge/node/config.py
+++ b/oakbridge/node/config.py
@@ -1,4 +1,4 @@
-"""Reads a node's configuration at its start: the environment and one JSON file, checked before anything listens."""
+"""Reads and checks a node's configuration: environment variables and one JSON file."""
 
 from __future__ import annotations
 
@@ -27,34 +27,34 @@
 
     name: str
     listen: Address
-    discovery: Address | None  # None: the list comes from another source
-    seed: int
-    sockets: int  # descriptors that the node may hold
-    saved_list: JsonObject | None  # the endpoint list as this node last had it, in discovery's form
+    discovery: Address | None  # None: endpoint lists come from another source
+    seed: int  # of the balancer's random numbers
+    sockets: int  # maximum number of file descriptors
+    saved_list: JsonObject | None  # the last known endpoint list, in discovery's JSON format
     settings: Settings
-    also_listen: tuple[Address, ...] = ()  # where the deployment allows it
-    control: Address | None = None  # where operators' commands come in; None: nowhere
-    memory_mb: int = 0  # what the node may use; 0: not told
+    also_listen: tuple[Address, ...] = ()  # more listen addresses; not set by the platform's file
+    control: Address | None = None  # listen address for operators' commands; None: disabled
+    memory_mb: int = 0  # memory limit of the node in megabytes; 0: unknown
     raw: JsonObject = field(
         default_factory=dict, compare=False
-    )  # the file as it was read, but for the list
+    )  # the file's content without the saved endpoint list
 
 
 def load_config(environment: Mapping[str, str], before: Config | None = None) -> Config:
-    """Read the node's configuration; variables go before the file's own values.  Raise ConfigError.
+    """Read the node's configuration; variables take precedence over the file.  Raise ConfigError.
 
-    Read again, the file is newer than the variables, which a running process can't be told anew:
-    then the address of discovery in it goes first.  A file that lacks a key which the one
-    ``before`` had was cut or is half edited, and is not used: a setting that is missing would
-    silently become its default.
+    ``before``: the running node's configuration, on a reload.  The environment of a running process
+    doesn't change, so the file's address of discovery then takes precedence.  The file must have
+    all keys that it had before: otherwise it is truncated or half edited, and a missing setting
+    would silently get its default.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
         raise ConfigError("NODE_CONFIG: missing, expected the path of the configuration")
     raw = _read_file(path)
-    if before is not None and (lost := missing_key(before.raw, raw)):
+    if before is not None and (missing := missing_key(before.raw, raw)):
         raise ConfigError(
-            f"NODE_CONFIG: {path}: {lost}: missing, expected it as in the file before"
+            f"NODE_CONFIG: {path}: {missing}: missing, expected it as in the previous file"
         )
     return parse_config(environment, raw, reloading=before is not None)
 
@@ -62,17 +62,20 @@
 def parse_config(
     environment: Mapping[str, str], raw: JsonObject, *, reloading: bool = False
 ) -> Config:
-    """Check a file's object; ``reloading``: it was read while the process runs.  Raise ConfigError."""
+    """Return the configuration in a file's JSON object.  Raise ConfigError.
+
+    ``reloading``: the node is running; see :func:`load_config`.
+    """
     try:
         settings = read_settings(raw.get("settings"))
     except SettingsError as e:
         raise ConfigError(str(e)) from None
     saved_list = raw.get("known")
-    file_goes_first = reloading and raw.get("discovery")
+    file_takes_precedence = reloading and raw.get("discovery")
     return Config(
         name=str(environment.get("NODE_NAME") or raw.get("name") or "node"),
         listen=_address(environment, raw, "listen"),
-        discovery=_address({} if file_goes_first else environment, raw, "discovery"),
+        discovery=_address({} if file_takes_precedence else environment, raw, "discovery"),
         seed=_seed(raw.get("seed", "0")),
         sockets=_max_sockets(raw),
         saved_list=None if saved_list is None else _object(saved_list, "known"),
@@ -84,7 +87,10 @@
 
 
 def has_control_address(environment: Mapping[str, str]) -> bool:
-    """Return whether operators have an address; also where the file can't be read, if the variable says so."""
+    """Return whether an address for operators' commands is configured.
+
+    If the file can't be read, only the environment variable counts.
+    """
     try:
         return _has_control(environment, _read_file(environment.get("NODE_CONFIG", "")))
     except ConfigError:
@@ -101,9 +107,9 @@
         raise ConfigError(f"NODE_CONFIG: {path}: {str(e) or 'not JSON'}") from None
 
 
-def _object(value: Any, what: str) -> JsonObject:
+def _object(value: Any, place: str) -> JsonObject:
     if not isinstance(value, dict):
-        raise ConfigError(f"{what}: expected an object, got {value!r:.80}")
+        raise ConfigError(f"{place}: expected an object, got {value!r:.80}")
     return value
 
 
@@ -134,7 +140,7 @@
 
 
 def _max_sockets(raw: JsonObject) -> int:
-    """Return how many descriptors the node may hold: what it was given, and what the system allows."""
+    """Return the maximum number of descriptors: the configured limit, or RLIMIT_NOFILE if lower."""
     limit = _limit(raw, "sockets", DEFAULT_SOCKETS)
     if isinstance(limit, bool) or not isinstance(limit, int) or limit < MIN_SOCKETS:
         raise ConfigError(
--- a/oakbridge/node/reload.py
+++ b/oakbridge/node/reload.py
@@ -1,4 +1,4 @@
-"""Applies a new configuration to a node that runs: discovery's address and the settings, whole."""
+"""Applies a new configuration to a running node: the address of discovery and all settings."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 
 log = logging.getLogger(__name__)
 
-# Fields of the configuration that a running process can't change.
+# Fields of the configuration that take effect only when a process starts.
 FIXED_AT_START = ("name", "listen", "sockets", "control")
 
 
 def apply_config(node: Node, config: Config) -> None:
-    """Apply a configuration; what is in flight keeps what it started with.
+    """Apply a configuration; requests in flight keep the settings that they started with.
 
-    What can't change in a running process is named in the log.
+    Changes that a running process can't apply are logged.
     """
     old, node.config = node.config, config
     if config.discovery is not None and config.discovery != old.discovery:
-        log.info("discovery is now at %s:%d", *config.discovery)
+        log.info("discovery address changed: address=%s:%d", *config.discovery)
         if isinstance(node.source, DiscoverySource):
             node.source.move(config.discovery)
     settings, unchanged = keep_fixed_settings(node.settings, config.settings)
     fixed = [name for name in FIXED_AT_START if getattr(config, name) != getattr(old, name)]
     for name in (*fixed, *(f"settings.{name}" for name in unchanged)):
-        log.warning("the configuration's new %s counts from the next start", name)
+        log.warning("configuration change takes effect at next start: key=%s", name)
     if settings != node.settings:
         apply_settings(node, settings)
 
 
 def apply_settings(node: Node, settings: Settings) -> None:
-    """Decide by other settings from now on."""
+    """Apply new settings, and log the changes of priority classes."""
     before, now = class_names(node.settings), class_names(settings)
     log.info(
-        "new settings: %d classes (new: %s; gone: %s), at most %d attempts",
+        "settings changed: classes=%d added=%s removed=%s max_attempts=%d",
         len(now),
         ", ".join(sorted(now - before)) or "none",
         ", ".join(sorted(before - now)) or "none",
@@ -52,4 +52,4 @@
 
 def class_names(settings: Settings) -> set[str]:
     """Return the names of the priority classes."""
-    return {one.name for one in settings.classes}
+    return {request_class.name for request_class in settings.classes}
--- a/oakbridge/node/run.py
+++ b/oakbridge/node/run.py
@@ -1,4 +1,4 @@
-"""Runs a node until it is told to end: signals, and one reload for all that came meanwhile."""
+"""Runs a node until a signal stops it; SIGHUP reloads its configuration."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-RELOAD_RETRY_S = 0.1  # after a configuration that could not be read for a moment
+RELOAD_RETRY_S = 0.1  # delay before a retry, after a transient error in reading the configuration
 
 BuildNode = Callable[[asyncio.AbstractEventLoop], Awaitable[Node]]
 Reload = Callable[[Node], None]
@@ -26,12 +26,12 @@
 ) -> None:
     """Serve until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads.
 
-    ``lifespan`` is entered before the node listens and left after it has ended: its control socket,
-    for example.
+    ``lifespan``: a context entered before the node starts and exited after its shutdown, for example
+    that of its control socket.
     """
     loop = asyncio.get_running_loop()
     stop, hangup = asyncio.Event(), asyncio.Event()
-    # Before the file is read: what changes in it from then on is heard of.
+    # Set before the file is read, so that no SIGHUP after a later change of the file is lost.
     loop.add_signal_handler(signal.SIGHUP, hangup.set)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -39,12 +39,12 @@
     try:
         async with lifespan(node):
             node.start()
-            name = node.config.name  # a reload may bring another, which counts from the next start
+            name = node.config.name  # a name changed by a reload takes effect at the next start
             addresses = ", ".join(f"{host}:{port}" for host, port in node.server.addresses)
-            log.info("%s listens on %s", name, addresses or "what its supervisor hands it")
+            log.info("node listening: name=%s addresses=%s", name, addresses or "none (supervisor)")
             reloading = loop.create_task(_reload_on_hangup(node, hangup, reload))
             await stop.wait()
-            log.info("%s ends", name)
+            log.info("node shutting down: name=%s", name)
             await node.shut_down()
             reloading.cancel()
     except BaseException:
@@ -53,7 +53,7 @@
 
 
 async def _reload_on_hangup(node: Node, hangup: asyncio.Event, reload: Reload) -> None:
-    """Reload once for all signals that came meanwhile: the file as it is now is all that counts."""
+    """Reload on SIGHUP; signals that arrive before a reload are combined into one."""
     while await hangup.wait():
         hangup.clear()
         if not _reload_once(node, reload):
@@ -62,14 +62,14 @@
 
 
 def _reload_once(node: Node, reload: Reload) -> bool:
-    """Reload; return whether that is done, for better or worse, rather than to be tried again."""
+    """Reload; return False if a retry may succeed after a transient error."""
     try:
         reload(node)
     except ConfigUnreadableError as e:
-        log.warning("the configuration is read again soon: %s", e)
+        log.warning("reading the configuration failed; retrying: error=%s", e)
         return False
     except Exception as e:
-        # Contained: a file that is broken or half written must not end a node, and is no fault of the program.
+        # An invalid or half-written file must not stop the node; a traceback would suggest a bug.
         reason = str(e) or type(e).__name__
-        log.error("the configuration was not read anew: %s", reason)  # noqa: TRY400
+        log.error("reload of the configuration failed: error=%s", reason)  # noqa: TRY400
     return True
--- a/oakbridge/node/settings.py
+++ b/oakbridge/node/settings.py
@@ -1,4 +1,4 @@
-"""Read the platform's settings object: the only place that maps its keys to the code's terms.
+"""Reads the platform's settings object; the only module that maps its keys to the code's terms.
 
 Nodes and the simulator use the same reader.
 """
@@ -50,13 +50,13 @@
 
 
 def _get(
-    where: dict[str, Any], path: str, kind: type | tuple[type, ...], default: Any = None
+    section: dict[str, Any], path: str, kind: type | tuple[type, ...], default: Any = None
 ) -> Any:
-    """Return the setting at a dotted path, or ``default``.
+    """Return the setting at a dotted path of a section, or ``default``.
 
-    Raises SettingsError if it is missing and there is no default, or if it is not of the kind.
+    Raises SettingsError if the setting is missing and there is no default, or if its type is wrong.
     """
-    value: Any = where
+    value: Any = section
     for part in path.split("."):
         value = value.get(part) if isinstance(value, dict) else None
     if value is None:
@@ -69,14 +69,14 @@
 
 
 def is_kind(value: Any, kind: type | tuple[type, ...]) -> bool:
-    """Return whether a value is of the kind; a boolean is no number, and a number must be finite."""
+    """Return whether a value is of a type; a boolean is no number, and numbers must be finite."""
     if isinstance(value, bool) != (kind is bool) or not isinstance(value, kind):
         return False
     return not isinstance(value, float) or math.isfinite(value)
 
 
 def kind_name(kind: type | tuple[type, ...]) -> str:
-    """Return the name of a kind for an error message."""
+    """Return the name of a type, or of a tuple of types, for an error message."""
     names = {
         int: "a whole number",
         bool: "true or false",
@@ -92,58 +92,63 @@
 NUMBER = (int, float)
 
 
-def _names(where: dict[str, Any], path: str) -> tuple[str, ...]:
-    names = _get(where, path, list, [])
+def _names(section: dict[str, Any], path: str) -> tuple[str, ...]:
+    names = _get(section, path, list, [])
     if not all(isinstance(name, str) for name in names):
         raise SettingsError(f"settings.{path}: expected a list of strings, got {names!r}")
     return tuple(names)
 
 
-def _choice(where: dict[str, Any], path: str, choices: dict[str, Any], default: Any = None) -> Any:
-    name = _get(where, path, str, default)
+def _choice(
+    section: dict[str, Any], path: str, choices: dict[str, Any], default: Any = None
+) -> Any:
+    name = _get(section, path, str, default)
     if name not in choices:
         raise SettingsError(f"settings.{path}: expected one of {', '.join(choices)}, got {name!r}")
     return choices[name]
 
 
-# Keys that a file may leave out at any time; all others must stay once they were there.
+# Keys that a new version of a file may omit.  All others must stay once a file has had them.
 REMOVABLE_KEYS = frozenset({
     "known", "seed", "peers", "peers_all", "peer_listen", "control", "settings.extra.passes-deadline",
     "settings.extra.warm-keys", "settings.classes.aim-stretch", "settings.prices.fleet",
 })  # fmt: skip
 
 
-def missing_key(before: Any, now: Any, where: str = "") -> str:
+def missing_key(before: Any, now: Any, prefix: str = "") -> str:
     """Return the dotted path of the first key that a file had before and lacks now; "" if none.
 
-    Entries of a list may come and go.  Each of them must have the keys that all had before.
+    Entries of a list may be added and removed.  Each entry must have the keys that all entries had
+    before.
     """
     if isinstance(before, dict):
         if not isinstance(now, dict):
-            return where if before else ""
+            return prefix if before else ""
         for name, value in before.items():
-            path = f"{where}.{name}" if where else name
+            path = f"{prefix}.{name}" if prefix else name
             if path in REMOVABLE_KEYS:
                 continue
             if name not in now:
                 return path
-            if lost := missing_key(value, now[name], path):
-                return lost
+            if missing := missing_key(value, now[name], path):
+                return missing
     elif (
         isinstance(before, list)
         and isinstance(now, list)
-        and all(isinstance(e, dict) for e in before)
+        and all(isinstance(item, dict) for item in before)
     ):
-        shared = set.intersection(*(set(e) for e in before)) if before else set()
+        shared = set.intersection(*(set(item) for item in before)) if before else set()
         for i, entry in enumerate(now):
-            have = set(entry) if isinstance(entry, dict) else set()
-            if lacking := sorted(n for n in shared - have if f"{where}.{n}" not in REMOVABLE_KEYS):
-                return f"{where}[{i}].{lacking[0]}"
+            names = set(entry) if isinstance(entry, dict) else set()
+            if missing_names := sorted(
+                key for key in shared - names if f"{prefix}.{key}" not in REMOVABLE_KEYS
+            ):
+                return f"{prefix}[{i}].{missing_names[0]}"
     return ""
 
 
-# Settings that a running replica can't change, since its servers' records and its retry budget are
-# made for them: by name in the code, the name in messages to operators.
+# Settings that a running replica can't change, as its server records and its retry budget depend on
+# them.  Maps a field of Settings to its name in messages to operators.
 FIXED_SETTINGS = {
     "replica_index": "me",
     "tier": "tier",
@@ -159,9 +164,9 @@
 
 
 def keep_fixed_settings(old: Settings, new: Settings) -> tuple[Settings, list[str]]:
-    """Return the new settings as far as a running replica can apply them.
+    """Return the new settings, with the old values of the settings that are fixed while running.
 
-    Also return the names of those that wait for its next start.
+    Also return the operators' names of the fixed settings that differ.
     """
     kept = {
         name: getattr(old, name)
@@ -172,9 +177,9 @@
 
 
 def read_settings(raw: Any) -> Settings:
-    """Return the settings that the platform's settings object describes; ignore unknown keys.
+    """Return the settings in the platform's settings object; unknown keys are ignored.
 
-    Raises SettingsError with the path of the key and what was expected there.
+    Raises SettingsError with the path of a key, the expected value and the value found.
     """
     if not isinstance(raw, dict):
         raise SettingsError(f"settings: expected an object, got {raw!r}")
@@ -239,11 +244,11 @@
     )
 
 
-# Each of the following returns some of the fields of Settings, by name.
+# Each of the following functions returns some of the fields of Settings, by name.
 
 
 def _read_replica(raw: dict[str, Any]) -> dict[str, Any]:
-    """Return which replica this is, and of how many."""
+    """Return the identity and place of this replica, and the number of replicas."""
     return {
         "replica_count": _get(raw, "instances", int),
         "replica_index": _get(raw, "me", int, 0),
@@ -256,7 +261,7 @@
 
 
 def _read_attempts(raw: dict[str, Any]) -> dict[str, Any]:
-    """Return what the replica may do besides forwarding each request once."""
+    """Return what the replica is allowed to do besides sending each request once."""
     retry_after = _get(raw, "allowed.retry-after", bool, False)
     return {
         "max_attempts": _get(raw, "allowed.max-attempts", int),
--- a/oakbridge/node/startup.py
+++ b/oakbridge/node/startup.py
@@ -1,7 +1,8 @@
-"""Start although the system is short of something for a moment, such as descriptors or buffers.
+"""Retries system calls during a process's start while the system is short of resources.
 
-Before a process accepts anything it owes nothing to clients, but it is expected to be ready within
-:data:`RETRY_TIMEOUT_S`.  Until then what fails is tried again; after that the failure is the caller's.
+Resources are, for example, descriptors and buffers.  A starting process has no clients yet, but must
+be ready within :data:`RETRY_TIMEOUT_S`: calls are retried until then, and after that the error is
+raised.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 T = TypeVar("T")
 
 RETRY_TIMEOUT_S = 20.0
-RETRY_S = 0.05
+RETRY_DELAY_S = 0.05
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 
 def retry_resource_errors(
     call: Callable[[], T], what: str, timeout_s: float = RETRY_TIMEOUT_S
 ) -> T:
-    """Return what a call returns, made again while resources are short.
+    """Call a function, and retry it while resources are short; return its result.
 
-    Blocks: for the start of a process, not for one that serves.  Raises OSError: one that does not
-    pass, or the last one after ``timeout_s``.
+    Blocks the thread, so a serving process must not use it.  ``what`` names the call in the log.
+    Raises OSError: an error that isn't transient, or the last error after ``timeout_s``.
     """
     give_up_at = time.monotonic() + timeout_s
     logged = False
@@ -43,13 +44,13 @@
             if not is_resource_error(error) or time.monotonic() >= give_up_at:
                 raise
             if not logged:
-                log.warning("%s fails and is tried again: %s", what, error)
+                log.warning("%s failed; retrying: error=%s", what, error)
                 logged = True
-        time.sleep(RETRY_S)
+        time.sleep(RETRY_DELAY_S)
 
 
 async def retry_resource_errors_async(call: Callable[[], Awaitable[T]], what: str) -> T:
-    """Do as :func:`retry_resource_errors` for a coroutine, without blocking the loop."""
+    """Do the same as :func:`retry_resource_errors` for a coroutine function, without blocking."""
     give_up_at = time.monotonic() + RETRY_TIMEOUT_S
     while True:
         try:
@@ -57,33 +58,34 @@
         except OSError as error:
             if not is_resource_error(error) or time.monotonic() >= give_up_at:
                 raise
-            log.warning("%s fails and is tried again: %s", what, error)
-        await asyncio.sleep(RETRY_S)
+            log.warning("%s failed; retrying: error=%s", what, error)
+        await asyncio.sleep(RETRY_DELAY_S)
 
 
 def run_in_new_loop(main: Coroutine[Any, Any, T]) -> T:
-    """Run a program in an event loop of its own, as ``asyncio.run`` does.  Raises OSError."""
+    """Run a coroutine in a new event loop, as ``asyncio.run`` does.  Raises OSError."""
     with asyncio.Runner(loop_factory=_new_event_loop) as runner:
         return runner.run(main)
 
 
 def _new_event_loop() -> asyncio.AbstractEventLoop:
-    selector = retry_resource_errors(EpollSelector, "making the event loop's selector")
-    return retry_resource_errors(lambda: _EventLoop(selector), "making the event loop")
+    selector = retry_resource_errors(EpollSelector, "creating the event loop's selector")
+    return retry_resource_errors(lambda: _EventLoop(selector), "creating the event loop")
 
 
 class _EventLoop(asyncio.SelectorEventLoop):
-    """The usual event loop, which makes its own sockets with patience.
+    """asyncio's event loop, with retries for the creation of its internal sockets.
 
-    One that fails halfway through its constructor would complain as it is collected.
+    A retry of the whole constructor would not do: an event loop whose constructor fails warns when
+    it is garbage collected.
     """
 
     def _make_self_pipe(self) -> None:
         make: Callable[[], None] = super()._make_self_pipe  # type: ignore[misc]
-        retry_resource_errors(make, "making the event loop's sockets")
+        retry_resource_errors(make, "creating the event loop's sockets")
 
     def close(self) -> None:
-        """Close, with signals ignored: one that comes while the sockets go could not be told."""
+        """Ignore signals, then close: a signal could not be delivered through the closed sockets."""
         if threading.current_thread() is threading.main_thread():
             for number in HANDLED_SIGNALS:
                 signal.signal(number, signal.SIG_IGN)
--- a/oakbridge/node/trace.py
+++ b/oakbridge/node/trace.py
@@ -1,7 +1,7 @@
-"""What one node did in each second, as one line of its log: for counting across a whole fleet.
+"""Logs one line per second with counts of the node's activity.
 
-A node loads this only where ``OAKBRIDGE_TRACE`` is set, as its observer.
-``benchmarks/fleet_day.py`` adds the lines of all nodes up.
+A node imports this module only if ``OAKBRIDGE_TRACE`` is set, and uses it as its observer.
+``benchmarks/fleet_day.py`` sums the lines of all nodes of a fleet.
 """
 
 from __future__ import annotations
@@ -30,37 +30,37 @@
 
 
 class Trace:
-    """Counts what passes between the balancer and the sockets, and writes it down once a second."""
+    """Counts the events and actions of the balancer, and logs the counts once per second."""
 
     def __init__(self, node: Node) -> None:
-        """Write the first lines; the caller makes this the node's observer."""
+        """Log the first two lines; the caller sets this object as the node's observer."""
         self.node = node
         self.counts: Counter[str] = Counter()  # since the last line
-        self.ends: dict[str, Counter[str]] = {}  # attempts by server, then by result
-        self.listed_at = node.clock.now()
+        self.results: dict[str, Counter[str]] = {}  # number of attempts by server and result
+        self.last_list_at = node.clock.now()  # microseconds of the node's clock
         self._cpu_s = time.process_time()
         now = node.clock.now()
         self._write({"start": node.config.name, "at": now, **encode_settings(node.settings)})
-        self._write_second()
+        self._write_interval()
 
-    # ---- what the node tells
+    # ---- callbacks of the observer
 
     def on_event(self, now: int, event: Event) -> None:
-        """Count requests, the ends of attempts, and lists."""
+        """Count requests, results of attempts, and endpoint lists."""
         match event:
             case RequestReceived():
                 self.counts["taken"] += 1
             case AttemptEnded():
                 self.counts["served"] += event.request_finished and event.result == AttemptResult.OK
-                self._count_end(event.server, RESULT_NAMES[event.result])
+                self._count_result(event.server, RESULT_NAMES[event.result])
             case EndpointListReceived():
                 self.counts["lists_lost"] += event.failed
                 if not event.failed and not event.cached:
                     self.counts["lists"] += 1
-                    self.listed_at = now
+                    self.last_list_at = now
 
     def on_actions(self, now: int, actions: Sequence[Action]) -> None:
-        """Count attempts, and all other actions by kind."""
+        """Count attempts, and all other actions by type."""
         for action in actions:
             if isinstance(action, SendAttempt):
                 self._count_attempt(action, now)
@@ -68,36 +68,39 @@
                 self.counts[action_name(action)] += 1
 
     def on_connection_opened(self) -> None:
-        """Count a dial."""
+        """Count a connection attempt to a server."""
         self.counts["opened"] += 1
 
     def on_connection_refused(self) -> None:
-        """Count a dial that failed."""
+        """Count a failed connection attempt to a server."""
         self.counts["refused_connections"] += 1
 
     def on_poll(self, *, complete_list: bool) -> None:
-        """Count a call to discovery."""
+        """Count a discovery request."""
         self.counts["asked_whole" if complete_list else "asked_changes"] += 1
 
     def on_endpoint_list(self, entry_count: int) -> None:
-        """Count the entries that discovery answered with."""
+        """Count the entries of an endpoint list."""
         self.counts["list_lines"] += entry_count
 
     def _count_attempt(self, action: SendAttempt, now: int) -> None:
-        """Count an attempt; its request may be over, or its server gone, by the same event."""
+        """Count an attempt.
+
+        The same event may have finished its request or removed its server from the list.
+        """
         balancer = self.node.balancer
-        call, server = (
+        request, server = (
             balancer.requests.get(action.request_id),
             balancer.endpoints.known.get(action.server),
         )
         self.counts["sent"] += 1
-        self.counts["again"] += call is not None and len(call.attempts) > 1
+        self.counts["again"] += request is not None and len(request.attempts) > 1
         if server is not None and balancer.slow_start.capacity_share(server, now) < 1:
             self.counts["cold"] += 1
-            self._count_end(server.id, "cold")
+            self._count_result(server.id, "cold")
 
-    def _count_end(self, server: str, name: str) -> None:
-        self.ends.setdefault(server, Counter())[name] += 1
+    def _count_result(self, server: str, name: str) -> None:
+        self.results.setdefault(server, Counter())[name] += 1
 
     # ---- the lines
 
@@ -105,14 +108,14 @@
     def _write(line: dict[str, Any]) -> None:
         log.info("%s%s", LINE_PREFIX, json.dumps(line, separators=(",", ":")))
 
-    def _write_second(self) -> None:
-        """Write what was counted, and start again."""
+    def _write_interval(self) -> None:
+        """Log the counts, reset them, and set the timer for the next line."""
         now, cpu_s = self.node.clock.now(), time.process_time()
         self._write(self._line(now, cpu_s - self._cpu_s))
         self.counts.clear()
-        self.ends.clear()
+        self.results.clear()
         self._cpu_s = cpu_s
-        self.node.clock.call_at(now + INTERVAL_US, self._write_second)
+        self.node.clock.call_at(now + INTERVAL_US, self._write_interval)
 
     def _line(self, now: int, cpu_s: float) -> dict[str, Any]:
         node, balancer = self.node, self.node.balancer
@@ -132,7 +135,7 @@
             "subset": len(balancer.members.subset),
             "version": balancer.members.version,
             "ejected": [s.id for s in balancer.servers.values() if s.ejected_until > now],
-            "list_age": round((now - self.listed_at) / 1e6, 2),
+            "list_age": round((now - self.last_list_at) / 1e6, 2),
             "retries_left": round(balancer.budget.left(now), 2),
             "slower": round(admission.latency_ratio, 2),
             "rate": round(balancer.outliers.failure_rate, 3),
@@ -143,5 +146,5 @@
             "outs": {
                 s.id: len(s.in_flight) for s in balancer.endpoints.known.values() if s.in_flight
             },
-            "ends": self.ends,
+            "ends": self.results,
         }
--- a/oakbridge/node/trace_format.py
+++ b/oakbridge/node/trace_format.py
@@ -1,7 +1,7 @@
-"""The names in a trace's lines: the one place that maps the code's terms to them.
+"""The names in the lines of a trace; the only module that maps the code's terms to them.
 
-``benchmarks/fleet_day.py`` and readers of old logs go by these names; they stay when the code's
-terms change.
+``benchmarks/fleet_day.py`` and readers of old logs depend on these names.  They must not change
+when the code's terms do.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from oakbridge.policy.events import AttemptResult
 from oakbridge.policy.settings import Goal, Prices, RequestClass, Settings
 
-LINE_PREFIX = "trace "  # what a line begins with
+LINE_PREFIX = "trace "  # marks the log lines that belong to a trace
 
 ACTION_NAMES: dict[type[Any], str] = {
     RejectRequest: "refuse",
@@ -42,15 +42,15 @@
 
 
 def action_name(action: Action) -> str:
-    """Return what an action is counted as."""
+    """Return the name under which an action is counted."""
     kind = type(action)
     return ACTION_NAMES.get(kind) or kind.__name__.lower()
 
 
 def encode_settings(settings: Settings) -> dict[str, Any]:
-    """Return the settings as a trace's first line has them."""
+    """Return the settings in the form of a trace's first line."""
     return {
-        "classes": [_encode_class(one) for one in settings.classes],
+        "classes": [_encode_class(request_class) for request_class in settings.classes],
         "tenants": [
             {"name": tenant.name, "quota_per_s": tenant.quota_per_s, "share": tenant.share}
             for tenant in settings.tenants
@@ -99,18 +99,18 @@
     }
 
 
-def _encode_class(given: RequestClass) -> dict[str, Any]:
+def _encode_class(request_class: RequestClass) -> dict[str, Any]:
     return {
-        "name": given.name,
-        "aim": given.latency_objective,
-        "deadline": given.deadline,
-        "worth": given.priority_weight,
-        "late_worth": given.late_weight,
-        "repeat": given.idempotency,
-        "group": given.dedup_scope,
-        "repeat_window": given.dedup_window,
-        "streamed": given.streamed,
-        "aim_stretch": given.aim_stretch,
+        "name": request_class.name,
+        "aim": request_class.latency_objective,
+        "deadline": request_class.deadline,
+        "worth": request_class.priority_weight,
+        "late_worth": request_class.late_weight,
+        "repeat": request_class.idempotency,
+        "group": request_class.dedup_scope,
+        "repeat_window": request_class.dedup_window,
+        "streamed": request_class.streamed,
+        "aim_stretch": request_class.aim_stretch,
     }
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,9 @@
-"""The longest tests begin first, one on each core: else the last of them runs alone at the end."""
+"""Starts the longest tests first, one per worker; otherwise the last of them would run alone."""
 
 import os
 from math import ceil
 
-LONG = (
+LONGEST_TESTS = (
     "test_nodes_and_agents_frozen", "test_a_thousand_rewrites_under_load", "test_a_network_that_loses_doubles",
     "TestProtocol", "test_a_change_that_has_to_be_halted", "test_frozen_agents_are_unknown",
     "test_two_operators_at_once", "test_killed_before_and_after_every_write", "TestDisk", "TestHost",
@@ -14,16 +14,21 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Each worker begins with an even part of the list, in order; in every worker the order has to be the same."""
+    """Distribute the longest tests evenly over the starts of the workers' shares of all tests.
+
+    xdist requires that every worker collects the tests in the same order.
+    """
     workers = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
     rank = {
-        id(item): next((n for n, name in enumerate(LONG) if name in item.nodeid), None)
+        id(item): next((i for i, name in enumerate(LONGEST_TESTS) if name in item.nodeid), None)
         for item in items
     }
-    long = sorted((i for i in items if rank[id(i)] is not None), key=lambda i: rank[id(i)])
-    rest = [i for i in items if rank[id(i)] is None]
-    share = max(1, ceil(len(rest) / workers))
-    parts = [rest[n * share : (n + 1) * share] for n in range(workers)]
-    for number, item in enumerate(long):
-        parts[number % workers].insert(number // workers, item)
-    items[:] = [item for part in parts for item in part]
+    longest = sorted(
+        (item for item in items if rank[id(item)] is not None), key=lambda item: rank[id(item)]
+    )
+    others = [item for item in items if rank[id(item)] is None]
+    share_size = max(1, ceil(len(others) / workers))
+    shares = [others[i * share_size : (i + 1) * share_size] for i in range(workers)]
+    for i, item in enumerate(longest):
+        shares[i % workers].insert(i // workers, item)
+    items[:] = [item for share in shares for item in share]
--- a/tests/formats/test_node_trace.py
+++ b/tests/formats/test_node_trace.py
@@ -1,6 +1,6 @@
-"""The lines of a node with OAKBRIDGE_TRACE=1, held by a log that an earlier version wrote.
+"""The trace lines of a node with OAKBRIDGE_TRACE=1, compared with the log of an earlier version.
 
-``fixtures/node/trace.log`` has the trace lines of such a run as :func:`traced_run` makes.
+``fixtures/node/trace.log`` has the trace lines of a run like that of :func:`traced_run`.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 ROOT = Path(__file__).parents[2]
 FIXTURE = Path(__file__).parent / "fixtures" / "node" / "trace.log"
 MARK = " trace {"
-# Counted since the last line; a count of zero is left out.
+# Counts since the last line; counts of zero are omitted.
 COUNTS = [
     "taken", "sent", "again", "cold", "served", "refuse", "fail", "cancel", "settimer", "watch",
     "lists", "lists_lost", "opened", "refused_connections", "asked_whole", "asked_changes",
@@ -42,7 +42,7 @@
 
 
 def fleet_day():
-    """The program that adds the lines of all nodes up."""
+    """Import the program that sums the lines of all nodes."""
     spec = importlib.util.spec_from_file_location("fleet_day", ROOT / "benchmarks" / "fleet_day.py")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
@@ -54,22 +54,25 @@
 
 
 async def traced_run(folder: Path) -> str:
-    """One server listens and one does not: two requests served, one failed, one rejected."""
-    answers = {
+    """Run a node with one server that listens and one that does not; return its log.
+
+    Two requests are served, one fails and one is rejected.
+    """
+    responses = {
         "/ok": reply(200),
         "/full": reply(503, b"", "X-Not-Processed: 1"),
         "/error": reply(500),
     }
     async with (
-        ScriptedServer(lambda seen: answers[seen.url]) as peer,
-        ScriptedDiscovery() as registry,
+        ScriptedServer(lambda request: responses[request.url]) as server,
+        ScriptedDiscovery() as discovery,
     ):
         port, closed = free_ports(2)
-        registry.put(listing(2, endpoint("s-0", peer.port), endpoint("s-1", closed)))
+        discovery.put(listing(2, endpoint("s-0", server.port), endpoint("s-1", closed)))
         raw = {
-            "name": "n3", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{registry.port}",
+            "name": "n3", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery.port}",
             "seed": "7", "limits": {"sockets": 1024}, "settings": SETTINGS,
-            "known": listing(1, endpoint("s-0", peer.port)),
+            "known": listing(1, endpoint("s-0", server.port)),
         }  # fmt: skip
         (folder / "c.json").write_text(json.dumps(raw))
         given = os.environ | {"NODE_CONFIG": str(folder / "c.json"), "OAKBRIDGE_TRACE": "1"}
@@ -77,15 +80,15 @@
             sys.executable, "-m", "oakbridge", cwd=ROOT, env=given, stderr=asyncio.subprocess.PIPE
         )
         try:
-            log = await until_line(process, "listens")
+            log = await read_log_until(process, "node listening")
             calls = [("/ok", "look"), ("/ok", "book"), ("/error", "book"), ("/full", "brief")]
-            for url, klass in calls:
-                caller = await Client.connect(port)
-                caller.send(klass, url=url)
-                await caller.read_response()
-                caller.close()
+            for url, priority_class in calls:
+                client = await Client.connect(port)
+                client.send(priority_class, url=url)
+                await client.read_response()
+                client.close()
             for _ in range(2):
-                log += await until_line(process, MARK)
+                log += await read_log_until(process, MARK)
             process.send_signal(signal.SIGTERM)
             log += (await with_timeout(process.stderr.read())).decode()
             assert await with_timeout(process.wait()) == 0
@@ -96,11 +99,11 @@
     return log
 
 
-async def until_line(process, word: str) -> str:
+async def read_log_until(process, text: str) -> str:
     lines = []
-    while not lines or word not in lines[-1]:
+    while not lines or text not in lines[-1]:
         lines.append((await with_timeout(process.stderr.readline())).decode())
-        assert lines[-1], "the node has ended"
+        assert lines[-1], "the node has exited"
     return "".join(lines)
 
 
@@ -108,7 +111,7 @@
     return [name for name in line if name not in COUNTS]
 
 
-def test_a_trace_of_today_has_the_fields_of_the_earlier_version(tmp_path):
+def test_trace_has_the_fields_of_the_earlier_version(tmp_path):
     log = run(traced_run(tmp_path))
     start, *lines = trace_lines(log)
     start_before, *lines_before = trace_lines(FIXTURE.read_text())
@@ -135,8 +138,8 @@
     assert total["refuse"] + total["fail"] == 2
 
 
-def test_the_fleet_program_reads_the_earlier_log():
-    """Every figure of its table, from a line of the fixture."""
+def test_fleet_program_reads_the_earlier_log():
+    """The program sums the counts of a line of the fixture."""
     module = fleet_day()
     found = list(module.lines(FIXTURE.parent))
     assert [line["node"] for line in found] == ["n3"] * 3
@@ -147,7 +150,7 @@
 
 
 def test_each_setting_and_each_result_has_a_name():
-    """A setting that is added later has to be given its place in the first line."""
+    """Guards against a new setting that the trace's first line lacks."""
     settings = read_settings(SETTINGS)
     encoded = encode_settings(settings)
     assert len(encoded) == len(fields(settings))
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example is run as it stands."""
+"""Runs the README's example, and checks the list and size of the policy's modules."""
 
 import re
 import tomllib
@@ -13,7 +13,7 @@
     assert capsys.readouterr().out.startswith("served by ")
 
 
-def test_module_keeps_its_size():
+def test_policy_modules_are_listed_and_within_their_size():
     policy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
     assert policy == [
         "oakbridge/policy/balancer.py",
@@ -30,7 +30,7 @@
         "oakbridge/policy/slow_start.py",
         "oakbridge/policy/subset.py",
     ]
-    modules = [(ROOT / name).read_text().splitlines() for name in policy]
+    modules = [(ROOT / path).read_text().splitlines() for path in policy]
     for lines in modules:
         assert sum(1 for line in lines if line.strip()) <= 360
         assert max(map(len, lines)) <= 110
