--- a/oakbridge/node/client_connection.py
+++ b/oakbridge/node/client_connection.py
@@ -165,7 +165,7 @@
         return self._server.clock.now() - last_received_ago_us(self._sock)
 
     def on_head(self) -> None:
-        """Start the timeout of the body; send 100 Continue if the client expects it."""
+        """Stop the timeout of the head, as the body has its own; send 100 Continue if expected."""
         if not self.write_blocked:  # a client that does not read keeps its deadline
             self._server.limits.awaiting_client.remove(self)
         self.progress.body_started()
@@ -452,7 +452,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close an idle connection; unread bytes are parsed and served first."""
+        """Close the connection, unless unread bytes have arrived; those are served first."""
         if self.is_closing():
             return
         if self.reading_paused or self.write_blocked or not self.has_unread_bytes():
--- a/oakbridge/node/read_deadlines.py
+++ b/oakbridge/node/read_deadlines.py
@@ -105,7 +105,7 @@
         self._linger_checks = 0
 
     def body_started(self) -> None:
-        """Start a new interval at the begin of a body, which has a timeout of its own."""
+        """Start a new interval when a body begins, as the body has a timeout of its own."""
         self._received_at_check = self.bytes_received
 
     def writing_resumed(self) -> None:
--- a/oakbridge/node/request_parser.py
+++ b/oakbridge/node/request_parser.py
@@ -144,7 +144,7 @@
     # ---- httptools' callbacks
 
     def on_message_begin(self) -> None:
-        """Enter the head of a request."""
+        """Note that the head of a request begins."""
         self.phase = _HEAD
 
     def on_url(self, url: bytes) -> None:
--- a/tests/formats/test_node_trace.py
+++ b/tests/formats/test_node_trace.py
@@ -32,7 +32,7 @@
 
 ROOT = Path(__file__).parents[2]
 FIXTURE = Path(__file__).parent / "fixtures" / "node" / "trace.log"
-MARK = " trace {"
+LINE_START = " trace {"
 # Counts since the last line; counts of zero are omitted.
 COUNTS = [
     "taken", "sent", "again", "cold", "served", "refuse", "fail", "cancel", "settimer", "watch",
@@ -50,7 +50,11 @@
 
 
 def trace_lines(log: str) -> list[str]:
-    return [line[line.index(MARK) + len(MARK) - 1 :] for line in log.splitlines() if MARK in line]
+    return [
+        line[line.index(LINE_START) + len(LINE_START) - 1 :]
+        for line in log.splitlines()
+        if LINE_START in line
+    ]
 
 
 async def traced_run(folder: Path) -> str:
@@ -88,7 +92,7 @@
                 await client.read_response()
                 client.close()
             for _ in range(2):
-                log += await read_log_until(process, MARK)
+                log += await read_log_until(process, LINE_START)
             process.send_signal(signal.SIGTERM)
             log += (await with_timeout(process.stderr.read())).decode()
             assert await with_timeout(process.wait()) == 0
@@ -126,14 +130,14 @@
     for line in lines:
         total.update({name: line[name] for name in COUNTS if name in line})
     assert (total["taken"], total["served"]) == (4, 2)
-    ends = Counter()
+    results = Counter()
     for line in lines:
         for counts in line["ends"].values():
-            ends.update(counts)
-    assert ends["ok"] == 2
-    assert ends["error"] >= 1
-    assert ends["full"] + ends["connect_failed"] >= 1
-    assert total["sent"] == sum(n for name, n in ends.items() if name != "cold")
+            results.update(counts)
+    assert results["ok"] == 2
+    assert results["error"] >= 1
+    assert results["full"] + results["connect_failed"] >= 1
+    assert total["sent"] == sum(count for name, count in results.items() if name != "cold")
     assert total["refused_connections"] <= total["opened"] <= total["sent"]
     assert total["refuse"] + total["fail"] == 2
 
@@ -141,9 +145,9 @@
 def test_fleet_program_reads_the_earlier_log():
     """The program sums the counts of a line of the fixture."""
     module = fleet_day()
-    found = list(module.lines(FIXTURE.parent))
-    assert [line["node"] for line in found] == ["n3"] * 3
-    sums = module.add_up(found[1:2])
+    entries = list(module.lines(FIXTURE.parent))
+    assert [line["node"] for line in entries] == ["n3"] * 3
+    sums = module.add_up(entries[1:2])
     assert {name: sums[name] for name in ("nodes", "taken", "served", "ok")} == {
         "nodes": 1, "taken": 4, "served": 2, "ok": 2,
     }  # fmt: skip
--- a/tests/node/test_streaming.py
+++ b/tests/node/test_streaming.py
@@ -145,9 +145,9 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("how", ["close", "reset", "garbage"])
+@pytest.mark.parametrize("failure", ["close", "reset", "garbage"])
 @pytest.mark.parametrize("framing", ["length", "chunked"])
-def test_truncated_streamed_response_is_detectable_and_its_request_not_retried(how, framing):
+def test_truncated_streamed_response_is_detectable_and_its_request_not_retried(failure, framing):
     async def handle(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         line = (
@@ -159,10 +159,10 @@
         writer.write(f"HTTP/1.1 200 OK\r\n{line}\r\n\r\n".encode())
         writer.write(b"%x\r\n%b\r\n" % (len(part), part) if framing == "chunked" else part)
         await writer.drain()
-        if how == "garbage" and framing == "chunked":
+        if failure == "garbage" and framing == "chunked":
             writer.write(b"no size\r\n")
             await writer.drain()
-        (writer.transport.abort if how == "reset" else writer.close)()
+        (writer.transport.abort if failure == "reset" else writer.close)()
 
     async def scenario():
         async with RawServer(handle) as server, RunningNode(server) as node:
@@ -343,7 +343,7 @@
         body = (bytes(range(251)) * (size // 251 + 1))[:size]
         async with RawServer(handle) as server, RunningNode(server) as node:
             client = await node.client()
-            for i in range(2):  # both on client_connection connection
+            for i in range(2):  # both on one connection
                 line = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {size}"
                 client.writer.write(head("POST", "/api", line, request_id=f"big-{i}"))
                 if chunked:
@@ -397,8 +397,8 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("end", ["stall", "close", "reset"])
-def test_incomplete_body_is_not_completed_towards_the_server(monkeypatch, end):
+@pytest.mark.parametrize("client_action", ["stall", "close", "reset"])
+def test_incomplete_body_is_not_completed_towards_the_server(monkeypatch, client_action):
     monkeypatch.setattr(connection_limits, "CLIENT_TIMEOUT_US", 300_000)
     partial_bodies, begun, closed = [], asyncio.Event(), asyncio.Event()
 
@@ -418,13 +418,13 @@
             client.writer.write(b"x" * (LONG_BODY_BYTES - 1))
             # No attempt is sent for a client that closes before its request was dispatched.
             await with_timeout(begun.wait())
-            if end == "close":
+            if client_action == "close":
                 client.writer.write_eof()
-            elif end == "reset":
+            elif client_action == "reset":
                 client.close()
             await with_timeout(closed.wait())
             assert len(partial_bodies) == 1
-            if end == "stall":
+            if client_action == "stall":
                 assert (await with_timeout(client.reader.read())).startswith(b"HTTP/1.1 408 ")
             await until(
                 lambda: not (node.node.forwarder.requests or node.node.server.limits.connections)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -250,8 +250,8 @@
 
     async def __aexit__(self, *_) -> None:
         self.node.close()
-        for caller in self.clients:
-            caller.close()
+        for client in self.clients:
+            client.close()
         await self.discovery.__aexit__()
 
 
