--- a/oakbridge/node/listener.py
+++ b/oakbridge/node/listener.py
@@ -154,10 +154,10 @@
 
     def _close_empty_sockets(self) -> None:
         for sock in list(self._sockets):
-            end = BatchEnd.BATCH_FULL
-            while end is BatchEnd.BATCH_FULL:
-                end = self._accept_batch(sock)
-            if end is BatchEnd.QUEUE_EMPTY:
+            batch_end = BatchEnd.BATCH_FULL
+            while batch_end is BatchEnd.BATCH_FULL:
+                batch_end = self._accept_batch(sock)
+            if batch_end is BatchEnd.QUEUE_EMPTY:
                 sock.close()
                 self._sockets.remove(sock)
         if self._sockets:
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -228,9 +228,9 @@
         """Put a server back online; False if it was not offline, None if it is unknown."""
         return self.endpoints.bring_online(server, self.settings.slow_start_window)
 
-    def share_descriptors(self, held: int) -> None:
+    def share_descriptors(self, predecessor_descriptors: int) -> None:
         """Reduce the connection limits by the descriptors that the predecessor still holds."""
-        total = self.config.sockets - held
+        total = self.config.sockets - predecessor_descriptors
         self.pool.max_connections = _max_server_connections(total)
         max_clients = total - RESERVED_DESCRIPTORS - self.pool.max_connections
         self.server.limits.max_connections = max(1, max_clients)
