--- a/oakbridge/cli/check.py
+++ b/oakbridge/cli/check.py
@@ -10,7 +10,7 @@
 from oakbridge.cli.serve import file_options
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.config.load import load
-from oakbridge.config.reference import page
+from oakbridge.config.reference import reference_page
 from oakbridge.sources.inspection import inspect_server_files
 
 
@@ -23,7 +23,7 @@
 def command(path: Path | None, as_json: bool, reference: bool) -> None:  # noqa: C901
     """Check a configuration, and the server files that it names; exit code 2 if there are mistakes."""
     if reference:
-        click.echo(page(), nl=False)
+        click.echo(reference_page(), nl=False)
         return
     if path is None:
         raise InvalidInputError("check: expected the configuration's FILE")
--- a/oakbridge/cli/common.py
+++ b/oakbridge/cli/common.py
@@ -87,7 +87,7 @@
         from oakbridge.config.load import load
 
         try:
-            found = load(config).control
+            found = load(config).control_path
         except ConfigFileError as e:
             raise InvalidInputError(str(e)) from None
         if found is None:
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -65,7 +65,7 @@
         Raises ConfigFileError or ConfigError.
         """
         loaded = load(self.path)
-        config, control = loaded.config, loaded.control
+        config, control = loaded.config, loaded.control_path
         if self.name is not None:
             config = replace(config, name=self.name)
             control = (
@@ -92,7 +92,7 @@
             config = parts[self.worker - 1]
             control = worker_socket_path(control, self.worker) if control is not None else None
         member = self.member and (self.member[0], parse_address(self.member[1]))
-        return replace(loaded, config=config, control=control, member=member)
+        return replace(loaded, config=config, control_path=control, member_override=member)
 
     def worker_command(self, worker: int, workers: int, channel: int) -> list[str]:
         """Return the command line that starts a worker's process; ``channel``: its descriptor there."""
@@ -118,7 +118,7 @@
         is_directory=servers.directory is not None,
         settle_s=servers.settle / 1e6,
         poll_interval_s=servers.poll / 1e6,
-        max_lost_share=servers.most_lost,
+        max_lost_fraction=servers.most_lost,
         saved_path=resolve_path(servers.saved, loaded.path) if servers.saved else None,
     )
 
@@ -196,7 +196,7 @@
     if loaded.file.peers is None or not is_member:
         yield None
         return
-    from oakbridge.config.peers import peers_options, seeds_file
+    from oakbridge.config.peers import peers_options, seeds_file_options
     from oakbridge.peers.node_adapter import SeedFile, failure_report_sink, load_source
     from oakbridge.peers.service import MembershipService
     from oakbridge.peers.snapshot import SnapshotError
@@ -209,7 +209,7 @@
         await membership.start()
     except (ConfigFileError, SnapshotError) as e:
         raise ConfigError(str(e)) from None
-    path = seeds_file(loaded)
+    path = seeds_file_options(loaded)
     seeds = SeedFile(path, membership) if path is not None else None
     try:
         yield membership
@@ -277,7 +277,7 @@
         addresses,
         workers,
         lambda w, channel: options.worker_command(w, workers, channel),
-        loaded.control,
+        loaded.control_path,
     )
     async with _membership(loaded, None) as membership:
         return await supervisor.run(membership)
@@ -292,11 +292,11 @@
     subsets: SubsetRunner | None,
 ) -> AsyncIterator[None]:
     """Serve the node's control socket, if it has one."""
-    if loaded.control is None:
+    if loaded.control_path is None:
         yield
         return
     handler = NodeControlHandler(node, loaded.digest, peers=membership, sites=sites, spread=subsets)
-    async with ControlServer(loaded.control, handler.handle):
+    async with ControlServer(loaded.control_path, handler.handle):
         yield
 
 
@@ -309,7 +309,7 @@
     try:
         loaded = options.load()
     except ConfigFileError as error:
-        if error.may_pass:
+        if error.is_transient:
             raise ConfigUnreadableError(str(error)) from None
         raise
     node.reload(loaded.config)
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -224,5 +224,5 @@
         f"{len(change.added)} added, {len(change.updated)} changed, "
         f"{len(change.moved)} moved, {len(change.removed)} gone"
     )
-    lost = f"{change.lost_ready} of {change.base_ready} ready servers ({change.lost_share:.0%})"
+    lost = f"{change.lost_ready} of {change.base_ready} ready servers ({change.lost_fraction:.0%})"
     return f"{counts}; {lost} are taken away"
--- a/oakbridge/config/field_types.py
+++ b/oakbridge/config/field_types.py
@@ -59,7 +59,7 @@
     BeforeValidator(parse_duration_us),
     Field(json_schema_extra={"kind": "time"}),
 ]
-Time = Annotated[
+PositiveDuration = Annotated[
     int,
     BeforeValidator(_parse_positive_duration_us),
     Field(json_schema_extra={"kind": "time above 0"}),
--- a/oakbridge/config/load.py
+++ b/oakbridge/config/load.py
@@ -21,9 +21,10 @@
     path: Path
     file: schema.File
     config: Config
-    control: Path | None  # of the control socket; None: there is none
+    control_path: Path | None  # of the control socket; None: there is none
     digest: str  # SHA-256 of the file's bytes
-    member: tuple[str, Address] | None = None  # name and address among members, if not the file's
+    # Name and address among the members; None: those of the file.
+    member_override: tuple[str, Address] | None = None
 
 
 def load(path: Path) -> LoadedConfig:
@@ -34,7 +35,7 @@
         path=path,
         file=file,
         config=node_config(file),
-        control=control_socket_path(file),
+        control_path=control_socket_path(file),
         digest=hashlib.sha256(data).hexdigest(),
     )
 
--- a/oakbridge/config/peers.py
+++ b/oakbridge/config/peers.py
@@ -36,7 +36,7 @@
         max_members=table.most,
         local_health=table.local_health,
     )
-    name, listen = loaded.member or (loaded.config.name, table.listen)
+    name, listen = loaded.member_override or (loaded.config.name, table.listen)
     if not 1 <= len(name) <= MAX_NAME_LENGTH:  # others would drop all that it says
         text = (
             f"expected a name of 1 to {MAX_NAME_LENGTH} characters among members, got {name!r:.120}"
@@ -70,9 +70,9 @@
     return secret
 
 
-def seeds_file(loaded: LoadedConfig) -> FileOptions | None:
+def seeds_file_options(loaded: LoadedConfig) -> FileOptions | None:
     """Return how the file of seeds is watched, None without one."""
     table = loaded.file.peers
     if table is None or table.seeds_file is None:
         return None
-    return FileOptions(resolve_path(table.seeds_file, loaded.path), max_lost_share=1.0)
+    return FileOptions(resolve_path(table.seeds_file, loaded.path), max_lost_fraction=1.0)
--- a/oakbridge/config/reference.py
+++ b/oakbridge/config/reference.py
@@ -53,7 +53,7 @@
 }
 
 
-def page() -> str:
+def reference_page() -> str:
     """Return the whole page, as Markdown."""
     parts = [HEAD]
     for name, field in schema.File.model_fields.items():
--- a/oakbridge/config/schema.py
+++ b/oakbridge/config/schema.py
@@ -11,7 +11,7 @@
 
 from pydantic import Field, StringConstraints, model_validator
 
-from oakbridge.config.field_types import Address, Duration, Name, Number, Table, Time
+from oakbridge.config.field_types import Address, Duration, Name, Number, PositiveDuration, Table
 from oakbridge.policy.settings import Idempotency
 
 MAX_MEMBER_NAME_LENGTH = 64
@@ -72,11 +72,13 @@
     inline: list[InlineServer] = Field(
         [], description="The servers themselves; they change with a restart."
     )
-    settle: Time = Field(
+    settle: PositiveDuration = Field(
         30_000,
         description="A file without a checksum line must read the same twice, so far apart.",
     )
-    poll: Time = Field(1_000_000, description="How often to look even if no change is told.")
+    poll: PositiveDuration = Field(
+        1_000_000, description="How often to look even if no change is told."
+    )
     most_lost: Number = Field(
         0.5,
         ge=0,
@@ -107,10 +109,10 @@
     """A class of requests, named by the header `X-Priority-Class`."""
 
     name: Name = Field(description="Its name.")
-    aim: Time = Field(
+    aim: PositiveDuration = Field(
         description="An answer within this time is worth the whole; queues are ordered by it."
     )
-    deadline: Time = Field(
+    deadline: PositiveDuration = Field(
         description="The longest that a request may take, if its caller does not say less."
     )
     worth: Number = Field(
@@ -155,10 +157,10 @@
         20_000, ge=1, description="Requests that it holds; more are turned away."
     )
     attempts: int = Field(3, ge=1, le=20, description="Attempts of one request at most.")
-    connect_timeout: Time = Field(
+    connect_timeout: PositiveDuration = Field(
         1_000_000, description="A connection that takes longer has failed."
     )
-    connection_idle: Time = Field(
+    connection_idle: PositiveDuration = Field(
         15_000_000, description="Servers close a connection at rest so long."
     )
     retry_after: Duration = Field(
@@ -192,7 +194,7 @@
     most: Number = Field(
         2.5, gt=0, description="More than this multiple of what it can do pushes it over."
     )
-    within: Time = Field(3_000_000, description="Over so long.")
+    within: PositiveDuration = Field(3_000_000, description="Over so long.")
 
 
 class SipRoute(Table):
@@ -261,8 +263,8 @@
     most: int = Field(
         2000, ge=2, le=100_000, description="Members that it remembers, the gone included."
     )
-    period: Time = Field(500_000, description="It probes one member so often.")
-    probe_timeout: Time = Field(
+    period: PositiveDuration = Field(500_000, description="It probes one member so often.")
+    probe_timeout: PositiveDuration = Field(
         200_000, description="Without an answer for so long, others are asked to probe."
     )
     local_health: bool = Field(
@@ -288,7 +290,7 @@
         min_length=1,
         description="Made by `oakbridge sites plan`; without it, by free capacity.",
     )
-    step: Time = Field(
+    step: PositiveDuration = Field(
         1_000_000, description="A step of a site's return, or drain, lasts so long at least."
     )
 
--- a/oakbridge/config/sites.py
+++ b/oakbridge/config/sites.py
@@ -21,7 +21,7 @@
         return None
     settings = loaded.config.settings
     return NodeSites(
-        loaded.member[0] if loaded.member is not None else loaded.config.name,
+        loaded.member_override[0] if loaded.member_override is not None else loaded.config.name,
         settings.zone,
         {each.name: each.priority_weight for each in settings.classes},
         loaded.config.seed,
--- a/oakbridge/config/toml_file.py
+++ b/oakbridge/config/toml_file.py
@@ -31,7 +31,7 @@
     except OSError as error:
         reason = error.strerror or str(error)
         problem = Problem(str(path), (), reason)
-        raise ConfigFileError([problem], may_pass=is_read_error(error)) from None
+        raise ConfigFileError([problem], is_transient=is_read_error(error)) from None
 
 
 def parse_tables(data: bytes, file: str, model: type[T]) -> T:
--- a/oakbridge/lab/plan.py
+++ b/oakbridge/lab/plan.py
@@ -9,7 +9,7 @@
 
 from pydantic import Field, ValidationError, model_validator
 
-from oakbridge.config.field_types import Duration, Name, Number, Table, Time
+from oakbridge.config.field_types import Duration, Name, Number, PositiveDuration, Table
 from oakbridge.config.toml_file import parse_tables, read_bounded
 from oakbridge.lab.compare import InvalidVariationError, apply_change
 
@@ -33,13 +33,19 @@
 class LabTable(Table):
     """The run."""
 
-    warm_up: Time = Field(8_000_000, description="Load before the course begins; not judged.")
-    lasts: Time = Field(description="The course.")
-    start_within: Time = Field(1_000_000, description="All nodes are started within so long.")
+    warm_up: PositiveDuration = Field(
+        8_000_000, description="Load before the course begins; not judged."
+    )
+    lasts: PositiveDuration = Field(description="The course.")
+    start_within: PositiveDuration = Field(
+        1_000_000, description="All nodes are started within so long."
+    )
     quick: Number = Field(
         0.1, gt=0, le=1, description="With --quick: this share of nodes, servers and load."
     )
-    quick_lasts: Time | None = Field(None, description="With --quick: the course ends so early.")
+    quick_lasts: PositiveDuration | None = Field(
+        None, description="With --quick: the course ends so early."
+    )
 
 
 class SiteTable(Table):
@@ -61,7 +67,7 @@
         16, ge=0, le=10_000, description="Requests that wait; more are turned away unprocessed."
     )
     connections: int = Field(256, ge=1, le=10_000)
-    time: Time = Field(20_000, description="Mean time of one request, exponential.")
+    time: PositiveDuration = Field(20_000, description="Mean time of one request, exponential.")
     sizes: list[Annotated[float, Field(gt=0, le=100)]] = Field(
         [1.0], min_length=1, description="Speeds, in turn."
     )
@@ -73,8 +79,8 @@
     """A class of requests."""
 
     name: Name
-    aim: Time
-    deadline: Time
+    aim: PositiveDuration
+    deadline: PositiveDuration
     worth: Number = Field(1.0, ge=0)
     repeat: Literal["safe", "unsafe"] = "safe"
     rate: Number = Field(ge=0, description="Requests a second, all sites together.")
@@ -104,7 +110,9 @@
 
     at: Duration = Field(description="After the course's begin.")
     kind: Literal[FAULT_KINDS]  # type: ignore[valid-type]
-    lasts: Time | None = Field(None, description="Until it is undone; to the end if absent.")
+    lasts: PositiveDuration | None = Field(
+        None, description="Until it is undone; to the end if absent."
+    )
     site: str | None = Field(None, description="Of this site only.")
     other: str | None = Field(None, description="Links: to this site; all other sites if absent.")
     one_way: bool = Field(False, description="Links: only from `site`.")
@@ -154,7 +162,7 @@
     settings: str = Field("", description="More of each node's oakbridge.toml, as it stands.")
     peers: bool = Field(True, description="Whether the nodes know each other.")
     peers_settings: str = Field("", description="More of each node's [peers], as it stands.")
-    peers_period: Time = Field(500_000, description="Each node's peers.period.")
+    peers_period: PositiveDuration = Field(500_000, description="Each node's peers.period.")
 
     @model_validator(mode="after")
     def _fits(self) -> Plan:
--- a/oakbridge/sources/file_source.py
+++ b/oakbridge/sources/file_source.py
@@ -62,7 +62,7 @@
     is_directory: bool = False
     settle_s: float = 0.03
     poll_interval_s: float = 1.0
-    max_lost_share: float = 0.5  # of the ready servers, above which a version needs approval
+    max_lost_fraction: float = 0.5  # of the ready servers, above which a version needs approval
     saved_path: Path | None = None  # of the saved copy
     use_inotify: bool = True
 
@@ -76,7 +76,9 @@
         self.decided = asyncio.Event()  # set whenever a poll has led to something
         self._now = now
         saved = load_saved_version(options.saved_path) if options.saved_path else None
-        self._tracker = VersionTracker(int(options.settle_s * 1e6), options.max_lost_share, saved)
+        self._tracker = VersionTracker(
+            int(options.settle_s * 1e6), options.max_lost_fraction, saved
+        )
         self._poller = FilePoller(options.path, is_directory=options.is_directory)
         self._poll_requested = asyncio.Event()
         self._poll_due_s: float | None = 0.0  # on the loop's clock, even if no change is notified
--- a/oakbridge/sources/list_version.py
+++ b/oakbridge/sources/list_version.py
@@ -38,7 +38,7 @@
     base_ready: int = 0  # servers that were ready
 
     @property
-    def lost_share(self) -> float:
+    def lost_fraction(self) -> float:
         """The share of the ready servers that this change takes away."""
         return self.lost_ready / self.base_ready if self.base_ready else 0.0
 
--- a/oakbridge/sources/version_tracker.py
+++ b/oakbridge/sources/version_tracker.py
@@ -34,7 +34,7 @@
 )
 
 DEFAULT_SETTLE_US = 30_000
-DEFAULT_MAX_LOST_SHARE = 0.5
+DEFAULT_MAX_LOST_FRACTION = 0.5
 BUSY_AFTER_US = 500_000  # files that have not stood still for so long are waited for less
 BUSY_SETTLE_DIVISOR = 8  # by how much less
 CHECKSUM_TIMEOUT_US = 2_000_000  # files whose checksum has not matched for so long are rejected
@@ -74,12 +74,12 @@
     def __init__(
         self,
         settle_us: int = DEFAULT_SETTLE_US,
-        max_lost_share: float = DEFAULT_MAX_LOST_SHARE,
+        max_lost_fraction: float = DEFAULT_MAX_LOST_FRACTION,
         saved: ListVersion | None = None,
     ) -> None:
         """Begin with ``saved``, the last good version of an earlier run, in use."""
         self._settle_us = settle_us
-        self._max_lost_share = max_lost_share
+        self._max_lost_fraction = max_lost_fraction
         self.current = saved
         self.current_since_us = 0  # 0: the saved version, from before this run
         self.pending_approval: PendingApproval | None = None
@@ -169,7 +169,7 @@
         if result.base_number != self._current_number():
             return [PollAfter(0)]  # compared with a version that is no longer the one in use
         self.rejected = None
-        if self.current is not None and result.lost_share > self._max_lost_share:
+        if self.current is not None and result.lost_fraction > self._max_lost_fraction:
             return self._ask_approval(now_us, result)
         return self._apply(result)
 
@@ -190,7 +190,7 @@
         self.pending_approval = PendingApproval(change, now_us)
         text = (
             f"held: it takes {change.lost_ready} of {change.base_ready} ready servers away at once "
-            f"(the most is {self._max_lost_share:.0%}); "
+            f"(the most is {self._max_lost_fraction:.0%}); "
             f"version {self._current_number()} stays until `oakbridge servers accept`"
         )
         return [WriteLog(LogLevel.ERROR, text), PollAfter(0)]
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -7,7 +7,7 @@
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.config.load import check, load
 from oakbridge.config.node_config import inline_endpoints
-from oakbridge.config.reference import page
+from oakbridge.config.reference import reference_page
 from oakbridge.control.paths import default_socket_path
 from oakbridge.sources.decoding import FileKind
 from oakbridge.sources.field_lines import field_lines
@@ -74,7 +74,7 @@
     )
     assert settings.tenants[0].quota_per_s == 20
     assert (settings.retry_ratio, settings.retry_floor, settings.retry_window) == (0.1, 0.1, 10)
-    assert got.control == default_socket_path("n1")
+    assert got.control_path == default_socket_path("n1")
 
 
 def test_every_problem_is_reported_at_once_with_line_and_field():
@@ -169,7 +169,7 @@
 
 def test_reference_page_matches_the_definitions():
     """Guards against a page that drifts: `oakbridge check --reference` writes it."""
-    assert (ROOT / "docs/configuration.md").read_text() == page()
+    assert (ROOT / "docs/configuration.md").read_text() == reference_page()
 
 
 def test_example_of_getting_started_is_valid():
--- a/tests/sources/rewritten_files.py
+++ b/tests/sources/rewritten_files.py
@@ -118,7 +118,7 @@
             self.path,
             settle_s=SETTLE_S,
             poll_interval_s=0.05,
-            max_lost_share=0.6,
+            max_lost_fraction=0.6,
             saved_path=self.path.with_suffix(".saved"),
         )
         warm_soon = SETTINGS["invariants"] | {"warm-up": 50_000}  # newcomers get their part at once
--- a/tests/sources/test_file_source.py
+++ b/tests/sources/test_file_source.py
@@ -179,7 +179,7 @@
     path.write_text(server_tables(*"abcd"))
 
     async def scenario():
-        async with WatchedSource(path, max_lost_share=0.5) as w:
+        async with WatchedSource(path, max_lost_fraction=0.5) as w:
             await w.listener.until(*"abcd")
             replace_file(path, server_tables("a"))
             held = (await w.until("held"))["held"]
--- a/tests/sources/test_list_version.py
+++ b/tests/sources/test_list_version.py
@@ -18,7 +18,7 @@
         entry("e", 5),
     )
     assert (new.added, new.updated, new.moved, new.removed) == (("e",), ("c",), ("b",), ("d",))
-    assert (new.lost_ready, new.base_ready, new.lost_share) == (3, 4, 0.75)
+    assert (new.lost_ready, new.base_ready, new.lost_fraction) == (3, 4, 0.75)
 
 
 def test_unchanged_entry_is_the_same_object_and_not_in_the_delta():
--- a/tests/sources/test_version_tracker.py
+++ b/tests/sources/test_version_tracker.py
@@ -72,7 +72,7 @@
 
 
 def test_list_that_removes_too_many_servers_waits_until_accepted():
-    tracker = VersionTracker(SETTLE_US, max_lost_share=0.5)
+    tracker = VersionTracker(SETTLE_US, max_lost_fraction=0.5)
     in_use(tracker, "four", *(entry(n) for n in "abcd"))
     tracker.on_polled(0, FilesRead("one", True))
     said = tracker.on_validated(1, "one", change(tracker.current, "one", entry("a")))
--- a/tests/sources/test_version_tracker_model.py
+++ b/tests/sources/test_version_tracker_model.py
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0
-        self.tracker = VersionTracker(SETTLE_US, max_lost_share=0.5)
+        self.tracker = VersionTracker(SETTLE_US, max_lost_fraction=0.5)
         self.contents: dict[
             str, tuple[str, frozenset[str], bool | None]
         ] = {}  # digest: kind, servers, whole
@@ -198,7 +198,7 @@
             assert tracker.rejected.digest == self.disk
         elif tracker.pending_approval is not None:
             assert tracker.pending_approval.change.digest == self.disk
-            assert tracker.pending_approval.change.lost_share > 0.5
+            assert tracker.pending_approval.change.lost_fraction > 0.5
         else:
             assert tracker.current.digest == self.disk
 
--- a/tests/sources/watched_source.py
+++ b/tests/sources/watched_source.py
@@ -60,7 +60,7 @@
     def __init__(self, path: Path, **options) -> None:
         options.setdefault("settle_s", 0.01)
         options.setdefault("poll_interval_s", 0.2)
-        options.setdefault("max_lost_share", 1.0)
+        options.setdefault("max_lost_fraction", 1.0)
         self.options = FileOptions(path, **options)
 
     async def __aenter__(self) -> "WatchedSource":
