--- a/oakbridge/sources/__init__.py
+++ b/oakbridge/sources/__init__.py
@@ -1,6 +1,6 @@
-"""Sources of the endpoint list other than discovery: a configuration's own list, and watched files.
+"""Sources of the endpoint list other than discovery: an inline list and watched server files.
 
-``parsing`` turns a file's bytes into servers or problems, ``version_tracker`` decides which version
-is used when; both do no I/O.  ``file_source`` polls the disk, carries out what the tracker decides
-and hands whole versions to a node.
+``parsing`` turns a file's bytes into servers or problems, and ``version_tracker`` decides which
+version is used when; neither does I/O.  ``file_source`` polls the disk, executes the tracker's
+actions and gives complete versions to a node.
 """
--- a/oakbridge/sources/atomic_file.py
+++ b/oakbridge/sources/atomic_file.py
@@ -1,4 +1,4 @@
-"""Write a file as a whole or not at all."""
+"""Write a file atomically."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def write_atomically(path: Path, data: bytes, write: Write = os.write) -> None:
     """Write a temporary file, fsync and rename it, and fsync the directory.
 
-    Raises OSError; the file before is whole then.  ``write`` stands in for ``os.write`` in tests.
+    Raises OSError; the previous file, if any, is then unchanged.  Tests pass another ``write``.
     """
     path.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
     temporary = path.with_name(f".{path.name}.{os.getpid()}.tmp")
--- a/oakbridge/sources/change_notifier.py
+++ b/oakbridge/sources/change_notifier.py
@@ -1,7 +1,7 @@
-"""Hear of changes of files by inotify, through watchfiles.
+"""Notify of changes of files by inotify, through watchfiles.
 
-A notification is only a hint to poll: where inotify can't be had, or is lost, polling finds the
-same.
+A notification only triggers a poll.  Where inotify is not available or fails, regular polling finds
+the same changes.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-_STEP_MS = 10  # how often watchfiles wakes
-_DEBOUNCE_MS = 20  # for how long watchfiles gathers changes
-_RUST_TIMEOUT_MS = 1_000  # after which watchfiles sees whether it is to stop
-_RETRY_S = 5.0
-_MAX_VERIFY_INTERVAL_S = 0.5
-_MAX_LINKS = 16
+_STEP_MS = 10  # interval at which watchfiles looks for new changes
+_DEBOUNCE_MS = 20  # time for which watchfiles collects changes before it reports them
+_RUST_TIMEOUT_MS = 1_000  # interval at which watchfiles checks whether to stop
+_RETRY_DELAY_S = 5.0  # delay before inotify is tried again after an error
+_MAX_VERIFY_INTERVAL_S = 0.5  # longest time between two checks for replaced directories
+_MAX_LINKS = 16  # symbolic links that are followed; more are a loop
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryIdentity:
-    """The directory that a path leads to; another one if it has been replaced."""
+    """Device and inode of a directory; they differ once another directory has replaced it."""
 
     device: int
     inode: int
@@ -37,10 +37,11 @@
 
 
 def directories_to_watch(path: Path, *, is_directory: bool) -> WatchedDirectories:
-    """Return the directories in which a change can show, by path.
+    """Return the directories, by path, in which a change of the files can be seen.
 
-    They are those of the path, of each link on the way, and of their parents.  Guards a mounted
-    directory, whose files are links through ``..data``, and a directory that is replaced.
+    These are the path itself if it is a directory, the directories that hold the path and each
+    symbolic link on the way to it, and their parents.  This covers a mounted volume, whose files
+    are links through ``..data``, and a directory that is replaced.
     """
     found: WatchedDirectories = {}
     current = path.absolute()
@@ -68,7 +69,7 @@
 
 
 class ChangeNotifier:
-    """Watch the directories of one path, and call back at each change in them."""
+    """Watches the directories of one path and calls ``on_change`` at each change in them."""
 
     def __init__(
         self,
@@ -79,41 +80,45 @@
         run_in_thread: RunInThread,
         on_change: Callable[[], None],
     ) -> None:
-        """``run_in_thread`` runs a function that blocks."""
+        """``run_in_thread`` runs a blocking function without blocking the event loop."""
         self._path = path
         self._is_directory = is_directory
         self._verify_interval_s = min(_MAX_VERIFY_INTERVAL_S, poll_interval_s)
         self._run_in_thread = run_in_thread
         self._on_change = on_change
-        self.active = False  # whether changes are notified, or found by polling alone
+        self.is_active = False  # whether inotify is in use; if not, only polling finds changes
 
     async def run(self) -> None:
-        """Watch until cancelled; watch anew where a directory has been replaced."""
+        """Watch until cancelled; start a new watch when a directory has been replaced."""
         try:
             import watchfiles  # noqa: F401 - an optional dependency
         except ImportError as error:
-            logger.warning("changes of %s are found by looking alone: %s", self._path, error)
+            logger.warning(
+                "watchfiles is not available, only polling finds changes: path=%s error=%s",
+                self._path,
+                error,
+            )
             return
         while True:
             try:
                 await self._watch_once()
             except (OSError, RuntimeError) as error:
-                self.active = False
-                reason = _describe(error)
-                message = "changes of %s are found by looking alone for now: %s"
+                self.is_active = False
+                reason = _error_text(error)
+                message = "inotify failed, only polling finds changes for now: path=%s error=%s"
                 logger.warning(message, self._path, reason)
-                await asyncio.sleep(_RETRY_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
 
     async def _watch_once(self) -> None:
-        """Watch until a directory is replaced.  Raises OSError or RuntimeError without inotify."""
+        """Watch until a directory is replaced.  Raises OSError or RuntimeError if inotify fails."""
         from watchfiles import awatch
 
         watched = await self._current_directories()
         replaced = asyncio.Event()
-        verifying = asyncio.get_running_loop().create_task(self._verify(watched, replaced))
+        verify_task = asyncio.get_running_loop().create_task(self._verify(watched, replaced))
         try:
-            self.active = bool(watched)
-            self._on_change()  # for what changed before the watch was there
+            self.is_active = bool(watched)
+            self._on_change()  # for changes before the watch started
             changes = awatch(
                 *watched,
                 watch_filter=None,
@@ -127,10 +132,10 @@
             async for _ in changes:
                 self._on_change()
         finally:
-            verifying.cancel()
+            verify_task.cancel()
 
     async def _verify(self, watched: WatchedDirectories, replaced: asyncio.Event) -> None:
-        """End a watch whose directories are no longer those that the path leads through."""
+        """Set ``replaced`` once the path leads through other directories than ``watched``."""
         while not replaced.is_set():
             await asyncio.sleep(self._verify_interval_s)
             if await self._current_directories() != watched:
@@ -142,6 +147,6 @@
         )
 
 
-def _describe(error: Exception) -> str:
+def _error_text(error: Exception) -> str:
     watches_exhausted = isinstance(error, OSError) and error.errno in (errno.ENOSPC, errno.EMFILE)
-    return "no inotify watches are left" if watches_exhausted else str(error)
+    return "the limit of inotify watches is reached" if watches_exhausted else str(error)
--- a/oakbridge/sources/decoding.py
+++ b/oakbridge/sources/decoding.py
@@ -1,4 +1,4 @@
-"""Decode the bytes of a JSON or TOML server file; no I/O."""
+"""Decode the bytes of a JSON or TOML server file.  Does no I/O."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceFile:
-    """One file's name and its bytes as they were read."""
+    """A file's name and its bytes as read from the disk."""
 
     name: str
     data: bytes
 
     @property
     def kind(self) -> FileKind:
-        """The syntax, by the name's suffix."""
+        """The syntax, by the suffix of the name."""
         return FileKind.TOML if self.name.endswith(".toml") else FileKind.JSON
 
     def content(self) -> bytes:
-        """Return the bytes without byte order mark and checksum line."""
+        """Return the bytes without the byte order mark and the checksum line."""
         return split_checksum(self.data.removeprefix(BYTE_ORDER_MARK))[0]
 
 
 def decode(file: SourceFile) -> Any:
-    """Return the file's value.  Raises DecodeError."""
+    """Return the value that the file encodes.  Raises DecodeError."""
     if len(file.data) > MAX_FILE_BYTES:
         raise DecodeError(f"expected at most {MAX_FILE_BYTES} bytes, got {len(file.data)}")
     if checksum_matches(file.data) is False:
@@ -59,7 +59,7 @@
 
 
 def decode_utf8(content: bytes) -> str:
-    """Return the text.  Raises DecodeError."""
+    """Return UTF-8 bytes as text.  Raises DecodeError with the line of the first invalid byte."""
     try:
         return content.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -77,7 +77,7 @@
 
 
 def _reject_constant(name: str) -> NoReturn:
-    """Refuse NaN and Infinity, which Python's reader would let in."""
+    """Reject NaN and Infinity, which ``json.loads`` would accept."""
     raise ValueError(f"{name} is no JSON number")
 
 
@@ -86,8 +86,8 @@
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        # The line stands in the message alone; without it the text stopped too early.
-        place = re.search(r"\(at line (\d+)", str(error))
-        line = int(place[1]) if place else text.count("\n") + 1
+        # tomllib gives the line only in its message; a message without one is about the text's end.
+        line_match = re.search(r"\(at line (\d+)", str(error))
+        line = int(line_match[1]) if line_match else text.count("\n") + 1
         message = re.sub(r" [(]at .*", "", str(error))
         raise DecodeError(f"expected TOML: {message}", line) from None
--- a/oakbridge/sources/errors.py
+++ b/oakbridge/sources/errors.py
@@ -10,7 +10,7 @@
 
 
 class ReadError(ServerFileError):
-    """Nothing at ``path`` can be read; ``reason`` says what was found or expected."""
+    """The file or directory ``path`` can't be read; ``reason`` says why."""
 
     def __init__(self, path: Path, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
@@ -21,7 +21,7 @@
 class DecodeError(ServerFileError):
     """A file that can't be decoded.
 
-    ``expected`` says what was expected, ``line`` where the text stops making sense, if known.
+    ``expected`` says what was expected, ``line`` is the line of the mistake, if known.
     """
 
     def __init__(self, expected: str, line: int | None = None) -> None:
@@ -31,7 +31,7 @@
 
 
 class NotAcceptedError(ServerFileError, ValueError):
-    """An operator's approval that can't be carried out; ``reason`` says why."""
+    """An operator's approval of a version can't be executed; ``reason`` says why."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
--- a/oakbridge/sources/field_lines.py
+++ b/oakbridge/sources/field_lines.py
@@ -1,4 +1,4 @@
-"""Find the line of a field in a TOML or JSON text, for messages."""
+"""Find the lines of fields in a TOML or JSON text, for error messages."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 def field_lines(data: bytes, kind: FileKind) -> FieldLines:
-    """Return the line, from 1, on which each field begins, as far as the text makes sense."""
-    # Imported late: a node with a correct configuration never needs the parsers.
+    """Return the line, from 1, of each field's start, as far as the text can be parsed."""
+    # Imported here, as a node with a valid configuration never needs the parsers.
     from tree_sitter import Language, Parser
 
     if kind is FileKind.TOML:
@@ -36,14 +36,14 @@
 
 
 def nearest_line(lines: FieldLines, path: FieldPath) -> int | None:
-    """Return the line of a field, or of the nearest one that it should be a part of."""
+    """Return the line of a field, or else of the innermost enclosing field that has one."""
     while path and path not in lines:
         path = path[:-1]
     return lines.get(path)
 
 
 def with_lines(files: list[SourceFile], problems: list[Problem]) -> list[Problem]:
-    """Return the problems with their lines filled in."""
+    """Return the problems with the lines of their fields, where they can be found."""
     files_by_name = {file.name: file for file in files}
     lines_by_name: dict[str, FieldLines] = {}
     located = []
@@ -90,7 +90,7 @@
 
 
 class _TomlWalker:
-    """Walk a TOML tree; arrays of tables are counted as they come."""
+    """Collects the lines of a TOML syntax tree, and numbers the tables of arrays in order."""
 
     def __init__(self) -> None:
         self._lines: FieldLines = {(): 1}
--- a/oakbridge/sources/file_poller.py
+++ b/oakbridge/sources/file_poller.py
@@ -1,4 +1,4 @@
-"""Poll the server files on the disk, and keep what was read last until it is validated."""
+"""Poll the server files on the disk, and keep the files read last for their validation."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _KnownResult:
+class _CachedResult:
     fingerprint: Fingerprint
     result: FilesRead
 
@@ -30,20 +30,20 @@
 
 
 class FilePoller:
-    """Read the files of one path.  ``poll`` blocks and runs in a thread, one at a time."""
+    """Reads the files of one path.  ``poll`` blocks and runs in a thread, one at a time."""
 
     def __init__(self, path: Path, *, is_directory: bool) -> None:
         self._path = path
         self._is_directory = is_directory
-        self._known: _KnownResult | None = None
+        self._cached: _CachedResult | None = None
         self._last_read: _LastRead | None = None
 
     def poll(self) -> FilesRead | FilesMissing:
-        """Return what the disk has now; files whose fingerprint is the same are not read again."""
+        """Return the state of the files; files with an unchanged fingerprint are not read again."""
         before = self._fingerprint()
-        if before is not None and self._known is not None and self._known.fingerprint == before:
-            return self._known.result
-        self._known = None
+        if before is not None and self._cached is not None and self._cached.fingerprint == before:
+            return self._cached.result
+        self._cached = None
         try:
             files = read_files(self._path, is_directory=self._is_directory)
         except ReadError as error:
@@ -51,11 +51,11 @@
         result = FilesRead(digest_of(files), checksums_match(files))
         self._last_read = _LastRead(result.digest, files)
         if before is not None and self._fingerprint() == before:
-            self._known = _KnownResult(before, result)
+            self._cached = _CachedResult(before, result)
         return result
 
     def files_with(self, digest: str) -> list[SourceFile] | None:
-        """Return the files that were read last, None if they have another digest."""
+        """Return the files that were read last; None if their digest is another one."""
         if self._last_read is None or self._last_read.digest != digest:
             return None
         return self._last_read.files
--- a/oakbridge/sources/file_source.py
+++ b/oakbridge/sources/file_source.py
@@ -1,7 +1,7 @@
-"""Watch server files for one node: poll the disk, validate beside the loop, apply whole versions.
+"""Watch server files for one node: poll the disk, validate files in a thread, apply versions.
 
-Nothing is decided in here: :mod:`oakbridge.sources.version_tracker` decides.  The disk is read in
-threads, since a file on a network mount can take its time.
+:mod:`oakbridge.sources.version_tracker` makes all decisions.  The disk is read in threads, since
+reading a file on a network mount can take long.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from oakbridge.sources.field_lines import with_lines
 from oakbridge.sources.file_poller import FilePoller
 from oakbridge.sources.list_version import ListVersion, compare
-from oakbridge.sources.pacing import let_loop_run, no_pause
+from oakbridge.sources.pacing import let_event_loop_run, no_pause
 from oakbridge.sources.parsing import parse
 from oakbridge.sources.saved_copy import load_saved_version, save_version
 from oakbridge.sources.source_status import JsonObject, encode_status
@@ -43,11 +43,13 @@
 )
 from oakbridge.sources.version_tracker import VersionTracker
 
-PREPARED_PER_TURN = 200  # servers that are made ready in one turn of the loop
+PREPARE_BATCH_SIZE = 200  # servers that are prepared in one iteration of the event loop
 POLL_INTERVAL_WITHOUT_INOTIFY_S = 0.1
-FAULT_PAUSE_S = 1.0  # before polling begins again after a fault of its own
-_THREADS = 4  # one each to poll, to validate, to save, and to verify the watched directories
-_MAX_BYTES_WITH_LINES = 64 * 1024  # finding lines in longer texts would hold the loop up
+POLL_RESTART_DELAY_S = 1.0  # delay before polling starts again after an unexpected exception
+_THREAD_COUNT = 4  # one each to poll, to validate, to save, and to verify the watched directories
+# Problems of longer files get no line numbers: finding these would delay the event loop.
+_MAX_BYTES_WITH_LINES = 64 * 1024
+# Longer files are validated with pauses in which the event loop runs.
 _MAX_BYTES_WITHOUT_PAUSES = 16 * 1024
 
 logger = logging.getLogger(__name__)
@@ -56,24 +58,26 @@
 
 @dataclass(frozen=True, slots=True)
 class FileOptions:
-    """Where server files are and how they are watched; times in seconds."""
+    """Where server files are and how they are watched."""
 
     path: Path
     is_directory: bool = False
     settle_s: float = 0.03
     poll_interval_s: float = 1.0
-    max_lost_fraction: float = 0.5  # of the ready servers, above which a version needs approval
-    saved_path: Path | None = None  # of the saved copy
+    # A version that loses a larger fraction of the ready servers needs an operator's approval.
+    max_lost_fraction: float = 0.5
+    saved_path: Path | None = None  # path of the saved copy; None: no copy is saved
     use_inotify: bool = True
 
 
 class FileSource:
-    """The source of servers that watches a server file or a directory of them."""
+    """An endpoint source that watches a server file or a directory of server files."""
 
     def __init__(self, options: FileOptions, now: Callable[[], int]) -> None:
-        """``now`` is the clock, in microseconds.  Reads the saved copy, if there is one."""
+        """Read the saved copy, if there is one.  ``now`` returns the time in microseconds."""
         self.options = options
-        self.decided = asyncio.Event()  # set whenever a poll has led to something
+        # Set when a poll finds no files, a validation finishes or a version is applied.
+        self.state_changed = asyncio.Event()
         self._now = now
         saved = load_saved_version(options.saved_path) if options.saved_path else None
         self._tracker = VersionTracker(
@@ -81,7 +85,8 @@
         )
         self._poller = FilePoller(options.path, is_directory=options.is_directory)
         self._poll_requested = asyncio.Event()
-        self._poll_due_s: float | None = 0.0  # on the loop's clock, even if no change is notified
+        # Time on the loop's clock at which the next poll is due, even if inotify reports no change.
+        self._poll_due_s: float | None = 0.0
         self._notifier = ChangeNotifier(
             options.path,
             is_directory=options.is_directory,
@@ -91,43 +96,43 @@
         )
         self._listener: EndpointListener | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._threads = ThreadPoolExecutor(_THREADS, "server-file")
+        self._threads = ThreadPoolExecutor(_THREAD_COUNT, "server-file")
         self._started = False
 
-    # ---- the node's side
+    # ---- called by the node
 
     def attach(self, listener: EndpointListener) -> None:
-        """Name the node that is notified of versions, and notify it of the saved one."""
+        """Set the listener that is notified of versions, and notify it of the saved version."""
         self._listener = listener
         saved = self._tracker.current
         if saved is not None:
             listener.on_endpoint_list(
                 EndpointList(saved.number, True, list(saved.servers.values())), saved=True
             )
-            logger.info("version %d, as saved, is in use until the file is read", saved.number)
+            logger.info("saved version in use until the files are read: version=%d", saved.number)
 
     async def ready(self) -> None:
-        """Wait for a version to be in use.  Raises ConfigError where the first poll finds none."""
+        """Wait until a version is in use.  Raises ConfigError if the first poll finds none."""
         while self._tracker.current is None:
             if self._tracker.rejected is not None:
                 raise ConfigError("\n".join(map(str, self._tracker.rejected.problems)))
             if self._tracker.missing_reason:
                 raise ConfigError(self._tracker.missing_reason)
-            await self.decided.wait()
-            self.decided.clear()
+            await self.state_changed.wait()
+            self.state_changed.clear()
 
     def describe(self) -> JsonObject:
-        """Return which version is in use and why nothing newer is, for the control socket."""
+        """Return the status as JSON for the control socket; see ``source_status``."""
         return encode_status(
             self._tracker,
             self._now(),
             path=str(self.options.path),
             is_directory=self.options.is_directory,
-            notified=self._notifier.active,
+            inotify_active=self._notifier.is_active,
         )
 
     def start(self) -> None:
-        """Begin to watch; calling it again changes nothing."""
+        """Start to watch the files; further calls do nothing."""
         if self._started:
             return
         self._started = True
@@ -143,28 +148,33 @@
         self._poll_requested.set()
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop watching the files."""
         for task in self._tasks:
             task.cancel()
         self._threads.shutdown(wait=False, cancel_futures=True)
 
     def accept(self, digest_prefix: str = "") -> None:
-        """Take the version that waits for approval into use.  Raises NotAcceptedError."""
+        """Apply the version that is held for approval.  Raises NotAcceptedError.
+
+        ``digest_prefix`` is the start of the digest that this version must have; "": any.
+        """
         self._execute(self._tracker.accept(digest_prefix))
 
     # ---- tasks and threads
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(self._contain(work))
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(self._run_logged(coroutine))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _contain(self, work: Coroutine[Any, Any, None]) -> None:
-        """Guard the node: a fault in here leaves the last good version in use, and is logged."""
+    async def _run_logged(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine and log its exception: the node keeps the version that is in use."""
         try:
-            await work
+            await coroutine
         except Exception:
-            logger.exception("watching %s failed; the list in use stays", self.options.path)
+            logger.exception(
+                "watching server files failed, the version in use stays: path=%s", self.options.path
+            )
 
     async def _run_in_thread(self, function: Callable[[], T]) -> T:
         return await asyncio.get_running_loop().run_in_executor(self._threads, function)
@@ -172,10 +182,10 @@
     # ---- polling
 
     async def _keep_polling(self) -> None:
-        """Poll until cancelled; a fault ends one round, and the next begins a little later."""
+        """Poll until cancelled; start again after a delay if polling raises an exception."""
         while True:
-            await self._contain(self._poll_forever())
-            await asyncio.sleep(FAULT_PAUSE_S)
+            await self._run_logged(self._poll_forever())
+            await asyncio.sleep(POLL_RESTART_DELAY_S)
 
     async def _poll_forever(self) -> None:
         while True:
@@ -183,13 +193,13 @@
             found = await self._run_in_thread(self._poller.poll)
             self._execute(self._tracker.on_polled(self._now(), found))
             if isinstance(found, FilesMissing):
-                self.decided.set()
+                self.state_changed.set()
 
     async def _wait_for_poll(self) -> None:
         """Wait until a poll is requested or due."""
         loop = asyncio.get_running_loop()
         interval_s = self.options.poll_interval_s
-        if not self._notifier.active:
+        if not self._notifier.is_active:
             interval_s = min(interval_s, POLL_INTERVAL_WITHOUT_INOTIFY_S)
         due_s = loop.time() + interval_s
         if self._poll_due_s is not None:
@@ -207,7 +217,7 @@
         due_s = asyncio.get_running_loop().time() + delay_us / 1e6
         self._poll_due_s = due_s if self._poll_due_s is None else min(self._poll_due_s, due_s)
 
-    # ---- carrying out the tracker's actions
+    # ---- executing the tracker's actions
 
     def _execute(self, actions: list[Action]) -> None:
         for action in actions:
@@ -223,7 +233,9 @@
                 case RetrySaveAfter():
                     self._spawn(self._retry_save(action.delay_us))
                 case WriteLog():
-                    logger.log(action.level, "%s: %s", self.options.path, action.text)
+                    logger.log(
+                        action.level, "server files at %s: %s", self.options.path, action.text
+                    )
 
     async def _validate(self, action: ValidateFiles) -> None:
         files = self._poller.files_with(action.digest)
@@ -234,18 +246,21 @@
             with _garbage_collection_paused():
                 result = await self._run_in_thread(validate)
         self._execute(self._tracker.on_validated(self._now(), action.digest, result))
-        self.decided.set()
+        self.state_changed.set()
 
     async def _apply(self, action: ApplyVersion) -> None:
-        """Prepare servers in slices, then apply all at once: no request sees half a version."""
+        """Prepare servers in batches, then apply the version at once.
+
+        No request uses a part of a version.
+        """
         assert self._listener is not None
         change = action.change
         entries = change.delta_entries()
-        for start in range(0, len(entries), PREPARED_PER_TURN):
-            self._listener.prepare(entries[start : start + PREPARED_PER_TURN])
+        for start in range(0, len(entries), PREPARE_BATCH_SIZE):
+            self._listener.prepare(entries[start : start + PREPARE_BATCH_SIZE])
             await asyncio.sleep(0)
-        gone = [Endpoint(name, EndpointState.REMOVED) for name in change.removed]
-        removed = [ListedEndpoint(server, NO_ADDRESS) for server in gone]
+        removed_servers = [Endpoint(name, EndpointState.REMOVED) for name in change.removed]
+        removed = [ListedEndpoint(server, NO_ADDRESS) for server in removed_servers]
         new = EndpointList(
             version=action.version.number,
             complete=change.base_number == 0,
@@ -253,7 +268,7 @@
         )
         self._listener.on_endpoint_list(new)
         self._execute(self._tracker.on_applied(self._now(), action.version.number))
-        self.decided.set()
+        self.state_changed.set()
 
     async def _save(self, version: ListVersion) -> None:
         path = self.options.saved_path
@@ -274,10 +289,10 @@
 
 @contextmanager
 def _garbage_collection_paused() -> Iterator[None]:
-    """Put the collector of cycles off while a list is parsed.
+    """Disable the cyclic garbage collector while a list is parsed.
 
-    Guards the loop: the tens of thousands of objects that a long list makes set the collector off,
-    and it would hold the interpreter for 20 ms to find that all of them are in use.
+    The tens of thousands of objects of a long list would trigger a collection that holds the
+    interpreter lock for 20 ms, delays the event loop and frees nothing, as all of them are in use.
     """
     gc.disable()
     try:
@@ -291,9 +306,9 @@
     action: ValidateFiles,
     now_us: int,
 ) -> ValidationResult:
-    """Parse the files and find what they change; runs in a thread."""
+    """Parse the files and return their changes or their problems; runs in a thread."""
     total_bytes = sum(len(file.data) for file in files)
-    pause = let_loop_run if total_bytes > _MAX_BYTES_WITHOUT_PAUSES else no_pause
+    pause = let_event_loop_run if total_bytes > _MAX_BYTES_WITHOUT_PAUSES else no_pause
     parsed = parse(files, pause)
     if not parsed.problems:
         return compare(action.base, action.digest, parsed, now_us, pause)
--- a/oakbridge/sources/formats.py
+++ b/oakbridge/sources/formats.py
@@ -1,6 +1,6 @@
-"""The three forms of a server file: discovery's JSON, TOML and Prometheus' ``file_sd`` JSON.
+"""The three formats of a server file: discovery's JSON, TOML and Prometheus' ``file_sd`` JSON.
 
-Each reader yields after every server, so that whoever parses beside an event loop can let it run.
+Each reader yields after every server, so that the parser can pause while an event loop runs.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def read_rows(raw: Any, reader: ServerRowReader) -> Iterator[None]:
-    """Read a decoded file of any form; yield after every server."""
+    """Read a decoded file of any format; yield after every server."""
     if isinstance(raw, list):
         yield from _read_file_sd(raw, reader)
     elif isinstance(raw, dict) and "endpoints" in raw:
@@ -26,15 +26,15 @@
         yield from _read_toml(raw, reader)
     else:
         expected = "expected `endpoints` (discovery), `[[server]]` (TOML) or a list (file_sd)"
-        reader.problem((), expected)
+        reader.add_problem((), expected)
 
 
 def _read_discovery(raw: dict[str, Any], reader: ServerRowReader) -> Iterator[None]:
     endpoints = raw["endpoints"]
     if raw.get("snapshot") is False:
-        reader.problem(("snapshot",), "expected true: a file holds the whole list")
+        reader.add_problem(("snapshot",), "expected true: a file holds the whole list")
     if not isinstance(endpoints, list):
-        reader.problem(("endpoints",), "expected a list" + got(endpoints))
+        reader.add_problem(("endpoints",), "expected a list" + got(endpoints))
         return
     fields = RowFields(state="status")
     for index, entry in enumerate(endpoints):
@@ -49,37 +49,39 @@
 def _read_toml(raw: dict[str, Any], reader: ServerRowReader) -> Iterator[None]:
     servers = raw["server"]
     for key in raw.keys() - {"server"}:
-        reader.problem((key,), "unknown key; expected `[[server]]` tables alone")
+        reader.add_problem((key,), "unknown key; expected `[[server]]` tables alone")
     if not isinstance(servers, list):
-        reader.problem(("server",), "expected `[[server]]` tables" + got(servers))
+        reader.add_problem(("server",), "expected `[[server]]` tables" + got(servers))
         return
     fields = RowFields()
     expected_keys = ", ".join(sorted(_TOML_KEYS))
     for index, entry in enumerate(servers):
         unknown = entry.keys() - _TOML_KEYS if isinstance(entry, dict) else ()
         for key in unknown:
-            reader.problem(("server", index, key), f"unknown key; expected one of {expected_keys}")
+            reader.add_problem(
+                ("server", index, key), f"unknown key; expected one of {expected_keys}"
+            )
         reader.read_row(entry, ("server", index), fields)
         yield
 
 
 def _read_file_sd(raw: list[Any], reader: ServerRowReader) -> Iterator[None]:
-    """Read groups of targets that share labels; all values of labels are text."""
+    """Read groups of targets that share labels; the values of all labels are strings."""
     for index, group in enumerate(raw):
         targets = group.get("targets") if isinstance(group, dict) else None
         labels = group.get("labels", {}) if isinstance(group, dict) else None
         if not isinstance(targets, list) or not isinstance(labels, dict):
             expected = "expected an object with a list of `targets` and an object of `labels`"
-            reader.problem((index,), expected)
+            reader.add_problem((index,), expected)
             continue
         shared = _read_labels(labels, (index, "labels"), reader)
         if "name" in shared and len(targets) != 1:
             expected = "expected one target in a group that has a name"
-            reader.problem((index, "labels", "name"), expected)
+            reader.add_problem((index, "labels", "name"), expected)
         for target_index, target in enumerate(targets):
             row = {"name": target, **shared, "address": target}
-            place = f"targets[{target_index}]"
-            reader.read_row(row, (index,), RowFields(name=place, address=place))
+            field_name = f"targets[{target_index}]"
+            reader.read_row(row, (index,), RowFields(name=field_name, address=field_name))
             yield
 
 
@@ -88,7 +90,7 @@
     path: FieldPath,
     reader: ServerRowReader,
 ) -> dict[str, Any]:
-    """Return the labels that mean something here, as the values that the other forms have."""
+    """Return the labels that describe a server, with values of the types in the other formats."""
     values: dict[str, Any] = {key: labels[key] for key in _TEXT_LABELS if key in labels}
     for key, number_type in _NUMBER_LABELS.items():
         if key not in labels:
@@ -96,5 +98,5 @@
         try:
             values[key] = number_type(labels[key])
         except (TypeError, ValueError, OverflowError):
-            reader.problem((*path, key), "expected a number as text" + got(labels[key]))
+            reader.add_problem((*path, key), "expected a number as text" + got(labels[key]))
     return values
--- a/oakbridge/sources/inline_source.py
+++ b/oakbridge/sources/inline_source.py
@@ -1,23 +1,23 @@
-"""The list of servers that a configuration itself holds."""
+"""The endpoint list that is part of a configuration."""
 
 from __future__ import annotations
 
 from oakbridge.node.endpoint_list import EndpointList, ListedEndpoint
 from oakbridge.node.endpoint_source import EndpointListener
 
-_INDEX = 1  # of the only version
+_VERSION = 1  # the list has one version
 
 
 class InlineSource:
-    """A list that never changes."""
+    """An endpoint source whose list never changes."""
 
     def __init__(self, entries: list[ListedEndpoint]) -> None:
-        """``entries`` is the whole list."""
+        """``entries`` is the complete list."""
         self._entries = entries
 
     def attach(self, listener: EndpointListener) -> None:
-        """Notify the node of the whole list."""
-        listener.on_endpoint_list(EndpointList(_INDEX, True, self._entries))
+        """Notify the listener of the complete list."""
+        listener.on_endpoint_list(EndpointList(_VERSION, True, self._entries))
 
     def start(self) -> None:
         """Do nothing: the list never changes."""
--- a/oakbridge/sources/inspection.py
+++ b/oakbridge/sources/inspection.py
@@ -1,4 +1,4 @@
-"""Read server files once, for people: their servers, or their mistakes with lines."""
+"""Read server files once, for commands: the servers, or the problems with their lines."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Inspection:
-    """What one reading of a file or a directory found."""
+    """The result of reading a file or a directory once."""
 
     digest: str
     parsed: ParsedServers
@@ -23,7 +23,10 @@
 
 
 def inspect_server_files(path: Path, is_directory: bool | None = None) -> Inspection:
-    """Read and check a file, or all files of a directory; by default what the path is decides."""
+    """Read and check a file, or all files of a directory.
+
+    ``is_directory`` None: whether the path is a directory decides.
+    """
     if is_directory is None:
         is_directory = path.is_dir()
     try:
--- a/oakbridge/sources/list_version.py
+++ b/oakbridge/sources/list_version.py
@@ -1,4 +1,4 @@
-"""A complete, valid list of servers, and what a new one changes against the one in use."""
+"""Versions of a complete, valid list of servers, and the changes from one to the next."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListVersion:
-    """One complete, valid list; ``digest`` stands for all bytes of its files."""
+    """A complete, valid list of servers; ``digest`` identifies the bytes of all its files."""
 
     number: int
     digest: str
@@ -25,21 +25,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """What a new list changes against the one in use, by name, in the order of the file."""
+    """The changes of a new list against the version in use: names in the order of the file."""
 
-    base_number: int  # of the version that it was compared with; 0: there was none
+    base_number: int  # number of the version that the list was compared with; 0: there was none
     digest: str
-    servers: dict[str, ListedEndpoint]  # the whole new list
+    servers: dict[str, ListedEndpoint]  # the complete new list
     added: tuple[str, ...] = ()
-    updated: tuple[str, ...] = ()  # still there, with other facts
-    moved: tuple[str, ...] = ()  # still there, at another address: another process under the name
+    updated: tuple[str, ...] = ()  # servers with the same address and another state, zone etc.
+    moved: tuple[str, ...] = ()  # servers with another address: another process of the same name
     removed: tuple[str, ...] = ()
-    lost_ready: int = 0  # servers that were ready and are so no longer, or have moved
-    base_ready: int = 0  # servers that were ready
+    lost_ready: int = 0  # number of servers that were ready and no longer are, or have moved
+    base_ready: int = 0  # number of servers that were ready
 
     @property
     def lost_fraction(self) -> float:
-        """The share of the ready servers that this change takes away."""
+        """Fraction of the ready servers that the new list loses, from 0 to 1."""
         return self.lost_ready / self.base_ready if self.base_ready else 0.0
 
     def delta_entries(self) -> list[ListedEndpoint]:
@@ -54,14 +54,16 @@
     now_us: int,
     pause: Callable[[], None] = no_pause,
 ) -> ListChange:
-    """Return what a valid list changes.  A newcomer without a start time counts as started now.
+    """Return the changes of a valid list against ``base``, the version in use if there is one.
 
-    Guards cold servers: one that joins a running fleet is new far more often than not, and one that
-    is taken for new when it is not only gets its part a little later.  Entries that are equal stay
-    the same objects.  ``pause`` is called between batches.
+    A server that is new or has moved and states no start time counts as started at ``now_us``.
+    This guards cold servers: a server that joins a running fleet has usually just started, and a
+    warm server that is taken for a cold one only gets its share of requests a little later.
+    Without ``base``, such servers count as warm.  Entries equal to those of ``base`` stay the same
+    objects.  ``pause`` is called between batches of servers.
     """
     base_servers = base.servers if base is not None else {}
-    newcomer_started_at_us = now_us if base is not None else 0
+    new_server_started_at_us = now_us if base is not None else 0
     added, updated, moved = [], [], []
     servers: dict[str, ListedEndpoint] = {}
     for count, (name, listed) in enumerate(parsed.servers.items()):
@@ -69,7 +71,7 @@
             pause()
         before, entry = base_servers.get(name), listed
         if name not in parsed.with_start_time:
-            entry = _with_start_time(entry, before, newcomer_started_at_us)
+            entry = _with_start_time(entry, before, new_server_started_at_us)
         if before is None:
             added.append(name)
         elif before == entry:
@@ -94,12 +96,12 @@
 
 
 def _with_start_time(
-    entry: ListedEndpoint, before: ListedEndpoint | None, newcomer_started_at_us: int
+    entry: ListedEndpoint, before: ListedEndpoint | None, new_server_started_at_us: int
 ) -> ListedEndpoint:
     if before is not None and before.address == entry.address:
         started_at_us = before.server.started_at
     else:
-        started_at_us = newcomer_started_at_us
+        started_at_us = new_server_started_at_us
     server = dataclasses.replace(entry.server, started_at=started_at_us)
     return ListedEndpoint(server, entry.address)
 
@@ -118,7 +120,7 @@
     servers: dict[str, ListedEndpoint],
     pause: Callable[[], None],
 ) -> _ReadyCounts:
-    """Return how many ready servers are no longer ready at their address, and how many were."""
+    """Count the servers that were ready, and those of them not ready at their address any more."""
     lost_ready = base_ready = 0
     for count, (name, before) in enumerate(base_servers.items()):
         if count % BATCH_SIZE == 0:
--- a/oakbridge/sources/pacing.py
+++ b/oakbridge/sources/pacing.py
@@ -1,17 +1,20 @@
-"""Pauses in long work beside an event loop."""
+"""Pauses for long computations in a thread beside an event loop."""
 
 from __future__ import annotations
 
 import time
 
-BATCH_SIZE = 64  # servers between two pauses
-_PAUSE_S = 0.0002
+BATCH_SIZE = 64  # servers that are processed between two pauses
+_PAUSE_S = 0.0002  # duration of one pause
 
 
 def no_pause() -> None:
-    """Go on at once: for callers that hold nobody up."""
+    """Do nothing: for computations that are short or delay no event loop."""
 
 
-def let_loop_run() -> None:
-    """Let the loop's thread run: it would otherwise wait for the interpreter's switch interval."""
+def let_event_loop_run() -> None:
+    """Release the interpreter lock for a moment, so that the event loop's thread runs.
+
+    That thread would otherwise wait for the interpreter's switch interval.
+    """
     time.sleep(_PAUSE_S)
--- a/oakbridge/sources/parsing.py
+++ b/oakbridge/sources/parsing.py
@@ -1,4 +1,4 @@
-"""Parse the files of one version: every server that they hold, or every mistake in them; no I/O."""
+"""Parse the files of one version: all their servers, or all their problems.  Does no I/O."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def parse(files: list[SourceFile], pause: Callable[[], None] = no_pause) -> ParsedServers:
-    """Return the servers of all files, or the mistakes.
+    """Return the servers of all files, or the problems.
 
-    Names and addresses must differ over all files.  ``pause`` is called between batches, so
-    that whoever parses beside an event loop can let it run.
+    Names and addresses must be unique over all files.  ``pause`` is called between batches of
+    servers, so that parsing in a thread does not delay an event loop.
     """
     parsed = ParsedServers()
     for file in files:
@@ -55,10 +55,10 @@
 
 
 def _check_addresses(parsed: ParsedServers, file: str) -> None:
-    """Refuse two names at one address: each would get a server's part of the calls."""
+    """Reject two names with the same address: that server would get the requests of two."""
     by_address: dict[Address, str] = {}
     for name, entry in parsed.servers.items():
-        other = by_address.setdefault(entry.address, name)
-        if other != name and entry.address[1]:
+        first_name = by_address.setdefault(entry.address, name)
+        if first_name != name and entry.address[1]:
             expected = f"expected an address of its own, got {entry.server.address}"
-            parsed.add_problem(file, (), f"{name}: {expected}, which {other} has")
+            parsed.add_problem(file, (), f"{name}: {expected}, which {first_name} has")
--- a/oakbridge/sources/problem.py
+++ b/oakbridge/sources/problem.py
@@ -1,4 +1,4 @@
-"""A mistake in a configuration or server file, with its place."""
+"""A problem in a configuration or server file, with its place."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One mistake: where it is, what was expected there, and what was found instead."""
+    """A problem: its place, and a text that says what was expected there and what was found."""
 
     file: str
     path: FieldPath
@@ -22,6 +22,6 @@
         return text.removeprefix(".")
 
     def __str__(self) -> str:
-        """Return one line: file, line, field and what was expected."""
+        """Return a text of one line: file, line, field and what was expected."""
         place = self.file if self.line is None else f"{self.file}:{self.line}"
         return ": ".join(part for part in (place, self.field_name(), self.expected) if part)
--- a/oakbridge/sources/reading.py
+++ b/oakbridge/sources/reading.py
@@ -1,4 +1,4 @@
-"""Read the files of one version from the disk; these functions block and run in threads."""
+"""Read the files of one version from the disk.  These functions block, so they run in threads."""
 
 from __future__ import annotations
 
@@ -13,13 +13,16 @@
 from oakbridge.sources.decoding import FILE_SUFFIXES, MAX_FILE_BYTES, SourceFile
 from oakbridge.sources.errors import ReadError
 
-MAX_FILES = 256  # of one directory
-# A file changed so lately may change again within its time stamp's grain.
-_MAY_CHANGE_AGAIN_NS = 2_000_000_000
+MAX_FILES = 256  # server files in one directory
+# A file that changed less than this ago may change again without another timestamp.
+_TIMESTAMP_RESOLUTION_NS = 2_000_000_000
 
 
 def read_regular_file(path: Path) -> bytes:
-    """Return a regular file's bytes, within the bound; never wait on a FIFO.  Raises ReadError."""
+    """Return the bytes of a regular file of at most ``MAX_FILE_BYTES``; never block on a FIFO.
+
+    Raises ReadError.
+    """
     try:
         fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
         try:
@@ -34,7 +37,7 @@
 
 
 def _read_bounded(path: Path, fd: int) -> bytes:
-    """Return at most one byte more than the bound."""
+    """Return at most one byte more than ``MAX_FILE_BYTES``."""
     status = os.fstat(fd)
     if not stat.S_ISREG(status.st_mode):
         raise ReadError(path, "expected a regular file")
@@ -45,7 +48,7 @@
 
 
 def list_files(path: Path, *, is_directory: bool) -> list[Path]:
-    """Return the files that make up a version: the path itself, or a directory's, by name.
+    """Return the files of a version: the path itself, or a directory's server files by name.
 
     Raises ReadError.
     """
@@ -63,8 +66,8 @@
 
 
 def _is_server_file_name(name: str) -> bool:
-    hidden_or_backup = name.startswith((".", "#"))
-    return name.endswith(FILE_SUFFIXES) and not hidden_or_backup
+    is_hidden_or_backup = name.startswith((".", "#"))
+    return name.endswith(FILE_SUFFIXES) and not is_hidden_or_backup
 
 
 def read_files(path: Path, *, is_directory: bool) -> list[SourceFile]:
@@ -81,13 +84,13 @@
 
 
 def digest_of(files: list[SourceFile]) -> str:
-    """Return one SHA-256 digest for the names and bytes of all files."""
-    total = hashlib.sha256()
+    """Return one SHA-256 digest of the names and bytes of all files."""
+    digest = hashlib.sha256()
     for file in files:
         name = file.name.encode(errors="replace")
-        total.update(b"%d %d %s\n" % (len(file.name), len(file.data), name))
-        total.update(file.data)
-    return total.hexdigest()
+        digest.update(b"%d %d %s\n" % (len(file.name), len(file.data), name))
+        digest.update(file.data)
+    return digest.hexdigest()
 
 
 def checksums_match(files: list[SourceFile]) -> bool | None:
@@ -100,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileFingerprint:
-    """What changes with a file, short of its bytes."""
+    """Metadata of a file that change with its content."""
 
     name: str
     device: int
@@ -114,12 +117,15 @@
 
 
 def fingerprint(path: Path, *, is_directory: bool) -> Fingerprint | None:
-    """Return the fingerprint of all files; None if a file is missing or has just changed."""
+    """Return the fingerprint of all files; None if one can't be read or has just changed."""
     fingerprints = []
     try:
         for file_path in list_files(path, is_directory=is_directory):
             status = file_path.stat()
-            if time.time_ns() - max(status.st_mtime_ns, status.st_ctime_ns) < _MAY_CHANGE_AGAIN_NS:
+            if (
+                time.time_ns() - max(status.st_mtime_ns, status.st_ctime_ns)
+                < _TIMESTAMP_RESOLUTION_NS
+            ):
                 return None
             fingerprints.append(
                 FileFingerprint(
--- a/oakbridge/sources/saved_copy.py
+++ b/oakbridge/sources/saved_copy.py
@@ -1,8 +1,8 @@
-"""The saved copy of the version in use: its format, written and read.
+"""Write and read the saved copy of the version in use.
 
-The first line is an object of ``format``, ``number`` and ``digest``; each further line is an array
-of one server: name, state, zone, group, weight, start in microseconds of Unix time, host, port.
-A checksum line ends it.
+The first line is a JSON object of ``format``, ``number`` and ``digest``.  Each further line is an
+array for one server: name, state, zone, group, weight, start time in microseconds of Unix time,
+host, port.  The last line is a checksum line.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from oakbridge.sources.checksum import checksum_line, checksum_matches, split_checksum
 from oakbridge.sources.errors import ReadError
 from oakbridge.sources.list_version import ListVersion
-from oakbridge.sources.pacing import BATCH_SIZE, let_loop_run
+from oakbridge.sources.pacing import BATCH_SIZE, let_event_loop_run
 from oakbridge.sources.reading import read_regular_file
 
 FORMAT_VERSION = 1
@@ -28,12 +28,12 @@
 
 
 def save_version(path: Path, version: ListVersion, write: Write = os.write) -> None:
-    """Save a copy, whole.  Blocks; raises OSError, and then the copy before stays."""
+    """Save a copy atomically.  Blocks.  Raises OSError; the previous copy is then unchanged."""
     write_atomically(path, _encode(version), write)
 
 
 def load_saved_version(path: Path) -> ListVersion | None:
-    """Return the saved copy, None if there is none that can be read."""
+    """Return the saved version; None if there is no copy that can be read."""
     try:
         data = read_regular_file(path)
     except ReadError:
@@ -41,7 +41,7 @@
     try:
         return _decode(data)
     except (ValueError, KeyError, TypeError) as error:
-        logger.warning("%s: the saved list is not used: %s", path, error)
+        logger.warning("saved copy of the list not used: path=%s error=%s", path, error)
         return None
 
 
@@ -50,7 +50,7 @@
     lines = [json.dumps(header)]
     for count, entry in enumerate(version.servers.values()):
         if count % BATCH_SIZE == 0:
-            let_loop_run()
+            let_event_loop_run()
         lines.append(json.dumps(_encode_entry(entry)))
     content = "\n".join(lines).encode() + b"\n"
     return content + checksum_line(content)
@@ -72,9 +72,9 @@
 
 
 def _decode(data: bytes) -> ListVersion:
-    """Raise ValueError, KeyError or TypeError for anything but a saved copy."""
+    """Decode a saved copy.  Raises ValueError, KeyError or TypeError for other data."""
     if not checksum_matches(data):
-        raise ValueError("its checksum does not fit")
+        raise ValueError("expected a matching checksum line")
     lines = split_checksum(data)[0].decode().splitlines()
     header, *rows = [json.loads(line) for line in lines]
     if header["format"] != FORMAT_VERSION:
--- a/oakbridge/sources/source_status.py
+++ b/oakbridge/sources/source_status.py
@@ -10,13 +10,13 @@
 
 
 def encode_status(
-    tracker: VersionTracker, now_us: int, *, path: str, is_directory: bool, notified: bool
+    tracker: VersionTracker, now_us: int, *, path: str, is_directory: bool, inotify_active: bool
 ) -> JsonObject:
-    """Return which version is in use, and why nothing newer is."""
+    """Return which version is in use, and why no newer one is."""
     return {
         "kind": "directory" if is_directory else "file",
         "path": path,
-        "told_of_changes": notified,
+        "told_of_changes": inotify_active,
         "missing": tracker.missing_reason,
         "saved": tracker.saved_number,
         "save_error": tracker.save_error,
--- a/oakbridge/sources/tracker_messages.py
+++ b/oakbridge/sources/tracker_messages.py
@@ -1,4 +1,4 @@
-"""What the version tracker is told of the disk, and the actions that it answers with."""
+"""The events that the version tracker handles, and the actions that it returns."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 
 @dataclass(frozen=True, slots=True)
 class FilesRead:
-    """The disk was polled and its files read."""
+    """A poll has read the files."""
 
-    digest: str  # stands for all bytes of all files, with their names
-    checksums_match: bool | None = None  # None where a file has no checksum line
+    digest: str  # digest of the names and bytes of all files
+    checksums_match: bool | None = None  # None if a file has no checksum line
 
 
 @dataclass(frozen=True, slots=True)
 class FilesMissing:
-    """The disk was polled and there was nothing that could be read."""
+    """A poll has found no files that can be read."""
 
     reason: str
 
 
-ValidationResult = ListChange | list[Problem] | None  # None: the files read are no longer at hand
+# None: the poller has read other files since and no longer keeps these.
+ValidationResult = ListChange | list[Problem] | None
 
 
 # ---- actions
 
 
 class LogLevel(IntEnum):
-    """The severity of a log line, as the logging module counts it."""
+    """The severity of a log line, with the values of the logging module."""
 
     INFO = 20
     WARNING = 30
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollAfter:
-    """Poll the disk after a delay, whether or not a change is notified."""
+    """Poll the disk after a delay, even if inotify reports no change."""
 
     delay_us: int
 
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyVersion:
-    """Take a version into use, whole and at one moment; then report it by ``on_applied``."""
+    """Apply a complete version at once; then call ``on_applied``."""
 
     version: ListVersion
     change: ListChange
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveVersion:
-    """Save a copy that outlives the process; then call ``on_saved`` or ``on_save_failed``."""
+    """Save a copy for the next start; then call ``on_saved`` or ``on_save_failed``."""
 
     version: ListVersion
 
--- a/tests/sources/rewritten_files.py
+++ b/tests/sources/rewritten_files.py
@@ -216,16 +216,16 @@
         return servers
 
     async def settled(self, good: bool) -> str:
-        """Wait until the source has decided on what the file holds; return how."""
+        """Wait until the source has state_changed on what the file holds; return how."""
         while True:
-            self.source.decided.clear()
+            self.source.state_changed.clear()
             status = self.source.describe()
             digest = digest_on_disk(self.path)
             for word in ("used", "held", "refused"):
                 if status[word] is not None and status[word]["digest"] == digest:
                     assert good == (word == "used"), status
                     return word
-            await with_timeout(self.source.decided.wait())
+            await with_timeout(self.source.state_changed.wait())
 
 
 def digest_on_disk(path: Path) -> str:
--- a/tests/sources/test_file_source.py
+++ b/tests/sources/test_file_source.py
@@ -11,7 +11,7 @@
 from peers import run, with_timeout
 from watched_source import WatchedSource, replace_file, server_tables
 
-from oakbridge.sources.file_source import PREPARED_PER_TURN
+from oakbridge.sources.file_source import PREPARE_BATCH_SIZE
 
 
 def rename_over(path: Path, content: str) -> None:
@@ -267,7 +267,7 @@
             await w.listener.until("s0")
             replace_file(path, json.dumps({"endpoints": rows}))
             assert len(await with_timeout(w.listener.versions.get())) == 1000
-            assert max(w.listener.prepared) <= PREPARED_PER_TURN
+            assert max(w.listener.prepared) <= PREPARE_BATCH_SIZE
             assert sum(w.listener.prepared) == 1000
 
     run(scenario())
--- a/tests/sources/test_version_tracker.py
+++ b/tests/sources/test_version_tracker.py
@@ -77,7 +77,7 @@
     tracker.on_polled(0, FilesRead("one", True))
     said = tracker.on_validated(1, "one", change(tracker.current, "one", entry("a")))
     assert kinds(said) == [PollAfter]
-    assert "3 of 4" in said[0].text
+    assert "lost_ready=3 base_ready=4 " in said[0].text
     assert tracker.current.digest == "four"
     assert tracker.on_polled(2, FilesRead("one", True)) == []
     with pytest.raises(NotAcceptedError, match="not other"):
--- a/tests/sources/watched_source.py
+++ b/tests/sources/watched_source.py
@@ -76,6 +76,6 @@
     async def until(self, key: str, text: str = "") -> JsonObject:
         """Wait until the status has a value with this text under the key; return the status."""
         while not (status := self.source.describe())[key] or text not in str(status[key]):
-            self.source.decided.clear()
-            await with_timeout(self.source.decided.wait())
+            self.source.state_changed.clear()
+            await with_timeout(self.source.state_changed.wait())
         return status
