--- a/oakbridge/config/__init__.py
+++ b/oakbridge/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration file of a node without the platform: definitions, checks and reference."""
+"""The configuration file ``oakbridge.toml``: its definitions, checks and reference page."""
--- a/oakbridge/config/errors.py
+++ b/oakbridge/config/errors.py
@@ -1,4 +1,4 @@
-"""The error of a configuration file."""
+"""The error of a configuration file that can't be used."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class ConfigFileError(ValueError):
-    """A configuration file that can't be used; ``problems`` has every mistake with its place.
+    """A configuration file can't be used; ``problems`` has every problem with its place.
 
-    ``is_transient``: it could not be read, and may be readable in a moment.
+    ``is_transient``: the file could not be read because of a transient error.
     """
 
     def __init__(self, problems: list[Problem], *, is_transient: bool = False) -> None:
--- a/oakbridge/config/field_types.py
+++ b/oakbridge/config/field_types.py
@@ -1,4 +1,4 @@
-"""Types of the fields of configuration files: times, addresses, numbers, names and tables."""
+"""Types of fields in configuration files: durations, addresses, numbers, names and tables."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def parse_duration_us(value: object) -> int:
-    """Return ``"2.5s"``, ``"250ms"`` and the like in whole microseconds.  Raises ValueError."""
+    """Return a text such as ``"2.5s"`` or ``"250ms"`` in whole microseconds.  Raises ValueError."""
     match = _DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
         raise ValueError(f'expected a time such as "250ms" or "2.5s", got {value!r:.60}')
@@ -53,7 +53,7 @@
     return value
 
 
-# The reference page takes the kind from the schema's extra.
+# The reference page shows the ``kind`` in ``json_schema_extra``.  Durations are in microseconds.
 Duration = Annotated[
     int,
     BeforeValidator(parse_duration_us),
@@ -74,6 +74,6 @@
 
 
 class Table(BaseModel):
-    """A table of a file: keys that it does not know are mistakes."""
+    """A table of a configuration file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
--- a/oakbridge/config/load.py
+++ b/oakbridge/config/load.py
@@ -1,4 +1,4 @@
-"""Read ``oakbridge.toml``: every mistake at once, with line, field and what was expected."""
+"""Read ``oakbridge.toml`` and report all its problems at once, each with its place."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedConfig:
-    """A checked file, and what it means for a node."""
+    """A valid configuration file, and the node's configuration made from it."""
 
     path: Path
-    file: schema.File
+    file: schema.ConfigFile
     config: Config
-    control_path: Path | None  # of the control socket; None: there is none
+    control_path: Path | None  # path of the control socket; None: the node has none
     digest: str  # SHA-256 of the file's bytes
-    # Name and address among the members; None: those of the file.
+    # Name and address of this node as a member of the cluster; None: those of the file.
     member_override: tuple[str, Address] | None = None
 
 
 def load(path: Path) -> LoadedConfig:
     """Read and check a file.  Raises ConfigFileError."""
     data = read_bounded(path)
-    file = check(data, str(path))
+    file = parse_config(data, str(path))
     return LoadedConfig(
         path=path,
         file=file,
@@ -40,13 +40,16 @@
     )
 
 
-def check(data: bytes, name: str) -> schema.File:
-    """Check a file's bytes; ``name`` is the file's in messages.  Raises ConfigFileError."""
-    return parse_tables(data, name, schema.File)
+def parse_config(data: bytes, name: str) -> schema.ConfigFile:
+    """Parse and check a file's bytes; ``name`` names it in errors.  Raises ConfigFileError."""
+    return parse_tables(data, name, schema.ConfigFile)
 
 
-def control_socket_path(file: schema.File) -> Path | None:
-    """Return the control socket's path by the file or the user's runtime directory, if enabled."""
+def control_socket_path(file: schema.ConfigFile) -> Path | None:
+    """Return the path of the control socket; None if the file disables it.
+
+    It is the file's or else the default path in the user's runtime directory.
+    """
     if not file.control.enabled:
         return None
     if file.control.socket is not None:
--- a/oakbridge/config/node_config.py
+++ b/oakbridge/config/node_config.py
@@ -17,13 +17,13 @@
     WeightSource,
 )
 
-DRAIN_GRACE_US = 250_000  # in which a drain ends new work
-CROSS_ZONE_PRICE = 0.02  # any price above 0 has the balancer prefer its own zone
-OTHER_ZONE = "any other"
+DRAIN_GRACE_US = 250_000  # time for which sends to a draining or removed server may continue
+CROSS_ZONE_PRICE = 0.02  # any price above 0 makes the balancer prefer servers of its own zone
+OTHER_ZONE = "any other"  # stands for all zones but the node's own
 
 
-def node_config(file: schema.File) -> Config:
-    """Return the node's configuration; without a seed in the file it gets a random one."""
+def node_config(file: schema.ConfigFile) -> Config:
+    """Return the node's configuration, with a random seed if the file has none."""
     node = file.node
     first_address, *other_addresses = node.listen
     seed = secrets.randbits(64) if node.seed is None else node.seed
@@ -39,8 +39,8 @@
     )
 
 
-def balancer_settings(file: schema.File) -> Settings:
-    """Return the balancer's settings; a tick is 1 ms, as on the platform."""
+def balancer_settings(file: schema.ConfigFile) -> Settings:
+    """Return the balancer's settings; the tick stays at its default of 1 ms."""
     limits, budget, cold_start = file.limits, file.retry_budget, file.cold_start
     zone = file.node.zone
     return Settings(
@@ -83,8 +83,8 @@
     )
 
 
-def inline_endpoints(file: schema.File) -> list[ListedEndpoint]:
-    """Return the servers that the file itself holds."""
+def inline_endpoints(file: schema.ConfigFile) -> list[ListedEndpoint]:
+    """Return the servers listed in the configuration file itself."""
     return [_listed_endpoint(server) for server in file.servers.inline]
 
 
--- a/oakbridge/config/peers.py
+++ b/oakbridge/config/peers.py
@@ -1,4 +1,4 @@
-"""Map the settings of ``[peers]`` to a member's options."""
+"""Map the table ``[peers]`` to the options of a member."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 def peers_options(loaded: LoadedConfig) -> ServiceOptions | None:
-    """Return the member's options, None without ``[peers]``; read its secret.  Raises ConfigFileError."""
+    """Return the member's options with the secret it reads; None without ``[peers]``.
+
+    Raises ConfigFileError.
+    """
     table = loaded.file.peers
     if table is None:
         return None
@@ -37,7 +40,7 @@
         local_health=table.local_health,
     )
     name, listen = loaded.member_override or (loaded.config.name, table.listen)
-    if not 1 <= len(name) <= MAX_NAME_LENGTH:  # others would drop all that it says
+    if not 1 <= len(name) <= MAX_NAME_LENGTH:  # other members would drop its messages
         text = (
             f"expected a name of 1 to {MAX_NAME_LENGTH} characters among members, got {name!r:.120}"
         )
@@ -56,13 +59,13 @@
 
 
 def read_secret(path: Path) -> bytes:
-    """Return the shared secret, without blanks around it.  Raises ConfigFileError."""
+    """Return the members' shared secret without surrounding blanks.  Raises ConfigFileError."""
     try:
         with path.open("rb") as file:
             secret = file.read(MAX_SECRET_BYTES + 1).strip()
-    except OSError as e:
+    except OSError as error:
         raise ConfigFileError(
-            [Problem(str(path), (), f"expected the members' secret: {e.strerror or e}")]
+            [Problem(str(path), (), f"expected the members' secret: {error.strerror or error}")]
         ) from None
     if not MIN_SECRET_BYTES <= len(secret) <= MAX_SECRET_BYTES:
         text = f"expected a secret of {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES} bytes, got {len(secret)}"
@@ -71,7 +74,7 @@
 
 
 def seeds_file_options(loaded: LoadedConfig) -> FileOptions | None:
-    """Return how the file of seeds is watched, None without one."""
+    """Return how to watch the file of seeds; None without such a file."""
     table = loaded.file.peers
     if table is None or table.seeds_file is None:
         return None
--- a/oakbridge/config/reference.py
+++ b/oakbridge/config/reference.py
@@ -1,4 +1,4 @@
-"""The reference page of the configuration, made from the definitions that check the file."""
+"""Write the reference page of the configuration from the definitions that check the file."""
 
 from __future__ import annotations
 
@@ -11,15 +11,14 @@
 
 HEAD = """# Configuration reference
 
-`oakbridge serve --config FILE` reads one TOML file; `oakbridge check FILE` lists every mistake in
-it with its line. This page is made from the definitions that check the file
-(`oakbridge check --reference`): edit those, not this. Times are texts with a unit (`"250ms"`,
-`"2.5s"`, `"1m"`). Paths that are not absolute start at the folder of the file. A key that is not
-listed here is a mistake.
+`oakbridge serve --config FILE` reads one TOML file; `oakbridge check FILE` lists every problem in
+it with its line. `oakbridge check --reference` writes this page from the definitions that check the
+file: edit those, not this page. Times are texts with a unit (`"250ms"`, `"2.5s"`, `"1m"`).
+Relative paths start at the directory of the file. Unknown keys are errors.
 """
 
 _TABLE_HEAD = [
-    "| key | what | kind | default |",
+    "| key | description | kind | default |",
     "| --- | --- | --- | --- |",
 ]
 _ARRAYS_OF_TABLES = ("classes", "tenants")
@@ -28,7 +27,7 @@
     "sip": {"sip.route": schema.SipRoute},
 }
 
-# The first that is a part of the annotation's text gives the kind.
+# The first of these keys that the text of a field's annotation contains gives its kind.
 _KINDS_BY_ANNOTATION = {
     "InlineServer": "tables",
     "SipRoute": "tables",
@@ -54,10 +53,10 @@
 
 
 def reference_page() -> str:
-    """Return the whole page, as Markdown."""
+    """Return the complete page as Markdown."""
     parts = [HEAD]
-    for name, field in schema.File.model_fields.items():
-        # A table, a list of tables, or a table that may be left out.
+    for name, field in schema.ConfigFile.model_fields.items():
+        # The annotation is a table, a list of tables, or an optional table.
         model: Any = getattr(field.annotation, "__args__", (field.annotation,))[0]
         key = field.alias or name
         title = f"[[{key}]]" if name in _ARRAYS_OF_TABLES else f"[{key}]"
--- a/oakbridge/config/sip.py
+++ b/oakbridge/config/sip.py
@@ -1,4 +1,4 @@
-"""Map the settings of ``[sip]`` to the SIP front's."""
+"""Map the table ``[sip]`` to the settings of the SIP proxy and its front."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from oakbridge.sip.settings import ClassRule, ProxySettings
 
 
-def sip_settings(file: schema.File) -> ProxySettings:
+def sip_settings(file: schema.ConfigFile) -> ProxySettings:
     """Return the proxy's settings; the file must have ``[sip]``."""
     sip = _required_table(file)
     host, port = sip.listen
@@ -23,16 +23,16 @@
     )
 
 
-def sip_options(file: schema.File) -> FrontOptions:
-    """Return the front's sockets; the file must have ``[sip]``."""
+def sip_options(file: schema.ConfigFile) -> FrontOptions:
+    """Return where the front listens; the file must have ``[sip]``."""
     sip = _required_table(file)
     return FrontOptions(sip.listen, sip.server_port, sip.tcp)
 
 
 def _class_rule(route: schema.SipRoute) -> ClassRule:
-    return ClassRule(route.klass, frozenset(route.methods), route.user_prefix)
+    return ClassRule(route.class_name, frozenset(route.methods), route.user_prefix)
 
 
-def _required_table(file: schema.File) -> schema.SipTable:
+def _required_table(file: schema.ConfigFile) -> schema.SipTable:
     assert file.sip is not None
     return file.sip
--- a/oakbridge/config/sites.py
+++ b/oakbridge/config/sites.py
@@ -1,4 +1,4 @@
-"""Map the settings of ``[sites]`` to a node's sites, and read the plan that they name."""
+"""Map the table ``[sites]`` to a node's sites, and read the plan file that it names."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def node_sites(loaded: LoadedConfig) -> NodeSites | None:
-    """Return the node's sites, None without ``[sites]``; read its plan.  Raises ConfigFileError."""
+    """Return the node's sites with the plan it reads; None without ``[sites]``.
+
+    Raises ConfigFileError.
+    """
     table = loaded.file.sites
     if table is None:
         return None
@@ -23,7 +26,7 @@
     return NodeSites(
         loaded.member_override[0] if loaded.member_override is not None else loaded.config.name,
         settings.zone,
-        {each.name: each.priority_weight for each in settings.classes},
+        {request_class.name: request_class.priority_weight for request_class in settings.classes},
         loaded.config.seed,
         has_quotas=bool(settings.tenants),
         options=SitesOptions(warm_up_us=settings.slow_start_window, min_step_us=table.step),
@@ -32,7 +35,7 @@
 
 
 def load_plan(path: Path) -> SitePlan:
-    """Read and check a plan.  Raises ConfigFileError with every mistake."""
+    """Read and check a plan file.  Raises ConfigFileError with every problem."""
     try:
         return decode_plan(read_bounded(path))
     except SitePlanError as error:
--- a/oakbridge/config/sites_file.py
+++ b/oakbridge/config/sites_file.py
@@ -1,6 +1,7 @@
-"""Read ``sites.toml``, what operators know of their sites, whole or not at all.
+"""Read ``sites.toml``, in which operators describe the topology of their sites.
 
-Its keys are mapped here, and only here, to the program's own terms.
+A file with any problem is rejected as a whole.  Only this module maps the file's keys to the names
+in the code.
 """
 
 from __future__ import annotations
@@ -31,37 +32,41 @@
 
 
 class SiteCapacityTable(Table):
-    """A site."""
+    """A site and its capacity."""
 
     name: Name = Field(
         max_length=MAX_SITE_NAME,
-        description="Its name: the zone of its servers and nodes.",
+        description="Name of the site, which is the zone of its servers and nodes.",
     )
     capacity: Number = Field(
         ge=0,
-        description="Requests a second that its servers can do, of work 1.",
+        description="Requests of work 1 that its servers can serve per second.",
+    )
+    keep_free: Number = Field(
+        0.1, ge=0, lt=1, description="Fraction of the capacity that must stay free."
     )
-    keep_free: Number = Field(0.1, ge=0, lt=1, description="Of it, that must stay free.")
 
 
 class ClassDemandTable(Table):
-    """A class of requests."""
+    """A request class."""
 
     name: Name
-    worth: Number = Field(ge=0, description="What an answer in time is worth.")
-    work: Number = Field(1.0, gt=0, description="What one costs a server, against others.")
+    worth: Number = Field(ge=0, description="Worth of a response in time.")
+    work: Number = Field(
+        1.0, gt=0, description="Cost of a request to a server, relative to other classes."
+    )
 
 
 class SiteLoadTable(Table):
-    """What comes in at a site."""
+    """The rate of requests of one class that a site receives from clients."""
 
     site: Name
     class_name: Name = Field(alias="class")
-    rate: Number = Field(ge=0, description="Requests a second.")
+    rate: Number = Field(ge=0, description="Requests per second.")
 
 
 class SiteDistanceTable(Table):
-    """How far two sites are from each other, both ways; 1 where it is not told."""
+    """The distance between two sites, in both directions; 1 for pairs without a table."""
 
     a: Name
     b: Name
@@ -71,7 +76,7 @@
 class SitesFile(Table):
     """The whole file."""
 
-    version: int = Field(ge=1, description="Raised with each change.")
+    version: int = Field(ge=1, description="Number that is raised with each change of the file.")
     sites: list[SiteCapacityTable] = Field(alias="site", min_length=1, max_length=MAX_SITES)
     classes: list[ClassDemandTable] = Field(alias="class", min_length=1, max_length=MAX_CLASSES)
     loads: list[SiteLoadTable] = Field(alias="load", min_length=1, max_length=MAX_LOADS)
@@ -79,13 +84,13 @@
 
 
 def load_topology(path: Path) -> Topology:
-    """Read and check a file.  Raises ConfigFileError with every mistake."""
+    """Read and check a file.  Raises ConfigFileError with every problem."""
     data = read_bounded(path)
     file = parse_tables(data, str(path), SitesFile)
     lines = field_lines(data, FileKind.TOML)
     problems = [
         Problem(str(path), field, expected, nearest_line(lines, field))
-        for field, expected in _mistakes(file)
+        for field, expected in _find_mistakes(file)
     ]
     if problems:
         raise ConfigFileError(in_file_order(problems))
@@ -93,50 +98,55 @@
 
 
 def topology_of(file: SitesFile, digest: str) -> Topology:
-    """Return a checked file in the program's terms."""
+    """Return the topology that a checked file describes."""
     return Topology(
         file.version,
         digest,
-        tuple(SiteCapacity(s.name, s.capacity, s.keep_free) for s in file.sites),
-        tuple(ClassDemand(c.name, c.worth, c.work) for c in file.classes),
+        tuple(SiteCapacity(site.name, site.capacity, site.keep_free) for site in file.sites),
+        tuple(ClassDemand(demand.name, demand.worth, demand.work) for demand in file.classes),
         tuple(SiteLoad(load.site, load.class_name, load.rate) for load in file.loads),
-        tuple(SiteDistance(d.a, d.b, d.cost) for d in file.distances),
+        tuple(SiteDistance(pair.a, pair.b, pair.cost) for pair in file.distances),
     )
 
 
-def _mistakes(file: SitesFile) -> Iterator[Mistake]:
-    yield from _repeated("site", [(s.name,) for s in file.sites])
-    yield from _repeated("class", [(c.name,) for c in file.classes])
-    yield from _repeated("load", [(load.site, load.class_name) for load in file.loads])
-    yield from _repeated("distance", [(min(d.a, d.b), max(d.a, d.b)) for d in file.distances])
+def _find_mistakes(file: SitesFile) -> Iterator[Mistake]:
+    yield from _repeated_keys("site", [(site.name,) for site in file.sites])
+    yield from _repeated_keys("class", [(demand.name,) for demand in file.classes])
+    yield from _repeated_keys("load", [(load.site, load.class_name) for load in file.loads])
+    yield from _repeated_keys(
+        "distance", [(min(pair.a, pair.b), max(pair.a, pair.b)) for pair in file.distances]
+    )
     yield from _load_mistakes(file)
     yield from _distance_mistakes(file)
-    if not any(s.capacity for s in file.sites):
+    if not any(site.capacity for site in file.sites):
         yield ("site", 0, "capacity"), "expected a site that can do anything"
 
 
-def _repeated(table: str, keys: list[tuple[str, ...]]) -> Iterator[Mistake]:
+def _repeated_keys(table: str, keys: list[tuple[str, ...]]) -> Iterator[Mistake]:
     seen = set[tuple[str, ...]]()
-    for n, key in enumerate(keys):
+    for index, key in enumerate(keys):
         if key in seen:
-            yield (table, n), f"expected each {table} once, got {' and '.join(key)} again"
+            yield (table, index), f"expected each {table} once, got {' and '.join(key)} again"
         seen.add(key)
 
 
 def _load_mistakes(file: SitesFile) -> Iterator[Mistake]:
-    sites, classes = {s.name for s in file.sites}, {c.name for c in file.classes}
-    for n, load in enumerate(file.loads):
+    sites, classes = (
+        {site.name for site in file.sites},
+        {demand.name for demand in file.classes},
+    )
+    for index, load in enumerate(file.loads):
         if load.site not in sites:
-            yield ("load", n, "site"), f"expected one of the sites, got {load.site!r}"
+            yield ("load", index, "site"), f"expected one of the sites, got {load.site!r}"
         if load.class_name not in classes:
-            yield ("load", n, "class"), f"expected one of the classes, got {load.class_name!r}"
+            yield ("load", index, "class"), f"expected one of the classes, got {load.class_name!r}"
 
 
 def _distance_mistakes(file: SitesFile) -> Iterator[Mistake]:
-    sites = {s.name for s in file.sites}
-    for n, distance in enumerate(file.distances):
-        for key, site in (("a", distance.a), ("b", distance.b)):
-            if site not in sites:
-                yield ("distance", n, key), f"expected one of the sites, got {site!r}"
+    sites = {site.name for site in file.sites}
+    for index, distance in enumerate(file.distances):
+        for key, site_name in (("a", distance.a), ("b", distance.b)):
+            if site_name not in sites:
+                yield ("distance", index, key), f"expected one of the sites, got {site_name!r}"
         if distance.a == distance.b:
-            yield ("distance", n), "expected two sites"
+            yield ("distance", index), "expected two sites"
--- a/oakbridge/config/toml_file.py
+++ b/oakbridge/config/toml_file.py
@@ -1,4 +1,4 @@
-"""Read a TOML file and check it against a definition: every mistake at once, each with its line."""
+"""Read a TOML file and check it against a model; all problems are reported at once, with lines."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def read_bounded(path: Path) -> bytes:
-    """Return a file's bytes.  Raises ConfigFileError if it can't be read or is too long."""
+    """Return a file's bytes.  Raises ConfigFileError if it is unreadable or too long."""
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
             expected = f"expected at most {MAX_FILE_BYTES} bytes"
@@ -35,9 +35,9 @@
 
 
 def parse_tables(data: bytes, file: str, model: type[T]) -> T:
-    """Return a TOML file's tables.  Raises ConfigFileError with every mistake.
+    """Return a TOML file's tables.  Raises ConfigFileError with every problem.
 
-    ``file`` is the name to report mistakes by, ``model`` the definition of the whole file.
+    ``file`` is the file's name in problems, ``model`` the definition of the whole file.
     """
     raw = _decode(data, file)
     try:
--- a/oakbridge/config/validation_problems.py
+++ b/oakbridge/config/validation_problems.py
@@ -1,4 +1,4 @@
-"""Turn pydantic's validation errors into problems that say what was expected."""
+"""Convert validation errors of pydantic to problems that say what was expected."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def _got(details: ErrorDetails) -> str:
-    """Return the end of a message that shows the value, but for tables and most lists."""
+    """Return the end of a message, which shows the value; "" for tables and most lists."""
     value = details.get("input")
     if isinstance(value, dict | list) and details["type"] != "list_type":
         return ""
@@ -67,7 +67,7 @@
 
 
 def _expected_keys(path: FieldPath, root: type[Table]) -> str:
-    """Return the end of a message that names the keys of the table in which an unknown one is."""
+    """Return the end of a message on an unknown key, which names the valid keys of its table."""
     model: type[Table] | None = root
     for key in path[:-1]:
         if isinstance(key, str) and model is not None:
@@ -79,12 +79,14 @@
 
 
 def _table_under(model: type[Table], key: str) -> type[Table] | None:
-    """Return the definition of the table, or of the tables, under a key."""
+    """Return the definition of the table or the array of tables under a key; None without one."""
     for name, field in model.model_fields.items():
         if (field.alias or name) == key:
             candidates: tuple[Any, ...] = getattr(field.annotation, "__args__", (field.annotation,))
             tables = [
-                each for each in candidates if isinstance(each, type) and issubclass(each, Table)
+                candidate
+                for candidate in candidates
+                if isinstance(candidate, type) and issubclass(candidate, Table)
             ]
             return tables[0] if tables else None
     return None
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -5,7 +5,7 @@
 import pytest
 
 from oakbridge.config.errors import ConfigFileError
-from oakbridge.config.load import check, load
+from oakbridge.config.load import load, parse_config
 from oakbridge.config.node_config import inline_endpoints
 from oakbridge.config.reference import reference_page
 from oakbridge.control.paths import default_socket_path
@@ -48,7 +48,7 @@
 
 def problems(text: str) -> list[tuple[int | None, str, str]]:
     with pytest.raises(ConfigFileError) as e:
-        check(text.encode(), "f.toml")
+        parse_config(text.encode(), "f.toml")
     return [(p.line, p.field_name(), p.expected) for p in e.value.problems]
 
 
@@ -136,7 +136,7 @@
 
 def test_invalid_utf8_is_reported_with_its_line():
     with pytest.raises(ConfigFileError, match=r"f\.toml:2: expected UTF-8, got the byte 0xff"):
-        check(b"# fine\n\xff\n", "f.toml")
+        parse_config(b"# fine\n\xff\n", "f.toml")
 
 
 def test_missing_file_is_reported(tmp_path):
@@ -148,7 +148,7 @@
     text = GOOD.replace(
         'file = "servers.toml"', 'inline = [\n{name = "a", address = "127.0.0.1:1", weight = 2},\n]'
     )
-    [entry] = inline_endpoints(check(text.encode(), "f"))
+    [entry] = inline_endpoints(parse_config(text.encode(), "f"))
     assert (entry.server.id, entry.server.weight, entry.address) == ("a", 2.0, ("127.0.0.1", 1))
     [(line, field, says)] = problems(text.replace('"127.0.0.1:1"', '"x"'))
     assert (line, field) == (8, "servers.inline[0].address")
@@ -175,4 +175,4 @@
 def test_example_of_getting_started_is_valid():
     text = (ROOT / "docs/getting-started.md").read_text()
     example = text.split("```toml\n", 1)[1].split("```", 1)[0]
-    assert check(example.encode(), "oakbridge.toml").classes
+    assert parse_config(example.encode(), "oakbridge.toml").classes
