--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -1,4 +1,4 @@
-"""The configuration file: its meaning, every problem with its line, and its reference page."""
+"""The configuration file: its mapping, its problems with their lines, and its reference page."""
 
 from pathlib import Path
 
@@ -46,10 +46,13 @@
 """
 
 
-def problems(text: str) -> list[tuple[int | None, str, str]]:
-    with pytest.raises(ConfigFileError) as e:
+def problems_of(text: str) -> list[tuple[int | None, str, str]]:
+    """Return line, field and expectation of each problem of an invalid file."""
+    with pytest.raises(ConfigFileError) as caught:
         parse_config(text.encode(), "f.toml")
-    return [(p.line, p.field_name(), p.expected) for p in e.value.problems]
+    return [
+        (problem.line, problem.field_name(), problem.expected) for problem in caught.value.problems
+    ]
 
 
 def test_file_is_mapped_to_the_node_configuration(tmp_path):
@@ -88,7 +91,7 @@
         .replace('"127.0.0.1:8081"', '"here"')
         .replace('repeat = "safe"', 'repeat = "often"')
     )
-    got = problems(text)
+    got = problems_of(text)
     assert [(line, field) for line, field, _ in got] == [
         (3, "node.listen[1]"),
         (11, "class[0].aim"),
@@ -97,17 +100,17 @@
         (26, "tenant[0].quota_per_s"),
         (29, "retry_budget.ratio"),
     ]
-    said = [expected for _, _, expected in got]
-    assert said[0].startswith("expected an IPv4 address and a port, got 'here'")
-    assert "expected a time such as" in said[1]
-    assert said[2].startswith("unknown key; expected one of aim, deadline")
-    assert said[3] == "expected safe, keyed or unsafe, got often"
-    assert said[4] == "expected a number of at least 0, got -1"
-    assert said[5] == "expected a number of at most 1, got 2"
+    expected_texts = [expected for _, _, expected in got]
+    assert expected_texts[0].startswith("expected an IPv4 address and a port, got 'here'")
+    assert "expected a time such as" in expected_texts[1]
+    assert expected_texts[2].startswith("unknown key; expected one of aim, deadline")
+    assert expected_texts[3] == "expected safe, keyed or unsafe, got often"
+    assert expected_texts[4] == "expected a number of at least 0, got -1"
+    assert expected_texts[5] == "expected a number of at most 1, got 2"
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "field", "says"),
+    ("text", "line", "field", "expected"),
     [
         ("[[class]", 1, "", "expected TOML"),
         ("", 1, "class", "missing"),
@@ -128,10 +131,10 @@
         (GOOD + "[limits]\nsockets = 3\n", 31, "limits.sockets", "of at least 128"),
     ],
 )  # fmt: skip
-def test_problem_names_line_field_and_expectation(text, line, field, says):
-    [(got_line, got_field, expected), *_] = problems(text)
+def test_problem_names_line_field_and_expectation(text, line, field, expected):
+    [(got_line, got_field, got_expected), *_] = problems_of(text)
     assert (got_line, got_field) == (line, field)
-    assert says in expected
+    assert expected in got_expected
 
 
 def test_invalid_utf8_is_reported_with_its_line():
@@ -150,9 +153,9 @@
     )
     [entry] = inline_endpoints(parse_config(text.encode(), "f"))
     assert (entry.server.id, entry.server.weight, entry.address) == ("a", 2.0, ("127.0.0.1", 1))
-    [(line, field, says)] = problems(text.replace('"127.0.0.1:1"', '"x"'))
+    [(line, field, expected)] = problems_of(text.replace('"127.0.0.1:1"', '"x"'))
     assert (line, field) == (8, "servers.inline[0].address")
-    assert "IPv4" in says
+    assert "IPv4" in expected
 
 
 def test_lines_are_found_in_nested_and_quoted_tables():
@@ -168,11 +171,11 @@
 
 
 def test_reference_page_matches_the_definitions():
-    """Guards against a page that drifts: `oakbridge check --reference` writes it."""
+    """Guards against an outdated page: `oakbridge check --reference` writes it."""
     assert (ROOT / "docs/configuration.md").read_text() == reference_page()
 
 
-def test_example_of_getting_started_is_valid():
+def test_example_in_getting_started_is_valid():
     text = (ROOT / "docs/getting-started.md").read_text()
     example = text.split("```toml\n", 1)[1].split("```", 1)[0]
     assert parse_config(example.encode(), "oakbridge.toml").classes
--- a/tests/formats/test_sources.py
+++ b/tests/formats/test_sources.py
@@ -1,4 +1,4 @@
-"""The saved copy of a list of servers, held by a fixture."""
+"""The format of the saved copy of a list of servers, compared with a fixture."""
 
 from pathlib import Path
 
@@ -25,10 +25,10 @@
     return ListVersion(12, "4b2f" + "0" * 60, {entry.server.id: entry for entry in servers})
 
 
-def test_a_saved_list_is_read():
+def test_saved_copy_is_read():
     assert load_saved_version(FIXTURE) == version()
 
 
-def test_a_saved_list_is_written_with_the_same_bytes(tmp_path):
+def test_saved_copy_is_written_with_the_same_bytes(tmp_path):
     save_version(tmp_path / "saved.list", version())
     assert (tmp_path / "saved.list").read_bytes() == FIXTURE.read_bytes()
--- a/tests/sources/rewritten_files.py
+++ b/tests/sources/rewritten_files.py
@@ -1,4 +1,4 @@
-"""A node whose server file is rewritten under load, and a record of what its requests kept to."""
+"""A node whose server file is rewritten under load, with records of its lists and attempts."""
 
 import asyncio
 import itertools
@@ -17,16 +17,16 @@
 from oakbridge.standin.behaviour import Behaviour
 from oakbridge.standin.server import StandIn
 
-BROKEN_SHARE = 0.3
+BROKEN_FRACTION = 0.3  # fraction of broken rewrites
 SEED = 20261201
 SETTLE_S = 0.004
 
 NAMES = [f"s{i}" for i in range(10)]
-STABLE_NAMES = NAMES[:3]
+STABLE_NAMES = NAMES[:3]  # servers that every valid file lists as ready
 
 
 class RecordingStandIn(StandIn):
-    """A stand-in that records when each request's last byte arrived."""
+    """A stand-in that records the time at which each request has arrived completely."""
 
     def __init__(self, name: str, behaviour: Behaviour, seed: int, now) -> None:
         super().__init__(name, behaviour, seed)
@@ -38,30 +38,30 @@
 
 
 def rows_of(servers: dict[str, tuple[str, int]]) -> list[dict]:
-    """Return discovery's rows of servers with a state and a port each."""
+    """Return rows in discovery's format, from each server's state and port by its name."""
     return [
-        {"name": n, "address": f"127.0.0.1:{port}", "status": state}
-        for n, (state, port) in servers.items()
+        {"name": name, "address": f"127.0.0.1:{port}", "status": state}
+        for name, (state, port) in servers.items()
     ]
 
 
 def render(servers, index: int) -> str:
-    """Return the whole file in discovery's form."""
+    """Return the complete file in discovery's format."""
     return json.dumps({"index": index, "snapshot": True, "endpoints": rows_of(servers)}) + "\n"
 
 
-def broken_content(rng: random.Random, kind: int, good: str, servers) -> bytes:
+def broken_content(rng: random.Random, kind: int, valid: str, servers) -> bytes:
     """Return a file that is broken in one of ``BREAKAGE_KINDS`` ways."""
     rows = rows_of(servers)
-    one = rng.randrange(len(rows))
+    chosen = rng.randrange(len(rows))
 
     def with_bad_row(**fields) -> bytes:
         return json.dumps(
-            {"endpoints": [r | fields if i == one else r for i, r in enumerate(rows)]}
+            {"endpoints": [row | fields if i == chosen else row for i, row in enumerate(rows)]}
         ).encode()
 
     return [
-        lambda: good.encode()[: rng.randrange(1, len(good) - 3)],
+        lambda: valid.encode()[: rng.randrange(1, len(valid) - 3)],
         lambda: b"",
         lambda: b"{}",
         lambda: json.dumps({"endpoints": []}).encode(),
@@ -69,50 +69,53 @@
         lambda: with_bad_row(weight=-1),
         lambda: with_bad_row(address="somewhere:1"),
         lambda: with_bad_row(name=""),
-        lambda: json.dumps({"endpoints": [*rows, rows[one] | {"address": "127.0.0.1:1"}]}).encode(),
-        lambda: json.dumps({"endpoints": [*rows, rows[one] | {"name": "other"}]}).encode(),
-        lambda: with_bad_row(status="resting"),
-        lambda: good.encode().replace(b"s0", b"\xff0"),
-        lambda: json.dumps({"endpoints": [r | {"status": "draining"} for r in rows]}).encode(),
-        lambda: good.encode() + b"# sha256: " + b"0" * 64 + b"\n",
         lambda: json.dumps(
-            {"endpoints": rows[:1]}
-        ).encode(),  # valid, and takes nearly all away: it is held
+            {"endpoints": [*rows, rows[chosen] | {"address": "127.0.0.1:1"}]}
+        ).encode(),
+        lambda: json.dumps({"endpoints": [*rows, rows[chosen] | {"name": "other"}]}).encode(),
+        lambda: with_bad_row(status="resting"),
+        lambda: valid.encode().replace(b"s0", b"\xff0"),
+        lambda: json.dumps({"endpoints": [row | {"status": "draining"} for row in rows]}).encode(),
+        lambda: valid.encode() + b"# sha256: " + b"0" * 64 + b"\n",
+        # Valid, but without nearly all servers: it is held for approval.
+        lambda: json.dumps({"endpoints": rows[:1]}).encode(),
     ][kind]()
 
 
 BREAKAGE_KINDS = 15
 
 
-class RewrittenFileWorld:
-    """A node in this process with watched servers, and what each of its requests kept to."""
+class RewrittenFileHarness:
+    """A node in this process that watches a server file, and records of its lists and attempts."""
 
     def __init__(self, folder: Path) -> None:
         self.rng = random.Random(SEED)
         self.path = folder / "servers.json"
-        self.requests: list[
-            tuple[int, str, str]
-        ] = []  # version, server and its address, of every send
-        self.versions: dict[int, dict[str, str]] = {}  # by the module's count: the ready servers
-        self.dropped: list[tuple[str, int]] = []  # address, and when a version without it was used
-        self.listed_times: list[tuple[int, set[str]]] = []  # when which addresses were listed anew
-        self.longest_pause = 0  # us in which this process, node and servers in one, did not run
-
-    async def __aenter__(self) -> "RewrittenFileWorld":
+        # Endpoint list version, server and address of each attempt.
+        self.attempts: list[tuple[int, str, str]] = []
+        self.versions: dict[int, dict[str, str]] = {}  # by version: address of each ready server
+        self.removals: list[tuple[str, int]] = []  # address, and time when it left the ready ones
+        self.additions: list[
+            tuple[int, set[str]]
+        ] = []  # time, and addresses added to the ready ones
+        # Longest time for which this process, with node and servers, did not run.
+        self.longest_pause_us = 0
+
+    async def __aenter__(self) -> "RewrittenFileHarness":
         loop = asyncio.get_running_loop()
         self.stand_ins: dict[str, RecordingStandIn] = {}
-        self.places: dict[
-            str, list[int]
-        ] = {}  # a name's two addresses: it may move from one to the other
-        for i, (name, copy) in enumerate(itertools.product(NAMES, "ab")):
+        self.ports: dict[str, list[int]] = {}  # by name: the two ports between which it may move
+        for i, (name, suffix) in enumerate(itertools.product(NAMES, "ab")):
             errors = 0.15 if name in ("s5", "s6", "s7") else 0.0
-            stand = RecordingStandIn(
-                name + copy, Behaviour(0.004, errors=errors), i, lambda: self.node.clock.now()
+            stand_in = RecordingStandIn(
+                name + suffix, Behaviour(0.004, errors=errors), i, lambda: self.node.clock.now()
             )
-            await stand.start()
-            self.stand_ins[f"127.0.0.1:{stand.address[1]}"] = stand
-            self.places.setdefault(name, []).append(stand.address[1])
-        self.servers = {n: ("ready", self.places[n][0]) for n in NAMES[:6]}
+            await stand_in.start()
+            self.stand_ins[f"127.0.0.1:{stand_in.address[1]}"] = stand_in
+            self.ports.setdefault(name, []).append(stand_in.address[1])
+        self.servers = {
+            listed_name: ("ready", self.ports[listed_name][0]) for listed_name in NAMES[:6]
+        }
         self.path.write_text(render(self.servers, 0))
         options = FileOptions(
             self.path,
@@ -121,84 +124,98 @@
             max_lost_fraction=0.6,
             saved_path=self.path.with_suffix(".saved"),
         )
-        warm_soon = SETTINGS["invariants"] | {"warm-up": 50_000}  # newcomers get their part at once
-        settings = SETTINGS | {"discovery": "pushed", "invariants": warm_soon}
+        # A short warm-up: new servers get their share of requests almost at once.
+        short_warm_up = SETTINGS["invariants"] | {"warm-up": 50_000}
+        settings = SETTINGS | {"discovery": "pushed", "invariants": short_warm_up}
         config = Config(
-            "n", ("127.0.0.1", 0), None, 7, 1024, None, self.pinned(read_settings(settings))
+            "n",
+            ("127.0.0.1", 0),
+            None,
+            7,
+            1024,
+            None,
+            self.with_pinned_list(read_settings(settings)),
         )
         self.node = Node(config, loop, lambda clock: FileSource(options, clock.now))
         self.source = self.node.source
-        self.record_lists_and_sends()
+        self.record_lists_and_attempts()
         self.source.start()
         await with_timeout(self.source.ready())
         self.node.start()
-        self.pulse = asyncio.create_task(self.record_longest_pause())
+        self.pause_recorder = asyncio.create_task(self.record_longest_pause())
         return self
 
     @staticmethod
-    def pinned(settings: Settings) -> Settings:
+    def with_pinned_list(settings: Settings) -> Settings:
+        """Return the settings with ``pin_endpoint_list``."""
         return Settings(
-            **{f: getattr(settings, f) for f in settings.__slots__} | {"pin_endpoint_list": True}
+            **{name: getattr(settings, name) for name in settings.__slots__}
+            | {"pin_endpoint_list": True}
         )
 
-    def record_lists_and_sends(self) -> None:
-        listed, send = self.node.endpoints.on_endpoint_list, self.node.forwarder.send
+    def record_lists_and_attempts(self) -> None:
+        """Replace the node's methods that apply lists and send attempts by recording ones."""
+        apply_list, send = self.node.endpoints.on_endpoint_list, self.node.forwarder.send
 
-        def recorded_list(new, *, saved=False):
+        def apply_and_record_list(new, *, saved=False):
             before = self.versions.get(self.node.balancer.members.version, {})
-            listed(new, saved=saved)
+            apply_list(new, saved=saved)
             balancer = self.node.balancer
-            now_is = {s.id: s.address for s in balancer.servers.values()}
-            self.versions[balancer.members.version] = now_is
-            kept, now = set(now_is.values()), self.node.clock.now()
-            self.dropped += [(place, now) for place in before.values() if place not in kept]
-            self.listed_times.append((now, kept - set(before.values())))
-
-        def recorded_send(action, decided_at):
-            call, server = (
+            after = {server.id: server.address for server in balancer.servers.values()}
+            self.versions[balancer.members.version] = after
+            addresses, now = set(after.values()), self.node.clock.now()
+            self.removals += [
+                (address, now) for address in before.values() if address not in addresses
+            ]
+            self.additions.append((now, addresses - set(before.values())))
+
+        def send_and_record(action, decided_at):
+            request, server = (
                 self.node.balancer.requests[action.request_id],
                 self.node.balancer.endpoints.known[action.server],
             )
-            self.requests.append((call.list_version, action.server, server.address))
+            self.attempts.append((request.list_version, action.server, server.address))
             send(action, decided_at)
 
         self.node.endpoints.on_endpoint_list, self.node.forwarder.send = (
-            recorded_list,
-            recorded_send,
+            apply_and_record_list,
+            send_and_record,
         )
 
     async def record_longest_pause(self) -> None:
-        """Record the longest time for which this process did not run."""
+        """Record the longest time for which this process has not run; run until cancelled."""
         while True:
             before = self.node.clock.now()
             await asyncio.sleep(0.01)
-            self.longest_pause = max(self.longest_pause, self.node.clock.now() - before - 10_000)
+            self.longest_pause_us = max(
+                self.longest_pause_us, self.node.clock.now() - before - 10_000
+            )
 
     async def __aexit__(self, *_) -> None:
-        self.pulse.cancel()
+        self.pause_recorder.cancel()
         self.node.close()
-        for stand in self.stand_ins.values():
-            stand.stop()
+        for stand_in in self.stand_ins.values():
+            stand_in.stop()
 
-    def rewrite(self, n: int) -> tuple[bool, int]:
-        """Replace the file; returns whether what it holds is a list that should come into use."""
+    def rewrite(self, index: int) -> tuple[bool, int]:
+        """Write the next file; return whether its list should be used, and the kind of breakage."""
         rng = self.rng
-        bad = rng.random() < BROKEN_SHARE
+        is_broken = rng.random() < BROKEN_FRACTION
         kind = rng.randrange(BREAKAGE_KINDS)
-        if bad:
-            data = broken_content(rng, kind, render(self.servers, n), self.servers)
+        if is_broken:
+            data = broken_content(rng, kind, render(self.servers, index), self.servers)
         else:
             self.servers = self.next_servers()
-            data = render(self.servers, n).encode()
+            data = render(self.servers, index).encode()
         if rng.random() < 0.3:
             self.path.write_bytes(data)
         else:
             self.path.with_suffix(".new").write_bytes(data)
             self.path.with_suffix(".new").rename(self.path)
-        return not bad, kind
+        return not is_broken, kind
 
     def next_servers(self) -> dict[str, tuple[str, int]]:
-        """Return the next list; at most half of the ready servers go."""
+        """Return the next valid list, which loses at most half of the ready servers."""
         ready = {item for item in self.servers.items() if item[1][0] == "ready"}
         while True:
             servers = self.draw_servers()
@@ -206,28 +223,28 @@
                 return servers
 
     def draw_servers(self) -> dict[str, tuple[str, int]]:
-        """Return any list with the stable servers; now and then one drains or moves."""
+        """Return a random list with the stable servers; others may be draining or have moved."""
         rng = self.rng
-        servers = {name: ("ready", self.places[name][0]) for name in STABLE_NAMES}
+        servers = {name: ("ready", self.ports[name][0]) for name in STABLE_NAMES}
         for name in NAMES[3:]:
             if rng.random() < 0.6:
                 state = "draining" if rng.random() < 0.15 else "ready"
-                servers[name] = state, self.places[name][rng.randrange(2)]
+                servers[name] = state, self.ports[name][rng.randrange(2)]
         return servers
 
-    async def settled(self, good: bool) -> str:
-        """Wait until the source has state_changed on what the file holds; return how."""
+    async def wait_for_decision(self, is_valid: bool) -> str:
+        """Wait until the source has decided on the file; return "used", "held" or "refused"."""
         while True:
             self.source.state_changed.clear()
             status = self.source.describe()
             digest = digest_on_disk(self.path)
-            for word in ("used", "held", "refused"):
-                if status[word] is not None and status[word]["digest"] == digest:
-                    assert good == (word == "used"), status
-                    return word
+            for decision in ("used", "held", "refused"):
+                if status[decision] is not None and status[decision]["digest"] == digest:
+                    assert is_valid == (decision == "used"), status
+                    return decision
             await with_timeout(self.source.state_changed.wait())
 
 
 def digest_on_disk(path: Path) -> str:
-    """Return the digest of what the file holds now."""
+    """Return the digest of the file's present content."""
     return digest_of(read_files(path, is_directory=False))
--- a/tests/sources/test_parsing.py
+++ b/tests/sources/test_parsing.py
@@ -1,4 +1,4 @@
-"""Server files of all three forms: what is read, what is rejected, and the place of each problem."""
+"""Server files of all three formats: valid ones, and the problems of others with their places."""
 
 import hashlib
 import json
@@ -57,7 +57,7 @@
     ("data", "name"),
     [(TOML, "f.toml"), (json.dumps(DISCOVERY), "f.json"), (json.dumps(FILE_SD), "f.json")],
 )
-def test_three_forms_give_the_same_servers(data, name):
+def test_all_formats_give_the_same_servers(data, name):
     got = read(data, name)
     assert got.problems == []
     first, second = got.servers.values()
@@ -73,7 +73,7 @@
     got = read(
         json.dumps([{"targets": ["127.0.0.1:1", "127.0.0.1:2"], "labels": {"zone": "a"}}]), "f.json"
     )
-    assert [(e.server.id, e.server.zone) for e in got.servers.values()] == [
+    assert [(entry.server.id, entry.server.zone) for entry in got.servers.values()] == [
         ("127.0.0.1:1", "a"),
         ("127.0.0.1:2", "a"),
     ]
@@ -174,18 +174,18 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "data", "says", "line"), BROKEN)
-def test_problem_names_its_place_and_nothing_is_used(name, data, says, line):
+@pytest.mark.parametrize(("name", "data", "expected", "line"), BROKEN)
+def test_problem_has_its_place_and_no_server_is_returned(name, data, expected, line):
     file = SourceFile(name, data.encode() if isinstance(data, str) else data)
     got = parse([file])
     assert got.servers == {}
     [first, *_] = with_lines([file], got.problems)
-    assert says in str(first)
+    assert expected in str(first)
     assert first.line == line
     assert "\n" not in str(first)
 
 
-def test_problems_are_reported_up_to_a_bound():
+def test_problems_are_reported_up_to_a_limit():
     got = read(endpoints(*(row(name=f"s{i}", weight=-1, zone=3) for i in range(40))), "f.json")
     assert len(got.problems) >= 80
     assert (
@@ -197,16 +197,18 @@
 
 
 def test_files_of_a_directory_are_one_list():
-    one, two = (
+    first, second = (
         SourceFile("a.json", endpoints(row(name="a", address="127.0.0.1:1")).encode()),
         SourceFile("b.toml", TOML.encode()),
     )
-    assert list(parse([one, two]).servers) == ["a", "s-1", "s-2"]
-    twice = parse(
-        [two, SourceFile("c.json", endpoints(row(name="s-1", address="127.0.0.1:5")).encode())]
+    assert list(parse([first, second]).servers) == ["a", "s-1", "s-2"]
+    with_duplicate = parse(
+        [second, SourceFile("c.json", endpoints(row(name="s-1", address="127.0.0.1:5")).encode())]
     )
-    assert [(p.file, p.field_name()) for p in twice.problems] == [("c.json", "endpoints[0].name")]
-    assert parse([one, SourceFile("z.json", b"{")]).servers == {}
+    assert [(problem.file, problem.field_name()) for problem in with_duplicate.problems] == [
+        ("c.json", "endpoints[0].name")
+    ]
+    assert parse([first, SourceFile("z.json", b"{")]).servers == {}
 
 
 def test_checksum_covers_all_bytes_before_it():
@@ -223,13 +225,13 @@
 @given(st.integers(0, len(signed(TOML.encode())) - 66))
 @settings(max_examples=200, derandomize=True)
 def test_truncated_file_never_matches_its_checksum(cut):
-    """Cut within the digest's digits it has no such line, and has to stand still like any other."""
+    """A file cut within the digest has no checksum line, and has to settle like any such file."""
     assert checksum_matches(signed(TOML.encode())[:cut]) is not True
 
 
 @given(st.binary(max_size=300) | st.text(max_size=300).map(str.encode))
 @settings(max_examples=300, derandomize=True)
-def test_no_bytes_make_the_parser_fail(data):
+def test_parser_raises_no_error_for_random_bytes(data):
     for name in ("f.json", "f.toml"):
         got = parse([SourceFile(name, data)])
         assert got.problems
@@ -249,17 +251,17 @@
     st.sampled_from(["name", "address", "weight", "zone", "group", "status", "since_ms"]), VALUES
 ), max_size=4))  # fmt: skip
 @settings(max_examples=300, derandomize=True)
-def test_no_values_make_the_parser_fail_and_accepted_servers_are_valid(rows):
-    got = read(json.dumps({"endpoints": [row(**r) for r in rows]}), "f.json")
+def test_parser_raises_no_error_for_random_values_and_accepted_servers_are_valid(rows):
+    got = read(json.dumps({"endpoints": [row(**fields) for fields in rows]}), "f.json")
     assert bool(got.problems) != bool(got.servers)
-    for e in got.servers.values():
-        assert e.server.id
-        assert 0 < e.server.weight <= 1e6
-        assert e.address[1] > 0
+    for entry in got.servers.values():
+        assert entry.server.id
+        assert 0 < entry.server.weight <= 1e6
+        assert entry.address[1] > 0
 
 
-def test_pauses_come_between_batches():
-    paused = []
+def test_parser_pauses_between_batches():
+    pauses = []
     rows = [row(name=f"s{i}", address=f"127.0.{i // 250}.1:{1 + i % 250}") for i in range(1000)]
-    parse([SourceFile("f.json", endpoints(*rows).encode())], lambda: paused.append(1))
-    assert len(paused) > 10
+    parse([SourceFile("f.json", endpoints(*rows).encode())], lambda: pauses.append(1))
+    assert len(pauses) > 10
--- a/tests/sources/test_reading.py
+++ b/tests/sources/test_reading.py
@@ -14,7 +14,7 @@
     (tmp_path / ".b.toml").write_text("half")
     (tmp_path / "#c.toml").write_text("half")
     (tmp_path / "d.toml~").write_text("half")
-    assert [p.name for p in list_files(tmp_path, is_directory=True)] == ["a.toml"]
+    assert [path.name for path in list_files(tmp_path, is_directory=True)] == ["a.toml"]
 
 
 def test_reading_never_blocks_on_a_fifo(tmp_path):
--- a/tests/sources/test_saved_copy.py
+++ b/tests/sources/test_saved_copy.py
@@ -15,54 +15,56 @@
 from oakbridge.sources.saved_copy import load_saved_version, save_version
 
 
-def test_last_good_list_outlives_the_process(tmp_path):
+def test_saved_version_is_in_use_after_a_restart(tmp_path):
     path, saved = tmp_path / "servers.toml", tmp_path / "state" / "saved"
     path.write_text(server_tables("a", "b"))
 
     async def first():
-        async with WatchedSource(path, saved_path=saved) as w:
-            await w.listener.until("a", "b")
-            while w.source.describe()["saved"] != 1:
+        async with WatchedSource(path, saved_path=saved) as watched:
+            await watched.listener.until("a", "b")
+            while watched.source.describe()["saved"] != 1:
                 await asyncio.sleep(0.01)
         assert stat.S_IMODE(saved.stat().st_mode) == 0o600
-        assert [p.name for p in saved.parent.iterdir()] == ["saved"]
+        assert [file.name for file in saved.parent.iterdir()] == ["saved"]
 
     async def second():
         path.write_text("half of a")
-        async with WatchedSource(path, saved_path=saved) as w:
-            assert set(w.listener.servers) == {"a", "b"}  # told before anything is read
-            await w.until("refused")
-            assert set(w.listener.servers) == {"a", "b"}
+        async with WatchedSource(path, saved_path=saved) as watched:
+            assert set(watched.listener.servers) == {"a", "b"}  # before the file is read
+            await watched.until("refused")
+            assert set(watched.listener.servers) == {"a", "b"}
             replace_file(path, server_tables("a", "b", "c"))
-            await w.listener.until("a", "b", "c")
-            assert w.source.describe()["used"]["number"] == 2
+            await watched.listener.until("a", "b", "c")
+            assert watched.source.describe()["used"]["number"] == 2
 
     run(first())
     run(second())
 
 
-def a_version() -> ListVersion:
+def version_with_one_server() -> ListVersion:
     entry = ListedEndpoint(
         Endpoint("a", zone="z", started_at=5, address="127.0.0.1:1"), ("127.0.0.1", 1)
     )
     return ListVersion(3, "d" * 64, {"a": entry})
 
 
-def test_full_disk_leaves_the_previous_copy(tmp_path):
+def test_full_disk_leaves_the_previous_copy_unchanged(tmp_path):
     path = tmp_path / "saved"
-    save_version(path, a_version())
+    save_version(path, version_with_one_server())
     before = path.read_bytes()
 
-    def full(fd: int, data: memoryview) -> int:
+    def write_to_full_disk(fd: int, data: memoryview) -> int:
         if len(data) < 100:
             raise OSError(errno.ENOSPC, "No space left on device")
         return os.write(fd, data[:50])
 
     with pytest.raises(OSError, match="No space"):
-        save_version(path, ListVersion(4, "e" * 64, a_version().servers), full)
+        save_version(
+            path, ListVersion(4, "e" * 64, version_with_one_server().servers), write_to_full_disk
+        )
     assert path.read_bytes() == before
-    assert [p.name for p in tmp_path.iterdir()] == ["saved"]
-    assert load_saved_version(path) == a_version()
+    assert [file.name for file in tmp_path.iterdir()] == ["saved"]
+    assert load_saved_version(path) == version_with_one_server()
 
 
 def test_failed_save_is_reported_and_retried(tmp_path, monkeypatch):
@@ -72,37 +74,44 @@
     monkeypatch.setattr("oakbridge.sources.file_source.save_version", failing := FailingSave())
 
     async def scenario():
-        async with WatchedSource(path, saved_path=saved) as w:
-            await w.listener.until("a")
-            while not w.source.describe()["save_error"]:
+        async with WatchedSource(path, saved_path=saved) as watched:
+            await watched.listener.until("a")
+            while not watched.source.describe()["save_error"]:
                 await asyncio.sleep(0.01)
-            assert "No space" in w.source.describe()["save_error"]
-            failing.full = False
-            while w.source.describe()["saved"] != 1:
+            assert "No space" in watched.source.describe()["save_error"]
+            failing.is_full = False
+            while watched.source.describe()["saved"] != 1:
                 await asyncio.sleep(0.01)
-            assert w.source.describe()["save_error"] == ""
+            assert watched.source.describe()["save_error"] == ""
 
     run(scenario())
     assert load_saved_version(saved) is not None
 
 
 class FailingSave:
+    """Saves a copy, or raises the error of a full disk."""
+
     def __init__(self) -> None:
-        self.full, self.save = True, save_version
+        self.is_full, self.save = True, save_version
 
     def __call__(self, path, version) -> None:
-        if self.full:
+        if self.is_full:
             raise OSError(errno.ENOSPC, "No space left on device")
         self.save(path, version)
 
 
 @pytest.mark.parametrize(
-    "spoil",
-    [lambda d: d[:-30], lambda d: d.replace(b'"a"', b'"b"'), lambda _: b"", lambda _: b"[]"],
+    "corrupt",
+    [
+        lambda data: data[:-30],
+        lambda data: data.replace(b'"a"', b'"b"'),
+        lambda _: b"",
+        lambda _: b"[]",
+    ],
 )
-def test_corrupt_copy_is_not_used(tmp_path, spoil):
+def test_corrupt_copy_is_not_used(tmp_path, corrupt):
     path = tmp_path / "saved"
-    save_version(path, a_version())
-    path.write_bytes(spoil(path.read_bytes()))
+    save_version(path, version_with_one_server())
+    path.write_bytes(corrupt(path.read_bytes()))
     assert load_saved_version(path) is None
     assert load_saved_version(tmp_path / "nothing") is None
--- a/tests/sources/test_slow_start.py
+++ b/tests/sources/test_slow_start.py
@@ -1,11 +1,11 @@
-"""A cold server that joins by file, over sockets: it gets its part and is not pushed over."""
+"""Slow start of a cold server that the server file adds, over sockets."""
 
 import asyncio
 import json
 from math import sqrt
 
 from peers import SETTINGS, run, with_timeout
-from rewritten_files import RecordingStandIn, RewrittenFileWorld, rows_of
+from rewritten_files import RecordingStandIn, RewrittenFileHarness, rows_of
 
 from oakbridge.demo.load import Load
 from oakbridge.node.config import Config
@@ -16,13 +16,13 @@
 
 RATE = 300  # requests a second
 WARM_SERVERS = 6
-MIN_SHARE = 0.2  # of a warm server's part, at the start
+MIN_CAPACITY = 0.2  # fraction of its capacity that a server has at its start
 OVERLOAD_FACTOR = 2.5
 WINDOW_S = 1.0
 
 
-def test_server_that_joins_by_file_is_warmed_up(tmp_path):
-    """It gets some requests, but no more than the overload factor allows over the window."""
+def test_server_added_by_a_file_gets_requests_without_overload(tmp_path):
+    """It gets some requests, but at most the overload factor times its capacity in any window."""
     path = tmp_path / "servers.json"
 
     async def scenario():
@@ -35,17 +35,20 @@
             await stand_ins[f"s{i}"].start()
 
         def write(count: int) -> None:
-            servers = {n: ("ready", s.address[1]) for n, s in list(stand_ins.items())[:count]}
+            servers = {
+                name: ("ready", stand_in.address[1])
+                for name, stand_in in list(stand_ins.items())[:count]
+            }
             path.with_suffix(".new").write_text(json.dumps({"endpoints": rows_of(servers)}))
             path.with_suffix(".new").rename(path)
 
         write(WARM_SERVERS)
         cold = SETTINGS["invariants"] | {
-            "cold-from": MIN_SHARE,
+            "cold-from": MIN_CAPACITY,
             "fall-multiple": OVERLOAD_FACTOR,
             "warm-up": 60_000_000,
         }
-        settings = RewrittenFileWorld.pinned(
+        settings = RewrittenFileHarness.with_pinned_list(
             read_settings(SETTINGS | {"discovery": "pushed", "invariants": cold})
         )
         config = Config("n", ("127.0.0.1", 0), None, 7, 1024, None, settings)
@@ -62,22 +65,26 @@
         write(WARM_SERVERS + 1)
         tally = await with_timeout(running)
         node.close()
-        newcomer = stand_ins[f"s{WARM_SERVERS}"]
-        for stand in stand_ins.values():
-            stand.stop()
+        new_server = stand_ins[f"s{WARM_SERVERS}"]
+        for each in stand_ins.values():
+            each.stop()
         assert tally.answered == {200: tally.sent}
-        assert newcomer.arrived_at, "it is not left out"
-        even_rate = RATE / (WARM_SERVERS + 1)  # a second, as if it were warm
-        allowed_rate = even_rate * MIN_SHARE * OVERLOAD_FACTOR  # a second
-        span_s = (newcomer.arrived_at[-1] - newcomer.arrived_at[0]) / 1e6
-        assert (
-            len(newcomer.arrived_at) - 1 <= allowed_rate * span_s
-        )  # over all of its cold time, whatever pace the machine keeps
-        most = max(
-            sum(1 for t in newcomer.arrived_at if at <= t < at + WINDOW_S * 1e6)
-            for at in newcomer.arrived_at
+        assert new_server.arrived_at, "the new server got no requests"
+        even_rate = RATE / (WARM_SERVERS + 1)  # requests per second for a warm server
+        allowed_rate = even_rate * MIN_CAPACITY * OVERLOAD_FACTOR  # requests per second
+        span_s = (new_server.arrived_at[-1] - new_server.arrived_at[0]) / 1e6
+        # The mean rate over the whole span holds however fast the machine is.
+        assert len(new_server.arrived_at) - 1 <= allowed_rate * span_s
+        max_in_window = max(
+            sum(
+                1
+                for time_us in new_server.arrived_at
+                if start_us <= time_us < start_us + WINDOW_S * 1e6
+            )
+            for start_us in new_server.arrived_at
         )
-        # One window allows for chance as the platform does: calls that the machine held up come together.
-        assert most <= allowed_rate * WINDOW_S + 2 * sqrt(allowed_rate * WINDOW_S) + 2
+        # As on the platform, a window may have more by chance: requests that the machine delays
+        # arrive together.
+        assert max_in_window <= allowed_rate * WINDOW_S + 2 * sqrt(allowed_rate * WINDOW_S) + 2
 
     run(scenario())
--- a/tests/sources/test_version_tracker.py
+++ b/tests/sources/test_version_tracker.py
@@ -1,4 +1,4 @@
-"""The rules by which a version of the server files comes into use."""
+"""The decisions of the version tracker on versions of server files."""
 
 import pytest
 from list_versions import MS, SETTLE_US, change, entry, version
@@ -19,16 +19,18 @@
 
 
 def kinds(actions) -> list[type]:
-    return [type(a) for a in actions if not isinstance(a, WriteLog)]
+    return [type(action) for action in actions if not isinstance(action, WriteLog)]
 
 
-def in_use(tracker: VersionTracker, digest: str, *entries: ListedEndpoint, now: int = 0) -> None:
-    """Bring a list through to use."""
+def bring_into_use(
+    tracker: VersionTracker, digest: str, *entries: ListedEndpoint, now: int = 0
+) -> None:
+    """Let the tracker validate and apply a list."""
     tracker.on_polled(now, FilesRead(digest, True))
     [apply] = [
-        a
-        for a in tracker.on_validated(now, digest, change(tracker.current, digest, *entries))
-        if isinstance(a, ApplyVersion)
+        action
+        for action in tracker.on_validated(now, digest, change(tracker.current, digest, *entries))
+        if isinstance(action, ApplyVersion)
     ]
     tracker.on_applied(now, apply.version.number)
 
@@ -36,9 +38,8 @@
 def test_files_are_validated_once_they_have_settled():
     tracker = VersionTracker(SETTLE_US)
     assert kinds(tracker.on_polled(0, FilesRead("a"))) == [PollAfter]
-    assert tracker.on_polled(10 * MS, FilesRead("b")) == [
-        PollAfter(SETTLE_US)
-    ]  # it changed: the wait begins anew
+    # The files have changed, so the settle time starts again.
+    assert tracker.on_polled(10 * MS, FilesRead("b")) == [PollAfter(SETTLE_US)]
     assert tracker.on_polled(30 * MS, FilesRead("b")) == [PollAfter(20 * MS)]
     assert tracker.on_polled(50 * MS, FilesRead("b")) == [ValidateFiles("b", None)]
 
@@ -56,28 +57,29 @@
     assert 1_900 * MS < now < 2_100 * MS
 
 
-def test_file_that_never_settles_is_used_all_the_same():
-    """Guards against a hundred rewrites a second that would keep every new version out for good."""
-    tracker, now, checked = VersionTracker(SETTLE_US), 0, 0
-    for n in range(200):  # one content every 10 ms, looked at twice
+def test_file_that_never_settles_is_used_after_a_shorter_settle_time():
+    """Guards against a hundred rewrites a second, which would keep every new version from use."""
+    tracker, now, validation_count = VersionTracker(SETTLE_US), 0, 0
+    for n in range(200):  # a new content every 10 ms, polled twice
         for _ in range(2):
             if any(
-                isinstance(a, ValidateFiles) for a in tracker.on_polled(now, FilesRead(f"v{n}"))
+                isinstance(action, ValidateFiles)
+                for action in tracker.on_polled(now, FilesRead(f"v{n}"))
             ):
-                checked += 1
+                validation_count += 1
                 tracker.on_validated(now, f"v{n}", change(tracker.current, f"v{n}", entry("a")))
                 tracker.on_applied(now, tracker.applying.number)
             now += 5 * MS
-    assert checked >= 2
+    assert validation_count >= 2
 
 
 def test_list_that_removes_too_many_servers_waits_until_accepted():
     tracker = VersionTracker(SETTLE_US, max_lost_fraction=0.5)
-    in_use(tracker, "four", *(entry(n) for n in "abcd"))
+    bring_into_use(tracker, "four", *(entry(name) for name in "abcd"))
     tracker.on_polled(0, FilesRead("one", True))
-    said = tracker.on_validated(1, "one", change(tracker.current, "one", entry("a")))
-    assert kinds(said) == [PollAfter]
-    assert "lost_ready=3 base_ready=4 " in said[0].text
+    actions = tracker.on_validated(1, "one", change(tracker.current, "one", entry("a")))
+    assert kinds(actions) == [PollAfter]
+    assert "lost_ready=3 base_ready=4 " in actions[0].text
     assert tracker.current.digest == "four"
     assert tracker.on_polled(2, FilesRead("one", True)) == []
     with pytest.raises(NotAcceptedError, match="not other"):
@@ -90,9 +92,9 @@
         tracker.accept()
 
 
-def test_pending_approval_ends_when_the_file_is_as_it_was():
+def test_pending_approval_is_dropped_when_the_file_has_the_version_in_use_again():
     tracker = VersionTracker(SETTLE_US)
-    in_use(tracker, "four", *(entry(n) for n in "abcd"))
+    bring_into_use(tracker, "four", *(entry(name) for name in "abcd"))
     tracker.on_polled(0, FilesRead("one", True))
     tracker.on_validated(1, "one", change(tracker.current, "one", entry("a")))
     tracker.on_polled(2, FilesRead("four", True))
@@ -101,9 +103,9 @@
 
 def test_change_against_an_outdated_version_is_not_applied():
     tracker = VersionTracker(SETTLE_US)
-    in_use(tracker, "one", entry("a"), entry("b"))
+    bring_into_use(tracker, "one", entry("a"), entry("b"))
     old = tracker.current
-    in_use(tracker, "two", entry("a"), entry("b"), entry("c"))
+    bring_into_use(tracker, "two", entry("a"), entry("b"), entry("c"))
     tracker.on_polled(0, FilesRead("three", True))
     assert kinds(tracker.on_validated(1, "three", change(old, "three", entry("a")))) == [PollAfter]
     assert tracker.current.digest == "two"
@@ -121,9 +123,9 @@
 
 def test_missing_files_are_logged_once_and_the_list_stays():
     tracker = VersionTracker(SETTLE_US)
-    in_use(tracker, "one", entry("a"))
-    [said] = tracker.on_polled(5, FilesMissing("no such file"))
-    assert "version 1 stays" in said.text
+    bring_into_use(tracker, "one", entry("a"))
+    [log_line] = tracker.on_polled(5, FilesMissing("no such file"))
+    assert "version 1 stays" in log_line.text
     assert tracker.on_polled(6, FilesMissing("no such file")) == []
     assert tracker.current.digest == "one"
     tracker.on_polled(7, FilesRead("one"))
@@ -138,14 +140,14 @@
     tracker.on_polled(0, FilesRead("two", True))
     tracker.on_validated(0, "two", change(tracker.current, "two", entry("a"), entry("b")))
     assert kinds(tracker.on_applied(0, 2)) == [PollAfter]  # the first copy is still being written
-    assert [a.version.number for a in tracker.on_saved(1)] == [2]
-    [said, retry] = tracker.on_save_failed(2, "no space left on device")
-    assert isinstance(said, WriteLog)
+    assert [action.version.number for action in tracker.on_saved(1)] == [2]
+    [log_line, retry] = tracker.on_save_failed(2, "no space left on device")
+    assert isinstance(log_line, WriteLog)
     assert retry == RetrySaveAfter(1_000 * MS)
     assert tracker.saved_number == 1
     assert "no space" in tracker.save_error
-    assert [a.version.number for a in tracker.on_save_retry()] == [2]
-    # Logged once, tried ever more seldom.
+    assert [action.version.number for action in tracker.on_save_retry()] == [2]
+    # The same error is logged once; the delay doubles.
     assert tracker.on_save_failed(2, "no space left on device") == [RetrySaveAfter(2_000 * MS)]
     tracker.on_save_retry()
     assert tracker.on_saved(2) == []
@@ -156,5 +158,5 @@
 def test_saved_version_is_in_use_until_the_file_has_a_newer_one():
     tracker = VersionTracker(SETTLE_US, saved=version(7, "old", entry("a"), entry("b")))
     assert tracker.saved_number == 7
-    in_use(tracker, "new", entry("a"), entry("b"), entry("c"))
+    bring_into_use(tracker, "new", entry("a"), entry("b"), entry("c"))
     assert tracker.current.number == 8
--- a/tests/sources/test_version_tracker_model.py
+++ b/tests/sources/test_version_tracker_model.py
@@ -1,4 +1,4 @@
-"""The version tracker against a model of the disk and its writers."""
+"""The version tracker with a model of the disk, of its writers and of the file source."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -19,176 +19,176 @@
 )
 from oakbridge.sources.version_tracker import VersionTracker
 
-LISTS = st.frozensets(st.sampled_from("abcdefgh"), max_size=8)
-
-
-CHECKSUM = st.sampled_from([None, True])
+SERVERS = st.frozensets(st.sampled_from("abcdefgh"), max_size=8)
+CHECKSUMS_MATCH = st.sampled_from([None, True])
 
 
 class DiskModel(RuleBasedStateMachine):
-    """Play the source, the disk and its writers in any order; check what the tracker promises."""
+    """Runs steps of the file source and the writers in any order, and checks the tracker."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0
         self.tracker = VersionTracker(SETTLE_US, max_lost_fraction=0.5)
-        self.contents: dict[
-            str, tuple[str, frozenset[str], bool | None]
-        ] = {}  # digest: kind, servers, whole
-        self.disk: str | None = None
-        self.seen: tuple[str | None, int] = None, 0  # what looks have found, and since which look
-        self.due: int | None = 0
-        self.checks: list[tuple[ValidateFiles, str]] = []
+        # By digest: kind of the content, its servers, and whether its checksum matches.
+        self.contents: dict[str, tuple[str, frozenset[str], bool | None]] = {}
+        self.disk: str | None = None  # digest of the files on the disk
+        # Digest of the last poll, and time since which polls have found it.
+        self.polled: tuple[str | None, int] = None, 0
+        self.poll_due: int | None = 0
+        self.validations: list[tuple[ValidateFiles, str]] = []
         self.applies: list[ApplyVersion] = []
         self.saves: list[ListVersion] = []
         self.save_due: int | None = None
-        self.used: list[ListVersion] = []
+        self.applied: list[ListVersion] = []
         self.accepted: set[str] = set()
 
-    # ---- the writers
+    # ---- steps of the writers
 
-    def put(
-        self, kind: str, servers: frozenset[str] = frozenset(), whole: bool | None = None
+    def replace_files(
+        self, kind: str, servers: frozenset[str] = frozenset(), checksum_matches: bool | None = None
     ) -> None:
-        digest = f"{kind}{''.join(sorted(servers))}{whole}"
-        self.contents[digest] = kind, servers, whole
+        digest = f"{kind}{''.join(sorted(servers))}{checksum_matches}"
+        self.contents[digest] = kind, servers, checksum_matches
         self.disk = digest
 
-    @rule(servers=LISTS, whole=CHECKSUM)
-    def write(self, servers, whole):
-        self.put("list", servers, whole)
+    @rule(servers=SERVERS, checksum_matches=CHECKSUMS_MATCH)
+    def write(self, servers, checksum_matches):
+        self.replace_files("list", servers, checksum_matches)
 
     @rule()
     def write_broken(self):
-        self.put("broken")
+        self.replace_files("broken")
 
     @rule()
-    def write_cut(self):
-        self.put("cut", whole=False)
+    def write_truncated(self):
+        self.replace_files("cut", checksum_matches=False)
 
     @rule()
-    def remove(self):
+    def remove_files(self):
         self.disk = None
 
-    # ---- the shell
+    # ---- steps of the file source
 
     @rule(ms=st.integers(1, 300))
     def wait(self, ms):
         until = self.now + ms * MS
-        while self.due is not None and self.due <= until:
-            self.now = max(self.now, self.due)
-            self.look()
+        while self.poll_due is not None and self.poll_due <= until:
+            self.now = max(self.now, self.poll_due)
+            self.poll()
         self.now = until
         if self.save_due is not None and self.save_due <= self.now:
             self.save_due = None
-            self.do(self.tracker.on_save_retry())
+            self.execute(self.tracker.on_save_retry())
 
     @rule()
-    def look(self):
-        self.due = None
-        if self.seen[0] != self.disk:
-            self.seen = self.disk, self.now
+    def poll(self):
+        self.poll_due = None
+        if self.polled[0] != self.disk:
+            self.polled = self.disk, self.now
         if self.disk is None:
-            self.do(self.tracker.on_polled(self.now, FilesMissing("gone")))
+            self.execute(self.tracker.on_polled(self.now, FilesMissing("gone")))
         else:
-            self.do(
+            self.execute(
                 self.tracker.on_polled(self.now, FilesRead(self.disk, self.contents[self.disk][2]))
             )
 
-    @precondition(lambda self: self.checks)
+    @precondition(lambda self: self.validations)
     @rule()
-    def end_check(self):
-        check, digest = self.checks.pop(0)
+    def finish_validation(self):
+        validation, digest = self.validations.pop(0)
         kind, names, _ = self.contents[digest]
         if kind != "list" or not names:
-            outcome = [Problem("f", (), "expected something else")]
+            result = [Problem("f", (), "expected something else")]
         else:
-            outcome = compare(check.base, digest, parsed(*map(entry, sorted(names))), self.now)
-        self.do(self.tracker.on_validated(self.now, digest, outcome))
+            result = compare(validation.base, digest, parsed(*map(entry, sorted(names))), self.now)
+        self.execute(self.tracker.on_validated(self.now, digest, result))
 
     @precondition(lambda self: self.applies)
     @rule()
-    def end_apply(self):
+    def finish_apply(self):
         apply = self.applies.pop(0)
-        base = {} if apply.change.base_number == 0 else dict(self.used[-1].servers)
-        for gone in apply.change.removed:
-            del base[gone]
-        base |= {e.server.id: e for e in apply.change.delta_entries()}
-        assert base == apply.version.servers  # what a node makes of the delta is the whole new list
-        self.used.append(apply.version)
-        self.do(self.tracker.on_applied(self.now, apply.version.number))
+        base = {} if apply.change.base_number == 0 else dict(self.applied[-1].servers)
+        for name in apply.change.removed:
+            del base[name]
+        base |= {listed.server.id: listed for listed in apply.change.delta_entries()}
+        assert base == apply.version.servers  # the delta applied to the base gives the new list
+        self.applied.append(apply.version)
+        self.execute(self.tracker.on_applied(self.now, apply.version.number))
 
     @precondition(lambda self: self.saves)
     @rule(fails=st.booleans())
-    def end_save(self, fails):
+    def finish_save(self, fails):
         number = self.saves.pop(0).number
-        self.do(
+        self.execute(
             self.tracker.on_save_failed(number, "full") if fails else self.tracker.on_saved(number)
         )
 
     @rule()
     def accept(self):
-        held = self.tracker.pending_approval
+        pending = self.tracker.pending_approval
         try:
             actions = self.tracker.accept()
         except NotAcceptedError:
             return
-        self.accepted.add(held.change.digest)
-        self.do(actions)
+        self.accepted.add(pending.change.digest)
+        self.execute(actions)
 
-    def do(self, actions) -> None:
+    def execute(self, actions) -> None:
         for action in actions:
             if isinstance(action, PollAfter):
-                self.due = min(self.due or self.now + action.delay_us, self.now + action.delay_us)
+                self.poll_due = min(
+                    self.poll_due or self.now + action.delay_us, self.now + action.delay_us
+                )
             elif isinstance(action, ValidateFiles):
-                self.check_is_due(action.digest)
-                self.checks.append((action, action.digest))
+                self.check_settled(action.digest)
+                self.validations.append((action, action.digest))
             elif isinstance(action, ApplyVersion):
                 self.applies.append(action)
             elif isinstance(action, SaveVersion):
                 self.saves.append(action.version)
             elif isinstance(action, RetrySaveAfter):
                 self.save_due = self.now + action.delay_us
-        assert len(self.checks) + len(self.applies) <= 1
+        assert len(self.validations) + len(self.applies) <= 1
         assert len(self.saves) <= 1
 
-    def check_is_due(self, digest: str) -> None:
-        """Check that a list without a checksum has settled; for how long depends on its file."""
-        whole = self.contents[digest][2]
-        assert self.seen[0] == digest
-        stood = self.now - self.seen[1]
-        if whole is None:
-            assert stood >= SETTLE_US // 8
-        elif whole is False:
-            assert stood >= 2_000 * MS
+    def check_settled(self, digest: str) -> None:
+        """Check that files without a matching checksum have been unchanged for long enough."""
+        checksum_matches = self.contents[digest][2]
+        assert self.polled[0] == digest
+        unchanged_us = self.now - self.polled[1]
+        if checksum_matches is None:
+            assert unchanged_us >= SETTLE_US // 8
+        elif checksum_matches is False:
+            assert unchanged_us >= 2_000 * MS
 
-    # ---- what must hold
+    # ---- invariants
 
     @invariant()
-    def what_is_used_is_one_complete_valid_list(self):
-        for used in self.used[-1:]:
-            kind, names, _ = self.contents[used.digest]
+    def version_in_use_is_a_complete_valid_list(self):
+        for version in self.applied[-1:]:
+            kind, names, _ = self.contents[version.digest]
             assert kind == "list"
             assert names
-            assert set(used.servers) == names
-            assert used is self.tracker.current
-        assert [v.number for v in self.used] == list(range(1, len(self.used) + 1))
+            assert set(version.servers) == names
+            assert version is self.tracker.current
+        assert [each.number for each in self.applied] == list(range(1, len(self.applied) + 1))
 
     @invariant()
-    def a_list_that_takes_many_away_is_used_by_word_alone(self):
-        for old, new in zip(self.used, self.used[1:], strict=False):
+    def list_that_loses_many_servers_is_applied_only_if_accepted(self):
+        for old, new in zip(self.applied, self.applied[1:], strict=False):
             lost = sum(1 for name in old.servers if name not in new.servers)
             assert lost <= 0.5 * len(old.servers) or new.digest in self.accepted
 
     def teardown(self):
-        """Left alone, the tracker comes to rest with what is on the disk, or says why not."""
+        """Without further writes, the tracker uses the list on the disk or gives a reason not to."""
         for _ in range(12):
             self.wait(500)
-            if self.checks:
-                self.end_check()
+            if self.validations:
+                self.finish_validation()
             if self.applies:
-                self.end_apply()
-            self.look()
+                self.finish_apply()
+            self.poll()
         tracker = self.tracker
         if self.disk is None:
             assert tracker.missing_reason
--- a/tests/sources/watched_source.py
+++ b/tests/sources/watched_source.py
@@ -16,7 +16,8 @@
 def server_tables(*names: str, port: int = 9000) -> str:
     """Return a TOML server file with these servers, on consecutive ports."""
     rows = [
-        f'[[server]]\nname = "{n}"\naddress = "127.0.0.1:{port + i}"\n' for i, n in enumerate(names)
+        f'[[server]]\nname = "{name}"\naddress = "127.0.0.1:{port + i}"\n'
+        for i, name in enumerate(names)
     ]
     return "\n".join(rows)
 
@@ -28,12 +29,12 @@
 
 
 class RecordingListener:
-    """Keep a list as a node does; each version that is applied can be awaited."""
+    """Applies lists as a node does; ``versions`` has the server names of each applied version."""
 
     def __init__(self) -> None:
         self.servers: dict[str, object] = {}
         self.versions: asyncio.Queue[frozenset[str]] = asyncio.Queue()
-        self.prepared: list[int] = []
+        self.prepared: list[int] = []  # number of servers in each call of ``prepare``
 
     def prepare(self, entries: Iterable[ListedEndpoint]) -> None:
         self.prepared.append(len(list(entries)))
@@ -55,7 +56,7 @@
 
 
 class WatchedSource:
-    """A source that watches a path, with short times; an asynchronous context manager."""
+    """A source that watches a path, with short intervals; an asynchronous context manager."""
 
     def __init__(self, path: Path, **options) -> None:
         options.setdefault("settle_s", 0.01)
