--- a/oakbridge/lab/model_check/discovery_model.py
+++ b/oakbridge/lab/model_check/discovery_model.py
@@ -158,7 +158,9 @@
 
     def key(self, state: DiscoveryState) -> Hashable:
         """Return all that the future depends on."""
-        schedule = _rounded(vars(state.schedule), without=("_random", "_calls", "_times"))
+        schedule = _rounded(
+            vars(state.schedule), without=("_random", "_open_requests", "_timeouts")
+        )
         client = _rounded(
             vars(state.client), without=("_schedule", "_last_failure", "_last_failure_at")
         )
--- a/oakbridge/node/discovery_http.py
+++ b/oakbridge/node/discovery_http.py
@@ -1,4 +1,4 @@
-"""One poll of discovery over HTTP, on a connection of its own."""
+"""Sends one discovery request over HTTP, on a new connection."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 log = logging.getLogger(__name__)
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
-MAX_RESPONSE_BYTES = MAX_LIST_BYTES + 1024 * 1024  # with its head, and the lengths of its chunks
+MAX_RESPONSE_BYTES = MAX_LIST_BYTES + 1024 * 1024  # the list, the headers and the chunk sizes
 READ_BYTES = 64 * 1024
-STALL_TIMEOUT_S = 0.5  # between two parts of a response
-CONNECT_RETRY_S = 0.02  # after a connection that failed on this machine
+STALL_TIMEOUT_S = 0.5  # maximum time between two reads of one response
+CONNECT_RETRY_S = 0.02  # delay after a connection attempt that failed on this machine
 
 
 @dataclass(frozen=True, slots=True)
 class PollResponse:
-    """What discovery responded with; ``begun_at``: when its first byte came, in the loop's time."""
+    """Discovery's response; ``first_byte_at``: when its first byte arrived, in the loop's time."""
 
     list: EndpointList
-    begun_at: float
+    first_byte_at: float
 
 
 class _Response:
-    """Collects a response; httptools calls the ``on_`` methods."""
+    """Collects the status and body of a response; httptools calls the ``on_`` methods."""
 
     def __init__(self) -> None:
-        self.begun_at = 0.0
+        self.first_byte_at = 0.0
         self.parser: Any = httptools.HttpResponseParser(self)
         self.body = bytearray()
         self.status = 0
@@ -54,10 +54,10 @@
 
 
 async def poll(address: Address, path: str, timeout_s: float) -> PollResponse:
-    """Return what discovery responds with; raise EndpointListError, OSError (also TimeoutError).
+    """Return discovery's response.  Raises EndpointListError and OSError (also TimeoutError).
 
-    Guards against a kept connection that discovery has just closed, which looks like a broken
-    watch.
+    Each request uses a new connection: a reused one that discovery has just closed would look like
+    a broken watch.
     """
     async with asyncio.timeout(timeout_s):
         reader, writer = await _connect(address)
@@ -69,36 +69,36 @@
         finally:
             writer.transport.abort()
     if response.status != 200:
-        raise EndpointListError(f"discovery answered {response.status}")
+        raise EndpointListError(f"response: expected status 200, got {response.status}")
     try:
         new = parse_endpoint_list(json.loads(bytes(response.body)))
     except (ValueError, RecursionError) as e:
-        raise EndpointListError(str(e) or "not JSON") from None
-    return PollResponse(new, response.begun_at)
+        raise EndpointListError(str(e) or "response: expected JSON") from None
+    return PollResponse(new, response.first_byte_at)
 
 
 async def _connect(address: Address) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Open a connection; one that fails on this machine is tried again, as long as the poll lasts.
+    """Open a connection; retry errors of this machine until the request's timeout.
 
-    Discovery has seen nothing of it, so it is no reason to stay away for a while.
+    Discovery has not seen these connection attempts, so they don't call for a backoff.
     """
-    logged = False
+    has_logged = False
     while True:
         try:
             return await _open_connection(address)
         except OSError as error:
             if not is_local_connect_error(error.errno):
                 raise
-            if not logged:
-                log.warning("no connection to discovery for a moment: %s", error)
-                logged = True
+            if not has_logged:
+                log.warning("connection to discovery failed on this machine: error=%s", error)
+                has_logged = True
         await asyncio.sleep(CONNECT_RETRY_S)
 
 
 async def _open_connection(
     address: Address,
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Open a connection that outlasts a shortage of buffers: its place in the queue is not lost."""
+    """Open a connection that survives transient errors, so that it keeps its place in the queue."""
     sock = TransientErrorSocket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
@@ -110,26 +110,28 @@
 
 
 async def _read_response(reader: asyncio.StreamReader) -> _Response:
-    """Read a response; once it has begun, it may not stop for long.
+    """Read a response; once it has started, it must not stall.
 
-    A node that waited for the rest until the end of its watch would learn of a change too late.
+    If a node waited for the rest until its watch timed out, it would learn of a change too late.
     """
     response = _Response()
     received = 0
     while not response.complete:
-        async with asyncio.timeout(STALL_TIMEOUT_S if response.begun_at else None):
+        async with asyncio.timeout(STALL_TIMEOUT_S if response.first_byte_at else None):
             data = await reader.read(READ_BYTES)
         if not data:
-            raise EndpointListError("the connection ended before the answer did")
+            raise EndpointListError(
+                "response: expected a complete response, got a closed connection"
+            )
         received += len(data)
         if received > MAX_RESPONSE_BYTES:
-            raise EndpointListError(f"an answer of more than {MAX_RESPONSE_BYTES} bytes")
-        response.begun_at = response.begun_at or asyncio.get_running_loop().time()
+            raise EndpointListError(f"response: expected at most {MAX_RESPONSE_BYTES} bytes")
+        response.first_byte_at = response.first_byte_at or asyncio.get_running_loop().time()
         try:
             response.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as e:
             if not response.complete:
-                raise EndpointListError(f"no HTTP: {e}") from None
+                raise EndpointListError(f"response: expected HTTP/1.1: {e}") from None
         if len(response.body) > MAX_LIST_BYTES:
-            raise EndpointListError(f"a list of more than {MAX_LIST_BYTES} bytes")
+            raise EndpointListError(f"response body: expected at most {MAX_LIST_BYTES} bytes")
     return response
--- a/oakbridge/node/endpoint_list.py
+++ b/oakbridge/node/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The servers that may be sent to, as a list from any source has them."""
+"""Endpoint lists: the servers that requests may be sent to, in one form for all sources."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from oakbridge.node.address import Address
 from oakbridge.policy.events import Endpoint, EndpointState
 
-BATCH_SIZE = 500  # servers of a list that are applied in one turn of the loop: 1 to 2 ms
+BATCH_SIZE = 500  # endpoints that are applied in one iteration of the event loop; takes 1 to 2 ms
 NO_ADDRESS: Address = ("0.0.0.0", 0)
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One server as listed, and where it listens."""
+    """An endpoint of a list, and the address at which its server listens."""
 
     server: Endpoint
     address: Address
@@ -22,17 +22,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A version of the list, or what changed up to it."""
+    """A version of the list: all endpoints if ``complete``, else the changes up to this version."""
 
     version: int
     complete: bool
     endpoints: list[ListedEndpoint]
-    # How old the list before was when this one came, in microseconds: what is new here happened
-    # since.  None: what is new here may be old.
-    staleness: int | None = None
+    # Age of the previous list when this one arrived, in microseconds: changes in this list are not
+    # older than that.  None: their age is unknown.
+    previous_age_us: int | None = None
 
     def apply_to(self, known: dict[str, ListedEndpoint]) -> None:
-        """Bring what is known, by name, up to this version."""
+        """Update the known endpoints, by name, to this version."""
         if self.complete:
             known.clear()
         for endpoint in self.endpoints:
@@ -43,24 +43,28 @@
 
 
 def split_into_batches(new: EndpointList, known: Collection[str]) -> list[EndpointList]:
-    """Split a long list into changes that are applied one after another, so that none holds the loop up.
+    """Split a long list into batches of changes, so that no batch blocks the event loop for long.
 
-    A short list stays as it is.  ``known``: the names of all servers that are listed so far.  What
-    is gone or drains comes first, as nothing may be sent there a quarter of a second later, however
-    many others there are to apply.
+    A short list stays as it is.  ``known``: the names of all servers that are listed so far.
+    Removed and draining servers come first: 0.25 s later nothing may be sent to them, however long
+    the list is.
     """
-    named = {endpoint.server.id: endpoint for endpoint in new.endpoints}
-    if len(named) <= BATCH_SIZE and (not new.complete or len(known) <= BATCH_SIZE):
+    by_name = {endpoint.server.id: endpoint for endpoint in new.endpoints}
+    if len(by_name) <= BATCH_SIZE and (not new.complete or len(known) <= BATCH_SIZE):
         return [new]
-    gone: list[ListedEndpoint] = []
+    removed: list[ListedEndpoint] = []
     if new.complete:
-        missing = [name for name in known if name not in named]
-        gone = [
+        missing = [name for name in known if name not in by_name]
+        removed = [
             ListedEndpoint(Endpoint(name, EndpointState.REMOVED), NO_ADDRESS) for name in missing
         ]
-    leaving = [endpoint for endpoint in named.values() if endpoint.server.state != EndpointState.UP]
-    usable = [endpoint for endpoint in named.values() if endpoint.server.state == EndpointState.UP]
-    changes = gone + leaving + usable
+    not_usable = [
+        endpoint for endpoint in by_name.values() if endpoint.server.state != EndpointState.UP
+    ]
+    usable = [
+        endpoint for endpoint in by_name.values() if endpoint.server.state == EndpointState.UP
+    ]
+    changes = removed + not_usable + usable
     return [
         EndpointList(new.version, False, changes[start : start + BATCH_SIZE])
         for start in range(0, len(changes), BATCH_SIZE)
--- a/oakbridge/node/endpoint_list_json.py
+++ b/oakbridge/node/endpoint_list_json.py
@@ -1,4 +1,4 @@
-"""The JSON form that discovery gives an endpoint list, which is also the form of a saved one."""
+"""The JSON form of an endpoint list, as discovery sends it and as it is saved."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from oakbridge.policy.events import Endpoint, EndpointState
 
 US_PER_MS = 1000
-MAX_INDEX = 2**63 - 1
+MAX_VERSION = 2**63 - 1
 MAX_NAME_LENGTH = 1024
 MAX_WEIGHT = 1e12
-MAX_SINCE_MS = 2**53  # Unix time, some 285,000 years on
+MAX_SINCE_MS = 2**53  # Unix time; about 285,000 years after 1970
 
 JsonObject = dict[str, Any]
 
@@ -28,23 +28,23 @@
 
 
 def parse_endpoint_list(raw: Any) -> EndpointList:
-    """Check and return a list as a whole: half a list is no list.  Raise EndpointListError."""
+    """Parse a list; raise EndpointListError if any part of it is invalid."""
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
         raise EndpointListError("expected an object with a list of endpoints")
-    index = _number(raw.get("index"), int, "index")
-    if not 0 <= index <= MAX_INDEX:
+    version = _number(raw.get("index"), int, "index")
+    if not 0 <= version <= MAX_VERSION:
         raise EndpointListError(
-            f"index: expected a number from 0 to {MAX_INDEX}, got {index!r:.80}"
+            f"index: expected a number from 0 to {MAX_VERSION}, got {version!r:.80}"
         )
     endpoints = [_parse_endpoint(one, number) for number, one in enumerate(raw["endpoints"])]
-    new = EndpointList(index, bool(raw.get("snapshot", False)), endpoints)
+    new = EndpointList(version, bool(raw.get("snapshot", False)), endpoints)
     if new.complete:
-        _check_names_once(new)
+        _check_names_are_unique(new)
     return new
 
 
-def _check_names_once(new: EndpointList) -> None:
-    """Refuse a complete list that names a server twice; among changes the last one counts."""
+def _check_names_are_unique(new: EndpointList) -> None:
+    """Raise EndpointListError if a complete list names a server twice; of changes the last one counts."""
     names = Counter(endpoint.server.id for endpoint in new.endpoints)
     if len(names) < len(new.endpoints):
         [(name, count)] = names.most_common(1)
@@ -53,10 +53,10 @@
         )
 
 
-def encode_endpoint_list(index: int, endpoints: Iterable[ListedEndpoint]) -> JsonObject:
-    """Return a complete list in discovery's form."""
+def encode_endpoint_list(version: int, endpoints: Iterable[ListedEndpoint]) -> JsonObject:
+    """Return a complete list in discovery's JSON form."""
     return {
-        "index": index,
+        "index": version,
         "snapshot": True,
         "endpoints": [_encode_endpoint(one) for one in endpoints],
     }
@@ -77,29 +77,29 @@
 
 
 def _parse_endpoint(raw: Any, number: int) -> ListedEndpoint:
-    """Parse one endpoint; its start is Unix time, which the node's clock counts in as well."""
-    where = f"endpoints[{number}]"
+    """Parse one endpoint; ``since_ms``, its start, is Unix time, which the node's clock uses too."""
+    place = f"endpoints[{number}]"
     if not isinstance(raw, dict):
-        raise EndpointListError(f"{where}: expected an object, got {raw!r:.80}")
+        raise EndpointListError(f"{place}: expected an object, got {raw!r:.80}")
     name, state = raw.get("name"), raw.get("status", "ready")
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
         expected = f"expected a printable text of 1 to {MAX_NAME_LENGTH} characters"
-        raise EndpointListError(f"{where}.name: {expected}, got {name!r:.80}")
+        raise EndpointListError(f"{place}.name: {expected}, got {name!r:.80}")
     if not isinstance(state, str) or state not in _STATE_BY_NAME:
         raise EndpointListError(
-            f"{where}.status: expected ready, draining or gone, got {state!r:.80}"
+            f"{place}.status: expected ready, draining or gone, got {state!r:.80}"
         )
-    since_ms = _number(raw.get("since_ms", 0), (int, float), f"{where}.since_ms")
-    if not abs(since_ms) <= MAX_SINCE_MS:  # not-a-number is neither
+    since_ms = _number(raw.get("since_ms", 0), (int, float), f"{place}.since_ms")
+    if not abs(since_ms) <= MAX_SINCE_MS:  # written so that NaN fails, too
         raise EndpointListError(
-            f"{where}.since_ms: expected milliseconds of Unix time, got {since_ms!r:.80}"
+            f"{place}.since_ms: expected milliseconds of Unix time, got {since_ms!r:.80}"
         )
-    weight = _number(raw.get("weight", 1.0), (int, float), f"{where}.weight")
-    if not 0 <= weight <= MAX_WEIGHT:  # not-a-number is neither
+    weight = _number(raw.get("weight", 1.0), (int, float), f"{place}.weight")
+    if not 0 <= weight <= MAX_WEIGHT:  # written so that NaN fails, too
         raise EndpointListError(
-            f"{where}.weight: expected a number from 0 to {MAX_WEIGHT:.0f}, got {weight!r:.80}"
+            f"{place}.weight: expected a number from 0 to {MAX_WEIGHT:.0f}, got {weight!r:.80}"
         )
-    cell = _number(raw.get("group", 0), int, f"{where}.group")
+    cell = _number(raw.get("group", 0), int, f"{place}.group")
     zone = str(raw.get("zone") or "")
     server = Endpoint(
         name, _STATE_BY_NAME[state], zone, cell, float(weight), int(since_ms * US_PER_MS)
@@ -107,10 +107,9 @@
     try:
         address = _parse_server_address(raw.get("address"))
     except ConfigError as e:
-        # nothing is sent there: its address does not matter
-        if server.state == EndpointState.REMOVED:
+        if server.state == EndpointState.REMOVED:  # nothing is sent there, so it needs no address
             return ListedEndpoint(server, NO_ADDRESS)
-        raise EndpointListError(f"{where}.address: {e}") from None
+        raise EndpointListError(f"{place}.address: {e}") from None
     server.address = f"{address[0]}:{address[1]}"
     return ListedEndpoint(server, address)
 
@@ -122,7 +121,7 @@
     return address
 
 
-def _number(value: Any, kind: type | tuple[type, ...], what: str) -> Any:
+def _number(value: Any, kind: type | tuple[type, ...], place: str) -> Any:
     if isinstance(value, bool) or not isinstance(value, kind):
-        raise EndpointListError(f"{what}: expected a number, got {value!r:.80}")
+        raise EndpointListError(f"{place}: expected a number, got {value!r:.80}")
     return value
--- a/oakbridge/node/endpoint_source.py
+++ b/oakbridge/node/endpoint_source.py
@@ -1,4 +1,4 @@
-"""Where a node's endpoint list comes from, and who listens to it."""
+"""Interfaces between a source of endpoint lists and the node that receives them."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class EndpointListener(Protocol):
-    """Is called with endpoint lists: the node."""
+    """Receives endpoint lists; the node implements it."""
 
     def prepare(self, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Make ready for servers that the next list may name; nothing is sent to them yet."""
+        """Prepare for servers that the next list may name; nothing is sent to them yet."""
 
     def on_endpoint_list(self, new: EndpointList, *, saved: bool = False) -> None:
-        """Apply a list from now on; ``saved``: it was kept from an earlier process, and may be old."""
+        """Apply a list; ``saved``: an earlier process saved it, so it may be outdated."""
 
 
 class EndpointSource(Protocol):
-    """Calls a listener with endpoint lists."""
+    """Passes endpoint lists to a listener."""
 
     def attach(self, listener: EndpointListener) -> None:
-        """Name the listener, once and before the start; call it with a list that is known already."""
+        """Set the listener, once and before the start; pass it a list that is known already."""
 
     def start(self) -> None:
-        """Begin to call the listener."""
+        """Start to pass lists to the listener."""
 
     def watch(self, on: bool) -> None:
-        """Begin to watch for changes, or stop, where the balancer has to poll."""
+        """Start or stop to watch for changes, where the balancer controls polling."""
 
     def fetch(self) -> None:
-        """Call the listener with the complete list once."""
+        """Pass the complete list to the listener once."""
 
     def stop(self) -> None:
-        """Call the listener no more."""
+        """Pass no more lists to the listener."""
--- a/oakbridge/node/endpoint_updates.py
+++ b/oakbridge/node/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Applies endpoint lists to the balancer, the connection pool and the fronts, through what operators hold out."""
+"""Applies endpoint lists, and what operators took offline, to the balancer, the pool and the fronts."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class EndpointUpdates:
-    """Which servers are listed, and the batches of a long list that are still to be applied."""
+    """The listed servers, and the batches of a long list that are not applied yet."""
 
     def __init__(
         self,
@@ -39,26 +39,26 @@
         self._clock = clock
         self._dispatcher = dispatcher
         self._pool = pool
-        self._listed: dict[
-            str, ListedEndpoint
-        ] = {}  # all servers, draining ones among them, as they are listed
+        # All servers as they are listed, including draining ones.
+        self._listed: dict[str, ListedEndpoint] = {}
         self._batches: deque[EndpointList] = deque()
         self._start_times = StartTimes()
-        self._held_back: EndpointList | None = None  # a saved list, until a newer one comes
+        # A saved list that is not applied yet, see hold_back().
+        self._saved_list: EndpointList | None = None
 
-    # ---- what is known
+    # ---- state
 
     def has_usable(self) -> bool:
-        """Return whether a server is known that may be sent to."""
+        """Return whether there is a server that requests may be sent to."""
         return bool(self._pool.endpoints or self._batches)
 
-    def all_held_out(self) -> bool:
-        """Return whether no server may be sent to, and operators hold some out."""
-        is_listed = self._held_back is None
+    def all_offline(self) -> bool:
+        """Return whether there is no usable server, and operators took some offline."""
+        is_listed = self._saved_list is None
         return is_listed and not self._pool.endpoints and bool(self.offline_servers.names())
 
     def current(self) -> list[ListedEndpoint]:
-        """Apply what is left of a list, and return all servers as they are listed."""
+        """Apply the remaining batches, and return all servers as they are listed."""
         self.release()
         self._apply_all_batches()
         return list(self._listed.values())
@@ -66,35 +66,34 @@
     # ---- lists
 
     def on_endpoint_list(self, new: EndpointList, *, saved: bool = False) -> None:
-        """Apply a list from now on; a long one in batches, one in each turn of the loop."""
+        """Apply a list; a long one in batches, one per iteration of the event loop."""
         self.release()
-        self._apply_all_batches()  # a newer list builds on all of the one before
+        self._apply_all_batches()  # a newer list builds on the complete previous one
         self._log_list(new)
-        starts = self._start_times.adjust(new.endpoints, self._clock.now(), new.staleness)
-        new = replace(new, endpoints=starts)
+        adjusted = self._start_times.adjust(new.endpoints, self._clock.now(), new.previous_age_us)
+        new = replace(new, endpoints=adjusted)
         self._batches.extend([new] if saved else split_into_batches(new, self._listed))
         self._apply_next_batch(saved=saved)
 
     def hold_back(self, saved: EndpointList) -> None:
-        """Apply a saved list only right before a newer one, or once it is released.
+        """Apply a saved list only right before a newer one, or in :meth:`release`.
 
-        What an agent has counts as told from the first moment of a process; the saved list may be
-        older than that.
+        A process must know from its start what its agent knows, and the saved list may be older.
         """
-        self._held_back = saved
+        self._saved_list = saved
 
     def release(self) -> None:
-        """Apply the list that was held back, if one still is."""
-        saved, self._held_back = self._held_back, None
+        """Apply the list that was held back, if there is one."""
+        saved, self._saved_list = self._saved_list, None
         if saved is not None:
             self.on_endpoint_list(saved, saved=True)
 
     def prepare(self, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Have the balancer make records ahead for what the next list names; nothing is sent there yet."""
+        """Have the balancer create records for servers of the next list; nothing is sent there yet."""
         self._dispatcher.post(EndpointsAnnounced([endpoint.server for endpoint in endpoints]))
 
     def add_front(self, front: Front) -> None:
-        """Have another front on the same balancer; it hears of the servers that are listed now."""
+        """Add another protocol's front to the same balancer, and pass it the current list."""
         self._dispatcher.fronts.append(front)
         front.on_endpoint_list(
             EndpointList(0, True, self.offline_servers.apply_all(self._listed.values()))
@@ -107,41 +106,45 @@
             first = ", ".join(
                 f"{name} {state}" for name, state in islice(states.items(), LOGGED_ENDPOINTS)
             )
-            log.info("list %d: %s", new.version, first[:LOGGED_CHARACTERS])
+            log.info(
+                "endpoint list received: version=%d endpoints=%s",
+                new.version,
+                first[:LOGGED_CHARACTERS],
+            )
 
-    # ---- what operators hold out
+    # ---- servers that operators take offline
 
     def take_offline(self, name: str) -> bool | None:
-        """Hold a server out for operators, from this call on; False if it was out, None if there is none such."""
+        """Take a server offline; return False if it was offline, None if there is no such server."""
         self.release()
         if name not in self._listed and not self.offline_servers.is_offline(name):
             return None
-        taken = self.offline_servers.take_offline(name, self._clock.now())
-        if taken:
+        has_changed = self.offline_servers.take_offline(name, self._clock.now())
+        if has_changed:
             self._apply_again(name)
-        return taken
+        return has_changed
 
-    def bring_online(self, name: str, warm_up: int) -> bool | None:
-        """Use a server again that operators held out; False if it was not out, None if there is none such.
+    def bring_online(self, name: str, warm_up_us: int) -> bool | None:
+        """Bring a server back online; return False if it was not offline, None if there is no such.
 
-        ``warm_up``: microseconds after which a server is warm, restarted or not.
+        ``warm_up_us``: after this time in use a server is warm, even if it has been restarted.
         """
         self.release()
         now = self._clock.now()
-        self.offline_servers.forget_older(now - warm_up)
+        self.offline_servers.forget_before(now - warm_up_us)
         if self.offline_servers.bring_online(name, now):
-            self._apply_again(name, back=True)
+            self._apply_again(name, restored=True)
             return True
         return False if name in self._listed else None
 
-    def _apply_again(self, name: str, *, back: bool = False) -> None:
-        """Have the balancer and the pool see one server as it counts now."""
+    def _apply_again(self, name: str, *, restored: bool = False) -> None:
+        """Update one server in the balancer and the pool after a change by an operator."""
         self._apply_all_batches()
         endpoint = self._listed.get(name)
         if endpoint is None:
-            return  # it is not listed: whenever it is again, it counts as it does then
+            return  # it is not listed; the next list that names it applies the change
         self._batches.append(EndpointList(0, False, [endpoint]))
-        self._apply_batch(back=back)
+        self._apply_batch(restored=restored)
 
     # ---- batches
 
@@ -155,8 +158,8 @@
         if self._batches:
             self._loop.call_soon(self._apply_next_batch)
 
-    def _apply_batch(self, *, saved: bool = False, back: bool = False) -> None:
-        """Apply one batch: no connection that is given out after this leads elsewhere."""
+    def _apply_batch(self, *, saved: bool = False, restored: bool = False) -> None:
+        """Apply one batch; from then on the pool only uses connections to the listed addresses."""
         batch = self._batches.popleft()
         batch.apply_to(self._listed)
         batch = replace(batch, endpoints=self.offline_servers.apply_all(batch.endpoints))
@@ -164,8 +167,13 @@
             front.on_endpoint_list(batch)
         servers = [endpoint.server for endpoint in batch.endpoints]
         event = EndpointListReceived(
-            servers, batch.complete, cached=saved, more_follow=bool(self._batches), restored=back
+            servers,
+            batch.complete,
+            cached=saved,
+            more_follow=bool(self._batches),
+            restored=restored,
         )
-        # The balancer sees the list before it sees the ends of attempts that the list has caused.
+        # The balancer sees the list before the ends of those attempts that the pool fails because
+        # of it.
         with self._dispatcher.posting_first(event):
             self._pool.update_endpoints(batch)
--- a/oakbridge/node/offline_servers.py
+++ b/oakbridge/node/offline_servers.py
@@ -1,8 +1,8 @@
-"""Which servers operators hold out: applied between any list and the balancer, so that no list can undo it.
+"""Servers that operators took offline; applied to each list before the balancer, which no list undoes.
 
-Pure: the caller passes the time and endpoints, and gets endpoints back.  An operator's command goes
-before discovery: a server that is held out is listed as draining, wherever it goes and whatever
-becomes of it, until it is put back.
+An operator's command overrides discovery: an offline server counts as draining whenever it is
+listed, whatever address and state the lists give it, until it is brought online.  This module does
+no I/O: it is given the time and endpoints, and returns endpoints.
 """
 
 from __future__ import annotations
@@ -13,102 +13,102 @@
 from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.policy.events import EndpointState
 
-# Servers that are held out at once: each is kept, listed or not, until it is put back.
-MAX_HELD_OUT = 4096
+# Maximum number of servers kept here: each is kept, listed or not, until it is brought online.
+MAX_OFFLINE_SERVERS = 4096
 
 
 @dataclass(slots=True)
-class Outage:
-    """One server that is held out, or was put back and may have been restarted meanwhile."""
+class OfflineRecord:
+    """A server that is offline, or is online again and may have been restarted meanwhile."""
 
-    taken_out_at: int
-    put_back_at: int = 0  # 0: it is still out
-    assumed_start: int = 0  # of one that was put back, until a list has a newer one
+    offline_at: int
+    online_at: int = 0  # 0: it is still offline
+    assumed_start: int = 0  # start of a server that is online again, until a list has a newer one
 
 
 class OfflineServers:
-    """The servers held out, and those put back of which no list has said yet that they were restarted.
+    """The offline servers, and those online again whose restart no list has reported yet.
 
-    Times are the node's clock's, in microseconds.
+    Times are in microseconds of the node's clock.
     """
 
     def __init__(self) -> None:
-        self._outages: dict[str, Outage] = {}
+        self._records: dict[str, OfflineRecord] = {}
 
     def names(self) -> list[str]:
-        """Return the ids held out, in the order in which they went."""
-        return [name for name, outage in self._outages.items() if not outage.put_back_at]
+        """Return the ids of the offline servers, in the order in which they were taken offline."""
+        return [name for name, record in self._records.items() if not record.online_at]
 
     def is_offline(self, name: str) -> bool:
-        """Return whether operators hold this server out."""
-        outage = self._outages.get(name)
-        return outage is not None and not outage.put_back_at
+        """Return whether operators took this server offline."""
+        record = self._records.get(name)
+        return record is not None and not record.online_at
 
     def is_full(self) -> bool:
-        """Return whether no more can be held out."""
-        return len(self._outages) >= MAX_HELD_OUT
+        """Return whether no more servers can be taken offline."""
+        return len(self._records) >= MAX_OFFLINE_SERVERS
 
     def take_offline(self, name: str, now: int) -> bool:
-        """Hold a server out; return False if it is out already: a second call changes nothing."""
+        """Take a server offline; return False, and change nothing, if it is offline already."""
         if self.is_offline(name):
             return False
-        self._outages[name] = Outage(now)
+        self._records[name] = OfflineRecord(now)
         return True
 
     def bring_online(self, name: str, now: int) -> bool:
-        """Hold a server out no more, however often it was taken out; return False if it was not out.
+        """Bring a server online; return False if it was not offline.
 
-        It may have been restarted at any time since it was taken out.  Until a list says when, it
-        counts as started now: the latest that is possible, as a server that gets more than its slow
-        start allows would be overloaded.
+        The server may have been restarted at any time while it was offline.  Until a list has its
+        new start, it counts as started now, which is the latest possible start: a server that gets
+        more than its slow start allows would be overloaded.
         """
-        outage = self._outages.get(name)
-        if outage is None or outage.put_back_at:
+        record = self._records.get(name)
+        if record is None or record.online_at:
             return False
-        outage.put_back_at = now
-        outage.assumed_start = now
+        record.online_at = now
+        record.assumed_start = now
         return True
 
     def apply(self, endpoint: ListedEndpoint) -> ListedEndpoint:
-        """Return an endpoint as the balancer may see it."""
+        """Return an endpoint as the balancer is to see it."""
         server = endpoint.server
-        outage = self._outages.get(server.id)
-        if outage is None:
+        record = self._records.get(server.id)
+        if record is None:
             return endpoint
-        gone = server.state == EndpointState.REMOVED
-        if not outage.put_back_at:
-            return endpoint if gone else _replace_server(endpoint, state=EndpointState.DRAINING)
-        if gone or server.started_at > outage.taken_out_at:
-            del self._outages[server.id]  # the list itself tells of its restart, or of its end
+        is_removed = server.state == EndpointState.REMOVED
+        if not record.online_at:
+            return (
+                endpoint if is_removed else _replace_server(endpoint, state=EndpointState.DRAINING)
+            )
+        if is_removed or server.started_at > record.offline_at:
+            del self._records[server.id]  # the list itself has its restart or its removal
             return endpoint
-        return _replace_server(endpoint, started_at=outage.assumed_start)
+        return _replace_server(endpoint, started_at=record.assumed_start)
 
     def apply_all(self, endpoints: Iterable[ListedEndpoint]) -> list[ListedEndpoint]:
-        """Return a list's endpoints as the balancer may see them."""
-        if not self._outages:
+        """Return the endpoints of a list as the balancer is to see them."""
+        if not self._records:
             return list(endpoints)
         return [self.apply(endpoint) for endpoint in endpoints]
 
-    def forget_older(self, before: int) -> None:
-        """Forget what was put back before a time: a server is warm by then, restarted or not."""
-        offline_servers = self._outages.items()
-        for name in [
-            n for n, outage in offline_servers if outage.put_back_at and outage.put_back_at < before
-        ]:
-            del self._outages[name]
+    def forget_before(self, before: int) -> None:
+        """Forget servers brought online before this time: they are warm by now, restarted or not."""
+        records = self._records.items()
+        for name in [n for n, record in records if record.online_at and record.online_at < before]:
+            del self._records[name]
 
-    # ---- over a hand-over
+    # ---- hot restart
 
     def saved(self) -> dict[str, list[int]]:
-        """Return all of it as plain values, for the process that takes over."""
+        """Return all records as plain values, for the successor process."""
         return {
-            name: [outage.taken_out_at, outage.put_back_at, outage.assumed_start]
-            for name, outage in self._outages.items()
+            name: [record.offline_at, record.online_at, record.assumed_start]
+            for name, record in self._records.items()
         }
 
     def restore(self, saved: dict[str, list[int]]) -> None:
-        """Go on with what another process held out."""
-        self._outages = {name: Outage(*values) for name, values in saved.items()}
+        """Restore the records of the predecessor process."""
+        self._records = {name: OfflineRecord(*values) for name, values in saved.items()}
 
 
 def _replace_server(endpoint: ListedEndpoint, **changes: object) -> ListedEndpoint:
--- a/oakbridge/node/request_forwarder.py
+++ b/oakbridge/node/request_forwarder.py
@@ -96,7 +96,7 @@
         class_name = request.header_text(b"x-priority-class")
         now = self._clock.now()
         due = self._due(request, self._classes[class_name].deadline)
-        if self._endpoints.all_held_out():  # nobody is left to wait for
+        if self._endpoints.all_offline():  # nobody is left to wait for
             retry_after = [(b"retry-after", b"1")] if self._settings.max_retry_after else []
             request.client.respond(request, 503, retry_after, b"")
             return
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -255,13 +255,14 @@
             node.discovery.put(listing(2, is_complete=False))
             await node.start_and_wait()
             drained = listing(3, endpoint("s-0", server.port, "draining"), is_complete=False)
+            log_text = "endpoint list received: version=3 "
             async with asyncio.timeout(20):
-                while not any("list 3:" in node.log(number) for number in (0, 1)):
+                while not any(log_text in node.log(number) for number in (0, 1)):
                     # A discovery request that was cancelled consumes a response too.
                     node.discovery.put(drained)
                     await asyncio.sleep(0.5)
             await asyncio.sleep(0.2)
-            assert all("list 3:" in node.log(number) for number in (0, 1))
+            assert all(log_text in node.log(number) for number in (0, 1))
             busy.close()
 
     run(scenario())
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -336,7 +336,8 @@
             node.discovery.put(reply(500))
             await until(lambda: source.status().last_failure)
             failed = source.status()
-            assert failed.last_failure == "renewal call refused: discovery answered 500"
+            detail = "response: expected status 200, got 500"
+            assert failed.last_failure == f"renewal call refused: {detail}"
             assert failed.last_failure_age_s < 1.0
             assert failed.open_requests == 0
 
--- a/tests/node/test_discovery_bad_answers.py
+++ b/tests/node/test_discovery_bad_answers.py
@@ -64,13 +64,13 @@
         body_answer(json.dumps(listing(2, endpoint("s", 1) | {"weight": float("nan")})).encode()),
         r"endpoints[0].weight: expected",
     ),
-    "another status": (lambda writer: write(writer, reply(500)), "discovery answered 500"),
-    "no HTTP": (lambda writer: write(writer, b"SSH-2.0-server\r\n"), "no HTTP"),
+    "another status": (lambda writer: write(writer, reply(500)), "expected status 200, got 500"),
+    "no HTTP": (lambda writer: write(writer, b"SSH-2.0-server\r\n"), "expected HTTP/1.1"),
     "a length that is too short": (length_answer(10, whole(2)), ""),
     "a length that is too long": (length_answer(10_000, b'{"index": 2}'), "TimeoutError"),
     "a length that is no number": (
         lambda writer: write(writer, HEAD + b"Content-Length: ten\r\n\r\n"),
-        "no HTTP",
+        "expected HTTP/1.1",
     ),
     "an endless head": (lambda writer: endless(writer, HEAD, b"X-A: " + CHUNK + b"\r\n"), ""),
     "an endless header": (lambda writer: endless(writer, HEAD + b"X-A: ", CHUNK), ""),
@@ -147,6 +147,7 @@
         assert peak_bytes < MAX_GROWTH_BYTES
 
     run(scenario())
-    told = [record.getMessage() for record in caplog.records if "lost" in record.getMessage()]
-    assert len(told) == 1
-    assert expectation in told[0]
+    messages = [record.getMessage() for record in caplog.records]
+    failures = [text for text in messages if text.startswith("discovery request failed:")]
+    assert len(failures) == 1
+    assert expectation in failures[0]
--- a/tests/node/test_list_refresh.py
+++ b/tests/node/test_list_refresh.py
@@ -29,14 +29,14 @@
     schedule = new_schedule(seed, **options)
     schedule.begin_request(0.0)
     schedule.on_list(0.0)
-    schedule.on_answer(0.0, continues=True)
+    schedule.on_response(0.0, continues=True)
     return schedule, schedule.begin_request(0.0)
 
 
 def test_the_first_call_does_not_wait_and_the_ones_after_it_do():
     schedule = new_schedule()
     first = schedule.begin_request(schedule.next_request_at())
-    schedule.on_answer(0.1, continues=True)
+    schedule.on_response(0.1, continues=True)
     second = schedule.begin_request(schedule.next_request_at())
     assert (first.kind, second.kind) == (RequestKind.OPENING, RequestKind.RENEWAL)
     assert first.wait_s < 0.01 < 0.5 <= second.wait_s < second.timeout_s < MAX_LIST_AGE_S / 2
@@ -72,7 +72,7 @@
     second = schedule.begin_request(4.75)
     schedule.on_failure(second, 4.76, Failure.REFUSED)
     assert schedule.next_request_at() == pytest.approx(7.0)  # the first one still has its place
-    schedule.on_answer(5.0, continues=True)
+    schedule.on_response(5.0, continues=True)
     schedule.on_failure(first, 5.1, Failure.TIMED_OUT)  # its answer made it superfluous
     assert schedule.next_request_at() == pytest.approx(5.0)
 
@@ -122,7 +122,7 @@
 def test_a_reload_that_shortens_the_bound_shortens_the_next_watch():
     schedule, _ = with_watch()
     schedule.configure(int(1.5 * US_PER_S))
-    schedule.on_answer(1.0, continues=True)
+    schedule.on_response(1.0, continues=True)
     assert schedule.begin_request(1.0).wait_s <= 0.5
 
 
--- a/tests/node/test_offline_servers.py
+++ b/tests/node/test_offline_servers.py
@@ -47,7 +47,7 @@
     assert offline_servers.apply(entry("a", started=290)).server.started_at == 290
     offline_servers.take_offline("a", 400)
     offline_servers.bring_online("a", 500)
-    offline_servers.forget_older(501)
+    offline_servers.forget_before(501)
     assert offline_servers.apply(entry("a", started=290)).server.started_at == 290
 
 
