--- a/oakbridge/node/address.py
+++ b/oakbridge/node/address.py
@@ -1,4 +1,4 @@
-"""Addresses: a numeric IPv4 host and a port."""
+"""Network addresses: a numeric IPv4 host and a port."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def parse_address(text: object) -> Address:
-    """Parse ``host:port``; raise ConfigError.  The host is numeric: there are no names to look up."""
+    """Parse ``host:port``; raise ConfigError if it is invalid.  Host names are not resolved."""
     host, _, port = str(text).rpartition(":")
     try:
         number = int(port)
--- a/oakbridge/node/attempt.py
+++ b/oakbridge/node/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request served, and how it ended."""
+"""One attempt to have a request served by a server, and the end of an attempt."""
 
 from __future__ import annotations
 
@@ -16,68 +16,67 @@
 
 
 class ResponseSink(Protocol):
-    """Where a response goes that is passed on as it comes: a client's connection."""
+    """Receives a streamed response; the client's connection implements it."""
 
     def write_body(self, data: bytes) -> None:
-        """Take a part of the body; call :meth:`ServerConnection.pause` when that is enough for now."""
+        """Write a part of the body; call :meth:`ServerConnection.pause` while buffers are full."""
 
     def finish_response(self) -> None:
-        """Take the end of a complete response."""
+        """Finish a complete response."""
 
     def abort_response(self) -> None:
-        """Take the end of a response that broke off; the client must be able to tell."""
+        """End an incomplete response so that the client can recognise it as incomplete."""
 
 
 @dataclass(slots=True)
 class AttemptEnd:
-    """How an attempt ended, and what the server responded."""
+    """The end of an attempt: its result, and the server's response if there was one."""
 
     result: AttemptResult
     headers: Headers = field(default_factory=list)
     body: bytes = b""
-    status: int = 0  # 0: there was no response
+    status: int = 0  # HTTP status; 0: there was no response
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt: what to write, how long to wait, and whom to call at its end, once.
+    """One attempt: the bytes to write, the deadline, and the function to call once at its end.
 
-    Times are the node's clock's, in microseconds.
+    Times are in microseconds of the node's clock.
     """
 
     server: str
-    # Returns the bytes of the request, made once they can be written: it is given the microseconds
-    # that are left then.
+    # Returns the bytes of the request; called when they can be written, with the time that is left
+    # then, in microseconds.
     render: Callable[[int], bytes]
     deadline: int
     on_end: Callable[[AttemptEnd], None]
     number: int = 0
-    # Given a long response's status and headers, its length if known, and the connection; returns
-    # where it goes.
+    # Called with the status and headers of a long response, its length if known, and the
+    # connection; returns the sink of the body, or None if the client no longer wants it.
     on_response_start: (
         Callable[[AttemptEnd, int | None, ServerConnection], ResponseSink | None] | None
     ) = None
-    upload: StreamedBody | None = None  # the rest of a body that is still coming
-    on_request_sent: Callable[[], None] | None = (
-        None  # called once the last of ``upload`` is written
-    )
-    start_by: int | None = None  # the request may not start to be written later
-    # Returns whether the client still waits; asked after a dial, before the first byte is written.
+    streamed_body: StreamedBody | None = None  # the rest of a body that is still being received
+    # Called once the last byte of ``streamed_body`` is written.
+    on_request_sent: Callable[[], None] | None = None
+    start_by: int | None = None  # deadline for writing the first byte
+    # Returns whether the client still waits; called after a dial, before the first byte is written.
     is_wanted: Callable[[], bool] = field(default=lambda: True)
     connection: ServerConnection | None = field(default=None, init=False)
-    timer: Timer | None = field(default=None, init=False)  # fires at the deadline
+    timer: Timer | None = field(default=None, init=False)  # ends the attempt at its deadline
     ended: bool = field(default=False, init=False)
 
     def is_written(self) -> bool:
-        """Return whether the last byte was written: the request may run from then on."""
+        """Return whether the last byte was written, so that the server may run the request."""
         return self.connection is not None and self.connection.request_written()
 
-    def finish(self, outcome: AttemptEnd) -> None:
-        """End the attempt; only the first call counts."""
+    def finish(self, end: AttemptEnd) -> None:
+        """End the attempt; only the first call has an effect."""
         if self.ended:
             return
         self.ended = True
         self.connection = None
         if self.timer is not None:
             self.timer.cancel()
-        self.on_end(outcome)
+        self.on_end(end)
--- a/oakbridge/node/connection_pool.py
+++ b/oakbridge/node/connection_pool.py
@@ -1,4 +1,4 @@
-"""Keeps connections to all servers: which are idle, which is used next, and how many there may be."""
+"""The pool of connections to servers: reuses idle ones, opens new ones, and limits their number."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 log = logging.getLogger(__name__)
 
-# A connection is idle for so long before it is used again: what comes behind a response shows by
-# then.
+# A connection is reused only after this idle time: unexpected bytes after a response have arrived
+# by then.
 MIN_IDLE_US = 5_000
-DIAL_RETRY_US = 20_000  # after a dial that failed on this machine
-DIAL_LOG_INTERVAL_US = 1_000_000  # between two lines of the log about such dials
-# An idle connection is closed before the server would: by this part of the server's own timeout.
+DIAL_RETRY_US = 20_000  # delay after a dial that failed on this machine
+DIAL_LOG_INTERVAL_US = 1_000_000  # minimum time between two log lines about such dials
+# An idle connection is closed 1/10 of the server's idle timeout before the server closes it.
 IDLE_MARGIN_DIVISOR = 10
 
 
 class PooledServer:
-    """A server that may be sent to, as discovery last listed it, and the connections to it."""
+    """A server that requests may be sent to, as last listed, and the connections to it."""
 
     __slots__ = ("address", "busy", "idle", "started")
 
     def __init__(self, address: Address, started: int) -> None:
-        """Make the server that started at ``started``; its connections last no longer."""
+        """Create a server that started at ``started``; connections are not used after a restart."""
         self.address = address
         self.started = started
-        self.idle: list[ServerConnection] = []  # the most recently used comes last
+        self.idle: list[ServerConnection] = []  # sorted by last use; the most recent is last
         self.busy: set[ServerConnection] = set()
 
     def close_idle(self) -> None:
@@ -48,7 +48,7 @@
 
 
 class ConnectionPool:
-    """The connections to all servers, within a bound.  Times are in microseconds."""
+    """The connections to all servers, limited in number.  Times are in microseconds."""
 
     def __init__(
         self,
@@ -58,27 +58,31 @@
         idle_timeout: int,
         max_connections: int,
     ) -> None:
-        """``connect_timeout``: 0 for none; ``idle_timeout``: after which servers close idle connections."""
+        """``connect_timeout``: 0 for none.
+
+        ``idle_timeout``: the time after which servers close an idle connection.
+        """
         self.loop = loop
         self.clock = clock
         self.max_connections = max_connections
         self.connection_count = 0
-        self.endpoints: dict[str, tuple[Address, int]] = {}  # where servers listen, and since when
-        self.servers: dict[str, PooledServer] = {}  # those of them that something was sent to
+        # Address and start time of each server that requests may be sent to, by name.
+        self.endpoints: dict[str, tuple[Address, int]] = {}
+        self.servers: dict[str, PooledServer] = {}  # the subset that attempts were sent to
         self.observer: NodeObserver | None = None
         self._expiry_timer: Timer | None = None
         self._dial_failure_logged_at = -DIAL_LOG_INTERVAL_US
         self.configure(connect_timeout, idle_timeout)
 
     def configure(self, connect_timeout: int, idle_timeout: int) -> None:
-        """Use other timeouts from now on."""
+        """Use other timeouts from now on, in microseconds."""
         self.connect_timeout = connect_timeout
         self._max_idle = idle_timeout - idle_timeout // IDLE_MARGIN_DIVISOR
 
     # ---- servers
 
     def update_endpoints(self, new: EndpointList) -> None:
-        """Take the servers that may be sent to; retire connections to any other, or to an earlier start."""
+        """Update the usable servers; retire connections to others, old addresses and old starts."""
         if new.complete:
             self.endpoints = {}
         for endpoint in new.endpoints:
@@ -96,17 +100,16 @@
                 self._retire(self.servers.pop(name))
 
     def _server(self, name: str) -> PooledServer | None:
-        """Return what is kept for a server, from the first attempt on; None if it may not be sent to."""
+        """Return a server, created for its first attempt; None if nothing may be sent to it."""
         server = self.servers.get(name)
         if server is None and name in self.endpoints:
             server = self.servers[name] = PooledServer(*self.endpoints[name])
         return server
 
     def _retire(self, server: PooledServer) -> None:
-        """Close idle connections; attempts that were written may end, and those that were not fail.
+        """Close idle connections; connected attempts may finish, those still connecting fail.
 
-        Guards drains: an attempt that still connects would put its first byte on the wire after the
-        drain.
+        Otherwise an attempt that is still connecting would send its first byte after a drain.
         """
         server.close_idle()
         for connection in list(server.busy):
@@ -123,17 +126,17 @@
     # ---- attempts
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt; it never ends before this returns."""
+        """Start an attempt; its end is never reported before this returns."""
         self._set_timer(attempt, attempt.deadline)
         server = self._server(attempt.server)
         if server is None:
-            self._fail_soon(attempt)
+            self._fail_in_next_iteration(attempt)
             return
-        dial_by = self.clock.now() + self.connect_timeout if self.connect_timeout else None
-        self._start(server, attempt, dial_by)
+        dial_deadline = self.clock.now() + self.connect_timeout if self.connect_timeout else None
+        self._start(server, attempt, dial_deadline)
 
-    def _start(self, server: PooledServer, attempt: Attempt, dial_by: int | None) -> None:
-        """Write an attempt to an idle connection, or dial for it; ``dial_by``: until when."""
+    def _start(self, server: PooledServer, attempt: Attempt, dial_deadline: int | None) -> None:
+        """Write an attempt to an idle connection, or dial a new one until ``dial_deadline``."""
         connection = self._checkout_idle(server, MIN_IDLE_US)
         if connection is None and self.connection_count >= self.max_connections:
             connection = self._checkout_idle(server, 0)
@@ -142,19 +145,19 @@
             connection.send(attempt)
             return
         if self.connection_count >= self.max_connections and not self._evict_oldest_idle():
-            self._fail_soon(attempt)
+            self._fail_in_next_iteration(attempt)
             return
-        self._dial(server, attempt, dial_by)
+        self._dial(server, attempt, dial_deadline)
 
-    def _fail_soon(self, attempt: Attempt) -> None:
-        """Fail an attempt for which there is no connection, in the loop's next round."""
+    def _fail_in_next_iteration(self, attempt: Attempt) -> None:
+        """Fail an attempt for which there is no connection, in the event loop's next iteration."""
         self.loop.call_soon(attempt.finish, AttemptEnd(AttemptResult.CONNECT_FAILED))
 
-    def _dial(self, server: PooledServer, attempt: Attempt, dial_by: int | None) -> None:
+    def _dial(self, server: PooledServer, attempt: Attempt, dial_deadline: int | None) -> None:
         """Open a connection for an attempt.
 
-        A dial that fails on this machine says nothing of the server: it is made again, for as long
-        as a dial may take, the attempt lasts and the server is listed.
+        A dial that fails on this machine says nothing about the server.  It is retried until its
+        deadline, while the attempt is open and the server is listed.
         """
         if self.observer is not None:
             self.observer.on_connection_opened()
@@ -162,51 +165,53 @@
         try:
             connection = ServerConnection(self, server)
         except OSError as error:
-            self._dial_later(server, attempt, dial_by, error)
+            self._retry_dial_later(server, attempt, dial_deadline, error)
             return
         self.connection_count += 1
         server.busy.add(connection)
         try:
-            connection.connect(attempt, 0 if dial_by is None else max(1, dial_by - now))
+            connection.connect(attempt, 0 if dial_deadline is None else max(1, dial_deadline - now))
         except OSError as error:
             connection.abort()
             attempt.connection = None
-            self._dial_later(server, attempt, dial_by, error)
+            self._retry_dial_later(server, attempt, dial_deadline, error)
 
-    def _dial_later(
-        self, server: PooledServer, attempt: Attempt, dial_by: int | None, error: OSError
+    def _retry_dial_later(
+        self, server: PooledServer, attempt: Attempt, dial_deadline: int | None, error: OSError
     ) -> None:
         now = self.clock.now()
         if now - self._dial_failure_logged_at >= DIAL_LOG_INTERVAL_US:
             self._dial_failure_logged_at = now
-            log.warning("a dial fails on this machine and is made again: %s", error)
+            log.warning("dial failed on this machine, retrying: error=%s", error)
         retry_at = now + DIAL_RETRY_US
-        if dial_by is not None and retry_at >= dial_by:
-            # In the loop's next round: the node still holds the attempt as being started.
+        if dial_deadline is not None and retry_at >= dial_deadline:
+            # In the loop's next iteration: the forwarder has not finished starting the attempt.
             self.loop.call_soon(self.withdraw, attempt)
         else:
-            self.clock.call_at(retry_at, lambda: self._dial_again(server, attempt, dial_by))
+            self.clock.call_at(retry_at, lambda: self._retry_dial(server, attempt, dial_deadline))
 
-    def _dial_again(self, server: PooledServer, attempt: Attempt, dial_by: int | None) -> None:
+    def _retry_dial(
+        self, server: PooledServer, attempt: Attempt, dial_deadline: int | None
+    ) -> None:
         if attempt.ended:
             return
         if self.servers.get(attempt.server) is not server:
-            self.fail_unsent(attempt)  # it drains by now, or is gone
+            self.fail_unsent(attempt)  # the server drains by now, or has been removed
         elif not attempt.is_wanted():
             self.withdraw(attempt)
         else:
-            self._start(server, attempt, dial_by)
+            self._start(server, attempt, dial_deadline)
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt: its connection is closed before this returns."""
         self._abort(attempt, AttemptResult.CANCELLED)
 
     def fail_unsent(self, attempt: Attempt) -> None:
-        """Fail an attempt of which nothing was written, and nothing may be any more."""
+        """Fail an attempt of which nothing was written, and nothing may be written any more."""
         self._abort(attempt, AttemptResult.CONNECT_FAILED)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """End an attempt of which the last byte was not written, through no fault of the server."""
+        """End an attempt whose last byte was not written, for a reason other than the server."""
         self._abort(attempt, AttemptResult.NOT_SENT)
 
     @staticmethod
@@ -218,7 +223,7 @@
         attempt.finish(AttemptEnd(result))
 
     def set_deadline(self, attempt: Attempt, deadline: int) -> None:
-        """Wait for an attempt's response until another time."""
+        """Change the deadline of an attempt."""
         if not attempt.ended and attempt.timer is not None:
             attempt.timer.cancel()
             self._set_timer(attempt, deadline)
@@ -228,7 +233,7 @@
 
     @staticmethod
     def _on_deadline(attempt: Attempt) -> None:
-        """Stop waiting; a request whose last byte was never written has not run."""
+        """End an attempt at its deadline; without its last byte, the request can't have run."""
         if not attempt.ended:
             written = attempt.connection is not None and attempt.connection.abort()
             attempt.finish(
@@ -238,23 +243,23 @@
     # ---- idle connections
 
     def _checkout_idle(self, server: PooledServer, min_idle: int) -> ServerConnection | None:
-        """Take the most recently used connection that was idle for long enough and is still good.
+        """Take the most recently used connection that was idle for long enough and is still usable.
 
-        Guards against a second copy of a response, or noise behind it, that is read as the next
-        one's response.
+        The minimum idle time guards against a duplicate response, or stray bytes after a response,
+        that would be read as the response to the next request.
         """
         idle = server.idle
-        place = bisect_right(idle, self.clock.now() - min_idle, key=_idle_since)
-        while place > 0:
-            place -= 1
-            connection = idle.pop(place)
+        position = bisect_right(idle, self.clock.now() - min_idle, key=_idle_since)
+        while position > 0:
+            position -= 1
+            connection = idle.pop(position)
             if not connection.is_stale():
                 return connection
             connection.close()
         return None
 
     def put_idle(self, connection: ServerConnection) -> None:
-        """Keep a connection for the next attempt, until shortly before the server would close it."""
+        """Keep a connection for another attempt, until shortly before the server would close it."""
         connection.server.busy.discard(connection)
         connection.server.idle.append(connection)
         connection.idle_since = self.clock.now()
@@ -264,7 +269,7 @@
             )
 
     def _close_expired(self) -> None:
-        """Close what was idle for long enough; look again when the next one is due."""
+        """Close connections that were idle for the maximum time; set the timer for the next one."""
         self._expiry_timer = None
         now = self.clock.now()
         oldest = now
@@ -277,15 +282,17 @@
             self._expiry_timer = self.clock.call_at(oldest + self._max_idle, self._close_expired)
 
     def _evict_oldest_idle(self) -> bool:
-        """Close the connection that was idle for longest, to any server; return whether there was one."""
+        """Close the longest idle connection to any server; return whether there was one."""
         oldest = min(
-            (s.idle[0] for s in self.servers.values() if s.idle), default=None, key=_idle_since
+            (server.idle[0] for server in self.servers.values() if server.idle),
+            default=None,
+            key=_idle_since,
         )
         if oldest is not None:
             oldest.close()
         return oldest is not None
 
-    # ---- ends
+    # ---- close
 
     def remove(self, connection: ServerConnection) -> None:
         """Forget a connection that was closed."""
@@ -296,7 +303,7 @@
             server.idle.remove(connection)
 
     def close(self) -> None:
-        """Close all connections, at the node's end."""
+        """Close all connections when the node stops."""
         for server in self.servers.values():
             for connection in [*server.idle, *server.busy]:
                 connection.abort()
--- a/oakbridge/node/discovery.py
+++ b/oakbridge/node/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery as a source of endpoint lists: sends the requests that the discovery client schedules."""
+"""Discovery as a source of endpoint lists: sends the requests that DiscoveryClient schedules."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from oakbridge.node.errors import EndpointListError, OutdatedListError
 from oakbridge.node.list_refresh import Failure, RefreshSchedule
 from oakbridge.node.observer import NodeObserver
-from oakbridge.node.system_errors import is_path_error
+from oakbridge.node.system_errors import is_network_error
 
 log = logging.getLogger(__name__)
 
@@ -195,7 +195,7 @@
 
 def failure_of(error: Exception) -> Failure:
     """Return how a discovery request failed, by its error."""
-    if is_path_error(error):
+    if is_network_error(error):
         return Failure.NETWORK
     if isinstance(error, TimeoutError):
         return Failure.TIMED_OUT
--- a/oakbridge/node/discovery_client.py
+++ b/oakbridge/node/discovery_client.py
@@ -61,7 +61,7 @@
     """The version of the list, and the requests that keep the list up to date."""
 
     def __init__(self, address: Address, schedule: RefreshSchedule, *, pushed: bool) -> None:
-        """``pushed``: lists come from an agent on the same machine, which numbers its own versions."""
+        """``pushed``: lists come from an agent on this machine, which numbers its own versions."""
         self.version = BEFORE_ALL_VERSIONS
         self._address = address
         self._schedule = schedule
@@ -137,7 +137,7 @@
         return True
 
     def adopt(self, version: int, age_us: int | None, now: float) -> bool:
-        """Take the version of another process's complete list; return whether that list is to be used.
+        """Take the version of another process's complete list; return whether to use that list.
 
         It is used if it is newer.  Its age (None if unknown) keeps counting: an age that started at
         0 in each process would not bound the age of the list.
--- a/oakbridge/node/dispatcher.py
+++ b/oakbridge/node/dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands events to the balancer, one at a time, and carries out the actions that it returns, in order."""
+"""Hands events to the balancer one at a time, and executes the actions that it returns in order."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 class RequestActions(Protocol):
-    """Carries out the balancer's actions about requests that came in over HTTP."""
+    """Executes the balancer's actions for requests that arrived over HTTP."""
 
     def send(self, action: SendAttempt, decided_at: int) -> None:
-        """Send an attempt, whose latest begin counts from ``decided_at``."""
+        """Send an attempt; the deadline for its start counts from ``decided_at``."""
 
     def cancel(self, action: CancelAttempt) -> None:
         """Cancel an attempt."""
@@ -49,74 +49,74 @@
         """Fail a request."""
 
     def abandon(self, request_id: int) -> None:
-        """Fail a request that the balancer can't be trusted with any more."""
+        """Fail a request after a fault of the balancer."""
 
 
 class Front(Protocol):
-    """Another protocol's requests on the same balancer, numbered from the node's ``ids``."""
+    """Serves another protocol on the same balancer, with request ids from the node's ``ids``."""
 
     def owns(self, request: int) -> bool:
-        """Return whether a request came in there."""
+        """Return whether a request arrived at this front."""
 
     def carry_out(self, action: Action) -> None:
-        """Carry out one of the balancer's actions about such a request."""
+        """Execute an action of the balancer for a request of this front."""
 
     def on_endpoint_list(self, new: EndpointList) -> None:
-        """Keep to the list of servers."""
+        """Apply a list, or the changes in it."""
 
 
 class Dispatcher:
-    """The one place where the balancer meets the sockets."""
+    """Connects the balancer, which does no I/O, to the code that does."""
 
     def __init__(self, balancer: Balancer, clock: Clock) -> None:
         self.balancer = balancer
         self.observer: NodeObserver | None = None
-        self.fronts: list[Front] = []  # beside HTTP
+        self.fronts: list[Front] = []  # in addition to HTTP
         self._clock = clock
         self._events: deque[tuple[Event, int | None]] = deque()
-        self._handling = False
+        self._is_handling = False
 
     def attach(self, requests: RequestActions, source: EndpointSource) -> None:
-        """Name what carries out actions about requests, and about the endpoint list; once, before any event."""
+        """Set what executes actions for requests and the endpoint list; once, before any event."""
         self._requests = requests
         self._source = source
 
-    # ---- events in
+    # ---- events
 
     def post(self, event: Event, as_of: int | None = None) -> None:
-        """Hand an event to the balancer; one that comes up while actions are carried out waits its turn.
+        """Hand an event to the balancer; while actions are executed, further events are queued.
 
-        ``as_of``: when the time left that it tells was read.
+        ``as_of``: when the ``time_left`` of the event was measured, in microseconds.
         """
         self._events.append((event, as_of))
-        if not self._handling:
+        if not self._is_handling:
             self._handle_all()
 
     @contextmanager
     def posting_first(self, event: Event) -> Iterator[None]:
-        """Post an event that the balancer sees before all that the block posts; both are handled at its end."""
+        """Post an event before those that the block posts; all are handled when it exits."""
         self._events.append((event, None))
-        was_handling, self._handling = self._handling, True
+        was_already_handling, self._is_handling = self._is_handling, True
         try:
             yield
         finally:
-            self._handling = was_handling
-        if not was_handling:
+            self._is_handling = was_already_handling
+        if not was_already_handling:
             self._handle_all()
 
     def _handle_all(self) -> None:
-        self._handling = True
+        self._is_handling = True
         try:
             while self._events:
                 self._handle(*self._events.popleft())
         finally:
-            self._handling = False
+            self._is_handling = False
 
     def _handle(self, event: Event, as_of: int | None) -> None:
-        """Handle one event, and its actions in order; a fault is contained to the request that it is about."""
+        """Handle one event, and its actions in order; an exception only fails its request."""
         now = self._clock.now()
         if as_of is not None and isinstance(event, RequestReceived | RequestBodySent):
-            # The process may have been held up since, and the client's time has not.
+            # The process may have been paused since, while the client's timeout goes on.
             event.time_left = max(0, event.time_left - (now - as_of))
         try:
             if self.observer is not None:
@@ -125,14 +125,14 @@
             if self.observer is not None:
                 self.observer.on_actions(now, actions)
         except Exception:
-            log.exception("the balancer failed on %s", type(event).__name__)
+            log.exception("balancer failed to handle an event: event=%s", type(event).__name__)
             self._abandon_request_of(event)
             return
         for action in actions:
             try:
-                self._carry_out(action, now)
+                self._execute(action, now)
             except Exception:
-                log.exception("could not carry out %s", action)
+                log.exception("action of the balancer failed: action=%s", action)
 
     def _abandon_request_of(self, event: Event) -> None:
         match event:
@@ -141,15 +141,15 @@
             case AttemptEnded():
                 self._requests.abandon(event.request_id)
 
-    # ---- actions out
+    # ---- actions
 
-    def _carry_out(self, action: Action, now: int) -> None:
+    def _execute(self, action: Action, now: int) -> None:
         if isinstance(action, SetTimer):
             self._set_timer(action, now)
-        elif not self.fronts or not self._carried_out_by_front(action):
-            self._carry_out_here(action, now)
+        elif not self.fronts or not self._execute_by_front(action):
+            self._execute_here(action, now)
 
-    def _carry_out_here(self, action: Action, now: int) -> None:
+    def _execute_here(self, action: Action, now: int) -> None:
         match action:
             case SendAttempt():
                 self._requests.send(action, now)
@@ -163,12 +163,12 @@
                 self._source.watch(action.on)
 
     def _set_timer(self, action: SetTimer, now: int) -> None:
-        """Count from the event: the process may have been held up since, and a deadline has not."""
+        """Set a timer that counts from the event, as the process may have been paused since."""
         token = action.token
         self._clock.call_at(now + action.delay, lambda: self.post(TimerFired(token)))
 
-    def _carried_out_by_front(self, action: Action) -> bool:
-        """Return whether an action is about a request of another front, which then carries it out."""
+    def _execute_by_front(self, action: Action) -> bool:
+        """Have another front execute an action if it owns the request; return whether one does."""
         request = getattr(action, "request_id", 0)
         for front in self.fronts:
             if front.owns(request):
--- a/oakbridge/node/endpoint_list_json.py
+++ b/oakbridge/node/endpoint_list_json.py
@@ -36,7 +36,7 @@
         raise EndpointListError(
             f"index: expected a number from 0 to {MAX_VERSION}, got {version!r:.80}"
         )
-    endpoints = [_parse_endpoint(one, number) for number, one in enumerate(raw["endpoints"])]
+    endpoints = [_parse_endpoint(entry, number) for number, entry in enumerate(raw["endpoints"])]
     new = EndpointList(version, bool(raw.get("snapshot", False)), endpoints)
     if new.complete:
         _check_names_are_unique(new)
@@ -44,7 +44,7 @@
 
 
 def _check_names_are_unique(new: EndpointList) -> None:
-    """Raise EndpointListError if a complete list names a server twice; of changes the last one counts."""
+    """Raise EndpointListError if a complete list names a server twice; changes may."""
     names = Counter(endpoint.server.id for endpoint in new.endpoints)
     if len(names) < len(new.endpoints):
         [(name, count)] = names.most_common(1)
@@ -58,7 +58,7 @@
     return {
         "index": version,
         "snapshot": True,
-        "endpoints": [_encode_endpoint(one) for one in endpoints],
+        "endpoints": [_encode_endpoint(endpoint) for endpoint in endpoints],
     }
 
 
@@ -77,7 +77,7 @@
 
 
 def _parse_endpoint(raw: Any, number: int) -> ListedEndpoint:
-    """Parse one endpoint; ``since_ms``, its start, is Unix time, which the node's clock uses too."""
+    """Parse one endpoint; ``since_ms``, its start, is Unix time, like the node's clock."""
     place = f"endpoints[{number}]"
     if not isinstance(raw, dict):
         raise EndpointListError(f"{place}: expected an object, got {raw!r:.80}")
--- a/oakbridge/node/endpoint_updates.py
+++ b/oakbridge/node/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Applies endpoint lists, and what operators took offline, to the balancer, the pool and the fronts."""
+"""Applies endpoint lists to the balancer, the pool and the fronts, with operators' overrides."""
 
 from __future__ import annotations
 
@@ -89,7 +89,7 @@
             self.on_endpoint_list(saved, saved=True)
 
     def prepare(self, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Have the balancer create records for servers of the next list; nothing is sent there yet."""
+        """Have the balancer create records for servers of the next list, without sending to them."""
         self._dispatcher.post(EndpointsAnnounced([endpoint.server for endpoint in endpoints]))
 
     def add_front(self, front: Front) -> None:
@@ -115,7 +115,7 @@
     # ---- servers that operators take offline
 
     def take_offline(self, name: str) -> bool | None:
-        """Take a server offline; return False if it was offline, None if there is no such server."""
+        """Take a server offline; return False if it was offline, None if it does not exist."""
         self.release()
         if name not in self._listed and not self.offline_servers.is_offline(name):
             return None
--- a/oakbridge/node/epoll_selector.py
+++ b/oakbridge/node/epoll_selector.py
@@ -1,9 +1,9 @@
-"""A selector on epoll whose changes of what is waited for may fail for a moment.
+"""A selector on epoll that retries epoll_ctl(2) after transient errors.
 
 epoll_ctl(2) fails with ENOMEM or ENOSPC while the kernel is short of memory or of watches.  The
-standard selector raises then, in whichever part of the event loop made the change, and the
-connection is lost or never heard of again.  Here the change is made again, at the latest after
-:data:`RETRY_S`, until it succeeds or is not wanted any more.
+standard selector then raises in whichever part of the event loop made the change, and the
+connection is closed or never reported as ready again.  This selector retries the change, at the
+latest after :data:`RETRY_S`, until it succeeds or is no longer needed.
 """
 
 from __future__ import annotations
@@ -22,72 +22,72 @@
 
 RETRY_S = 0.01
 
-FileObject = Any  # a descriptor, or what has a fileno()
+FileObject = Any  # a descriptor, or an object with a fileno() method
 Ready = list[tuple[selectors.SelectorKey, int]]
 
 
 class EpollSelector(selectors.BaseSelector):
-    """Waits for descriptors; the kernel may know of a change a little later than the caller."""
+    """Waits for descriptors; a change may reach the kernel a little after its method returns."""
 
     def __init__(self) -> None:
-        """Make a selector without descriptors.  Raises OSError."""
+        """Create a selector without descriptors.  Raises OSError."""
         self._epoll = select.epoll()
         self._keys: dict[int, selectors.SelectorKey] = {}
-        self._in_kernel: set[int] = set()  # that epoll knows, as far as it said
-        self._failed: set[int] = set()  # of which it does not know the latest
+        self._in_kernel: set[int] = set()  # descriptors that were registered with epoll
+        self._failed: set[int] = set()  # descriptors whose last change did not reach the kernel
 
-    # ---- what is waited for
+    # ---- registered descriptors
 
     def register(
         self, fileobj: FileObject, events: int, data: object = None
     ) -> selectors.SelectorKey:
-        """Wait for a descriptor.  Raises KeyError where it is registered already."""
+        """Register a descriptor.  Raises KeyError if it is registered already."""
         descriptor = _descriptor(fileobj)
         if descriptor in self._keys:
             raise KeyError(f"{fileobj!r} (descriptor {descriptor}) is already registered")
         key = selectors.SelectorKey(fileobj, descriptor, events, data)
         self._keys[descriptor] = key
-        self._change(descriptor)
+        self._update(descriptor)
         return key
 
     def modify(
         self, fileobj: FileObject, events: int, data: object = None
     ) -> selectors.SelectorKey:
-        """Wait for something else of a descriptor.  Raises KeyError where it is not registered."""
+        """Change the events and data of a descriptor.  Raises KeyError if it is not registered."""
         descriptor = _descriptor(fileobj)
-        before = self._keys[descriptor]
-        key = before._replace(events=events, data=data)
+        previous = self._keys[descriptor]
+        key = previous._replace(events=events, data=data)
         self._keys[descriptor] = key
-        if events != before.events:
-            self._change(descriptor)
+        if events != previous.events:
+            self._update(descriptor)
         return key
 
     def unregister(self, fileobj: FileObject) -> selectors.SelectorKey:
-        """Wait for a descriptor no more.  Raises KeyError where it is not registered."""
+        """Unregister a descriptor.  Raises KeyError if it is not registered."""
         descriptor = _descriptor(fileobj)
         key = self._keys.pop(descriptor)
-        self._change(descriptor)
+        self._update(descriptor)
         return key
 
     def get_key(self, fileobj: FileObject) -> selectors.SelectorKey:
-        """Return what is waited for.  Raises KeyError where it is not registered."""
+        """Return the key of a descriptor.  Raises KeyError if it is not registered."""
         return self._keys[_descriptor(fileobj)]
 
     def get_map(self) -> Mapping[FileObject, selectors.SelectorKey]:
-        """Return what is waited for, by descriptor."""
+        """Return the keys by descriptor."""
         return self._keys
 
     def close(self) -> None:
-        """Wait for nothing any more."""
+        """Close the epoll instance and unregister all descriptors."""
         self._epoll.close()
         self._keys.clear()
 
     # ---- waiting
 
     def select(self, timeout: float | None = None) -> Ready:
-        """Return which descriptors are ready, after ``timeout`` seconds at most; None: for ever."""
+        """Return the ready descriptors; wait ``timeout`` seconds at most, None: without a limit."""
         if self._failed:
-            self._change_again()
+            self._retry_failed_changes()
             timeout = RETRY_S if timeout is None else min(timeout, RETRY_S)
         wait_s = -1.0 if timeout is None else max(0.0, timeout)
         try:
@@ -109,26 +109,27 @@
 
     # ---- the kernel
 
-    def _change_again(self) -> None:
+    def _retry_failed_changes(self) -> None:
         failed, self._failed = self._failed, set()
         for descriptor in failed:
-            # A wait must not end the event loop for one that was closed before it was unregistered.
+            # A descriptor may have been closed before it was unregistered; the error must not stop
+            # the event loop.
             with suppress(OSError):
-                self._change(descriptor)
+                self._update(descriptor)
 
-    def _change(self, descriptor: int) -> None:
-        """Tell the kernel what is waited for now, or have that be tried again."""
+    def _update(self, descriptor: int) -> None:
+        """Pass the state of a descriptor to the kernel; after a transient error, retry later."""
         try:
-            self._tell_kernel(descriptor)
+            self._update_kernel(descriptor)
         except OSError as error:
             if not (is_resource_error(error) or error.errno == errno.ENOSPC):
                 self._forget(descriptor)
                 raise
             if not self._failed:
-                log.warning("epoll_ctl fails and is tried again: %s", error)
+                log.warning("epoll_ctl failed, retrying: error=%s", error)
             self._failed.add(descriptor)
 
-    def _tell_kernel(self, descriptor: int) -> None:
+    def _update_kernel(self, descriptor: int) -> None:
         key = self._keys.get(descriptor)
         if key is None:
             self._remove(descriptor)
@@ -141,7 +142,7 @@
                 self._epoll.modify(descriptor, events)
             else:
                 self._epoll.register(descriptor, events)
-        except FileNotFoundError:  # it was closed, and its number given to another file
+        except FileNotFoundError:  # the file was closed, and another file has its descriptor number
             self._epoll.register(descriptor, events)
         except FileExistsError:
             self._epoll.modify(descriptor, events)
@@ -153,14 +154,14 @@
         except OSError as error:
             if is_resource_error(error) or error.errno == errno.ENOSPC:
                 raise
-            # It was closed, and the kernel has forgotten it.
+            # The descriptor was closed, which has removed it in the kernel, too.
         self._in_kernel.discard(descriptor)
 
     def _forget_in_kernel(self, descriptor: int) -> None:
-        """End the events of a descriptor that nobody waits for.
+        """Stop the events of a descriptor that is not registered here.
 
-        The kernel keeps one that was closed here while another process has the same open file, and
-        then no call can name it: only another epoll instance is without it.
+        If a descriptor was closed here while another process has the same open file, the kernel
+        keeps its entry, and no call can remove it: only a new epoll instance is without it.
         """
         try:
             self._epoll.unregister(descriptor)
@@ -169,11 +170,11 @@
                 self._failed.add(descriptor)
                 return
             try:
-                renewed = select.epoll()
+                replacement = select.epoll()
             except OSError:
-                return  # it is told again with the next wait
+                return  # the next select() reports the event again
             self._epoll.close()
-            self._epoll = renewed
+            self._epoll = replacement
             self._in_kernel.clear()
             self._failed.update(self._keys)
 
--- a/oakbridge/node/forwarded_attempt.py
+++ b/oakbridge/node/forwarded_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt and one response of a forwarded request, as the pool and the client's connection see them."""
+"""An attempt for a forwarded request, and the source of a streamed response."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ForwardedAttempt:
-    """One attempt for one request: what the pool calls as it goes."""
+    """One attempt for one request; the pool calls its methods as the attempt proceeds."""
 
     __slots__ = ("_forwarder", "number", "request", "sent_at", "server")
 
@@ -34,7 +34,7 @@
         self.sent_at = sent_at
 
     def render(self, timeout_us: int) -> bytes:
-        """Return the bytes to write, with the time that is left: never more than the client has."""
+        """Return the bytes to write, with a timeout of at most the time left to the client."""
         time_left = self._forwarder.client_time_left(self.request)
         return encode_request(self.request, max(1, min(timeout_us, time_left)))
 
@@ -43,22 +43,22 @@
         return not (self.request.response_settled or self.request.client.client_has_closed())
 
     def on_request_sent(self) -> None:
-        """Note that the last byte of a streamed body is written."""
+        """Report that the last byte of a streamed body is written."""
         self._forwarder.on_body_sent(self)
 
     def on_response_start(
-        self, outcome: AttemptEnd, length: int | None, connection: ServerConnection
+        self, end: AttemptEnd, length: int | None, connection: ServerConnection
     ) -> ResponseSink | None:
-        """Start to forward a long response; return where its body goes."""
-        return self._forwarder.on_response_start(self, outcome, length, connection)
+        """Start to forward a long response; return the sink of its body."""
+        return self._forwarder.on_response_start(self, end, length, connection)
 
-    def on_end(self, outcome: AttemptEnd) -> None:
-        """Forward a short response, or have the balancer decide what follows."""
-        self._forwarder.on_attempt_end(self, outcome)
+    def on_end(self, end: AttemptEnd) -> None:
+        """Forward a short response, or have the balancer decide what to do next."""
+        self._forwarder.on_attempt_end(self, end)
 
 
 class ForwardedResponse:
-    """A response on its way, as the client's connection sees it: the source of its body."""
+    """The source of a streamed response's body, for the client's connection."""
 
     def __init__(
         self, pool: ConnectionPool, request: ClientRequest, connection: ServerConnection
@@ -69,6 +69,6 @@
         self.resume = connection.resume
 
     def cancel(self) -> None:
-        """Cancel the attempt at once: the client is gone."""
+        """Cancel the attempt at once, as the client has disconnected."""
         if self._request.attempt is not None:
             self._pool.cancel(self._request.attempt)
--- a/oakbridge/node/invariants.py
+++ b/oakbridge/node/invariants.py
@@ -1,8 +1,7 @@
-"""Counts at run time each break of a rule that holds for every request, wherever it is noticed.
+"""Counts violations of rules that must hold for every request, at run time.
 
-A violation is a fault of this program: it is logged as an error, with the reason, and counted.
-Where the guard could still prevent the effect, as in a second attempt that is not sent, it counts
-all the same: something asked for it.
+A violation is a fault of this program: it is logged as an error, with its details, and counted.  It
+also counts where the check prevents the effect, as with a second attempt that is then not sent.
 """
 
 from __future__ import annotations
@@ -15,16 +14,16 @@
 
 
 class Invariant(Enum):
-    """A rule that holds for every request."""
+    """A rule that holds for every request; the value describes its violation for the log."""
 
-    SENT_AFTER_END = "an attempt for a request that is over, or beside another attempt"
-    UNANSWERED_IN_TIME = "a request without a response at the end of its time"
-    CLOSED_UNANSWERED = "a connection closed by this node while a response was owed"
-    RESPONSE_CUT_SHORT = "a response that was not written whole when the process ended"
+    SENT_AFTER_END = "an attempt for a finished request, or beside another attempt"
+    UNANSWERED_IN_TIME = "a request without a response at its deadline"
+    CLOSED_UNANSWERED = "a connection closed by this node before the response to its request"
+    RESPONSE_CUT_SHORT = "a response that was not completely written when the process exited"
 
 
 class InvariantCounters:
-    """How often each invariant was violated, since the start."""
+    """How often each invariant was violated since the start of the process."""
 
     def __init__(self) -> None:
         self._counts: Counter[Invariant] = Counter()
@@ -39,6 +38,6 @@
         return self._counts.total()
 
     def log_summary(self) -> None:
-        """Log all counts, at the end of the process."""
-        counts = ", ".join(f"{one.name}={number}" for one, number in self._counts.items())
+        """Log all counts when the process exits."""
+        counts = ", ".join(f"{invariant.name}={count}" for invariant, count in self._counts.items())
         log.info("invariant violations: %d%s", self.total(), f" ({counts})" if counts else "")
--- a/oakbridge/node/lifecycle.py
+++ b/oakbridge/node/lifecycle.py
@@ -1,31 +1,31 @@
-"""The node's phases as one state machine: serving, draining, handed over, shutting down.
+"""The phases of a node as one state machine: serving, draining, handed over, shutting down.
 
-Pure; times are in microseconds.
+This module does no I/O; times are in microseconds.
 
-A draining node reports that it is not ready.  While clients and the front notice, it goes on as
-before; from then on it closes connections: each response is the last on its connection, and idle
-connections are closed.  A drain can be taken back, a shut-down can't.
+A draining node reports that it is not ready.  Until clients and the load balancer in front of it
+have noticed, it serves as before.  After that it closes connections: each response is the last on
+its connection, and idle connections are closed.  A drain can be undone, a shutdown can't.
 
-A node that has handed over is as ready as before, as the process that took over is the same node;
-it accepts nothing, and its idle connections are handed over.
+A node that has handed over to its successor is as ready as before, as both are the same node.  It
+accepts no connections, and its idle connections are handed over.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-# New connections go on coming for 0.2 to 0.4 s after a node reports that it is not ready.
+# New connections keep arriving for 0.2 to 0.4 s after a node reports that it is not ready.
 DRAIN_NOTICE_US = 500_000
-# A node that shuts down keeps its connections for all but so much of the time until its end, and
-# serves them: its clients would have nowhere to go while another node is restarted as well.
+# A node that shuts down serves on its connections until this long before the longest deadline has
+# passed.  If it closed them earlier, clients would have no node while another one restarts as well.
 CONNECTION_CLOSE_WINDOW_US = 600_000
-# SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
+# SIGKILL follows SIGTERM after at least the longest deadline of a request, 3 s at most, plus 0.7 s.
 MAX_DEADLINE_US = 3_000_000
 RESPONSE_GRACE_US = 600_000
 
 
 class Phase(Enum):
-    """What a node does about new clients.  The values are shown to operators."""
+    """How a node treats new clients.  The values are shown to operators."""
 
     SERVING = "serving"
     DRAINING = "lame duck"
@@ -33,20 +33,20 @@
 
 
 class Lifecycle:
-    """The phase of a node, and when the next step in it is due."""
+    """The phase of a node, and the times of the next steps of its drain or shutdown."""
 
     def __init__(self) -> None:
         self.phase = Phase.SERVING
-        # Operators want the node empty; goes along to the process that takes over.
+        # Whether operators drain the node; passed on to the successor process.
         self.draining = False
         self.handed_over = False
         self.connections_close_at: int | None = None
         self.listener_closes_at: int | None = None
-        self.responses_due_at: int | None = None  # when all received requests have to be answered
+        self.responses_due_at: int | None = None  # when all received requests must be finished
 
     @property
     def ready(self) -> bool:
-        """Whether the front may send new clients."""
+        """Whether the load balancer in front of the node may send it new clients."""
         return self.phase is Phase.SERVING or (self.handed_over and not self.draining)
 
     def closes_connections(self, now: int) -> bool:
@@ -60,7 +60,7 @@
         return self.listener_closes_at is None or now < self.listener_closes_at
 
     def drain(self, now: int) -> bool:
-        """Drain the node for operators; return False if that changes nothing."""
+        """Drain the node for operators; return False if it is being drained already."""
         if self.draining:
             return False
         self.draining = True
@@ -70,7 +70,7 @@
         return True
 
     def undrain(self) -> bool:
-        """Take a drain back for operators; return False if that changes nothing."""
+        """Undo a drain for operators; return False if the node is not being drained."""
         if not self.draining:
             return False
         self.draining = False
@@ -80,15 +80,15 @@
         return True
 
     def hand_over(self) -> None:
-        """Accept nothing more: another process is this node from now on."""
+        """Accept no more connections, as the successor process is this node from now on."""
         self.handed_over = True
 
     def undo_hand_over(self) -> None:
-        """Accept again: that process is gone, and this one was not told to shut down."""
+        """Accept connections again: the successor exited, and this process is not to shut down."""
         self.handed_over = False
 
     def shut_down(self, now: int, max_deadline: int) -> None:
-        """Begin the end of the process; ``max_deadline``: the longest deadline of a request."""
+        """Start the shutdown; ``max_deadline``: the longest time that a request may take."""
         if self.phase is Phase.SHUTTING_DOWN:
             return
         max_deadline = min(max_deadline, MAX_DEADLINE_US)
@@ -101,6 +101,6 @@
         self.responses_due_at = now + max_deadline + RESPONSE_GRACE_US
 
     def next_step(self, now: int) -> int | None:
-        """Return when something changes next; None if nothing will."""
+        """Return when the next step of a drain or shutdown is due; None if there is none."""
         steps = (self.connections_close_at, self.listener_closes_at, self.responses_due_at)
         return min((at for at in steps if at is not None and at > now), default=None)
--- a/oakbridge/node/list_refresh.py
+++ b/oakbridge/node/list_refresh.py
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ScheduledRequest:
-    """A discovery request: how long discovery may wait for a change, and the node for the response."""
+    """A discovery request: how long discovery waits for a change, and the node for the response."""
 
     kind: RequestKind
     started_at: float
@@ -89,7 +89,7 @@
     """When the next request is sent, of which kind it is, and how long it may take."""
 
     def __init__(self, now: float, poll_interval_us: int, rng: random.Random, *, pushed: bool):
-        """``poll_interval_us``: the setting; ``pushed``: an agent on the same machine sends lists."""
+        """``poll_interval_us``: the setting; ``pushed``: an agent on this machine sends lists."""
         self._random = rng
         self._pushed = pushed
         self._timeouts = AGENT_TIMEOUTS if pushed else DISCOVERY_TIMEOUTS
@@ -189,7 +189,7 @@
         return request
 
     def on_response(self, now: float, *, continues: bool) -> None:
-        """Take the response to a request, after :meth:`on_list`; the other open requests are dropped.
+        """Take the response to a request, after :meth:`on_list`; drop the other open requests.
 
         ``continues``: whether the next request continues its watch.
         """
--- a/oakbridge/node/load_report.py
+++ b/oakbridge/node/load_report.py
@@ -1,11 +1,11 @@
-"""Parses the load report that a server adds to its responses."""
+"""Parses the load report that a server adds to its responses in the header X-Server-Load."""
 
 from __future__ import annotations
 
 import math
 
-# A load report's names on the wire, and the policy's.
-_NAMES = {
+# The policy's name of each value, by its name in the header.
+_POLICY_NAMES = {
     "inflight": "in_flight",
     "queue": "queued",
     "util": "utilisation",
@@ -16,7 +16,7 @@
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """Parse ``TEXT inflight=7, queue=2``; what is no finite number is left out."""
+    """Parse ``TEXT inflight=7, queue=2``; ignore unknown names, and values that are not finite."""
     report = {}
     for part in text.removeprefix("TEXT").split(","):
         name, _, value = part.strip().partition("=")
@@ -24,6 +24,6 @@
             number = float(value)
         except ValueError:
             continue
-        if name in _NAMES and math.isfinite(number):
-            report[_NAMES[name]] = number
+        if name in _POLICY_NAMES and math.isfinite(number):
+            report[_POLICY_NAMES[name]] = number
     return report
--- a/oakbridge/node/observer.py
+++ b/oakbridge/node/observer.py
@@ -1,4 +1,4 @@
-"""What a node tells an observer of its work, where it has one."""
+"""The interface through which a node reports its work to an observer, if it has one."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class NodeObserver(Protocol):
-    """Is called by a node as it works.  It may not change anything, and must be quick: it runs in the loop."""
+    """Observes a node.  It must change nothing, and must be quick, as it runs in the event loop."""
 
     def on_event(self, now: int, event: Event) -> None:
-        """See an event that is about to be handed to the balancer, at a time in microseconds."""
+        """Observe an event before it is handed to the balancer; ``now`` is in microseconds."""
 
     def on_actions(self, now: int, actions: Sequence[Action]) -> None:
-        """See the actions that the balancer returned; none was carried out yet."""
+        """Observe the actions that the balancer returned, before they are executed."""
 
     def on_connection_opened(self) -> None:
-        """See that a connection to a server is about to be dialled."""
+        """Observe a connection to a server before it is dialled."""
 
     def on_connection_refused(self) -> None:
-        """See that a server, or the way to it, refused a connection."""
+        """Observe a connection that a server refused, or that failed in the network."""
 
     def on_poll(self, *, complete_list: bool) -> None:
-        """Discovery is about to be polled, for the whole list or for what changed."""
+        """Observe a discovery request, for the complete list or for changes, before it is sent."""
 
     def on_endpoint_list(self, entry_count: int) -> None:
-        """Discovery answered a poll with so many entries."""
+        """Observe a response of discovery with this number of entries."""
--- a/oakbridge/node/offline_servers.py
+++ b/oakbridge/node/offline_servers.py
@@ -1,4 +1,4 @@
-"""Servers that operators took offline; applied to each list before the balancer, which no list undoes.
+"""Servers that operators took offline, and stay so whatever endpoint lists say.
 
 An operator's command overrides discovery: an offline server counts as draining whenever it is
 listed, whatever address and state the lists give it, until it is brought online.  This module does
@@ -92,7 +92,7 @@
         return [self.apply(endpoint) for endpoint in endpoints]
 
     def forget_before(self, before: int) -> None:
-        """Forget servers brought online before this time: they are warm by now, restarted or not."""
+        """Forget servers brought online before a time: they are warm by now, restarted or not."""
         records = self._records.items()
         for name in [n for n, record in records if record.online_at and record.online_at < before]:
             del self._records[name]
--- a/oakbridge/node/request_forwarder.py
+++ b/oakbridge/node/request_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards clients' requests: from the client to the balancer, to the servers that it picks, and back."""
+"""Forwards requests from clients to the servers that the balancer picks, and the responses back."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 )
 from oakbridge.policy.settings import ReportSource, Settings
 
-# Of 4xx: these say nothing against the request, nor that it has not run.
+# The 4xx statuses that don't mean that the request is invalid, nor that it has not run.
 RETRYABLE_CLIENT_ERRORS = (408, 425, 429)
-# A node that shuts down has its last responses written so long before it must.
+# A node that shuts down finishes its last responses this long before the process must exit.
 SHUTDOWN_MARGIN_US = 50_000
-# The balancer ends each request before its time is up, by its own clock: a process that is held up
-# between two readings is a little late with that.  Within the margin of a node that shuts down.
+# The balancer finishes each request by its deadline, and a process that is paused between two clock
+# readings is a little late.  Less than SHUTDOWN_MARGIN_US, so that it also holds at a shutdown.
 OVERDUE_GRACE_US = 20_000
 MAX_COST_DIGITS = 15
 
@@ -41,11 +41,11 @@
     """Hands an event to the balancer."""
 
     def __call__(self, event: Event, as_of: int | None = None) -> None:
-        """``as_of``: when the time left that the event tells was read."""
+        """``as_of``: when the ``time_left`` of the event was measured."""
 
 
 class RequestForwarder:
-    """All requests that came in over HTTP and are not ended yet.  Times are in microseconds."""
+    """All requests that arrived over HTTP and are not finished.  Times are in microseconds."""
 
     def __init__(
         self,
@@ -56,9 +56,9 @@
         post: EventSink,
         ids: Iterator[int],
     ) -> None:
-        """``post``: hands an event to the balancer; ``ids``: its numbers of requests, for all fronts."""
+        """``post``: hands an event to the balancer; ``ids``: request ids, shared by all fronts."""
         self.requests: dict[int, ClientRequest] = {}
-        self.open_ids: set[bytes] = set()  # their X-Request-IDs
+        self.open_ids: set[bytes] = set()  # X-Request-IDs of ``requests``
         self.served = 0  # responses since the start
         self.rejected = 0
         self.failed = 0
@@ -72,15 +72,15 @@
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """Use other settings for requests that come from now on."""
+        """Use other settings for requests that arrive from now on."""
         self._settings = settings
-        self._classes = {one.name: one for one in settings.classes}
+        self._classes = {priority_class.name: priority_class for priority_class in settings.classes}
         self._tenants = {tenant.name for tenant in settings.tenants}
 
     # ---- requests in
 
     def has_usable_server(self) -> bool:
-        """Return whether requests can be served: a server is known that may be sent to."""
+        """Return whether there is a server that requests may be sent to."""
         return self._endpoints.has_usable()
 
     def has_priority_class(self, name: str) -> bool:
@@ -88,15 +88,15 @@
         return name in self._classes
 
     def has_open_request(self, request_id: bytes) -> bool:
-        """Return whether a request with this id is open: owed a response, or with an attempt in flight."""
+        """Return whether a request with this id has no response yet, or an open attempt."""
         return request_id in self.open_ids
 
     def handle_request(self, request: ClientRequest) -> None:
-        """Take a request over: it is the balancer's until its one response."""
+        """Hand a request to the balancer, which decides about it until its response."""
         class_name = request.header_text(b"x-priority-class")
         now = self._clock.now()
         due = self._due(request, self._classes[class_name].deadline)
-        if self._endpoints.all_offline():  # nobody is left to wait for
+        if self._endpoints.all_offline():  # it is useless to wait for a server
             retry_after = [(b"retry-after", b"1")] if self._settings.max_retry_after else []
             request.client.respond(request, 503, retry_after, b"")
             return
@@ -104,17 +104,16 @@
             self._settings.max_open_requests
             and len(self.requests) >= self._settings.max_open_requests
         ):
-            request.client.respond(
-                request, 503, [], b""
-            )  # as on the simulator: the balancer sees none
+            # As on the simulator, the balancer does not see such a request.
+            request.client.respond(request, 503, [], b"")
             return
         request.id = next(self._ids)
         self.requests[request.id] = request
         self.open_ids.add(request.header_values[b"x-request-id"])
         body = request.streamed_body
         if body is None or body.complete:
-            # The balancer ends each request before this; it guards against one that it has
-            # forgotten.
+            # The balancer finishes each request before this timer, which guards against a request
+            # that the balancer has forgotten.
             self._set_overdue_timer(request, max(due, now + 1))
         self._post(
             RequestReceived(
@@ -131,7 +130,7 @@
         )
 
     def client_time_left(self, request: ClientRequest) -> int:
-        """Return for how long the client will wait, from its request's last byte on."""
+        """Return how long the client still waits; its timeout starts with its last byte."""
         timeout = request.timeout_us or 0
         body = request.streamed_body
         if body is not None and not body.complete:
@@ -140,7 +139,7 @@
 
     @staticmethod
     def _due(request: ClientRequest, class_deadline: int) -> int:
-        """Return when a request's response is due at the latest."""
+        """Return the deadline of a request's response."""
         if request.timeout_us is None:
             request.timeout_us = class_deadline
         due = request.received_at + request.timeout_us
@@ -149,12 +148,15 @@
         return due
 
     def _tenant(self, request: ClientRequest) -> str:
-        """Return the tenant, if the settings know it: what is kept by tenant must not grow with each name."""
+        """Return the tenant, or "" if it is not in the settings.
+
+        Clients could otherwise fill the memory with state for made-up tenants.
+        """
         name = request.header_text(b"x-tenant-id")
         return name if name in self._tenants else ""
 
     def on_client_disconnected(self, request: ClientRequest) -> None:
-        """Note that the client is gone: nothing is owed, and what is not written yet never is."""
+        """Drop a request whose client has disconnected; withdraw an attempt that is not written."""
         self._forget(request)
         if request.attempt is not None and not request.attempt.is_written():
             self._pool.withdraw(request.attempt)
@@ -172,29 +174,30 @@
             self.abandon(request.id)
             self._post(ClientDisconnected(request.id))
 
-    # ---- attempts out
+    # ---- attempts
 
     def send(self, action: SendAttempt, decided_at: int) -> None:
         """Send an attempt to the server that the balancer picked.
 
-        Its latest begin counts from ``decided_at``: the process may have been held up since, and a
-        server that remembers a key has not.  Its deadline does not: the balancer's own timer ends
-        the request first, so that the server is not taken for one that times out.
+        The deadline for its start counts from ``decided_at``: this process may have been paused
+        since then, while the time for which servers remember an idempotency key goes on.  The
+        deadline of the attempt counts from now: the balancer's own timer finishes the request
+        first, so that the server does not count as timed out.
         """
         request = self.requests.get(action.request_id)
         if request is None or request.attempt is not None:
-            # Guards two rules: nothing is sent for what is over, and no two attempts are in flight
-            # at once.
+            # Nothing may be sent for a finished request, and no two attempts may be in flight at
+            # once.
             self.invariants.violated(
                 Invariant.SENT_AFTER_END, f"request {action.request_id}, not sent"
             )
-            self._end_unsent(request, action)
+            self._post_unsent_end(request, action)
             return
         if request.client.client_has_closed():
-            # It waited for its turn or a retry, and the end of its connection lies unread: nothing
-            # starts for it.
+            # The client disconnected while its request was queued or waited for a retry, and the
+            # loop has not reported that yet.
             request.response_settled = True
-            self._end_unsent(request, action)
+            self._post_unsent_end(request, action)
             self._forget(request)
             request.client.abort()
             return
@@ -208,15 +211,15 @@
             on_end=forwarded.on_end,
             number=number,
             on_response_start=forwarded.on_response_start,
-            upload=request.streamed_body,
+            streamed_body=request.streamed_body,
             on_request_sent=None if request.streamed_body is None else forwarded.on_request_sent,
             start_by=decided_at + action.start_within if action.start_within else None,
             is_wanted=forwarded.is_wanted,
         )
         self._pool.send(request.attempt)
 
-    def _end_unsent(self, request: ClientRequest | None, action: SendAttempt) -> None:
-        """Post the end of an attempt that was never made: each attempt has one outcome."""
+    def _post_unsent_end(self, request: ClientRequest | None, action: SendAttempt) -> None:
+        """Post the end of an attempt that was never sent: the balancer expects one for each."""
         number, over = 0, True
         if request is not None:
             number, over = request.attempt_count, request.response_settled
@@ -226,7 +229,7 @@
         )
 
     def on_body_sent(self, forwarded: ForwardedAttempt) -> None:
-        """Count the request's time from now: the last byte of its streamed body is written."""
+        """Start the request's timeout now, as the last byte of its streamed body is written."""
         request = forwarded.request
         if request.response_settled or request.attempt is None:
             return
@@ -237,65 +240,61 @@
         self._post(RequestBodySent(request.id, forwarded.number, timeout), now)
 
     def cancel(self, action: CancelAttempt) -> None:
-        """Cancel an attempt, if it is the one in flight."""
+        """Cancel an attempt, if it is in flight."""
         request = self.requests.get(action.request_id)
         attempt = None if request is None else request.attempt
         if attempt is not None and attempt.number == action.attempt:
             self._pool.cancel(attempt)
 
-    # ---- responses back
+    # ---- responses
 
     def on_response_start(
         self,
         forwarded: ForwardedAttempt,
-        outcome: AttemptEnd,
+        end: AttemptEnd,
         length: int | None,
         connection: ServerConnection,
     ) -> ResponseSink | None:
-        """Forward a long response as it comes; for the balancer, the attempt has ended well."""
+        """Start to stream a long response; for the balancer, the attempt has ended with OK."""
         request = forwarded.request
-        headers = _end_to_end(outcome.headers)
+        headers = _end_to_end_headers(end.headers)
         source = ForwardedResponse(self._pool, request, connection)
-        if not request.client.start_response(request, outcome.status, headers, length, source):
+        if not request.client.start_response(request, end.status, headers, length, source):
             return None
         self.served += 1
         self._cancel_overdue_timer(request)
-        self._post_end(
-            forwarded, AttemptResult.OK, finished=True, report=self._load_report(outcome)
-        )
+        self._post_end(forwarded, AttemptResult.OK, finished=True, report=self._load_report(end))
         return request.client
 
-    def on_attempt_end(self, forwarded: ForwardedAttempt, outcome: AttemptEnd) -> None:
-        """Forward a server's response to the client first; then the balancer sees the end."""
+    def on_attempt_end(self, forwarded: ForwardedAttempt, end: AttemptEnd) -> None:
+        """Forward a server's response to the client; after that, report the end to the balancer."""
         request = forwarded.request
         request.attempt = None
         if request.response_streamed:
-            self._end_streamed(forwarded, outcome)
+            self._end_streamed(forwarded, end)
             return
-        result = outcome.result
+        result = end.result
         if result == AttemptResult.OK and not request.response_settled:
-            request.client.respond(request, 200, _end_to_end(outcome.headers), outcome.body)
+            request.client.respond(request, 200, _end_to_end_headers(end.headers), end.body)
             self.served += 1
-        elif result == AttemptResult.ERROR and _blames_request(outcome.status):
-            # The server has no use for this request; no other will have, and it is no fault of the
+        elif result == AttemptResult.ERROR and _is_request_fault(end.status):
+            # Any server would refuse this request, so its response does not count against the
             # server.
-            request.client.respond(request, outcome.status, [], b"")
+            request.client.respond(request, end.status, [], b"")
             result = AttemptResult.NOT_SENT
         if request.response_settled:
             self._forget(request)
         self._post_end(
-            forwarded, result, finished=request.response_settled, report=self._load_report(outcome)
+            forwarded, result, finished=request.response_settled, report=self._load_report(end)
         )
 
-    def _end_streamed(self, forwarded: ForwardedAttempt, outcome: AttemptEnd) -> None:
-        """End an attempt whose response was being forwarded; only a break is news to the balancer."""
+    def _end_streamed(self, forwarded: ForwardedAttempt, end: AttemptEnd) -> None:
+        """End an attempt with a streamed response; notify the balancer only of a broken one."""
         request = forwarded.request
         self._forget(request)
-        if outcome.result == AttemptResult.RESET:
+        if end.result == AttemptResult.RESET:
             self._post(
-                AttemptEnded(
-                    request.id, forwarded.number, forwarded.server, outcome.result, 0, True
-                )
+                AttemptEnded(request.id, forwarded.number, forwarded.server, end.result, 0, True)
             )
 
     def _post_end(
@@ -314,14 +313,14 @@
             )
         )
 
-    def _load_report(self, outcome: AttemptEnd) -> dict[str, float] | None:
+    def _load_report(self, end: AttemptEnd) -> dict[str, float] | None:
         if self._settings.report_source != ReportSource.RESPONSES:
             return None
-        text = dict(outcome.headers).get(b"x-server-load")
+        text = dict(end.headers).get(b"x-server-load")
         return parse_load_report(text.decode("latin-1")) if text else None
 
     def reject(self, action: RejectRequest) -> None:
-        """Reject a request for which the balancer has no server in time."""
+        """Reject a request for which the balancer has no server in time, with a 503."""
         headers = []
         if action.retry_after:
             headers.append((b"retry-after", b"%.3f" % (action.retry_after / 1e6)))
@@ -330,13 +329,13 @@
             self.unserved.add(action.reason, self._clock.now())
 
     def fail(self, action: FailRequest) -> None:
-        """Fail a request that may have run and can't be retried."""
+        """Fail a request that may have run and can't be retried, with a 502."""
         if self._finish(action.request_id, 502, []):
             self.failed += 1
             self.unserved.add(action.reason, self._clock.now())
 
     def abandon(self, request_id: int) -> None:
-        """Fail a request that the balancer can't be trusted with any more, and cancel its attempt."""
+        """Fail a request after a fault of the balancer with a 500, and cancel its attempt."""
         if self._finish(request_id, 500, []):
             self.failed += 1
         request = self.requests.get(request_id)
@@ -344,12 +343,12 @@
             self._pool.cancel(request.attempt)
 
     def abandon_all(self) -> None:
-        """Fail all requests, at the node's end: nobody is left to wait for."""
+        """Fail all requests when the node stops."""
         for request_id in list(self.requests):
             self.abandon(request_id)
 
     def _finish(self, request_id: int, status: int, headers: Headers) -> bool:
-        """Write the final response of a request that no server served; False if there is no such request."""
+        """Write the response of a request that no server served; return False if it is unknown."""
         request = self.requests.get(request_id)
         if request is None:
             return False
@@ -358,7 +357,7 @@
         return True
 
     def _forget(self, request: ClientRequest) -> None:
-        """Owe nothing any more; while an attempt is in flight the balancer may still cancel it."""
+        """Remove a finished request, unless its attempt is in flight and may be cancelled yet."""
         self._cancel_overdue_timer(request)
         if request.attempt is None and self.requests.pop(request.id, None) is not None:
             self.open_ids.discard(request.header_values[b"x-request-id"])
@@ -370,17 +369,17 @@
             request.overdue_timer = None
 
 
-def _end_to_end(headers: Headers) -> Headers:
-    """Return the headers that are forwarded."""
+def _end_to_end_headers(headers: Headers) -> Headers:
+    """Return the headers without hop-by-hop ones, which are not forwarded."""
     return [(name, value) for name, value in headers if name not in HOP_BY_HOP_HEADERS]
 
 
-def _blames_request(status: int) -> bool:
-    """Return whether a server's response says that no server will serve this request."""
+def _is_request_fault(status: int) -> bool:
+    """Return whether a response's status means that no server will serve this request."""
     return 400 <= status < 500 and status not in RETRYABLE_CLIENT_ERRORS
 
 
 def _cost(request: ClientRequest) -> int:
-    """Return the work that the client tells, in the settings' unit; 0 if it tells none."""
+    """Return the cost in the client's X-Cost, in the unit of the settings; 0 without one."""
     cost = request.header_text(b"x-cost")
     return int(cost) if cost.isascii() and cost.isdigit() and len(cost) <= MAX_COST_DIGITS else 0
--- a/oakbridge/node/request_writer.py
+++ b/oakbridge/node/request_writer.py
@@ -1,16 +1,17 @@
-"""Encodes a client's request for the server that an attempt goes to."""
+"""Encodes a client's request for the server of an attempt."""
 
 from __future__ import annotations
 
 from oakbridge.node.client_request import HOP_BY_HOP_HEADERS, ClientRequest
 
-MAX_TIMEOUT_US = 99_999_999  # longer timeouts are given in milliseconds: X-Timeout has eight digits
+# Longer timeouts are written in milliseconds, as the number in X-Timeout has eight digits at most.
+MAX_TIMEOUT_US = 99_999_999
 _US_PER_MS = 1000
-_WITHOUT_BODY = (b"GET", b"DELETE", b"OPTIONS")
+_METHODS_WITHOUT_BODY = (b"GET", b"DELETE", b"OPTIONS")
 
 
 def encode_request(request: ClientRequest, timeout_us: int) -> bytes:
-    """Return the bytes of an attempt, but for a body that is still coming; ``timeout_us`` is what is left for it."""
+    """Return the bytes of an attempt, without a streamed body; ``timeout_us``: the time left."""
     lines = [request.method + b" " + request.target + b" HTTP/1.1"]
     lines += [
         name + b": " + value for name, value in request.headers if name not in HOP_BY_HOP_HEADERS
@@ -21,7 +22,7 @@
         lines.append(
             b"transfer-encoding: chunked" if length is None else b"content-length: %d" % length
         )
-    elif request.body or request.method not in _WITHOUT_BODY:
+    elif request.body or request.method not in _METHODS_WITHOUT_BODY:
         lines.append(b"content-length: %d" % len(request.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + request.body
 
--- a/oakbridge/node/response_parser.py
+++ b/oakbridge/node/response_parser.py
@@ -1,4 +1,4 @@
-"""Parses a server's responses: bytes in, status, headers and body out, within bounds."""
+"""Parses responses of servers, with limits on their size and framing."""
 
 from __future__ import annotations
 
@@ -17,26 +17,25 @@
 )
 from oakbridge.policy.events import AttemptResult
 
-# A response up to this size is buffered whole, so that one that breaks off can still be retried.
+# A response body up to this size is buffered, so that its request can be retried if it breaks off.
 MAX_BUFFERED_BYTES = 64 * 1024
 
 
 class ResponseError(ValueError):
-    """The bytes are no response that can be used; the connection that they came on can't be either."""
+    """The bytes are not a usable response, and their connection can't be used any more."""
 
 
 class ResponseParser:
     """Parses the response to one request at a time; httptools calls the ``on_`` methods.
 
-    A short body is buffered; a long one is passed on as it comes, to the sink that ``open_sink``
-    returns.
+    A short body is buffered; a long one is streamed to the sink that ``open_sink`` returns.
     """
 
     __slots__ = (
         "_body",
         "_body_bytes",
         "_bytes_read",
-        "_ends_at_close",
+        "_finishes_at_close",
         "_headers_complete",
         "_open_sink",
         "_parser",
@@ -51,29 +50,29 @@
     )
 
     def __init__(self, open_sink: Callable[[], ResponseSink | None]) -> None:
-        """``open_sink``: returns where the rest of a long body goes; None if nobody wants it."""
+        """``open_sink``: returns the sink of a long body; None if the response is not wanted."""
         self._open_sink = open_sink
         self.reset()
 
     def reset(self) -> None:
-        """Expect the response to a further request."""
+        """Prepare for the response to the next request."""
         self._parser: Any = httptools.HttpResponseParser(self)
         self.status = 0
         self.headers: Headers = []
         self.content_length: int | None = None
         self.started = False
         self.complete = False
-        self.reusable = False  # the connection, once the response is complete
+        self.reusable = False  # whether the connection is, once the response is complete
         self.sink: ResponseSink | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._bytes_read = 0
         self._headers_complete = False
-        self._ends_at_close = False
+        self._finishes_at_close = False
         self._unusable = False
 
     def feed(self, data: bytes) -> None:
-        """Parse what has come; raise ResponseError where it is no response, or none that can be used."""
+        """Parse received bytes; raise ResponseError if they are not a usable response."""
         self._bytes_read += len(data)
         try:
             self._parser.feed_data(data)
@@ -89,15 +88,18 @@
             raise ResponseError("expected a response of bounded size with one clear end")
 
     def finish_at_close(self) -> bool:
-        """Complete a response that ends with its connection (RFC 9112, 6.3, 8); False if this one doesn't."""
-        if not self._ends_at_close or not self.status:
+        """Complete a response that extends to the close of its connection (RFC 9112, 6.3, 8).
+
+        Return False if this response does not.
+        """
+        if not self._finishes_at_close or not self.status:
             return False
         self.complete = True
         self.reusable = False
         return True
 
     def result(self) -> AttemptResult:
-        """Classify the response by the protocol's table."""
+        """Return the result of the attempt by the response's status and headers."""
         if self.status == 200:
             return AttemptResult.OK
         if self.status in (503, 504) and (b"x-not-processed", b"1") in self.headers:
@@ -105,32 +107,32 @@
         return AttemptResult.ERROR
 
     def take(self, result: AttemptResult) -> AttemptEnd:
-        """Return the complete response, and keep nothing of it: its connection may be idle for long."""
-        outcome = AttemptEnd(result, self.headers, b"".join(self._body), self.status)
+        """Return the complete response, and release it: the connection may be idle for long."""
+        end = AttemptEnd(result, self.headers, b"".join(self._body), self.status)
         self.headers = []
         self._body = []
-        return outcome
+        return end
 
     def detach_sink(self) -> ResponseSink | None:
-        """Return the sink, if there is one, and pass nothing more on to it."""
+        """Return the sink, if there is one, and write nothing more to it."""
         sink, self.sink = self.sink, None
         return sink
 
     # ---- httptools' callbacks
 
     def on_message_begin(self) -> None:
-        """Note that a response starts, or that bytes follow a complete one."""
+        """Handle the start of a response, or bytes after a complete one."""
         if self.complete:
             self.reusable = False
         self.started = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header; trailers, and what follows the response, are none of it."""
+        """Add one header; trailers, and bytes after the response, are ignored."""
         if not self.complete and not self._headers_complete:
             self.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Take the status and the framing; a body whose end is open to question can't be used."""
+        """Read the status and the framing; with an ambiguous end the response is unusable."""
         if self.complete:
             return
         self._headers_complete = True
@@ -138,10 +140,10 @@
         error_status, self.content_length, chunked = read_framing(self.headers)
         self._unusable = error_status != 0
         has_body = self.status >= 200 and self.status not in (204, 304)
-        self._ends_at_close = has_body and self.content_length is None and not chunked
+        self._finishes_at_close = has_body and self.content_length is None and not chunked
 
     def on_body(self, data: bytes) -> None:
-        """Buffer a part of the body, or pass it on if the body is too long for that."""
+        """Buffer a part of the body, or stream it if the body is too long to be buffered."""
         if self.complete or self._unusable:
             return
         self._body_bytes += len(data)
@@ -156,7 +158,7 @@
             self._start_streaming()
 
     def _start_streaming(self) -> None:
-        """Pass on what has come and all that follows."""
+        """Write the buffered parts to the sink, which then receives all further parts."""
         self.sink = self._open_sink()
         if self.sink is None:
             self._unusable = True
@@ -166,9 +168,9 @@
             self.sink.write_body(part)
 
     def on_message_complete(self) -> None:
-        """Take the end of the response; a provisional one (1xx) is followed by another."""
+        """Complete the response; an interim response (1xx) is followed by another one."""
         if self.complete:
-            self.reusable = False  # bytes that nobody requested
+            self.reusable = False  # these bytes belong to no request
         elif self.status < 200 and self.status != 101:
             self.headers = []
             self.started = False
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -1,8 +1,8 @@
-"""A connection to a server: carries one attempt at a time, and ends it with its outcome.
+"""A connection to a server: carries one attempt at a time, and reports its end.
 
-The socket is driven by hand, not by a stream or transport: the rules depend on whether a request's
-last byte was *written to the socket*, and on a connection being closed before anything else
-happens, which buffers hide.
+This uses the socket directly, not an asyncio stream or transport, whose buffers hide two things
+that the retry rules depend on: whether the last byte of a request was *written to the socket*, and
+that a connection is closed before anything else happens.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 log = logging.getLogger(__name__)
 
 READ_BYTES = 64 * 1024
-# A server that has started a short response and is silent for so long won't go on.
+# Maximum pause within a buffered response; a server that pauses longer is taken to have failed.
 STALL_TIMEOUT_US = 1_000_000
-# One whose response is passed on already has longer: nothing can be retried.
+# Maximum pause within a streamed response; longer, as its request can't be retried any more.
 STREAM_STALL_TIMEOUT_US = 10_000_000
-# The connection comes up by itself, also after a connect() that a signal interrupted.
+# The kernel goes on connecting, also after a connect() that a signal interrupted.
 _CONNECTING = (errno.EINPROGRESS, errno.EINTR)
 
 
 class ServerConnection:
     """One connection to a server, from its dial to its close.
 
-    The pool owns it: it returns itself to the pool when it is idle, and removes itself when it is
-    closed.
+    The pool owns the connection, which returns itself to the pool when it is idle, and removes
+    itself when it is closed.
     """
 
     __slots__ = (
@@ -62,24 +62,23 @@
     )
 
     def __init__(self, pool: ConnectionPool, server: PooledServer) -> None:
-        """Make the socket; raise OSError if no descriptor is left."""
+        """Create the socket; raise OSError if no descriptor is left."""
         self._pool = pool
         self.server = server
         self.attempt: Attempt | None = None
         self.may_be_reused = True
-        # Guards against a connection that a server takes above its limit and rejects for as long as
-        # it lasts: kept and used last, it would be used first, and never serve.
+        # Guards against a connection that a server accepted above its limit, and on which it
+        # rejects every request.  As the most recently used one it would be reused first.
         self._has_served = False
         self.connected = False
         self.closed = False
         self.idle_since = 0
         self._awaits_writable = False
-        self._unsent: memoryview | None = (
-            None  # what the socket has not taken yet; None: nothing was written
-        )
-        self._body: StreamedBody | None = None  # what follows it
+        # The bytes that the socket has not taken yet; None: nothing was written.
+        self._unsent: memoryview | None = None
+        self._body: StreamedBody | None = None  # the rest of a streamed body, after ``_unsent``
         self.paused = False
-        self._timer: Timer | None = None  # limits the dial, then each pause within a response
+        self._timer: Timer | None = None  # timeout of the dial, then of each pause in a response
         self._response = ResponseParser(self._open_sink)
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
@@ -88,22 +87,22 @@
     def connect(self, attempt: Attempt, timeout_us: int) -> None:
         """Connect, then write the attempt; ``timeout_us``: for the dial, 0 for none.
 
-        Raises OSError if it failed on this machine: the server has seen nothing.
+        Raises OSError if the dial failed on this machine, before the server saw anything.
         """
         self.attempt = attempt
         attempt.connection = self
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        code = self._sock.connect_ex(self.server.address)
-        if code == 0:
+        error_number = self._sock.connect_ex(self.server.address)
+        if error_number == 0:
             self._on_established()
-        elif code in _CONNECTING:
+        elif error_number in _CONNECTING:
             if timeout_us:
                 self._fail_after(timeout_us)
             self._await_writable(self._on_connect_done)
-        elif is_local_connect_error(code):
-            raise OSError(code, os.strerror(code))
+        elif is_local_connect_error(error_number):
+            raise OSError(error_number, os.strerror(error_number))
         else:
-            # In the loop's next round: the node still holds the attempt as being started.
+            # In the loop's next iteration: the forwarder has not finished starting the attempt.
             self._pool.loop.call_soon(self._fail)
 
     def _on_connect_done(self) -> None:
@@ -125,7 +124,7 @@
         if attempt.is_wanted():
             self._start_request(attempt)
         else:
-            # Guards against an attempt for a client that left while the connection came up.
+            # The client has disconnected while the connection was being established.
             self._pool.loop.call_soon(self._pool.withdraw, attempt)
 
     # ---- writing the request
@@ -142,12 +141,12 @@
     def _start_request(self, attempt: Attempt) -> None:
         now = self._pool.clock.now()
         if attempt.start_by is not None and now > attempt.start_by:
-            # Guards retries: the dial took so long that servers may have forgotten the first
-            # attempt.
+            # Guards against a retry that runs twice: after such a long dial, servers may have
+            # forgotten the first attempt.
             self._pool.loop.call_soon(self._pool.fail_unsent, attempt)
             return
         self._unsent = memoryview(attempt.render(max(1, attempt.deadline - now)))
-        self._body = attempt.upload
+        self._body = attempt.streamed_body
         if self._body is not None:
             self._body.attach(self._on_body_available)
         self._write()
@@ -158,7 +157,7 @@
             self._run_guarded(self._write)
 
     def _next_body_part(self) -> bytes:
-        """Return what to write next of a body that is still coming; empty if nothing is there, or all was."""
+        """Return the next bytes of a streamed body; empty if there are none, or no more."""
         body = self._body
         if body is None:
             return b""
@@ -171,11 +170,11 @@
         return b""
 
     def request_written(self) -> bool:
-        """Return whether the socket has taken the request's last byte: the request may run from then on."""
+        """Return whether the socket took the request's last byte, so that the server may run it."""
         return self._unsent is not None and not self._unsent and self._body is None
 
     def _write(self) -> None:
-        """Write what the socket takes; ``_unsent`` is empty once it has taken the last byte."""
+        """Write as much as the socket takes; ``_unsent`` is empty once the last byte is written."""
         had_body = self._body is not None
         try:
             while True:
@@ -193,8 +192,8 @@
             if is_resource_error(error):
                 self._await_writable(self._write)
                 return
-            # In the next round, as in connect(); what arrived before is no response to half a
-            # request.
+            # In the loop's next iteration, as in connect().  Bytes that arrived before are not the
+            # response to an incomplete request.
             self._pool.loop.call_soon(self._fail)
             return
         self._stop_awaiting_writable()
@@ -207,7 +206,7 @@
         self._pool.loop.add_writer(self._sock, self._run_guarded, callback)
 
     def _stop_awaiting_writable(self) -> None:
-        """Ask the loop only where it waits: nearly every request goes out in one write."""
+        """Remove the writer from the loop if there is one: most requests are sent in one write."""
         if self._awaits_writable:
             self._awaits_writable = False
             self._pool.loop.remove_writer(self._sock)
@@ -220,7 +219,8 @@
         except BlockingIOError:
             return
         except OSError as error:
-            if not is_resource_error(error):  # else the loop finds it readable again
+            # After a transient error the loop reports the socket as readable again.
+            if not is_resource_error(error):
                 self._fail()
             return
         if not data and self.attempt is not None and self._response.finish_at_close():
@@ -242,31 +242,31 @@
             self._restart_stall_timer()
 
     def _restart_stall_timer(self) -> None:
-        """Guards against half a response: its server is silent, and the request would wait to its deadline.
+        """Limit pauses in a response: without, an incomplete one lasts until its deadline.
 
-        A response that has not started, or that follows a provisional one, may take its time.
+        There is no such limit before the response starts, or after an interim response (1xx).
         """
         self._stop_timer()
         if self._response.started:
-            streaming = self._response.sink is not None
-            self._fail_after(STREAM_STALL_TIMEOUT_US if streaming else STALL_TIMEOUT_US)
+            is_streaming = self._response.sink is not None
+            self._fail_after(STREAM_STALL_TIMEOUT_US if is_streaming else STALL_TIMEOUT_US)
 
     def pause(self) -> None:
-        """Stop reading: what the response is passed on to has enough."""
+        """Stop reading, as the buffers towards the client are full."""
         if not self.paused and not self.closed:
             self.paused = True
             self._stop_timer()
             self._pool.loop.remove_reader(self._sock)
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read."""
         if self.paused and not self.closed:
             self.paused = False
             self._fail_after(STREAM_STALL_TIMEOUT_US)
             self._pool.loop.add_reader(self._sock, self._run_guarded, self._on_readable)
 
     def _open_sink(self) -> ResponseSink | None:
-        """Start to pass on a long response; there is no retry from here on."""
+        """Start to stream a long response; its request can't be retried from here on."""
         attempt, response = self.attempt, self._response
         if attempt is None or attempt.on_response_start is None:
             return None
@@ -274,29 +274,29 @@
         if result != AttemptResult.OK or not self.request_written():
             return None
         if attempt.timer is not None:
-            attempt.timer.cancel()  # a response that has started is in time
-        outcome = AttemptEnd(result, response.headers, status=response.status)
-        return attempt.on_response_start(outcome, response.content_length, self)
+            attempt.timer.cancel()  # the deadline does not apply once the response has started
+        end = AttemptEnd(result, response.headers, status=response.status)
+        return attempt.on_response_start(end, response.content_length, self)
 
     def _on_response_complete(self) -> None:
         response = self._response
         result = response.result()
         if not self.request_written() and result != AttemptResult.REJECTED:
-            self._fail()  # no response to this request: its last byte was never written
+            self._fail()  # the request is incomplete, so this is not its response
             return
         self._stop_timer()
         attempt, self.attempt = self.attempt, None
         sink = response.detach_sink()
         if sink is not None:
             sink.finish_response()
-        outcome = response.take(result)
+        end = response.take(result)
         self._has_served = self._has_served or result != AttemptResult.REJECTED
         if self._can_be_kept():
             self._pool.put_idle(self)
         else:
             self.close()
         if attempt is not None:
-            attempt.finish(outcome)
+            attempt.finish(end)
 
     def _can_be_kept(self) -> bool:
         return (
@@ -307,13 +307,13 @@
             and not self.closed
         )
 
-    # ---- ends
+    # ---- close
 
     def is_stale(self) -> bool:
-        """Return whether the server has closed this idle connection, though the loop has not come to read it.
+        """Return whether the server has closed this idle connection, before the loop reports it.
 
-        Guards against writing a request to a connection that is already closed: it would end as a
-        reset, after which a request that must not run twice can't be retried.
+        A request on such a connection would end as a reset, after which a request that must not run
+        twice can't be retried.
         """
         try:
             self._sock.recv(1, socket.MSG_PEEK)
@@ -321,10 +321,10 @@
             return False
         except OSError:
             return True
-        return True  # the end, or bytes that nobody requested
+        return True  # end of file, or bytes that belong to no request
 
     def _fail_after(self, timeout_us: int) -> None:
-        """Fail unless the timer is stopped before."""
+        """Fail the connection after a timeout, unless the timer is stopped before."""
         self._timer = self._pool.clock.call_at(self._pool.clock.now() + timeout_us, self._fail)
 
     def _stop_timer(self) -> None:
@@ -333,15 +333,15 @@
             self._timer = None
 
     def _run_guarded(self, callback: Callable[[], None]) -> None:
-        """Guards the loop and the node: a fault in one connection ends that connection alone."""
+        """Run a callback of the loop; an exception closes only this connection."""
         try:
             callback()
         except Exception:
-            log.exception("a connection to %s:%d failed", *self.server.address)
+            log.exception("server connection failed: address=%s:%d", *self.server.address)
             self._fail()
 
     def _fail(self) -> None:
-        """Close a broken connection; whether its request may have run depends on its last byte."""
+        """Close a broken connection; its request may have run if the last byte was written."""
         if self.closed:
             return
         attempt, self.attempt = self.attempt, None
@@ -356,7 +356,7 @@
             )
 
     def abort(self) -> bool:
-        """Close at once and leave the attempt to the caller; return whether its last byte was written."""
+        """Close at once, without ending the attempt; return whether its last byte was written."""
         written = self.request_written()
         self.attempt = None
         self._response.detach_sink()
@@ -364,7 +364,7 @@
         return written
 
     def close(self) -> None:
-        """Close the socket now, not in the loop's next round."""
+        """Close the socket now, not in the loop's next iteration."""
         if self.closed:
             return
         self.closed = True
--- a/oakbridge/node/socket_state.py
+++ b/oakbridge/node/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a connection and the event loop does not."""
+"""The state of a connection in the kernel, which the event loop does not know."""
 
 from __future__ import annotations
 
@@ -12,14 +12,17 @@
 
 from oakbridge.node.system_errors import is_resource_error
 
-_TCP_ESTABLISHED = b"\x01"  # the state in TCP_INFO while neither side has ended
-_LAST_DATA_RECEIVED = struct.Struct("52xI")  # tcpi_last_data_recv in TCP_INFO: milliseconds ago
+_TCP_ESTABLISHED = b"\x01"  # the state in TCP_INFO while neither side has closed
+_LAST_DATA_RECEIVED = struct.Struct("52xI")  # tcpi_last_data_recv in TCP_INFO, in milliseconds
 _US_PER_MS = 1000
-_LINGER_FOR_NO_TIME = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
+_LINGER_0_S = struct.pack("ii", 1, 0)  # SO_LINGER: on, with a timeout of 0 s
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
-    """Return whether bytes have arrived that the event loop has not read yet."""
+    """Return whether bytes have arrived that the event loop has not read yet.
+
+    Return True, too, if a transient error other than EAGAIN prevents the check.
+    """
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
     except OSError as error:  # nothing has arrived, or the connection broke
@@ -27,7 +30,7 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool | None:
-    """Return whether the peer has ended its side, also behind unread bytes; None if unknown."""
+    """Return whether the peer has closed its side, also behind unread bytes; None if unknown."""
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) != _TCP_ESTABLISHED
     except OSError:
@@ -37,7 +40,8 @@
 def last_received_ago_us(sock: socket.socket) -> int:
     """Return how long ago the kernel received the last bytes, in microseconds; 0 if unknown.
 
-    They may have waited there: in a connection that was accepted late, or for a process that stood.
+    They may have been in the kernel's buffer since then: in a connection that was accepted late, or
+    while the process was paused.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _LAST_DATA_RECEIVED.size)
@@ -49,19 +53,19 @@
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Have the close of a connection reset it, so that its peer can't take it for a usual end."""
-    with suppress(OSError):  # it has ended already
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_FOR_NO_TIME)
+    """Have the close of a connection reset it, so that its peer does not see a regular close."""
+    with suppress(OSError):  # the connection is closed already
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_0_S)
 
 
 def unacknowledged_bytes(transport: asyncio.Transport | None) -> int:
-    """Return how many written bytes the peer has not taken, here and in the kernel (SIOCOUTQ)."""
+    """Return how many written bytes the peer has not acknowledged (buffered, and SIOCOUTQ)."""
     if transport is None:
         return 0
     buffered = transport.get_write_buffer_size()
     try:
         sock = transport.get_extra_info("socket")
         in_kernel = fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4)
-    except (OSError, ValueError, AttributeError):  # a socket that can't tell
+    except (OSError, ValueError, AttributeError):  # the transport has no socket, or a closed one
         return buffered
     return buffered + int(struct.unpack("i", in_kernel)[0])
--- a/oakbridge/node/transient_error_socket.py
+++ b/oakbridge/node/transient_error_socket.py
@@ -1,9 +1,9 @@
-"""A socket whose reads and writes can be short of memory or buffers for a moment.
+"""A socket that reports transient errors of reads and writes as "would block".
 
-An event loop's transport takes every failure but "would block" for the end of the connection, and
-drops the response that it was to write.  recv(2) and send(2) also document ENOMEM and ENOBUFS, which
-pass: they are told as "would block" here, and the loop, which still finds the socket ready, calls
-again.
+An event loop's transport takes every error but "would block" for the close of the connection, and
+drops the response that it was to write.  recv(2) and send(2) may also fail with ENOMEM and ENOBUFS,
+which are transient.  This socket reports them as "would block"; the event loop still finds the
+socket ready, and calls again.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 
 
 class TransientErrorSocket(socket.socket):
-    """A socket whose passing failures are told as BlockingIOError."""
+    """A socket that raises BlockingIOError for transient errors."""
 
     @classmethod
     def from_socket(cls, sock: socket.socket) -> TransientErrorSocket:
-        """Return the same connection as a socket of this class; ``sock`` is closed."""
+        """Return the same connection as a socket of this class; ``sock`` is detached from it."""
         return cls(sock.family, sock.type, sock.proto, sock.detach())
 
-    def recv_into(self, *given: Any) -> int:
+    def recv_into(self, *arguments: Any) -> int:
         """Read, as ``socket.recv_into`` does."""
         try:
-            return super().recv_into(*given)
+            return super().recv_into(*arguments)
         except OSError as error:
             raise _as_would_block(error) from None
 
-    def recv(self, *given: Any) -> bytes:
+    def recv(self, *arguments: Any) -> bytes:
         """Read, as ``socket.recv`` does."""
         try:
-            return super().recv(*given)
+            return super().recv(*arguments)
         except OSError as error:
             raise _as_would_block(error) from None
 
-    def send(self, *given: Any) -> int:
+    def send(self, *arguments: Any) -> int:
         """Write, as ``socket.send`` does."""
         try:
-            return super().send(*given)
+            return super().send(*arguments)
         except OSError as error:
             raise _as_would_block(error) from None
 
