--- a/oakbridge/node/endpoint_updates.py
+++ b/oakbridge/node/endpoint_updates.py
@@ -89,7 +89,7 @@
             self.on_endpoint_list(saved, saved=True)
 
     def prepare(self, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Have the balancer create records for servers of the next list, without sending to them."""
+        """Have the balancer create records for servers of the next list; nothing is sent yet."""
         self._dispatcher.post(EndpointsAnnounced([endpoint.server for endpoint in endpoints]))
 
     def add_front(self, front: Front) -> None:
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -1,4 +1,4 @@
-"""Timers against a plain model: each fires once, never early, in order, unless cancelled."""
+"""Timers: each fires once, never early, and never after it was cancelled."""
 
 import asyncio
 import random
@@ -8,14 +8,14 @@
 from oakbridge.node.clock import COMPACT_MIN_CANCELLED, Clock
 
 
-class PlayedLoop:
-    """A loop whose time is set by hand, and whose own timers come a little early at times."""
+class FakeLoop:
+    """An event loop whose timers are fired by the test."""
 
     def __init__(self, seed):
-        self.rng, self.handles, self.problems = random.Random(seed), [], []
+        self.rng, self.handles, self.errors = random.Random(seed), [], []
 
-    def call_later(self, wait, what, *args):
-        handle = asyncio.TimerHandle(wait, what, args, self)
+    def call_later(self, delay_s, callback, *args):
+        handle = asyncio.TimerHandle(delay_s, callback, args, self)
         self.handles.append(handle)
         return handle
 
@@ -26,68 +26,68 @@
         pass
 
     def call_exception_handler(self, context):
-        self.problems.append(context["exception"])
+        self.errors.append(context["exception"])
 
 
-class PlayedClock(Clock):
+class FakeClock(Clock):
     def __init__(self, loop):
         super().__init__(loop)
-        self.time = 1_000_000
+        self.time_us = 1_000_000
 
     def now(self):
-        return self.time
+        return self.time_us
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_timers_fire_once_in_order_and_never_early(seed):  # noqa: C901 - one random course
-    rng, loop = random.Random(seed), PlayedLoop(seed)
-    clock, fired, want, timers = PlayedClock(loop), [], {}, {}
+def test_timers_fire_once_and_never_early(seed):  # noqa: C901 - one random sequence of steps
+    rng, loop = random.Random(seed), FakeLoop(seed)
+    clock, fired, due, timers = FakeClock(loop), [], {}, {}
 
-    def fires(number):
+    def on_fired(number):
         fired.append(number)
-        assert clock.now() >= want[number]
+        assert clock.now() >= due[number]
         if rng.random() < 0.2:
-            begin()  # from inside of another one
+            set_timer()  # from the callback of another timer
         if rng.random() < 0.2 and timers:
-            call_off(rng.choice(list(timers)))
+            cancel_timer(rng.choice(list(timers)))
         if rng.random() < 0.05:
-            raise ValueError("a fault in one")
+            raise ValueError("a fault in a callback")
 
-    def begin():
-        number = len(want)
-        want[number] = clock.now() + rng.randrange(-5, 3000)
-        timers[number] = clock.call_at(want[number], lambda: fires(number))
+    def set_timer():
+        number = len(due)
+        due[number] = clock.now() + rng.randrange(-5, 3000)
+        timers[number] = clock.call_at(due[number], lambda: on_fired(number))
 
-    def call_off(number):
+    def cancel_timer(number):
         timers.pop(number).cancel()
-        off.add(number)
+        cancelled.add(number)
 
-    off = set()
+    cancelled = set()
     for _ in range(300):
         for _ in range(rng.randrange(4)):
-            begin()
+            set_timer()
         if timers and rng.random() < 0.4:
-            call_off(rng.choice(list(timers)))
-        clock.time += rng.randrange(300)
+            cancel_timer(rng.choice(list(timers)))
+        clock.time_us += rng.randrange(300)
         armed = [h for h in loop.handles if not h.cancelled()]
-        assert len(armed) <= 1  # one of the loop's, however many there are
+        assert len(armed) <= 1  # one timer of the loop, however many timers the clock has
         loop.handles = []
         for handle in armed:
-            if clock._armed_for <= clock.time + 100:  # at times early
+            if clock._armed_for <= clock.time_us + 100:  # sometimes early
                 handle._run()
             else:
                 loop.handles.append(handle)
     while handles := [h for h in loop.handles if not h.cancelled()]:
-        loop.handles, clock.time = [], clock.time + 1_000
+        loop.handles, clock.time_us = [], clock.time_us + 1_000
         for handle in handles:
             handle._run()
     assert len(fired) == len(set(fired))
-    assert set(fired) | off == set(want)
-    assert all(isinstance(p, ValueError) for p in loop.problems)
+    assert set(fired) | cancelled == set(due)
+    assert all(isinstance(error, ValueError) for error in loop.errors)
 
 
 def test_cancelled_timers_are_not_kept():
-    clock = PlayedClock(PlayedLoop(1))
+    clock = FakeClock(FakeLoop(1))
     kept = clock.call_at(clock.now() + 10**9, lambda: None)
     for _ in range(50 * COMPACT_MIN_CANCELLED):
         clock.call_at(clock.now() + 10**9, lambda: None).cancel()
@@ -95,15 +95,15 @@
     assert kept in [timer for *_, timer in clock._heap]
 
 
-def test_timer_that_is_cancelled_after_it_was_armed_again_does_nothing():
-    """Guards against a limit for connecting that ends the connection later on."""
+def test_timer_that_is_cancelled_after_the_loop_fired_early_does_nothing():
+    """Guards against a connect timeout that closes an established connection later."""
 
     class Loop:
         def __init__(self):
             self.calls = []
 
-        def call_later(self, _, what):
-            self.calls.append(what)
+        def call_later(self, _, callback):
+            self.calls.append(callback)
 
     loop, fired = Loop(), []
     clock = Clock(loop)
--- a/tests/node/test_connection_pool.py
+++ b/tests/node/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool over loopback: what is kept, used again, closed, and bounded."""
+"""The connection pool over loopback: which connections are reused and closed, and their limit."""
 
 import asyncio
 
@@ -10,31 +10,31 @@
 from oakbridge.policy.events import AttemptResult
 
 
-def test_connection_is_kept_and_used_again():
+def test_idle_connection_is_reused():
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer:
-            bench = PoolHarness(peer.port)
+        async with ScriptedServer(lambda _: reply(200)) as server:
+            harness = PoolHarness(server.port)
             for _ in range(3):
-                assert await bench.result() == AttemptResult.OK
+                assert await harness.result() == AttemptResult.OK
                 await asyncio.sleep(2 * MIN_IDLE_US / 1e6)
-            assert peer.connections == 1
+            assert server.connections == 1
 
     run(scenario())
 
 
-def test_kept_connection_that_the_server_has_just_closed_is_no_reset(monkeypatch):
-    """The loop has not read the end yet, but nothing may be written to that connection."""
+def test_idle_connection_that_the_server_has_just_closed_is_not_reused(monkeypatch):
+    """The loop has not reported the close yet; a request on the connection would end as a reset."""
     monkeypatch.setattr("oakbridge.node.connection_pool.MIN_IDLE_US", 0)
 
     async def scenario():
         with listening_socket() as listener:
-            bench = PoolHarness(listener.getsockname()[1])
-            _, end = bench.send()
+            harness = PoolHarness(listener.getsockname()[1])
+            _, end = harness.send()
             with await accept(listener) as sock:
                 sock.recv(1000)
                 sock.sendall(reply(200))
                 assert (await with_timeout(end)).result == AttemptResult.OK
-            _, end = bench.send()  # in the same round of the loop as the close
+            _, end = harness.send()  # in the same iteration of the loop as the close
             with await accept(listener) as sock:
                 assert sock.recv(1000) == GET
                 sock.sendall(reply(200))
@@ -43,27 +43,26 @@
     run(scenario())
 
 
-def test_drained_server_gets_nothing_new():
+def test_drained_server_gets_no_new_attempts():
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer:
-            bench = PoolHarness(peer.port)
-            assert await bench.result() == AttemptResult.OK
-            bench.list_servers()
-            assert (
-                await with_timeout(peer.closed_connections.get()) == 1
-            )  # the kept connection is given back
-            assert await bench.result() == AttemptResult.CONNECT_FAILED
-            assert peer.connections == 1
+        async with ScriptedServer(lambda _: reply(200)) as server:
+            harness = PoolHarness(server.port)
+            assert await harness.result() == AttemptResult.OK
+            harness.list_servers()
+            # The idle connection is closed.
+            assert await with_timeout(server.closed_connections.get()) == 1
+            assert await harness.result() == AttemptResult.CONNECT_FAILED
+            assert server.connections == 1
 
     run(scenario())
 
 
-def test_attempt_that_still_connects_ends_with_the_drain():
+def test_attempt_that_is_still_connecting_fails_when_its_server_drains():
     async def scenario():
         listener, fillers = silent_listener()
-        bench = PoolHarness(listener.getsockname()[1])
-        _, connecting = bench.send()
-        bench.list_servers()
+        harness = PoolHarness(listener.getsockname()[1])
+        _, connecting = harness.send()
+        harness.list_servers()
         assert (await with_timeout(connecting)).result == AttemptResult.CONNECT_FAILED
         for sock in [listener, *fillers]:
             sock.close()
@@ -71,101 +70,103 @@
     run(scenario())
 
 
-def test_attempt_that_is_out_outlives_the_drain_but_its_connection_does_not():
+def test_written_attempt_finishes_after_a_drain_and_its_connection_is_closed():
     async def scenario():
-        async def held():
-            await peer.release.wait()
+        async def delayed_reply():
+            await server.release.wait()
             return reply(200)
 
-        async with ScriptedServer(lambda _: held()) as peer:
-            bench = PoolHarness(peer.port)
-            _, out = bench.send()
-            await with_timeout(peer.requests.get())
-            bench.list_servers()
-            peer.release.set()
-            assert (await with_timeout(out)).result == AttemptResult.OK
-            assert await with_timeout(peer.closed_connections.get()) == 1
+        async with ScriptedServer(lambda _: delayed_reply()) as server:
+            harness = PoolHarness(server.port)
+            _, end = harness.send()
+            await with_timeout(server.requests.get())
+            harness.list_servers()
+            server.release.set()
+            assert (await with_timeout(end)).result == AttemptResult.OK
+            assert await with_timeout(server.closed_connections.get()) == 1
 
     run(scenario())
 
 
-def test_restarted_server_gets_fresh_connections():
+def test_restarted_server_gets_new_connections():
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer:
-            bench = PoolHarness(peer.port)
-            assert await bench.result() == AttemptResult.OK
-            bench.list_servers("s", started=5)
-            assert await bench.result() == AttemptResult.OK
-            assert [peer.requests.get_nowait().connection for _ in range(2)] == [1, 2]
+        async with ScriptedServer(lambda _: reply(200)) as server:
+            harness = PoolHarness(server.port)
+            assert await harness.result() == AttemptResult.OK
+            harness.list_servers("s", started=5)
+            assert await harness.result() == AttemptResult.OK
+            assert [server.requests.get_nowait().connection for _ in range(2)] == [1, 2]
 
     run(scenario())
 
 
 def test_idle_connection_is_closed_before_the_server_would():
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer:
-            bench = PoolHarness(peer.port, idle=100_000)
-            assert await bench.result() == AttemptResult.OK
-            assert await with_timeout(peer.closed_connections.get()) == 1
-            assert bench.pool.connection_count == 0
+        async with ScriptedServer(lambda _: reply(200)) as server:
+            harness = PoolHarness(server.port, idle=100_000)
+            assert await harness.result() == AttemptResult.OK
+            assert await with_timeout(server.closed_connections.get()) == 1
+            assert harness.pool.connection_count == 0
 
     run(scenario())
 
 
-def test_connections_are_bounded():
-    """At the bound an idle connection to any server goes first; with none, nothing is sent."""
+def test_number_of_connections_is_limited():
+    """At the limit an idle connection to any server is closed; without one, the attempt fails."""
 
     async def scenario():
-        async with ScriptedServer(lambda seen: None if seen.url == "/hold" else reply(200)) as peer:
-            bench = PoolHarness(peer.port, max_connections=1)
-            bench.list_servers("s", "t")
-            assert await bench.result() == AttemptResult.OK
-            end = bench.loop.create_future()
-            hold = b"GET /hold HTTP/1.1\r\n\r\n"
-            bench.pool.send(
-                Attempt("t", lambda _: hold, bench.clock.now() + LONG_US, end.set_result)
+        async with ScriptedServer(
+            lambda request: None if request.url == "/unanswered" else reply(200)
+        ) as server:
+            harness = PoolHarness(server.port, max_connections=1)
+            harness.list_servers("s", "t")
+            assert await harness.result() == AttemptResult.OK
+            end = harness.loop.create_future()
+            unanswered = b"GET /unanswered HTTP/1.1\r\n\r\n"
+            harness.pool.send(
+                Attempt("t", lambda _: unanswered, harness.clock.now() + LONG_US, end.set_result)
             )
-            assert await with_timeout(peer.closed_connections.get()) == 1
-            assert await bench.result() == AttemptResult.CONNECT_FAILED
+            assert await with_timeout(server.closed_connections.get()) == 1
+            assert await harness.result() == AttemptResult.CONNECT_FAILED
             assert not end.done()
-            bench.pool.close()
+            harness.pool.close()
 
     run(scenario())
 
 
-def test_second_copy_right_behind_an_answer_serves_nobody(monkeypatch):
-    """Guards against a connection that is used again before what comes behind its answer could show."""
+def test_duplicate_of_a_response_is_not_read_as_the_response_to_the_next_request(monkeypatch):
+    """Guards against reusing a connection before bytes after its last response can have arrived."""
     monkeypatch.setattr("oakbridge.node.connection_pool.MIN_IDLE_US", LONG_US)
 
     async def scenario():
         with listening_socket() as listener:
-            bench = PoolHarness(listener.getsockname()[1])
-            _, first = bench.send()
-            with await accept(listener) as one:
-                assert one.recv(1000) == GET
-                one.sendall(reply(200, b"first"))
+            harness = PoolHarness(listener.getsockname()[1])
+            _, first = harness.send()
+            with await accept(listener) as first_socket:
+                assert first_socket.recv(1000) == GET
+                first_socket.sendall(reply(200, b"first"))
                 assert (await with_timeout(first)).body == b"first"
-                _, second = bench.send()
-                one.sendall(reply(200, b"first"))
-                with await accept(listener) as two:
-                    assert two.recv(1000) == GET
-                    two.sendall(reply(200, b"second"))
+                _, second = harness.send()
+                first_socket.sendall(reply(200, b"first"))
+                with await accept(listener) as second_socket:
+                    assert second_socket.recv(1000) == GET
+                    second_socket.sendall(reply(200, b"second"))
                     assert (await with_timeout(second)).body == b"second"
 
     run(scenario())
 
 
-def test_a_connection_on_which_nothing_was_served_is_not_kept():
-    """Guards against one that the server took above its limit: it turns away all that comes on it."""
+def test_a_connection_on_which_nothing_was_served_is_not_reused():
+    """Guards against a connection above the server's limit, on which it rejects every request."""
 
-    async def main() -> None:
-        full = reply(503, b"", "X-Not-Processed: 1")
-        script = iter([full, full, reply(200), full, full])
+    async def scenario() -> None:
+        rejection = reply(503, b"", "X-Not-Processed: 1")
+        script = iter([rejection, rejection, reply(200), rejection, rejection])
         async with ScriptedServer(lambda _: next(script)) as server:
-            bench = PoolHarness(server.port)
+            harness = PoolHarness(server.port)
             results = []
             for _ in range(5):
-                results.append(await bench.result())
+                results.append(await harness.result())
                 await asyncio.sleep(2 * MIN_IDLE_US / 1e6)
             assert results == [
                 AttemptResult.REJECTED,
@@ -175,9 +176,8 @@
                 AttemptResult.REJECTED,
             ]
             assert server.connections == 3
-            assert (
-                bench.pool.connection_count == 1
-            )  # the one that has served, and turned two away since
-            bench.pool.close()
+            # The connection that has served one request, and then rejected two.
+            assert harness.pool.connection_count == 1
+            harness.pool.close()
 
-    run(main())
+    run(scenario())
--- a/tests/node/test_discovery_client.py
+++ b/tests/node/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The versions of the list: what is asked for next, and which responses are used."""
+"""The versions of the list: what the next request asks for, and which responses are used."""
 
 import random
 
@@ -12,20 +12,20 @@
 OLD, NEW = ("127.0.0.1", 1), ("127.0.0.1", 2)
 
 
-def watching_client(index: int, *, pushed: bool = False) -> DiscoveryClient:
+def watching_client(version: int, *, pushed: bool = False) -> DiscoveryClient:
     """Return a client with a list of this version, whose watch is to be renewed now, at 0."""
     schedule = RefreshSchedule(0.0, 10_000_000, random.Random(1), pushed=pushed)
     client = DiscoveryClient(OLD, schedule, pushed=pushed)
     client.watch(0.0)
     request = client.begin_request(0.0)
-    client.on_response(request, EndpointList(index, True, []), 0.0)
-    client.on_applied(request, index, 0.0, 0.0)
+    client.on_response(request, EndpointList(version, True, []), 0.0)
+    client.on_applied(request, version, 0.0, 0.0)
     return client
 
 
 @pytest.mark.parametrize("complete", [True, False])
-def test_a_list_older_than_one_adopted_during_its_call_is_not_used(complete):
-    """Guards against a server that drains being sent to again, until the next call is answered."""
+def test_a_list_older_than_one_adopted_during_its_request_is_not_used(complete):
+    """Guards against using a draining server again until the next response."""
     client = watching_client(6)
     request = client.begin_request(0.0)
     assert client.adopt(8, 100_000, 0.5)
@@ -33,20 +33,20 @@
     client.on_applied(request, 7, 0.6, 0.6)
     assert client.version == 8
     assert client.list_age_us(0.6) == pytest.approx(200_000, abs=1)  # as old as the adopted one
-    again = client.begin_request(client.next_request_at())
-    assert (again.since, again.target) == (8, "/api/targets?since=8&timeout_ms=1")
+    next_request = client.begin_request(client.next_request_at())
+    assert (next_request.since, next_request.target) == (8, "/api/targets?since=8&timeout_ms=1")
 
 
-def test_versions_that_begin_anew_are_told_from_older_ones_by_the_next_response():
+def test_the_next_response_shows_whether_discovery_has_started_counting_versions_again():
     client = watching_client(6)
     request = client.begin_request(0.0)
     client.adopt(8, 0, 0.5)
     client.on_response(request, EndpointList(2, True, []), 0.6)
     client.on_applied(request, 2, 0.6, 0.6)
-    again = client.begin_request(0.6)
+    next_request = client.begin_request(0.6)
     with pytest.raises(OutdatedListError):
-        client.on_response(again, EndpointList(2, False, []), 0.7)
-    client.on_failure(again, Failure.OUTDATED, 0.7)
+        client.on_response(next_request, EndpointList(2, False, []), 0.7)
+    client.on_failure(next_request, Failure.OUTDATED, 0.7)
     assert client.next_request_at() == 0.7
     complete = client.begin_request(0.7)
     assert complete.since == BEFORE_ALL_VERSIONS
@@ -61,7 +61,7 @@
     assert client.on_response(request, EndpointList(2, True, []), 0.1).version == 2
 
 
-def test_a_list_counts_as_read_only_once_it_is_in_use():
+def test_a_list_that_could_not_be_applied_does_not_count_as_read():
     client = watching_client(6)
     request = client.begin_request(0.0)
     assert client.on_response(request, EndpointList(7, True, []), 1.0) is not None
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_stopped_client_makes_no_calls(pushed):
+def test_stopped_client_sends_no_requests(pushed):
     client = watching_client(6, pushed=pushed)
     client.stop()
     client.watch(1.0)
--- a/tests/node/test_dispatcher.py
+++ b/tests/node/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Events to a balancer by script, and its actions over loopback sockets."""
+"""The dispatcher between a scripted balancer and loopback sockets."""
 
 import asyncio
 import time
@@ -24,77 +24,80 @@
 )
 
 
-class Script:
-    """A module by script, one answer for each request: the node's guards are held against one that errs."""
+class ScriptedBalancer:
+    """A balancer with scripted actions for each request, to test the node against a faulty one."""
 
-    def __init__(self, *answers) -> None:
-        self.answers, self.events = list(answers), []
+    def __init__(self, *results) -> None:
+        self.results, self.events = list(results), []
 
     def handle(self, _: int, event: Event) -> list[Action]:
         self.events.append(event)
-        answer = self.answers.pop(0) if self.answers and isinstance(event, RequestReceived) else []
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        result = self.results.pop(0) if self.results and isinstance(event, RequestReceived) else []
+        if isinstance(result, Exception):
+            raise result
+        return result
 
 
-def test_module_that_fails_costs_one_request():
+def test_exception_of_the_balancer_fails_one_request():
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer, RunningNode(peer) as node:
-            module, node.node.dispatcher.balancer = (
+        async with ScriptedServer(lambda _: reply(200)) as server, RunningNode(server) as node:
+            usual_balancer, node.node.dispatcher.balancer = (
                 node.node.dispatcher.balancer,
-                Script(ValueError("boom")),
+                ScriptedBalancer(ValueError("boom")),
             )
-            caller = await node.client()
-            caller.send()
-            assert (await caller.read_response())[0] == 500
-            node.node.dispatcher.balancer = module
-            caller.send()
-            assert (await caller.read_response())[0] == 200
+            client = await node.client()
+            client.send()
+            assert (await client.read_response())[0] == 500
+            node.node.dispatcher.balancer = usual_balancer
+            client.send()
+            assert (await client.read_response())[0] == 200
 
     run(scenario())
 
 
-def test_a_timer_counts_from_its_event_though_the_process_is_held_up_before_it_is_set():
-    """Guards against an end that comes too late by as long as the process stood still."""
+def test_a_timer_counts_from_its_event_if_the_process_is_paused_before_it_is_set():
+    """Guards against a request that finishes too late by as long as the process was paused."""
 
-    class HeldUp(Script):
-        began = 0
+    class PausingBalancer(ScriptedBalancer):
+        received_at = 0
 
         def handle(self, now: int, event: Event) -> list[Action]:
             if event == TimerFired(77):
-                self.fired.set_result(now - self.began)
+                self.fired.set_result(now - self.received_at)
             elif isinstance(event, RequestReceived):
-                self.began = now
+                self.received_at = now
                 time.sleep(0.2)
                 return [SetTimer(100_000, 77), FailRequest(1)]
             return []
 
     async def scenario():
         async with RunningNode() as node:
-            node.node.dispatcher.balancer = script = HeldUp()
-            script.fired = asyncio.get_running_loop().create_future()
-            caller = await node.client()
-            caller.send()
-            assert 200_000 <= await with_timeout(script.fired) < 280_000
+            node.node.dispatcher.balancer = balancer = PausingBalancer()
+            balancer.fired = asyncio.get_running_loop().create_future()
+            client = await node.client()
+            client.send()
+            assert 200_000 <= await with_timeout(balancer.fired) < 280_000
 
     run(scenario())
 
 
-def test_time_left_counts_from_when_it_was_read_though_the_process_is_held_up_before_its_event():
+def test_time_left_counts_from_its_measurement_if_the_process_is_paused_before_the_event():
     async def scenario():
         async with RunningNode() as node:
-            forwarder, node.node.dispatcher.balancer = node.node.forwarder, Script([FailRequest(1)])
+            forwarder, node.node.dispatcher.balancer = (
+                node.node.forwarder,
+                ScriptedBalancer([FailRequest(1)]),
+            )
             post = forwarder._post
 
-            def held_up(event, *as_of):
+            def post_later(event, *as_of):
                 time.sleep(0.2)
                 post(event, *as_of)
 
-            forwarder._post = held_up
-            caller = await node.client()
-            caller.send(X_Timeout="900m")
-            assert (await caller.read_response())[0] == 502
+            forwarder._post = post_later
+            client = await node.client()
+            client.send(X_Timeout="900m")
+            assert (await client.read_response())[0] == 502
             [received] = [
                 event
                 for event in node.node.dispatcher.balancer.events
@@ -105,14 +108,14 @@
     run(scenario())
 
 
-def test_an_attempts_latest_begin_counts_from_its_event_though_the_process_is_held_up():
-    """Guards against a repeat that begins after a server has forgotten the first.
+def test_the_deadline_for_an_attempts_start_counts_from_its_event_if_the_process_is_paused():
+    """Guards against a retry that starts after a server has forgotten the first attempt.
 
-    And against a deadline that ends an attempt before the balancer ends its request: the server
-    would count as one that times out.
+    Also guards against an attempt that times out before the balancer finishes its request: the
+    server would count as timed out.
     """
 
-    class HeldUp(Script):
+    class PausingBalancer(ScriptedBalancer):
         def handle(self, now: int, event: Event) -> list[Action]:
             if isinstance(event, RequestReceived):
                 self.decided_at = now
@@ -121,68 +124,71 @@
             return []
 
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer, RunningNode(peer) as node:
-            node.node.dispatcher.balancer = script = HeldUp()
+        async with ScriptedServer(lambda _: reply(200)) as server, RunningNode(server) as node:
+            node.node.dispatcher.balancer = balancer = PausingBalancer()
             sent = []
             send = node.node.pool.send
             node.node.pool.send = lambda attempt: (sent.append(attempt), send(attempt))
-            caller = await node.client()
-            caller.send()
-            assert (await caller.read_response())[0] == 200
+            client = await node.client()
+            client.send()
+            assert (await client.read_response())[0] == 200
             [attempt] = sent
-            assert attempt.deadline > script.decided_at + 5_000_000
-            assert attempt.start_by == script.decided_at + 3_000_000
+            assert attempt.deadline > balancer.decided_at + 5_000_000
+            assert attempt.start_by == balancer.decided_at + 3_000_000
 
     run(scenario())
 
 
-def test_request_that_the_module_forgets_is_failed_when_its_time_is_up():
+def test_request_that_the_balancer_forgets_is_failed_at_its_deadline():
     async def scenario():
-        async with ScriptedServer(lambda _: None) as peer, RunningNode(peer) as node:
-            node.node.dispatcher.balancer = script = Script([SendAttempt(1, "s-0", 50_000_000)])
-            caller = await node.client()
-            caller.send(X_Timeout="200m")
-            assert (await caller.read_response())[0] == 500
-            assert await with_timeout(peer.closed_connections.get()) == 1
-            assert ClientDisconnected(1) in script.events
+        async with ScriptedServer(lambda _: None) as server, RunningNode(server) as node:
+            node.node.dispatcher.balancer = balancer = ScriptedBalancer(
+                [SendAttempt(1, "s-0", 50_000_000)]
+            )
+            client = await node.client()
+            client.send(X_Timeout="200m")
+            assert (await client.read_response())[0] == 500
+            assert await with_timeout(server.closed_connections.get()) == 1
+            assert ClientDisconnected(1) in balancer.events
 
     run(scenario())
 
 
-def test_two_attempts_are_never_out_at_once_and_none_is_sent_after_the_answer():
+def test_two_attempts_are_never_in_flight_at_once_and_none_is_sent_after_the_response():
     async def scenario():
-        async with ScriptedServer(lambda _: None) as peer, RunningNode(peer) as node:
+        async with ScriptedServer(lambda _: None) as server, RunningNode(server) as node:
             send = SendAttempt(1, "s-0", 20_000_000)
-            script = Script([send], [send, FailRequest(1), CancelAttempt(1, 0), send])
-            node.node.dispatcher.balancer = script
-            caller, other = await node.client(), await node.client()
-            caller.send()
-            await with_timeout(peer.requests.get())
-            other.send()  # the event at which the module errs
-            assert (await caller.read_response())[0] == 502
-            assert await with_timeout(peer.closed_connections.get()) == 1
-            assert peer.requests.empty()
-            ended = [
-                (e.result, e.request_finished) for e in script.events if isinstance(e, AttemptEnded)
+            balancer = ScriptedBalancer([send], [send, FailRequest(1), CancelAttempt(1, 0), send])
+            node.node.dispatcher.balancer = balancer
+            client, other = await node.client(), await node.client()
+            client.send()
+            await with_timeout(server.requests.get())
+            other.send()  # at this event, the balancer returns invalid actions
+            assert (await client.read_response())[0] == 502
+            assert await with_timeout(server.closed_connections.get()) == 1
+            assert server.requests.empty()
+            ends = [
+                (event.result, event.request_finished)
+                for event in balancer.events
+                if isinstance(event, AttemptEnded)
             ]
-            sent_not = AttemptResult.NOT_SENT
-            assert sorted(ended) == [
+            assert sorted(ends) == [
                 (AttemptResult.CANCELLED, True),
-                (sent_not, False),
-                (sent_not, True),
+                (AttemptResult.NOT_SENT, False),
+                (AttemptResult.NOT_SENT, True),
             ]
 
     run(scenario())
 
 
-@pytest.mark.parametrize(("advice", "expected"), [(0, None), (250_000, "0.250")])
-def test_refusal_carries_the_modules_advice(advice, expected):
+@pytest.mark.parametrize(("retry_after_us", "expected"), [(0, None), (250_000, "0.250")])
+def test_rejection_has_the_balancers_retry_after(retry_after_us, expected):
     async def scenario():
-        async with ScriptedServer(lambda _: None) as peer, RunningNode(peer) as node:
-            node.node.dispatcher.balancer = Script([RejectRequest(1, advice)])
-            caller = await node.client()
-            caller.send()
-            status, headers, _ = await caller.read_response()
+        async with ScriptedServer(lambda _: None) as server, RunningNode(server) as node:
+            node.node.dispatcher.balancer = ScriptedBalancer([RejectRequest(1, retry_after_us)])
+            client = await node.client()
+            client.send()
+            status, headers, _ = await client.read_response()
             assert (status, headers.get("retry-after")) == (503, expected)
 
     run(scenario())
--- a/tests/node/test_endpoint_list_json.py
+++ b/tests/node/test_endpoint_list_json.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in discovery's form."""
+"""Endpoint lists in discovery's JSON form."""
 
 import pytest
 from peers import endpoint, listing
@@ -38,26 +38,29 @@
         listing(2**63),
     ],
 )
-def test_list_that_can_not_be_read_is_refused_as_a_whole(raw):
+def test_list_with_an_invalid_part_is_rejected_as_a_whole(raw):
     with pytest.raises(EndpointListError):
         parse_endpoint_list(raw)
 
 
-def test_list_is_read():
+def test_list_is_parsed():
     raw = listing(
         9,
         endpoint("s", 80, since_ms=1_700_000_000_000),
         {"name": "t", "status": "gone"},
         is_complete=False,
     )
-    got = parse_endpoint_list(raw)
-    assert (got.version, got.complete) == (9, False)
-    assert got.endpoints[0].address == ("127.0.0.1", 80)
-    assert got.endpoints[0].server.started_at == 1_700_000_000_000_000
-    assert [e.server.state for e in got.endpoints] == [EndpointState.UP, EndpointState.REMOVED]
+    parsed = parse_endpoint_list(raw)
+    assert (parsed.version, parsed.complete) == (9, False)
+    assert parsed.endpoints[0].address == ("127.0.0.1", 80)
+    assert parsed.endpoints[0].server.started_at == 1_700_000_000_000_000
+    assert [endpoint.server.state for endpoint in parsed.endpoints] == [
+        EndpointState.UP,
+        EndpointState.REMOVED,
+    ]
 
 
-def test_mistake_is_told_with_its_place():
+def test_error_names_the_place_of_the_invalid_value():
     raw = listing(2, endpoint("s", 1), endpoint("t", 2) | {"weight": -1})
     with pytest.raises(EndpointListError, match=r"endpoints\[1\]\.weight: expected .* got -1"):
         parse_endpoint_list(raw)
--- a/tests/node/test_epoll_selector.py
+++ b/tests/node/test_epoll_selector.py
@@ -1,4 +1,4 @@
-"""The selector does as the standard one does, and makes changes again that failed for a moment."""
+"""The selector behaves like the standard one, and retries changes after transient errors."""
 
 import errno
 import os
@@ -16,7 +16,7 @@
 
 
 class FailingEpoll:
-    """An epoll instance whose changes fail as long as there is an error to fail with."""
+    """An epoll instance whose changes fail while ``error`` is set."""
 
     def __init__(self, epoll) -> None:
         self._epoll = epoll
@@ -60,41 +60,42 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_it_tells_what_the_standard_selector_tells(seed):
+def test_it_reports_the_same_as_the_standard_selector(seed):
     rng = random.Random(seed)
     with ExitStack() as stack:
-        selectors_ = [
-            stack.enter_context(kind()) for kind in (EpollSelector, selectors.EpollSelector)
+        both_selectors = [
+            stack.enter_context(selector_class())
+            for selector_class in (EpollSelector, selectors.EpollSelector)
         ]
         pairs = [socket.socketpair() for _ in range(4)]
-        sockets = [one for pair in pairs for one in pair]
-        for one in sockets:
-            stack.callback(one.close)
-            one.setblocking(False)
+        sockets = [sock for pair in pairs for sock in pair]
+        for sock in sockets:
+            stack.callback(sock.close)
+            sock.setblocking(False)
         for _ in range(200):
-            one, events = rng.choice(sockets), rng.choice((READ, WRITE, READ | WRITE))
+            sock, events = rng.choice(sockets), rng.choice((READ, WRITE, READ | WRITE))
             name, *arguments = rng.choice(
-                (("register", one, events), ("modify", one, events), ("unregister", one))
+                (("register", sock, events), ("modify", sock, events), ("unregister", sock))
             )
-            ends = []
-            for selector in selectors_:
+            results = []
+            for selector in both_selectors:
                 try:
-                    ends.append(getattr(selector, name)(*arguments))
+                    results.append(getattr(selector, name)(*arguments))
                 except KeyError:
-                    ends.append(KeyError)
-            assert ends[0] == ends[1]
+                    results.append(KeyError)
+            assert results[0] == results[1]
             rng.choice(sockets).send(b"x")
             if rng.random() < 0.5:
                 with suppress(BlockingIOError):
                     rng.choice(sockets).recv(100)
-            assert ready(selectors_[0]) == ready(selectors_[1])
-            assert dict(selectors_[0].get_map()) == {
-                key.fd: key for key in selectors_[1].get_map().values()
+            assert ready(both_selectors[0]) == ready(both_selectors[1])
+            assert dict(both_selectors[0].get_map()) == {
+                key.fd: key for key in both_selectors[1].get_map().values()
             }
 
 
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.ENOSPC])
-def test_a_change_that_failed_is_made_again(failing, pair, error):
+def test_a_change_that_failed_is_retried(failing, pair, error):
     one, other = pair
     other.send(b"x")
     failing._epoll.error = error
@@ -117,7 +118,7 @@
     assert ready(failing) == {one.fileno(): READ}
 
 
-def test_a_wait_is_short_while_a_change_is_owed(failing, pair, monkeypatch):
+def test_a_wait_is_short_while_a_change_is_to_be_retried(failing, pair, monkeypatch):
     monkeypatch.setattr(epoll_selector, "RETRY_S", 0.001)
     failing._epoll.error = errno.ENOMEM
     failing.register(pair[0], READ)
@@ -125,15 +126,15 @@
     assert failing.select(10.0) == []
 
 
-def test_a_number_that_was_closed_and_given_again_is_registered_anew(failing, pair):
+def test_a_descriptor_number_that_was_closed_and_reused_is_registered_again(failing, pair):
     one, _ = pair
     failing.register(one, READ)
     failing._epoll.error = errno.ENOMEM
     failing.unregister(one)
-    again, peer = socket.socketpair()
+    reused, peer = socket.socketpair()
     number = one.detach()
-    with again, peer:
-        os.dup2(again.fileno(), number)
+    with reused, peer:
+        os.dup2(reused.fileno(), number)
         failing.register(number, READ)
         failing._epoll.error = 0
         peer.send(b"x")
@@ -142,8 +143,8 @@
         os.close(number)
 
 
-def test_a_descriptor_that_lives_on_elsewhere_is_forgotten(failing, pair):
-    """One that was passed to another process, and closed here before the kernel heard of it."""
+def test_events_of_a_closed_descriptor_that_is_open_elsewhere_are_stopped(failing, pair):
+    """The descriptor was passed to another process, and closed here before it was unregistered."""
     one, other = pair
     elsewhere = one.dup()
     kept, peer = socket.socketpair()
@@ -161,7 +162,7 @@
         assert failing._epoll.poll(0, 10) == [(kept.fileno(), 1)]
 
 
-def test_a_descriptor_closed_while_a_change_is_owed_ends_no_wait(failing, pair):
+def test_a_descriptor_closed_before_a_change_is_retried_does_not_stop_the_loop(failing, pair):
     """Guards against a dial that is given up, and closed, before the loop unregisters it."""
     one, other = pair
     failing._epoll.error = errno.ENOMEM
@@ -175,7 +176,7 @@
     assert ready(failing) == {other.fileno(): WRITE}
 
 
-def test_a_change_that_can_never_succeed_is_refused(failing, tmp_path):
+def test_a_change_that_can_never_succeed_raises(failing, tmp_path):
     with (tmp_path / "file").open("wb") as file:
         with pytest.raises(PermissionError):
             failing.register(file, READ)
--- a/tests/node/test_lifecycle.py
+++ b/tests/node/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""A drain, its end, a hand-over and the process's end, in every order: one state machine."""
+"""The node's phases: drains, hand-overs and the shutdown, in any order."""
 
 import pytest
 from hypothesis import given
@@ -13,7 +13,7 @@
 )
 
 
-def test_drain_closes_connections_after_its_notice_and_can_be_taken_back():
+def test_drain_closes_connections_after_its_notice_time_and_can_be_undone():
     lifecycle = Lifecycle()
     assert (lifecycle.ready, lifecycle.closes_connections(0), lifecycle.accepts_connections(0)) == (
         True,
@@ -33,25 +33,25 @@
     assert not lifecycle.closes_connections(10**9)
 
 
-@pytest.mark.parametrize("drained", [False, True])
-@pytest.mark.parametrize("over", [False, True])
-def test_shut_down_closes_the_listener_after_its_notice_or_at_once_where_another_has_it(
-    drained, over
+@pytest.mark.parametrize("is_drained", [False, True])
+@pytest.mark.parametrize("is_handed_over", [False, True])
+def test_shutdown_closes_the_listener_after_its_notice_time_or_at_once_after_a_hand_over(
+    is_drained, is_handed_over
 ):
     lifecycle = Lifecycle()
-    if drained:
+    if is_drained:
         lifecycle.drain(0)
-    if over:
+    if is_handed_over:
         lifecycle.hand_over()
     lifecycle.shut_down(1_000_000, 6_000_000)
-    assert lifecycle.accepts_connections(1_000_000) != over
+    assert lifecycle.accepts_connections(1_000_000) != is_handed_over
     assert not lifecycle.accepts_connections(1_000_000 + DRAIN_NOTICE_US)
     assert lifecycle.responses_due_at == 1_000_000 + MAX_DEADLINE_US + RESPONSE_GRACE_US
-    assert lifecycle.ready == (over and not drained)
-    assert lifecycle.closes_connections(1_000_000) == drained
+    assert lifecycle.ready == (is_handed_over and not is_drained)
+    assert lifecycle.closes_connections(1_000_000) == is_drained
 
 
-def test_hand_over_leaves_the_node_as_ready_as_it_was_and_can_be_taken_back():
+def test_hand_over_leaves_the_node_as_ready_as_it_was_and_can_be_undone():
     lifecycle = Lifecycle()
     lifecycle.hand_over()
     assert lifecycle.ready
@@ -70,18 +70,18 @@
         max_size=12,
     )
 )
-def test_no_order_of_calls_reopens_a_process_that_shuts_down_or_makes_a_drained_node_ready(course):
+def test_no_order_of_calls_reopens_a_process_that_shuts_down_or_makes_a_drained_node_ready(calls):
     lifecycle = Lifecycle()
-    for now, what in enumerate(course):
-        ended = lifecycle.phase == Phase.SHUTTING_DOWN
-        if what == "shut_down":
+    for now, method in enumerate(calls):
+        is_shutting_down = lifecycle.phase == Phase.SHUTTING_DOWN
+        if method == "shut_down":
             lifecycle.shut_down(now, 100)
-        elif what == "drain":
+        elif method == "drain":
             lifecycle.drain(now)
         else:
-            getattr(lifecycle, what)()
+            getattr(lifecycle, method)()
         assert not (lifecycle.draining and lifecycle.ready)
-        if ended:
+        if is_shutting_down:
             assert lifecycle.phase == Phase.SHUTTING_DOWN
             assert not lifecycle.accepts_connections(now + DRAIN_NOTICE_US)
         elif lifecycle.phase == Phase.SERVING:
--- a/tests/node/test_list_refresh.py
+++ b/tests/node/test_list_refresh.py
@@ -1,4 +1,4 @@
-"""When discovery is called: the age of the list stays within its bound, whatever single calls do."""
+"""When discovery requests are sent: the age of the list stays bounded, whichever requests fail."""
 
 import math
 import random
@@ -13,7 +13,7 @@
 )
 
 US_PER_S = 1_000_000
-ANSWER_S = 0.3  # of discovery that answers, with some callers before
+RESPONSE_S = 0.3  # maximum response time of discovery, with some requests ahead in its queue
 
 
 def new_schedule(seed: int = 1, poll_interval_s: float = 10.0, *, pushed: bool = False):
@@ -24,8 +24,8 @@
     return schedule
 
 
-def with_watch(seed: int = 1, **options):
-    """Return a schedule whose list is up to date at 0, and the call that watches."""
+def schedule_with_watch(seed: int = 1, **options):
+    """Return a schedule whose list is up to date at 0, and its open watch."""
     schedule = new_schedule(seed, **options)
     schedule.begin_request(0.0)
     schedule.on_list(0.0)
@@ -33,7 +33,7 @@
     return schedule, schedule.begin_request(0.0)
 
 
-def test_the_first_call_does_not_wait_and_the_ones_after_it_do():
+def test_the_request_that_opens_a_watch_does_not_wait_and_later_ones_do():
     schedule = new_schedule()
     first = schedule.begin_request(schedule.next_request_at())
     schedule.on_response(0.1, continues=True)
@@ -44,51 +44,51 @@
 
 
 @pytest.mark.parametrize(
-    ("failure", "after_s", "least_s", "most_s"),
+    ("failure", "after_s", "min_delay_s", "max_delay_s"),
     [
-        (Failure.REFUSED, 1.0, 0.3, 3.25),  # it stood in no queue; its list may be as old as it
-        (Failure.REFUSED, 0.1, 2.3, 4.4),  # refused at once: younger lists stand back
+        (Failure.REFUSED, 1.0, 0.3, 3.25),  # a watch is not queued; the list may be as old as it
+        (Failure.REFUSED, 0.1, 2.3, 4.4),  # refused immediately: nodes with older lists go first
         (Failure.TIMED_OUT, 2.5, 0.0, 0.0),
         (Failure.OUTDATED, 1.0, 0.0, 0.0),
         (Failure.NETWORK, 1.0, 0.05, 0.05),
     ],
 )
-def test_after_a_watch_has_failed(failure, after_s, least_s, most_s):
-    waits = []
+def test_delay_after_a_failed_watch(failure, after_s, min_delay_s, max_delay_s):
+    delays = []
     for seed in range(200):
-        schedule, watch = with_watch(seed)
+        schedule, watch = schedule_with_watch(seed)
         schedule.on_failure(watch, after_s, failure)
-        waits.append(schedule.next_request_at() - after_s)
-    assert least_s - 1e-9 <= min(waits) <= max(waits) <= most_s + 1e-9
-    if least_s < most_s:
-        assert max(waits) - min(waits) > 0.8 * (most_s - least_s)
+        delays.append(schedule.next_request_at() - after_s)
+    assert min_delay_s - 1e-9 <= min(delays) <= max(delays) <= max_delay_s + 1e-9
+    if min_delay_s < max_delay_s:
+        assert max(delays) - min(delays) > 0.8 * (max_delay_s - min_delay_s)
 
 
-def test_a_call_that_is_overdue_keeps_its_place_and_another_is_made_beside_it():
-    schedule, watch = with_watch()
+def test_a_second_request_is_sent_beside_an_overdue_one_which_keeps_its_place_in_the_queue():
+    schedule, watch = schedule_with_watch()
     schedule.on_failure(watch, 2.5, Failure.TIMED_OUT)
     first = schedule.begin_request(2.5)
     assert schedule.next_request_at() == pytest.approx(4.75)
     second = schedule.begin_request(4.75)
     schedule.on_failure(second, 4.76, Failure.REFUSED)
-    assert schedule.next_request_at() == pytest.approx(7.0)  # the first one still has its place
+    assert schedule.next_request_at() == pytest.approx(7.0)  # the first is still in the queue
     schedule.on_response(5.0, continues=True)
-    schedule.on_failure(first, 5.1, Failure.TIMED_OUT)  # its answer made it superfluous
+    schedule.on_failure(first, 5.1, Failure.TIMED_OUT)  # ignored: another request had a response
     assert schedule.next_request_at() == pytest.approx(5.0)
 
 
-def test_a_call_that_is_out_as_the_bound_comes_near_is_not_waited_for_as_long():
-    schedule, watch = with_watch()
+def test_an_open_request_is_overdue_sooner_as_the_list_nears_its_maximum_age():
+    schedule, watch = schedule_with_watch()
     schedule.on_failure(watch, 3.4, Failure.TIMED_OUT)
     schedule.begin_request(3.4)
     assert schedule.next_request_at() == pytest.approx(4.75)
     schedule.begin_request(4.75)
-    assert schedule.next_request_at() == pytest.approx(7.0)  # the bound has passed then
+    assert schedule.next_request_at() == pytest.approx(7.0)  # the maximum age is exceeded by then
 
 
-def test_a_call_is_not_late_while_it_may_stand_in_the_queue():
-    """Guards against two places in a queue of which each call is refused after two seconds."""
-    schedule, watch = with_watch()
+def test_a_request_is_not_late_while_it_may_still_be_in_the_queue():
+    """Guards against two places in a queue that refuses each request after two seconds."""
+    schedule, watch = schedule_with_watch()
     schedule.on_failure(watch, 1.0, Failure.TIMED_OUT)
     schedule.on_failure(schedule.begin_request(1.0), 3.0, Failure.REFUSED)
     due = schedule.next_request_at()
@@ -96,21 +96,21 @@
     assert schedule.next_request_at() == pytest.approx(due + 2.25)
 
 
-def test_path_failures_in_a_row_come_to_an_end():
-    schedule, call = with_watch()
+def test_immediate_retries_after_network_failures_are_limited():
+    schedule, request = schedule_with_watch()
     now = 1.0
     for _ in range(10):
-        schedule.on_failure(call, now, Failure.NETWORK)
+        schedule.on_failure(request, now, Failure.NETWORK)
         now = schedule.next_request_at()
-        call = schedule.begin_request(now)
-    schedule.on_failure(call, now, Failure.NETWORK)
+        request = schedule.begin_request(now)
+    schedule.on_failure(request, now, Failure.NETWORK)
     assert schedule.next_request_at() > now + 0.25
 
 
-def test_starting_twice_and_moving_leave_one_next_call():
+def test_moving_several_times_leaves_one_next_request():
     schedule = new_schedule()
-    call = schedule.begin_request(0.0)
-    schedule.on_failure(call, 0.02, Failure.REFUSED)
+    request = schedule.begin_request(0.0)
+    schedule.on_failure(request, 0.02, Failure.REFUSED)
     due = schedule.next_request_at()
     for _ in range(5):
         schedule.end_watch()
@@ -119,70 +119,75 @@
     assert schedule.next_request_at() > due + 1.0
 
 
-def test_a_reload_that_shortens_the_bound_shortens_the_next_watch():
-    schedule, _ = with_watch()
+def test_a_reload_that_lowers_the_maximum_age_shortens_the_next_watch():
+    schedule, _ = schedule_with_watch()
     schedule.configure(int(1.5 * US_PER_S))
     schedule.on_response(1.0, continues=True)
     assert schedule.begin_request(1.0).wait_s <= 0.5
 
 
-class Adversary:
-    """Discovery that does anything to calls until a time, and answers them soon after it."""
+class FailingDiscovery:
+    """Discovery that fails requests at random until a given time, and responds to later ones."""
 
-    def __init__(self, rng: random.Random, until: float) -> None:
+    def __init__(self, rng: random.Random, responds_from: float) -> None:
         self._random = rng
-        self._until = until
+        self._responds_from = responds_from
 
-    def outcome(self, call, now):
-        """Return when the call ends, and how; None for an answer."""
-        if now >= self._until:
-            return now + self._random.uniform(0.0, ANSWER_S), None
+    def result(self, request, now):
+        """Return when the request ends, and its failure; None for a response."""
+        if now >= self._responds_from:
+            return now + self._random.uniform(0.0, RESPONSE_S), None
         draw = self._random.random()
         if draw < 0.4:
-            return now + call.timeout_s, Failure.TIMED_OUT
+            return now + request.timeout_s, Failure.TIMED_OUT
         if draw < 0.6:
             return now + self._random.uniform(0.005, 0.05), Failure.REFUSED
         if draw < 0.8:
-            return now + self._random.uniform(0.25, min(call.timeout_s, 1.2)), Failure.REFUSED
+            return now + self._random.uniform(0.25, min(request.timeout_s, 1.2)), Failure.REFUSED
         if draw < 0.9:
             return now + self._random.uniform(0.0, 0.3), Failure.NETWORK
-        return now + self._random.uniform(0.5, 0.9), Failure.TIMED_OUT  # it stopped half-way
+        return now + self._random.uniform(0.5, 0.9), Failure.TIMED_OUT  # the response stalled
 
 
-def first_answer_at(seed: int, *, pushed: bool, moves: bool) -> tuple[float, float]:
-    """Play a schedule from an up to date list on; return when discovery answers, and one came."""
+def first_response_at(seed: int, *, pushed: bool, moves: bool) -> tuple[float, float]:
+    """Simulate a schedule after an up-to-date list.
+
+    Return when discovery starts to respond, and when the first response arrives.
+    """
     rng = random.Random(seed)
-    until = rng.uniform(0.0, 4.2)
-    adversary = Adversary(rng, until)
-    schedule, watch = with_watch(seed, pushed=pushed)
-    # The first change is lost at once; the watch on which it was told is silent, or breaks later.
+    responds_from = rng.uniform(0.0, 4.2)
+    discovery = FailingDiscovery(rng, responds_from)
+    schedule, watch = schedule_with_watch(seed, pushed=pushed)
+    # The first change is lost: the watch that was to report it times out, or breaks later.
     breaks_at = rng.uniform(0.0, watch.wait_s)
-    ends_at, how = rng.choice(((watch.timeout_s, Failure.TIMED_OUT), (breaks_at, Failure.REFUSED)))
-    out = [(ends_at, how, watch)]
+    ends_at, failure = rng.choice(
+        ((watch.timeout_s, Failure.TIMED_OUT), (breaks_at, Failure.REFUSED))
+    )
+    open_requests = [(ends_at, failure, watch)]
     move_times = sorted(rng.uniform(0.0, 4.0) for _ in range(4)) if moves else []
     while True:
-        ends_at, how, call = min(out, key=lambda one: one[0], default=(math.inf, None, None))
+        ends_at, failure, request = min(
+            open_requests, key=lambda entry: entry[0], default=(math.inf, None, None)
+        )
         move_at = move_times[0] if move_times else math.inf
         now = min(ends_at, move_at, schedule.next_request_at())
         if now == move_at:
             move_times.pop(0)
             schedule.end_watch()
         elif now == ends_at:
-            out = [one for one in out if one[2] is not call]
-            if how is None:
-                return until, now
-            schedule.on_failure(call, now, how)
+            open_requests = [entry for entry in open_requests if entry[2] is not request]
+            if failure is None:
+                return responds_from, now
+            schedule.on_failure(request, now, failure)
         else:
             begun = schedule.begin_request(now)
-            out.append((*adversary.outcome(begun, now), begun))
+            open_requests.append((*discovery.result(begun, now), begun))
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("moves", [False, True])
-def test_whatever_calls_do_a_list_is_read_within_the_bound_of_a_discovery_that_answers(
-    pushed, moves
-):
-    """The bound holds for the sum of all that happens, not for each wait alone."""
+def test_a_list_is_read_within_the_maximum_age_once_discovery_responds(pushed, moves):
+    """The maximum age limits the sum of all timeouts and delays, not each of them."""
     for seed in range(2000):
-        answers_from, answered_at = first_answer_at(seed, pushed=pushed, moves=moves)
-        assert answered_at < MAX_LIST_AGE_S, (seed, answers_from)
+        responds_from, responded_at = first_response_at(seed, pushed=pushed, moves=moves)
+        assert responded_at < MAX_LIST_AGE_S, (seed, responds_from)
--- a/tests/node/test_offline_servers.py
+++ b/tests/node/test_offline_servers.py
@@ -1,4 +1,4 @@
-"""An operator's word about a server goes before every list, until one call takes it back."""
+"""Servers that operators took offline stay offline until operators bring them online."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,17 +14,17 @@
     return ListedEndpoint(Endpoint(name, state, started_at=started), address)
 
 
-def test_held_server_is_listed_as_draining_whatever_the_list_says():
+def test_offline_server_counts_as_draining_whatever_the_list_says():
     offline_servers = OfflineServers()
     assert offline_servers.take_offline("a", 100)
     assert not offline_servers.take_offline("a", 200)
-    for seen in (
+    for listed in (
         entry("a"),
         entry("a", EndpointState.DRAINING),
         entry("a", started=150),
         entry("a", address=("127.0.0.1", 9)),
     ):
-        assert offline_servers.apply(seen).server.state == EndpointState.DRAINING
+        assert offline_servers.apply(listed).server.state == EndpointState.DRAINING
     assert (
         offline_servers.apply(entry("a", EndpointState.REMOVED)).server.state
         == EndpointState.REMOVED
@@ -35,8 +35,8 @@
     assert offline_servers.apply(entry("a")).server.state == EndpointState.UP
 
 
-def test_one_put_back_counts_as_started_then_until_a_list_tells_of_its_start():
-    """Guards the rule on cold servers: the list may not know yet that it was restarted while it was out."""
+def test_server_brought_online_counts_as_started_then_until_a_list_has_its_start():
+    """Guards slow start: the list may not have the restart of a server that was offline yet."""
     offline_servers = OfflineServers()
     offline_servers.take_offline("a", 100)
     offline_servers.bring_online("a", 300)
@@ -53,35 +53,37 @@
 
 @given(
     st.lists(
-        st.tuples(st.sampled_from("ab"), st.sampled_from(["out", "back", "list", "upgrade"])),
+        st.tuples(
+            st.sampled_from("ab"),
+            st.sampled_from(["take offline", "bring online", "list", "hot restart"]),
+        ),
         max_size=30,
     )
 )
-def test_every_course_of_calls_lists_and_upgrades_keeps_the_last_word(course):
-    offline_servers, out, since = OfflineServers(), set(), {}
-    for now, (name, what) in enumerate(course, 1):
-        if what == "out":
-            assert offline_servers.take_offline(name, now) == (name not in out)
-            out.add(name)
-        elif what == "back":
-            assert offline_servers.bring_online(name, now) == (name in out)
-            if name in out:
-                since[name] = now
-            out.discard(name)
-        elif what == "upgrade":
+def test_the_last_operators_command_holds_over_lists_and_hot_restarts(steps):
+    offline_servers, offline, online_since = OfflineServers(), set(), {}
+    for now, (name, step) in enumerate(steps, 1):
+        if step == "take offline":
+            assert offline_servers.take_offline(name, now) == (name not in offline)
+            offline.add(name)
+        elif step == "bring online":
+            assert offline_servers.bring_online(name, now) == (name in offline)
+            if name in offline:
+                online_since[name] = now
+            offline.discard(name)
+        elif step == "hot restart":
             saved, offline_servers = offline_servers.saved(), OfflineServers()
             offline_servers.restore(saved)
-        for seen in offline_servers.apply_all([entry("a"), entry("b")]):
-            name = seen.server.id
-            assert (seen.server.state == EndpointState.DRAINING) == (name in out)
-            assert name in out or seen.server.started_at == since.get(name, 0)
-    assert set(offline_servers.names()) == out
+        for listed in offline_servers.apply_all([entry("a"), entry("b")]):
+            name = listed.server.id
+            assert (listed.server.state == EndpointState.DRAINING) == (name in offline)
+            assert name in offline or listed.server.started_at == online_since.get(name, 0)
+    assert set(offline_servers.names()) == offline
 
 
-def test_list_in_which_all_are_held_out_is_still_a_list():
+def test_list_in_which_all_servers_are_offline_keeps_its_servers():
     offline_servers = OfflineServers()
     offline_servers.take_offline("a", 1)
     listing = EndpointList(3, True, [entry("a")])
-    assert [e.server.state for e in offline_servers.apply_all(listing.endpoints)] == [
-        EndpointState.DRAINING
-    ]
+    applied = offline_servers.apply_all(listing.endpoints)
+    assert [endpoint.server.state for endpoint in applied] == [EndpointState.DRAINING]
--- a/tests/node/test_response_parser.py
+++ b/tests/node/test_response_parser.py
@@ -1,4 +1,4 @@
-"""Bytes to outcomes: what a server sends over loopback, and what an attempt ends with."""
+"""The results of attempts for the bytes that a server sends over loopback."""
 
 import pytest
 from peers import ScriptedServer, reply, run, with_timeout
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "expected"),
+    ("response", "expected"),
     [
         (reply(200, b"car 7"), AttemptResult.OK),
         (reply(200), AttemptResult.OK),
@@ -32,36 +32,36 @@
         (b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 200_000, AttemptResult.RESET),
     ],
 )
-def test_bytes_to_outcome(said, expected):
+def test_result_of_a_response(response, expected):
     async def scenario():
-        async with ScriptedServer(lambda _: said) as peer:
-            assert await PoolHarness(peer.port).result() == expected
+        async with ScriptedServer(lambda _: response) as server:
+            assert await PoolHarness(server.port).result() == expected
 
     run(scenario())
 
 
 @pytest.mark.parametrize(
-    "said",
+    "response",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncar",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ncar\r\n",
         b"HTTP/1.1 200 OK\r\nX-Half",
     ],
 )
-def test_answer_that_breaks_off_is_a_reset(said):
+def test_response_that_breaks_off_is_a_reset(response):
     async def scenario():
         with listening_socket() as listener:
             _, end = PoolHarness(listener.getsockname()[1]).send()
             with await accept(listener) as sock:
                 sock.recv(1000)
-                sock.sendall(said)
+                sock.sendall(response)
             assert (await with_timeout(end)).result == AttemptResult.RESET
 
     run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("said", "expected"),
+    ("response", "expected"),
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nabc", AttemptResult.RESET),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nabc", AttemptResult.RESET),
@@ -79,24 +79,24 @@
         (b"HTTP/1.1 103 Early\r\nContent-Length: 7\r\n\r\n" + reply(200, b"car"), AttemptResult.OK),
     ],
 )
-def test_spoilt_answer_ends_long_before_its_time(said, expected):
-    """Guards against waiting to a request's end for an answer that will never be whole."""
+def test_invalid_response_ends_its_attempt_long_before_the_deadline(response, expected):
+    """Guards against waiting until the deadline for a response that will never be complete."""
 
     async def scenario():
-        async with ScriptedServer(lambda _: said) as peer:
-            assert await PoolHarness(peer.port).result(timeout=1000 * LONG_US) == expected
+        async with ScriptedServer(lambda _: response) as server:
+            assert await PoolHarness(server.port).result(timeout=1000 * LONG_US) == expected
 
     run(scenario())
 
 
 @pytest.mark.parametrize(
-    "said", [reply(200, b"", "Connection: close"), reply(200) + b"more", reply(200) * 2]
+    "response", [reply(200, b"", "Connection: close"), reply(200) + b"more", reply(200) * 2]
 )
-def test_connection_that_can_not_be_trusted_is_not_kept(said):
+def test_connection_is_not_reused_after_its_close_was_announced_or_with_extra_bytes(response):
     async def scenario():
-        async with ScriptedServer(lambda _: said) as peer:
-            bench = PoolHarness(peer.port)
-            assert [await bench.result() for _ in range(2)] == [AttemptResult.OK] * 2
-            assert peer.connections == 2
+        async with ScriptedServer(lambda _: response) as server:
+            harness = PoolHarness(server.port)
+            assert [await harness.result() for _ in range(2)] == [AttemptResult.OK] * 2
+            assert server.connections == 2
 
     run(scenario())
--- a/tests/node/test_server_connection.py
+++ b/tests/node/test_server_connection.py
@@ -1,4 +1,4 @@
-"""One server connection over loopback: dials, writes, deadlines, and whether a request may have run."""
+"""One server connection over loopback: dials, writes, deadlines, and if a request may have run."""
 
 import asyncio
 import socket
@@ -11,16 +11,16 @@
 from oakbridge.policy.events import AttemptResult
 
 
-def test_silence_times_out_and_closes_the_connection():
+def test_missing_response_times_out_and_closes_the_connection():
     async def scenario():
-        async with ScriptedServer(lambda _: None) as peer:
-            assert await PoolHarness(peer.port).result(timeout=50_000) == AttemptResult.TIMEOUT
-            assert await with_timeout(peer.closed_connections.get()) == 1
+        async with ScriptedServer(lambda _: None) as server:
+            assert await PoolHarness(server.port).result(timeout=50_000) == AttemptResult.TIMEOUT
+            assert await with_timeout(server.closed_connections.get()) == 1
 
     run(scenario())
 
 
-def test_refused_connection_never_ran():
+def test_refused_connection_means_that_the_request_has_not_run():
     async def scenario():
         with listening_socket() as listener:
             port = listener.getsockname()[1]
@@ -30,12 +30,12 @@
 
 
 @pytest.mark.parametrize(("connect_timeout", "timeout"), [(50_000, LONG_US), (LONG_US, 50_000)])
-def test_connection_that_never_comes_up_never_ran(connect_timeout, timeout):
+def test_dial_that_times_out_means_that_the_request_has_not_run(connect_timeout, timeout):
     async def scenario():
         listener, fillers = silent_listener()
-        bench = PoolHarness(listener.getsockname()[1], connect_timeout)
-        assert await bench.result(timeout=timeout) == AttemptResult.CONNECT_FAILED
-        assert bench.pool.connection_count == 0
+        harness = PoolHarness(listener.getsockname()[1], connect_timeout)
+        assert await harness.result(timeout=timeout) == AttemptResult.CONNECT_FAILED
+        assert harness.pool.connection_count == 0
         for sock in [listener, *fillers]:
             sock.close()
 
@@ -43,8 +43,8 @@
 
 
 @pytest.mark.parametrize("breaks", [True, False])
-def test_request_whose_last_byte_was_never_written_never_ran(breaks):
-    """What the socket did not take stays in our hands, whatever a buffer would have said."""
+def test_request_whose_last_byte_was_never_written_has_not_run(breaks):
+    """Only bytes that the socket has taken count as written."""
 
     async def scenario():
         with listening_socket() as listener:
@@ -61,23 +61,23 @@
 
 
 def test_cancelled_attempt_has_its_connection_closed_at_once():
-    """Not in the loop's next round: the next attempt may be sent before that."""
+    """Not in the loop's next iteration: the next attempt may be sent before that."""
 
     async def scenario():
         with listening_socket() as listener:
-            bench = PoolHarness(listener.getsockname()[1])
-            attempt, end = bench.send()
+            harness = PoolHarness(listener.getsockname()[1])
+            attempt, end = harness.send()
             with await accept(listener) as sock:
                 assert sock.recv(1000) == GET
-                bench.pool.cancel(attempt)
-                assert sock.recv(1000) == b""  # the loop has not run since
+                harness.pool.cancel(attempt)
+                assert sock.recv(1000) == b""  # the loop has not run in between
                 assert end.result().result == AttemptResult.CANCELLED
 
     run(scenario())
 
 
-def test_answer_before_the_request_is_written_serves_nobody():
-    """It is none to this request, which has not run."""
+def test_response_before_the_request_is_written_is_not_used():
+    """It can't be the response to this request, which has not run."""
 
     async def scenario():
         with listening_socket() as listener:
@@ -92,44 +92,46 @@
     run(scenario())
 
 
-def test_what_is_told_of_the_time_left_counts_a_slow_dial():
+def test_timeout_written_to_the_server_accounts_for_a_slow_dial():
     async def scenario():
-        async with late_listener() as (port, take):
-            bench = PoolHarness(port)
-            told, due = [], bench.clock.now() + LONG_US
-            attempt = Attempt("s", lambda left: told.append(left) or GET, due, lambda reply: None)
-            bench.pool.send(attempt)
+        async with late_listener() as (port, accept_all):
+            harness = PoolHarness(port)
+            timeouts_us, due = [], harness.clock.now() + LONG_US
+            attempt = Attempt(
+                "s", lambda timeout_us: timeouts_us.append(timeout_us) or GET, due, lambda end: None
+            )
+            harness.pool.send(attempt)
             await asyncio.sleep(0.1)
-            assert not told
-            least = bench.clock.now()
-            take()
-            await until(lambda: told)
-            assert due - bench.clock.now() <= told[0] <= due - least
-            bench.pool.cancel(attempt)
+            assert not timeouts_us
+            accepted_at = harness.clock.now()
+            accept_all()
+            await until(lambda: timeouts_us)
+            assert due - harness.clock.now() <= timeouts_us[0] <= due - accepted_at
+            harness.pool.cancel(attempt)
 
     run(scenario())
 
 
-def test_repeat_whose_dial_comes_up_too_late_is_not_begun():
-    """Servers may have forgotten the first attempt by then, and would run it twice."""
+def test_retry_is_not_written_if_its_dial_takes_too_long():
+    """Servers may have forgotten the first attempt by then, and would run the request twice."""
 
     async def scenario():
-        async with late_listener() as (port, take):
-            bench = PoolHarness(port)
-            told, end = [], bench.loop.create_future()
-            now = bench.clock.now()
+        async with late_listener() as (port, accept_all):
+            harness = PoolHarness(port)
+            timeouts_us, end = [], harness.loop.create_future()
+            now = harness.clock.now()
             attempt = Attempt(
                 "s",
-                lambda left: told.append(left) or GET,
+                lambda timeout_us: timeouts_us.append(timeout_us) or GET,
                 now + LONG_US,
                 end.set_result,
                 start_by=now + 50_000,
             )
-            bench.pool.send(attempt)
+            harness.pool.send(attempt)
             await asyncio.sleep(0.1)
-            take()
+            accept_all()
             assert (await with_timeout(end)).result == AttemptResult.CONNECT_FAILED
-            assert not told
-            assert bench.pool.connection_count == 0
+            assert not timeouts_us
+            assert harness.pool.connection_count == 0
 
     run(scenario())
--- a/tests/node/test_start_times.py
+++ b/tests/node/test_start_times.py
@@ -1,4 +1,4 @@
-"""Starts of servers on the node's clock, though wall clocks are stepped by an hour either way."""
+"""Starts of servers on the node's clock, with wall clocks stepped by an hour forward or back."""
 
 import pytest
 
@@ -6,9 +6,9 @@
 from oakbridge.node.start_times import MAX_LISTING_DELAY_US, StartTimes
 from oakbridge.policy.events import Endpoint
 
-SECOND = 1_000_000
-HOUR = 3600 * SECOND
-NOW = 1_000_000 * SECOND
+SECOND_US = 1_000_000
+HOUR_US = 3600 * SECOND_US
+NOW_US = 1_000_000 * SECOND_US
 
 
 def listed(**starts: int) -> list[ListedEndpoint]:
@@ -18,41 +18,52 @@
     ]
 
 
-def adjusted(times: StartTimes, now: int, staleness: int | None, **starts: int) -> dict[str, int]:
-    found = times.adjust(listed(**starts), now, staleness)
-    return {endpoint.server.id: endpoint.server.started_at for endpoint in found}
+def adjusted(
+    times: StartTimes, now: int, previous_age_us: int | None, **starts: int
+) -> dict[str, int]:
+    endpoints = times.adjust(listed(**starts), now, previous_age_us)
+    return {endpoint.server.id: endpoint.server.started_at for endpoint in endpoints}
 
 
-def test_starts_stay_as_told_where_clocks_agree():
+def test_starts_stay_as_reported_if_clocks_agree():
     times = StartTimes()
-    first = {"old": 0, "warm": NOW - HOUR, "cold": NOW - 3 * SECOND}
-    assert adjusted(times, NOW, None, **first) == first
-    later = NOW + 60 * SECOND
-    news = {"new": later - 2 * SECOND, "warm": NOW - HOUR, "old": 0}
-    assert adjusted(times, later, 0, **news) == news
-    missed = {"back": later - 40 * SECOND}  # discovery was not heard of for a minute
-    assert adjusted(times, later, 60 * SECOND, **missed) == missed
+    first = {"old": 0, "warm": NOW_US - HOUR_US, "cold": NOW_US - 3 * SECOND_US}
+    assert adjusted(times, NOW_US, None, **first) == first
+    later = NOW_US + 60 * SECOND_US
+    changes = {"new": later - 2 * SECOND_US, "warm": NOW_US - HOUR_US, "old": 0}
+    assert adjusted(times, later, 0, **changes) == changes
+    missed = {"back": later - 40 * SECOND_US}  # discovery was not reachable for a minute
+    assert adjusted(times, later, 60 * SECOND_US, **missed) == missed
 
 
-@pytest.mark.parametrize("step", [-HOUR, HOUR])
-def test_server_that_restarts_counts_as_cold_whichever_way_clocks_differ(step):
+@pytest.mark.parametrize("step_us", [-HOUR_US, HOUR_US])
+def test_restarted_server_counts_as_cold_in_whichever_direction_clocks_differ(step_us):
     times = StartTimes()
-    adjusted(times, NOW, None, a=NOW - 2 * HOUR + step, b=0)
-    later = NOW + 100 * SECOND
-    told = later + step
-    assert adjusted(times, later, 0, a=told)["a"] == later
-    # Told again, it is the same start: it goes on to warm up.
-    assert adjusted(times, later + 5 * SECOND, 0, a=told)["a"] == later
+    adjusted(times, NOW_US, None, a=NOW_US - 2 * HOUR_US + step_us, b=0)
+    later = NOW_US + 100 * SECOND_US
+    reported = later + step_us
+    assert adjusted(times, later, 0, a=reported)["a"] == later
+    # Reported again, it is the same start, so the server continues to warm up.
+    assert adjusted(times, later + 5 * SECOND_US, 0, a=reported)["a"] == later
 
 
-def test_first_list_keeps_ages_apart_where_discoverys_clock_is_ahead():
+def test_first_list_keeps_differences_of_starts_if_discoverys_clock_is_ahead():
     times = StartTimes()
-    got = adjusted(times, NOW, None, a=NOW + HOUR, b=NOW + HOUR - 10 * SECOND, c=NOW - HOUR)
-    assert got == {"a": NOW, "b": NOW - 10 * SECOND, "c": NOW - 2 * HOUR}
+    adjusted_starts = adjusted(
+        times,
+        NOW_US,
+        None,
+        a=NOW_US + HOUR_US,
+        b=NOW_US + HOUR_US - 10 * SECOND_US,
+        c=NOW_US - HOUR_US,
+    )
+    assert adjusted_starts == {"a": NOW_US, "b": NOW_US - 10 * SECOND_US, "c": NOW_US - 2 * HOUR_US}
 
 
-def test_a_start_far_in_the_future_moves_no_other():
+def test_a_start_far_in_the_future_does_not_change_other_starts():
     times = StartTimes()
-    got = adjusted(times, NOW, None, a=NOW + 1000 * HOUR, b=NOW - 30 * SECOND)
-    assert got == {"a": NOW, "b": NOW - 30 * SECOND}
-    assert adjusted(StartTimes(), NOW, 0, a=NOW - MAX_LISTING_DELAY_US)["a"] < NOW
+    adjusted_starts = adjusted(
+        times, NOW_US, None, a=NOW_US + 1000 * HOUR_US, b=NOW_US - 30 * SECOND_US
+    )
+    assert adjusted_starts == {"a": NOW_US, "b": NOW_US - 30 * SECOND_US}
+    assert adjusted(StartTimes(), NOW_US, 0, a=NOW_US - MAX_LISTING_DELAY_US)["a"] < NOW_US
--- a/tests/node/test_unserved_requests.py
+++ b/tests/node/test_unserved_requests.py
@@ -1,4 +1,4 @@
-"""Requests without a server's response are counted by reason, and logged at most once a second."""
+"""Requests without a server's response are counted by reason, and logged once a second at most."""
 
 from peers import RunningNode, ScriptedServer, reply, run, with_timeout
 
@@ -8,7 +8,7 @@
 LOGGER = "oakbridge.node.unserved_requests"
 
 
-def test_a_burst_is_logged_in_few_lines_and_none_of_it_is_left_out(caplog):
+def test_a_burst_is_logged_in_few_lines_that_count_all_requests(caplog):
     caplog.set_level("INFO", LOGGER)
     unserved = UnservedRequests()
     for number in range(1000):
@@ -25,14 +25,14 @@
     assert unserved.counts == {UnservedReason.QUEUE_FULL: 1000, UnservedReason.RETRY_BUDGET: 1}
 
 
-def test_a_request_that_may_have_run_is_failed_and_the_log_tells_why(caplog):
+def test_a_request_that_may_have_run_is_failed_and_the_reason_is_logged(caplog):
     caplog.set_level("INFO", LOGGER)
 
     async def scenario():
-        async with ScriptedServer(lambda _: reply(500)) as peer, RunningNode(peer) as node:
-            caller = await node.client()
-            caller.send("book", method="POST")
-            assert (await with_timeout(caller.read_response()))[0] == 502
+        async with ScriptedServer(lambda _: reply(500)) as server, RunningNode(server) as node:
+            client = await node.client()
+            client.send("book", method="POST")
+            assert (await with_timeout(client.read_response()))[0] == 502
             counts = node.node.forwarder.unserved.counts
             assert counts == {UnservedReason.RETRY_UNSAFE: 1}
 
