--- a/tests/faults/test_agent_faults.py
+++ b/tests/faults/test_agent_faults.py
@@ -1,4 +1,4 @@
-"""Agents whose disks fail for moments: steps that were taken on are carried through."""
+"""Agents whose disks fail transiently: accepted steps are carried out."""
 
 import errno
 import json
@@ -13,14 +13,14 @@
 from process_fleet import OAKBRIDGE, ProcessFleet, files_with_aim
 
 HOSTS, INSTANCES = 4, ("n0", "n1")
-QUICK = ("--watch", "1", "--window", "1", "--silent", "20")
+SHORT_TIMES = ("--watch", "1", "--window", "1", "--silent", "20")
 
-FAILING_S, PERIOD_S = 0.5, 1.5
+FAILING_S, PERIOD_S = 0.5, 1.5  # each disk fails this long in each period
 DISK_ERRORS = (errno.ENOSPC, errno.EIO)
 
 
 class KilledAgents:
-    """Agents that are killed at random times, and start again at once."""
+    """Kills agents at random times, and restarts them at once."""
 
     def __init__(self, fleet: "FaultyFleet", seed: int) -> None:
         self._fleet = fleet
@@ -44,7 +44,7 @@
 
 
 class FailingDisks:
-    """Disks that fail in one part of each period, each at a time of its own."""
+    """Makes disks fail for a part of each period, at a different time for each disk."""
 
     def __init__(self, controls: list[FaultControl]) -> None:
         self._controls = controls
@@ -65,7 +65,7 @@
             thread.join()
 
     def injected(self) -> int:
-        """Return how many calls were made to fail."""
+        """Return how many system calls failed."""
         return sum(control.injected(fault) for control in self._controls for fault in DISK_FAULTS)
 
     def _run(self, control: FaultControl, number: int) -> None:
@@ -79,7 +79,7 @@
 
 
 class FaultyFleet(ProcessFleet):
-    """Four hosts with two nodes each; each agent's disk has a control of its own."""
+    """Four hosts with two nodes each; faults are injected separately for each agent's disk."""
 
     def __init__(self, folder) -> None:
         agents = [f"h{number}" for number in range(HOSTS)]
@@ -91,12 +91,16 @@
             folder,
             hosts=HOSTS,
             instances=INSTANCES,
-            configurations={a: files_with_aim(a)["oakbridge.toml"] for a in ("1s", "2s", "3s")},
-            agent_environments={a: control.environment for a, control in self.disks.items()},
+            configurations={
+                aim: files_with_aim(aim)["oakbridge.toml"] for aim in ("1s", "2s", "3s")
+            },
+            agent_environments={
+                agent: control.environment for agent, control in self.disks.items()
+            },
         )
 
     def command(self, *words: str) -> subprocess.CompletedProcess:
-        """Carry out a command of ``oakbridge fleet``."""
+        """Run a command of ``oakbridge fleet``."""
         return subprocess.run(
             [*OAKBRIDGE, "fleet", *words],
             cwd=self.folder,
@@ -106,24 +110,26 @@
             timeout=4 * TIMEOUT_S,
         )
 
-    def wait_until_all_answer(self) -> None:
+    def wait_until_all_respond(self) -> None:
         """Wait until every agent reports its instances."""
         for _ in range(200):
-            done = self.command("status", "--json")
-            if len(json.loads(done.stdout or "{}").get("instances", ())) == HOSTS * len(INSTANCES):
+            completed = self.command("status", "--json")
+            if len(json.loads(completed.stdout or "{}").get("instances", ())) == HOSTS * len(
+                INSTANCES
+            ):
                 return
-        raise AssertionError(done.stderr)
+        raise AssertionError(completed.stderr)
 
     def apply(self, aim: str) -> dict[str, str]:
-        """Roll a change out; return what became of each instance."""
+        """Roll out a change; return the result of each instance."""
         files = self.write_files(aim, files_with_aim(aim))
-        done = self.command("apply", "--files", files, "--json", *QUICK)
-        assert "Traceback" not in done.stderr, done.stderr
-        assert done.stdout, done.stderr
-        return {row["instance"]: row["fate"] for row in json.loads(done.stdout)["instances"]}
+        completed = self.command("apply", "--files", files, "--json", *SHORT_TIMES)
+        assert "Traceback" not in completed.stderr, completed.stderr
+        assert completed.stdout, completed.stderr
+        return {row["instance"]: row["fate"] for row in json.loads(completed.stdout)["instances"]}
 
     def kill_and_restart(self, agent: str) -> None:
-        """Kill an agent at once, and start it again."""
+        """Kill an agent, and start it again."""
         self.agents[agent].kill()
         self.agents[agent].wait()
         self.start_agent(agent)
@@ -135,41 +141,41 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    found = FaultyFleet(tmp_path)
+    faulty_fleet = FaultyFleet(tmp_path)
     try:
-        yield found
+        yield faulty_fleet
     finally:
-        found.close()
+        faulty_fleet.close()
 
 
-def test_steps_are_applied_though_the_disks_of_all_agents_fail_for_moments(fleet):
-    """Guards against a change that stands still after one write that failed."""
-    fleet.wait_until_all_answer()
+def test_steps_are_applied_though_the_disks_of_all_agents_fail_transiently(fleet):
+    """Guards against a rollout that makes no progress after one failed write."""
+    fleet.wait_until_all_respond()
     with FailingDisks(list(fleet.disks.values())) as disks:
-        outcomes = fleet.apply("1s")
+        results = fleet.apply("1s")
         assert disks.injected() > 0
-    assert outcomes == dict.fromkeys(fleet.instance_ports, "took it")
+    assert results == dict.fromkeys(fleet.instance_ports, "took it")
     assert set(fleet.running_configurations().values()) == {"1s"}
     assert "Traceback" not in fleet.agent_logs()
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_what_is_told_is_what_runs_though_agents_are_killed_and_disks_fail(fleet, seed):
-    """A kill leaves a write half done; a step that was told as applied or refused stays so."""
-    fleet.wait_until_all_answer()
+def test_instances_run_what_was_reported_though_agents_are_killed_and_disks_fail(fleet, seed):
+    """A kill may interrupt a write; a step that was reported as applied or refused stays so."""
+    fleet.wait_until_all_respond()
     assert set(fleet.apply("1s").values()) == {"took it"}
-    with FailingDisks(list(fleet.disks.values())), KilledAgents(fleet, seed) as killed:
-        outcomes = fleet.apply("2s")
-        assert killed.kills > 0
-    fleet.wait_until_all_answer()
+    with FailingDisks(list(fleet.disks.values())), KilledAgents(fleet, seed) as killed_agents:
+        results = fleet.apply("2s")
+        assert killed_agents.kills > 0
+    fleet.wait_until_all_respond()
     expected = {"took it": {"2s"}, "did not": {"1s"}, "undone": {"1s"}, "not reached": {"1s"}}
     deadline = time.monotonic() + TIMEOUT_S
     while time.monotonic() < deadline:
         running = fleet.running_configurations()
         wrong = {
-            name: (outcome, running[name])
-            for name, outcome in outcomes.items()
-            if running[name] not in expected.get(outcome, {"1s", "2s"})
+            name: (result, running[name])
+            for name, result in results.items()
+            if running[name] not in expected.get(result, {"1s", "2s"})
         }
         if not wrong:
             break
--- a/tests/faults/test_passing_errors.py
+++ b/tests/faults/test_passing_errors.py
@@ -1,4 +1,4 @@
-"""Calls that fail for a moment beside those of a node's clients: accepts, logs, snapshots, states."""
+"""Transient errors of accept() for operators and hot restarts, and of opening or saving files."""
 
 import asyncio
 import errno
@@ -21,11 +21,11 @@
 from oakbridge.peers.service import MembershipService, ServiceOptions
 from oakbridge.workers.acceptor import Acceptor
 
-PASSING = [errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED]
+TRANSIENT_ACCEPT_ERRORS = [errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED]
 
 
-def fail_at_first(monkeypatch, owner, name: str, error: int, times: int = 3) -> list[int]:
-    """Have a call fail a number of times; return a list that has one item for each."""
+def fail_first_calls(monkeypatch, owner, name: str, error: int, times: int = 3) -> list[int]:
+    """Make the first calls of a function fail; return a list with one item for each failed call."""
     failed: list[int] = []
     call = getattr(owner, name)
 
@@ -39,14 +39,14 @@
     return failed
 
 
-@pytest.mark.parametrize("error", PASSING)
-def test_operator_who_waits_through_failing_accepts_is_answered(monkeypatch, error):
+@pytest.mark.parametrize("error", TRANSIENT_ACCEPT_ERRORS)
+def test_operators_command_is_answered_after_failed_accepts(monkeypatch, error):
     async def scenario():
         listener = OperatorListener(
             asyncio.get_running_loop(), ("127.0.0.1", 0), lambda _: b"YES\n"
         )
         listener.start()
-        failed = fail_at_first(monkeypatch, socket.socket, "accept", error)
+        failed = fail_first_calls(monkeypatch, socket.socket, "accept", error)
         reader, writer = await asyncio.open_connection(*listener.address)
         writer.write(b"HEALTH\n")
         assert await with_timeout(reader.read()) == b"YES\n"
@@ -57,10 +57,8 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("error", PASSING)
-def test_connection_that_waits_through_a_supervisors_failing_accepts_is_dispatched(
-    monkeypatch, error
-):
+@pytest.mark.parametrize("error", TRANSIENT_ACCEPT_ERRORS)
+def test_supervisor_dispatches_a_connection_after_failed_accepts(monkeypatch, error):
     async def scenario():
         accepted = []
         acceptor = Acceptor(
@@ -70,7 +68,7 @@
             dispatch=accepted.append,
         )
         acceptor.accept_while_capacity()
-        failed = fail_at_first(monkeypatch, socket.socket, "accept", error)
+        failed = fail_first_calls(monkeypatch, socket.socket, "accept", error)
         with socket.create_connection(acceptor.addresses[0]):
             await until(lambda: accepted)
         assert len(failed) == 3
@@ -80,27 +78,27 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("error", PASSING)
-def test_successor_that_waits_through_failing_accepts_is_heard(monkeypatch, tmp_path, error):
+@pytest.mark.parametrize("error", TRANSIENT_ACCEPT_ERRORS)
+def test_predecessor_accepts_its_successor_after_failed_accepts(monkeypatch, tmp_path, error):
     async def scenario():
-        async with ScriptedServer(lambda _: reply(200)) as peer, RunningNode(peer) as node:
+        async with ScriptedServer(lambda _: reply(200)) as server, RunningNode(server) as node:
             predecessor = Predecessor(node.node, lambda *_: None, tmp_path / "node.sock")
             predecessor.listen()
-            failed = fail_at_first(monkeypatch, socket.socket, "accept", error)
+            failed = fail_first_calls(monkeypatch, socket.socket, "accept", error)
             successor = connect(tmp_path / "node.sock")
             assert successor is not None
             await until(lambda: len(failed) == 3)
             successor.send(b"no message of a hand-over")
-            # It was accepted and read: what makes no sense ends the connection.
-            await until(lambda: ended(successor))
+            # The connection was accepted and read: an invalid message closes it.
+            await until(lambda: is_closed_by_peer(successor))
             successor.close()
             predecessor.close()
 
     run(scenario())
 
 
-def ended(sock: socket.socket) -> bool:
-    """Whether the other end of a connection that does not block has closed it."""
+def is_closed_by_peer(sock: socket.socket) -> bool:
+    """Return whether the peer has closed a non-blocking connection."""
     try:
         return sock.recv(100) == b""
     except BlockingIOError:
@@ -109,17 +107,17 @@
         return True
 
 
-def test_agents_state_is_opened_once_the_disk_can_be_read(monkeypatch, tmp_path):
+def test_agents_state_is_opened_once_the_disk_is_readable(monkeypatch, tmp_path):
     monkeypatch.setattr(startup, "RETRY_S", 0.01)
-    failed = fail_at_first(monkeypatch, os, "open", errno.EIO)
+    failed = fail_first_calls(monkeypatch, os, "open", errno.EIO)
     store = retry_while_unavailable(lambda: Store(tmp_path / "state"))
     assert len(failed) == 3
     store.close()
 
 
-def test_node_runs_without_a_log_that_can_not_be_opened(monkeypatch, tmp_path, caplog):
+def test_node_runs_without_a_log_file_that_can_not_be_opened(monkeypatch, tmp_path, caplog):
     caplog.set_level(logging.WARNING)
-    fail_at_first(monkeypatch, Path, "open", errno.ENOSPC, times=1)
+    fail_first_calls(monkeypatch, Path, "open", errno.ENOSPC, times=1)
     with node_process._open_log(tmp_path / "n.log") as file:
         file.write(b"nobody reads this")
         assert file.name == os.devnull
@@ -129,9 +127,9 @@
     assert (tmp_path / "n.log").read_bytes() == b"kept"
 
 
-def test_members_snapshot_is_written_with_the_next_interval(monkeypatch, tmp_path):
+def test_snapshot_of_members_is_written_after_failures_at_a_later_interval(monkeypatch, tmp_path):
     monkeypatch.setattr(peers_service, "SAVE_INTERVAL_S", 0.02)
-    failed = fail_at_first(monkeypatch, snapshot, "save", errno.ENOSPC)
+    failed = fail_first_calls(monkeypatch, snapshot, "save", errno.ENOSPC)
     path = tmp_path / "members"
 
     async def scenario():
