--- a/oakbridge/node/list_refresh.py
+++ b/oakbridge/node/list_refresh.py
@@ -107,7 +107,7 @@
         """Use this setting from the next request on; a short interval lowers the maximum age."""
         self._poll_interval_us = poll_interval_us
         scale = min(1.0, poll_interval_us / MAX_LIST_AGE_US)
-        self._bound_s = MAX_LIST_AGE_S * scale
+        self._max_list_age_s = MAX_LIST_AGE_S * scale
         self._max_age_for_request_s = MAX_AGE_FOR_REQUEST_S * scale
         self._late_age_s = LATE_AGE_S * scale
         self._max_watch_s = max(MIN_WATCH_S, MAX_WATCH_S * scale)
@@ -132,7 +132,7 @@
         # A request no older than the last refused one was may still be in discovery's queue.
         late_s = max(self._timeouts.late_s, self._queue_time_s + IMMEDIATE_REFUSAL_S)
         late_at = max(self._last_opened_at + late_s, self._counted_from + self._late_age_s)
-        is_late = late_at < self._counted_from + self._bound_s
+        is_late = late_at < self._counted_from + self._max_list_age_s
         return min(overdue_at, late_at) if is_late else overdue_at
 
     def age_s(self, now: float) -> float:
@@ -141,7 +141,7 @@
 
     def due_at(self) -> float:
         """Return when the list reaches its maximum age."""
-        return self._counted_from + self._bound_s
+        return self._counted_from + self._max_list_age_s
 
     @property
     def open_request_count(self) -> int:
@@ -237,7 +237,7 @@
         Once the list has exceeded its maximum age, a shorter delay gains nothing.
         """
         age_s = now - self._counted_from
-        if age_s >= self._bound_s or age_s + delay_s <= self._max_age_for_request_s:
+        if age_s >= self._max_list_age_s or age_s + delay_s <= self._max_age_for_request_s:
             return delay_s
         latest_s = max(2 * IMMEDIATE_REFUSAL_S, self._max_age_for_request_s - age_s)
         return min(delay_s, latest_s * self._random.uniform(MIN_JITTER_FACTOR, 1.0))
