--- a/oakbridge/node/endpoint_updates.py
+++ b/oakbridge/node/endpoint_updates.py
@@ -115,7 +115,7 @@
     # ---- servers that operators take offline
 
     def take_offline(self, name: str) -> bool | None:
-        """Take a server offline; return False if it was offline, None if it does not exist."""
+        """Take a server offline; return False if it was offline, None if it is unknown."""
         self.release()
         if name not in self._listed and not self.offline_servers.is_offline(name):
             return None
@@ -125,7 +125,7 @@
         return has_changed
 
     def bring_online(self, name: str, warm_up_us: int) -> bool | None:
-        """Bring a server back online; return False if it was not offline, None if there is no such.
+        """Bring a server back online; return False if it was not offline, None if it is unknown.
 
         ``warm_up_us``: after this time in use a server is warm, even if it has been restarted.
         """
--- a/oakbridge/node/offline_servers.py
+++ b/oakbridge/node/offline_servers.py
@@ -1,4 +1,4 @@
-"""Servers that operators took offline, and stay so whatever endpoint lists say.
+"""Servers that operators took offline; they stay offline whatever endpoint lists say.
 
 An operator's command overrides discovery: an offline server counts as draining whenever it is
 listed, whatever address and state the lists give it, until it is brought online.  This module does
--- a/oakbridge/node/server_connection.py
+++ b/oakbridge/node/server_connection.py
@@ -68,7 +68,8 @@
         self.attempt: Attempt | None = None
         self.may_be_reused = True
         # Guards against a connection that a server accepted above its limit, and on which it
-        # rejects every request.  As the most recently used one it would be reused first.
+        # rejects every request.  If it were kept, it would be the most recently used one, would
+        # be reused first, and would never serve.
         self._has_served = False
         self.connected = False
         self.closed = False
@@ -242,7 +243,7 @@
             self._restart_stall_timer()
 
     def _restart_stall_timer(self) -> None:
-        """Limit pauses in a response: without, an incomplete one lasts until its deadline.
+        """Limit pauses in a response; an incomplete one would last until the attempt's deadline.
 
         There is no such limit before the response starts, or after an interim response (1xx).
         """
