--- a/oakbridge/agent/generations.py
+++ b/oakbridge/agent/generations.py
@@ -70,17 +70,17 @@
     def __init__(self, folder: Path) -> None:
         self._folder = folder
 
-    def home(self, instance: str) -> Path:
+    def instance_folder(self, instance: str) -> Path:
         """Return the folder of an instance."""
         return self._folder / check_name(instance, "instance")
 
-    def folder(self, instance: str, generation: Generation) -> Path:
+    def generation_folder(self, instance: str, generation: Generation) -> Path:
         """Return the folder of a generation."""
-        return self.home(instance) / f"{FOLDER_PREFIX}{generation.number:08d}"
+        return self.instance_folder(instance) / f"{FOLDER_PREFIX}{generation.number:08d}"
 
     def current_link(self, instance: str) -> Path:
         """Return the link that shows the generation in use."""
-        return self.home(instance) / "current"
+        return self.instance_folder(instance) / "current"
 
     def current_number(self, instance: str) -> int:
         """Return the number of the generation that the link shows; 0 without a link."""
@@ -100,7 +100,7 @@
         check_files(files)
         if digest_of(files) != generation.digest:
             raise StoreError("files", "they are not those of the digest that was told")
-        final = self.folder(instance, generation)
+        final = self.generation_folder(instance, generation)
         if final.exists():
             shutil.rmtree(final)  # of a step that did not come through: no link shows it
         temporary = final.with_suffix(TEMPORARY_SUFFIX)
@@ -115,7 +115,7 @@
     def discard(self, instance: str, generation: Generation) -> None:
         """Delete a generation, unless it is the one that the link shows."""
         if self.current_number(instance) != generation.number:
-            shutil.rmtree(self.folder(instance, generation), ignore_errors=True)
+            shutil.rmtree(self.generation_folder(instance, generation), ignore_errors=True)
 
     def activate(self, instance: str, generation: Generation) -> None:
         """Have the link show a generation, by one rename; for the empty one, remove the link.
@@ -128,7 +128,7 @@
         if generation.is_empty:
             link.unlink(missing_ok=True)
         else:
-            folder = self.folder(instance, generation)
+            folder = self.generation_folder(instance, generation)
             if not folder.is_dir():
                 raise StoreError(folder, "expected a staged generation")
             temporary = link.with_suffix(TEMPORARY_SUFFIX)
@@ -144,7 +144,7 @@
             StoreError: if there is no such generation.
             StoreUnavailableError: if the disk fails at the moment.
         """
-        folder = self.folder(instance, generation)
+        folder = self.generation_folder(instance, generation)
         try:
             return {path.name: path.read_text("utf-8") for path in sorted(folder.iterdir())}
         except (FileNotFoundError, NotADirectoryError) as e:
@@ -168,7 +168,7 @@
         }
         if record.step is not None:
             needed.add(record.step.target.number)
-        folders = sorted(self.home(instance).glob(f"{FOLDER_PREFIX}*"))
+        folders = sorted(self.instance_folder(instance).glob(f"{FOLDER_PREFIX}*"))
         for folder in folders[:-RETAINED]:
             number = folder.name.removeprefix(FOLDER_PREFIX)
             if not number.isdigit() or int(number) not in needed:
@@ -176,7 +176,7 @@
 
     def delete(self, instance: str) -> None:
         """Delete all generations of an instance."""
-        shutil.rmtree(self.home(instance), ignore_errors=True)
+        shutil.rmtree(self.instance_folder(instance), ignore_errors=True)
 
 
 def _write_synced(path: Path, text: str) -> None:
--- a/oakbridge/agent/managed_instance.py
+++ b/oakbridge/agent/managed_instance.py
@@ -118,7 +118,7 @@
 
     @property
     def _log_file(self) -> Path:
-        return self._generations.home(self.name) / LOG_FILE
+        return self._generations.instance_folder(self.name) / LOG_FILE
 
     def start(self) -> None:
         """Adopt the node if it runs already, then continue from the journal."""
--- a/oakbridge/agent/record_codec.py
+++ b/oakbridge/agent/record_codec.py
@@ -77,7 +77,7 @@
         "id": step.step_id,
         "token": step.token,
         "target": _encode_generation(step.target),
-        "base": step.base,
+        "base": step.base_generation,
         "watch": step.watch_us,
     }
 
@@ -88,7 +88,7 @@
         step_id=fields["id"],
         token=fields["token"],
         target=_decode_generation(fields["target"]),
-        base=fields["base"],
+        base_generation=fields["base"],
         watch_us=fields["watch"],
     )
 
--- a/oakbridge/agent/records.py
+++ b/oakbridge/agent/records.py
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """An order to an instance that runs generation ``base`` to run ``target``."""
+    """An order to an instance that runs generation ``base_generation`` to run ``target``."""
 
     step_id: str
     token: int
     target: Generation
-    base: int
+    base_generation: int
     watch_us: int = DEFAULT_WATCH_US  # for how long it must stay healthy, once it is ready
 
 
--- a/oakbridge/agent/startup.py
+++ b/oakbridge/agent/startup.py
@@ -13,17 +13,17 @@
 
 T = TypeVar("T")
 
-PATIENCE_S = 30.0
-RETRY_S = 0.2
+RETRY_TIMEOUT_S = 30.0
+RETRY_INTERVAL_S = 0.2
 
 
 def retry_while_unavailable(call: Callable[[], T]) -> T:
     """Return what a call returns, made again while the disk fails.
 
     Blocks: for the start of an agent.  Raises StoreUnavailableError or AgentConfigUnreadableError
-    after :data:`PATIENCE_S`.
+    after :data:`RETRY_TIMEOUT_S`.
     """
-    give_up_at = time.monotonic() + PATIENCE_S
+    give_up_at = time.monotonic() + RETRY_TIMEOUT_S
     logged = False
     while True:
         try:
@@ -34,4 +34,4 @@
             if not logged:
                 log.warning("the disk fails and is tried again: %s", error)
                 logged = True
-        time.sleep(RETRY_S)
+        time.sleep(RETRY_INTERVAL_S)
--- a/oakbridge/agent/state_machine.py
+++ b/oakbridge/agent/state_machine.py
@@ -70,8 +70,8 @@
             raise StepInProgressError(record.step.step_id, record.state.value)
         if step.target == record.current:
             return self._end_step(step, Verdict.APPLIED, "it ran it already")
-        if step.base != record.current.number:
-            raise BaseMismatchError(running=record.current.number, expected=step.base)
+        if step.base_generation != record.current.number:
+            raise BaseMismatchError(running=record.current.number, expected=step.base_generation)
         if step.target.number <= record.current.number:
             raise StaleGenerationError(step.target.number, running=record.current.number)
         staging = replace(record, state=ChangeState.STAGING, step=step)
--- a/tests/agent/test_passing_errors.py
+++ b/tests/agent/test_passing_errors.py
@@ -39,7 +39,7 @@
 
 
 def test_a_configuration_that_can_not_be_read_for_a_moment_is_read_again(monkeypatch, tmp_path):
-    monkeypatch.setattr(startup, "RETRY_S", 0.01)
+    monkeypatch.setattr(startup, "RETRY_INTERVAL_S", 0.01)
     path, reads = tmp_path / "agent.toml", []
     path.write_text("name = 3\n")
     read_text = Path.read_text
@@ -55,7 +55,7 @@
         retry_while_unavailable(lambda: read_agent_config(path))
     assert not isinstance(told.value, AgentConfigUnreadableError)
     assert len(reads) == 3
-    monkeypatch.setattr(startup, "PATIENCE_S", 0.0)
+    monkeypatch.setattr(startup, "RETRY_TIMEOUT_S", 0.0)
     reads.clear()
     with pytest.raises(AgentConfigUnreadableError, match="Input/output error"):
         retry_while_unavailable(lambda: read_agent_config(path))
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -136,7 +136,7 @@
     store.generations.discard("a", two)  # it is shown: it stays
     store.generations.discard("a", one)
     assert store.generations.current_number("a") == 2
-    assert not store.generations.folder("a", one).exists()
+    assert not store.generations.generation_folder("a", one).exists()
     with pytest.raises(StoreError, match="expected a staged generation"):
         store.generations.activate("a", one)
     store.generations.activate("a", Generation())
@@ -157,7 +157,7 @@
 def test_files_that_may_not_be_written_are_refused(store, files, says):
     with pytest.raises(StoreError, match=says):
         store.generations.stage("a", generation(1, files), files)
-    assert not store.generations.folder("a", generation(1)).exists()
+    assert not store.generations.generation_folder("a", generation(1)).exists()
 
 
 def test_files_of_another_digest_are_refused(store):
@@ -221,7 +221,7 @@
     machine = InstanceStateMachine(record)
     now, ran = 0, []
     def check(generation):
-        staged = store.generations.folder("a", generation) / "oakbridge.toml"
+        staged = store.generations.generation_folder("a", generation) / "oakbridge.toml"
         return "bad" if "bad" in staged.read_text() else ""
     executor = ActionExecutor(
         store, "a", machine,
--- a/tests/faults/test_passing_errors.py
+++ b/tests/faults/test_passing_errors.py
@@ -108,7 +108,7 @@
 
 
 def test_agents_state_is_opened_once_the_disk_is_readable(monkeypatch, tmp_path):
-    monkeypatch.setattr(startup, "RETRY_S", 0.01)
+    monkeypatch.setattr(startup, "RETRY_INTERVAL_S", 0.01)
     failed = fail_first_calls(monkeypatch, os, "open", errno.EIO)
     store = retry_while_unavailable(lambda: Store(tmp_path / "state"))
     assert len(failed) == 3
