--- a/oakbridge/agent/actions.py
+++ b/oakbridge/agent/actions.py
@@ -1,6 +1,6 @@
-"""What the state machine of an instance asks for; ``executor`` carries it out, in order.
+"""The actions that an instance's state machine returns; ``executor`` carries them out in order.
 
-Every action can be carried out twice with the same end.
+Every action is idempotent.
 """
 
 from __future__ import annotations
@@ -12,42 +12,42 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistRecord:
-    """Have this record on disk before any action that follows."""
+    """Write this record to disk before any later action is carried out."""
 
     record: InstanceRecord
 
 
 @dataclass(frozen=True, slots=True)
 class StageGeneration:
-    """Write the generation beside the one in use and have it checked; then call ``on_staged``."""
+    """Write the generation's files beside the current ones, check them, and call ``on_staged``."""
 
     target: Generation
 
 
 @dataclass(frozen=True, slots=True)
 class DiscardGeneration:
-    """Delete a staged generation."""
+    """Delete a staged generation's files."""
 
     target: Generation
 
 
 @dataclass(frozen=True, slots=True)
 class ActivateGeneration:
-    """Point the link at this generation, by one rename; then call ``on_activated``."""
+    """Point the ``current`` link at this generation, by one rename; then call ``on_activated``."""
 
     target: Generation
 
 
 @dataclass(frozen=True, slots=True)
 class RunGeneration:
-    """Have the node run this generation, which the link shows; the empty one: have it not run."""
+    """Run the node with this generation, which is current; stop it for the empty generation."""
 
     target: Generation
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call ``on_timer`` at this time."""
+    """Call ``on_timer`` at the time ``at_us`` of the agent's clock."""
 
     at_us: int
 
--- a/oakbridge/agent/agent.py
+++ b/oakbridge/agent/agent.py
@@ -1,4 +1,4 @@
-"""The agent: all instances of one host, and the lease on changing them."""
+"""The agent: the instances of one host, and the lease on changing them."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from oakbridge.agent.startup import retry_while_unavailable
 from oakbridge.agent.store import CHECK_FOLDER_PREFIX, Store
 
-MAX_CONCURRENT_CHECKS = 2
+MAX_CONCURRENT_CHECKS = 2  # each check of a configuration is a process
 
 
 class Agent:
-    """Runs the instances of one host; ``operator_api`` answers the fleet's operators for it."""
+    """Manages the instances of one host; ``operator_api`` serves the requests of operators."""
 
     def __init__(
         self,
@@ -37,7 +37,11 @@
         host: Host | None = None,
         poll_interval_s: float = POLL_INTERVAL_S,
     ) -> None:
-        """Load the lease's token; ``host`` is by default this machine."""
+        """Load the lease's record from the journal; ``host`` is the local machine by default.
+
+        Raises:
+            StoreError: if the record is invalid, or the disk fails until the retry timeout.
+        """
         self.store = store
         self.name = name
         self.fleet = fleet
@@ -50,21 +54,31 @@
         self._checks = asyncio.Semaphore(MAX_CONCURRENT_CHECKS)
 
     def start(self) -> None:
-        """Continue with all instances that the journal has."""
+        """Start managing all instances in the journal.
+
+        Raises:
+            StoreError: if the journal is invalid, or the disk fails until the retry timeout.
+        """
         for name in retry_while_unavailable(self.store.journal.load_instances):
             self.start_instance(name)
 
     def stop(self) -> None:
-        """Leave all nodes as they are, and close the store."""
+        """Stop managing the instances, leave their nodes running, and close the store."""
         for instance in self.instances.values():
             instance.stop()
         self.store.close()
 
     def add_instance(self, name: str, listen: list[str], control: Path, member: str = "") -> None:
-        """Add an instance, unless there is one of that name.
+        """Add an instance to the journal, unless it has one of this name.
 
-        It runs nothing until a step gives it a generation.  ``member`` is its address among
-        members, if it is one; its name there is ``AGENT/INSTANCE``.
+        The instance's node is not started until a step gives the instance a generation.
+        ``listen`` has the addresses that the node listens on, ``control`` its control socket.
+        ``member`` is the node's address among members, or "" if it is not a member; its name among
+        them is ``AGENT/INSTANCE``.
+
+        Raises:
+            StoreError: if the name is invalid.
+            StoreUnavailableError: if the disk fails.
         """
         journal = self.store.journal
         if name in journal.load_instances():
@@ -73,7 +87,7 @@
         journal.save_instance(check_name(name, "instance"), spec, InstanceRecord())
 
     def start_instance(self, name: str) -> None:
-        """Run an instance that was added."""
+        """Start managing an instance that is in the journal."""
         spec, record = retry_while_unavailable(self.store.journal.load_instances)[name]
         context = InstanceContext(self.name, self.store, self.host, self._poll_interval_s)
         instance = ManagedInstance(name, spec, record, context)
@@ -81,16 +95,19 @@
         self.instances[name] = instance
 
     def lease_problem(self, token: int, holder: str) -> str:
-        """Return why a step with this token may not go on; "" if it may."""
+        """Return why a step with this token may not continue; "" if it may."""
         denied = self.lease.check(monotonic_us(), token, holder)
         return "" if denied is None else denied.reason
 
     def save_token_record(self) -> None:
-        """Have the lease's fencing token on disk."""
+        """Write the lease's record to disk.  Raises StoreUnavailableError if the disk fails."""
         self.store.journal.save_token_record(self.lease.record)
 
     async def check_config(self, files: Files) -> str:
-        """Return what the node's own checker finds wrong with files; "" if nothing."""
+        """Return the problem that the node's own checker finds in the files; "" if there is none.
+
+        Raises OSError if the files can't be written or the checker can't be started.
+        """
         async with self._checks:
             folder = Path(tempfile.mkdtemp(prefix=CHECK_FOLDER_PREFIX, dir=self.store.folder))
             try:
--- a/oakbridge/agent/clock.py
+++ b/oakbridge/agent/clock.py
@@ -1,4 +1,4 @@
-"""The clock that an agent's leases, steps and timers go by."""
+"""The clock of an agent's leases, steps and timers."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def monotonic_us() -> int:
-    """Return the monotonic time: it goes on while processes are frozen, and never jumps."""
+    """Return the monotonic time in microseconds; it advances while the process is stopped."""
     return time.monotonic_ns() // NS_PER_US
--- a/oakbridge/agent/config.py
+++ b/oakbridge/agent/config.py
@@ -1,4 +1,4 @@
-"""``agent.toml``: an agent's configuration, checked in full before anything is made."""
+"""``agent.toml``: an agent's configuration, validated in full before the agent starts."""
 
 from __future__ import annotations
 
@@ -28,16 +28,20 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceConfig:
-    """One instance that the agent runs."""
+    """One instance that the agent manages."""
 
     name: str
-    listen: list[str]
-    member: str = ""  # its address among members; "" if its configuration makes it none
+    listen: list[str]  # the addresses that its node listens on
+    member: str = ""  # its node's address among members; "" if the node is not a member
 
 
 @dataclass(frozen=True, slots=True)
 class AgentConfig:
-    """An agent's configuration; paths are absolute."""
+    """An agent's configuration; paths are absolute.
+
+    ``state`` is the folder of the agent's store, ``authority`` the file of the fleet's certificate
+    authority.
+    """
 
     name: str
     fleet: str
@@ -45,7 +49,7 @@
     listen: Address
     state: Path
     authority: Path
-    certificate: Path  # without its suffix
+    certificate: Path  # without the suffixes .crt and .key
     instances: list[InstanceConfig]
 
 
@@ -53,16 +57,16 @@
     """Read an agent's configuration.
 
     Raises:
-        AgentConfigError: with every mistake.
-        AgentConfigUnreadableError: where reading fails for a moment.
+        AgentConfigError: with all problems of the file.
+        AgentConfigUnreadableError: if reading fails with a transient error.
     """
     try:
         document = tomllib.loads(path.read_text("utf-8"))
-    except OSError as e:
-        kind = AgentConfigUnreadableError if is_read_error(e) else AgentConfigError
-        raise kind([f"{path}: {e.strerror}"]) from None
-    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as e:
-        raise AgentConfigError([f"{path}: expected TOML: {e}"]) from None
+    except OSError as error:
+        error_type = AgentConfigUnreadableError if is_read_error(error) else AgentConfigError
+        raise error_type([f"{path}: {error.strerror}"]) from None
+    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise AgentConfigError([f"{path}: expected TOML: {error}"]) from None
     parser = _Parser(document)
     config = parser.agent(path.absolute().parent)
     if parser.problems:
@@ -71,14 +75,14 @@
 
 
 class _Parser:
-    """Reads field by field, and gathers what is wrong."""
+    """Parses a document field by field, and collects the problems of all fields."""
 
     def __init__(self, document: dict[str, Any]) -> None:
         self._document = document
         self.problems: list[str] = []
 
     def agent(self, folder: Path) -> AgentConfig:
-        """Read the whole document; paths are relative to the folder."""
+        """Parse the whole document; its paths are relative to ``folder``."""
         document = self._document
         for key in document:
             if key not in KEYS:
@@ -105,7 +109,7 @@
             if any(instance.name == other.name for other in instances):
                 self._problem(
                     f"instance[{index}].name",
-                    f"expected each name once, got {instance.name!r} again",
+                    f"expected a unique name, got {instance.name!r} twice",
                 )
             instances.append(instance)
         return instances
@@ -114,8 +118,8 @@
         name = self._text(row, "name", prefix)
         try:
             check_name(name, "name")
-        except StoreError as e:
-            self._problem(f"{prefix}name", str(e))
+        except StoreError as error:
+            self._problem(f"{prefix}name", str(error))
         listen = row.get("listen")
         if not isinstance(listen, list) or not listen:
             self._problem(f"{prefix}listen", f"expected a list of addresses, got {listen!r:.60}")
@@ -130,15 +134,15 @@
     def _text(self, table: dict[str, Any], key: str, prefix: str = "") -> str:
         value = table.get(key)
         if not isinstance(value, str) or not value:
-            self._problem(prefix + key, f"expected a text, got {value!r:.60}")
+            self._problem(prefix + key, f"expected a non-empty string, got {value!r:.60}")
             return "missing"
         return value
 
     def _address(self, value: object, field: str) -> Address:
         try:
             return parse_address(value)
-        except ConfigError as e:
-            self._problem(field, str(e))
+        except ConfigError as error:
+            self._problem(field, str(error))
             return "", 0
 
     def _problem(self, field: str, text: str) -> None:
--- a/oakbridge/agent/errors.py
+++ b/oakbridge/agent/errors.py
@@ -1,18 +1,21 @@
-"""The errors that an agent's parts raise."""
+"""The agent's errors.  Operators see the texts of those that refuse their requests."""
 
 from __future__ import annotations
 
 
 class AgentError(Exception):
-    """The base of the agent's errors."""
+    """The base class of the agent's errors."""
 
 
 class StepConflictError(AgentError):
-    """A step does not fit what the instance runs, and never will; nothing has changed."""
+    """A step was refused, and nothing has changed.
+
+    The same request is always refused again, unless a subclass says otherwise.
+    """
 
 
 class BaseMismatchError(StepConflictError):
-    """The step is for an instance that runs another generation."""
+    """The step's base generation is not the one that the instance runs."""
 
     def __init__(self, running: int, expected: int) -> None:
         super().__init__(
@@ -23,7 +26,7 @@
 
 
 class StaleGenerationError(StepConflictError):
-    """The step's generation is not newer than the one that the instance runs."""
+    """The step's target generation is not newer than the one that the instance runs."""
 
     def __init__(self, target: int, running: int) -> None:
         super().__init__(f"generation {target} is not newer than {running}")
@@ -32,7 +35,7 @@
 
 
 class StepNotDurableError(StepConflictError):
-    """A step can't be written down now: the same request may succeed once the disk can be written."""
+    """The step can't be written to disk; the same request may succeed once the disk works again."""
 
     def __init__(self, step_id: str) -> None:
         super().__init__(f"step {step_id} can't be written down at the moment")
@@ -40,7 +43,7 @@
 
 
 class StepInProgressError(StepConflictError):
-    """Another step is in progress: the same request may succeed once that one has ended."""
+    """Another step is in progress; the same request may succeed once that step has finished."""
 
     def __init__(self, step_id: str, state: str) -> None:
         super().__init__(f"step {step_id} is under way ({state})")
@@ -49,27 +52,27 @@
 
 
 class StoreError(AgentError):
-    """The agent's state on disk, or what should be written to it, can't be used."""
+    """The agent's state on disk is invalid or in use, or something may not be written to it."""
 
     def __init__(self, where: object, problem: str) -> None:
-        """``where`` is a path or the name of a field."""
+        """``where`` is a path or a field's name."""
         super().__init__(f"{where}: {problem}")
         self.where = where
         self.problem = problem
 
 
 class StoreUnavailableError(StoreError):
-    """The disk fails at the moment; the same call may succeed soon."""
+    """The disk failed with a transient error; a retry may succeed."""
 
 
 class AgentConfigError(AgentError, ValueError):
-    """``agent.toml`` can't be used."""
+    """``agent.toml`` is invalid or can't be read."""
 
     def __init__(self, problems: list[str]) -> None:
-        """``problems``: one line for each mistake."""
+        """``problems`` has one line for each problem."""
         super().__init__("\n".join(problems))
         self.problems = problems
 
 
 class AgentConfigUnreadableError(AgentConfigError):
-    """``agent.toml`` can't be read at the moment; the same call may succeed soon."""
+    """Reading ``agent.toml`` failed with a transient error; a retry may succeed."""
--- a/oakbridge/agent/executor.py
+++ b/oakbridge/agent/executor.py
@@ -1,10 +1,10 @@
 """Carry out the actions of an instance's state machine, in order.
 
-An action whose disk fails stays at the head of the queue and is carried out again, with all that
-follows behind it, until it succeeds: what the machine has decided is owed.  A record is tried
-forever, as nothing may happen before it is on disk; what only changes files is given up after
-:data:`GIVE_UP_US`, and the machine is told why.  If the process ends meanwhile, the next one goes
-on from the record on disk.
+If the disk fails during an action, the action stays at the head of the queue and is retried until
+it succeeds, because the state machine has already moved on.  The actions behind it wait.  Writing a
+record is retried without limit, as no later action may run before the record is on disk.  An action
+that only changes files is given up after :data:`RETRY_TIMEOUT_US`, and the state machine gets the
+reason.  If the agent exits meanwhile, its next process continues from the record on disk.
 """
 
 from __future__ import annotations
@@ -30,9 +30,10 @@
 
 log = logging.getLogger(__name__)
 
-GIVE_UP_US = 10_000_000  # after the first failure of an action that changes files
+# An action that changes files is given up this long after its first failure.
+RETRY_TIMEOUT_US = 10_000_000
 
-Problem = Callable[[], str]  # returns why something may not go on; "" if it may
+ProblemCheck = Callable[[], str]  # returns why a step may not continue; "" if it may
 
 
 def _no_problem() -> str:
@@ -40,7 +41,7 @@
 
 
 class ActionExecutor:
-    """Carries out one instance's actions: on the disk itself, on the node by callbacks."""
+    """Carries out one instance's actions: disk actions itself, other actions by callbacks."""
 
     def __init__(
         self,
@@ -53,11 +54,11 @@
         set_timer: Callable[[int], None],
         set_retry_timer: Callable[[], None] = lambda: None,
     ) -> None:
-        """``check_staged`` returns what is wrong with a staged generation; "" if nothing is.
+        """``check_staged`` returns the problem of a staged generation; "" if there is none.
 
-        ``set_retry_timer`` has :meth:`retry` called in a moment.
+        ``set_retry_timer`` schedules a call of :meth:`retry`.
         """
-        self.durable_record = machine.record  # the last one on disk: what may be told
+        self.durable_record = machine.record  # the last one on disk; only it may be reported
         self._store = store
         self._instance = instance
         self._machine = machine
@@ -66,19 +67,21 @@
         self._set_timer = set_timer
         self._set_retry_timer = set_retry_timer
         self._queue: deque[Action] = deque()
-        self._failing_since_us: int | None = None  # the action at the head of the queue
+        self._failing_since_us: int | None = None  # first failure of the action at the head
         self._lease_problem = _no_problem
-        self._files: Files = {}  # of the step in progress, until they are staged
+        self._files: Files = {}  # of the step in progress, until the instance has settled
 
     @property
     def is_blocked(self) -> bool:
-        """Whether actions wait for the disk: the machine is ahead of what has happened."""
+        """Whether actions wait for the disk, so that the state machine is ahead of the node."""
         return bool(self._queue)
 
-    def begin_step(self, now_us: int, step: Step, files: Files, lease_problem: Problem) -> None:
+    def begin_step(
+        self, now_us: int, step: Step, files: Files, lease_problem: ProblemCheck
+    ) -> None:
         """Begin a step.
 
-        ``lease_problem`` is asked once more, just before the generation is activated.
+        ``lease_problem`` is called after staging: if the lease has expired, the step is rejected.
 
         Raises:
             StepConflictError: if the step can't begin.
@@ -90,45 +93,50 @@
         self.execute(now_us, actions)
 
     def execute(self, now_us: int, actions: list[Action]) -> None:
-        """Carry out actions, and all that follow from them; behind those that wait, if any do."""
+        """Carry out actions and those that result from them, behind any that are queued already."""
         was_blocked = self.is_blocked
         self._queue.extend(actions)
         if not was_blocked:
             self._carry_out_queue(now_us)
 
     def retry(self, now_us: int) -> None:
-        """Carry out what waits for the disk."""
+        """Carry out the actions that wait for the disk."""
         self._carry_out_queue(now_us)
 
     def _carry_out_queue(self, now_us: int) -> None:
         while self._queue:
             action = self._queue[0]
             try:
-                following = self._execute_one(now_us, action)
+                resulting = self._execute_one(now_us, action)
             except (StoreUnavailableError, OSError) as error:
-                if not self._gives_up(now_us, action, error):
+                if not self._note_failure(now_us, action, error):
                     self._set_retry_timer()
                     return
-                following = self._report_failure(now_us, action, str(error))
+                resulting = self._report_failure(now_us, action, str(error))
             self._failing_since_us = None
             self._queue.popleft()
-            self._queue.extend(following)
+            self._queue.extend(resulting)
         if self._machine.state is ChangeState.SETTLED:
             self._files = {}
             self._lease_problem = _no_problem
             self._store.generations.prune(self._instance, self._machine.record)
 
-    def _gives_up(self, now_us: int, action: Action, error: Exception) -> bool:
-        """Note a failure; return whether the action is not to be carried out again."""
+    def _note_failure(self, now_us: int, action: Action, error: Exception) -> bool:
+        """Note a failure of an action; return whether the action is given up."""
         if self._failing_since_us is None:
             self._failing_since_us = now_us
-            what = type(action).__name__
-            log.warning("%s: %s fails and is tried again: %s", self._instance, what, error)
-        is_given_up = now_us - self._failing_since_us >= GIVE_UP_US
-        return is_given_up and not isinstance(action, PersistRecord)
+            action_name = type(action).__name__
+            log.warning(
+                "action of an instance failed, retrying: instance=%s action=%s error=%s",
+                self._instance,
+                action_name,
+                error,
+            )
+        has_timed_out = now_us - self._failing_since_us >= RETRY_TIMEOUT_US
+        return has_timed_out and not isinstance(action, PersistRecord)
 
     def _execute_one(self, now_us: int, action: Action) -> list[Action]:
-        """Carry out one action, and return those that follow from it.
+        """Carry out one action, and return the actions that result from it.
 
         Raises StoreUnavailableError or OSError if the disk fails.
         """
@@ -149,33 +157,41 @@
         return []
 
     def _report_failure(self, now_us: int, action: Action, problem: str) -> list[Action]:
-        """Tell the machine that an action was given up, and return what follows from that."""
+        """Notify the state machine of an action that was given up; return the resulting actions.
+
+        A failed staging or activation ends in a step's reason, which operators get.
+        """
         match action:
             case StageGeneration():
                 return self._machine.on_staged(f"it can't be written: {problem}")
             case ActivateGeneration():
                 return self._machine.on_activated(now_us, problem)
-        log.error("%s: %s is given up: %s", self._instance, type(action).__name__, problem)
+        log.error(
+            "action of an instance given up: instance=%s action=%s error=%s",
+            self._instance,
+            type(action).__name__,
+            problem,
+        )
         return []
 
     def _stage(self, target: Generation) -> str:
-        """Stage a generation; return why it must not be activated, "" if it may.
+        """Stage a generation; return why it must not be activated, "" if it may be.
 
-        Raises OSError if it can't be written now.
+        Raises OSError if the disk fails.
         """
         try:
             self._store.generations.stage(self._instance, target, self._files)
-        except StoreError as e:
-            return f"it can't be written: {e}"
+        except StoreError as error:
+            return f"it can't be written: {error}"
         return self._check_staged(target)
 
     def _activate(self, target: Generation) -> str:
-        """Activate a generation; return why that can't be, "" if it has been done.
+        """Activate a generation; return why this is impossible, "" if it has been done.
 
-        Raises OSError if the link can't be renamed now.
+        Raises OSError if the disk fails.
         """
         try:
             self._store.generations.activate(self._instance, target)
-        except StoreError as e:
-            return str(e)
+        except StoreError as error:
+            return str(error)
         return ""
--- a/oakbridge/agent/generations.py
+++ b/oakbridge/agent/generations.py
@@ -1,10 +1,10 @@
-"""The folders of generations, and for each instance the link that shows the current one.
+"""The folders of generations, and each instance's link to its current generation.
 
     instances/NAME/gen-00000012/      the files of a generation, written once
     instances/NAME/current -> gen-00000012
 
-Whatever is written is complete: files are synced before the folder gets its name, and links are
-renamed.
+A folder with this name is always complete: its files are synced before a rename gives it the name.
+The link is replaced by a rename.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 MAX_FILES = 64
 MAX_TOTAL_BYTES = 32 * 1024 * 1024
-RETAINED = 8  # generations of an instance that stay on disk, to roll back to
+RETAINED_GENERATIONS = 8  # the newest ones of an instance stay on disk, for rollbacks
 FOLDER_PREFIX = "gen-"
 TEMPORARY_SUFFIX = ".tmp"
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
@@ -31,10 +31,10 @@
 
 
 def check_name(name: str, field: str) -> str:
-    """Return a name that is safe as a part of a path.
+    """Return the name if it is safe as a part of a path; ``field`` is where it comes from.
 
     Raises:
-        StoreError: if it is not.
+        StoreError: if the name is not safe.
     """
     if not _NAME.fullmatch(name) or name.endswith(TEMPORARY_SUFFIX):
         raise StoreError(
@@ -44,10 +44,10 @@
 
 
 def check_files(files: Files) -> None:
-    """Check a generation's files before anything is written.
+    """Check a generation's files before they are written.
 
     Raises:
-        StoreError: if there are none or too many, or a name can't be used.
+        StoreError: if there are none, too many or too large ones, or a name is not safe.
     """
     if not files or len(files) > MAX_FILES:
         raise StoreError("files", f"expected 1 to {MAX_FILES}, got {len(files)}")
@@ -59,7 +59,7 @@
 
 
 def digest_of(files: Files) -> str:
-    """Return a generation's digest: over all names and contents."""
+    """Return a generation's digest: the SHA-256 of the names and contents of all files."""
     canonical = json.dumps(files, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(canonical.encode()).hexdigest()
 
@@ -79,11 +79,11 @@
         return self.instance_folder(instance) / f"{FOLDER_PREFIX}{generation.number:08d}"
 
     def current_link(self, instance: str) -> Path:
-        """Return the link that shows the generation in use."""
+        """Return the link to the current generation's folder."""
         return self.instance_folder(instance) / "current"
 
     def current_number(self, instance: str) -> int:
-        """Return the number of the generation that the link shows; 0 without a link."""
+        """Return the number of the generation that the link points at; 0 without a link."""
         try:
             target = self.current_link(instance).readlink()
         except FileNotFoundError:
@@ -91,18 +91,18 @@
         return int(target.name.removeprefix(FOLDER_PREFIX))
 
     def stage(self, instance: str, generation: Generation, files: Files) -> None:
-        """Write a generation's files; its folder gets its name once all of them are on disk.
+        """Write a generation's files; the folder gets its final name once all of them are on disk.
 
         Raises:
-            StoreError: if the files can't be used, or are not those of the digest.
-            OSError: if they can't be written.
+            StoreError: if the files are invalid, or do not match the generation's digest.
+            OSError: if the files can't be written.
         """
         check_files(files)
         if digest_of(files) != generation.digest:
             raise StoreError("files", "they are not those of the digest that was told")
         final = self.generation_folder(instance, generation)
         if final.exists():
-            shutil.rmtree(final)  # of a step that did not come through: no link shows it
+            shutil.rmtree(final)  # left by a step that was not applied; no link points at it
         temporary = final.with_suffix(TEMPORARY_SUFFIX)
         shutil.rmtree(temporary, ignore_errors=True)
         temporary.mkdir(mode=0o700, parents=True)
@@ -113,12 +113,12 @@
         _sync_folder(final.parent)
 
     def discard(self, instance: str, generation: Generation) -> None:
-        """Delete a generation, unless it is the one that the link shows."""
+        """Delete a generation, unless the link points at it."""
         if self.current_number(instance) != generation.number:
             shutil.rmtree(self.generation_folder(instance, generation), ignore_errors=True)
 
     def activate(self, instance: str, generation: Generation) -> None:
-        """Have the link show a generation, by one rename; for the empty one, remove the link.
+        """Point the link at a generation, by one rename; for the empty one, remove the link.
 
         Raises:
             StoreError: if the generation is not staged.
@@ -138,24 +138,24 @@
         _sync_folder(link.parent)
 
     def read_files(self, instance: str, generation: Generation) -> Files:
-        """Return a generation's files, as they are on disk.
+        """Return a generation's files from disk.
 
         Raises:
             StoreError: if there is no such generation.
-            StoreUnavailableError: if the disk fails at the moment.
+            StoreUnavailableError: if the disk fails.
         """
         folder = self.generation_folder(instance, generation)
         try:
             return {path.name: path.read_text("utf-8") for path in sorted(folder.iterdir())}
-        except (FileNotFoundError, NotADirectoryError) as e:
-            raise StoreError(folder, str(e.strerror)) from None
-        except OSError as e:
-            raise StoreUnavailableError(folder, str(e.strerror)) from None
+        except (FileNotFoundError, NotADirectoryError) as error:
+            raise StoreError(folder, str(error.strerror)) from None
+        except OSError as error:
+            raise StoreUnavailableError(folder, str(error.strerror)) from None
 
     def prune(self, instance: str, record: InstanceRecord) -> None:
         """Delete all but the newest generations and those that the record or the link refers to.
 
-        Where the disk fails they stay until the next time.
+        If the disk fails, the remaining ones stay until the next call.
         """
         with contextlib.suppress(OSError):
             self._prune(instance, record)
@@ -169,7 +169,7 @@
         if record.step is not None:
             needed.add(record.step.target.number)
         folders = sorted(self.instance_folder(instance).glob(f"{FOLDER_PREFIX}*"))
-        for folder in folders[:-RETAINED]:
+        for folder in folders[:-RETAINED_GENERATIONS]:
             number = folder.name.removeprefix(FOLDER_PREFIX)
             if not number.isdigit() or int(number) not in needed:
                 shutil.rmtree(folder, ignore_errors=True)
@@ -180,10 +180,10 @@
 
 
 def _write_synced(path: Path, text: str) -> None:
-    with path.open("w", encoding="utf-8") as out:
-        out.write(text)
-        out.flush()
-        os.fsync(out.fileno())
+    with path.open("w", encoding="utf-8") as file:
+        file.write(text)
+        file.flush()
+        os.fsync(file.fileno())
 
 
 def _sync_folder(folder: Path) -> None:
--- a/oakbridge/agent/host.py
+++ b/oakbridge/agent/host.py
@@ -1,4 +1,4 @@
-"""What an agent needs of its machine; ``local_host`` is the real one, tests bring another."""
+"""The interface of an agent to its machine; ``local_host`` implements it, tests replace it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from oakbridge.control.protocol import ControlCommand
 
-ExitCallback = Callable[[str], None]  # is called once, with how the process ended
+ExitCallback = Callable[[str], None]  # is called once, with how the process exited
 
 
 class NodeProcess(Protocol):
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberEndpoint:
-    """What a node is called among members, and where they reach it."""
+    """A node's name and address among the members of its cluster."""
 
     name: str
     address: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeLaunch:
-    """What a node is started with; it goes before what its configuration says."""
+    """The arguments that a node is started with; they override its configuration file."""
 
     config: Path
     name: str
@@ -46,10 +46,10 @@
 
 
 class Host(Protocol):
-    """The processes of nodes, and their answers."""
+    """Finds, starts and queries the nodes of a machine."""
 
     def find_node(self, control: Path, on_exit: ExitCallback) -> NodeProcess | None:
-        """Return the node that listens on this control socket already, if one does."""
+        """Return the running node that listens on this control socket; None without one."""
 
     def start_node(self, launch: NodeLaunch, on_exit: ExitCallback) -> NodeProcess:
         """Start a node.  Raises OSError."""
@@ -58,13 +58,16 @@
         """Return the last line of a node's log; "" if there is none."""
 
     async def check_config(self, config: Path) -> str:
-        """Return what the node's checker finds wrong with a configuration, in one line, or ""."""
+        """Return the problem of a configuration, found by the node's checker, in one line.
+
+        Returns "" if there is none.  Raises OSError if the checker can't be started.
+        """
 
     async def query_node(self, control: Path, command: ControlCommand, **arguments: Any) -> Any:
         """Query a node over its control socket.
 
         Raises:
-            OSError, EOFError: if there is no answer.
-            ValueError: if the answer is malformed.
-            RequestRejectedError: if the node refuses.
+            OSError, EOFError: if there is no response.
+            ValueError: if the response is malformed.
+            RequestRejectedError: if the node rejects the command.
         """
--- a/oakbridge/agent/journal.py
+++ b/oakbridge/agent/journal.py
@@ -1,7 +1,7 @@
 """``agent.db``: the agent's journal in SQLite, one transaction for each record.
 
 facts       name, value             the format's number; the fencing token's record
-instances   name, spec, record      how an instance is run; where its change stands
+instances   name, spec, record      how each instance is run; the state of its change
 """
 
 from __future__ import annotations
@@ -36,17 +36,17 @@
 
 
 class AgentJournal:
-    """The open database; what a method writes is on disk when it returns.
+    """The open database; when a method returns, what it has written is on disk.
 
-    Methods raise StoreUnavailableError if the disk fails at the moment.
+    Methods raise StoreUnavailableError if the disk fails.
     """
 
     def __init__(self, path: Path) -> None:
         """Open the database, or create it.
 
         Raises:
-            StoreError: if it is no database, or one of another format.
-            StoreUnavailableError: if the disk fails at the moment.
+            StoreError: if the file is no database, or has another format.
+            StoreUnavailableError: if the disk fails.
         """
         self._path = path
         try:
@@ -55,23 +55,24 @@
                 on_failure.callback(self.close)
                 self._prepare(path)
                 on_failure.pop_all()
-        except sqlite3.OperationalError as e:
-            raise StoreUnavailableError(path, str(e)) from None
-        except sqlite3.DatabaseError as e:
-            raise StoreError(path, str(e)) from None
+        except sqlite3.OperationalError as error:
+            raise StoreUnavailableError(path, str(error)) from None
+        except sqlite3.DatabaseError as error:
+            raise StoreError(path, str(error)) from None
 
     def _prepare(self, path: Path) -> None:
         self._database.execute("PRAGMA journal_mode = WAL")
-        self._database.execute(
-            "PRAGMA synchronous = FULL"
-        )  # a granted token must survive a power cut
+        # A granted token must survive a power failure.
+        self._database.execute("PRAGMA synchronous = FULL")
         for statement in SCHEMA:
             self._database.execute(statement)
-        found = self._read_fact(FORMAT_FACT)
-        if found is None:
+        stored_format = self._read_fact(FORMAT_FACT)
+        if stored_format is None:
             self._write_fact(FORMAT_FACT, str(FORMAT))
-        elif found != str(FORMAT):
-            raise StoreError(path.parent, f"expected a state of format {FORMAT}, got {found}")
+        elif stored_format != str(FORMAT):
+            raise StoreError(
+                path.parent, f"expected a state of format {FORMAT}, got {stored_format}"
+            )
 
     def close(self) -> None:
         """Close the database."""
@@ -80,7 +81,11 @@
     # ---- the fencing token
 
     def load_token_record(self) -> FencingTokenRecord:
-        """Return the fencing token's record that was saved last."""
+        """Return the fencing token's record that was saved last.
+
+        Raises:
+            StoreError: if it is invalid.
+        """
         text = self._read_fact(TOKEN_FACT)
         return FencingTokenRecord() if text is None else decode_token_record(text)
 
@@ -91,21 +96,25 @@
     # ---- instances
 
     def load_instances(self) -> dict[str, tuple[InstanceSpec, InstanceRecord]]:
-        """Return all instances by name: how each is run, and where its change stands.
+        """Return the spec and the record of each instance, by name.
 
         Raises:
-            StoreError: if one of them can't be read.
+            StoreError: if one of them is invalid.
         """
         rows = self._read("SELECT name, spec, record FROM instances ORDER BY name")
         return {name: (decode_spec(spec), decode_record(record)) for name, spec, record in rows}
 
     def save_instance(self, name: str, spec: InstanceSpec, record: InstanceRecord) -> None:
-        """Save an instance, new or changed."""
+        """Save an instance, new or changed.
+
+        Raises:
+            StoreError: if its name is not safe.
+        """
         values = (check_name(name, "instance"), encode_spec(spec), encode_record(record))
         self._write("INSERT OR REPLACE INTO instances VALUES (?, ?, ?)", values)
 
     def save_record(self, name: str, record: InstanceRecord) -> None:
-        """Save where an instance's change stands."""
+        """Save the record of an instance that is in the journal."""
         self._write("UPDATE instances SET record = ? WHERE name = ?", (encode_record(record), name))
 
     def delete_instance(self, name: str) -> None:
@@ -121,8 +130,8 @@
     def _read(self, query: str, values: tuple[str, ...] = ()) -> list[Any]:
         try:
             return self._database.execute(query, values).fetchall()
-        except sqlite3.OperationalError as e:
-            raise StoreUnavailableError(self._path, str(e)) from None
+        except sqlite3.OperationalError as error:
+            raise StoreUnavailableError(self._path, str(error)) from None
 
     def _write_fact(self, name: str, value: str) -> None:
         self._write("INSERT OR REPLACE INTO facts VALUES (?, ?)", (name, value))
@@ -130,9 +139,9 @@
     def _write(self, statement: str, values: tuple[str, ...]) -> None:
         """Execute one statement, which is a transaction of its own.
 
-        Raises StoreUnavailableError if the disk fails: then nothing was written.
+        Raises StoreUnavailableError if the disk fails; then nothing was written.
         """
         try:
             self._database.execute(statement, values)
-        except sqlite3.OperationalError as e:
-            raise StoreUnavailableError(self._path, str(e)) from None
+        except sqlite3.OperationalError as error:
+            raise StoreUnavailableError(self._path, str(error)) from None
--- a/oakbridge/agent/lease.py
+++ b/oakbridge/agent/lease.py
@@ -1,10 +1,9 @@
-"""Who may change things on this host: a lease with a fencing token.  No I/O.
+"""The lease on changing the instances of this host, with a fencing token.  No I/O.
 
-An operator proposes a token that is higher than any it has seen and needs a majority of the fleet's
-agents.  A token that has been granted is never granted to another holder: whatever comes with a
-lower one, however late, is refused. Times are microseconds on a clock that only moves forward; a
-lease ends by it, never by what an operator's clock says, so that a clock that jumps on another host
-changes nothing here.
+An operator proposes a token above every token that it has seen, and needs the leases of a majority
+of the fleet's agents.  A token is never granted to a second holder.  A request with a lower token
+is refused, however late it arrives.  Times are microseconds of this host's monotonic clock: a clock
+that jumps on an operator's host does not affect when the lease expires.
 """
 
 from __future__ import annotations
@@ -13,6 +12,8 @@
 
 US_PER_S = 1_000_000
 MAX_DURATION_US = 600 * US_PER_S
+# The expiry is not on disk: after a restart of the agent, an unreleased lease counts as active for
+# this long.
 RESTART_GRACE_US = 30 * US_PER_S
 
 
@@ -22,52 +23,58 @@
 
     token: int = 0
     holder: str = ""
-    granted_at_s: float = 0.0  # Unix time, for people
+    granted_at_s: float = 0.0  # Unix time; only reported, never compared
     released: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted:
-    """The lease is the asker's; it ends ``duration_us`` after this unless it is renewed."""
+    """The lease is granted; it expires after ``duration_us`` unless it is renewed."""
 
     token: int
     duration_us: int
-    record_changed: bool  # whether the record has to be on disk before the asker is told
+    record_changed: bool  # whether the record must be on disk before the response is sent
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseDenied:
-    """The lease is somebody else's, or the token too low; tells the highest one and its holder."""
+    """Another operator has the lease, or the token is too low.
+
+    ``token``, ``holder`` and ``granted_at_s`` are those of the highest token granted.
+    """
 
     reason: str
     token: int
     holder: str
     granted_at_s: float
-    expires_in_us: int  # of the lease that stands in the way; 0: none does
+    expires_in_us: int  # until the active lease expires; 0 if no lease is active
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseState:
-    """A lease at one moment."""
+    """A saved state of a lease, for :meth:`Lease.restore`."""
 
     record: FencingTokenRecord
     expires_us: int
 
 
 class Lease:
-    """The lease of one agent.  ``record`` must outlive the process; the lease itself need not."""
+    """The lease of one agent.  Only ``record`` must outlive the process."""
 
     def __init__(
         self, record: FencingTokenRecord, now_us: int, grace_us: int = RESTART_GRACE_US
     ) -> None:
-        """Take up a record; an unreleased lease is active for ``grace_us`` more."""
+        """Start from a record; an unreleased lease is active for ``grace_us``."""
         self.record = record
         self._expires_us = now_us if record.released else now_us + grace_us
 
     def acquire(
         self, now_us: int, token: int, holder: str, duration_us: int, wall_time_s: float
     ) -> LeaseGranted | LeaseDenied:
-        """Grant the lease if nobody else has it; the same request again is granted again."""
+        """Grant the lease if no other operator has it; a repeated request is granted again.
+
+        ``wall_time_s`` is the Unix time that the record keeps.
+        """
         if self._is_held_by(token, holder):
             return self._grant(now_us, duration_us, record_changed=False)
         if self.is_active(now_us) and holder != self.record.holder:
@@ -80,26 +87,26 @@
     def renew(
         self, now_us: int, token: int, holder: str, duration_us: int
     ) -> LeaseGranted | LeaseDenied:
-        """Grant more time.  An expired lease may be renewed as long as nobody else has acquired it.
+        """Extend the lease, also an expired one that no other operator has acquired meanwhile.
 
-        The holder counts as well: two who ask at once choose the same token, and each may have won
-        some agents.
+        The holder is compared as well as the token: two operators that ask at the same time propose
+        the same token, and each may have been granted the lease by some agents.
         """
         if not self._is_held_by(token, holder):
             return self._deny(now_us, f"token {token} has no lease here")
         return self._grant(now_us, duration_us, record_changed=False)
 
     def state(self) -> LeaseState:
-        """Return the lease as it is, for :meth:`restore`."""
+        """Return the current state, for :meth:`restore`."""
         return LeaseState(self.record, self._expires_us)
 
     def restore(self, state: LeaseState) -> None:
-        """Have the lease as it was: what was granted since could not be written, and was not told."""
+        """Undo a change that could not be written to disk, and that no operator was notified of."""
         self.record = state.record
         self._expires_us = state.expires_us
 
     def release(self, now_us: int, token: int, holder: str) -> bool:
-        """Give the lease back; return whether the record changed.
+        """Release the lease; return whether the record changed.
 
         The token is never granted again.
         """
@@ -110,7 +117,7 @@
         return True
 
     def check(self, now_us: int, token: int, holder: str) -> LeaseDenied | None:
-        """Return why a step with this token may not begin; None if its holder has the lease."""
+        """Return why a step with this token is refused; None if its holder has the lease."""
         if (token, holder) != (self.record.token, self.record.holder):
             return self._deny(now_us, f"token {token} is not the one promised")
         if not self.is_active(now_us):
@@ -118,7 +125,7 @@
         return None
 
     def is_active(self, now_us: int) -> bool:
-        """Return whether somebody has the lease now."""
+        """Return whether an operator has the lease at this time."""
         return not self.record.released and now_us < self._expires_us
 
     def _is_held_by(self, token: int, holder: str) -> bool:
--- a/oakbridge/agent/local_host.py
+++ b/oakbridge/agent/local_host.py
@@ -1,7 +1,7 @@
 """The local machine, as an agent uses it.
 
-A node outlives its agent.  An agent that starts again finds it by its control socket, whose peer is
-told by the kernel, also where that process is frozen and does not answer.
+A node outlives its agent.  A restarted agent finds the node by its control socket: the kernel
+reports the process that listens on it, even if that process is stopped and does not respond.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from oakbridge.node.startup import retry_resource_errors
 
 CHECK_TIMEOUT_S = 30.0
-LOG_TAIL_BYTES = 4096
-MAX_LOG_LINE_LENGTH = 300
-MAX_PROBLEM_LENGTH = 500
+LOG_TAIL_BYTES = 4096  # the last log line is looked for in this part of a log
+MAX_LOG_LINE_LENGTH = 300  # characters
+MAX_PROBLEM_LENGTH = 500  # characters
 
 
 class LocalHost:
     """The local machine."""
 
     def find_node(self, control: Path, on_exit: ExitCallback) -> LocalProcess | None:
-        """Return the node that listens on this control socket already, if one does."""
-        pid = retry_resource_errors(lambda: listener_pid(control), "looking for a node")
+        """Return the running node that listens on this control socket; None without one."""
+        pid = retry_resource_errors(lambda: listener_pid(control), "finding a running node")
         if pid is None:
             return None
         try:
             return retry_resource_errors(
-                lambda: LocalProcess(pid, on_exit), "watching a node that runs"
+                lambda: LocalProcess(pid, on_exit), "watching a running node"
             )
         except ProcessLookupError:
             return None
@@ -52,7 +52,10 @@
         return lines[-1][:MAX_LOG_LINE_LENGTH] if lines else ""
 
     async def check_config(self, config: Path) -> str:
-        """Return what ``oakbridge check`` finds wrong with a configuration, in one line, or ""."""
+        """Return the problem that ``oakbridge check`` finds in a configuration, in one line, or "".
+
+        Raises OSError if the checker can't be started.
+        """
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "oakbridge.cli", "check", str(config),
             stdin=asyncio.subprocess.DEVNULL,
@@ -60,19 +63,19 @@
             stderr=asyncio.subprocess.PIPE,
         )  # fmt: skip
         try:
-            _, errors = await asyncio.wait_for(process.communicate(), CHECK_TIMEOUT_S)
+            _, stderr = await asyncio.wait_for(process.communicate(), CHECK_TIMEOUT_S)
         except TimeoutError:
             process.kill()
             await process.wait()
             return f"the checker did not end within {CHECK_TIMEOUT_S:g} s"
         if process.returncode == 0:
             return ""
-        return _first_problem(errors.decode("utf-8", "replace"))
+        return _first_problem(stderr.decode("utf-8", "replace"))
 
     async def query_node(
         self, control: Path, command: protocol.ControlCommand, **arguments: Any
     ) -> Any:
-        """Query a node over its control socket; raises as :meth:`Host.query_node` says."""
+        """Query a node over its control socket; raises the errors of :meth:`Host.query_node`."""
         reader, writer = await asyncio.open_unix_connection(
             str(control), limit=protocol.MAX_RESPONSE_BYTES
         )
@@ -86,8 +89,8 @@
             writer.transport.abort()
 
 
-def _first_problem(errors: str) -> str:
-    """Return the first of the checker's lines, and how many more there are."""
-    lines = errors.strip().splitlines() or ["the checker says no, and not why"]
+def _first_problem(stderr: str) -> str:
+    """Return the first line of the checker's output, and how many more lines there are."""
+    lines = stderr.strip().splitlines() or ["the checker says no, and not why"]
     first = lines[0].removeprefix("oakbridge: ")[:MAX_PROBLEM_LENGTH]
     return f"{first} (and {len(lines) - 1} more)" if len(lines) > 1 else first
--- a/oakbridge/agent/managed_instance.py
+++ b/oakbridge/agent/managed_instance.py
@@ -32,31 +32,31 @@
 from oakbridge.agent.timers import Timers
 from oakbridge.control.errors import RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
-from oakbridge.process import supervisor as sup
+from oakbridge.process import supervisor as process_supervisor
 
 log = logging.getLogger(__name__)
 
-CONFIG_FILE = "oakbridge.toml"  # the file of a generation that a node is started with
-DRAINED_FILE = "drained"  # a generation with a file of this name is one whose node does not run
+CONFIG_FILE = "oakbridge.toml"  # the file of a generation that the node is started with
+DRAINED_FILE = "drained"  # the node of a generation with this file is not run
 LOG_FILE = "node.log"
-POLL_INTERVAL_S = 0.5
-POLL_TIMEOUT_S = 2.0  # a node that does not answer for so long is unresponsive
+POLL_INTERVAL_S = 0.5  # between two requests for a node's status
+POLL_TIMEOUT_S = 2.0  # a node that does not respond for this long counts as unresponsive
 UNKNOWN_GENERATION = 0
-DISK_RETRY_US = 200_000  # after an action that the disk failed
+DISK_RETRY_DELAY_US = 200_000  # after a transient error of the disk
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceContext:
-    """What all instances of an agent share."""
+    """What the instances of an agent share."""
 
-    agent: str  # the agent's name, which is part of the instances' names in the cluster
+    agent: str  # the agent's name, the first part of its nodes' names among members
     store: Store
     host: Host
     poll_interval_s: float = POLL_INTERVAL_S
 
 
 class ManagedInstance:
-    """Connects an instance's state machine with the disk and with its node."""
+    """Connects an instance's state machine with the disk and with the instance's node."""
 
     def __init__(
         self, name: str, spec: InstanceSpec, record: InstanceRecord, context: InstanceContext
@@ -64,9 +64,9 @@
         self.name = name
         self.spec = spec
         self.machine = InstanceStateMachine(record)
-        self.node_answer: dict[str, Any] = {}  # the node's last status; empty if it did not answer
-        self.answered_at_s = 0.0  # Unix time
-        self.running_generation = UNKNOWN_GENERATION  # the one that the process was started with
+        self.node_status: dict[str, Any] = {}  # from the last poll; empty without a response
+        self.status_received_at_s = 0.0  # Unix time of the last response
+        self.running_generation = UNKNOWN_GENERATION  # which the node's process was started with
         self._member = (
             MemberEndpoint(f"{context.agent}/{name}", spec.member) if spec.member else None
         )
@@ -74,9 +74,8 @@
         self._host = context.host
         self._poll_interval_s = context.poll_interval_s
         self._poll_task: asyncio.Task[None] | None = None
-        self._config_problem = (
-            ""  # what the node's checker found in the files of the step in progress
-        )
+        # What the node's checker found in the files of the step in progress.
+        self._config_problem = ""
         self._timers = Timers(name)
         self.node = self._make_node()
         self._executor = self._make_executor(context.store)
@@ -104,12 +103,12 @@
 
     @property
     def durable_record(self) -> InstanceRecord:
-        """The record on disk: what operators may be told."""
+        """The record on disk, which is the one that operators get."""
         return self._executor.durable_record
 
     @property
     def is_drained(self) -> bool:
-        """Whether the current generation says that the node should not run."""
+        """Whether the current generation has the file that keeps its node stopped."""
         return (self._generations.current_link(self.name) / DRAINED_FILE).exists()
 
     @property
@@ -121,7 +120,7 @@
         return self._generations.instance_folder(self.name) / LOG_FILE
 
     def start(self) -> None:
-        """Adopt the node if it runs already, then continue from the journal."""
+        """Adopt the node if it is running, then continue from the journal's record."""
         self.node.adopt(self.spec.control)
         self._execute(self.machine.recover(monotonic_us()))
         self._poll_task = asyncio.get_running_loop().create_task(self._poll())
@@ -133,16 +132,16 @@
         self._timers.cancel_all()
         self.node.detach()
 
-    # ---- changes
+    # ---- steps
 
     def begin_step(
         self, step: Step, files: Files, config_problem: str, lease_problem: Callable[[], str]
     ) -> None:
-        """Begin a step whose files have been checked; ``config_problem`` is what was found.
+        """Begin a step whose files have been checked; ``config_problem`` is the check's result.
 
         Raises:
-            StepNotDurableError: if the disk fails: it may have to be asked for again.
-            StepConflictError: if the step can't begin.
+            StepNotDurableError: if the disk fails; the same request may succeed later.
+            StepConflictError: if the step is refused.
         """
         if not self._executor.is_blocked:
             self._config_problem = config_problem
@@ -151,8 +150,11 @@
             raise StepNotDurableError(step.step_id)
 
     def outcome(self, step_id: str) -> StepOutcome | None:
-        """Return how a step ended, by the record on disk; None if it has no end there."""
-        return next((o for o in self.durable_record.outcomes if o.step_id == step_id), None)
+        """Return a step's outcome from the record on disk; None if it has none there."""
+        return next(
+            (outcome for outcome in self.durable_record.outcomes if outcome.step_id == step_id),
+            None,
+        )
 
     def _is_durable(self, step_id: str) -> bool:
         record = self.durable_record
@@ -167,10 +169,10 @@
         self._timers.schedule(at_us, self._on_timer)
 
     def _set_retry_timer(self) -> None:
-        self._timers.schedule(monotonic_us() + DISK_RETRY_US, self._retry)
+        self._timers.schedule(monotonic_us() + DISK_RETRY_DELAY_US, self._retry)
 
     def _retry(self) -> None:
-        """Carry out what waits for the disk; then take note of what happened to the node meanwhile."""
+        """Carry out the actions that wait for the disk; then report a node that exited meanwhile."""
         self._executor.retry(monotonic_us())
         if not self._executor.is_blocked:
             self._report_drained()
@@ -179,15 +181,18 @@
         self._execute(self.machine.on_timer(monotonic_us()))
 
     def _run_generation(self, target: Generation) -> None:
-        """Have the node run a generation: it is restarted unless it runs that one already."""
+        """Run the node with a generation; restart it unless it runs with this one already."""
         if target.is_empty or self.is_drained:
             self.node.stop()
-            # A node that was stopped already raises no exit event.
+            # A node that was stopped before causes no exit event.
             asyncio.get_running_loop().call_soon(self._report_drained)
-        elif self.running_generation == target.number and self.node.state is sup.State.RUNNING:
+        elif (
+            self.running_generation == target.number
+            and self.node.state is process_supervisor.State.RUNNING
+        ):
             self.node.keep_running()
         elif self._may_run_already():
-            # It was adopted: which generation it runs is checked as soon as it answers.
+            # The node was adopted; its first response shows which configuration it runs with.
             self.running_generation = target.number
         else:
             self.node.restart()
@@ -202,7 +207,7 @@
     # ---- the node
 
     def _prepare_launch(self) -> NodeLaunch:
-        self.node_answer = {}
+        self.node_status = {}
         self.running_generation = self._generations.current_number(self.name)
         return NodeLaunch(
             config=self._config_file,
@@ -213,76 +218,78 @@
             member=self._member,
         )
 
-    def _on_node_exit(self, reason: str, expected: bool) -> None:
-        self.node_answer = {}
-        # While actions wait for the disk, the process that ended is one of before the change.
-        if not expected and not self._executor.is_blocked:
+    def _on_node_exit(self, reason: str, is_expected: bool) -> None:
+        self.node_status = {}
+        # While actions wait for the disk, the process that exited is from before the change.
+        if not is_expected and not self._executor.is_blocked:
             self._execute(self.machine.on_failed(reason))
         self._report_drained()
 
     def _report_drained(self) -> None:
-        """Report a drained instance ready once its node has ended."""
+        """Report a drained instance as ready once its node has exited."""
         if self._executor.is_blocked:
-            return  # until the node has been told to run what it should
+            return  # RunGeneration may still be queued
         try:
-            is_ready = self.node.state is sup.State.STOPPED and self.is_drained
+            is_ready = self.node.state is process_supervisor.State.STOPPED and self.is_drained
         except OSError:  # the disk fails
-            self._timers.schedule(monotonic_us() + DISK_RETRY_US, self._report_drained)
+            self._timers.schedule(monotonic_us() + DISK_RETRY_DELAY_US, self._report_drained)
             return
         if is_ready:
             self._execute(self.machine.on_ready(monotonic_us()))
 
     async def _poll(self) -> None:
-        """Poll the node for its status until cancelled."""
+        """Poll the node for its status until the task is cancelled."""
         while True:
             await asyncio.sleep(self._poll_interval_s)
             try:
                 async with asyncio.timeout(POLL_TIMEOUT_S):
-                    answer = await self._host.query_node(
+                    response = await self._host.query_node(
                         self.spec.control, ControlCommand.STATUS, rows=0
                     )
             except (OSError, TimeoutError, EOFError, ValueError, RequestRejectedError):
-                self.node_answer = {}
+                self.node_status = {}
                 continue
-            self.node_answer = answer
-            self.answered_at_s = time.time()
+            self.node_status = response
+            self.status_received_at_s = time.time()
             try:
-                self._evaluate(NodeStatus.from_json(answer))
-            except Exception:  # contained: a node that is polled no more would never be ready
-                log.exception("%s: its status could not be evaluated", self.name)
+                self._evaluate(NodeStatus.from_json(response))
+            except Exception:  # polling must continue: without it the node never becomes ready
+                log.exception("evaluating a node's status failed: instance=%s", self.name)
 
     def _evaluate(self, status: NodeStatus) -> None:
-        """Derive the events for the supervisor and the state machine from the node's status."""
+        """Report events that the node's status shows to the supervisor and the state machine."""
         if self.node.pid is None or status.pid != self.node.pid:
             return
         if not self.node.is_up or self._executor.is_blocked:
-            return  # the answer is the old process's, which is ending, or will be told to
+            return  # the status is of an old process, which exits or is still to be stopped
         if status.source_problem:
             reason = f"its server file is {status.source_problem}"
             self._execute(self.machine.on_failed(reason))
-        elif self._is_steady() and not self._runs_current_config(status):
+        elif self._should_run_current() and not self._runs_current_config(status):
             log.warning(
-                "%s: it runs another configuration than it should, and is started anew", self.name
+                "node does not run its current configuration, restarting it: instance=%s", self.name
             )
             self.node.restart()
         elif status.ready:
             self.node.mark_ready()
             self._execute(self.machine.on_ready(monotonic_us()))
 
-    def _is_steady(self) -> bool:
-        """Whether the link shows what the node should run."""
+    def _should_run_current(self) -> bool:
+        """Whether the node should run the generation that the link points at."""
         return self.machine.state in (ChangeState.SETTLED, ChangeState.WATCHING)
 
     def _runs_current_config(self, status: NodeStatus) -> bool:
-        """Whether the node was started with what the link shows, by its own answer.
+        """Whether the node was started with the current configuration, by the digest it reports.
 
-        A file that can't be read for a moment says nothing against the node.
+        True as well if the file can't be read because of a transient error.
         """
         try:
             config = self._config_file.read_bytes()
         except FileNotFoundError:
             return False
-        except OSError as e:
-            log.warning("%s: its configuration can't be read: %s", self.name, e)
+        except OSError as error:
+            log.warning(
+                "reading a node's configuration failed: instance=%s error=%s", self.name, error
+            )
             return True
         return status.config_digest == hashlib.sha256(config).hexdigest()
--- a/oakbridge/agent/node_process.py
+++ b/oakbridge/agent/node_process.py
@@ -1,4 +1,4 @@
-"""Processes of nodes: start them, and hear of their end through pidfds."""
+"""Processes of nodes: start them, and watch for their exit through pidfds."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOG_BYTES = 8 * 1024 * 1024  # a longer log is put aside at the node's next start
+MAX_LOG_BYTES = 8 * 1024 * 1024  # a longer log is rotated at the node's next start
 OLD_LOG_SUFFIX = ".old"
 CONNECT_TIMEOUT_S = 1.0
 PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid and gid
 
 
 def listener_pid(path: Path) -> int | None:
-    """Return the process that listens on a control socket, as the kernel has it, or None.
+    """Return the process that listens on a control socket, as the kernel reports it, or None.
 
-    Raises OSError where that can't be told for a moment: a node that runs must not be taken for none.
+    Raises OSError for a transient error: a running node must not be reported as missing.
     """
     with socket.socket(socket.AF_UNIX) as probe:
         probe.settimeout(CONNECT_TIMEOUT_S)
@@ -36,7 +36,8 @@
             probe.connect(str(path))
             raw = probe.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
         except OSError as error:
-            is_queue_full = isinstance(error, BlockingIOError)  # of a node that hangs
+            # The listen queue of a node that hangs is full.
+            is_queue_full = isinstance(error, BlockingIOError)
             if is_resource_error(error) and not is_queue_full:
                 raise
             return None
@@ -45,21 +46,21 @@
 
 
 class LocalProcess:
-    """A process of this machine, a child or one that was found."""
+    """A process of this machine: a child, or a running process that was found."""
 
     def __init__(
         self, pid: int, on_exit: ExitCallback, child: subprocess.Popen[bytes] | None = None
     ) -> None:
-        """Watch the process.  Raises OSError where there is none."""
+        """Watch the process.  Raises OSError if it does not exist."""
         self.pid = pid
         self._child = child
         self._on_exit = on_exit
         self._pidfd = os.pidfd_open(pid)
         self._loop = asyncio.get_running_loop()
-        self._loop.add_reader(self._pidfd, self._exited)
+        self._loop.add_reader(self._pidfd, self._handle_exit)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal; nobody gets it if the process is gone: a pidfd is never used anew."""
+        """Send a signal, which has no effect after the exit: a pidfd refers to one process only."""
         if self._pidfd >= 0:
             with contextlib.suppress(ProcessLookupError):
                 signal.pidfd_send_signal(self._pidfd, number)
@@ -71,13 +72,13 @@
             os.close(self._pidfd)
             self._pidfd = -1
 
-    def _exited(self) -> None:
+    def _handle_exit(self) -> None:
         self.detach()
         self._on_exit(self._exit_description())
 
     def _exit_description(self) -> str:
         if self._child is None:
-            return "it ended"  # only a parent is told an exit code
+            return "it ended"  # the kernel reports the exit code to the parent only
         code = self._child.wait()
         return f"signal {-code}" if code < 0 else f"exit code {code}"
 
@@ -96,7 +97,7 @@
     try:
         return LocalProcess(child.pid, on_exit, child)
     except OSError:
-        child.kill()  # nobody would hear of its end
+        child.kill()  # its exit could not be detected
         child.wait()
         raise
 
@@ -113,12 +114,16 @@
 
 
 def _open_log(path: Path) -> BinaryIO:
-    """Open a node's log; where the disk fails, the node runs without one until its next start."""
+    """Open a node's log; if the disk fails, the node runs without one until its next start."""
     try:
         _rotate(path)
         return path.open("ab")
-    except OSError as e:
-        log.warning("%s can't be opened, its node runs without a log: %s", path, e)
+    except OSError as error:
+        log.warning(
+            "opening a node's log failed, the node runs without a log: path=%s error=%s",
+            path,
+            error,
+        )
         return Path(os.devnull).open("ab")
 
 
--- a/oakbridge/agent/node_status.py
+++ b/oakbridge/agent/node_status.py
@@ -1,4 +1,4 @@
-"""What an agent reads in a node's status."""
+"""The fields of a node's status that its agent uses."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStatus:
-    """The part of a node's status that its agent acts on."""
+    """The fields of a node's status that its agent uses."""
 
     pid: int | None
     ready: bool
-    config_digest: str | None  # SHA-256 of the configuration file that it was started with
-    source_problem: str  # "refused" or "held", if its server file is; else ""
+    config_digest: str | None  # SHA-256 of the configuration file that the node was started with
+    source_problem: str  # "refused" or "held" if the node's server file is; else ""
 
     @classmethod
     def from_json(cls, raw: dict[str, Any]) -> NodeStatus:
-        """Return the status that a node's answer tells; what it leaves out is not known."""
+        """Return the status in a node's response; fields that it leaves out are unknown."""
         source = raw.get("source", {})
-        problems = [word for word in ("refused", "held") if source.get(word)]
+        problems = [problem for problem in ("refused", "held") if source.get(problem)]
         return cls(
             pid=raw.get("pid"),
             ready=bool(raw.get("ready")),
--- a/oakbridge/agent/operator_api.py
+++ b/oakbridge/agent/operator_api.py
@@ -1,6 +1,6 @@
-"""Answer the requests of the fleet's operators.
+"""Serve the requests of the fleet's operators.
 
-Every request is idempotent: sent again, it gets the same answer.
+Every request is idempotent: sent again, it gets the same response.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
 
 
 class OperatorApi:
-    """The requests of operators to one agent."""
+    """Serves the requests of operators to one agent."""
 
     def __init__(self, agent: Agent) -> None:
         self._agent = agent
 
     async def handle(self, identity: Identity, method: str, path: str, body: bytes) -> Response:
-        """Answer one request of somebody whose certificate is of this fleet.
+        """Return the response to one request; ``identity`` is that of the sender's certificate.
 
         Raises:
             FleetMessageError: if the request is malformed.
@@ -73,15 +73,15 @@
         generation = Generation(request.generation)
         try:
             files = self._agent.store.generations.read_files(request.instance, generation)
-        except StoreUnavailableError as e:
-            return _unavailable(e)
-        except StoreError as e:
-            return _error(HTTPStatus.NOT_FOUND, str(e))
+        except StoreUnavailableError as error:
+            return _unavailable(error)
+        except StoreError as error:
+            return _error(HTTPStatus.NOT_FOUND, str(error))
         return Response(HTTPStatus.OK, {"files": files})
 
     def _lease(self, request: LeaseRequest, holder: str) -> Response:
         lease, now_us = self._agent.lease, monotonic_us()
-        before = lease.state()
+        state_before = lease.state()
         if request.renew:
             result = lease.renew(now_us, request.token, holder, request.duration_us)
         else:
@@ -90,21 +90,22 @@
             return _denial(result)
         if result.record_changed:
             try:
-                self._agent.save_token_record()  # a token must be on disk before it is told
-            except StoreUnavailableError as e:
-                lease.restore(before)
-                return _unavailable(e)
+                self._agent.save_token_record()  # must be on disk before the token is sent
+            except StoreUnavailableError as error:
+                lease.restore(state_before)
+                return _unavailable(error)
         return _grant(result)
 
     def _release(self, request: ReleaseRequest, holder: str) -> Response:
         lease = self._agent.lease
-        before = lease.state()
+        state_before = lease.state()
         if lease.release(monotonic_us(), request.token, holder):
             try:
                 self._agent.save_token_record()
-            except StoreUnavailableError as e:
-                lease.restore(before)  # it ends by its time, or as it is released again
-                return _unavailable(e)
+            except StoreUnavailableError as error:
+                # The lease expires, unless the operator releases it again before.
+                lease.restore(state_before)
+                return _unavailable(error)
         return Response(HTTPStatus.OK, {"token": lease.record.token})
 
     async def _step(self, request: StepRequest, holder: str) -> Response:
@@ -112,21 +113,23 @@
         instance = agent.instances.get(request.instance)
         if instance is None:
             return _error(HTTPStatus.NOT_FOUND, f"instance: there is no {request.instance} here")
-        if (ended := instance.outcome(request.step_id)) is not None:
-            return _outcome(ended)
+        if (outcome := instance.outcome(request.step_id)) is not None:
+            return _outcome(outcome)
         denied = agent.lease.check(monotonic_us(), request.token, holder)
         if denied is not None:
             return _denial(denied)
         try:
             check_files(request.files)
-        except StoreError as e:
-            return _error(HTTPStatus.BAD_REQUEST, str(e))
+        except StoreError as error:
+            return _error(HTTPStatus.BAD_REQUEST, str(error))
         if CONFIG_FILE not in request.files:
             return _error(HTTPStatus.BAD_REQUEST, f"files: expected {CONFIG_FILE} among them")
         try:
             problem = await agent.check_config(request.files)
-        except OSError as e:
-            return _error(HTTPStatus.SERVICE_UNAVAILABLE, f"the files can't be checked now: {e}")
+        except OSError as error:
+            return _error(
+                HTTPStatus.SERVICE_UNAVAILABLE, f"the files can't be checked now: {error}"
+            )
         return self._begin_step(instance, request, holder, problem)
 
     def _begin_step(
@@ -137,17 +140,17 @@
             request.step_id, request.token, target, request.base_generation, request.watch_us
         )
 
-        def lease_problem() -> str:  # the lease may have ended since the request came
+        def lease_problem() -> str:  # the lease may have expired since the request arrived
             return self._agent.lease_problem(step.token, holder)
 
         try:
             instance.begin_step(step, request.files, config_problem, lease_problem)
-        except (StepInProgressError, StepNotDurableError) as e:
-            return _error(HTTPStatus.SERVICE_UNAVAILABLE, str(e))
-        except StepConflictError as e:
-            return _error(HTTPStatus.CONFLICT, str(e))
-        if (ended := instance.outcome(step.step_id)) is not None:
-            return _outcome(ended)
+        except (StepInProgressError, StepNotDurableError) as error:
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
+        except StepConflictError as error:
+            return _error(HTTPStatus.CONFLICT, str(error))
+        if (outcome := instance.outcome(step.step_id)) is not None:
+            return _outcome(outcome)
         accepted = {"step": step.step_id, "change": instance.durable_record.state.value}
         return Response(HTTPStatus.ACCEPTED, accepted)
 
@@ -165,7 +168,7 @@
 
 
 def _unavailable(error: StoreUnavailableError) -> Response:
-    """Return that the disk fails now: the same request may succeed soon."""
+    """Return the response for a failing disk; the same request may succeed later."""
     return _error(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
 
 
--- a/oakbridge/agent/record_codec.py
+++ b/oakbridge/agent/record_codec.py
@@ -1,4 +1,4 @@
-"""Encode and decode what ``agent.db`` stores: JSON with names of its own, not the code's."""
+"""Encode and decode the records in ``agent.db``: JSON, whose keys do not depend on the code."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def encode_record(record: InstanceRecord) -> str:
-    """Return an instance's record as it is stored."""
+    """Return the stored form of an instance's record."""
     fields = {
         "state": record.state.value,
         "current": _encode_generation(record.current),
@@ -33,10 +33,10 @@
 
 
 def decode_record(text: str) -> InstanceRecord:
-    """Return the record that is stored as this text.
+    """Return an instance's record from its stored form.
 
     Raises:
-        StoreError: if it is no record.
+        StoreError: if the text is no such record.
     """
     try:
         fields: dict[str, Any] = json.loads(text)
@@ -49,12 +49,12 @@
             rollback_reason=fields["reason"],
             outcomes=tuple(_decode_outcome(outcome) for outcome in fields["outcomes"]),
         )
-    except (ValueError, KeyError, TypeError) as e:
-        raise StoreError("journal", f"a record that can't be read: {e}") from None
+    except (ValueError, KeyError, TypeError) as error:
+        raise StoreError("journal", f"expected the record of an instance: {error}") from None
 
 
 def encode_outcome(outcome: StepOutcome) -> list[str]:
-    """Return a step's outcome as it is stored; status answers have it in the same form."""
+    """Return the stored form of a step's outcome; an agent's status has the same form."""
     return [outcome.step_id, outcome.verdict.value, outcome.reason]
 
 
@@ -68,7 +68,7 @@
 
 
 def _decode_generation(fields: dict[str, Any]) -> Generation:
-    _refuse_unknown(fields, {"number", "digest"})
+    _reject_unknown(fields, {"number", "digest"})
     return Generation(fields["number"], fields["digest"])
 
 
@@ -83,7 +83,7 @@
 
 
 def _decode_step(fields: dict[str, Any]) -> Step:
-    _refuse_unknown(fields, {"id", "token", "target", "base", "watch"})
+    _reject_unknown(fields, {"id", "token", "target", "base", "watch"})
     return Step(
         step_id=fields["id"],
         token=fields["token"],
@@ -94,12 +94,12 @@
 
 
 def encode_token_record(record: FencingTokenRecord) -> str:
-    """Return a fencing token's record as it is stored."""
+    """Return the stored form of a fencing token's record."""
     return json.dumps(token_record_fields(record))
 
 
 def token_record_fields(record: FencingTokenRecord) -> dict[str, Any]:
-    """Return the fields of a fencing token's record; status answers have them in the same form."""
+    """Return the fields of a fencing token's record; an agent's status has the same fields."""
     return {
         "token": record.token,
         "holder": record.holder,
@@ -109,26 +109,26 @@
 
 
 def decode_token_record(text: str) -> FencingTokenRecord:
-    """Return the fencing token's record that is stored as this text.
+    """Return a fencing token's record from its stored form.
 
     Raises:
-        StoreError: if it is no such record.
+        StoreError: if the text is no such record.
     """
     try:
         fields = json.loads(text)
-        _refuse_unknown(fields, {"token", "holder", "since", "released"})
+        _reject_unknown(fields, {"token", "holder", "since", "released"})
         return FencingTokenRecord(
             token=fields["token"],
             holder=fields["holder"],
             granted_at_s=fields["since"],
             released=fields["released"],
         )
-    except (ValueError, KeyError, TypeError) as e:
-        raise StoreError("journal", f"a promise that can't be read: {e}") from None
+    except (ValueError, KeyError, TypeError) as error:
+        raise StoreError("journal", f"expected the record of a fencing token: {error}") from None
 
 
 def encode_spec(spec: InstanceSpec) -> str:
-    """Return an instance's spec as it is stored."""
+    """Return the stored form of an instance's spec."""
     fields: dict[str, Any] = {"listen": list(spec.listen), "control": str(spec.control)}
     if spec.member:
         fields["member"] = spec.member
@@ -136,10 +136,10 @@
 
 
 def decode_spec(text: str) -> InstanceSpec:
-    """Return the spec that is stored as this text.
+    """Return an instance's spec from its stored form.
 
     Raises:
-        StoreError: if it is no spec.
+        StoreError: if the text is no spec.
     """
     try:
         fields = json.loads(text)
@@ -148,11 +148,11 @@
             control=Path(fields["control"]),
             member=fields.get("member", ""),
         )
-    except (ValueError, KeyError, TypeError) as e:
-        raise StoreError("journal", f"an instance that can't be read: {e}") from None
+    except (ValueError, KeyError, TypeError) as error:
+        raise StoreError("journal", f"expected the spec of an instance: {error}") from None
 
 
-def _refuse_unknown(fields: dict[str, Any], known: set[str]) -> None:
-    """Raise ValueError for a field that is not of this format: a newer program may need it."""
+def _reject_unknown(fields: dict[str, Any], known: set[str]) -> None:
+    """Raise ValueError for an unknown field, which a newer release may depend on."""
     if unknown := fields.keys() - known:
         raise ValueError(f"unknown field {min(unknown)!r}")
--- a/oakbridge/agent/records.py
+++ b/oakbridge/agent/records.py
@@ -1,6 +1,7 @@
-"""What an agent knows of an instance and of the steps that change it.
+"""The records of an instance and of the steps that change it.
 
-The values of the enums are stored and sent; ``record_codec`` has the form of records on disk.
+The values of the enums are stored on disk and sent to operators; ``record_codec`` has the stored
+form of records.
 """
 
 from __future__ import annotations
@@ -9,12 +10,12 @@
 from enum import Enum
 from pathlib import Path
 
-NO_DIGEST = "nothing"  # the digest of the generation that there is before the first
+NO_DIGEST = "nothing"  # the digest of the empty generation
 DEFAULT_WATCH_US = 5_000_000
 
 
 class ChangeState(Enum):
-    """Where the change of an instance's generation stands."""
+    """The state of a change of an instance's generation."""
 
     SETTLED = "settled"
     STAGING = "staging"
@@ -24,7 +25,7 @@
 
 
 class Verdict(Enum):
-    """How a step ended for an instance."""
+    """The result of a step for an instance."""
 
     APPLIED = "took it"
     REJECTED = "did not"
@@ -33,31 +34,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Generation:
-    """All that an instance runs by, under one digest; numbers grow over the fleet's life."""
+    """A complete set of an instance's files; numbers only grow, across the whole fleet."""
 
     number: int = 0
     digest: str = NO_DIGEST
 
     @property
     def is_empty(self) -> bool:
-        """Whether this is the generation before the first, by which nothing runs."""
+        """Whether this is the generation before the first one, with which no node runs."""
         return self.digest == NO_DIGEST
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """An order to an instance that runs generation ``base_generation`` to run ``target``."""
+    """A change of an instance from the generation numbered ``base_generation`` to ``target``."""
 
     step_id: str
     token: int
     target: Generation
     base_generation: int
-    watch_us: int = DEFAULT_WATCH_US  # for how long it must stay healthy, once it is ready
+    watch_us: int = DEFAULT_WATCH_US  # how long the node must stay healthy once it is ready
 
 
 @dataclass(frozen=True, slots=True)
 class StepOutcome:
-    """How a step ended."""
+    """The result of a step, with its reason."""
 
     step_id: str
     verdict: Verdict
@@ -66,20 +67,20 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRecord:
-    """What must outlive the agent: all that the state machine knows but times."""
+    """The state of an instance that must outlive the agent's process; it has no times."""
 
     state: ChangeState = ChangeState.SETTLED
-    current: Generation = Generation()  # what the link shows, once the change is settled
+    current: Generation = Generation()  # the link points at it once the change is settled
     previous: Generation = Generation()
-    step: Step | None = None  # the one in progress
+    step: Step | None = None  # the step in progress
     rollback_reason: str = ""
     outcomes: tuple[StepOutcome, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceSpec:
-    """How an instance is run, as the agent's configuration had it when the instance was added."""
+    """How an instance is run; from the agent's configuration when the instance was added."""
 
     listen: tuple[str, ...]
     control: Path  # the node's control socket
-    member: str = ""  # the address among members, if it is one
+    member: str = ""  # the node's address among members; "" if it is not a member
--- a/oakbridge/agent/startup.py
+++ b/oakbridge/agent/startup.py
@@ -1,4 +1,4 @@
-"""Start an agent although its disk fails for a moment: what fails is tried again for a while."""
+"""Retry transient errors of the disk while an agent starts."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 def retry_while_unavailable(call: Callable[[], T]) -> T:
-    """Return what a call returns, made again while the disk fails.
+    """Return the result of a call, which is retried while the disk fails.
 
-    Blocks: for the start of an agent.  Raises StoreUnavailableError or AgentConfigUnreadableError
-    after :data:`RETRY_TIMEOUT_S`.
+    Blocks the event loop, and is therefore only for the start of an agent.  Raises
+    StoreUnavailableError or AgentConfigUnreadableError after :data:`RETRY_TIMEOUT_S`.
     """
-    give_up_at = time.monotonic() + RETRY_TIMEOUT_S
-    logged = False
+    deadline_s = time.monotonic() + RETRY_TIMEOUT_S
+    is_logged = False
     while True:
         try:
             return call()
         except (StoreUnavailableError, AgentConfigUnreadableError) as error:
-            if time.monotonic() >= give_up_at:
+            if time.monotonic() >= deadline_s:
                 raise
-            if not logged:
-                log.warning("the disk fails and is tried again: %s", error)
-                logged = True
+            if not is_logged:
+                log.warning("access to the agent's files failed, retrying: error=%s", error)
+                is_logged = True
         time.sleep(RETRY_INTERVAL_S)
--- a/oakbridge/agent/state_machine.py
+++ b/oakbridge/agent/state_machine.py
@@ -1,14 +1,14 @@
-"""The state machine of one instance: which generation it runs, and how it changes atomically.  No I/O.
+"""The state machine of one instance: its current generation, and atomic changes of it.  No I/O.
 
     settled -> staging -> activating -> watching -> settled       applied
                   |            |           |
                   v            v           v
                settled     rolling back -> settled                rejected / rolled back
 
-Each event is a method, which returns the actions to carry out, in order.  :class:`PersistRecord`
-comes before the action that it records (write-ahead), so that after a crash
+Each event is a method that returns the actions to carry out, in order.  :class:`PersistRecord`
+precedes the action that it records (write-ahead), so that after a crash
 :meth:`InstanceStateMachine.recover` knows which action may have been started.  Times are
-microseconds on a monotonic clock.
+microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 from oakbridge.agent.records import ChangeState, InstanceRecord, Step, StepOutcome, Verdict
 
 US_PER_S = 1_000_000
-# In this time the old process shuts down gracefully, and the new one starts.
+# Within this time the old process must shut down gracefully and the new one become ready.
 READY_TIMEOUT_US = 20 * US_PER_S
-ROLLBACK_RETRY_US = US_PER_S
-MAX_OUTCOMES = 64  # kept, for clients that lost the response and ask again
+ROLLBACK_RETRY_DELAY_US = US_PER_S
+MAX_OUTCOMES = 64  # of past steps, kept for operators that lost a response and send a step again
 
 
 class InstanceStateMachine:
@@ -40,7 +40,7 @@
     def __init__(self, record: InstanceRecord | None = None) -> None:
         self.record = record or InstanceRecord()
         self._node_ready = False
-        # While watching: when the node must be ready; once it is, when the watch ends.
+        # While watching: until when the node must become ready; after that, stay healthy.
         self._deadline_us = 0
 
     @property
@@ -49,17 +49,19 @@
         return self.record.state
 
     def outcome(self, step_id: str) -> StepOutcome | None:
-        """Return how a step ended; None if it has not ended, or is no longer kept."""
-        return next((o for o in self.record.outcomes if o.step_id == step_id), None)
+        """Return a step's outcome; None if the step has none, or the outcome is no longer kept."""
+        return next(
+            (outcome for outcome in self.record.outcomes if outcome.step_id == step_id), None
+        )
 
     # ---- events
 
     def begin_step(self, step: Step) -> list[Action]:
-        """Begin a step; do nothing if it is in progress or has ended already.
+        """Begin a step; return no actions if it is in progress or has an outcome already.
 
         Raises:
-            StepInProgressError: if the step can't begin now.
-            StepConflictError: if it never can.
+            StepInProgressError: if another step is in progress.
+            StepConflictError: if the step can never be applied.
         """
         record = self.record
         if self.outcome(step.step_id) is not None:
@@ -69,7 +71,7 @@
                 return []
             raise StepInProgressError(record.step.step_id, record.state.value)
         if step.target == record.current:
-            return self._end_step(step, Verdict.APPLIED, "it ran it already")
+            return self._finish_step(step, Verdict.APPLIED, "it ran it already")
         if step.base_generation != record.current.number:
             raise BaseMismatchError(running=record.current.number, expected=step.base_generation)
         if step.target.number <= record.current.number:
@@ -78,20 +80,20 @@
         return [self._persist(staging), StageGeneration(step.target)]
 
     def on_staged(self, problem: str = "") -> list[Action]:
-        """Handle the end of staging; ``problem``: why the generation must not be activated."""
+        """Handle the result of staging; ``problem`` is why the generation must not be activated."""
         step = self.record.step
         if self.record.state is not ChangeState.STAGING or step is None:
             return []
         if problem:
             return [
-                *self._end_step(step, Verdict.REJECTED, problem),
+                *self._finish_step(step, Verdict.REJECTED, problem),
                 DiscardGeneration(step.target),
             ]
         activating = replace(self.record, state=ChangeState.ACTIVATING)
         return [self._persist(activating), ActivateGeneration(step.target)]
 
     def on_activated(self, now_us: int, problem: str = "") -> list[Action]:
-        """Handle the end of an activation, by renaming the link; ``problem``: why that failed."""
+        """Handle the result of renaming the link; ``problem`` is why the renaming failed."""
         step = self.record.step
         if step is None:
             return []
@@ -102,20 +104,20 @@
             return [
                 self._persist(watching),
                 RunGeneration(step.target),
-                *self._watch(now_us),
+                *self._begin_watch(now_us),
             ]
         if self.record.state is ChangeState.ROLLING_BACK:
             if problem:  # there is no other generation to roll back to
-                return [SetTimer(now_us + ROLLBACK_RETRY_US)]
+                return [SetTimer(now_us + ROLLBACK_RETRY_DELAY_US)]
             return [
-                *self._end_step(step, Verdict.ROLLED_BACK, self.record.rollback_reason),
+                *self._finish_step(step, Verdict.ROLLED_BACK, self.record.rollback_reason),
                 RunGeneration(self.record.current),
                 DiscardGeneration(step.target),
             ]
         return []
 
     def on_ready(self, now_us: int) -> list[Action]:
-        """Handle that the node has become ready with the active generation."""
+        """Handle that the node is ready with the activated generation."""
         step = self.record.step
         if self._node_ready or self.record.state is not ChangeState.WATCHING or step is None:
             return []
@@ -124,12 +126,12 @@
         return [SetTimer(self._deadline_us)]
 
     def on_failed(self, reason: str) -> list[Action]:
-        """Handle a crash of the node, or a status that fails the change; ``reason``: which."""
+        """Handle a crash of the node, or a status that fails the change; ``reason`` has which."""
         self._node_ready = False
         return self._roll_back(reason) if self.record.state is ChangeState.WATCHING else []
 
     def on_timer(self, now_us: int) -> list[Action]:
-        """Handle a timer that was set with :class:`SetTimer`."""
+        """Handle a timer that :class:`SetTimer` has set."""
         record, step = self.record, self.record.step
         if record.state is ChangeState.ROLLING_BACK:
             return [ActivateGeneration(record.current)]
@@ -138,10 +140,10 @@
         if not self._node_ready:
             return self._roll_back(f"it was not ready within {READY_TIMEOUT_US // US_PER_S} s")
         self.record = replace(record, current=step.target, previous=record.current)
-        return self._end_step(step, Verdict.APPLIED)
+        return self._finish_step(step, Verdict.APPLIED)
 
     def recover(self, now_us: int) -> list[Action]:
-        """Continue from the last record on disk, after the agent was restarted."""
+        """Continue from the last record on disk after a restart of the agent."""
         record, step = self.record, self.record.step
         if step is None:
             return [RunGeneration(record.current)]
@@ -149,24 +151,24 @@
             case ChangeState.STAGING:
                 reason = "the agent ended while it was staged"
                 return [
-                    *self._end_step(step, Verdict.REJECTED, reason),
+                    *self._finish_step(step, Verdict.REJECTED, reason),
                     DiscardGeneration(step.target),
                     RunGeneration(record.current),
                 ]
             case ChangeState.ACTIVATING:
                 return [ActivateGeneration(step.target)]
             case ChangeState.WATCHING:
-                # The node may have been stopped for its restart: run it, and begin the watch anew.
+                # The agent may have stopped the node to restart it: run it, and watch it anew.
                 return [
                     ActivateGeneration(step.target),
                     RunGeneration(step.target),
-                    *self._watch(now_us),
+                    *self._begin_watch(now_us),
                 ]
         return [ActivateGeneration(record.current)]
 
     # ---- transitions
 
-    def _watch(self, now_us: int) -> list[Action]:
+    def _begin_watch(self, now_us: int) -> list[Action]:
         self._node_ready = False
         self._deadline_us = now_us + READY_TIMEOUT_US
         return [SetTimer(self._deadline_us)]
@@ -175,7 +177,7 @@
         rolling_back = replace(self.record, state=ChangeState.ROLLING_BACK, rollback_reason=reason)
         return [self._persist(rolling_back), ActivateGeneration(self.record.current)]
 
-    def _end_step(self, step: Step, verdict: Verdict, reason: str = "") -> list[Action]:
+    def _finish_step(self, step: Step, verdict: Verdict, reason: str = "") -> list[Action]:
         outcomes = (*self.record.outcomes, StepOutcome(step.step_id, verdict, reason))
         settled = replace(
             self.record,
--- a/oakbridge/agent/status_codec.py
+++ b/oakbridge/agent/status_codec.py
@@ -1,7 +1,7 @@
-"""Encode what an agent tells operators of itself and its instances.
+"""Encode the status of an agent and its instances for operators.
 
-The names of the fields are part of the protocol: the tool's reports, ``fleet doctor`` and
-``--json`` show them.
+The names of the fields are part of the protocol: the reports of the operators' tool,
+``fleet doctor`` and ``--json`` show them.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def encode_status(agent: Agent) -> JsonObject:
-    """Return all that an agent knows."""
+    """Return an agent's status; times are Unix times in seconds."""
     lease = token_record_fields(agent.lease.record)
     lease["alive"] = agent.lease.is_active(monotonic_us())
     return {
@@ -37,8 +37,8 @@
 
 
 def encode_instance(instance: ManagedInstance) -> JsonObject:
-    """Return all that an agent knows of an instance."""
-    record = instance.durable_record  # what is not on disk yet could be forgotten
+    """Return an instance's status."""
+    record = instance.durable_record  # a newer record that is not on disk yet may be lost
     supervisor = instance.node.supervisor
     return {
         "name": instance.name,
@@ -57,9 +57,9 @@
         "crashes": supervisor.total_crashes,
         "crash_loop": supervisor.is_crash_looping,
         "last_exit": supervisor.last_exit,
-        "answers": bool(instance.node_answer),
-        "heard": instance.answered_at_s,
-        "node": instance.node_answer,
+        "answers": bool(instance.node_status),
+        "heard": instance.status_received_at_s,
+        "node": instance.node_status,
     }
 
 
--- a/oakbridge/agent/supervised_node.py
+++ b/oakbridge/agent/supervised_node.py
@@ -11,13 +11,13 @@
 from oakbridge.agent.clock import monotonic_us
 from oakbridge.agent.host import Host, NodeLaunch, NodeProcess
 from oakbridge.agent.timers import Timers
-from oakbridge.process import supervisor as sup
+from oakbridge.process import supervisor as process_supervisor
 
 log = logging.getLogger(__name__)
 
 
 class SupervisedNode:
-    """Carries out what a supervisor asks: starts the process, signals it, and reports its end."""
+    """Carries out a supervisor's actions on the node's process, and reports the process's exit."""
 
     def __init__(
         self,
@@ -29,8 +29,8 @@
         prepare_launch: Callable[[], NodeLaunch],
         on_exit: Callable[[str, bool], None],
     ) -> None:
-        """``on_exit`` is called with how the process ended, and whether it was asked to."""
-        self.supervisor = sup.Supervisor()
+        """``on_exit`` gets how the process exited, and whether it had been stopped."""
+        self.supervisor = process_supervisor.Supervisor()
         self.process: NodeProcess | None = None
         self._name = name
         self._host = host
@@ -40,59 +40,59 @@
         self._on_exit = on_exit
 
     @property
-    def state(self) -> sup.State:
-        """The state of the process."""
+    def state(self) -> process_supervisor.State:
+        """The supervisor's state of the process."""
         return self.supervisor.state
 
     @property
     def pid(self) -> int | None:
-        """The process number; None if no process runs."""
+        """The process ID; None if no process runs."""
         return None if self.process is None else self.process.pid
 
     @property
     def is_up(self) -> bool:
-        """Whether the process has been started, and not been asked to end."""
-        return self.state in (sup.State.STARTING, sup.State.RUNNING)
+        """Whether the process has been started and not been stopped."""
+        return self.state in (process_supervisor.State.STARTING, process_supervisor.State.RUNNING)
 
     def adopt(self, control: Path) -> None:
-        """Watch the node that listens on this control socket, if it runs already."""
-        self.process = self._host.find_node(control, self._exited)
+        """Watch the running node that listens on this control socket, if there is one."""
+        self.process = self._host.find_node(control, self._handle_exit)
         if self.process is None:
             return
-        log.info("%s: found running as process %d", self._name, self.process.pid)
+        log.info("running node adopted: instance=%s pid=%d", self._name, self.process.pid)
         self.supervisor.adopt()
 
     def detach(self) -> None:
-        """Leave the process as it is, and stop watching it."""
+        """Stop watching the process, and leave it running."""
         if self.process is not None:
             self.process.detach()
 
     def keep_running(self) -> None:
-        """Have the process run, as it is if it runs already."""
+        """Start the process unless it runs already."""
         self._execute(self.supervisor.start(monotonic_us()))
 
     def restart(self) -> None:
-        """Have the process started anew."""
+        """Stop the process if it runs, and start it anew."""
         self._execute(self.supervisor.restart(monotonic_us()))
 
     def stop(self) -> None:
-        """Have the process not run."""
+        """Stop the process, or cancel its next start."""
         self._execute(self.supervisor.stop(monotonic_us()))
 
     def mark_ready(self) -> None:
-        """Tell the supervisor that the process serves."""
+        """Notify the supervisor that the process serves requests."""
         self._execute(self.supervisor.ready(monotonic_us()))
 
-    def _execute(self, actions: list[sup.Action]) -> None:
+    def _execute(self, actions: list[process_supervisor.Action]) -> None:
         for action in actions:
             match action:
-                case sup.Start():
+                case process_supervisor.Start():
                     self._start()
-                case sup.Stop():
+                case process_supervisor.Stop():
                     self._send_signal(signal.SIGTERM)
-                case sup.Kill():
+                case process_supervisor.Kill():
                     self._send_signal(signal.SIGKILL)
-                case sup.SetTimer(at):
+                case process_supervisor.SetTimer(at):
                     self._timers.schedule(at, self._on_timer)
 
     def _on_timer(self) -> None:
@@ -105,17 +105,17 @@
     def _start(self) -> None:
         try:
             launch = self._prepare_launch()
-            self.process = self._host.start_node(launch, self._exited)
-        except OSError as e:
-            reason = f"it could not be started: {e}"
-            asyncio.get_running_loop().call_soon(self._exited, reason)
+            self.process = self._host.start_node(launch, self._handle_exit)
+        except OSError as error:
+            reason = f"it could not be started: {error}"
+            asyncio.get_running_loop().call_soon(self._handle_exit, reason)
 
-    def _exited(self, reason: str) -> None:
+    def _handle_exit(self, reason: str) -> None:
         self.process = None
-        expected = self.state is sup.State.STOPPING
-        if not expected:
+        is_expected = self.state is process_supervisor.State.STOPPING
+        if not is_expected:
             last_line = self._host.last_log_line(self._log_file)
             reason = f"{reason}: {last_line}" if last_line else reason
-            log.warning("%s ended: %s", self._name, reason)
+            log.warning("node exited unexpectedly: instance=%s reason=%s", self._name, reason)
         self._execute(self.supervisor.exited(monotonic_us(), reason))
-        self._on_exit(reason, expected)
+        self._on_exit(reason, is_expected)
--- a/oakbridge/agent/timers.py
+++ b/oakbridge/agent/timers.py
@@ -1,4 +1,4 @@
-"""Timers of one instance: calls at a time on the agent's clock, which are cancelled together."""
+"""The timers of one instance, on the agent's clock; they are cancelled together."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
         self._handles: set[asyncio.TimerHandle] = set()
 
     def schedule(self, at_us: int, callback: Callable[[], None]) -> None:
-        """Call back at a time; an exception is logged, so that no other instance suffers."""
+        """Call ``callback`` at the time ``at_us``; its exceptions are logged and not raised."""
 
         def expire() -> None:
             self._handles.discard(handle)
             try:
                 callback()
             except Exception:
-                log.exception("%s: a timer failed", self._instance)
+                log.exception("timer of an instance failed: instance=%s", self._instance)
 
         delay_s = max(0, at_us - monotonic_us()) / US_PER_S
         handle = asyncio.get_running_loop().call_later(delay_s, expire)
--- a/oakbridge/fleet/client.py
+++ b/oakbridge/fleet/client.py
@@ -92,8 +92,8 @@
                 response = await connection.call(
                     encode_request(request), timeout_s or self.timeout_s
                 )
-            except CallError as e:
-                return AgentResponse(agent, error=str(e))
+            except CallError as error:
+                return AgentResponse(agent, error=str(error))
         return AgentResponse(agent, response.status, response.body)
 
     async def call_all(
--- a/oakbridge/fleet/connection.py
+++ b/oakbridge/fleet/connection.py
@@ -58,10 +58,10 @@
                 return await self._call(request)
         except TimeoutError:
             raise CallError(f"no answer within {timeout_s:g} s") from None
-        except ssl.SSLError as e:
-            raise CallError(f"TLS: {e.reason or e}") from None
-        except (OSError, EOFError, h11.ProtocolError, FleetMessageError) as e:
-            raise CallError(str(e) or type(e).__name__) from None
+        except ssl.SSLError as error:
+            raise CallError(f"TLS: {error.reason or error}") from None
+        except (OSError, EOFError, h11.ProtocolError, FleetMessageError) as error:
+            raise CallError(str(error) or type(error).__name__) from None
 
     def close(self) -> None:
         """Close the connection that is kept, if there is one."""
--- a/oakbridge/fleet/inventory.py
+++ b/oakbridge/fleet/inventory.py
@@ -39,10 +39,12 @@
     path = folder / INVENTORY_FILE
     try:
         document = tomllib.loads(path.read_text("utf-8"))
-    except OSError as e:
-        raise InventoryError([f"{path}: {e.strerror}; `oakbridge fleet init` makes one"]) from None
-    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as e:
-        raise InventoryError([f"{path}: expected TOML: {e}"]) from None
+    except OSError as error:
+        raise InventoryError(
+            [f"{path}: {error.strerror}; `oakbridge fleet init` makes one"]
+        ) from None
+    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise InventoryError([f"{path}: expected TOML: {error}"]) from None
     problems: list[str] = []
     inventory = _parse(document, problems)
     if problems:
@@ -66,8 +68,8 @@
             continue
         try:
             inventory.agents[agent] = parse_address(row.get("address"))
-        except ConfigError as e:
-            problems.append(f"agent[{index}].address: {e}")
+        except ConfigError as error:
+            problems.append(f"agent[{index}].address: {error}")
     return inventory
 
 
--- a/oakbridge/fleet/pki.py
+++ b/oakbridge/fleet/pki.py
@@ -60,9 +60,9 @@
     try:
         _write_new(folder / AUTHORITY_KEY, _key_pem(key), secret=True)
         _write_new(folder / AUTHORITY_CERTIFICATE, _certificate_pem(certificate), secret=False)
-    except FileExistsError as e:
+    except FileExistsError as error:
         raise PkiError(
-            f"{e.filename}: there is one already, and what it signed would be worth nothing"
+            f"{error.filename}: there is one already, and what it signed would be worth nothing"
         ) from None
 
 
@@ -92,8 +92,8 @@
     try:
         _write_new(_append_suffix(stem, ".key"), _key_pem(key), secret=True)
         _write_new(_append_suffix(stem, ".crt"), _certificate_pem(certificate), secret=False)
-    except FileExistsError as e:
-        raise PkiError(f"{e.filename}: there is one already") from None
+    except FileExistsError as error:
+        raise PkiError(f"{error.filename}: there is one already") from None
 
 
 def certificate_days_left(path: Path) -> float:
@@ -104,8 +104,8 @@
     """
     try:
         certificate = x509.load_pem_x509_certificate(path.read_bytes())
-    except (OSError, ValueError) as e:
-        raise PkiError(f"{path}: {e}") from None
+    except (OSError, ValueError) as error:
+        raise PkiError(f"{path}: {error}") from None
     left = certificate.not_valid_after_utc - datetime.datetime.now(datetime.UTC)
     return left / datetime.timedelta(days=1)
 
@@ -123,8 +123,8 @@
     try:
         context.load_verify_locations(authority)
         context.load_cert_chain(_append_suffix(stem, ".crt"), _append_suffix(stem, ".key"))
-    except (OSError, ssl.SSLError) as e:
-        raise PkiError(f"{stem}: {e}") from None
+    except (OSError, ssl.SSLError) as error:
+        raise PkiError(f"{stem}: {error}") from None
     return context
 
 
@@ -132,8 +132,8 @@
     try:
         certificate = x509.load_pem_x509_certificate((folder / AUTHORITY_CERTIFICATE).read_bytes())
         key = serialization.load_pem_private_key((folder / AUTHORITY_KEY).read_bytes(), None)
-    except (OSError, ValueError) as e:
-        raise PkiError(f"{folder}: expected the fleet's authority: {e}") from None
+    except (OSError, ValueError) as error:
+        raise PkiError(f"{folder}: expected the fleet's authority: {error}") from None
     if not isinstance(key, ec.EllipticCurvePrivateKey):
         raise PkiError(f"{folder / AUTHORITY_KEY}: expected a key on a curve")
     return certificate, key
--- a/oakbridge/fleet/server.py
+++ b/oakbridge/fleet/server.py
@@ -81,8 +81,14 @@
         self._connections.add(writer)
         try:
             await self._serve_requests(reader, writer)
-        except (OSError, TimeoutError, EOFError, h11.RemoteProtocolError, FleetMessageError) as e:
-            log.debug("an operator's connection ended: %s", e)
+        except (
+            OSError,
+            TimeoutError,
+            EOFError,
+            h11.RemoteProtocolError,
+            FleetMessageError,
+        ) as error:
+            log.debug("an operator's connection ended: %s", error)
         except Exception:
             log.exception("an operator's connection failed")
         finally:
@@ -137,12 +143,13 @@
         method, path = request.method.decode(), request.target.decode("latin-1")
         try:
             return await self._handler(identity, method, path, body)
-        except FleetMessageError as e:
-            return _error(HTTPStatus.BAD_REQUEST, str(e))
-        except Exception as e:
+        except FleetMessageError as error:
+            return _error(HTTPStatus.BAD_REQUEST, str(error))
+        except Exception as error:
             log.exception("a request failed")
             return _error(
-                HTTPStatus.INTERNAL_SERVER_ERROR, f"the agent failed on this: {type(e).__name__}"
+                HTTPStatus.INTERNAL_SERVER_ERROR,
+                f"the agent failed on this: {type(error).__name__}",
             )
 
 
--- a/tests/agent/test_failing_disk.py
+++ b/tests/agent/test_failing_disk.py
@@ -137,7 +137,7 @@
     """What is given up is told with its reason, once the record can be written."""
     FailingDisk(monkeypatch, lambda touch: 1 < touch < 80)
     instance.change()
-    assert instance.now > executor_module.GIVE_UP_US
+    assert instance.now > executor_module.RETRY_TIMEOUT_US
     assert verdict(instance) == "did not"
     assert "No space left" in instance.record_on_disk().outcomes[0].reason
 
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -13,7 +13,7 @@
 from peers import TIMEOUT_S
 
 from oakbridge.agent.errors import StoreError
-from oakbridge.agent.generations import RETAINED, digest_of
+from oakbridge.agent.generations import RETAINED_GENERATIONS, digest_of
 from oakbridge.agent.lease import FencingTokenRecord
 from oakbridge.agent.record_codec import decode_record, encode_record
 from oakbridge.agent.records import (
@@ -91,13 +91,13 @@
 )
 def test_a_stored_record_of_another_form_is_refused(change):
     assert decode_record(json.dumps(RECORD)).state is ChangeState.WATCHING
-    with pytest.raises(StoreError, match="journal: a record that can't be read"):
+    with pytest.raises(StoreError, match="journal: expected the record of an instance"):
         decode_record(json.dumps(RECORD | change))
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"state": "settled"}'])
 def test_a_text_that_is_no_record_is_refused(text):
-    with pytest.raises(StoreError, match="journal: a record that can't be read"):
+    with pytest.raises(StoreError, match="journal: expected the record of an instance"):
         decode_record(text)
 
 
@@ -177,7 +177,7 @@
     store.generations.activate("a", generation(2))
     store.generations.prune("a", InstanceRecord(current=generation(2), previous=generation(1)))
     left = sorted(int(p.name[4:]) for p in store.generations.current_link("a").parent.glob("gen-*"))
-    assert left == [1, 2, *range(20 - RETAINED, 20)]
+    assert left == [1, 2, *range(20 - RETAINED_GENERATIONS, 20)]
 
 
 # ---- killed at every step
