--- a/oakbridge/agent/config.py
+++ b/oakbridge/agent/config.py
@@ -109,7 +109,7 @@
             if any(instance.name == other.name for other in instances):
                 self._problem(
                     f"instance[{index}].name",
-                    f"expected a unique name, got {instance.name!r} twice",
+                    f"expected each name once, got {instance.name!r} again",
                 )
             instances.append(instance)
         return instances
@@ -134,7 +134,7 @@
     def _text(self, table: dict[str, Any], key: str, prefix: str = "") -> str:
         value = table.get(key)
         if not isinstance(value, str) or not value:
-            self._problem(prefix + key, f"expected a non-empty string, got {value!r:.60}")
+            self._problem(prefix + key, f"expected a text, got {value!r:.60}")
             return "missing"
         return value
 
--- a/oakbridge/fleet/client.py
+++ b/oakbridge/fleet/client.py
@@ -1,4 +1,4 @@
-"""An operator's client: calls to one agent or to many, and the lease over a majority."""
+"""An operator's client: calls to one or several agents, and the lease of a majority of them."""
 
 from __future__ import annotations
 
@@ -24,30 +24,31 @@
 MAX_CONCURRENT_CALLS = 64
 CALL_TIMEOUT_S = 5.0
 RELEASE_TIMEOUT_S = 1.5
-# An agent that answers 5xx has decided nothing, as its disk fails for a moment: it is asked again.
-UNAVAILABLE_RETRY_S = 0.3
-UNAVAILABLE_RETRIES = 30
-RELEASE_RETRIES = 5
+# A response with status 5xx means that the agent has decided nothing, as its disk failed with a
+# transient error.  The call is retried after this delay, up to this many times.
+UNAVAILABLE_RETRY_DELAY_S = 0.3
+MAX_UNAVAILABLE_RETRIES = 30
+MAX_RELEASE_RETRIES = 5
 
 
 @dataclass(frozen=True, slots=True)
 class AgentResponse:
-    """What one agent answered, or why there is no answer."""
+    """One agent's response to a call, or why there is none."""
 
     agent: str
-    status: int = 0  # of HTTP; 0: no answer
+    status: int = 0  # the HTTP status; 0 without a response
     body: JsonObject = field(default_factory=dict)
-    error: str = ""  # why there is no answer
+    error: str = ""  # why there is no response
 
     @property
     def ok(self) -> bool:
-        """Whether the agent answered with what it was asked for."""
+        """Whether the response has status 200."""
         return self.status == HTTPStatus.OK
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseResult:
-    """Which agents granted a lease under a token, and which did not."""
+    """Which agents granted the lease with a token, denied it, or did not respond."""
 
     token: int
     granted_by: tuple[str, ...]
@@ -55,16 +56,18 @@
     unanswered: tuple[AgentResponse, ...] = ()
 
     def has_majority(self, agent_count: int) -> bool:
-        """Return whether a majority of so many agents granted it."""
+        """Return whether a majority of ``agent_count`` agents granted the lease."""
         return len(self.granted_by) >= quorum.majority(agent_count)
 
     def rival_holders(self) -> tuple[str, ...]:
-        """Return who holds the lease at the agents that denied it, once for each agent."""
-        return tuple(r.body["holder"] for r in self.denied if r.body.get("ends_in_s"))
+        """Return the holder at each agent that denied the lease because another operator has it."""
+        return tuple(
+            response.body["holder"] for response in self.denied if response.body.get("ends_in_s")
+        )
 
 
 class FleetClient:
-    """Calls a fleet's agents; keeps a connection to each of them from one call to the next."""
+    """Calls a fleet's agents, over one persistent connection to each."""
 
     def __init__(
         self,
@@ -73,7 +76,7 @@
         timeout_s: float = CALL_TIMEOUT_S,
         name: str = "",
     ) -> None:
-        """Take the operator's certificate and name; the name breaks ties between two candidates."""
+        """``tls`` has the operator's certificate.  ``name`` decides a tie of two operators."""
         self.inventory = inventory
         self.name = name
         self.timeout_s = timeout_s
@@ -85,7 +88,7 @@
     async def call(
         self, agent: str, request: Request, timeout_s: float | None = None
     ) -> AgentResponse:
-        """Send a request to one agent."""
+        """Send a request to one agent; the result has the reason if there is no response."""
         connection = self._connection_to(agent)
         async with self._slots:
             try:
@@ -102,7 +105,7 @@
         agents: tuple[str, ...] | None = None,
         timeout_s: float | None = None,
     ) -> list[AgentResponse]:
-        """Send a request to many agents at once, by default to all.
+        """Send a request to several agents concurrently, by default to all.
 
         The responses are in the order of the agents.
         """
@@ -116,7 +119,7 @@
             connection.close()
 
     async def acquire_lease(self, duration_s: float) -> LeaseResult:
-        """Acquire the lease at a majority of the agents, or else give back what was granted."""
+        """Acquire the lease at a majority of the agents; on failure, release what was granted."""
         round_index = 0
         while True:
             token = await self._highest_token() + 1
@@ -133,18 +136,18 @@
     async def raise_token(
         self, lease: LeaseResult, duration_s: float, above: int = 0
     ) -> LeaseResult:
-        """Acquire a token above the lease's and ``above``, without releasing in between."""
+        """Acquire the lease with a token above its own and ``above``, without releasing it."""
         return await self._request_lease(max(lease.token, above) + 1, duration_s)
 
     async def release_lease(self, lease: LeaseResult) -> None:
-        """Give the lease back; at an agent that does not answer soon it ends by itself."""
+        """Release the lease; at an agent that does not respond in time, it expires."""
         request = ReleaseRequest(lease.token)
         responses = await self.call_all(request, lease.granted_by, RELEASE_TIMEOUT_S)
-        for _ in range(RELEASE_RETRIES):
+        for _ in range(MAX_RELEASE_RETRIES):
             if not _unavailable(responses):
                 break
-            await asyncio.sleep(UNAVAILABLE_RETRY_S)
-            responses = await self._call_unavailable_again(request, responses, RELEASE_TIMEOUT_S)
+            await asyncio.sleep(UNAVAILABLE_RETRY_DELAY_S)
+            responses = await self._retry_unavailable(request, responses, RELEASE_TIMEOUT_S)
 
     def _connection_to(self, agent: str) -> AgentConnection:
         connection = self._connections.get(agent)
@@ -156,32 +159,37 @@
 
     async def _highest_token(self) -> int:
         responses = await self.call_all(StatusRequest())
-        return max((int(r.body["lease"]["token"]) for r in responses if r.ok), default=0)
+        return max(
+            (int(response.body["lease"]["token"]) for response in responses if response.ok),
+            default=0,
+        )
 
     async def _request_lease(self, token: int, duration_s: float) -> LeaseResult:
         request = LeaseRequest(token, int(duration_s * US_PER_S))
         responses = await self.call_all(request)
-        for _ in range(UNAVAILABLE_RETRIES):
+        for _ in range(MAX_UNAVAILABLE_RETRIES):
             result = LeaseResult(
                 token,
-                granted_by=tuple(r.agent for r in responses if r.ok),
-                denied=tuple(r for r in responses if r.status and not r.ok),
-                unanswered=tuple(r for r in responses if not r.status),
+                granted_by=tuple(response.agent for response in responses if response.ok),
+                denied=tuple(
+                    response for response in responses if response.status and not response.ok
+                ),
+                unanswered=tuple(response for response in responses if not response.status),
             )
             if result.has_majority(len(responses)) or not _unavailable(responses):
                 break
-            await asyncio.sleep(UNAVAILABLE_RETRY_S)
-            responses = await self._call_unavailable_again(request, responses)
+            await asyncio.sleep(UNAVAILABLE_RETRY_DELAY_S)
+            responses = await self._retry_unavailable(request, responses)
         return result
 
-    async def _call_unavailable_again(
+    async def _retry_unavailable(
         self, request: Request, responses: list[AgentResponse], timeout_s: float | None = None
     ) -> list[AgentResponse]:
-        """Send a request again to the agents that could not decide; return all responses."""
-        agents = tuple(r.agent for r in _unavailable(responses))
-        again = await self.call_all(request, agents, timeout_s)
-        by_agent = {r.agent: r for r in again}
-        return [by_agent.get(r.agent, r) for r in responses]
+        """Retry a request at the agents that responded with 5xx; return the latest responses."""
+        agents = tuple(response.agent for response in _unavailable(responses))
+        retried = await self.call_all(request, agents, timeout_s)
+        by_agent = {response.agent: response for response in retried}
+        return [by_agent.get(response.agent, response) for response in responses]
 
     def _votes(self, result: LeaseResult) -> quorum.Votes:
         return quorum.Votes(
@@ -190,4 +198,7 @@
 
 
 def _unavailable(responses: list[AgentResponse]) -> list[AgentResponse]:
-    return [r for r in responses if r.status >= HTTPStatus.INTERNAL_SERVER_ERROR]
+    """Return the responses with status 5xx."""
+    return [
+        response for response in responses if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR
+    ]
--- a/oakbridge/fleet/codec.py
+++ b/oakbridge/fleet/codec.py
@@ -1,6 +1,6 @@
-"""Encode and decode the protocol's messages: HTTP paths and JSON bodies, checked in full.  No I/O.
+"""Encode and decode the protocol's messages: HTTP paths and validated JSON bodies.  No I/O.
 
-The names of JSON fields stand here and nowhere else; the code's names are those of ``messages``.
+Only this module has the names of the JSON fields; all others use the names of ``messages``.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 MAX_HEAD_BYTES = 16 * 1024
 MAX_INTEGER = 2**62
 MAX_GENERATION_DIGITS = 18
-MAX_TEXT_LENGTH = 200
+MAX_TEXT_LENGTH = 200  # characters
 MAX_DURATION_S = 600  # of a lease and of a watch
 US_PER_S = 1e6
 
@@ -66,7 +66,7 @@
     """Return the request that an operator sent; None if there is no such path.
 
     Raises:
-        FleetMessageError: if the path is of another version, or a field is missing or wrong.
+        FleetMessageError: if the path has another version, or a field is missing or invalid.
     """
     version, *segments = path.split("?", 1)[0].strip("/").split("/")
     if version != VERSION:
@@ -114,10 +114,10 @@
 
 
 def decode_response(body: bytes) -> JsonObject:
-    """Return the object of an agent's response.
+    """Return the JSON object in the body of an agent's response.
 
     Raises:
-        FleetMessageError: if the body is no JSON object.
+        FleetMessageError: if the body is not a JSON object.
     """
     return _decode_object(body)
 
--- a/oakbridge/fleet/connection.py
+++ b/oakbridge/fleet/connection.py
@@ -1,4 +1,4 @@
-"""The operator's end of a connection to an agent: HTTP over mutual TLS, kept between calls."""
+"""The operator's end of a persistent connection to an agent: HTTP over mutual TLS."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Channel:
-    """An open connection, and where its protocol stands."""
+    """An open connection, with the state of its HTTP protocol."""
 
     protocol: h11.Connection
     reader: asyncio.StreamReader
@@ -35,7 +35,7 @@
 
 
 class AgentConnection:
-    """Carries one call at a time to one agent; opens a connection when it needs one."""
+    """Carries one call at a time to one agent; opens a connection when a call needs one."""
 
     def __init__(
         self, context: ssl.SSLContext, fleet: str, agent: str, address: tuple[str, int]
@@ -48,7 +48,9 @@
         self._in_use = asyncio.Lock()
 
     async def call(self, request: EncodedRequest, timeout_s: float) -> Response:
-        """Send a request and return its response; waiting for an earlier call counts.
+        """Send a request and return its response.
+
+        The timeout includes the time to wait for earlier calls.
 
         Raises:
             CallError: if there is no response in time, or the other end is not this agent.
@@ -64,7 +66,7 @@
             raise CallError(str(error) or type(error).__name__) from None
 
     def close(self) -> None:
-        """Close the connection that is kept, if there is one."""
+        """Close the idle connection, if there is one."""
         if self._idle is not None:
             self._idle.abort()
             self._idle = None
@@ -72,7 +74,7 @@
     async def _call(self, request: EncodedRequest) -> Response:
         idle, self._idle = self._idle, None
         if idle is not None:
-            # The agent may have closed it; every request is idempotent, so a retry is harmless.
+            # The agent may have closed the connection; requests are idempotent and can be retried.
             with contextlib.suppress(OSError, EOFError, h11.ProtocolError):
                 return await self._exchange(idle, request)
         return await self._exchange(await self._open(), request)
@@ -94,7 +96,7 @@
         return channel
 
     async def _exchange(self, channel: _Channel, request: EncodedRequest) -> Response:
-        """Send a request and read its response; keep the channel if it may carry another."""
+        """Send a request and read its response; keep the channel if it can be reused."""
         reusable = False
         try:
             headers = [("host", self._agent), ("content-length", str(len(request.body)))]
--- a/oakbridge/fleet/errors.py
+++ b/oakbridge/fleet/errors.py
@@ -1,24 +1,24 @@
-"""The errors that the fleet's protocol, connections and files raise."""
+"""The errors of the fleet's protocol, connections and files."""
 
 from __future__ import annotations
 
 
 class FleetError(Exception):
-    """The base of the fleet's errors."""
+    """The base class of the fleet's errors."""
 
 
 class FleetMessageError(FleetError, ValueError):
-    """A message or certificate that the protocol does not allow."""
+    """A message or certificate violates the protocol; an agent's response has this text."""
 
     def __init__(self, field: str, expected: str) -> None:
-        """Name the field, what was expected of it, and what there was."""
+        """Name the field, what was expected of it, and what it has instead."""
         super().__init__(f"{field}: expected {expected}")
         self.field = field
         self.expected = expected
 
 
 class CallError(FleetError):
-    """An agent gave no answer; what it was asked may or may not have been done."""
+    """An agent did not respond; it may have carried out the request or not."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -26,13 +26,13 @@
 
 
 class InventoryError(FleetError, ValueError):
-    """``fleet.toml`` can't be used."""
+    """``fleet.toml`` is invalid or can't be read."""
 
     def __init__(self, problems: list[str]) -> None:
-        """``problems``: one line for each mistake."""
+        """``problems`` has one line for each problem."""
         super().__init__("\n".join(problems))
         self.problems = problems
 
 
 class PkiError(FleetError):
-    """A certificate or key can't be made or used."""
+    """A certificate or key can't be created or read."""
--- a/oakbridge/fleet/health.py
+++ b/oakbridge/fleet/health.py
@@ -1,4 +1,4 @@
-"""The health of an instance, by the row of its agent's status.  Pure."""
+"""The health of an instance, from its row in its agent's status.  No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 
 def instance_health(row: Mapping[str, Any]) -> str:
-    """Return a constant of this module, or the state of an unsettled change or process."""
+    """Return an instance's health.
+
+    It is a constant of this module, the state of a change that is not settled, or the state of a
+    process that does not run.
+    """
     if row["crash_loop"]:
         return CRASH_LOOP
     if row["change"] != "settled":
@@ -25,14 +29,14 @@
 
 
 def is_healthy(health: str) -> bool:
-    """Return whether nobody has to look at an instance of this health."""
+    """Return whether an instance of this health needs no attention."""
     return health in (HEALTHY, DRAINED)
 
 
 def health_problem(row: Mapping[str, Any] | None, generation: int) -> str:
-    """Return what is wrong with an instance that should run a generation; "" if nothing is.
+    """Return the problem of an instance that should run a generation; "" if there is none.
 
-    ``row`` is None where its agent does not answer.
+    ``row`` is None if the instance's agent does not respond.
     """
     if row is None:
         return "its agent does not answer"
--- a/oakbridge/fleet/http.py
+++ b/oakbridge/fleet/http.py
@@ -1,4 +1,4 @@
-"""What both ends of the protocol's HTTP/1.1 share: h11 reads and writes, asyncio carries."""
+"""HTTP/1.1 for both ends of the protocol: h11 parses and serializes, asyncio does the I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """A received request or response."""
 
     head: Any  # h11.Request or h11.Response
-    body: bytes | None  # None: it is longer than is allowed, and was not read
+    body: bytes | None  # None if it exceeds MAX_BODY_BYTES, and was not read to its end
 
 
 def peer_identity(writer: asyncio.StreamWriter) -> Identity:
@@ -37,7 +37,10 @@
 async def receive_message(
     connection: h11.Connection, reader: asyncio.StreamReader
 ) -> HttpMessage | None:
-    """Return the next message; None if the other end has closed the connection."""
+    """Return the next message; None if the other end has closed the connection.
+
+    Raises OSError or h11.RemoteProtocolError.
+    """
     head: Any = None
     body = bytearray()
     while True:
@@ -46,8 +49,8 @@
             connection.receive_data(await reader.read(READ_CHUNK_BYTES))
         elif isinstance(event, h11.Request | h11.Response):
             head = event
-            announced = int(dict(event.headers).get(b"content-length", b"0"))
-            if announced > MAX_BODY_BYTES:
+            content_length = int(dict(event.headers).get(b"content-length", b"0"))
+            if content_length > MAX_BODY_BYTES:
                 return HttpMessage(head, None)
         elif isinstance(event, h11.Data):
             body += event.data
@@ -65,7 +68,7 @@
     head: h11.Request | h11.Response,
     body: bytes,
 ) -> None:
-    """Write a message into the transport's buffer."""
+    """Write a message to the transport's buffer."""
     writer.write(connection.send(head) or b"")
     if body:
         writer.write(connection.send(h11.Data(data=body)) or b"")
@@ -73,5 +76,5 @@
 
 
 def is_reusable(connection: h11.Connection) -> bool:
-    """Return whether both ends are done with this exchange and may begin another."""
+    """Return whether both ends have finished the exchange, so that another may begin."""
     return connection.our_state is h11.DONE and connection.their_state is h11.DONE
--- a/oakbridge/fleet/identity.py
+++ b/oakbridge/fleet/identity.py
@@ -1,4 +1,4 @@
-"""Whom a certificate speaks for: the identity in its URI, ``oakbridge:FLEET/KIND/NAME/ROLE``."""
+"""The identity of a certificate's holder, in its URI ``oakbridge:FLEET/KIND/NAME/ROLE``."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class IdentityKind(StrEnum):
-    """The two sorts of holders of a certificate."""
+    """The two kinds of certificate holders."""
 
     AGENT = "agent"
     OPERATOR = "operator"
@@ -35,12 +35,12 @@
 
     @property
     def uri(self) -> str:
-        """The URI that the holder's certificate carries."""
+        """The URI in the holder's certificate."""
         return f"{SCHEME}:{self.fleet}/{self.kind}/{self.name}/{self.role}"
 
     @classmethod
     def from_uri(cls, uri: str) -> Identity:
-        """Return the identity that a certificate's URI names.
+        """Return the identity in a certificate's URI.
 
         Raises:
             FleetMessageError: if the URI has another form, kind or role.
--- a/oakbridge/fleet/inventory.py
+++ b/oakbridge/fleet/inventory.py
@@ -19,29 +19,29 @@
 
 @dataclass(slots=True)
 class Inventory:
-    """The fleet, as its operators know it."""
+    """The fleet's name, and the address of each agent by the agent's name."""
 
     name: str
     agents: dict[str, Address] = field(default_factory=dict)
 
 
 def is_valid_name(text: str) -> bool:
-    """Return whether this can name a fleet, an agent or an operator."""
+    """Return whether a fleet, an agent or an operator may have this name."""
     return _NAME.fullmatch(text) is not None
 
 
 def read_inventory(folder: Path) -> Inventory:
-    """Read the inventory of a fleet's folder.
+    """Read the inventory in a fleet's folder.
 
     Raises:
-        InventoryError: with every mistake.
+        InventoryError: with all problems of the file.
     """
     path = folder / INVENTORY_FILE
     try:
         document = tomllib.loads(path.read_text("utf-8"))
     except OSError as error:
         raise InventoryError(
-            [f"{path}: {error.strerror}; `oakbridge fleet init` makes one"]
+            [f"{path}: {error.strerror}; `oakbridge fleet init` creates it"]
         ) from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise InventoryError([f"{path}: expected TOML: {error}"]) from None
@@ -64,7 +64,7 @@
     for index, row in enumerate(rows):
         agent = row.get("name") if isinstance(row, dict) else None
         if not isinstance(agent, str) or not is_valid_name(agent) or agent in inventory.agents:
-            problems.append(f"agent[{index}].name: expected a name of its own, got {agent!r:.60}")
+            problems.append(f"agent[{index}].name: expected a unique name, got {agent!r:.60}")
             continue
         try:
             inventory.agents[agent] = parse_address(row.get("address"))
@@ -74,13 +74,16 @@
 
 
 def write_inventory(folder: Path, inventory: Inventory) -> None:
-    """Write the inventory atomically: a temporary file, fsync, rename."""
+    """Write the inventory atomically, by a temporary file, fsync and a rename.
+
+    Raises OSError.
+    """
     tables = [f'fleet = "{inventory.name}"\n']
     for name, (host, port) in inventory.agents.items():
         tables.append(f'[[agent]]\nname = "{name}"\naddress = "{host}:{port}"\n')
     temporary = folder / f".{INVENTORY_FILE}.tmp"
-    with temporary.open("w", encoding="utf-8") as out:
-        out.write("\n".join(tables))
-        out.flush()
-        os.fsync(out.fileno())
+    with temporary.open("w", encoding="utf-8") as file:
+        file.write("\n".join(tables))
+        file.flush()
+        os.fsync(file.fileno())
     temporary.rename(folder / INVENTORY_FILE)
--- a/oakbridge/fleet/messages.py
+++ b/oakbridge/fleet/messages.py
@@ -7,9 +7,10 @@
     POST /v1/lease/release              write   ReleaseRequest
     POST /v1/step                       write   StepRequest
 
-Every request is idempotent.  A response with status 409 is a refusal with its reason and, for
-leases, the holder who is in the way; 403 a role that may not ask this; 400 a malformed message,
-with the field and what was expected.
+The second column is the role that a request needs.  Every request is idempotent.  A response has
+status 409 for a refused request, with the reason and, for leases, the holder of the active lease;
+403 for a role without permission; 400 for a malformed message, with the field and what was
+expected; 503 if a retry may succeed.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusRequest:
-    """Ask for all that the agent knows."""
+    """Request the status of the agent and its instances."""
 
 
 @dataclass(frozen=True, slots=True)
 class FilesRequest:
-    """Ask for the files of a generation."""
+    """Request the files of a generation."""
 
     instance: str
     generation: int
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """Ask for the lease or, with ``renew``, for more time."""
+    """Acquire the lease or, with ``renew``, extend it."""
 
     token: int
     duration_us: int
@@ -46,14 +47,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRequest:
-    """Give the lease back."""
+    """Release the lease."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class StepRequest:
-    """Have an instance that runs ``base_generation`` run ``generation``."""
+    """Change an instance from ``base_generation`` to ``generation``.
+
+    The node must stay healthy for ``watch_us`` microseconds, or the step is rolled back.
+    """
 
     token: int
     step_id: str
@@ -68,7 +72,7 @@
 
 
 class EncodedRequest(NamedTuple):
-    """A request in the form of HTTP."""
+    """A request as HTTP method, path and body."""
 
     method: str
     path: str
@@ -76,7 +80,7 @@
 
 
 class Response(NamedTuple):
-    """An agent's answer to one request."""
+    """An agent's response to one request; ``status`` is the HTTP status."""
 
     status: int
     body: JsonObject
--- a/oakbridge/fleet/pki.py
+++ b/oakbridge/fleet/pki.py
@@ -1,7 +1,7 @@
 """The fleet's own certificate authority, and the certificates of agents and operators.
 
-Keys are P-256; files are PEM, and keys are readable by their owner alone.  A certificate has its
-holder's identity in one URI (see ``identity``).
+Keys are P-256.  Files are PEM; files of keys are readable by their owner only.  A certificate has
+its holder's identity in one URI (see ``identity``).
 """
 
 from __future__ import annotations
@@ -21,9 +21,10 @@
 
 AUTHORITY_DAYS = 3650
 CERTIFICATE_DAYS = 397
-# By which certificates are backdated: clocks of hosts may be stepped by an hour, either way.
+# Certificates are valid from this long before they are issued, because the clocks of hosts may be
+# stepped by an hour in either direction.
 CLOCK_SKEW = datetime.timedelta(hours=3)
-MAX_COMMON_NAME_LENGTH = 64  # of X.509
+MAX_COMMON_NAME_LENGTH = 64  # characters; the limit of X.509
 AUTHORITY_CERTIFICATE = "ca.crt"
 AUTHORITY_KEY = "ca.key"
 
@@ -44,7 +45,7 @@
     """Create ``ca.crt`` and ``ca.key`` in a folder.
 
     Raises:
-        PkiError: if there is an authority already.
+        PkiError: if the folder has an authority already.
     """
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     key = ec.generate_private_key(ec.SECP256R1())
@@ -62,17 +63,17 @@
         _write_new(folder / AUTHORITY_CERTIFICATE, _certificate_pem(certificate), secret=False)
     except FileExistsError as error:
         raise PkiError(
-            f"{error.filename}: there is one already, and what it signed would be worth nothing"
+            f"{error.filename}: already exists; a new authority would invalidate all certificates"
         ) from None
 
 
 def issue_certificate(
     folder: Path, identity: Identity, stem: Path, days: float = CERTIFICATE_DAYS
 ) -> None:
-    """Sign a certificate for an identity, and write ``STEM.crt`` and ``STEM.key``.
+    """Issue a certificate for an identity, and write ``STEM.crt`` and ``STEM.key``.
 
     Raises:
-        PkiError: if the authority in ``folder`` can't be read, or the certificate is there already.
+        PkiError: if the authority in ``folder`` can't be read, or the files exist already.
     """
     authority, signer = _load_authority(folder)
     key = ec.generate_private_key(ec.SECP256R1())
@@ -93,14 +94,14 @@
         _write_new(_append_suffix(stem, ".key"), _key_pem(key), secret=True)
         _write_new(_append_suffix(stem, ".crt"), _certificate_pem(certificate), secret=False)
     except FileExistsError as error:
-        raise PkiError(f"{error.filename}: there is one already") from None
+        raise PkiError(f"{error.filename}: already exists") from None
 
 
 def certificate_days_left(path: Path) -> float:
-    """Return for how many days a certificate is still valid; below 0 once it has expired.
+    """Return the number of days until a certificate expires; below 0 once it has expired.
 
     Raises:
-        PkiError: if it can't be read.
+        PkiError: if the certificate can't be read.
     """
     try:
         certificate = x509.load_pem_x509_certificate(path.read_bytes())
@@ -111,7 +112,10 @@
 
 
 def tls_context(authority: Path, stem: Path, *, server: bool) -> ssl.SSLContext:
-    """Return the context for one end, which shows ``STEM.crt`` and accepts its fleet alone.
+    """Return the TLS context of one end of a connection.
+
+    The end presents ``STEM.crt``, and accepts only peers with certificates of ``authority``, which
+    is the file of the fleet's authority.
 
     Raises:
         PkiError: if the authority's certificate, the end's own or its key can't be read.
@@ -135,7 +139,7 @@
     except (OSError, ValueError) as error:
         raise PkiError(f"{folder}: expected the fleet's authority: {error}") from None
     if not isinstance(key, ec.EllipticCurvePrivateKey):
-        raise PkiError(f"{folder / AUTHORITY_KEY}: expected a key on a curve")
+        raise PkiError(f"{folder / AUTHORITY_KEY}: expected an elliptic curve key")
     return certificate, key
 
 
@@ -171,12 +175,15 @@
 
 
 def _append_suffix(stem: Path, suffix: str) -> Path:
-    """Append a suffix; ``Path.with_suffix`` would cut a name that has dots."""
+    """Append a suffix; ``Path.with_suffix`` would replace the end of a name that has dots."""
     return stem.with_name(stem.name + suffix)
 
 
 def _write_new(path: Path, data: bytes, *, secret: bool) -> None:
-    """Write a file that must not exist, and sync it."""
+    """Write and sync a new file; a secret one is readable by its owner only.
+
+    Raises FileExistsError.
+    """
     mode = 0o600 if secret else 0o644
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, mode)
     with os.fdopen(fd, "wb") as file:
--- a/oakbridge/fleet/server.py
+++ b/oakbridge/fleet/server.py
@@ -1,7 +1,8 @@
-"""The agent's end: an HTTP server over mutual TLS, where everything has a bound.
+"""The agent's end of the protocol: an HTTP server over mutual TLS.
 
-Nobody without a certificate of this fleet gets past the handshake: the context knows one authority
-alone.  Whom the certificate speaks for is checked once the handshake is done.
+Connections, message sizes and times are limited.  The TLS handshake fails without a certificate of
+this fleet, because the context trusts only the fleet's authority.  The identity in the certificate
+is checked after the handshake.
 """
 
 from __future__ import annotations
@@ -32,16 +33,16 @@
 
 MAX_CONNECTIONS = 64
 HANDSHAKE_TIMEOUT_S = 5.0
-IO_TIMEOUT_S = 20.0  # for a whole request to arrive, and for a response to be read
+IO_TIMEOUT_S = 20.0  # for receiving a whole request, and for the peer to read a response
 
 Handler = Callable[[Identity, str, str, bytes], Awaitable[Response]]
 
 
 class AgentServer:
-    """Listens for operators, and hands each connection's requests to a handler, one by one."""
+    """Listens for operators, and passes each connection's requests to a handler, one at a time."""
 
     def __init__(self, context: ssl.SSLContext, fleet: str, handler: Handler) -> None:
-        """Take a handler, which gets the sender's identity, the method, the path and the body."""
+        """Take a handler; it gets the sender's identity, the method, the path and the body."""
         self._context = context
         self._fleet = fleet
         self._handler = handler
@@ -51,11 +52,11 @@
 
     @property
     def connection_count(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         return len(self._connections)
 
     async def start(self, address: tuple[str, int]) -> None:
-        """Listen.  Raises OSError."""
+        """Listen on a host and port; ``address`` then has the actual port.  Raises OSError."""
         self._server = await asyncio.start_server(
             self._serve_connection,
             *address,
@@ -88,9 +89,9 @@
             h11.RemoteProtocolError,
             FleetMessageError,
         ) as error:
-            log.debug("an operator's connection ended: %s", error)
+            log.debug("operator's connection closed: error=%s", error)
         except Exception:
-            log.exception("an operator's connection failed")
+            log.exception("operator's connection failed")
         finally:
             self._connections.discard(writer)
             if writer.is_closing():
@@ -117,7 +118,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Serve one request; return whether the connection may carry another."""
+        """Serve one request; return whether the connection can be reused."""
         async with asyncio.timeout(IO_TIMEOUT_S):
             message = await receive_message(connection, reader)
         if message is None:
@@ -125,7 +126,7 @@
         response = await self._respond(identity, message)
         body = json.dumps(response.body).encode()
         headers = [("content-type", "application/json"), ("content-length", str(len(body)))]
-        if message.body is None:  # the rest of the request is still to come, and is not read
+        if message.body is None:  # the rest of the request is not read
             headers.append(("connection", "close"))
         head = h11.Response(status_code=response.status, headers=headers)
         send_message(connection, writer, head, body)
@@ -146,7 +147,7 @@
         except FleetMessageError as error:
             return _error(HTTPStatus.BAD_REQUEST, str(error))
         except Exception as error:
-            log.exception("a request failed")
+            log.exception("request of an operator failed")
             return _error(
                 HTTPStatus.INTERNAL_SERVER_ERROR,
                 f"the agent failed on this: {type(error).__name__}",
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -294,7 +294,7 @@
 def test_fleet_commands_from_init_to_status(call, tmp_path):
     assert call("status").returncode == 2
     assert call("init", "bergen").returncode == 0
-    assert "there is one already" in call("init", "bergen").stderr
+    assert "already exists" in call("init", "bergen").stderr
     assert call("status").returncode == 2
     port = free_ports(1)[0]
     assert call("add-agent", "h1", f"127.0.0.1:{port}").returncode == 0
--- a/tests/fleet/test_http.py
+++ b/tests/fleet/test_http.py
@@ -221,9 +221,9 @@
 
 def test_an_authority_is_made_once_and_keys_are_the_owners(folder):
     ours, _ = folder
-    with pytest.raises(PkiError, match="there is one already"):
+    with pytest.raises(PkiError, match="already exists"):
         pki.create_authority(ours, FLEET)
-    with pytest.raises(PkiError, match="there is one already"):
+    with pytest.raises(PkiError, match="already exists"):
         pki.issue_certificate(
             ours, Identity(FLEET, IdentityKind.OPERATOR, "kari", Role.WRITE), ours / "kari"
         )
