--- a/oakbridge/agent/managed_instance.py
+++ b/oakbridge/agent/managed_instance.py
@@ -172,7 +172,7 @@
         self._timers.schedule(monotonic_us() + DISK_RETRY_DELAY_US, self._retry)
 
     def _retry(self) -> None:
-        """Carry out the actions that wait for the disk; then report a node that exited meanwhile."""
+        """Carry out the actions that wait for the disk; then report a drained node that exited."""
         self._executor.retry(monotonic_us())
         if not self._executor.is_blocked:
             self._report_drained()
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -1,4 +1,4 @@
-"""An agent as a process, with real nodes: applies, rolls back, outlives and is outlived."""
+"""An agent process with real nodes: steps, rollbacks, restarts and operators' leases."""
 
 import asyncio
 import json
@@ -20,11 +20,11 @@
 from oakbridge.fleet.quorum import majority
 
 ROOT = Path(__file__).parents[2]
-SECOND = 1_000_000
-NODES = ("n1", "n2")
+US_PER_S = 1_000_000
+INSTANCES = ("n1", "n2")
 
 
-def config(aim: str = "1s") -> dict[str, str]:
+def config_files(aim: str = "1s") -> dict[str, str]:
     return {
         "oakbridge.toml": '[servers]\nfile = "servers.toml"\n\n[[class]]\nname = "look"\n'
         f'aim = "{aim}"\ndeadline = "9s"\nrepeat = "safe"\n',
@@ -36,8 +36,8 @@
     return os.environ | {"PYTHONPATH": str(ROOT)}
 
 
-class Host:
-    """One agent with two nodes, and an operator of its fleet."""
+class AgentHost:
+    """An agent with two instances, and the operators of its fleet."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.fleet = folder, folder / "fleet"
@@ -58,23 +58,23 @@
         ]
         lines += [
             f'[[instance]]\nname = "{name}"\nlisten = ["127.0.0.1:{free_ports(1)[0]}"]'
-            for name in NODES
+            for name in INSTANCES
         ]
         (folder / "agent.toml").write_text("\n".join(lines))
         self.agent: subprocess.Popen | None = None
 
-    def __enter__(self) -> "Host":
+    def __enter__(self) -> "AgentHost":
         self.start()
         return self
 
     def start(self) -> None:
-        config = self.folder / "agent.toml"
-        with (self.folder / "agent.log").open("ab") as out:
+        config_file = self.folder / "agent.toml"
+        with (self.folder / "agent.log").open("ab") as log_file:
             self.agent = subprocess.Popen(
-                [sys.executable, "-m", "oakbridge.cli", "agent", "--config", str(config)],
-                env=environment(), stdout=out, stderr=out,
+                [sys.executable, "-m", "oakbridge.cli", "agent", "--config", str(config_file)],
+                env=environment(), stdout=log_file, stderr=log_file,
             )  # fmt: skip
-        self.until(lambda: self.status())
+        self.wait_until(lambda: self.status())
 
     def kill(self) -> None:
         self.agent.kill()
@@ -83,187 +83,201 @@
     def __exit__(self, *_) -> None:
         if self.agent.poll() is None:
             self.kill()
-        for name in NODES:
+        for name in INSTANCES:
             pid = listener_pid(self.state / f"{name}.sock")
             if pid is not None:
                 os.kill(pid, signal.SIGCONT)
                 os.kill(pid, signal.SIGKILL)
 
-    def ask(self, request, who: str = "kari"):
-        tls = pki.tls_context(self.fleet / "ca.crt", self.fleet / who, server=False)
+    def call(self, request, operator: str = "kari"):
+        tls = pki.tls_context(self.fleet / "ca.crt", self.fleet / operator, server=False)
         return asyncio.run(FleetClient(self.inventory, tls).call("h1", request))
 
-    def lease(self, token: int, who: str = "kari", length: float = 60):
-        return self.ask(messages.LeaseRequest(token, int(length * SECOND)), who)
-
-    def step(
-        self, token: int, name: str, base: int, files=None, step: str = "", watch: float = 1.0
+    def acquire_lease(self, token: int, operator: str = "kari", duration_s: float = 60):
+        return self.call(messages.LeaseRequest(token, int(duration_s * US_PER_S)), operator)
+
+    def send_step(
+        self,
+        token: int,
+        instance: str,
+        base_generation: int,
+        files=None,
+        step_id: str = "",
+        watch_s: float = 1.0,
     ):
-        order = messages.StepRequest(
+        request = messages.StepRequest(
             token,
-            step or f"s{token}-{name}",
-            name,
+            step_id or f"s{token}-{instance}",
+            instance,
             token,
-            base,
-            int(watch * SECOND),
-            files or config(),
+            base_generation,
+            int(watch_s * US_PER_S),
+            files or config_files(),
         )
-        return self.ask(order)
+        return self.call(request)
 
     def status(self):
-        heard = self.ask(messages.StatusRequest(), "look")
-        return heard.body if heard.status == 200 else None
+        response = self.call(messages.StatusRequest(), "look")
+        return response.body if response.status == 200 else None
 
     def instance(self, name: str) -> dict:
         return next(
-            i for i in (self.status() or {"instances": []})["instances"] if i["name"] == name
+            row for row in (self.status() or {"instances": []})["instances"] if row["name"] == name
         )
 
-    def until(self, what):
-        end = time.monotonic() + TIMEOUT_S
-        while not (got := what()):
+    def wait_until(self, condition):
+        deadline_s = time.monotonic() + TIMEOUT_S
+        while not (value := condition()):
             assert self.agent.poll() is None, (self.folder / "agent.log").read_text()
-            assert time.monotonic() < end, (self.folder / "agent.log").read_text()[-3000:]
+            assert time.monotonic() < deadline_s, (self.folder / "agent.log").read_text()[-3000:]
             time.sleep(0.05)
-        return got
+        return value
 
-    def ended(self, name: str, step: str) -> list:
-        return self.until(
-            lambda: next((o for o in self.instance(name)["outcomes"] if o[0] == step), None)
+    def wait_for_outcome(self, name: str, step_id: str) -> list:
+        return self.wait_until(
+            lambda: next(
+                (outcome for outcome in self.instance(name)["outcomes"] if outcome[0] == step_id),
+                None,
+            )
         )
 
-    def well(self, name: str, generation: int) -> dict:
-        """Until an instance runs a generation, by what its process says."""
-        return self.until(
+    def wait_until_ready(self, name: str, generation: int) -> dict:
+        """Wait until an instance's node reports that it is ready with a generation."""
+        return self.wait_until(
             lambda: (
-                (i := self.instance(name))["generation"] == generation
-                and i["process"] == "running"
-                and i["change"] == "settled"
-                and i["node"].get("ready")
-                and i
+                (row := self.instance(name))["generation"] == generation
+                and row["process"] == "running"
+                and row["change"] == "settled"
+                and row["node"].get("ready")
+                and row
             )
         )
 
 
 @pytest.fixture
 def host(tmp_path):
-    with Host(tmp_path) as host:
-        host.lease(1)
-        for name in NODES:
-            assert host.step(1, name, 0).status == 202
-        for name in NODES:
-            assert host.ended(name, f"s1-{name}")[1] == "took it"
-            host.well(name, 1)
+    with AgentHost(tmp_path) as host:
+        host.acquire_lease(1)
+        for name in INSTANCES:
+            assert host.send_step(1, name, 0).status == 202
+        for name in INSTANCES:
+            assert host.wait_for_outcome(name, f"s1-{name}")[1] == "took it"
+            host.wait_until_ready(name, 1)
         yield host
 
 
-def test_a_change_is_taken_kept_and_sent_again_without_effect(host):
-    host.lease(2)
+def test_step_is_applied_once_though_it_is_sent_twice(host):
+    host.acquire_lease(2)
     before = host.instance("n1")["pid"]
-    assert host.step(2, "n1", 1, config("2s")).status == 202
-    assert host.ended("n1", "s2-n1")[1] == "took it"
-    after = host.well("n1", 2)
+    assert host.send_step(2, "n1", 1, config_files("2s")).status == 202
+    assert host.wait_for_outcome("n1", "s2-n1")[1] == "took it"
+    after = host.wait_until_ready("n1", 2)
     assert after["pid"] != before
     assert host.instance("n2")["generation"] == 1
-    again = host.step(2, "n1", 1, config("2s"))
-    assert (again.status, again.body["verdict"]) == (200, "took it")
+    repeated = host.send_step(2, "n1", 1, config_files("2s"))
+    assert (repeated.status, repeated.body["verdict"]) == (200, "took it")
     assert host.instance("n1")["pid"] == after["pid"]
-    got = host.ask(messages.FilesRequest("n1", 2), "look")
-    assert got.body["files"] == config("2s")
+    response = host.call(messages.FilesRequest("n1", 2), "look")
+    assert response.body["files"] == config_files("2s")
 
 
-def test_what_the_nodes_own_checker_refuses_changes_nothing(host):
-    host.lease(2)
+def test_step_with_invalid_files_changes_nothing(host):
+    host.acquire_lease(2)
     pid = host.instance("n1")["pid"]
-    told = host.step(2, "n1", 1, config("soon"))
-    assert told.body["verdict"] == "did not"
-    assert "class[0].aim: expected a time" in told.body["reason"]
-    told = host.step(2, "n1", 1, {"servers.toml": "x"}, step="other")
-    assert told.status == 400
-    assert "expected oakbridge.toml" in told.body["error"]
+    response = host.send_step(2, "n1", 1, config_files("soon"))
+    assert response.body["verdict"] == "did not"
+    assert "class[0].aim: expected a time" in response.body["reason"]
+    response = host.send_step(2, "n1", 1, {"servers.toml": "x"}, step_id="other")
+    assert response.status == 400
+    assert "expected oakbridge.toml" in response.body["error"]
     assert (host.instance("n1")["generation"], host.instance("n1")["pid"]) == (1, pid)
 
 
-def test_a_node_that_dies_while_it_is_watched_is_taken_back(host):
-    host.lease(2)
-    old = host.instance("n1")["pid"]
-    host.step(2, "n1", 1, config("2s"), watch=20)
-    new = host.until(
-        lambda: (i := host.instance("n1"))["pid"] != old and i["process"] == "running" and i
+def test_node_that_crashes_while_watched_is_rolled_back(host):
+    host.acquire_lease(2)
+    old_pid = host.instance("n1")["pid"]
+    host.send_step(2, "n1", 1, config_files("2s"), watch_s=20)
+    instance = host.wait_until(
+        lambda: (
+            (row := host.instance("n1"))["pid"] != old_pid and row["process"] == "running" and row
+        )
     )
-    assert new["change"] == "watching"
-    os.kill(new["pid"], signal.SIGKILL)
-    _, verdict, reason = host.ended("n1", "s2-n1")
+    assert instance["change"] == "watching"
+    os.kill(instance["pid"], signal.SIGKILL)
+    _, verdict, reason = host.wait_for_outcome("n1", "s2-n1")
     assert verdict == "undone"
     assert "signal 9" in reason
-    host.well("n1", 1)
-    assert host.ask(messages.FilesRequest("n1", 1), "look").body["files"] == config()
+    host.wait_until_ready("n1", 1)
+    assert host.call(messages.FilesRequest("n1", 1), "look").body["files"] == config_files()
 
 
-def test_a_node_that_crashes_is_started_again(host):
-    first = host.instance("n1")["pid"]
-    os.kill(first, signal.SIGKILL)
-    host.until(lambda: host.instance("n1")["pid"] not in (first, None))
-    assert host.well("n1", 1)["crashes"] == 1
+def test_node_is_restarted_after_a_crash(host):
+    old_pid = host.instance("n1")["pid"]
+    os.kill(old_pid, signal.SIGKILL)
+    host.wait_until(lambda: host.instance("n1")["pid"] not in (old_pid, None))
+    assert host.wait_until_ready("n1", 1)["crashes"] == 1
     assert host.instance("n2")["crashes"] == 0
 
 
-def test_nodes_outlive_their_agent_and_are_found_again(host):
-    before = {name: host.instance(name)["pid"] for name in NODES}
+def test_nodes_outlive_their_agent_and_are_adopted_after_its_restart(host):
+    pids = {name: host.instance(name)["pid"] for name in INSTANCES}
     host.kill()
-    assert {name: listener_pid(host.state / f"{name}.sock") for name in NODES} == before
+    assert {name: listener_pid(host.state / f"{name}.sock") for name in INSTANCES} == pids
     host.start()
-    for name in NODES:
-        assert host.well(name, 1)["pid"] == before[name]
+    for name in INSTANCES:
+        assert host.wait_until_ready(name, 1)["pid"] == pids[name]
 
 
-def test_an_agent_killed_in_mid_change_goes_on_when_it_is_back(host):
-    host.lease(2)
-    host.step(2, "n1", 1, config("2s"), watch=3)
-    host.until(lambda: host.instance("n1")["change"] == "watching")
+def test_agent_killed_during_a_step_continues_after_its_restart(host):
+    host.acquire_lease(2)
+    host.send_step(2, "n1", 1, config_files("2s"), watch_s=3)
+    host.wait_until(lambda: host.instance("n1")["change"] == "watching")
     host.kill()
     host.start()
-    assert host.ended("n1", "s2-n1")[1] == "took it"
-    host.well("n1", 2)
+    assert host.wait_for_outcome("n1", "s2-n1")[1] == "took it"
+    host.wait_until_ready("n1", 2)
 
 
-def test_an_agent_frozen_through_a_lease_wakes_and_does_as_was_decided_meanwhile(host):
-    host.lease(2, length=1)
+def test_step_to_a_suspended_agent_is_refused_once_the_lease_has_expired(host):
+    """SIGSTOP suspends the agent when the step arrives, until after the lease has expired."""
+    host.acquire_lease(2, duration_s=1)
     host.agent.send_signal(signal.SIGSTOP)
-    late = host.step(2, "n1", 1, config("2s"))
-    assert late.error.startswith("no answer within")
+    unanswered = host.send_step(2, "n1", 1, config_files("2s"))
+    assert unanswered.error.startswith("no answer within")
     time.sleep(1.2)
     host.agent.send_signal(signal.SIGCONT)
-    host.until(lambda: host.status())
-    told = host.lease(3, "ola")
-    assert told.status == 200
-    told = host.step(2, "n1", 1, config("2s"), step="again")
-    assert told.status == 409
-    assert told.body["holder"] == "ola"
+    host.wait_until(lambda: host.status())
+    response = host.acquire_lease(3, "ola")
+    assert response.status == 200
+    response = host.send_step(2, "n1", 1, config_files("2s"), step_id="again")
+    assert response.status == 409
+    assert response.body["holder"] == "ola"
     assert host.instance("n1")["generation"] == 1
 
 
-def test_two_operators_and_one_that_may_only_look(host):
-    host.lease(2)
-    told = host.lease(3, "ola")
-    assert told.status == 409
-    assert told.body["holder"] == "kari"
-    assert told.body["since"] > 0
-    assert host.ask(messages.LeaseRequest(9, SECOND), "look").status == 403
+def test_requests_without_the_lease_or_the_role_are_refused(host):
+    host.acquire_lease(2)
+    response = host.acquire_lease(3, "ola")
+    assert response.status == 409
+    assert response.body["holder"] == "kari"
+    assert response.body["since"] > 0
+    assert host.call(messages.LeaseRequest(9, US_PER_S), "look").status == 403
     assert (
-        host.ask(messages.StepRequest(2, "x", "n1", 2, 1, SECOND, config("2s")), "look").status
+        host.call(
+            messages.StepRequest(2, "x", "n1", 2, 1, US_PER_S, config_files("2s")), "look"
+        ).status
         == 403
     )
     assert host.instance("n1")["generation"] == 1
-    assert host.step(2, "n9", 1).status == 404
+    assert host.send_step(2, "n9", 1).status == 404
 
 
 @pytest.fixture
-def call(tmp_path):
-    """Calls a command of ``oakbridge fleet`` in a folder of its own."""
+def run_fleet(tmp_path):
+    """Runs a command of ``oakbridge fleet`` in a temporary folder."""
 
-    def call(*words: str):
-        command = [sys.executable, "-m", "oakbridge.cli", "fleet", *words]
+    def run_fleet(*arguments: str):
+        command = [sys.executable, "-m", "oakbridge.cli", "fleet", *arguments]
         return subprocess.run(
             command,
             cwd=tmp_path,
@@ -273,44 +287,44 @@
             timeout=TIMEOUT_S,
         )
 
-    return call
+    return run_fleet
 
 
-def test_fleet_watch_writes_each_change_of_health_once(call):
+def test_fleet_watch_prints_each_change_of_health_once(run_fleet):
     port = free_ports(1)[0]
-    call("init", "bergen")
-    call("add-agent", "h1", f"127.0.0.1:{port}")
-    done = call("watch", "--every", "0.2", "--count", "2", "--json")
+    run_fleet("init", "bergen")
+    run_fleet("add-agent", "h1", f"127.0.0.1:{port}")
+    done = run_fleet("watch", "--every", "0.2", "--count", "2", "--json")
     assert (done.returncode, done.stderr) == (0, "")
     [line] = done.stdout.splitlines()
     change = json.loads(line)
     assert change.pop("time") > 0
     assert change == {"name": "h1", "was": None, "is": "unknown"}
-    done = call("watch", "--every", "0.2", "--count", "2")
+    done = run_fleet("watch", "--every", "0.2", "--count", "2")
     assert done.returncode == 0
     assert done.stdout.count("no instances; 1 of 1 agents unknown; generations: none") == 2
 
 
-def test_fleet_commands_from_init_to_status(call, tmp_path):
-    assert call("status").returncode == 2
-    assert call("init", "bergen").returncode == 0
-    assert "already exists" in call("init", "bergen").stderr
-    assert call("status").returncode == 2
+def test_fleet_commands_from_init_to_status(run_fleet, tmp_path):
+    assert run_fleet("status").returncode == 2
+    assert run_fleet("init", "bergen").returncode == 0
+    assert "ca.key: already exists" in run_fleet("init", "bergen").stderr
+    assert run_fleet("status").returncode == 2
     port = free_ports(1)[0]
-    assert call("add-agent", "h1", f"127.0.0.1:{port}").returncode == 0
-    assert call("add-agent", "h1", "127.0.0.1:1").returncode == 2
-    assert call("add-agent", "h2", "here").returncode == 2
-    assert call("add-operator", "ola", "--read-only").returncode == 0
+    assert run_fleet("add-agent", "h1", f"127.0.0.1:{port}").returncode == 0
+    assert run_fleet("add-agent", "h1", "127.0.0.1:1").returncode == 2
+    assert run_fleet("add-agent", "h2", "here").returncode == 2
+    assert run_fleet("add-operator", "ola", "--read-only").returncode == 0
     assert list(read_inventory(tmp_path / "fleet").agents) == ["h1"]
-    done = call("status", "--as", "ola", "--json", "--within", "1")
-    told = json.loads(done.stdout)
+    done = run_fleet("status", "--as", "ola", "--json", "--within", "1")
+    status = json.loads(done.stdout)
     assert done.returncode == 1
-    assert told["agents"][0]["state"] == "unknown"
-    assert told["instances"] == []
-    assert "1 of 1 agents unknown" in call("status", "--within", "1").stdout
+    assert status["agents"][0]["state"] == "unknown"
+    assert status["instances"] == []
+    assert "1 of 1 agents unknown" in run_fleet("status", "--within", "1").stdout
     write_inventory(tmp_path / "fleet", Inventory("bergen", {}))
-    assert "Traceback" not in call("status").stderr
+    assert "Traceback" not in run_fleet("status").stderr
 
 
-def test_a_majority_of_one_is_one():
+def test_majority_of_one_agent_is_one():
     assert majority(1) == 1
--- a/tests/agent/test_failing_disk.py
+++ b/tests/agent/test_failing_disk.py
@@ -1,4 +1,4 @@
-"""An agent whose disk fails at any touch: the step comes to its end, and only what is on disk is told."""
+"""A disk that fails at any operation: steps finish, and only durable records are reported."""
 
 import itertools
 import random
@@ -19,45 +19,47 @@
 
 FILES = {"oakbridge.toml": "new"}
 SPEC = InstanceSpec(("127.0.0.1:80",), Path("c"))
-SECOND = 1_000_000
-RETRY_US = SECOND // 5
+US_PER_S = 1_000_000
+RETRY_DELAY_US = US_PER_S // 5
 
 
 class FailingDisk:
-    """Makes the touches of the disk fail that ``fails`` names by their number."""
+    """Counts journal writes, fsyncs and renames; those whose number ``fails`` accepts fail."""
 
     def __init__(self, monkeypatch, fails) -> None:
-        self.touches = 0
+        self.operation_count = 0
         self._fails = fails
         self._write = AgentJournal._write
-        monkeypatch.setattr(AgentJournal, "_write", lambda *given: self._journal_write(*given))
+        monkeypatch.setattr(
+            AgentJournal, "_write", lambda *arguments: self._journal_write(*arguments)
+        )
         for module, name in ((generations.os, "fsync"), (generations.os, "rename")):
             monkeypatch.setattr(module, name, self._failing(getattr(module, name)))
 
-    def _touch(self) -> bool:
-        self.touches += 1
-        return self._fails(self.touches)
+    def _next_fails(self) -> bool:
+        self.operation_count += 1
+        return self._fails(self.operation_count)
 
     def _journal_write(self, journal, statement, values) -> None:
-        if self._touch():
+        if self._next_fails():
             raise StoreUnavailableError("agent.db", "database or disk is full")
         self._write(journal, statement, values)
 
     def _failing(self, call):
-        def touch(*arguments, **named):
-            if self._touch():
+        def operation(*arguments, **keywords):
+            if self._next_fails():
                 raise OSError(28, "No space left on device")
-            return call(*arguments, **named)
+            return call(*arguments, **keywords)
 
-        return touch
+        return operation
 
 
 class Instance:
-    """One instance whose executor is retried as time goes on."""
+    """One instance, whose executor is retried after each failure."""
 
     def __init__(self, folder) -> None:
         self.store = Store(folder)
-        self.now, self.runs, self.is_retry_due = 0, [], False
+        self.now_us, self.started_generations, self.is_retry_due = 0, [], False
         _, record = self.store.journal.load_instances()["a"]
         self.machine = InstanceStateMachine(record)
         self.executor = ActionExecutor(
@@ -65,8 +67,8 @@
             "a",
             self.machine,
             check_staged=lambda _: "",
-            run_generation=lambda generation: self.runs.append(generation.number),
-            set_timer=lambda at: None,
+            run_generation=lambda generation: self.started_generations.append(generation.number),
+            set_timer=lambda at_us: None,
             set_retry_timer=self._set_retry_timer,
         )
 
@@ -76,27 +78,27 @@
     def record_on_disk(self) -> InstanceRecord:
         return self.store.journal.load_instances()["a"][1]
 
-    def settle(self) -> None:
-        """Go on until nothing waits for the disk; what may be told is on disk at every moment."""
+    def retry_until_unblocked(self) -> None:
+        """Retry until no action waits for the disk; the durable record is always on disk."""
         for _ in range(1000):
             assert self.executor.durable_record == self.record_on_disk()
             if not self.executor.is_blocked:
                 return
             assert self.is_retry_due
             self.is_retry_due = False
-            self.now += RETRY_US
-            self.executor.retry(self.now)
-        raise AssertionError("it never settles")
+            self.now_us += RETRY_DELAY_US
+            self.executor.retry(self.now_us)
+        raise AssertionError("actions still wait for the disk")
 
-    def change(self) -> None:
-        """Carry one step through: begin it, and have its node ready and watched."""
+    def apply_step(self) -> None:
+        """Begin a step, report its node ready, and let its watch pass."""
         target = Generation(2, digest_of(FILES))
-        self.executor.begin_step(self.now, Step("s", 2, target, 0, SECOND), FILES, lambda: "")
-        self.settle()
-        self.machine.on_ready(self.now)
-        self.now += 2 * SECOND
-        self.executor.execute(self.now, self.machine.on_timer(self.now))
-        self.settle()
+        self.executor.begin_step(self.now_us, Step("s", 2, target, 0, US_PER_S), FILES, lambda: "")
+        self.retry_until_unblocked()
+        self.machine.on_ready(self.now_us)
+        self.now_us += 2 * US_PER_S
+        self.executor.execute(self.now_us, self.machine.on_timer(self.now_us))
+        self.retry_until_unblocked()
 
 
 @pytest.fixture
@@ -104,9 +106,9 @@
     store = Store(tmp_path)
     store.journal.save_instance("a", SPEC, InstanceRecord())
     store.close()
-    found = Instance(tmp_path)
-    yield found
-    found.store.close()
+    instance = Instance(tmp_path)
+    yield instance
+    instance.store.close()
 
 
 def verdict(instance: Instance) -> str:
@@ -115,43 +117,47 @@
     return outcome.verdict.value
 
 
-def failing_touches():
-    """Each touch in turn, once and three times in a row, and random ones by seeds."""
+def failing_operations():
+    """Each operation in turn, once and three times in a row, and random ones by seed."""
     for number, count in itertools.product(range(1, 9), (1, 3)):
         yield pytest.param(range(number, number + count), id=f"{count} from {number}")
     for seed in range(8):
-        found = {n for n in range(1, 200) if random.Random(1000 * seed + n).random() < 0.35}
-        yield pytest.param(found, id=f"seed {seed}")
-
-
-@pytest.mark.parametrize("numbers", list(failing_touches()))
-def test_step_is_applied_whichever_touches_of_the_disk_fail(instance, monkeypatch, numbers):
-    disk = FailingDisk(monkeypatch, lambda touch: touch in numbers)
-    instance.change()
+        numbers = {
+            operation
+            for operation in range(1, 200)
+            if random.Random(1000 * seed + operation).random() < 0.35
+        }
+        yield pytest.param(numbers, id=f"seed {seed}")
+
+
+@pytest.mark.parametrize("numbers", list(failing_operations()))
+def test_step_is_applied_whichever_disk_operations_fail(instance, monkeypatch, numbers):
+    disk = FailingDisk(monkeypatch, lambda number: number in numbers)
+    instance.apply_step()
     assert verdict(instance) == "took it"
-    assert instance.runs[-1] == 2
-    assert disk.touches >= min(numbers)
+    assert instance.started_generations[-1] == 2
+    assert disk.operation_count >= min(numbers)
 
 
-def test_files_that_can_not_be_written_for_long_reject_the_step(instance, monkeypatch):
-    """What is given up is told with its reason, once the record can be written."""
-    FailingDisk(monkeypatch, lambda touch: 1 < touch < 80)
-    instance.change()
-    assert instance.now > executor_module.RETRY_TIMEOUT_US
+def test_step_is_rejected_if_its_files_can_not_be_written_until_the_timeout(instance, monkeypatch):
+    """The outcome has the reason, and is written once the journal can be written again."""
+    FailingDisk(monkeypatch, lambda number: 1 < number < 80)
+    instance.apply_step()
+    assert instance.now_us > executor_module.RETRY_TIMEOUT_US
     assert verdict(instance) == "did not"
     assert "No space left" in instance.record_on_disk().outcomes[0].reason
 
 
-def test_journal_that_fails_says_that_it_may_pass(tmp_path):
-    """What SQLite says of a full or broken disk is told apart from a file that is no database."""
+def test_journal_reports_a_failing_disk_as_transient(tmp_path):
+    """A full or failing disk is not reported like a file that is no database."""
     journal = AgentJournal(tmp_path / "agent.db")
     journal.close()
 
-    class Failing:
+    class FailingDatabase:
         def execute(self, *_):
             raise sqlite3.OperationalError("disk I/O error")
 
-    journal._database = Failing()
+    journal._database = FailingDatabase()
     for call in (lambda: journal.load_token_record(), lambda: journal.delete_instance("a")):
         with pytest.raises(StoreUnavailableError, match="I/O"):
             call()
--- a/tests/agent/test_passing_errors.py
+++ b/tests/agent/test_transient_errors.py
@@ -1,4 +1,4 @@
-"""An agent's start where a system call fails for a moment."""
+"""The start of an agent while system calls fail with transient errors."""
 
 import errno
 import os
@@ -15,11 +15,11 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "raised"),
+    ("error_number", "is_raised"),
     [(errno.ENOMEM, True), (errno.EAGAIN, False), (errno.ECONNREFUSED, False)],
 )
-def test_a_running_node_is_not_taken_for_none_as_a_connect_fails(
-    monkeypatch, tmp_path, error, raised
+def test_running_node_is_not_reported_missing_if_connect_fails(
+    monkeypatch, tmp_path, error_number, is_raised
 ):
     path = tmp_path / "node.sock"
     with socket.socket(socket.AF_UNIX) as listener:
@@ -28,17 +28,17 @@
         assert listener_pid(path) == os.getpid()
 
         def fails(*_):
-            raise OSError(error, os.strerror(error))
+            raise OSError(error_number, os.strerror(error_number))
 
         monkeypatch.setattr(socket.socket, "connect", fails, raising=False)
-        if raised:
-            with pytest.raises(OSError, match=os.strerror(error)):
+        if is_raised:
+            with pytest.raises(OSError, match=os.strerror(error_number)):
                 listener_pid(path)
         else:
             assert listener_pid(path) is None
 
 
-def test_a_configuration_that_can_not_be_read_for_a_moment_is_read_again(monkeypatch, tmp_path):
+def test_reading_the_configuration_is_retried(monkeypatch, tmp_path):
     monkeypatch.setattr(startup, "RETRY_INTERVAL_S", 0.01)
     path, reads = tmp_path / "agent.toml", []
     path.write_text("name = 3\n")
@@ -51,9 +51,9 @@
         return read_text(self, *arguments)
 
     monkeypatch.setattr(Path, "read_text", fails_twice)
-    with pytest.raises(AgentConfigError) as told:
+    with pytest.raises(AgentConfigError) as raised:
         retry_while_unavailable(lambda: read_agent_config(path))
-    assert not isinstance(told.value, AgentConfigUnreadableError)
+    assert not isinstance(raised.value, AgentConfigUnreadableError)
     assert len(reads) == 3
     monkeypatch.setattr(startup, "RETRY_TIMEOUT_S", 0.0)
     reads.clear()
