--- a/oakbridge/agent/executor.py
+++ b/oakbridge/agent/executor.py
@@ -1,10 +1,10 @@
 """Carry out the actions of an instance's state machine, in order.
 
-If the disk fails during an action, the action stays at the head of the queue and is retried until
-it succeeds, because the state machine has already moved on.  The actions behind it wait.  Writing a
-record is retried without limit, as no later action may run before the record is on disk.  An action
-that only changes files is given up after :data:`RETRY_TIMEOUT_US`, and the state machine gets the
-reason.  If the agent exits meanwhile, its next process continues from the record on disk.
+If the disk fails during an action, the action stays at the head of the queue and is retried,
+because the state machine has already moved on.  The actions behind it wait.  Writing a record is
+retried without limit, as no later action may run before the record is on disk.  An action that only
+changes files is given up after :data:`RETRY_TIMEOUT_US`, and the state machine gets the reason.  If
+the agent exits meanwhile, its next process continues from the record on disk.
 """
 
 from __future__ import annotations
@@ -127,7 +127,7 @@
             self._failing_since_us = now_us
             action_name = type(action).__name__
             log.warning(
-                "action of an instance failed, retrying: instance=%s action=%s error=%s",
+                "action of an instance failed; retrying: instance=%s action=%s error=%s",
                 self._instance,
                 action_name,
                 error,
@@ -159,7 +159,7 @@
     def _report_failure(self, now_us: int, action: Action, problem: str) -> list[Action]:
         """Notify the state machine of an action that was given up; return the resulting actions.
 
-        A failed staging or activation ends in a step's reason, which operators get.
+        The problem becomes the reason of the step's outcome, which operators get.
         """
         match action:
             case StageGeneration():
--- a/oakbridge/agent/generations.py
+++ b/oakbridge/agent/generations.py
@@ -25,7 +25,7 @@
 RETAINED_GENERATIONS = 8  # the newest ones of an instance stay on disk, for rollbacks
 FOLDER_PREFIX = "gen-"
 TEMPORARY_SUFFIX = ".tmp"
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
 
 Files = dict[str, str]  # a generation's files: text by name
 
@@ -36,7 +36,7 @@
     Raises:
         StoreError: if the name is not safe.
     """
-    if not _NAME.fullmatch(name) or name.endswith(TEMPORARY_SUFFIX):
+    if not _NAME_PATTERN.fullmatch(name) or name.endswith(TEMPORARY_SUFFIX):
         raise StoreError(
             field, f"expected up to 100 letters, digits, dots or dashes, got {name!r:.120}"
         )
--- a/oakbridge/agent/lease.py
+++ b/oakbridge/agent/lease.py
@@ -89,8 +89,8 @@
     ) -> LeaseGranted | LeaseDenied:
         """Extend the lease, also an expired one that no other operator has acquired meanwhile.
 
-        The holder is compared as well as the token: two operators that ask at the same time propose
-        the same token, and each may have been granted the lease by some agents.
+        The holder is compared as well as the token: two operators that compete for the lease may
+        propose the same token, and each may have been granted it by some agents.
         """
         if not self._is_held_by(token, holder):
             return self._deny(now_us, f"token {token} has no lease here")
--- a/oakbridge/agent/managed_instance.py
+++ b/oakbridge/agent/managed_instance.py
@@ -66,7 +66,7 @@
         self.machine = InstanceStateMachine(record)
         self.node_status: dict[str, Any] = {}  # from the last poll; empty without a response
         self.status_received_at_s = 0.0  # Unix time of the last response
-        self.running_generation = UNKNOWN_GENERATION  # which the node's process was started with
+        self.running_generation = UNKNOWN_GENERATION  # the one that the process was started with
         self._member = (
             MemberEndpoint(f"{context.agent}/{name}", spec.member) if spec.member else None
         )
@@ -254,10 +254,10 @@
             try:
                 self._evaluate(NodeStatus.from_json(response))
             except Exception:  # polling must continue: without it the node never becomes ready
-                log.exception("evaluating a node's status failed: instance=%s", self.name)
+                log.exception("evaluation of a node's status failed: instance=%s", self.name)
 
     def _evaluate(self, status: NodeStatus) -> None:
-        """Report events that the node's status shows to the supervisor and the state machine."""
+        """Derive events for the supervisor and the state machine from the node's status."""
         if self.node.pid is None or status.pid != self.node.pid:
             return
         if not self.node.is_up or self._executor.is_blocked:
@@ -289,7 +289,7 @@
             return False
         except OSError as error:
             log.warning(
-                "reading a node's configuration failed: instance=%s error=%s", self.name, error
+                "node's configuration can't be read: instance=%s error=%s", self.name, error
             )
             return True
         return status.config_digest == hashlib.sha256(config).hexdigest()
--- a/oakbridge/agent/node_process.py
+++ b/oakbridge/agent/node_process.py
@@ -120,13 +120,13 @@
         return path.open("ab")
     except OSError as error:
         log.warning(
-            "opening a node's log failed, the node runs without a log: path=%s error=%s",
+            "node's log can't be opened; the node runs without a log: path=%s error=%s",
             path,
             error,
         )
         return Path(os.devnull).open("ab")
 
 
-def _rotate(log: Path) -> None:
-    if log.exists() and log.stat().st_size > MAX_LOG_BYTES:
-        log.replace(log.with_suffix(OLD_LOG_SUFFIX))
+def _rotate(path: Path) -> None:
+    if path.exists() and path.stat().st_size > MAX_LOG_BYTES:
+        path.replace(path.with_suffix(OLD_LOG_SUFFIX))
--- a/oakbridge/agent/operator_api.py
+++ b/oakbridge/agent/operator_api.py
@@ -52,34 +52,34 @@
         """
         request = decode_request(method, path, body)
         if request is None:
-            return _error(
+            return _error_response(
                 HTTPStatus.NOT_FOUND, f"path: nothing at {method} {path[:MAX_SHOWN_PATH_LENGTH]}"
             )
         if (problem := _authorization_problem(identity, request)) is not None:
-            return _error(HTTPStatus.FORBIDDEN, problem)
+            return _error_response(HTTPStatus.FORBIDDEN, problem)
         match request:
             case StatusRequest():
                 return Response(HTTPStatus.OK, encode_status(self._agent))
             case FilesRequest():
-                return self._files(request)
+                return self._handle_files(request)
             case LeaseRequest():
-                return self._lease(request, identity.name)
+                return self._handle_lease(request, identity.name)
             case ReleaseRequest():
-                return self._release(request, identity.name)
+                return self._handle_release(request, identity.name)
             case StepRequest():
-                return await self._step(request, identity.name)
+                return await self._handle_step(request, identity.name)
 
-    def _files(self, request: FilesRequest) -> Response:
+    def _handle_files(self, request: FilesRequest) -> Response:
         generation = Generation(request.generation)
         try:
             files = self._agent.store.generations.read_files(request.instance, generation)
         except StoreUnavailableError as error:
-            return _unavailable(error)
+            return _unavailable_response(error)
         except StoreError as error:
-            return _error(HTTPStatus.NOT_FOUND, str(error))
+            return _error_response(HTTPStatus.NOT_FOUND, str(error))
         return Response(HTTPStatus.OK, {"files": files})
 
-    def _lease(self, request: LeaseRequest, holder: str) -> Response:
+    def _handle_lease(self, request: LeaseRequest, holder: str) -> Response:
         lease, now_us = self._agent.lease, monotonic_us()
         state_before = lease.state()
         if request.renew:
@@ -87,16 +87,16 @@
         else:
             result = lease.acquire(now_us, request.token, holder, request.duration_us, time.time())
         if isinstance(result, LeaseDenied):
-            return _denial(result)
+            return _denial_response(result)
         if result.record_changed:
             try:
                 self._agent.save_token_record()  # must be on disk before the token is sent
             except StoreUnavailableError as error:
                 lease.restore(state_before)
-                return _unavailable(error)
-        return _grant(result)
+                return _unavailable_response(error)
+        return _grant_response(result)
 
-    def _release(self, request: ReleaseRequest, holder: str) -> Response:
+    def _handle_release(self, request: ReleaseRequest, holder: str) -> Response:
         lease = self._agent.lease
         state_before = lease.state()
         if lease.release(monotonic_us(), request.token, holder):
@@ -105,29 +105,33 @@
             except StoreUnavailableError as error:
                 # The lease expires, unless the operator releases it again before.
                 lease.restore(state_before)
-                return _unavailable(error)
+                return _unavailable_response(error)
         return Response(HTTPStatus.OK, {"token": lease.record.token})
 
-    async def _step(self, request: StepRequest, holder: str) -> Response:
+    async def _handle_step(self, request: StepRequest, holder: str) -> Response:
         agent = self._agent
         instance = agent.instances.get(request.instance)
         if instance is None:
-            return _error(HTTPStatus.NOT_FOUND, f"instance: there is no {request.instance} here")
+            return _error_response(
+                HTTPStatus.NOT_FOUND, f"instance: there is no {request.instance} here"
+            )
         if (outcome := instance.outcome(request.step_id)) is not None:
-            return _outcome(outcome)
+            return _outcome_response(outcome)
         denied = agent.lease.check(monotonic_us(), request.token, holder)
         if denied is not None:
-            return _denial(denied)
+            return _denial_response(denied)
         try:
             check_files(request.files)
         except StoreError as error:
-            return _error(HTTPStatus.BAD_REQUEST, str(error))
+            return _error_response(HTTPStatus.BAD_REQUEST, str(error))
         if CONFIG_FILE not in request.files:
-            return _error(HTTPStatus.BAD_REQUEST, f"files: expected {CONFIG_FILE} among them")
+            return _error_response(
+                HTTPStatus.BAD_REQUEST, f"files: expected {CONFIG_FILE} among them"
+            )
         try:
             problem = await agent.check_config(request.files)
         except OSError as error:
-            return _error(
+            return _error_response(
                 HTTPStatus.SERVICE_UNAVAILABLE, f"the files can't be checked now: {error}"
             )
         return self._begin_step(instance, request, holder, problem)
@@ -146,11 +150,11 @@
         try:
             instance.begin_step(step, request.files, config_problem, lease_problem)
         except (StepInProgressError, StepNotDurableError) as error:
-            return _error(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
+            return _error_response(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
         except StepConflictError as error:
-            return _error(HTTPStatus.CONFLICT, str(error))
+            return _error_response(HTTPStatus.CONFLICT, str(error))
         if (outcome := instance.outcome(step.step_id)) is not None:
-            return _outcome(outcome)
+            return _outcome_response(outcome)
         accepted = {"step": step.step_id, "change": instance.durable_record.state.value}
         return Response(HTTPStatus.ACCEPTED, accepted)
 
@@ -163,21 +167,21 @@
     return None
 
 
-def _error(status: HTTPStatus, text: str) -> Response:
+def _error_response(status: HTTPStatus, text: str) -> Response:
     return Response(status, {"error": text})
 
 
-def _unavailable(error: StoreUnavailableError) -> Response:
+def _unavailable_response(error: StoreUnavailableError) -> Response:
     """Return the response for a failing disk; the same request may succeed later."""
-    return _error(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
+    return _error_response(HTTPStatus.SERVICE_UNAVAILABLE, str(error))
 
 
-def _grant(granted: LeaseGranted) -> Response:
+def _grant_response(granted: LeaseGranted) -> Response:
     body = {"token": granted.token, "length_s": granted.duration_us / US_PER_S}
     return Response(HTTPStatus.OK, body)
 
 
-def _denial(denied: LeaseDenied) -> Response:
+def _denial_response(denied: LeaseDenied) -> Response:
     body = {
         "error": denied.reason,
         "token": denied.token,
@@ -188,7 +192,7 @@
     return Response(HTTPStatus.CONFLICT, body)
 
 
-def _outcome(outcome: StepOutcome) -> Response:
+def _outcome_response(outcome: StepOutcome) -> Response:
     body = {
         "step": outcome.step_id,
         "verdict": outcome.verdict.value,
--- a/oakbridge/agent/records.py
+++ b/oakbridge/agent/records.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Generation:
-    """A complete set of an instance's files; numbers only grow, across the whole fleet."""
+    """A complete set of an instance's files; numbers only grow over the fleet's lifetime."""
 
     number: int = 0
     digest: str = NO_DIGEST
--- a/oakbridge/agent/startup.py
+++ b/oakbridge/agent/startup.py
@@ -32,6 +32,6 @@
             if time.monotonic() >= deadline_s:
                 raise
             if not is_logged:
-                log.warning("access to the agent's files failed, retrying: error=%s", error)
+                log.warning("access to the agent's files failed; retrying: error=%s", error)
                 is_logged = True
         time.sleep(RETRY_INTERVAL_S)
--- a/oakbridge/agent/state_machine.py
+++ b/oakbridge/agent/state_machine.py
@@ -40,7 +40,7 @@
     def __init__(self, record: InstanceRecord | None = None) -> None:
         self.record = record or InstanceRecord()
         self._node_ready = False
-        # While watching: until when the node must become ready; after that, stay healthy.
+        # While watching: when the node must be ready; once it is ready, when the watch ends.
         self._deadline_us = 0
 
     @property
@@ -126,7 +126,7 @@
         return [SetTimer(self._deadline_us)]
 
     def on_failed(self, reason: str) -> list[Action]:
-        """Handle a crash of the node, or a status that fails the change; ``reason`` has which."""
+        """Handle a crash of the node, or a status that fails the change; ``reason`` says which."""
         self._node_ready = False
         return self._roll_back(reason) if self.record.state is ChangeState.WATCHING else []
 
@@ -158,7 +158,7 @@
             case ChangeState.ACTIVATING:
                 return [ActivateGeneration(step.target)]
             case ChangeState.WATCHING:
-                # The agent may have stopped the node to restart it: run it, and watch it anew.
+                # The agent may have stopped the node to restart it: run the node, and watch again.
                 return [
                     ActivateGeneration(step.target),
                     RunGeneration(step.target),
--- a/oakbridge/agent/supervised_node.py
+++ b/oakbridge/agent/supervised_node.py
@@ -72,7 +72,7 @@
         self._execute(self.supervisor.start(monotonic_us()))
 
     def restart(self) -> None:
-        """Stop the process if it runs, and start it anew."""
+        """Stop the process if it runs, and start it again."""
         self._execute(self.supervisor.restart(monotonic_us()))
 
     def stop(self) -> None:
@@ -116,6 +116,6 @@
         if not is_expected:
             last_line = self._host.last_log_line(self._log_file)
             reason = f"{reason}: {last_line}" if last_line else reason
-            log.warning("node exited unexpectedly: instance=%s reason=%s", self._name, reason)
+            log.warning("node's process exited: instance=%s reason=%s", self._name, reason)
         self._execute(self.supervisor.exited(monotonic_us(), reason))
         self._on_exit(reason, is_expected)
--- a/oakbridge/fleet/client.py
+++ b/oakbridge/fleet/client.py
@@ -24,11 +24,11 @@
 MAX_CONCURRENT_CALLS = 64
 CALL_TIMEOUT_S = 5.0
 RELEASE_TIMEOUT_S = 1.5
-# A response with status 5xx means that the agent has decided nothing, as its disk failed with a
-# transient error.  The call is retried after this delay, up to this many times.
+# Before a retry at agents that responded with 5xx: an agent whose disk fails with a transient error
+# decides nothing.
 UNAVAILABLE_RETRY_DELAY_S = 0.3
-MAX_UNAVAILABLE_RETRIES = 30
-MAX_RELEASE_RETRIES = 5
+MAX_LEASE_RETRIES = 30  # of a lease request at agents that responded with 5xx
+MAX_RELEASE_RETRIES = 5  # of a release at agents that responded with 5xx
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,7 +144,7 @@
         request = ReleaseRequest(lease.token)
         responses = await self.call_all(request, lease.granted_by, RELEASE_TIMEOUT_S)
         for _ in range(MAX_RELEASE_RETRIES):
-            if not _unavailable(responses):
+            if not _unavailable_responses(responses):
                 break
             await asyncio.sleep(UNAVAILABLE_RETRY_DELAY_S)
             responses = await self._retry_unavailable(request, responses, RELEASE_TIMEOUT_S)
@@ -167,7 +167,7 @@
     async def _request_lease(self, token: int, duration_s: float) -> LeaseResult:
         request = LeaseRequest(token, int(duration_s * US_PER_S))
         responses = await self.call_all(request)
-        for _ in range(MAX_UNAVAILABLE_RETRIES):
+        for _ in range(MAX_LEASE_RETRIES):
             result = LeaseResult(
                 token,
                 granted_by=tuple(response.agent for response in responses if response.ok),
@@ -176,7 +176,7 @@
                 ),
                 unanswered=tuple(response for response in responses if not response.status),
             )
-            if result.has_majority(len(responses)) or not _unavailable(responses):
+            if result.has_majority(len(responses)) or not _unavailable_responses(responses):
                 break
             await asyncio.sleep(UNAVAILABLE_RETRY_DELAY_S)
             responses = await self._retry_unavailable(request, responses)
@@ -186,7 +186,7 @@
         self, request: Request, responses: list[AgentResponse], timeout_s: float | None = None
     ) -> list[AgentResponse]:
         """Retry a request at the agents that responded with 5xx; return the latest responses."""
-        agents = tuple(response.agent for response in _unavailable(responses))
+        agents = tuple(response.agent for response in _unavailable_responses(responses))
         retried = await self.call_all(request, agents, timeout_s)
         by_agent = {response.agent: response for response in retried}
         return [by_agent.get(response.agent, response) for response in responses]
@@ -197,7 +197,7 @@
         )
 
 
-def _unavailable(responses: list[AgentResponse]) -> list[AgentResponse]:
+def _unavailable_responses(responses: list[AgentResponse]) -> list[AgentResponse]:
     """Return the responses with status 5xx."""
     return [
         response for response in responses if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR
--- a/oakbridge/fleet/inventory.py
+++ b/oakbridge/fleet/inventory.py
@@ -14,7 +14,7 @@
 from oakbridge.node.errors import ConfigError
 
 INVENTORY_FILE = "fleet.toml"
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
 
 def is_valid_name(text: str) -> bool:
     """Return whether a fleet, an agent or an operator may have this name."""
-    return _NAME.fullmatch(text) is not None
+    return _NAME_PATTERN.fullmatch(text) is not None
 
 
 def read_inventory(folder: Path) -> Inventory:
--- a/oakbridge/fleet/server.py
+++ b/oakbridge/fleet/server.py
@@ -137,7 +137,7 @@
     async def _respond(self, identity: Identity, message: HttpMessage) -> Response:
         request, body = message
         if body is None:
-            return _error(
+            return _error_response(
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
                 f"body: expected at most {MAX_BODY_BYTES} bytes",
             )
@@ -145,14 +145,14 @@
         try:
             return await self._handler(identity, method, path, body)
         except FleetMessageError as error:
-            return _error(HTTPStatus.BAD_REQUEST, str(error))
+            return _error_response(HTTPStatus.BAD_REQUEST, str(error))
         except Exception as error:
             log.exception("request of an operator failed")
-            return _error(
+            return _error_response(
                 HTTPStatus.INTERNAL_SERVER_ERROR,
                 f"the agent failed on this: {type(error).__name__}",
             )
 
 
-def _error(status: HTTPStatus, text: str) -> Response:
+def _error_response(status: HTTPStatus, text: str) -> Response:
     return Response(status, {"error": text})
--- a/tests/agent/test_lease.py
+++ b/tests/agent/test_lease.py
@@ -53,7 +53,7 @@
 
 
 def test_same_token_of_another_operator_does_not_renew_the_lease():
-    """Operators that ask at the same time may propose the same token."""
+    """Operators that compete for the lease may propose the same token."""
     lease = Lease(FencingTokenRecord(), 0)
     lease.acquire(0, 5, "ola", 10 * US_PER_S, 0)
     assert isinstance(lease.renew(5 * US_PER_S, 5, "kari", 60 * US_PER_S), LeaseDenied)
--- a/tests/formats/test_fleet.py
+++ b/tests/formats/test_fleet.py
@@ -131,7 +131,7 @@
 
 
 def make_agent() -> Agent:
-    """Return an agent whose instances are settled, new, watched and drained; its path is relative."""
+    """Return an agent whose instances are settled, new, watched and drained, in ``state``."""
     store = Store(Path("state"))
     one, two, three = (Generation(number, digest_of(FILES)) for number in (1, 2, 3))
     drained = Generation(2, digest_of(DRAINED_FILES))
