--- a/benchmarks/sip_faults.py
+++ b/benchmarks/sip_faults.py
@@ -31,7 +31,7 @@
     tests = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(tests)
     network = {"loss": 0.1, "duplication": 0.05, "delay_us": (200, 300_000)}
-    site, sent = tests.play(seed, EACH, tests.answer_at_random, **network)
+    site, sent = tests.run_site(seed, EACH, tests.respond_at_random, **network)
     told = Counter(f"{len(request.final_statuses)} final answers" for request in sent)
     told.update(f"answer {status}" for request in sent for status in request.final_statuses)
     for server in site.servers.values():
--- a/oakbridge/sip/standins/scripts.py
+++ b/oakbridge/sip/standins/scripts.py
@@ -9,7 +9,7 @@
 FAILURE_DELAY_US = 30_000
 
 
-def answer_normally(server: UserAgentServer, request: ReceivedRequest, now: int) -> None:
+def respond_normally(server: UserAgentServer, request: ReceivedRequest, now: int) -> None:
     """Run the request and respond with 200; a call rings first."""
     server.run(request)
     if request.request.method == "INVITE":
@@ -19,11 +19,11 @@
         server.respond_at(request, 200, now + server.rng.randrange(*WORK_US))
 
 
-def answer_at_random(server: UserAgentServer, request: ReceivedRequest, now: int) -> None:
+def respond_at_random(server: UserAgentServer, request: ReceivedRequest, now: int) -> None:
     """Serve, be busy, be full, fail before or after the work, or go silent."""
     draw = server.rng.random()
     if draw < 0.7:
-        answer_normally(server, request, now)
+        respond_normally(server, request, now)
     elif draw < 0.78:
         server.respond(request, 486, now)
     elif draw < 0.86:
--- a/tests/sip/network.py
+++ b/tests/sip/network.py
@@ -12,7 +12,7 @@
 from oakbridge.sip.peer import Peer
 from oakbridge.sip.proxy import Proxy
 from oakbridge.sip.settings import ClassRule, ProxySettings
-from oakbridge.sip.standins.scripts import answer_normally
+from oakbridge.sip.standins.scripts import respond_normally
 from oakbridge.sip.standins.user_agent_client import UserAgentClient
 from oakbridge.sip.standins.user_agent_server import UserAgentServer
 
@@ -41,7 +41,7 @@
         seed,
         phones=4,
         servers=5,
-        script=answer_normally,
+        script=respond_normally,
         loss=0.0,
         duplication=0.0,
         delay_us=(200, 2_000),
--- a/tests/sip/test_front.py
+++ b/tests/sip/test_front.py
@@ -17,7 +17,7 @@
 from oakbridge.sip.front import Front
 from oakbridge.sip.parser import parse_message
 from oakbridge.sip.peer import Peer
-from oakbridge.sip.standins.scripts import answer_normally
+from oakbridge.sip.standins.scripts import respond_normally
 from oakbridge.sip.standins.user_agent_client import UserAgentClient
 from oakbridge.sip.standins.user_agent_server import UserAgentServer
 from oakbridge.sources.inline_source import InlineSource
@@ -178,7 +178,7 @@
         proxy = Peer("UDP", "127.0.0.1", port)
 
         def create_server(number):
-            return lambda peer: UserAgentServer(f"s{number}", peer, number, answer_normally)
+            return lambda peer: UserAgentServer(f"s{number}", peer, number, respond_normally)
 
         async with (
             user_agent(create_server(0)) as first,
--- a/tests/sip/test_site.py
+++ b/tests/sip/test_site.py
@@ -5,13 +5,13 @@
 import pytest
 from network import Site
 
-from oakbridge.sip.standins.scripts import answer_at_random, answer_normally
+from oakbridge.sip.standins.scripts import respond_at_random, respond_normally
 
 EMPTY = (0, 0, 0, 0)
 CALL_INTERVAL_US = 40_000
 
 
-def play(seed, requests, script, **network):
+def run_site(seed, requests, script, **network):
     """Play a site with a new request every 40 ms; return it and its sent requests."""
     site = Site(seed, script=script, **network)
     sent = []
@@ -30,14 +30,14 @@
 @pytest.mark.parametrize(
     ("script", "network"),
     [
-        (answer_normally, {}),
-        (answer_at_random, {}),
-        (answer_at_random, {"loss": 0.1, "duplication": 0.05, "delay_us": (200, 300_000)}),
+        (respond_normally, {}),
+        (respond_at_random, {}),
+        (respond_at_random, {"loss": 0.1, "duplication": 0.05, "delay_us": (200, 300_000)}),
     ],
 )
 @pytest.mark.parametrize("seed", range(4))
 def test_each_request_gets_one_response_and_runs_once_unless_idempotent(script, network, seed):
-    site, sent = play(seed, 170, script, **network)
+    site, sent = run_site(seed, 170, script, **network)
     assert len(sent) == 170
     assert [request.final_statuses for request in sent if len(request.final_statuses) != 1] == []
     runs = sum((server.runs for server in site.servers.values()), start=Counter())
@@ -46,14 +46,14 @@
     assert site.proxy_state_sizes() == EMPTY
     assert site.balancer.requests == {}
     assert not any(endpoint.in_flight for endpoint in site.balancer.endpoints.known.values())
-    if script is answer_normally:
+    if script is respond_normally:
         assert {status for request in sent for status in request.final_statuses} == {200}
 
 
 @pytest.mark.parametrize("part", range(5))
 def test_cancel_that_races_the_response_gets_the_one_or_the_other(part):
     """Offsets from before the first provisional to after the final response: 200 calls a part."""
-    site = Site(part, script=answer_normally, delay_us=(100, 5_000))
+    site = Site(part, script=respond_normally, delay_us=(100, 5_000))
     invites = []
     cancels = []
 
