--- a/oakbridge/sip/__init__.py
+++ b/oakbridge/sip/__init__.py
@@ -1,1 +1,1 @@
-"""SIP (RFC 3261): a stateful proxy, as a second front on a node's balancer."""
+"""A stateful SIP proxy (RFC 3261) that shares a node's balancer with the node's HTTP server."""
--- a/oakbridge/sip/caller_connections.py
+++ b/oakbridge/sip/caller_connections.py
@@ -1,4 +1,4 @@
-"""TCP connections of callers."""
+"""TCP connections that callers open to the proxy."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 log = logging.getLogger(__name__)
 
 MAX_CONNECTIONS = 1024
-MAX_UNREAD_BYTES = 256 * 1024  # sent but not read by the peer, before its connection is aborted
+# A connection is aborted when more bytes than this wait to be sent, as its peer does not read.
+MAX_WRITE_BUFFER_BYTES = 256 * 1024
 
 
 class CallerConnection(asyncio.Protocol):
-    """One connection."""
+    """The protocol of one TCP connection."""
 
     def __init__(self, connections: CallerConnections) -> None:
         self._connections = connections
@@ -33,13 +34,15 @@
         self.peer = self._connections.add(self, host, port)
 
     def data_received(self, data: bytes) -> None:
-        """Hand on the messages that are complete; abort a stream that can't be framed."""
+        """Pass on complete messages; abort the connection if its bytes can't be framed."""
         assert self.peer is not None
         assert self.transport is not None
         try:
             messages = self._stream.feed(data)
         except SipMessageError as e:
-            log.warning("sip: %s:%d: %s", self.peer.host, self.peer.port, e)
+            log.warning(
+                "sip connection aborted: peer=%s:%d error=%s", self.peer.host, self.peer.port, e
+            )
             self.transport.abort()
             return
         for _ in range(self._stream.pending_pongs):
@@ -49,7 +52,7 @@
             self._connections.on_message(self.peer, message)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Forget the connection."""
+        """Remove the connection from the registered ones."""
         if self.peer is not None:
             self._connections.remove(self.peer)
 
@@ -58,12 +61,12 @@
         if self.transport is None:
             return
         self.transport.write(data)
-        if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
+        if self.transport.get_write_buffer_size() > MAX_WRITE_BUFFER_BYTES:
             self.transport.abort()
 
 
 class CallerConnections:
-    """All connections, numbered; past ``MAX_CONNECTIONS`` a new one is aborted."""
+    """The open connections by number; one opened above ``MAX_CONNECTIONS`` is aborted."""
 
     def __init__(
         self,
@@ -80,7 +83,7 @@
         return CallerConnection(self)
 
     def add(self, connection: CallerConnection, host: str, port: int) -> Peer:
-        """Register a connection, and return its peer."""
+        """Register a connection, and return its peer with the connection's number."""
         self._last_number += 1
         self._connections[self._last_number] = connection
         if len(self._connections) > MAX_CONNECTIONS and connection.transport is not None:
@@ -88,18 +91,18 @@
         return Peer("TCP", host, port, self._last_number)
 
     def remove(self, peer: Peer) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection, and report its peer to ``on_lost``."""
         self._connections.pop(peer.connection, None)
         self._on_lost(peer)
 
     def send(self, data: bytes, peer: Peer) -> None:
-        """Send bytes on a peer's connection, if it still exists."""
+        """Send bytes on a peer's connection, if it is still open."""
         connection = self._connections.get(peer.connection)
         if connection is not None:
             connection.send(data)
 
     def close(self) -> None:
-        """Close all connections once what was written is sent."""
+        """Close each connection once its written bytes are sent."""
         for connection in list(self._connections.values()):
             if connection.transport is not None:
                 connection.transport.close()
--- a/oakbridge/sip/datagram_socket.py
+++ b/oakbridge/sip/datagram_socket.py
@@ -1,7 +1,7 @@
 """The UDP socket of the SIP front.
 
-Its error queue (Linux) tells which datagram a host refused, so that a server that nobody listens at
-is known at once and not by a time-out.
+The socket's error queue (Linux) holds the datagrams that a host refused, so that a server whose
+port is closed is detected at once and not by a timeout.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from oakbridge.sip.parser import MAX_MESSAGE_BYTES
 from oakbridge.sip.peer import Peer
 
-# Linux; not in the socket module of Python 3.11.
+# Constants of Linux that the socket module of Python 3.11 lacks.
 IP_RECVERR = 11
 MSG_ERRQUEUE = 0x2000
 
-DATAGRAMS_PER_TURN = 64  # of the event loop
+MAX_DATAGRAMS_PER_TURN = 64  # datagrams read in one turn of the event loop
 RECEIVE_BUFFER_BYTES = 1 << 20
-REFUSED_DATAGRAM_BYTES = 1024  # the beginning holds its Via
+REFUSED_DATAGRAM_BYTES = 1024  # bytes read of a refused datagram; they contain its Via
 ANCILLARY_BYTES = 256
-SEND_ATTEMPTS = 2  # the first may only report that an earlier datagram was refused
+SEND_ATTEMPTS = 2  # the first sendto may only report that an earlier datagram was refused
 
 
 class DatagramSocket:
-    """A bound UDP socket: received datagrams and refused ones go to the two callbacks."""
+    """A bound UDP socket that passes received and refused datagrams to two callbacks."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         on_datagram: Callable[[Peer, bytes], None],
         on_refused: Callable[[bytes], None],
     ) -> None:
-        """Bind. Raises OSError with the address in its text."""
+        """Bind the socket. Raises OSError with the address in its text."""
         self._on_datagram = on_datagram
         self._on_refused = on_refused
         self._loop = asyncio.get_running_loop()
@@ -48,16 +48,19 @@
             raise OSError(e.errno, f"sip: {address[0]}:{address[1]}: {e.strerror}") from None
 
     def start(self) -> None:
-        """Receive datagrams from now on."""
+        """Start to receive datagrams."""
         self._loop.add_reader(self._socket, self._readable)
 
     def close(self) -> None:
-        """Receive nothing more, and close the socket."""
+        """Stop receiving, and close the socket."""
         self._loop.remove_reader(self._socket)
         self._socket.close()
 
     def send(self, data: bytes, peer: Peer) -> None:
-        """Send a datagram; if the buffer is full it is lost, and its timer sends it again."""
+        """Send a datagram.
+
+        If the send buffer is full, the datagram is lost; its transaction's timer retransmits it.
+        """
         for _ in range(SEND_ATTEMPTS):
             try:
                 self._socket.sendto(data, (peer.host, peer.port))
@@ -69,12 +72,12 @@
                 return
 
     def _readable(self) -> None:
-        for _ in range(DATAGRAMS_PER_TURN):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 data, (host, port) = self._socket.recvfrom(MAX_MESSAGE_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # a datagram was refused: the error queue tells which
+            except OSError:  # a datagram was refused; the error queue holds it
                 self._read_error_queue()
                 continue
             self._on_datagram(Peer("UDP", host, port), data)
--- a/oakbridge/sip/errors.py
+++ b/oakbridge/sip/errors.py
@@ -9,10 +9,10 @@
 
 
 class SipMessageError(ValueError):
-    """Bytes are not a valid SIP message.
+    """The received bytes are not a valid SIP message.
 
-    ``status`` is the status of the response to the sender; ``request`` is the request as far as it
-    was read, if that is enough to send a response.
+    ``status`` is the status of the response to the sender. ``request`` is the request as far as it
+    was parsed, which the response is built from; None if there is too little for a response.
     """
 
     def __init__(self, text: str, status: int = 400, request: Request | None = None) -> None:
--- a/oakbridge/sip/framing.py
+++ b/oakbridge/sip/framing.py
@@ -1,6 +1,6 @@
-"""Framing of messages on a stream by Content-Length. Pure.
+"""Framing of messages on a stream by Content-Length (RFC 3261, section 18.3); performs no I/O.
 
-RFC 3261, 18.3; keep-alives of RFC 5626, 4.4.1.
+The keep-alives between messages are those of RFC 5626, section 4.4.1.
 """
 
 from __future__ import annotations
@@ -23,20 +23,23 @@
 class MessageStream:
     """Splits the bytes of one connection into messages.
 
-    It buffers one message at most, and what one read brought. After :class:`SipMessageError` the
-    start of the next message is unknown, and the connection has to be closed.
+    The buffer holds at most one message and the bytes of one read. After :class:`SipMessageError`
+    the start of the next message is unknown, and the connection has to be closed.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self.pending_pongs = 0  # keep-alives without a response yet
+        self.pending_pongs = 0  # pings that the connection has yet to respond to with a pong
 
     def __len__(self) -> int:
         """Return how many bytes of an incomplete message are buffered."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add bytes, and return the messages that are complete."""
+        """Add received bytes, and return the messages that are complete.
+
+        Raises :class:`SipMessageError` if the length of a message is missing, invalid or too large.
+        """
         self._buffer += data
         messages: list[bytes] = []
         while (message := self._next_message()) is not None:
@@ -47,10 +50,10 @@
         if not self._skip_keep_alives():
             return None
         header_length = self._buffer.find(END_OF_HEADERS)
-        complete = header_length >= 0
-        if (header_length if complete else len(self._buffer)) > MAX_HEADER_BYTES:
+        has_all_headers = header_length >= 0
+        if (header_length if has_all_headers else len(self._buffer)) > MAX_HEADER_BYTES:
             raise SipMessageError(f"expected headers of at most {MAX_HEADER_BYTES} bytes", 513)
-        if not complete:
+        if not has_all_headers:
             return None
         content_length = _content_length(bytes(self._buffer[:header_length]))
         length = header_length + len(END_OF_HEADERS) + content_length
@@ -63,7 +66,10 @@
         return message
 
     def _skip_keep_alives(self) -> bool:
-        """Remove line breaks between messages; return False if more bytes are needed to tell."""
+        """Remove line breaks between messages and count the pings among them.
+
+        Returns False if more bytes are needed to tell a ping from a single line break.
+        """
         while self._buffer.startswith(CRLF):
             if self._buffer.startswith(PING):
                 self.pending_pongs += 1
--- a/oakbridge/sip/front.py
+++ b/oakbridge/sip/front.py
@@ -1,6 +1,6 @@
-"""The SIP front of a node: sockets, one timer, and the node's balancer beside the proxy.
+"""The SIP front of a node: connects the proxy to sockets, a timer and the node's balancer.
 
-All decisions about messages are in :mod:`oakbridge.sip.proxy`.
+All decisions about messages are made in :mod:`oakbridge.sip.proxy`.
 """
 
 from __future__ import annotations
@@ -25,21 +25,22 @@
 
 log = logging.getLogger(__name__)
 
-DRAIN_TIMEOUT_S = 3.0  # after the node's own end, for the responses to open requests
-DRAIN_POLL_S = 0.02
+# How long the front waits for the responses to open requests after the node itself has stopped.
+DRAIN_TIMEOUT_S = 3.0
+DRAIN_POLL_INTERVAL_S = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class FrontOptions:
-    """Where the front listens, and the port of the servers."""
+    """The address that the front listens on, and the SIP port of the servers."""
 
     listen: Address
-    server_port: int  # 0: the port of the endpoint list
+    server_port: int  # 0: each server's port in the endpoint list
     tcp: bool = True
 
 
 class Front:
-    """A SIP front on a node's balancer; an asynchronous context manager."""
+    """Serves SIP with a node's balancer; an asynchronous context manager."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
         self._timer: Timer | None = None
         self._timer_at = 0
         self._actions: deque[ProxyAction] = deque()
-        self._carrying_out = False
+        self._is_carrying_out = False
         self._server: asyncio.Server | None = None
         self._connections = CallerConnections(self._message_received, self._connection_lost)
         self._datagrams = DatagramSocket(
@@ -66,7 +67,7 @@
         )
 
     async def __aenter__(self) -> Front:
-        """Receive messages from now on."""
+        """Start to receive messages. Raises OSError if the TCP address can't be bound."""
         if self.options.tcp:
             try:
                 self._server = await self._loop.create_server(
@@ -77,16 +78,16 @@
                 raise OSError(e.errno, f"sip: {e.strerror}") from None
         self.node.add_front(self)
         self._datagrams.start()
-        log.info("sip: listens on %s:%d", *self.options.listen)
+        log.info("sip front listening: address=%s:%d", *self.options.listen)
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        """Reject new requests, wait for open ones for a while, and close the sockets."""
+        """Reject new requests, wait for open ones until a timeout, and close the sockets."""
         self.proxy.start_draining()
-        for _ in range(int(DRAIN_TIMEOUT_S / DRAIN_POLL_S)):
+        for _ in range(int(DRAIN_TIMEOUT_S / DRAIN_POLL_INTERVAL_S)):
             if not self.proxy.store.pending_requests():
                 break
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         if self._timer is not None:
             self._timer.cancel()
         if self._server is not None:
@@ -94,18 +95,18 @@
         self._connections.close()
         self._datagrams.close()
 
-    # ---- the node's side
+    # ---- called by the node
 
     def owns(self, request: int) -> bool:
-        """Whether a request of the balancer's was received here."""
+        """Return whether a request, given by its balancer id, arrived at this front."""
         return self.proxy.owns(request)
 
     def carry_out(self, action: Action) -> None:
-        """Carry out an action of the balancer."""
-        self._do(self.proxy.carry_out(self.node.clock.now(), action))
+        """Carry out an action of the balancer for a request of this front."""
+        self._carry_out_all(self.proxy.carry_out(self.node.clock.now(), action))
 
     def on_endpoint_list(self, new: EndpointList) -> None:
-        """Follow the endpoint list: a draining server stays reachable for its dialogs."""
+        """Apply a list, or the changes in it; a draining server stays reachable for its dialogs."""
         servers = self.proxy.servers
         if new.complete:
             servers.clear()
@@ -119,29 +120,30 @@
     # ---- from the network
 
     def _message_received(self, peer: Peer, data: bytes) -> None:
-        """Handle one message; a fault in it is contained."""
+        """Handle one message; an exception is logged, and the front goes on serving."""
         try:
-            self._do(self.proxy.message_received(self.node.clock.now(), peer, data))
+            self._carry_out_all(self.proxy.message_received(self.node.clock.now(), peer, data))
         except Exception:
-            log.exception("sip: a message from %s:%d failed", peer.host, peer.port)
+            log.exception("handling of a sip message failed: source=%s:%d", peer.host, peer.port)
 
     def _datagram_refused(self, data: bytes) -> None:
-        self._do(self.proxy.datagram_refused(self.node.clock.now(), data))
+        self._carry_out_all(self.proxy.datagram_refused(self.node.clock.now(), data))
 
     def _connection_lost(self, peer: Peer) -> None:
-        self._do(self.proxy.connection_lost(self.node.clock.now(), peer))
+        self._carry_out_all(self.proxy.connection_lost(self.node.clock.now(), peer))
 
     # ---- the proxy's actions
 
-    def _do(self, actions: list[ProxyAction]) -> None:
-        """Carry out actions in order.
+    def _carry_out_all(self, actions: list[ProxyAction]) -> None:
+        """Carry out the proxy's actions in order.
 
-        Actions that come up meanwhile are appended, so that a long chain does not nest.
+        Actions that an action causes are appended to the queue, so that a long chain of them does
+        not nest calls.
         """
         self._actions.extend(actions)
-        if self._carrying_out:
+        if self._is_carrying_out:
             return
-        self._carrying_out = True
+        self._is_carrying_out = True
         try:
             while self._actions:
                 action = self._actions.popleft()
@@ -150,7 +152,7 @@
                 else:
                     self._transmit(action)
         finally:
-            self._carrying_out = False
+            self._is_carrying_out = False
         self._schedule_timer()
 
     def _transmit(self, action: Transmit) -> None:
@@ -170,5 +172,5 @@
 
     def _fire_timers(self) -> None:
         self._timer = None
-        self._do(self.proxy.fire_timers(self.node.clock.now()))
+        self._carry_out_all(self.proxy.fire_timers(self.node.clock.now()))
         self._schedule_timer()
--- a/oakbridge/sip/outbox.py
+++ b/oakbridge/sip/outbox.py
@@ -1,4 +1,4 @@
-"""What the proxy asks the front to do, in order."""
+"""The actions that the proxy has the front carry out, in order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transmit:
-    """Send these bytes."""
+    """Send bytes to a peer."""
 
     peer: Peer
     data: bytes
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PostEvent:
-    """Hand an event to the balancer."""
+    """Pass an event to the balancer."""
 
     event: Event
 
@@ -33,14 +33,14 @@
         self._actions: list[ProxyAction] = []
 
     def transmit(self, peer: Peer, data: bytes) -> None:
-        """Add bytes to send."""
+        """Add an action that sends bytes."""
         self._actions.append(Transmit(peer, data))
 
     def post(self, event: Event) -> None:
-        """Add an event for the balancer."""
+        """Add an action that passes an event to the balancer."""
         self._actions.append(PostEvent(event))
 
     def take(self) -> list[ProxyAction]:
-        """Return the actions collected so far, and forget them."""
+        """Return the collected actions, and empty the outbox."""
         actions, self._actions = self._actions, []
         return actions
--- a/oakbridge/sip/peer.py
+++ b/oakbridge/sip/peer.py
@@ -1,4 +1,4 @@
-"""Transport addresses, and where responses are sent to. Pure."""
+"""Transport addresses, and the destination of responses; performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
     transport: str  # UDP or TCP
     host: str
     port: int
-    connection: int = 0  # number of a TCP connection, as the front counts them
+    connection: int = 0  # the front's number of a TCP connection; 0 for UDP
 
     @property
     def reliable(self) -> bool:
-        """Whether messages are lost only together with the connection."""
+        """Whether the transport is reliable, so that only a closed connection loses messages."""
         return self.transport != "UDP"
 
 
 def via_with_source(via: Via, source: Peer) -> Via:
-    """Complete the topmost Via of a request by the packet's source (18.2.1, RFC 3581)."""
-    asks_for_port = via.param("rport") is not None
+    """Add a request's source address to its topmost Via (section 18.2.1; RFC 3581)."""
+    has_rport = via.param("rport") is not None
     params: dict[str, str] = {}
-    if via.host != source.host or asks_for_port:
+    if via.host != source.host or has_rport:
         params["received"] = source.host
-    if asks_for_port:
+    if has_rport:
         params["rport"] = str(source.port)
     return via.with_params(**params) if params else via
 
 
 def response_destination(via: Via, source: Peer) -> Peer:
-    """Return where responses to a request are sent (18.2.2; RFC 3581, section 4).
+    """Return the destination of responses to a request (section 18.2.2; RFC 3581, section 4).
 
-    ``via`` is the topmost Via as :func:`via_with_source` completed it.
+    ``via`` is the topmost Via as :func:`via_with_source` returns it.
     """
     if source.reliable:
         return source
--- a/oakbridge/sip/settings.py
+++ b/oakbridge/sip/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the proxy."""
+"""Settings of the SIP proxy."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """Assigns a request class to requests by method and by the user of the Request-URI."""
 
     class_name: str
-    methods: frozenset[str] = frozenset()  # empty: all
+    methods: frozenset[str] = frozenset()  # empty: all methods
     user_prefix: str = ""
 
     def matches(self, request: Request, uri: SipUri) -> bool:
@@ -25,12 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxySettings:
-    """Settings of the proxy; the first rule that matches a request gives its class."""
+    """Settings of the proxy; the first rule that matches a request assigns its class.
+
+    ``host`` and ``port`` are the address that the proxy listens on and writes into its Via and
+    Record-Route. The header names are in lower case; an empty one means that no header is read.
+    """
 
     host: str
     port: int
     rules: tuple[ClassRule, ...]
-    deadlines_us: Mapping[str, int]  # by class
+    deadlines_us: Mapping[str, int]  # time for a request, by the name of its class
     tenant_header: str = ""
     key_header: str = ""
     max_server_transactions: int = 20_000
@@ -38,5 +42,5 @@
 
     @property
     def sent_by(self) -> str:
-        """The sent-by of the proxy's own Via."""
+        """The sent-by of the proxy's own Via: host and port."""
         return f"{self.host}:{self.port}"
