--- a/oakbridge/sip/ack_forwarder.py
+++ b/oakbridge/sip/ack_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwarding of the ACK to a 2xx: end to end, outside any transaction (13.2.2.4, 16.11)."""
+"""Forwarding of the ACK to a 2xx: end to end, outside transactions (sections 13.2.2.4, 16.11)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AckForwarder:
-    """Forwards ACKs; one that has nowhere to go is dropped, as an ACK gets no response."""
+    """Forwards ACKs; one without a target is dropped and counted, as an ACK gets no response."""
 
     def __init__(
         self, router: Router, builder: RequestBuilder, outbox: Outbox, dropped: Counter[str]
@@ -28,7 +28,7 @@
         self._dropped = dropped
 
     def forward(self, ack: Request) -> None:
-        """Forward an ACK to its dialog's server."""
+        """Forward an ACK to its dialog's server, or to its Request-URI."""
         try:
             target = self._target(ack)
         except SipMessageError:
--- a/oakbridge/sip/attempts.py
+++ b/oakbridge/sip/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts: the balancer's actions carried out, and what responses mean to the balancer.
+"""Attempts: carries out the balancer's actions, and reports the result of each attempt to it.
 
-Two rules hold here: nothing is sent for a request that has ended, and a request has no two attempts
-in flight.
+Two rules hold here: no attempt starts for a request that has its final response or is cancelled,
+and a request never has two attempts in flight.
 """
 
 from __future__ import annotations
@@ -20,22 +20,23 @@
 from oakbridge.sip.transaction_tables import Output
 
 SECOND_US = 1_000_000
-TIMER_C_US = 180 * SECOND_US  # from the last provisional response; section 16.8
+TIMER_C_US = 180 * SECOND_US  # restarts at each provisional response above 100; section 16.8
 
-# Responses that say something about the server rather than about the request.
+# Statuses that report a fault of the server and not of the request.
 SERVER_FAULT_STATUSES = frozenset({500, 502, 503})
-# Something behind the server ran out of time: the request may have run there.
+# Statuses of a timeout behind the server, where the request may have run.
 TIMEOUT_STATUSES = frozenset({408, 504})
 
 _UNKNOWN_PEER = Peer("UDP", "", 0)
 
 
 def attempt_result(status: int, *, first_response: bool) -> AttemptResult | None:
-    """Return what a final response means to the balancer.
+    """Return an attempt's result for the status of its final response.
 
-    None: it is the response to the request, and says nothing about the server. With
-    ``first_response`` no provisional response came before: then a 503 says that the server did not
-    accept the request (21.5.4). After a provisional response it may have run it.
+    None means that the response concerns the request and says nothing about the server. With
+    ``first_response`` no provisional response came before it: then a 503 means that the server did
+    not accept the request (section 21.5.4). After a provisional response the server may have run
+    the request.
     """
     if status < 300:
         return AttemptResult.OK
@@ -47,7 +48,7 @@
 
 
 class Attempts:
-    """Sends, cancels and ends attempts, and reports each one's result once."""
+    """Sends and cancels attempts, and reports the result of each attempt once."""
 
     def __init__(
         self,
@@ -74,7 +75,7 @@
     # ---- the balancer's actions
 
     def send(self, action: SendAttempt, now: int) -> None:
-        """Start an attempt."""
+        """Start an attempt, or report that it was not sent."""
         context = self._store.contexts_by_request_id.get(action.request_id)
         if context is None or not _may_start_attempt(context):
             self._report_not_sent(action, len(context.attempts) if context is not None else 0)
@@ -82,13 +83,13 @@
         peer = self._router.servers.get(action.server)
         branch = self._new_branch(context, action, peer or _UNKNOWN_PEER, now)
         context.attempts.append(branch)
-        if peer is None:  # the server was removed after this was decided
+        if peer is None:  # the server was removed after the balancer chose it
             self._report(branch, AttemptResult.CONNECT_FAILED, now)
             return
         self.client_transactions.start(branch, now)
 
     def cancel(self, action: CancelAttempt, now: int) -> None:
-        """Cancel an attempt, unless a cancelled caller waits for its response."""
+        """Cancel an attempt, unless its caller sent a CANCEL and waits for the final response."""
         context = self._store.contexts_by_request_id.get(action.request_id)
         for branch in context.attempts if context is not None else []:
             is_cancelled = branch.number == action.attempt and not branch.result_reported
@@ -96,7 +97,7 @@
                 self._abandon(branch, AttemptResult.CANCELLED, now)
 
     def reject(self, action: RejectRequest, now: int) -> None:
-        """Respond with 503 and Retry-After, in whole seconds."""
+        """Respond with 503 and a Retry-After, which is rounded up to whole seconds."""
         seconds = max(1, -(-action.retry_after // SECOND_US))
         retry_after = [("retry-after", str(seconds))]
         self._end_request(action.request_id, 503, now, retry_after)
@@ -131,17 +132,20 @@
             deadline=now + action.timeout,
         )
 
-    # ---- the caller's CANCEL, and the end of the time
+    # ---- the caller's CANCEL, and deadlines of attempts
 
     def cancel_request(self, context: ResponseContext, now: int) -> None:
-        """Cancel an INVITE's branches for its caller; without any the response is 487 (16.10)."""
+        """Cancel the attempts in flight at a caller's INVITE (section 16.10).
+
+        If no attempt is in flight, the INVITE's response is 487.
+        """
         in_flight = [
             branch
             for branch in context.attempts
             if not branch.abandoned and not branch.transaction.terminated
         ]
         for branch in in_flight:
-            # Section 9.1: how long to wait for the INVITE's own final response.
+            # The wait for the INVITE's own final response is limited (section 9.1).
             branch.deadline = min(branch.deadline, now + TRANSACTION_TIMEOUT_US)
             self._request_cancel(branch, now)
             self._store.update(branch)
@@ -149,17 +153,17 @@
             self._server_transactions.respond(context, 487, now)
 
     def check_deadline(self, branch: AttemptBranch, now: int) -> None:
-        """End an attempt whose time is over, or the wait for one that was cancelled."""
+        """End an attempt whose deadline has passed; a CANCEL may bring it forward."""
         if branch.result_reported or branch.deadline > now:
             return
         self._abandon(branch, AttemptResult.TIMEOUT, now)
         self._respond_without_retry(branch, now)
 
     def _respond_without_retry(self, branch: AttemptBranch, now: int) -> None:
-        """Respond where no other server may be tried.
+        """Respond to the caller if no other server may be tried for its request.
 
-        Cancelled: section 9.1 lets the transaction end here. Ringing that never ends: Timer C
-        (section 16.8).
+        A cancelled INVITE gets 487, as section 9.1 lets its transaction end without the server's
+        response. A request that rings gets 408, as when Timer C fires (section 16.8).
         """
         context = branch.context
         if context.final_status:
@@ -170,9 +174,9 @@
             self._server_transactions.respond(context, 408, now)
 
     def _abandon(self, branch: AttemptBranch, result: AttemptResult, now: int) -> None:
-        """Ignore the branch's further responses, and cancel its INVITE.
+        """Ignore further responses on a branch, cancel its INVITE, and report the result.
 
-        If the server accepts it all the same, :meth:`_end_late_dialog` ends the dialog.
+        If the server still accepts the INVITE, :meth:`_end_late_dialog` ends the dialog.
         """
         branch.abandoned = True
         branch.transaction.stop_retransmissions()
@@ -180,9 +184,9 @@
         self._report(branch, result, now)
 
     def _request_cancel(self, branch: AttemptBranch, now: int) -> None:
-        """Send a CANCEL once a provisional response has come (section 9.1).
+        """Send a CANCEL once a provisional response has been received (section 9.1).
 
-        Before that the server may not have the INVITE yet, and would find nothing to cancel.
+        Before it, the server may not have received the INVITE and would have nothing to cancel.
         """
         branch.cancel_requested = True
         is_invite = branch.request.method == "INVITE"
@@ -192,7 +196,7 @@
         cancel = self._builder.cancel(branch.request)
         self.client_transactions.start_direct(cancel, branch.peer, now)
 
-    # ---- what the transactions deliver
+    # ---- responses and failures from the transactions
 
     def _response_received(self, branch: AttemptBranch, response: Response, now: int) -> None:
         if response.status < 200:
@@ -213,7 +217,7 @@
         if response.status == 100 or branch.abandoned or context.final_status:
             return
         if not branch.provisional_forwarded:
-            # It rings: no other server may be tried from here on, and Timer C runs.
+            # The caller knows that its call rings: no other server may be tried, and Timer C runs.
             branch.provisional_forwarded = True
             self._outbox.post(ResponseStarted(context.request_id, branch.number))
         branch.deadline = max(branch.deadline, now + TIMER_C_US)
@@ -222,9 +226,9 @@
     def _final_received(self, branch: AttemptBranch, response: Response, now: int) -> None:
         context = branch.context
         result = attempt_result(response.status, first_response=not branch.provisional_received)
-        server_fault = result is not None and result is not AttemptResult.OK
-        if server_fault and not branch.provisional_forwarded and not context.cancelled:
-            # Another server may be tried: the balancer decides.
+        is_server_fault = result is not None and result is not AttemptResult.OK
+        if is_server_fault and not branch.provisional_forwarded and not context.cancelled:
+            # Another server may be tried; the balancer decides whether it is.
             branch.abandoned = True
             self._report(branch, result, now)
             return
@@ -235,10 +239,10 @@
         self._report(branch, result, now, request_finished=True)
 
     def _end_late_dialog(self, branch: AttemptBranch, response: Response, now: int) -> None:
-        """Acknowledge a 2xx that nobody waits for, then end its dialog.
+        """Acknowledge a 2xx that is not forwarded, then end its dialog with a BYE.
 
-        Without the ACK the server repeats its 2xx for 32 s; without the BYE it holds a call with
-        nobody in it. The caller sees none of this: it has another response.
+        Without the ACK the server repeats its 2xx for 32 s; without the BYE it keeps a call without
+        a caller. The caller gets none of these messages, as it has or gets another response.
         """
         invite = branch.request
         if invite.method != "INVITE":
@@ -265,7 +269,10 @@
         *,
         request_finished: bool = False,
     ) -> None:
-        """Report an attempt's result to the balancer, once; None says nothing about its server."""
+        """Report an attempt's result to the balancer once.
+
+        A result of None says nothing about the server and is reported as NOT_SENT.
+        """
         if branch.result_reported:
             return
         branch.result_reported = True
@@ -294,14 +301,14 @@
 
 
 def _may_start_attempt(context: ResponseContext) -> bool:
-    """Whether the request is still open and no attempt at it is in flight."""
+    """Return whether a request is open and has no attempt in flight."""
     if context.final_status or context.cancelled:
         return False
     return all(branch.result_reported for branch in context.attempts)
 
 
 def _is_late(branch: AttemptBranch, response: Response) -> bool:
-    """Whether nobody waits for this final response any more."""
+    """Return whether a final response comes too late to be forwarded to the caller."""
     if branch.abandoned:
         return True
     if not branch.context.final_status:
@@ -312,12 +319,12 @@
 def _failure_result(branch: AttemptBranch, output: Output) -> AttemptResult:
     """Return the result of an attempt whose transaction timed out or had a transport error.
 
-    It never ran only if its one datagram was refused: a server may have received an earlier one
-    before it died.
+    Only if the attempt's single datagram was refused is it certain that the request never ran: the
+    server may have received an earlier datagram before it died.
     """
     if output is Output.TIMEOUT:
         return AttemptResult.TIMEOUT
-    only_datagram = not branch.peer.reliable and branch.transmissions == 1
-    if only_datagram and not branch.provisional_received:
+    is_only_datagram = not branch.peer.reliable and branch.transmissions == 1
+    if is_only_datagram and not branch.provisional_received:
         return AttemptResult.CONNECT_FAILED
     return AttemptResult.RESET
--- a/oakbridge/sip/client_transactions.py
+++ b/oakbridge/sip/client_transactions.py
@@ -1,4 +1,4 @@
-"""Client transactions: sending requests on branches, and matching what comes back."""
+"""Client transactions: send requests on branches, and pass on their responses and failures."""
 
 from __future__ import annotations
 
@@ -26,8 +26,9 @@
 class ClientTransactions:
     """Drives the client transactions.
 
-    What an attempt's transaction delivers goes to the two handlers: responses, and TIMEOUT or
-    TRANSPORT_ERROR. Responses on a direct branch are forwarded to its caller, if it has one.
+    The responses of an attempt's transaction go to ``on_attempt_response``, its TIMEOUT or
+    TRANSPORT_ERROR to ``on_attempt_failure``. Responses on a direct branch are forwarded to the
+    caller of its ``context``, if it has one.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
     def start_direct(
         self, request: Request, peer: Peer, now: int, context: ResponseContext | None = None
     ) -> None:
-        """Send a request without the balancer; its responses are for ``context``."""
+        """Send a request without the balancer; its responses are forwarded to ``context``, if any."""
         transaction = client_transaction(request.method, reliable=peer.reliable)
         branch = DirectBranch(peer, request, request.to_bytes(), transaction, context)
         self.start(branch, now)
@@ -67,14 +68,14 @@
         now: int,
         message: Message | None = None,
     ) -> None:
-        """Hand an event to the transaction, and do what it asks for."""
+        """Pass an event to the transaction, and carry out the transaction's outputs."""
         self.perform(branch, branch.transaction.handle(event, now), now, message)
         self._store.update(branch)
 
     def perform(
         self, branch: Branch, outputs: list[Output], now: int, message: Message | None = None
     ) -> None:
-        """Do what the transaction asks for."""
+        """Carry out the outputs of the transaction."""
         for output in outputs:
             if output is Output.RETRANSMIT:
                 self._transmit(branch)
--- a/oakbridge/sip/header_values.py
+++ b/oakbridge/sip/header_values.py
@@ -1,4 +1,7 @@
-"""Values of the header fields that a proxy reads: CSeq, Max-Forwards, addresses and tags. Pure."""
+"""Parsers of header fields that a proxy reads: CSeq, Max-Forwards, addresses and tags.
+
+Performs no I/O. The functions raise :class:`SipMessageError` for an invalid value.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from oakbridge.sip.message import Message, display_name
 from oakbridge.sip.syntax import PARSE_CACHE_ENTRIES, parse_parameters
 
-CSEQ_LIMIT = 2**31  # section 8.1.1.5
+CSEQ_LIMIT = 2**31  # sequence numbers are below this limit; section 8.1.1.5
 DEFAULT_MAX_FORWARDS = 70  # section 16.6, step 3
 HIGHEST_MAX_FORWARDS = 255  # section 20.22
 
@@ -19,7 +22,7 @@
 
 
 def cseq(message: Message) -> tuple[int, str]:
-    """Return the sequence number, below 2**31, and the method."""
+    """Return the sequence number, which is below 2**31, and the method."""
     return _parse_cseq(message.get("cseq"))
 
 
@@ -33,7 +36,7 @@
 
 
 def max_forwards(message: Message) -> int:
-    """Return how many hops are left; 70 where the header field is missing."""
+    """Return the number of hops left; 70 if the header field is missing."""
     value = message.get("max-forwards")
     if not value:
         return DEFAULT_MAX_FORWARDS
@@ -45,9 +48,9 @@
 
 @lru_cache(PARSE_CACHE_ENTRIES)
 def parse_address(value: str, where: str) -> tuple[str, Mapping[str, str]]:
-    """Parse ``"Name" <uri>;params`` or ``uri;params`` into the URI and the header's parameters.
+    """Parse ``"Name" <uri>;params`` or ``uri;params`` (section 20.10).
 
-    ``where`` names the header field in errors. Section 20.10.
+    Returns the URI and the parameters of the header field, which ``where`` names in errors.
     """
     text = value.strip()
     if text.startswith('"'):
@@ -65,7 +68,7 @@
 
 
 def _without_display_name(text: str, where: str) -> str:
-    """Return what follows a quoted display name, which has to be a URI in brackets."""
+    """Return the rest behind a quoted display name, which has to be a URI in brackets."""
     quoted = _QUOTED_STRING.match(text)
     if quoted is None:
         raise SipMessageError(f"{where}: a quote is not closed")
--- a/oakbridge/sip/message.py
+++ b/oakbridge/sip/message.py
@@ -1,8 +1,8 @@
-"""SIP messages and their bytes on the wire. Pure.
+"""SIP messages and their bytes on the wire (RFC 3261, sections 7, 18.3, 20 and 25).
 
-A proxy forwards header fields that it does not know unchanged, so a message keeps its header fields
-in order and their values unparsed; ``header_values``, ``via`` and ``uri`` parse what the proxy
-needs. Bytes that are not UTF-8 survive as surrogate escapes. RFC 3261, sections 7, 18.3, 20 and 25.
+Performs no I/O. A proxy forwards unknown header fields unchanged, so a message keeps its header
+fields in order and their values unparsed; ``header_values``, ``via`` and ``uri`` parse the values
+that the proxy needs. Bytes that are not UTF-8 are kept as surrogate escapes.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from oakbridge.sip.syntax import PARSE_CACHE_ENTRIES, split_list
 
-# Names whose usual spelling is not a capital after each dash.
+# Header names whose usual spelling has other capitals than the first letter of each part.
 _DISPLAY_NAMES = {
     "call-id": "Call-ID",
     "cseq": "CSeq",
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """What requests and responses share. Header names are in lower case and in the long form."""
+    """The part common to requests and responses; header names are lower-case long forms."""
 
     headers: Headers = field(default_factory=list)
     body: bytes = b""
@@ -61,7 +61,7 @@
         return ""
 
     def get_all(self, name: str) -> list[str]:
-        """Return all values of a header field that may be a list, over its lines and commas."""
+        """Return all values of a header field that may have several lines and be a list on each."""
         return [
             member
             for header_name, value in self.headers
@@ -74,7 +74,7 @@
         raise NotImplementedError
 
     def to_bytes(self) -> bytes:
-        """Return the bytes on the wire; Content-Length is always the length of the body."""
+        """Return the bytes on the wire, with a Content-Length that is the length of the body."""
         lines = [self.start_line()]
         lines += [f"{display_name(n)}: {v}" for n, v in self.headers if n != "content-length"]
         lines.append(f"Content-Length: {len(self.body)}")
@@ -107,7 +107,7 @@
 
 @lru_cache(PARSE_CACHE_ENTRIES)
 def display_name(name: str) -> str:
-    """Return a header field's name as it is written on the wire."""
+    """Return a header field's name in the spelling used on the wire."""
     usual = _DISPLAY_NAMES.get(name)
     return usual or "-".join(part[:1].upper() + part[1:] for part in name.split("-"))
 
@@ -115,9 +115,9 @@
 def build_response(
     request: Request, status: int, to_tag: str = "", headers: Headers | None = None
 ) -> Response:
-    """Build a response to a request with ``headers`` added (section 8.2.6).
+    """Build a response to a request, with additional ``headers`` (section 8.2.6).
 
-    ``to_tag`` is added to a To without a tag, except in a 100.
+    Except in a 100, ``to_tag`` is added to a To that has no tag.
     """
     copied = [(name, value) for name, value in request.headers if name in _COPIED_TO_RESPONSE]
     if status > 100 and to_tag:
--- a/oakbridge/sip/parser.py
+++ b/oakbridge/sip/parser.py
@@ -1,4 +1,4 @@
-"""Parser of whole SIP messages (RFC 3261, sections 7, 16.3 and 18.3). Pure."""
+"""Parser of whole SIP messages (RFC 3261, sections 7, 16.3 and 18.3); performs no I/O."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 END_OF_HEADERS = b"\r\n\r\n"
 SIP_VERSION = "SIP/2.0"
 
+# Long forms of header names by their compact forms.
 _LONG_NAMES = {
     "i": "call-id",
     "m": "contact",
@@ -32,12 +33,12 @@
     "u": "allow-events",
     "r": "refer-to",
 }
-_SINGLE = ("to", "from", "call-id", "cseq", "max-forwards", "content-length")
-_REQUIRED = ("to", "from", "call-id", "cseq", "via")
+_SINGLE_HEADERS = ("to", "from", "call-id", "cseq", "max-forwards", "content-length")
+_REQUIRED_HEADERS = ("to", "from", "call-id", "cseq", "via")
 
 _TOKEN = re.compile(r"[A-Za-z0-9\-.!%*_+`'~]+")
 _REQUEST_LINE = re.compile(r"([A-Za-z0-9\-.!%*_+`'~]+) (\S+) (SIP/\d+\.\d+)", re.ASCII)
-# With extra blanks: wrong, but enough is known to send a response.
+# A request line with extra blanks: it is invalid, but a response can be sent.
 _LOOSE_REQUEST_LINE = re.compile(
     r"([A-Za-z0-9\-.!%*_+`'~]+)\s+(\S.*?)\s+(SIP/\d+\.\d+)\s*",
     re.ASCII,
@@ -48,13 +49,14 @@
 class _StartLine(NamedTuple):
     message: Request | Response
     version: str
-    error: str = ""  # what is wrong with it, though the sender can still be sent a response
+    error: str = ""  # why the line is invalid, if a response can still be sent
 
 
 def parse_message(data: bytes) -> Request | Response:
-    """Parse one whole message, as a datagram holds it. Raises :class:`SipMessageError`.
+    """Parse the bytes of one whole message, such as a datagram.
 
-    Bytes after the body that Content-Length gives are ignored, too few are an error (section 18.3).
+    Bytes beyond the Content-Length are ignored (section 18.3). Raises :class:`SipMessageError` for
+    an invalid message, also if the body is shorter than the Content-Length.
     """
     if len(data) > MAX_MESSAGE_BYTES:
         raise SipMessageError(f"expected at most {MAX_MESSAGE_BYTES} bytes, got {len(data)}", 513)
@@ -110,7 +112,7 @@
 
 
 def _validate(message: Request | Response, version: str) -> None:
-    """Check what a proxy needs before it does anything else (sections 16.3 and 8.1.1)."""
+    """Check the parts that a proxy has to validate first (sections 16.3 and 8.1.1)."""
     _check_header_counts(message)
     if version != SIP_VERSION:
         raise SipMessageError(f"expected SIP/2.0, got {version}", 505)
@@ -125,13 +127,13 @@
 
 
 def _check_header_counts(message: Message) -> None:
-    counts = dict.fromkeys((*_SINGLE, *_REQUIRED), 0)
+    counts = dict.fromkeys((*_SINGLE_HEADERS, *_REQUIRED_HEADERS), 0)
     for name, _ in message.headers:
         if name in counts:
             counts[name] += 1
-    if missing := [name for name in _REQUIRED if not counts[name]]:
+    if missing := [name for name in _REQUIRED_HEADERS if not counts[name]]:
         raise SipMessageError(f"{display_name(missing[0])}: missing")
-    if repeated := [name for name in _SINGLE if counts[name] > 1]:
+    if repeated := [name for name in _SINGLE_HEADERS if counts[name] > 1]:
         raise SipMessageError(f"{display_name(repeated[0])}: expected once")
 
 
--- a/oakbridge/sip/proxy.py
+++ b/oakbridge/sip/proxy.py
@@ -1,15 +1,16 @@
-"""The stateful proxy (RFC 3261, section 16). Pure: bytes, times and the balancer's actions come in.
+"""The stateful proxy (RFC 3261, section 16); performs no I/O.
 
-Bytes to send and events for the balancer go out. The balancer decides whether, where and when a
-request is sent; the proxy decides what a message means to it:
+Its inputs are received bytes, times and the balancer's actions; its outputs are bytes to send and
+events for the balancer. The balancer decides whether, when and to which server a request is sent.
+The proxy translates between SIP messages and the balancer's events and actions:
 
-- a request outside a dialog is one request of the balancer, in a class by method and URI;
+- a request outside a dialog is one request of the balancer; its method and URI select the class;
 - a branch to a server is an attempt; ``attempts.attempt_result`` gives its result;
-- a request inside a dialog goes to the dialog's server, which its Route names, and not to the
+- a request inside a dialog is sent to the dialog's server, which its Route names, without the
   balancer;
 - a retransmission is absorbed by its transaction and is never an attempt.
 
-Section numbers in this package are RFC 3261's.
+Section numbers in this package are those of RFC 3261. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -44,16 +45,16 @@
 from oakbridge.sip.transaction_tables import Event
 from oakbridge.sip.via import replace_top_via, top_via
 
-MAX_REASON_LENGTH = 80  # of what is wrong with a request, in the reason phrase
+MAX_ERROR_LENGTH = 80  # characters of an error's text that a reason phrase contains
 
 _BRANCH_PARAMETER = re.compile(rb";branch=([^;,\s]+)")
 _LINE_BREAKS_TO_BLANKS = str.maketrans("\r\n\t", "   ")
 
 
 class Proxy:
-    """The proxy. Each method returns what is to be done, in order.
+    """The proxy. Methods that return actions return them in the order to carry them out.
 
-    :meth:`fire_timers` is to be called at :meth:`next_timer`.
+    :meth:`fire_timers` has to be called at the time that :meth:`next_timer` returns.
     """
 
     def __init__(
@@ -62,16 +63,16 @@
         seed: int,
         request_ids: Iterator[int] | None = None,
     ) -> None:
-        """Create a proxy; ``request_ids`` are shared by all fronts of a node."""
+        """Create a proxy; all fronts of a node share ``request_ids``."""
         rng = random.Random(seed)
         self.settings = settings
-        self.dropped: Counter[str] = Counter()  # messages, by reason
+        self.dropped: Counter[str] = Counter()  # count of dropped messages by reason
         self.store = TransactionStore()
         self._outbox = Outbox()
         self._router = Router(settings)
         self._builder = RequestBuilder(settings, rng)
-        acks = AckForwarder(self._router, self._builder, self._outbox, self.dropped)
-        self._server_transactions = ServerTransactions(self.store, self._outbox, acks)
+        ack_forwarder = AckForwarder(self._router, self._builder, self._outbox, self.dropped)
+        self._server_transactions = ServerTransactions(self.store, self._outbox, ack_forwarder)
         self._attempts = Attempts(
             self.store, self._outbox, self._router, self._builder, self._server_transactions
         )
@@ -84,28 +85,28 @@
             self._builder,
             self._server_transactions,
             self._attempts,
-            acks,
+            ack_forwarder,
             rng,
             request_ids,
         )
 
     @property
     def servers(self) -> dict[str, Peer]:
-        """The servers that dialogs may be with, by name: up and draining."""
+        """The servers by name: those that are up, and draining ones, which dialogs still use."""
         return self._router.servers
 
     def owns(self, request_id: int) -> bool:
-        """Whether a request of the balancer's is this proxy's."""
+        """Return whether a request, given by its balancer id, is open at this proxy."""
         return request_id in self.store.contexts_by_request_id
 
     def start_draining(self) -> None:
-        """Reject new requests from now on; dialogs and open requests go on."""
+        """Start to reject new requests; requests in dialogs and open requests are still served."""
         self._requests.draining = True
 
     # ---- timers
 
     def next_timer(self) -> int | None:
-        """Return when the next timer fires."""
+        """Return the time at which the next timer is due, or None without timers."""
         return self.store.next_timer()
 
     def fire_timers(self, now: int) -> list[ProxyAction]:
@@ -141,7 +142,7 @@
         return self._outbox.take()
 
     def connection_lost(self, now: int, peer: Peer) -> list[ProxyAction]:
-        """Handle the end of a peer's connection."""
+        """Handle the loss of a peer's TCP connection."""
         for branch in [b for b in self.store.branches.values() if b.peer == peer]:
             self._client_transactions.handle(branch, Event.TRANSPORT_ERROR, now)
         for context in [c for c in self.store.contexts.values() if c.peer == peer]:
@@ -149,9 +150,9 @@
         return self._outbox.take()
 
     def datagram_refused(self, now: int, data: bytes) -> list[ProxyAction]:
-        """Handle the refusal of a datagram, of which ``data`` is the beginning.
+        """Handle the refusal of a datagram; ``data`` is the beginning of the datagram.
 
-        It says something about the datagram's own transaction alone.
+        The refusal affects only the transaction that the datagram belongs to.
         """
         found = _BRANCH_PARAMETER.search(data)
         if found is not None:
@@ -168,13 +169,17 @@
             _, method = cseq(response)
             branch = self.store.branches.get((via.branch, method))
         if branch is None:
-            # Section 16.7 with RFC 6026: a response to nothing is not forwarded statelessly.
-            self.dropped["response to nothing"] += 1
+            # RFC 6026 changes section 16.7: a response that matches no transaction is dropped and
+            # not forwarded statelessly.
+            self.dropped["response without transaction"] += 1
             return
         self._client_transactions.handle(branch, received_event(response.status), now, response)
 
     def _reject_unreadable(self, source: Peer, error: SipMessageError) -> None:
-        """Respond if the sender is known from what was read; responses and ACKs get no response."""
+        """Respond to an invalid request if its Via and CSeq could be parsed.
+
+        Responses and ACKs get no response.
+        """
         request = error.request
         if request is None or request.method == "ACK" or not request.get("cseq"):
             self.dropped["unreadable"] += 1
@@ -186,14 +191,14 @@
             return
         replace_top_via(request, via)
         response = build_response(request, error.status, self._builder.new_tag())
-        reason = f"{response.reason} ({str(error)[:MAX_REASON_LENGTH]})"
+        reason = f"{response.reason} ({str(error)[:MAX_ERROR_LENGTH]})"
         response.reason = reason.translate(_LINE_BREAKS_TO_BLANKS)
         self._outbox.transmit(response_destination(via, source), response.to_bytes())
 
     # ---- from the balancer
 
     def carry_out(self, now: int, action: Action) -> list[ProxyAction]:
-        """Carry out an action of the balancer about a request of this proxy."""
+        """Carry out an action of the balancer for a request of this proxy."""
         match action:
             case SendAttempt():
                 self._attempts.send(action, now)
--- a/oakbridge/sip/request_builder.py
+++ b/oakbridge/sip/request_builder.py
@@ -1,4 +1,4 @@
-"""Requests that the proxy sends: forwarded copies, ACK, CANCEL and BYE."""
+"""Builder of the requests that the proxy sends: forwarded copies, ACK, CANCEL and BYE."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from oakbridge.sip.transaction_store import BRANCH_COOKIE
 from oakbridge.sip.via import Via, push_via, top_via
 
-# They may form a dialog, and the proxy stays on the path of its requests by Record-Route.
+# Methods that may form a dialog: the proxy adds a Record-Route to stay on the dialog's path.
 DIALOG_FORMING_METHODS = frozenset({"INVITE", "SUBSCRIBE", "REFER", "NOTIFY"})
 
 _ACK_HEADERS = frozenset({"from", "call-id", "route", "max-forwards"})
@@ -22,22 +22,22 @@
 
 
 class RequestBuilder:
-    """Builds requests, with tags and branch parameters drawn from ``rng``."""
+    """Builds requests; tags and branch parameters are drawn from ``rng``."""
 
     def __init__(self, settings: ProxySettings, rng: random.Random) -> None:
         self._settings = settings
         self._rng = rng
 
     def new_tag(self) -> str:
-        """Draw a tag for the To of our own responses."""
+        """Draw a tag for the To of the proxy's own responses."""
         return f"{self._rng.getrandbits(48):012x}"
 
     def forwarded(self, request: Request) -> Request:
-        """Build the copy that is forwarded: one hop fewer, and our Via (section 16.6)."""
+        """Build the copy to forward, with the proxy's Via and one hop fewer (section 16.6)."""
         return self._forwarded(request, [])
 
     def attempt(self, request: Request, server: str) -> Request:
-        """Build the copy for a server, with our Record-Route if it may form a dialog."""
+        """Build the copy for a server, with a Record-Route if the method may form a dialog."""
         if request.method not in DIALOG_FORMING_METHODS:
             return self._forwarded(request, [])
         host, port = self._settings.host, self._settings.port
@@ -45,7 +45,7 @@
         return self._forwarded(request, [("record-route", record_route)])
 
     def ack_of_failure(self, invite: Request, response: Response) -> Request:
-        """Build the ACK of a final response that is not 2xx, on the INVITE's branch (17.1.1.3)."""
+        """Build the ACK to a final response other than 2xx, on the INVITE's branch (17.1.1.3)."""
         number, _ = cseq(invite)
         headers = [
             ("via", str(top_via(invite))),
@@ -56,7 +56,7 @@
         return Request(headers, b"", "ACK", invite.uri)
 
     def cancel(self, invite: Request) -> Request:
-        """Build the CANCEL of an INVITE that was sent (section 9.1)."""
+        """Build the CANCEL of a sent INVITE (section 9.1)."""
         number, _ = cseq(invite)
         headers = [
             ("via", str(top_via(invite))),
@@ -66,12 +66,12 @@
         return Request(headers, b"", "CANCEL", invite.uri)
 
     def ack_of_success(self, invite: Request, response: Response, peer: Peer) -> Request:
-        """Build the ACK of a 2xx that the proxy acknowledges itself (section 13.2.2.4)."""
+        """Build the ACK to a 2xx that the proxy itself acknowledges (section 13.2.2.4)."""
         number, _ = cseq(invite)
         return self._in_dialog("ACK", number, invite, response, peer)
 
     def bye(self, invite: Request, response: Response, peer: Peer) -> Request:
-        """Build the BYE that ends the dialog of a 2xx."""
+        """Build the BYE that ends the dialog that a 2xx established."""
         number, _ = cseq(invite)
         return self._in_dialog("BYE", number + 1, invite, response, peer)
 
@@ -95,7 +95,10 @@
         return copy
 
     def _new_via(self, transport: str, fingerprint: str) -> Via:
-        """Draw a branch that is unique in time and space (8.1.1.7); its end detects loops."""
+        """Draw a branch parameter that is unique in space and time (section 8.1.1.7).
+
+        Its suffix is the routing fingerprint, by which loops are detected.
+        """
         branch = f"{BRANCH_COOKIE}{self._rng.getrandbits(64):016x}.{fingerprint}"
         return Via(transport, self._settings.host, self._settings.port, (("branch", branch),))
 
--- a/oakbridge/sip/request_handler.py
+++ b/oakbridge/sip/request_handler.py
@@ -1,4 +1,4 @@
-"""Requests from callers: validation, then the balancer, the request's dialog, or a CANCEL."""
+"""Requests from callers: validates them, and passes them to the balancer or to their dialog."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from oakbridge.sip.uri import SipUri, parse_uri
 from oakbridge.sip.via import replace_top_via, top_via
 
-# Retry-After of a caller with too many transactions, in seconds: drawn from 1 to this.
+# A request above the transaction limits is rejected with a Retry-After drawn from 1 to this value.
 MAX_OVERLOAD_RETRY_AFTER_S = 4
 DRAINING_RETRY_AFTER_S = 1
 
 
 class RequestHandler:
-    """Matches requests to server transactions, and opens new ones."""
+    """Matches requests to server transactions, and creates new transactions."""
 
     def __init__(
         self,
@@ -41,11 +41,12 @@
         builder: RequestBuilder,
         server_transactions: ServerTransactions,
         attempts: Attempts,
-        acks: AckForwarder,
+        ack_forwarder: AckForwarder,
         rng: random.Random,
         request_ids: Iterator[int] | None,
     ) -> None:
-        self.draining = False  # new requests are rejected; dialogs and open requests go on
+        # While draining, new requests are rejected; requests in dialogs and open ones are served.
+        self.draining = False
         self._settings = settings
         self._store = store
         self._outbox = outbox
@@ -53,7 +54,7 @@
         self._builder = builder
         self._server_transactions = server_transactions
         self._attempts = attempts
-        self._acks = acks
+        self._ack_forwarder = ack_forwarder
         self._rng = rng
         self._request_ids = request_ids if request_ids is not None else itertools.count(1)
 
@@ -67,7 +68,7 @@
             event = Event.ACK if request.method == "ACK" else Event.REQUEST
             self._server_transactions.handle(context, event, now, request)
         elif request.method == "ACK":
-            self._acks.forward(request)
+            self._ack_forwarder.forward(request)
         elif self._is_full(source.host):
             self._reject_without_transaction(request, response_destination(via, source))
         else:
@@ -80,25 +81,25 @@
             )
             self._store.add_context(context)
             context.transaction.begin(now)
-            self._open(context, source, now)
+            self._process_new(context, source, now)
             self._store.update(context)
 
     def _is_full(self, host: str) -> bool:
-        of_host = self._store.contexts_per_host[host]
+        host_transactions = self._store.contexts_per_host[host]
         return (
             len(self._store.contexts) >= self._settings.max_server_transactions
-            or of_host >= self._settings.max_server_transactions_per_host
+            or host_transactions >= self._settings.max_server_transactions_per_host
         )
 
     def _reject_without_transaction(self, request: Request, peer: Peer) -> None:
-        """Reject statelessly: an overload must not grow by its rejections."""
+        """Reject a request statelessly, so that rejections do not add to an overload."""
         seconds = 1 + self._rng.randrange(MAX_OVERLOAD_RETRY_AFTER_S)
         retry_after = [("retry-after", str(seconds))]
         response = build_response(request, 503, self._builder.new_tag(), retry_after)
         self._outbox.transmit(peer, response.to_bytes())
 
-    def _open(self, context: ResponseContext, source: Peer, now: int) -> None:
-        """Validate a new request (section 16.3), then forward it."""
+    def _process_new(self, context: ResponseContext, source: Peer, now: int) -> None:
+        """Validate a new request (section 16.3), and forward it or pass it to the balancer."""
         request = context.request
         if request.method == "CANCEL":
             self._cancel(context, now)
@@ -117,10 +118,10 @@
             retry_after = [("retry-after", str(DRAINING_RETRY_AFTER_S))]
             self._server_transactions.respond(context, 503, now, retry_after)
         else:
-            self._hand_to_balancer(context, uri, now)
+            self._pass_to_balancer(context, uri, now)
 
     def _reject_invalid(self, context: ResponseContext, now: int) -> bool:
-        """Respond to a request that can't be forwarded; return whether it was one."""
+        """Reject a request that can't be forwarded; return whether it was rejected."""
         request = context.request
         if max_forwards(request) == 0:
             self._server_transactions.respond(context, 483, now)
@@ -133,7 +134,7 @@
             return False
         return True
 
-    def _hand_to_balancer(self, context: ResponseContext, uri: SipUri, now: int) -> None:
+    def _pass_to_balancer(self, context: ResponseContext, uri: SipUri, now: int) -> None:
         request = context.request
         class_name = self._router.class_of(request, uri)
         if class_name is None:
@@ -163,21 +164,21 @@
     ) -> None:
         target = self._router.dialog_target(uri, dialog_server, source)
         if target is None:
-            # The dialog ended with its server: 481 makes a phone end its side and not retry.
+            # The dialog's server was removed: 481 makes a phone end the dialog without a retry.
             self._server_transactions.respond(context, 481, now)
             return
         request = self._builder.forwarded(context.request)
         self._attempts.client_transactions.start_direct(request, target, now, context)
 
     def _cancel(self, cancel: ResponseContext, now: int) -> None:
-        """Respond to a CANCEL for itself, then cancel its INVITE (sections 9.2 and 16.10)."""
+        """Respond to a CANCEL, then cancel the INVITE that it names (sections 9.2 and 16.10)."""
         invite = self._store.invite_of(cancel.request)
         if invite is None:
             self._server_transactions.respond(cancel, 481, now)
             return
         self._server_transactions.respond(cancel, 200, now)
         if invite.final_status or invite.cancelled:
-            return  # too late, or cancelled before: nothing changes
+            return  # the INVITE has its final response, or was cancelled before
         invite.cancelled = True
         if invite.request_id:
             self._outbox.post(ClientDisconnected(invite.request_id))
@@ -185,5 +186,5 @@
 
 
 def _optional_header(request: Request, name: str) -> str:
-    """Return a header field that the settings name; empty if they name none."""
+    """Return the header field of a configured name; empty if no name is configured."""
     return request.get(name) if name else ""
--- a/oakbridge/sip/routing.py
+++ b/oakbridge/sip/routing.py
@@ -1,4 +1,4 @@
-"""Where a request goes: its class, its dialog's server, and whether it is in a loop."""
+"""Routing of requests: the class of a request, the server of its dialog, and loop detection."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from oakbridge.sip.uri import SipUri, parse_uri
 from oakbridge.sip.via import parse_via
 
-SERVER_PARAM = "srv"  # of our Record-Route: the dialog's server
+SERVER_PARAM = "srv"  # parameter of the proxy's Record-Route that names the dialog's server
 _FINGERPRINT_BYTES = 6
 
 
 @dataclass(slots=True)
 class Router:
-    """Routes requests to the servers that are up or draining."""
+    """Routes requests; ``servers`` are those that are up or draining, by name."""
 
     settings: ProxySettings
     servers: dict[str, Peer] = field(default_factory=dict)
@@ -32,9 +32,10 @@
         return None
 
     def pop_own_route(self, request: Request) -> str | None:
-        """Remove the proxy's own entry from the Route (16.4 and 16.6, step 6).
+        """Remove the proxy's own entry from the Route (section 16.4; section 16.6, step 6).
 
-        Returns the name of the dialog's server, if the entry has one.
+        Returns the name of the dialog's server, or None if there is none. Raises
+        :class:`SipMessageError` if the first entry of the Route can't be parsed.
         """
         routes = request.get_all("route")
         if not routes:
@@ -48,9 +49,9 @@
         return uri.params.get(SERVER_PARAM)
 
     def dialog_target(self, uri: SipUri, server_name: str | None, source: Peer) -> Peer | None:
-        """Return where a request inside a dialog goes, or None if its dialog is gone.
+        """Return the destination of a request inside a dialog, or None if there is none.
 
-        It goes to the dialog's server; what comes from that server goes to the Request-URI.
+        A request from the dialog's server is sent to its Request-URI, any other to that server.
         """
         if server_name is not None:
             server = self.servers.get(server_name)
@@ -59,13 +60,16 @@
             if (source.host, source.port) != (server.host, server.port):
                 return server
         if self._names_proxy(uri):
-            return None  # forwarded to ourselves it would return until Max-Forwards is used up
+            return None  # the proxy would forward to itself until Max-Forwards is used up
         if uri.host.replace(".", "").isdigit():
             return Peer("UDP", *uri.host_port)
-        return None  # names are not resolved
+        return None  # host names are not resolved
 
     def is_loop(self, request: Request) -> bool:
-        """Whether the request was here before with the same fingerprint (RFC 5393, 4.2)."""
+        """Return whether the proxy forwarded the request before with the same routing fingerprint.
+
+        RFC 5393, section 4.2.
+        """
         suffix = ""
         for value in request.get_all("via"):
             try:
@@ -83,9 +87,9 @@
 
 
 def routing_fingerprint(request: Request) -> str:
-    """Return a hash of what decides the request's route here (RFC 5393, 4.2.1).
+    """Return a hash of the fields that decide a request's route (RFC 5393, section 4.2.1).
 
-    A request that returns with it unchanged would be routed in the same way for ever.
+    A request that returns with the same fingerprint would be routed in the same way without end.
     """
     number, _ = cseq(request)
     fields = (
--- a/oakbridge/sip/server_transactions.py
+++ b/oakbridge/sip/server_transactions.py
@@ -1,4 +1,4 @@
-"""Server transactions: responses to callers, provisional and final."""
+"""Server transactions: send provisional and final responses to callers."""
 
 from __future__ import annotations
 
@@ -16,45 +16,48 @@
 class ServerTransactions:
     """Sends each caller one final response, and drives its server transaction."""
 
-    def __init__(self, store: TransactionStore, outbox: Outbox, acks: AckForwarder) -> None:
+    def __init__(
+        self, store: TransactionStore, outbox: Outbox, ack_forwarder: AckForwarder
+    ) -> None:
         self._store = store
         self._outbox = outbox
-        self._acks = acks
+        self._ack_forwarder = ack_forwarder
 
     def handle(
         self, context: ResponseContext, event: Event, now: int, message: Message | None = None
     ) -> None:
-        """Hand an event to the transaction, and do what it asks for."""
+        """Pass an event to the transaction, and carry out the transaction's outputs."""
         self.perform(context, context.transaction.handle(event, now), message)
         self._store.update(context)
 
     def perform(
         self, context: ResponseContext, outputs: list[Output], message: Message | None = None
     ) -> None:
-        """Do what the transaction asks for.
+        """Carry out the outputs of the transaction.
 
-        A caller that can't be reached, or that never acknowledges, changes nothing here.
+        TIMEOUT and TRANSPORT_ERROR, for a caller that sends no ACK or can't be reached, are
+        ignored.
         """
         for output in outputs:
             if output in (Output.RETRANSMIT, Output.RESPOND):
                 if context.last_response:
                     self._outbox.transmit(context.peer, context.last_response)
             elif output is Output.DELIVER and _is_ack(message):
-                self._acks.forward(message)
+                self._ack_forwarder.forward(message)
 
     def respond(
         self, context: ResponseContext, status: int, now: int, headers: Headers | None = None
     ) -> None:
-        """Send a final response of the proxy's own."""
+        """Send a final response that the proxy itself makes."""
         response = build_response(context.request, status, context.to_tag, headers)
         self._send_final(context, response, now)
 
     def send_trying(self, context: ResponseContext, now: int) -> None:
-        """Send a 100."""
+        """Send a 100 (Trying)."""
         self._send_provisional(context, build_response(context.request, 100), now)
 
     def forward(self, context: ResponseContext, response: Response, now: int) -> None:
-        """Forward a server's response without our Via, otherwise unchanged (section 16.7)."""
+        """Forward a server's response, unchanged but for the removed Via (section 16.7)."""
         pop_via(response)
         if response.status < 200:
             self._send_provisional(context, response, now)
@@ -66,8 +69,11 @@
             self._send(context, response, now)
 
     def _send_final(self, context: ResponseContext, response: Response, now: int) -> None:
-        """Send the one final response; only a 2xx to an INVITE is repeated (section 13.3.1.4)."""
-        if context.final_status and not _repeats_success(context, response):
+        """Send a final response, unless one was sent before.
+
+        A 2xx to an INVITE is forwarded each time that the server repeats it (section 13.3.1.4).
+        """
+        if context.final_status and not _is_repeated_success(context, response):
             return
         context.final_status = response.status
         self._send(context, response, now)
@@ -81,6 +87,6 @@
     return isinstance(message, Request) and message.method == "ACK"
 
 
-def _repeats_success(context: ResponseContext, response: Response) -> bool:
+def _is_repeated_success(context: ResponseContext, response: Response) -> bool:
     both_succeed = context.final_status < 300 and response.status < 300
     return both_succeed and context.request.method == "INVITE"
--- a/oakbridge/sip/syntax.py
+++ b/oakbridge/sip/syntax.py
@@ -1,4 +1,4 @@
-"""Syntax shared by header fields: comma-separated lists and parameters. Pure."""
+"""Syntax common to header fields: comma-separated lists and parameters; performs no I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 from oakbridge.sip.errors import SipMessageError
 
-# Parsed values to cache: one message's are read several times. Each holds 8 KB at most.
+# Size of each cache of parsed header values, as the values of a message are read several times.
+# An entry takes 8 KB at most.
 PARSE_CACHE_ENTRIES = 512
 
 _PARAMETER = re.compile(
@@ -45,7 +46,8 @@
 def parse_parameters(text: str, where: str) -> dict[str, str]:
     """Parse ``;name=value`` pairs; ``where`` names the header field in errors.
 
-    Names are in lower case, values keep their quotes, and the first parameter of a name counts.
+    Names are returned in lower case, and values with their quotes. If a name is repeated, its first
+    value is returned. Raises :class:`SipMessageError` for invalid syntax.
     """
     parameters: dict[str, str] = {}
     position = 0
--- a/oakbridge/sip/transaction_store.py
+++ b/oakbridge/sip/transaction_store.py
@@ -1,4 +1,7 @@
-"""The proxy's state: response contexts, branches, and the schedule of their timers."""
+"""The proxy's state: response contexts, branches, and the schedule of their timers.
+
+Times are in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -23,22 +26,22 @@
     """A server transaction, and the attempts at its request (section 16.2)."""
 
     key: ServerKey
-    request: Request  # as received, with the Via completed by the packet's source
-    peer: Peer  # where responses are sent
+    request: Request  # as received, with its source address added to the topmost Via
+    peer: Peer  # destination of responses
     transaction: Transaction
     to_tag: str
-    request_id: int = 0  # the balancer's; 0: the balancer has no part in it
+    request_id: int = 0  # the balancer's id; 0: the request does not go through the balancer
     last_response: bytes = b""
     final_status: int = 0  # 0: no final response was sent
-    accepted_by: AttemptBranch | None = None  # whose 2xx was forwarded
+    accepted_by: AttemptBranch | None = None  # the attempt whose 2xx was forwarded
     attempts: list[AttemptBranch] = field(default_factory=list)
-    cancelled: bool = False
-    scheduled_at: int | None = None
+    cancelled: bool = False  # by the caller's CANCEL
+    scheduled_at: int | None = None  # time of its entry in the store's schedule
 
 
 @dataclass(slots=True, eq=False)
 class AttemptBranch:
-    """A client transaction to one server that the balancer ordered: an attempt."""
+    """An attempt: a client transaction to the server that the balancer chose."""
 
     context: ResponseContext
     number: int
@@ -49,31 +52,34 @@
     sent_at: int
     deadline: int
     provisional_received: bool = False
-    provisional_forwarded: bool = False  # one above 100: the caller knows that it rings
-    result_reported: bool = False  # the balancer has its result
-    abandoned: bool = False  # its responses count no more
-    cancel_requested: bool = False
+    provisional_forwarded: bool = False  # a provisional response above 100: the call rings
+    result_reported: bool = False  # to the balancer
+    abandoned: bool = False  # further responses are not forwarded to the caller
+    cancel_requested: bool = False  # a CANCEL is sent once a provisional response is received
     cancel_sent: bool = False
-    bye_sent: bool = False  # for a 2xx after it was abandoned
-    scheduled_at: int | None = None
-    transmissions: int = 0  # of its request
+    bye_sent: bool = False  # after a 2xx that came too late
+    scheduled_at: int | None = None  # time of its entry in the store's schedule
+    transmissions: int = 0  # how often the request was sent
 
     @property
     def awaited_by_cancelled_caller(self) -> bool:
-        """Whether a cancelled INVITE waits for this branch's final response (section 9.1)."""
+        """Whether the caller sent a CANCEL and waits for the final response (section 9.1)."""
         return self.context.cancelled and not self.context.final_status
 
 
 @dataclass(slots=True, eq=False)
 class DirectBranch:
-    """A client transaction without the balancer: inside a dialog, a CANCEL, a BYE of our own."""
+    """A client transaction without the balancer.
+
+    Its request is one inside a dialog, or a CANCEL or BYE that the proxy itself sends.
+    """
 
     peer: Peer
     request: Request
-    data: bytes
+    data: bytes  # the request's bytes on the wire
     transaction: Transaction
-    context: ResponseContext | None  # where its responses are forwarded
-    scheduled_at: int | None = None
+    context: ResponseContext | None  # responses are forwarded to its caller; None: not forwarded
+    scheduled_at: int | None = None  # time of its entry in the store's schedule
 
 
 Branch = AttemptBranch | DirectBranch
@@ -81,15 +87,15 @@
 
 
 class TransactionStore:
-    """All transactions of the proxy, by the keys that messages are matched by."""
+    """All transactions of the proxy, by the keys that match messages to them."""
 
     def __init__(self) -> None:
         self.contexts: dict[ServerKey, ResponseContext] = {}
         self.contexts_by_request_id: dict[int, ResponseContext] = {}
         self.contexts_per_host: Counter[str] = Counter()
         self.branches: dict[ClientKey, Branch] = {}
-        self._schedule: list[tuple[int, int, Owner]] = []
-        self._scheduled = 0
+        self._schedule: list[tuple[int, int, Owner]] = []  # heap: time, entry number, owner
+        self._schedule_entries = 0  # entries made so far; the number orders entries of one time
 
     def add_context(self, context: ResponseContext) -> None:
         """Add a server transaction."""
@@ -101,41 +107,41 @@
         self.branches[client_key(branch.request)] = branch
 
     def invite_of(self, cancel: Request) -> ResponseContext | None:
-        """Return the context of the INVITE that a CANCEL is for (section 9.2)."""
+        """Return the context of the INVITE that a CANCEL names, or None (section 9.2)."""
         via = top_via(cancel)
         return self.contexts.get((via.branch, via.sent_by, "INVITE"))
 
     def pending_requests(self) -> int:
-        """Return how many server transactions have no final response yet."""
+        """Return the number of server transactions without a final response."""
         return sum(not context.final_status for context in self.contexts.values())
 
     def next_timer(self) -> int | None:
-        """Return when the next timer fires."""
+        """Return the time at which the next timer is due, or None without timers."""
         return self._schedule[0][0] if self._schedule else None
 
     def pop_due(self, now: int) -> Owner | None:
-        """Remove and return the next owner whose timer is due."""
+        """Return the next owner whose timer is due, or None; its schedule entry is removed."""
         while self._schedule and self._schedule[0][0] <= now:
-            at, _, owner = heapq.heappop(self._schedule)
-            if at == owner.scheduled_at:  # otherwise an earlier entry took its place
+            due, _, owner = heapq.heappop(self._schedule)
+            if due == owner.scheduled_at:  # otherwise an earlier entry replaced this one
                 owner.scheduled_at = None
                 return owner
         return None
 
     def update(self, owner: Owner) -> None:
-        """Schedule an owner's next timer, or remove the owner if it has ended.
+        """Schedule an owner's next timer, or remove the owner if its transaction is terminated.
 
-        To be called after every change of its transaction.
+        This method has to be called after every change of the owner's transaction.
         """
         due = owner.transaction.next_timer()
         if isinstance(owner, AttemptBranch) and not owner.result_reported:
             due = owner.deadline if due is None else min(due, owner.deadline)
         if due is not None:
-            # A timer that moves later is scheduled again when its present entry comes up.
+            # A timer that is now due later is scheduled again when its present entry is due.
             if owner.scheduled_at is None or due < owner.scheduled_at:
                 owner.scheduled_at = due
-                self._scheduled += 1
-                heapq.heappush(self._schedule, (due, self._scheduled, owner))
+                self._schedule_entries += 1
+                heapq.heappush(self._schedule, (due, self._schedule_entries, owner))
         elif owner.transaction.terminated:
             self._remove(owner)
 
@@ -154,12 +160,12 @@
 def server_key(request: Request, via: Via) -> ServerKey:
     """Return the key of a request's server transaction (section 17.2.3).
 
-    Without the cookie it is made of what RFC 2543 has.
+    If the branch lacks the cookie, the key consists of the fields that RFC 2543 compares.
     """
     method = "INVITE" if request.method == "ACK" else request.method
     if via.branch.startswith(BRANCH_COOKIE):
         return via.branch, via.sent_by, method
-    # An ACK's To has a tag that its INVITE's has not.
+    # The To of an ACK has a tag that the To of its INVITE lacks.
     to = "" if method == "INVITE" else request.get("to")
     number, _ = cseq(request)
     return (
--- a/oakbridge/sip/transaction_tables.py
+++ b/oakbridge/sip/transaction_tables.py
@@ -1,9 +1,9 @@
-"""State tables of the four transaction state machines. Pure data.
+"""State tables of the four transaction state machines: data without code.
 
-RFC 3261, section 17, with the Accepted state of RFC 6026. Each table maps a state and an event to
-the next state and the steps to take. Timers are named A to M as in the RFCs.
+The tables follow RFC 3261, section 17, with the Accepted state of RFC 6026. Each table maps a state
+and an event to the next state and the steps to take. Timers are named A to M as in the RFCs.
 
-The keys of tables are StrEnum, whose hash costs less than Enum's.
+The keys of the tables are of StrEnum, as hashing its members costs less than hashing Enum's.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class State(StrEnum):
-    """State of a transaction."""
+    """States of a transaction."""
 
     CALLING = "calling"
     TRYING = "trying"
@@ -36,7 +36,7 @@
 
 
 class Timer(StrEnum):
-    """Timers of a transaction; Timer C belongs to the proxy."""
+    """Timers of a transaction; Timer C, which the proxy runs, is not among them."""
 
     A = "A"
     B = "B"
@@ -53,13 +53,13 @@
 
 
 class Event(StrEnum):
-    """Events of a transaction. The value of a timer's event is the timer's letter."""
+    """Events of a transaction; the event of a timer that fires has the timer's letter as value."""
 
     # A client transaction received a response.
     PROVISIONAL = "1xx"
     SUCCESS = "2xx"
     FAILURE = "300-699"
-    # A server transaction received a request again, or the ACK.
+    # A server transaction received a retransmitted request, or the ACK.
     REQUEST = "request"
     ACK = "ack"
     # The user of a server transaction sends a response.
@@ -82,18 +82,18 @@
 
 
 class Output(Enum):
-    """What a transaction asks its owner to do."""
+    """What the owner of a transaction has to do."""
 
     RETRANSMIT = "retransmit"  # send the request, or the last response
     RESPOND = "respond"  # send the response of the event, which becomes the last response
-    DELIVER = "deliver"  # hand the event's message to the transaction user
-    SEND_ACK = "ack"  # acknowledge a final response that is not 2xx (section 17.1.1.3)
-    TIMEOUT = "timeout"  # tell the transaction user that no response, or no ACK, came
-    TRANSPORT_ERROR = "transport_error"  # tell the transaction user that the transport failed
+    DELIVER = "deliver"  # pass the event's message to the transaction user
+    SEND_ACK = "ack"  # acknowledge a final response other than 2xx (section 17.1.1.3)
+    TIMEOUT = "timeout"  # report to the transaction user that no response, or no ACK, came
+    TRANSPORT_ERROR = "transport_error"  # report to the transaction user that the transport failed
 
 
 class TimerOperation(Enum):
-    """What to do to a timer."""
+    """Operations on a timer."""
 
     START = "start"
     STOP = "stop"
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerStep:
-    """Start or stop a timer."""
+    """An operation on one timer of the transaction."""
 
     operation: TimerOperation
     timer: Timer
@@ -164,7 +164,7 @@
 _TIMEOUT = Output.TIMEOUT
 _TRANSPORT_ERROR = Output.TRANSPORT_ERROR
 
-# Figure 5 with RFC 6026 (7.2, 8.4): a 2xx leads to Accepted, which delivers further 2xx.
+# Figure 5, with RFC 6026 (7.2, 8.4): a 2xx leads to Accepted, where further 2xx are delivered.
 _INVITE_CLIENT: Table = {
     (State.CALLING, Event.TIMER_A): _to(State.CALLING, _RETRANSMIT, _double(Timer.A)),
     (State.CALLING, Event.TIMER_B): _to(State.TERMINATED, _TIMEOUT),
@@ -205,8 +205,8 @@
     (State.PROCEEDING, Event.FAILURE): _to(State.COMPLETED, _STOP_E, _STOP_F, _START_K, _DELIVER),
     (State.COMPLETED, Event.TIMER_K): _to(State.TERMINATED),
 }
-# Figure 7 with RFC 6026 (7.1, 8.5 to 8.8): Accepted absorbs retransmissions. A transport error is
-# reported but ends nothing, as the client may still send the request again.
+# Figure 7, with RFC 6026 (7.1, 8.5 to 8.8): Accepted absorbs retransmissions. A transport error is
+# reported but does not terminate the transaction, as the client may still retransmit the request.
 _INVITE_SERVER: Table = {
     (State.PROCEEDING, Event.REQUEST): _to(State.PROCEEDING, _RETRANSMIT),
     (State.PROCEEDING, Event.SEND_PROVISIONAL): _to(State.PROCEEDING, _RESPOND),
--- a/oakbridge/sip/uri.py
+++ b/oakbridge/sip/uri.py
@@ -1,4 +1,4 @@
-"""SIP URIs, as far as routing needs them (RFC 3261, section 19.1). Pure."""
+"""The parts of SIP URIs that routing needs (RFC 3261, section 19.1); performs no I/O."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
     @property
     def host_port(self) -> tuple[str, int]:
-        """Host and port, with the default port where none is given."""
+        """Host and port; the default port if none is given."""
         return self.host, self.port or DEFAULT_PORT
 
 
--- a/oakbridge/sip/via.py
+++ b/oakbridge/sip/via.py
@@ -1,4 +1,4 @@
-"""The Via header field (RFC 3261, section 20.42; RFC 3581). Pure."""
+"""The Via header field (RFC 3261, section 20.42; RFC 3581); performs no I/O."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Via:
-    """One hop; ``received`` and ``rport`` are RFC 3581's parameters."""
+    """A Via value, which describes one hop; RFC 3581 extends the parameters with ``rport``."""
 
     transport: str
     host: str
-    port: int  # 0: not given, which means the transport's default
+    port: int  # 0: not given, the default port
     params: tuple[tuple[str, str], ...]
 
     def param(self, name: str) -> str | None:
-        """Return a parameter: None if it is missing, empty if it has no value."""
+        """Return a parameter's value: None if it is missing, empty if it has no value."""
         return next((v for n, v in self.params if n == name), None)
 
     @property
@@ -40,11 +40,11 @@
 
     @property
     def sent_by(self) -> str:
-        """Host and port, normalised as part of transaction keys."""
+        """Host and port, normalised for use in transaction keys."""
         return f"{self.host.lower()}:{self.port or DEFAULT_PORT}"
 
     def with_params(self, **params: str) -> Via:
-        """Return a copy with these parameters, which replace those of the same name."""
+        """Return a copy with parameters added; those of the same name are replaced."""
         updated = tuple((n, params.pop(n, v)) for n, v in self.params)
         return replace(self, params=(*updated, *params.items()))
 
@@ -57,7 +57,7 @@
 
 @lru_cache(PARSE_CACHE_ENTRIES)
 def parse_via(value: str) -> Via:
-    """Parse one Via value."""
+    """Parse one Via value. Raises :class:`SipMessageError` if it is invalid."""
     found = _VIA.fullmatch(value)
     if found is None or int(found[3] or 0) > MAX_PORT:
         raise SipMessageError(f"Via: expected SIP/2.0/TRANSPORT HOST, got {value!r:.60}")
@@ -66,7 +66,10 @@
 
 
 def top_via(message: Message) -> Via:
-    """Return the topmost Via, which is the last hop."""
+    """Return the topmost Via, which the last hop added.
+
+    Raises :class:`SipMessageError` if the Via is missing or invalid.
+    """
     first = split_list(message.get("via"))[:1]
     if not first:
         raise SipMessageError("Via: missing")
@@ -79,7 +82,7 @@
 
 
 def pop_via(message: Message) -> None:
-    """Remove the topmost Via; the rest of its line stays where it was."""
+    """Remove the topmost Via; further values on its line keep their place."""
     for index, (name, value) in enumerate(message.headers):
         if name == "via":
             rest = split_list(value)[1:]
