--- a/oakbridge/sip/caller_connections.py
+++ b/oakbridge/sip/caller_connections.py
@@ -39,9 +39,9 @@
         assert self.transport is not None
         try:
             messages = self._stream.feed(data)
-        except SipMessageError as e:
+        except SipMessageError as error:
             log.warning(
-                "sip connection aborted: peer=%s:%d error=%s", self.peer.host, self.peer.port, e
+                "sip connection aborted: peer=%s:%d error=%s", self.peer.host, self.peer.port, error
             )
             self.transport.abort()
             return
--- a/oakbridge/sip/datagram_socket.py
+++ b/oakbridge/sip/datagram_socket.py
@@ -43,9 +43,11 @@
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             self._socket.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
             self._socket.bind(address)
-        except OSError as e:
+        except OSError as error:
             self._socket.close()
-            raise OSError(e.errno, f"sip: {address[0]}:{address[1]}: {e.strerror}") from None
+            raise OSError(
+                error.errno, f"sip: {address[0]}:{address[1]}: {error.strerror}"
+            ) from None
 
     def start(self) -> None:
         """Start to receive datagrams."""
--- a/oakbridge/sip/front.py
+++ b/oakbridge/sip/front.py
@@ -73,9 +73,9 @@
                 self._server = await self._loop.create_server(
                     self._connections.new_connection, *self.options.listen
                 )
-            except OSError as e:
+            except OSError as error:
                 self._datagrams.close()
-                raise OSError(e.errno, f"sip: {e.strerror}") from None
+                raise OSError(error.errno, f"sip: {error.strerror}") from None
         self.node.add_front(self)
         self._datagrams.start()
         log.info("sip front listening: address=%s:%d", *self.options.listen)
--- a/oakbridge/sip/header_values.py
+++ b/oakbridge/sip/header_values.py
@@ -62,7 +62,7 @@
             raise SipMessageError(f"{where}: expected <uri>, got {value!r:.60}")
         return uri.strip(), parse_parameters(params, where)
     uri, semicolon, params = text.partition(";")
-    if not uri or any(c.isspace() for c in uri.strip()):
+    if not uri or any(character.isspace() for character in uri.strip()):
         raise SipMessageError(f"{where}: expected an address, got {value!r:.60}")
     return uri.strip(), parse_parameters(semicolon + params, where)
 
--- a/oakbridge/sip/message.py
+++ b/oakbridge/sip/message.py
@@ -76,7 +76,11 @@
     def to_bytes(self) -> bytes:
         """Return the bytes on the wire, with a Content-Length that is the length of the body."""
         lines = [self.start_line()]
-        lines += [f"{display_name(n)}: {v}" for n, v in self.headers if n != "content-length"]
+        lines += [
+            f"{display_name(name)}: {value}"
+            for name, value in self.headers
+            if name != "content-length"
+        ]
         lines.append(f"Content-Length: {len(self.body)}")
         return "\r\n".join(lines).encode("utf-8", "surrogateescape") + b"\r\n\r\n" + self.body
 
--- a/oakbridge/sip/parser.py
+++ b/oakbridge/sip/parser.py
@@ -71,9 +71,9 @@
             raise SipMessageError(error)
         _validate(message, version)
         message.body = _parse_body(message, body)
-    except SipMessageError as e:
+    except SipMessageError as parse_error:
         if isinstance(message, Request):
-            e.request = message
+            parse_error.request = message
         raise
     return message
 
--- a/oakbridge/sip/proxy.py
+++ b/oakbridge/sip/proxy.py
@@ -132,8 +132,8 @@
         """Handle the bytes of one whole message."""
         try:
             message = parse_message(data)
-        except SipMessageError as e:
-            self._reject_unreadable(source, e)
+        except SipMessageError as error:
+            self._reject_unreadable(source, error)
             return self._outbox.take()
         if isinstance(message, Response):
             self._response_received(message, now)
@@ -143,9 +143,9 @@
 
     def connection_lost(self, now: int, peer: Peer) -> list[ProxyAction]:
         """Handle the loss of a peer's TCP connection."""
-        for branch in [b for b in self.store.branches.values() if b.peer == peer]:
+        for branch in [sent for sent in self.store.branches.values() if sent.peer == peer]:
             self._client_transactions.handle(branch, Event.TRANSPORT_ERROR, now)
-        for context in [c for c in self.store.contexts.values() if c.peer == peer]:
+        for context in [known for known in self.store.contexts.values() if known.peer == peer]:
             self._server_transactions.handle(context, Event.TRANSPORT_ERROR, now)
         return self._outbox.take()
 
--- a/oakbridge/sip/request_builder.py
+++ b/oakbridge/sip/request_builder.py
@@ -88,7 +88,10 @@
         return Request(headers, b"", method, _remote_target(response, invite))
 
     def _forwarded(self, request: Request, record_route: Headers) -> Request:
-        headers = [*record_route, *((n, v) for n, v in request.headers if n != "max-forwards")]
+        headers = [
+            *record_route,
+            *((name, value) for name, value in request.headers if name != "max-forwards"),
+        ]
         headers.append(("max-forwards", str(max_forwards(request) - 1)))
         copy = Request(headers, request.body, request.method, request.uri)
         push_via(copy, self._new_via("UDP", routing_fingerprint(request)))
--- a/oakbridge/sip/request_handler.py
+++ b/oakbridge/sip/request_handler.py
@@ -107,8 +107,8 @@
         try:
             uri = parse_uri(request.uri)
             dialog_server = self._router.pop_own_route(request)
-        except SipMessageError as e:
-            self._server_transactions.respond(context, e.status, now)
+        except SipMessageError as error:
+            self._server_transactions.respond(context, error.status, now)
             return
         if self._reject_invalid(context, now):
             return
--- a/oakbridge/sip/routing.py
+++ b/oakbridge/sip/routing.py
@@ -43,7 +43,7 @@
         uri = parse_uri(parse_address(routes[0], "Route")[0])
         if not self._names_proxy(uri):
             return None
-        request.headers = [(n, v) for n, v in request.headers if n != "route"]
+        request.headers = [(name, value) for name, value in request.headers if name != "route"]
         if remaining := routes[1:]:
             request.headers.append(("route", ", ".join(remaining)))
         return uri.params.get(SERVER_PARAM)
--- a/oakbridge/sip/standins/__init__.py
+++ b/oakbridge/sip/standins/__init__.py
@@ -1,1 +1,4 @@
-"""SIP user agents for tests and measurements: pure, driven by the caller's clock."""
+"""Stand-in SIP user agents for tests and benchmarks.
+
+They perform no I/O, and whoever drives them passes the time in microseconds.
+"""
--- a/oakbridge/sip/standins/scripts.py
+++ b/oakbridge/sip/standins/scripts.py
@@ -1,26 +1,29 @@
-"""Scripts of the stand-in server: how it responds to a new request."""
+"""Scripts that decide how the stand-in server responds to a new request."""
 
 from __future__ import annotations
 
 from oakbridge.sip.standins.user_agent_server import ReceivedRequest, UserAgentServer
 
-RING_US = (50_000, 400_000)  # from ringing to the 200
-WORK_US = (1_000, 60_000)  # of a request that is not an INVITE
+RING_RANGE_US = (50_000, 400_000)  # time from the 180 to the 200 of an INVITE
+WORK_RANGE_US = (1_000, 60_000)  # time from the start of another request to its 200
 FAILURE_DELAY_US = 30_000
 
 
 def respond_normally(server: UserAgentServer, request: ReceivedRequest, now: int) -> None:
-    """Run the request and respond with 200; a call rings first."""
+    """Run the request and respond with 200; an INVITE gets a 180 first."""
     server.run(request)
     if request.request.method == "INVITE":
         server.respond(request, 180, now)
-        server.respond_at(request, 200, now + server.rng.randrange(*RING_US))
+        server.respond_at(request, 200, now + server.rng.randrange(*RING_RANGE_US))
     else:
-        server.respond_at(request, 200, now + server.rng.randrange(*WORK_US))
+        server.respond_at(request, 200, now + server.rng.randrange(*WORK_RANGE_US))
 
 
 def respond_at_random(server: UserAgentServer, request: ReceivedRequest, now: int) -> None:
-    """Serve, be busy, be full, fail before or after the work, or go silent."""
+    """Draw a behaviour: succeed, reject as busy or overloaded, or run the request and fail.
+
+    A request that runs and fails gets a 500, a 100 without a final response, or no response.
+    """
     draw = server.rng.random()
     if draw < 0.7:
         respond_normally(server, request, now)
--- a/oakbridge/sip/standins/user_agent_client.py
+++ b/oakbridge/sip/standins/user_agent_client.py
@@ -1,4 +1,4 @@
-"""A phone: it sends requests through client transactions, and counts each one's final responses."""
+"""A phone, which sends requests through client transactions and records their responses."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
     request: Request
     transaction: Transaction
-    final_statuses: list[int] = field(default_factory=list)  # a repeated 2xx counts once
+    final_statuses: list[int] = field(default_factory=list)  # a repeated 2xx is listed once
     final_responses: set[tuple[int, str]] = field(default_factory=set)  # status and To tag
     provisional_statuses: list[int] = field(default_factory=list)
-    retry_after: str = ""
+    retry_after: str = ""  # of the latest final response
     timed_out: bool = False
 
 
 class UserAgentClient:
-    """One caller."""
+    """One caller; ``outgoing`` collects the messages that its driver has to transmit."""
 
     def __init__(self, peer: Peer, proxy: Peer, seed: int) -> None:
         self.peer = peer
@@ -53,7 +53,7 @@
         to_tag: str = "",
         branch: str = "",
     ) -> Request:
-        """Build a request; without ``branch`` a new one is drawn."""
+        """Build a request; without ``branch``, a new branch parameter is drawn."""
         peer = self.peer
         branch = branch or f"{BRANCH_COOKIE}{self._rng.getrandbits(48):012x}"
         to_params = f";tag={to_tag}" if to_tag else ""
@@ -70,7 +70,7 @@
         return Request(headers, b"", method, uri)
 
     def send(self, request: Request, now: int) -> SentRequest:
-        """Send a request, and count its responses."""
+        """Send a request; its responses are recorded in the result."""
         transaction = client_transaction(request.method, reliable=self.peer.reliable)
         sent = SentRequest(request, transaction)
         self.sent[top_via(request).branch, request.method] = sent
@@ -79,13 +79,14 @@
         return sent
 
     def cancel(self, sent: SentRequest, now: int) -> SentRequest:
-        """Cancel an INVITE, without waiting for a provisional response as section 9.1 asks.
+        """Send the CANCEL of an INVITE at once.
 
-        The proxy has to cope with that.
+        Section 9.1 requires a provisional response first, but a proxy has to handle callers that do
+        not wait for it.
         """
         invite = sent.request
         number, _ = cseq(invite)
-        headers = [(n, v) for n, v in invite.headers if n in _CANCEL_HEADERS]
+        headers = [(name, value) for name, value in invite.headers if name in _CANCEL_HEADERS]
         headers.append(("cseq", f"{number} CANCEL"))
         return self.send(Request(headers, b"", "CANCEL", invite.uri), now)
 
@@ -138,14 +139,18 @@
 
     def _acknowledge(self, sent: SentRequest, response: Response, branch: str) -> None:
         number, _ = cseq(sent.request)
-        succeeded = response.status < 300
+        is_success = response.status < 300
         uri = sent.request.uri
-        if succeeded:
+        if is_success:
             uri = parse_address(response.get("contact"), "Contact")[0]
         call_id = sent.request.get("call-id")
         ack = self.build_request("ACK", uri, call_id, number, branch=branch)
         to = response.get("to")
-        ack.headers = [(n, to if n == "to" else v) for n, v in ack.headers if n != "contact"]
-        if succeeded and (routes := response.get_all("record-route")):
+        ack.headers = [
+            (name, to if name == "to" else value)
+            for name, value in ack.headers
+            if name != "contact"
+        ]
+        if is_success and (routes := response.get_all("record-route")):
             ack.headers.append(("route", ", ".join(reversed(routes))))
         self.outgoing.append(Transmit(self.proxy, ack.to_bytes()))
--- a/oakbridge/sip/standins/user_agent_server.py
+++ b/oakbridge/sip/standins/user_agent_server.py
@@ -1,6 +1,6 @@
-"""A SIP server that responds by a script, and counts which requests it ran.
+"""A SIP server that responds by a script, and counts how often it ran each request.
 
-A request is run when the server begins to work on it, however often it was sent.
+A request runs when the server begins to work on it; its retransmissions do not run it again.
 """
 
 from __future__ import annotations
@@ -34,19 +34,22 @@
 
     request: Request
     transaction: Transaction
-    peer: Peer  # where responses are sent
+    peer: Peer  # destination of responses
     to_tag: str
     last_response: bytes = b""
     final_status: int = 0  # 0: no final response was sent
     acknowledged: bool = False
-    repeat_interval_us: int = T1_US  # of its 2xx
+    repeat_interval_us: int = T1_US  # until its 2xx is repeated
 
 
 Script = Callable[["UserAgentServer", ReceivedRequest, int], None]
 
 
 class UserAgentServer:
-    """One server; ``script`` responds to each new request outside a dialog."""
+    """One server; ``script`` responds to each new request outside a dialog.
+
+    ``outgoing`` collects the messages that its driver has to transmit.
+    """
 
     def __init__(self, name: str, peer: Peer, seed: int, script: Script) -> None:
         self.name = name
@@ -57,7 +60,7 @@
         self.script = script
         self.requests: dict[tuple[str, str], ReceivedRequest] = {}
         self.runs: Counter[tuple[str, str]] = Counter()  # by Call-ID and CSeq
-        self.unacknowledged = 0  # 2xx that never got an ACK
+        self.unacknowledged = 0  # count of 2xx that got no ACK until the timeout
 
     def received(self, now: int, peer: Peer, data: bytes) -> None:
         """Handle a datagram."""
@@ -85,11 +88,11 @@
             self.script(self, request, now)
 
     def run(self, request: ReceivedRequest) -> None:
-        """Begin to work on a request: a request that is not idempotent must not run twice."""
+        """Count a run of a request; one that is not idempotent must not run twice."""
         self.runs[request.request.get("call-id"), request.request.get("cseq")] += 1
 
     def respond_at(self, request: ReceivedRequest, status: int, when: int) -> None:
-        """Respond at a time, unless a final response has been sent by then."""
+        """Send a response at the time ``when``, unless a final response was sent before."""
 
         def respond(now: int) -> None:
             if not request.final_status:
@@ -100,7 +103,9 @@
     def respond(self, request: ReceivedRequest, status: int, now: int) -> None:
         """Send a response."""
         headers = [("contact", f"<sip:{self.name}@{self.peer.host}:{self.peer.port}>")]
-        headers += [(n, v) for n, v in request.request.headers if n == "record-route"]
+        headers += [
+            (name, value) for name, value in request.request.headers if name == "record-route"
+        ]
         response = build_response(request.request, status, request.to_tag, headers)
         request.last_response = response.to_bytes()
         request.final_status = status if status >= 200 else 0
@@ -121,7 +126,7 @@
             self.respond(invite, 487, now)
 
     def _repeat_success(self, invite: ReceivedRequest, since: int, now: int) -> None:
-        """Repeat a 2xx until it is acknowledged (section 13.3.1.4)."""
+        """Repeat the 2xx that was sent at ``since`` until it is acknowledged (section 13.3.1.4)."""
         if invite.acknowledged:
             return
         if now - since > TRANSACTION_TIMEOUT_US:
--- a/oakbridge/sip/transaction.py
+++ b/oakbridge/sip/transaction.py
@@ -91,7 +91,7 @@
         """Fire the timers that are due, in order."""
         outputs: list[Output] = []
         while self.timers:
-            due, timer = min((due, timer) for timer, due in self.timers.items())
+            due, timer = min((when, timer) for timer, when in self.timers.items())
             if due > now:
                 break
             del self.timers[timer]
--- a/oakbridge/sip/transaction_tables.py
+++ b/oakbridge/sip/transaction_tables.py
@@ -1,4 +1,4 @@
-"""State tables of the four transaction state machines: data without code.
+"""State tables of the four transaction state machines.
 
 The tables follow RFC 3261, section 17, with the Accepted state of RFC 6026. Each table maps a state
 and an event to the next state and the steps to take. Timers are named A to M as in the RFCs.
--- a/oakbridge/sip/via.py
+++ b/oakbridge/sip/via.py
@@ -31,7 +31,7 @@
 
     def param(self, name: str) -> str | None:
         """Return a parameter's value: None if it is missing, empty if it has no value."""
-        return next((v for n, v in self.params if n == name), None)
+        return next((value for param, value in self.params if param == name), None)
 
     @property
     def branch(self) -> str:
@@ -45,13 +45,13 @@
 
     def with_params(self, **params: str) -> Via:
         """Return a copy with parameters added; those of the same name are replaced."""
-        updated = tuple((n, params.pop(n, v)) for n, v in self.params)
+        updated = tuple((name, params.pop(name, value)) for name, value in self.params)
         return replace(self, params=(*updated, *params.items()))
 
     def __str__(self) -> str:
         """Return the value on the wire."""
         port = f":{self.port}" if self.port else ""
-        params = "".join(f";{n}={v}" if v else f";{n}" for n, v in self.params)
+        params = "".join(f";{name}={value}" if value else f";{name}" for name, value in self.params)
         return f"SIP/2.0/{self.transport} {self.host}{port}{params}"
 
 
--- a/tests/sip/network.py
+++ b/tests/sip/network.py
@@ -1,4 +1,4 @@
-"""A SIP site in simulated time: phones, the proxy and the balancer, servers, a faulty network."""
+"""A SIP site in simulated time: phones, the proxy, the balancer, servers and a faulty network."""
 
 import heapq
 import random
@@ -34,7 +34,10 @@
 
 
 class Site:
-    """Drives all by one clock; by its seed the network loses, duplicates and delays."""
+    """Drives all participants by one clock in microseconds, ``now``.
+
+    The network loses, duplicates and delays messages at random, as drawn from ``seed``.
+    """
 
     def __init__(
         self,
@@ -63,18 +66,18 @@
             for i in range(servers)
         }
         self.user_agents = {agent.peer: agent for agent in (*self.phones, *self.servers.values())}
-        self.frozen = set()
+        self.frozen_servers = set()  # names of servers that receive nothing
         self._schedule = []
-        self._scheduled = 0
+        self._schedule_entries = 0
         self.proxy.servers.update({name: server.peer for name, server in self.servers.items()})
         self.handle_event(EndpointListReceived([Endpoint(name) for name in self.servers]))
 
     def call_at(self, when, callback):
-        self._scheduled += 1
-        heapq.heappush(self._schedule, (when, self._scheduled, callback))
+        self._schedule_entries += 1
+        heapq.heappush(self._schedule, (when, self._schedule_entries, callback))
 
     def handle_event(self, event):
-        """Hand an event to the balancer, and carry out its actions and what follows from them."""
+        """Pass an event to the balancer, and carry out its actions and the actions they cause."""
         for action in self.balancer.handle(self.now, event):
             if isinstance(action, SetTimer):
                 fired = TimerFired(action.token)
@@ -102,21 +105,21 @@
             self.carry_out(self.proxy.message_received(self.now, source, data))
             return
         agent = self.user_agents.get(destination)
-        if isinstance(agent, UserAgentServer) and agent.name not in self.frozen:
+        if isinstance(agent, UserAgentServer) and agent.name not in self.frozen_servers:
             agent.received(self.now, source, data)
         elif isinstance(agent, UserAgentClient):
             agent.received(self.now, data)
         self.flush(agent)
 
     def flush(self, agent):
-        """Transmit what a user agent has to send."""
+        """Transmit the outgoing messages of a user agent."""
         if agent is not None:
             outgoing, agent.outgoing = agent.outgoing, []
             for message in outgoing:
                 self.transmit(agent.peer, message.peer, message.data)
 
     def run(self, seconds):
-        """Go on for so long."""
+        """Advance the simulated time by ``seconds``."""
         end = self.now + int(seconds * SECOND_US)
         while True:
             due = self._next_due()
@@ -149,7 +152,7 @@
         return sent
 
     def proxy_state_sizes(self):
-        """How much the proxy still holds."""
+        """Numbers of contexts, branches, open requests and counted contexts that the proxy holds."""
         store = self.proxy.store
         return (
             len(store.contexts),
--- a/tests/sip/sip_messages.py
+++ b/tests/sip/sip_messages.py
@@ -8,7 +8,7 @@
 
 
 def altered(*replacements):
-    """The request's bytes, with each old text replaced by the new one."""
+    """Return the request's bytes, with each old text replaced by its new one."""
     text = REQUEST
     for old, new in replacements:
         assert old in text
--- a/tests/sip/test_framing.py
+++ b/tests/sip/test_framing.py
@@ -1,4 +1,4 @@
-"""Framing of messages on a stream."""
+"""Tests of the framing of messages on a stream."""
 
 import random
 
@@ -15,18 +15,18 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_stream_returns_complete_messages_however_it_is_cut(seed):
+def test_stream_in_pieces_of_any_size_returns_complete_messages(seed):
     rng = random.Random(seed)
     length_headers = ("l", "Content-Length")
     messages = [request_with_body(rng.choice(length_headers), length) for length in (0, 3, 900)]
     data = b"\r\n\r\n" + b"".join(messages) + b"\r\n\r\n" + messages[1]
     stream = MessageStream()
-    found = []
+    received = []
     while data:
-        cut = rng.randint(1, 700)
-        found += stream.feed(data[:cut])
-        data = data[cut:]
-    assert found == [*messages, messages[1]]
+        piece_length = rng.randint(1, 700)
+        received += stream.feed(data[:piece_length])
+        data = data[piece_length:]
+    assert received == [*messages, messages[1]]
     assert len(stream) == 0
     assert stream.pending_pongs == 2
 
--- a/tests/sip/test_front.py
+++ b/tests/sip/test_front.py
@@ -1,4 +1,4 @@
-"""The front on real sockets: a node with HTTP and SIP, one balancer."""
+"""Tests of the SIP front on real sockets, in a node that serves HTTP and SIP with one balancer."""
 
 import asyncio
 import os
@@ -42,7 +42,7 @@
 
 
 class UserAgentSocket(asyncio.DatagramProtocol):
-    """A stand-in on a real socket, driven by the loop's clock."""
+    """A stand-in user agent on a real socket, driven by the event loop's clock."""
 
     def __init__(self, create_agent):
         self._create_agent = create_agent
@@ -82,7 +82,7 @@
 
 @asynccontextmanager
 async def user_agent(create_agent):
-    """A stand-in on a socket of its own."""
+    """Run a stand-in user agent on a socket of its own."""
     loop = asyncio.get_running_loop()
     _, agent_socket = await loop.create_datagram_endpoint(
         lambda: UserAgentSocket(create_agent), local_addr=("127.0.0.1", 0)
@@ -95,7 +95,7 @@
 
 @asynccontextmanager
 async def node_with_front(tmp_path, sip_port, server_ports):
-    """A node with the front, and endpoints ``s0``, ``s1`` and so on at these ports."""
+    """Run a node with the front, and endpoints ``s0``, ``s1`` and so on at these ports."""
     endpoints = ", ".join(
         f'{{name = "s{n}", address = "127.0.0.1:{port}"}}' for n, port in enumerate(server_ports)
     )
@@ -118,7 +118,10 @@
 
 
 def free_port():
-    """A port for datagrams and streams, below those of outgoing connections of other tests."""
+    """Return a port that is free for UDP and TCP.
+
+    It is below the ports that the system assigns to outgoing connections of other tests.
+    """
     rng = random.Random(os.getpid())
     while True:
         port = rng.randrange(15_000, 32_000)
@@ -133,7 +136,7 @@
 
 
 async def check_calls(phone, node, servers, port):
-    """All calls succeed though nobody listens at ``s2``, which costs no response."""
+    """Check that all requests succeed although nothing listens on the port of ``s2``."""
     sent = []
     for number in range(40):
         method = ("OPTIONS", "INVITE")[number % 2]
@@ -148,7 +151,10 @@
 
 
 async def check_stream(proxy):
-    """A request over TCP after a keep-alive, in pieces and then repeated, gets its response."""
+    """Check that a request over TCP gets its response.
+
+    The request follows a keep-alive, arrives in pieces and is retransmitted.
+    """
     reader, writer = await asyncio.open_connection(proxy.host, proxy.port)
     caller = UserAgentClient(Peer("TCP", "127.0.0.1", 9), proxy, 6)
     request = caller.build_request("OPTIONS", "sip:d@x", "tcp").to_bytes()
@@ -164,7 +170,7 @@
 
 
 async def check_draining(phone, front):
-    """A draining proxy rejects new requests."""
+    """Check that a draining proxy rejects a new request."""
     front.proxy.start_draining()
     rejected = phone.send_request("OPTIONS", "sip:d@x", "late")
     await until(lambda: rejected.final_statuses)
@@ -172,7 +178,7 @@
     assert rejected.retry_after == "1"
 
 
-def test_front_serves_udp_and_tcp_beside_a_refused_server_and_drains(tmp_path):
+def test_front_serves_udp_and_tcp_despite_a_refusing_server_and_drains(tmp_path):
     async def test():
         port, closed_port = free_port(), 1
         proxy = Peer("UDP", "127.0.0.1", port)
--- a/tests/sip/test_proxy.py
+++ b/tests/sip/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy alone: malformed messages, hops, loops and refusals."""
+"""Tests of the proxy alone: malformed messages, hops, loops and refused datagrams."""
 
 import pytest
 from hypothesis import given, settings
@@ -21,9 +21,10 @@
 SERVER = Peer("UDP", "10.2.0.1", 5060)
 FORWARDED = "forwarded"
 
-# Written anew from what RFC 4475 describes: the message, the status of the response to it (None:
-# none; FORWARDED: it goes to the balancer), and the section.
-TORTURE = [
+# Messages written anew after the descriptions in RFC 4475, whose sections the ids name. Each has the
+# status of the expected response, None for no response, or FORWARDED for a request that is passed to
+# the balancer.
+TORTURE_MESSAGES = [
     pytest.param(
         altered(
             (
@@ -58,7 +59,7 @@
     pytest.param(
         altered(("\r\n\r\n", "\r\nl: 0\r\n\r\nREGISTER sip:x SIP/2.0\r\n")),
         FORWARDED,
-        id="3.1.1.8 bytes behind the message",
+        id="3.1.1.8 bytes after the message",
     ),
     pytest.param(altered((";rport", ";rport;x=y;z")), FORWARDED, id="3.1.1.10 parameters unknown"),
     pytest.param(altered(("\r\nFrom", ";;,;,\r\nFrom")), None, id="3.1.2.1 odd separators in Via"),
@@ -77,7 +78,7 @@
         400,
         id="3.1.2.4 numbers too large",
     ),
-    pytest.param(altered(("To: <", 'To: "Mr <')), 400, id="3.1.2.6 a quote that never ends"),
+    pytest.param(altered(("To: <", 'To: "Mr <')), 400, id="3.1.2.6 unterminated quoted string"),
     pytest.param(
         altered(("OPTIONS sip:desk@10.0.0.1", "OPTIONS <sip:desk@10.0.0.1>")),
         400,
@@ -91,7 +92,7 @@
     pytest.param(
         altered((" SIP/2.0\r\nVia", " SIP/2.0  \r\nVia")),
         400,
-        id="3.1.2.10 blanks at the line's end",
+        id="3.1.2.10 blanks at the end of the line",
     ),
     pytest.param(altered(("SIP/2.0\r\nVia", "SIP/7.0\r\nVia")), 505, id="3.1.2.16 another version"),
     pytest.param(altered(("1 OPTIONS", "1 INVITE")), 400, id="3.1.2.17 methods differ"),
@@ -105,7 +106,7 @@
     pytest.param(
         altered(("OPTIONS sip:desk@10.0.0.1", "OPTIONS soap.beep:x")),
         400,
-        id="3.3.3 known scheme that is none of SIP's",
+        id="3.3.3 known scheme other than sip",
     ),
     pytest.param(
         altered(("Max", "Proxy-Require: nothingSupports\r\nMax")),
@@ -115,13 +116,13 @@
     pytest.param(
         altered(("Call-ID: c1", "Call-ID: c1\r\nCall-ID: c2")),
         400,
-        id="3.3.9 one header twice",
+        id="3.3.9 repeated header",
     ),
     pytest.param(altered(("Max-Forwards: 5", "Max-Forwards: 0")), 483, id="3.3.12 no hops left"),
     pytest.param(
         b"SIP/2.0 200 OK\r\n" + REQUEST.partition("\r\n")[2].encode(),
         None,
-        id="3.3.16 a response to nobody",
+        id="3.3.16 response without a transaction",
     ),
 ]
 
@@ -139,8 +140,8 @@
     return [action.event for action in actions if isinstance(action, PostEvent)]
 
 
-@pytest.mark.parametrize(("data", "expected"), TORTURE)
-def test_malformed_message_is_answered_by_its_fault(proxy, data, expected):
+@pytest.mark.parametrize(("data", "expected"), TORTURE_MESSAGES)
+def test_malformed_message_gets_the_response_to_its_fault(proxy, data, expected):
     actions = proxy.message_received(1, CALLER, data)
     statuses = [int(sent.data.split()[1]) for sent in transmits(actions)]
     assert statuses == ([expected] if isinstance(expected, int) else [])
@@ -148,7 +149,7 @@
     assert [type(event) for event in events(actions)] == received
 
 
-def test_response_goes_to_the_packets_source_and_a_spiral_is_no_loop(proxy):
+def test_response_goes_to_the_source_address_and_a_spiral_is_not_a_loop(proxy):
     source = Peer("UDP", "192.0.2.7", 7777)
     proxy.servers["s0"] = SERVER
     (posted,) = proxy.message_received(1, source, REQUEST.encode())
@@ -170,14 +171,14 @@
     assert isinstance(posted.event, RequestReceived)
 
     response = build_response(forwarded, 200, "t")
-    (answer,) = transmits(proxy.message_received(5, SERVER, response.to_bytes()))
-    assert answer.peer == source
-    assert len(parse_message(answer.data).get_all("via")) == 1
+    (forwarded_response,) = transmits(proxy.message_received(5, SERVER, response.to_bytes()))
+    assert forwarded_response.peer == source
+    assert len(parse_message(forwarded_response.data).get_all("via")) == 1
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.data())
-def test_no_bytes_crash_the_proxy_or_get_two_answers(data):
+def test_no_bytes_crash_the_proxy_or_get_two_responses(data):
     proxy = Proxy(proxy_settings(), 1)
     text = bytearray(REQUEST.encode())
     inserted = [b"", b"\r\n", b";", b",", b'"', b"<", b"\xff", b"=", b" ", b"SIP/2.0", b"Via: "]
@@ -194,8 +195,13 @@
     ("retransmitted", "result"),
     [(False, AttemptResult.CONNECT_FAILED), (True, AttemptResult.RESET)],
 )
-def test_refusal_means_never_ran_only_if_it_was_the_one_datagram(proxy, retransmitted, result):
-    """A server may have received an earlier datagram, or another request's, before it died."""
+def test_refused_datagram_means_request_never_ran_only_if_it_was_the_only_one(
+    proxy, retransmitted, result
+):
+    """A refusal affects only the request of its datagram.
+
+    After a retransmission the server may have received the earlier datagram before it died.
+    """
     now = 1
     proxy.servers["s0"] = SERVER
     sent = []
--- a/tests/sip/test_transactions.py
+++ b/tests/sip/test_transactions.py
@@ -1,15 +1,17 @@
-"""The four transaction state machines, beside the figures of RFC 3261, section 17."""
+"""Tests of the four transaction state machines against the figures of RFC 3261, section 17."""
 
 import pytest
 
 from oakbridge.sip.transaction import T1_US, T2_US, TRANSACTION_TIMEOUT_US, Transaction
 from oakbridge.sip.transaction_tables import Event, Output, State, Timer, TransactionType
 
-# When Timers E and G retransmit until F and H end the transaction, in units of T1.
+# Times in units of T1 at which Timer E or G retransmits; at the last one F or H fires. The interval
+# doubles up to T2, or is T2 after the first retransmission.
 CAPPED_AT_T2 = [1, 3, 7, 15, 23, 31, 39, 47, 55, 63, 64]
 EVERY_T2 = [1, 9, 17, 25, 33, 41, 49, 57, 64]
 
-# Figures 5 to 8, with RFC 6026: state, event, next state, outputs. All else changes nothing.
+# Figures 5 to 8, with RFC 6026: state, event, next state, outputs. Any other pair of state and event
+# changes nothing and has no outputs.
 FIGURES = {
     TransactionType.INVITE_CLIENT: """
         calling A calling retransmit
@@ -91,22 +93,25 @@
             transaction = Transaction(kind, False, state, {Timer.A: 9}, last_durations)
             outputs = [output.value for output in transaction.handle(event, 0)]
             unchanged = (state.value, [])
-            wanted = expected.get((state.value, event.value), unchanged)
-            assert (transaction.state.value, outputs) == wanted, (state, event)
+            expected_result = expected.get((state.value, event.value), unchanged)
+            assert (transaction.state.value, outputs) == expected_result, (state, event)
 
 
 def drive(kind, until, event=None, reliable=False):
-    """Drive a transaction a millisecond late; return its sends, in units of T1, and last state."""
+    """Drive a transaction, with its timers fired a millisecond late, up to the time ``until``.
+
+    Returns the due times of its transmissions and timeout in units of T1, and its last state.
+    """
     transaction = Transaction(kind, reliable)
     sends = []
-    counted = (Output.RETRANSMIT, Output.TIMEOUT)
+    recorded = (Output.RETRANSMIT, Output.TIMEOUT)
     if Output.RETRANSMIT in transaction.begin(0):
         sends.append(0)
     if event:
         transaction.handle(event, 0)
     while (due := transaction.next_timer()) is not None and due <= until:
         outputs = transaction.fire_timers(due + 1_000)
-        sends += [due // T1_US for output in outputs if output in counted]
+        sends += [due // T1_US for output in outputs if output in recorded]
     return sends, transaction.state
 
 
