--- a/oakbridge/sip/attempts.py
+++ b/oakbridge/sip/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: carries out the balancer's actions, and reports the result of each attempt to it.
+"""Attempts: carries out the balancer's actions, and reports the attempts' results to the balancer.
 
 Two rules hold here: no attempt starts for a request that has its final response or is cancelled,
 and a request never has two attempts in flight.
@@ -100,13 +100,13 @@
         """Respond with 503 and a Retry-After, which is rounded up to whole seconds."""
         seconds = max(1, -(-action.retry_after // SECOND_US))
         retry_after = [("retry-after", str(seconds))]
-        self._end_request(action.request_id, 503, now, retry_after)
+        self._finish_request(action.request_id, 503, now, retry_after)
 
     def fail(self, action: FailRequest, now: int) -> None:
         """Respond with 500."""
-        self._end_request(action.request_id, 500, now)
+        self._finish_request(action.request_id, 500, now)
 
-    def _end_request(
+    def _finish_request(
         self,
         request_id: int,
         status: int,
@@ -153,7 +153,7 @@
             self._server_transactions.respond(context, 487, now)
 
     def check_deadline(self, branch: AttemptBranch, now: int) -> None:
-        """End an attempt whose deadline has passed; a CANCEL may bring it forward."""
+        """End an attempt whose deadline has passed, or the wait for a cancelled attempt."""
         if branch.result_reported or branch.deadline > now:
             return
         self._abandon(branch, AttemptResult.TIMEOUT, now)
--- a/oakbridge/sip/caller_connections.py
+++ b/oakbridge/sip/caller_connections.py
@@ -52,7 +52,7 @@
             self._connections.on_message(self.peer, message)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Remove the connection from the registered ones."""
+        """Unregister the connection."""
         if self.peer is not None:
             self._connections.remove(self.peer)
 
--- a/oakbridge/sip/standins/user_agent_server.py
+++ b/oakbridge/sip/standins/user_agent_server.py
@@ -39,7 +39,7 @@
     last_response: bytes = b""
     final_status: int = 0  # 0: no final response was sent
     acknowledged: bool = False
-    repeat_interval_us: int = T1_US  # until its 2xx is repeated
+    repeat_interval_us: int = T1_US  # between repetitions of its 2xx
 
 
 Script = Callable[["UserAgentServer", ReceivedRequest, int], None]
--- a/oakbridge/sip/transaction_store.py
+++ b/oakbridge/sip/transaction_store.py
@@ -44,13 +44,13 @@
     """An attempt: a client transaction to the server that the balancer chose."""
 
     context: ResponseContext
-    number: int
-    server: str
+    number: int  # index in the context's attempts
+    server: str  # name in the endpoint list
     peer: Peer
     request: Request
     transaction: Transaction
     sent_at: int
-    deadline: int
+    deadline: int  # for the final response
     provisional_received: bool = False
     provisional_forwarded: bool = False  # a provisional response above 100: the call rings
     result_reported: bool = False  # to the balancer
--- a/tests/sip/test_transactions.py
+++ b/tests/sip/test_transactions.py
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "event", "reliable", "sends", "end"),
+    ("kind", "event", "reliable", "sends", "last_state"),
     [
         (
             TransactionType.INVITE_CLIENT,
@@ -143,6 +143,6 @@
         (TransactionType.NON_INVITE_SERVER, Event.SEND_SUCCESS, False, [], State.TERMINATED),
     ],
 )
-def test_timers_retransmit_and_end_a_transaction(kind, event, reliable, sends, end):
-    assert drive(kind, 2 * TRANSACTION_TIMEOUT_US, event, reliable) == (sends, end)
+def test_timers_retransmit_and_terminate_a_transaction(kind, event, reliable, sends, last_state):
+    assert drive(kind, 2 * TRANSACTION_TIMEOUT_US, event, reliable) == (sends, last_state)
     assert T2_US == 8 * T1_US
