--- a/benchmarks/connection_spread.py
+++ b/benchmarks/connection_spread.py
@@ -1,9 +1,11 @@
-"""How evenly connections fall on workers: by the kernel (SO_REUSEPORT) and by the supervisor (fewest first).
+"""Measures how evenly the kernel (SO_REUSEPORT) and the supervisor spread connections over workers.
 
 python benchmarks/connection_spread.py [--workers 4] [--rounds 200]
 
-A round opens so many connections and looks how many the fullest worker has, as a multiple of an even part; the table
-has the mean over the rounds, and the worst.  No node runs: the kernel's choice and the project's own rule are all.
+Each round opens a number of connections and counts those of the worker with the most, as a
+multiple of an even share (connections / workers).  The table shows the mean and the worst of all
+rounds.  No node runs: the program compares only the kernel's choice with the rule of
+`ConnectionBalancer` (fewest connections first).
 """
 
 from __future__ import annotations
@@ -20,8 +22,8 @@
 from oakbridge.workers.connection_balancer import ConnectionBalancer
 
 
-def by_kernel(workers: int, connections: int) -> Counter[int]:
-    """Connections of each listener on one port."""
+def distribute_by_kernel(workers: int, connections: int) -> Counter[int]:
+    """Return the connections accepted by each of several SO_REUSEPORT listeners on one port."""
     listeners = []
     port = 0
     for _ in range(workers):
@@ -44,13 +46,13 @@
                 except BlockingIOError:
                     continue
                 counts[key.data] += 1
-    for sock in (*clients, *listeners):
-        sock.close()
+    for open_socket in (*clients, *listeners):
+        open_socket.close()
     return counts
 
 
-def by_supervisor(workers: int, connections: int) -> Counter[int]:
-    """Connections of each worker by the project's rule, a load report coming after each connection."""
+def distribute_by_supervisor(workers: int, connections: int) -> Counter[int]:
+    """Return the connections of each worker by `ConnectionBalancer`, a load report after each."""
     balancer = ConnectionBalancer()
     counts = Counter[int]()
     for worker in range(workers):
@@ -64,22 +66,23 @@
 
 
 def main() -> None:
-    """Measure, and print a table."""
+    """Run the measurement and print a table."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--workers", type=int, default=4)
     parser.add_argument("--rounds", type=int, default=200)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     print(f"{'connections':>12}{'kernel, mean':>14}{'worst':>8}{'supervisor':>14}{'worst':>8}")
     for connections in (4, 8, 16, 64, 256):
         row = []
-        for way in (by_kernel, by_supervisor):
-            even = connections / given.workers
-            fullest = [
-                max(way(given.workers, connections).values()) / even for _ in range(given.rounds)
+        for distribute in (distribute_by_kernel, distribute_by_supervisor):
+            even_share = connections / arguments.workers
+            largest_shares = [
+                max(distribute(arguments.workers, connections).values()) / even_share
+                for _ in range(arguments.rounds)
             ]
-            row += [sum(fullest) / len(fullest), max(fullest)]
+            row += [sum(largest_shares) / len(largest_shares), max(largest_shares)]
         print(f"{connections:12}{row[0]:14.2f}{row[1]:8.2f}{row[2]:14.2f}{row[3]:8.2f}")
 
 
--- a/benchmarks/discovery_states.py
+++ b/benchmarks/discovery_states.py
@@ -1,7 +1,8 @@
-"""Every order of what can become of a node's calls to discovery around one change, to a depth.
+"""Searches every order of results of a node's discovery requests around one change, up to a depth.
 
-``python benchmarks/discovery_states.py [--deeper N] [--max-states N]``: one line a scenario; exits
-with 1 where a bound is broken, after the shortest course that breaks it.
+``python benchmarks/discovery_states.py [--deeper N] [--max-states N]`` prints one line per
+scenario.  Where a bound is broken it also prints the shortest trace that breaks it, and exits
+with 1.
 """
 
 from __future__ import annotations
@@ -18,39 +19,48 @@
 
 
 def search(scenario: Scenario, max_states: int) -> tuple[Exploration, float]:
-    """Return what a search found, and the latest time after the change at which it was known."""
+    """Search the states of a scenario.
+
+    Returns the result and the latest time in seconds, counted from the change, at which a node
+    learned of the change.
+    """
     model = DiscoveryModel(scenario)
-    found = explore(model, max_states)
-    return found, model.latest_known_at - scenario.change_at
+    exploration = explore(model, max_states)
+    return exploration, model.latest_known_at - scenario.change_at
 
 
 def main() -> int:
-    """Search all scenarios; return the exit status."""
-    arguments = argparse.ArgumentParser(description=__doc__)
-    arguments.add_argument("--deeper", type=int, default=0, help="so many more calls may fail")
-    arguments.add_argument("--max-states", type=int, default=500_000)
-    given = arguments.parse_args()
+    """Search all scenarios, print the results and return the exit status."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument(
+        "--deeper",
+        type=int,
+        default=0,
+        help="number of additional discovery requests that may fail",
+    )
+    parser.add_argument("--max-states", type=int, default=500_000)
+    options = parser.parse_args()
     scenarios = {
-        name: deepened(scenario, given.deeper)
+        name: deepened(scenario, options.deeper)
         for name, scenario in (GUARANTEED | NOT_GUARANTEED).items()
     }
     is_broken = False
     with ProcessPoolExecutor(PROCESSES) as pool:
         searches = {
-            name: pool.submit(search, scenario, given.max_states)
+            name: pool.submit(search, scenario, options.max_states)
             for name, scenario in scenarios.items()
         }
         for name, result in searches.items():
-            found, latest_s = result.result()
+            exploration, latest_s = result.result()
             print(
-                f"{name}: {scenarios[name].budget.failures} failures, {found.states} states,"
-                f" {found.transitions} transitions, {found.seconds:.1f} s"
-                f" ({found.states_per_s:.0f} states/s)"
-                f"{'' if found.is_complete else ', NOT ALL'}; latest {latest_s:.2f} s after the change"
+                f"{name}: {scenarios[name].budget.failures} failures, {exploration.states} states,"
+                f" {exploration.transitions} transitions, {exploration.seconds:.1f} s"
+                f" ({exploration.states_per_s:.0f} states/s)"
+                f"{'' if exploration.is_complete else ', NOT ALL'}; latest {latest_s:.2f} s after the change"
             )
-            if found.violation:
+            if exploration.violation:
                 is_broken = True
-                print(f"  {found.violation}", *found.trace, sep="\n    ")
+                print(f"  {exploration.violation}", *exploration.trace, sep="\n    ")
     return int(is_broken)
 
 
--- a/benchmarks/server_files.py
+++ b/benchmarks/server_files.py
@@ -1,10 +1,11 @@
-"""Server files: from rename to use, and how long the loop stalls while 10,000 servers are taken.
+"""Measures server files: ms from rename to use, and event loop stalls with 10,000 servers.
 
     python benchmarks/server_files.py [--rounds 300] [--servers 10000] [--json]
 
-One process holds a node with watched servers; another renames new versions into place.  Times are taken on the
-system's monotonic clock, which both share.  Stalls are measured inside the node's loop, by a task that sleeps 1 ms
-at a time: a stall is what it wakes late.
+One process runs a node that watches a server file; another process renames new versions into
+place.  Both read the system's monotonic clock, which they share.  A task in the node's event loop
+measures stalls: it sleeps 1 ms at a time, and a stall is the time by which it wakes late.  All
+figures are in milliseconds.
 """
 
 from __future__ import annotations
@@ -30,12 +31,12 @@
 
 
 def render(count: int, turn: int) -> str:
-    """A list of ``count`` servers; a tenth of them is new at each turn."""
+    """Return the JSON of a file with ``count`` servers; a tenth of them changes with each turn."""
     rows = []
     for i in range(count):
-        new = i % 10 == turn % 10
-        name = f"s{i}-{turn}" if new else f"s{i}"
-        port = 1000 + turn % 500 if new else 999
+        is_new = i % 10 == turn % 10
+        name = f"s{i}-{turn}" if is_new else f"s{i}"
+        port = 1000 + turn % 500 if is_new else 999
         rows.append(
             {
                 "name": name,
@@ -46,30 +47,30 @@
     return json.dumps({"endpoints": rows})
 
 
-def writer(path: Path, count: int, rounds: int, gap_s: float, pipe: Any) -> None:
-    """Another process: prepares each version, then renames it, noting when."""
+def rename_versions(path: Path, count: int, rounds: int, gap_s: float, pipe: Any) -> None:
+    """Rename each version into place and send the rename time; runs in another process."""
     for turn in range(1, rounds + 1):
         text = render(count, turn)
-        new = path.with_suffix(".new")
-        new.write_text(text)
+        new_path = path.with_suffix(".new")
+        new_path.write_text(text)
         pipe.recv()
         time.sleep(gap_s)
-        at = time.monotonic()
-        os.rename(new, path)
-        pipe.send(at)
+        renamed_at = time.monotonic()
+        os.rename(new_path, path)
+        pipe.send(renamed_at)
 
 
-async def stalls(late: list[float], done: asyncio.Event) -> None:
-    """How late a task wakes that sleeps 1 ms at a time."""
+async def record_stalls(late_s: list[float], done: asyncio.Event) -> None:
+    """Append to ``late_s`` by how much each sleep of 1 ms is late, until ``done`` is set."""
     loop = asyncio.get_running_loop()
     while not done.is_set():
         due = loop.time() + 0.001
         await asyncio.sleep(0.001)
-        late.append(max(0.0, loop.time() - due))
+        late_s.append(max(0.0, loop.time() - due))
 
 
 async def measure(count: int, rounds: int, gap_s: float) -> dict[str, float]:
-    """Play it; returns the figures in milliseconds."""
+    """Rename a file with ``count`` servers ``rounds`` times; return the figures in ms."""
     loop = asyncio.get_running_loop()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "servers.json"
@@ -85,68 +86,72 @@
         node = Node(config, loop, lambda clock: FileSource(options, clock.now))
         source = node.source
         assert isinstance(source, FileSource)
-        used: asyncio.Queue[float] = asyncio.Queue()
-        listed = node.endpoints.on_endpoint_list
+        applied_at: asyncio.Queue[float] = asyncio.Queue()
+        apply_list = node.endpoints.on_endpoint_list
 
-        def noted(new: Any, *, saved: bool = False) -> None:
-            listed(new, saved=saved)
-            used.put_nowait(time.monotonic())
+        def apply_list_and_record(endpoint_list: Any, *, saved: bool = False) -> None:
+            apply_list(endpoint_list, saved=saved)
+            applied_at.put_nowait(time.monotonic())
 
-        node.endpoints.on_endpoint_list = noted  # type: ignore[method-assign]
+        node.endpoints.on_endpoint_list = apply_list_and_record  # type: ignore[method-assign]
         source.start()
         await source.ready()
-        used.get_nowait()
+        applied_at.get_nowait()
         await asyncio.sleep(0.5)
         gc.collect()
         gc.freeze()
-        here, there = multiprocessing.Pipe()
-        process = multiprocessing.Process(target=writer, args=(path, count, rounds, gap_s, there))
+        own_pipe_end, writer_pipe_end = multiprocessing.Pipe()
+        process = multiprocessing.Process(
+            target=rename_versions, args=(path, count, rounds, gap_s, writer_pipe_end)
+        )
         process.start()
-        late: list[float] = []
+        late_s: list[float] = []
         done = asyncio.Event()
-        watching = loop.create_task(stalls(late, done))
-        took = []
+        stall_task = loop.create_task(record_stalls(late_s, done))
+        use_times_s = []
         for _ in range(rounds):
-            here.send(True)
-            renamed = await asyncio.to_thread(here.recv)
-            took.append(await asyncio.wait_for(used.get(), 30) - renamed)
+            own_pipe_end.send(True)
+            renamed = await asyncio.to_thread(own_pipe_end.recv)
+            use_times_s.append(await asyncio.wait_for(applied_at.get(), 30) - renamed)
         await asyncio.sleep(0.3)
         done.set()
-        await watching
+        await stall_task
         process.join()
         node.close()
-    ordered = sorted(took)
+    sorted_use_times_s = sorted(use_times_s)
     return {
         "servers": count,
         "rounds": rounds,
-        "use_median_ms": 1000 * statistics.median(took),
-        "use_p99_ms": 1000 * ordered[min(len(ordered) - 1, int(0.99 * len(ordered)))],
-        "use_most_ms": 1000 * ordered[-1],
-        "stall_p999_ms": 1000 * sorted(late)[int(0.999 * len(late))],
-        "stall_most_ms": 1000 * max(late),
+        "use_median_ms": 1000 * statistics.median(use_times_s),
+        "use_p99_ms": 1000
+        * sorted_use_times_s[min(len(sorted_use_times_s) - 1, int(0.99 * len(sorted_use_times_s)))],
+        "use_most_ms": 1000 * sorted_use_times_s[-1],
+        "stall_p999_ms": 1000 * sorted(late_s)[int(0.999 * len(late_s))],
+        "stall_most_ms": 1000 * max(late_s),
     }
 
 
 def main() -> None:
-    """Measure a small file and a large one."""
+    """Measure a small and a large file, and print the figures."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--rounds", type=int, default=300)
     parser.add_argument("--servers", type=int, default=10_000)
     parser.add_argument("--json", action="store_true")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     results = [
-        asyncio.run(measure(20, given.rounds, 0.05)),
-        asyncio.run(measure(given.servers, max(10, given.rounds // 10), 0.2)),
+        asyncio.run(measure(20, arguments.rounds, 0.05)),
+        asyncio.run(measure(arguments.servers, max(10, arguments.rounds // 10), 0.2)),
     ]
-    if given.json:
+    if arguments.json:
         print(json.dumps(results, indent=2))
         return
     for result in results:
         print(
             "  ".join(
-                f"{k} {v:.1f}" if isinstance(v, float) else f"{k} {v}" for k, v in result.items()
+                f"{key} {value:.1f}" if isinstance(value, float) else f"{key} {value}"
+                for key, value in result.items()
             )
         )
 
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -1,8 +1,9 @@
-"""Start-up and memory of the platform's node: until it listens, and its resident memory a second later.
+"""Measures a node's start-up time (ms until it listens) and its resident MB one second later.
 
     python benchmarks/startup.py [--module oakbridge] [--folder .] [--rounds 15]
 
-``--folder`` and ``--module`` name another checkout, to compare with.
+The node is configured by NODE_CONFIG, as on the platform.  ``--folder`` and ``--module`` select
+another checkout for comparison.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 }  # fmt: skip
 
 
-def one(module: str, folder: Path, config: Path) -> tuple[float, float]:
-    """Start a node once; returns milliseconds until it listens, and megabytes."""
+def measure_start(module: str, folder: Path, config: Path) -> tuple[float, float]:
+    """Start a node; return the ms until it listens and its resident MB a second later."""
     begin = time.monotonic()
     process = subprocess.Popen(
         [sys.executable, "-m", module],
@@ -36,36 +37,39 @@
     )
     assert process.stderr is not None
     while b"node listening" not in process.stderr.readline():
-        assert process.poll() is None, "the node has ended"
-    took = time.monotonic() - begin
+        assert process.poll() is None, "the node exited before it listened"
+    start_s = time.monotonic() - begin
     time.sleep(1)
     status = Path(f"/proc/{process.pid}/status").read_text()
-    resident = (
+    resident_mb = (
         int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1])
         / 1024
     )
     process.kill()
     process.wait()
     process.stderr.close()
-    return 1000 * took, resident
+    return 1000 * start_s, resident_mb
 
 
 def main() -> None:
-    """Measure, and print medians."""
+    """Run the measurement and print the medians."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--module", default="oakbridge")
     parser.add_argument("--folder", type=Path, default=Path())
     parser.add_argument("--rounds", type=int, default=15)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "config.json"
-        raw = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
-        config.write_text(json.dumps(raw))
-        found = [one(given.module, given.folder, config) for _ in range(given.rounds)]
-    print(f"listens after {statistics.median(f[0] for f in found):.0f} ms (median of {len(found)}), "
-          f"{statistics.median(f[1] for f in found):.1f} MB resident a second later")  # fmt: skip
+        node_config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
+        config.write_text(json.dumps(node_config))
+        starts = [
+            measure_start(arguments.module, arguments.folder, config)
+            for _ in range(arguments.rounds)
+        ]
+    print(f"listens after {statistics.median(start[0] for start in starts):.0f} ms (median of {len(starts)}), "
+          f"{statistics.median(start[1] for start in starts):.1f} MB resident a second later")  # fmt: skip
 
 
 if __name__ == "__main__":
