--- a/benchmarks/idle_connections.py
+++ b/benchmarks/idle_connections.py
@@ -1,10 +1,12 @@
-"""What idle connections cost a node: memory over the empty node, and how often it wakes with all of them at rest.
+"""Measures the cost of idle connections to a node: memory (MB, KB each) and wake-ups per second.
 
     python benchmarks/idle_connections.py [--connections 10000] [--waking 0.01] [--seconds 8] [--json]
 
-Another process opens the connections, has one request answered on each and lets them rest; then one in a hundred
-(``--waking``) asks once more.  Wake-ups are the node's voluntary context switches, from /proc; the node itself closes
-what has rested for 15 s, so that a measurement has to fit in between.
+This process opens the connections, sends one request on each and leaves them idle for
+``--seconds``; then one in a hundred (``--waking``) sends another request.  Memory is counted
+beyond the node with no idle connections.  Wake-ups are the node's voluntary context switches,
+from /proc.  The node closes a connection that is idle for 15 s, so a measurement has to finish
+before.
 """
 
 from __future__ import annotations
@@ -39,57 +41,57 @@
 [log]
 level = "error"
 """
-ASK = b"GET /-/ready HTTP/1.1\r\nhost: idle\r\n\r\n"
+REQUEST = b"GET /-/ready HTTP/1.1\r\nhost: idle\r\n\r\n"
 
 
-class Caller(asyncio.Protocol):
-    """One connection that asks when told to."""
+class ClientConnection(asyncio.Protocol):
+    """A client connection that sends a request on each call of `send_request`."""
 
     def __init__(self) -> None:
-        self.answers, self.lost = 0, False
-        self.answered: asyncio.Future[None] | None = None
+        self.response_count, self.is_closed = 0, False
+        self.response_received: asyncio.Future[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep it."""
+        """Keep the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """An answer is one packet."""
-        self.answers += 1
-        if self.answered is not None and not self.answered.done():
-            self.answered.set_result(None)
+        """Count a response; each arrives as one packet."""
+        self.response_count += 1
+        if self.response_received is not None and not self.response_received.done():
+            self.response_received.set_result(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is gone."""
-        self.lost = True
-        if self.answered is not None and not self.answered.done():
-            self.answered.set_result(None)
+        """Record that the connection is closed, and release a waiting `send_request`."""
+        self.is_closed = True
+        if self.response_received is not None and not self.response_received.done():
+            self.response_received.set_result(None)
 
-    async def ask(self) -> None:
-        """One request and its answer."""
-        self.answered = asyncio.get_running_loop().create_future()
-        self.transport.write(ASK)
-        await asyncio.wait_for(self.answered, 10)
+    async def send_request(self) -> None:
+        """Send one request and wait up to 10 s for its response."""
+        self.response_received = asyncio.get_running_loop().create_future()
+        self.transport.write(REQUEST)
+        await asyncio.wait_for(self.response_received, 10)
 
 
-async def open_some(port: int, count: int) -> list[Caller]:
-    """Connections on which one request was answered."""
+async def open_connections(port: int, count: int) -> list[ClientConnection]:
+    """Open ``count`` connections, at most 200 at a time, with one request answered on each."""
     loop = asyncio.get_running_loop()
-    callers: list[Caller] = []
+    connections: list[ClientConnection] = []
 
-    async def one() -> None:
-        _, caller = await loop.create_connection(Caller, "127.0.0.1", port)
-        callers.append(caller)
-        await caller.ask()
+    async def open_one() -> None:
+        _, connection = await loop.create_connection(ClientConnection, "127.0.0.1", port)
+        connections.append(connection)
+        await connection.send_request()
 
     for start in range(0, count, 200):
-        await asyncio.gather(*(one() for _ in range(min(200, count - start))))
-    return callers
+        await asyncio.gather(*(open_one() for _ in range(min(200, count - start))))
+    return connections
 
 
-def status(pid: int) -> dict[str, int]:
-    """Resident kilobytes, context switches, and clock ticks of the processor."""
+def process_figures(pid: int) -> dict[str, int]:
+    """Return a process's resident KB, voluntary context switches and clock ticks of CPU time."""
     lines = dict(
         line.split(":", 1)
         for line in Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -102,66 +104,70 @@
     }  # fmt: skip
 
 
-async def measure(pid: int, port: int, given: argparse.Namespace) -> dict[str, float]:
-    """Empty, full and at rest, then with some that wake."""
-    await open_some(port, 1)
+async def measure(pid: int, port: int, options: argparse.Namespace) -> dict[str, float]:
+    """Measure the node empty, with all connections idle, and while some of them send again."""
+    await open_connections(port, 1)
     await asyncio.sleep(0.5)
-    empty = status(pid)
+    empty = process_figures(pid)
     begin = time.monotonic()
-    callers = await open_some(port, given.connections)
-    opened = time.monotonic() - begin
+    connections = await open_connections(port, options.connections)
+    open_s = time.monotonic() - begin
     await asyncio.sleep(0.5)
-    full = status(pid)
-    await asyncio.sleep(given.seconds)
-    rested = status(pid)
-    waking = callers[:: max(1, round(1 / given.waking))]
+    full = process_figures(pid)
+    await asyncio.sleep(options.seconds)
+    after_idle = process_figures(pid)
+    waking = connections[:: max(1, round(1 / options.waking))]
     begin = time.monotonic()
-    await asyncio.gather(*(c.ask() for c in waking))
+    await asyncio.gather(*(connection.send_request() for connection in waking))
     return {
-        "connections": len(callers), "opened in s": round(opened, 1),
-        "lost while at rest": sum(c.lost for c in callers),
+        "connections": len(connections), "opened in s": round(open_s, 1),
+        "lost while at rest": sum(connection.is_closed for connection in connections),
         "MB over the empty node": round((full["kb"] - empty["kb"]) / 1024, 1),
-        "KB a connection": round((full["kb"] - empty["kb"]) / len(callers), 1),
-        "wake-ups a second at rest": round((rested["wakes"] - full["wakes"]) / given.seconds, 2),
-        "ms of processor a second at rest": round((rested["ticks"] - full["ticks"]) * 10 / given.seconds, 1),
-        "those that wake": len(waking), "answered": sum(c.answers == 2 for c in waking),
+        "KB a connection": round((full["kb"] - empty["kb"]) / len(connections), 1),
+        "wake-ups a second at rest": round((after_idle["wakes"] - full["wakes"]) / options.seconds, 2),
+        "ms of processor a second at rest": round((after_idle["ticks"] - full["ticks"]) * 10 / options.seconds, 1),
+        "those that wake": len(waking), "answered": sum(connection.response_count == 2 for connection in waking),
         "answered within ms": round((time.monotonic() - begin) * 1e3, 1),
     }  # fmt: skip
 
 
 def main() -> None:
-    """Measure, and print a table."""
+    """Run the measurement and print a table."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--connections", type=int, default=10_000)
     parser.add_argument(
-        "--waking", type=float, default=0.01, help="this part of them asks once more"
+        "--waking",
+        type=float,
+        default=0.01,
+        help="fraction of the connections that sends another request",
     )
     parser.add_argument("--seconds", type=float, default=8)
     parser.add_argument("--json", action="store_true")
-    given = parser.parse_args()
-    with socket.create_server(("127.0.0.1", 0)) as sock:
-        port = sock.getsockname()[1]
+    options = parser.parse_args()
+    with socket.create_server(("127.0.0.1", 0)) as probe_socket:
+        port = probe_socket.getsockname()[1]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "idle.toml"
-        # Four tenths of the descriptors are the servers'; of the rest a quarter stays free, or connections end.
+        # The node reserves 40% of the descriptors for servers.  Of the rest it keeps a quarter free,
+        # by closing connections.
         path.write_text(
-            CONFIG.format(port=port, sockets=int(given.connections / 0.75 / 0.6) + 1000)
+            CONFIG.format(port=port, sockets=int(options.connections / 0.75 / 0.6) + 1000)
         )
-        words = [sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(path)]
-        node = subprocess.Popen(words, env={**os.environ, "PYTHONPATH": str(ROOT)})
+        command = [sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(path)]
+        node = subprocess.Popen(command, env={**os.environ, "PYTHONPATH": str(ROOT)})
         try:
             for _ in range(200):
-                with socket.socket() as sock:
-                    if sock.connect_ex(("127.0.0.1", port)) == 0:
+                with socket.socket() as probe_socket:
+                    if probe_socket.connect_ex(("127.0.0.1", port)) == 0:
                         break
                 time.sleep(0.05)
-            figures = asyncio.run(measure(node.pid, port, given))
+            figures = asyncio.run(measure(node.pid, port, options))
         finally:
             node.terminate()
             node.wait(20)
-    if given.json:
+    if options.json:
         print(json.dumps(figures, indent=1))
     else:
         print("\n".join(f"{name:34}{figure:>12,}" for name, figure in figures.items()))
