--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -1,9 +1,12 @@
-"""What knowing 199 others costs a node: requests a second with and without `[peers]`, in pairs; processor time at rest.
+"""Measures the cost of 199 other members to a node: requests/s and idle CPU with and without peers.
 
     python benchmarks/members_cost.py [--turns 5] [--seconds 5] [--members 200]
 
-The others are real members on sockets of their own in one process; the node is a process of its own, asked by 64
-connections as fast as they can.  Both ways take turns; the pairs' ratio is what counts.
+The other members are real ones with sockets of their own, all in one process.  The node is a
+process of its own and gets requests over 64 connections, one at a time on each, as fast as it
+answers.  Each turn measures the node with and without `[peers]`, in alternating order.  Printed
+are the ratio of the request rates in each turn, its median, and the idle CPU as a percentage of a
+core.
 """
 
 from __future__ import annotations
@@ -28,29 +31,29 @@
 ROOT = Path(__file__).resolve().parents[1]
 SECRET = b"0123456789abcdef"
 HEAD = b"GET /read HTTP/1.1\r\nHost: x\r\nX-Request-ID: %x\r\nX-Priority-Class: read\r\nX-Timeout: 5000m\r\n\r\n"
-MANY, SERVERS = 64, 4
+CONNECTIONS, SERVERS = 64, 4
 
 
-async def others(base: int, many: int) -> None:
-    """So many members, until the pipe closes."""
+async def run_other_members(base: int, count: int) -> None:
+    """Run all members but the node under test, until standard input closes."""
     logging.disable(logging.WARNING)
     seeds = tuple((host(NODE_NET, n), base + MEMBER) for n in range(1, 4))
-    held = []
-    for n in range(1, many):
+    members = []
+    for n in range(1, count):
         listen = (host(NODE_NET, n), base + MEMBER)
         options = ServiceOptions(f"m{n:03d}", listen, SECRET, seeds=seeds, tags={"site": "a"})
-        held.append(MembershipService(options))
-    for one in held:
-        await one.start()
+        members.append(MembershipService(options))
+    for member in members:
+        await member.start()
         await asyncio.sleep(0.05)
     print("ready", flush=True)
     await asyncio.to_thread(sys.stdin.read)
-    for one in held:
-        one.close()
+    for member in members:
+        member.close()
 
 
-def configuration(folder: Path, base: int, port: int, members: bool) -> Path:
-    """A node's file."""
+def write_config(folder: Path, base: int, port: int, has_peers: bool) -> Path:
+    """Write the node's secret and its configuration, with `[peers]` if asked; return the path."""
     (folder / "secret").write_bytes(SECRET)
     servers = ", ".join(
         f'{{ name = "s{n}", address = "{host(SERVER_NET, n)}:{base + SERVER}" }}'
@@ -72,7 +75,7 @@
 [log]
 level = "error"
 """
-    if members:
+    if has_peers:
         text += f"""
 [peers]
 listen = "{host(NODE_NET, 0)}:{base + MEMBER}"
@@ -84,55 +87,57 @@
     return path
 
 
-async def asked(where: tuple[str, int], seconds: float) -> float:
-    """Requests a second by 64 connections, as fast as they can."""
+async def measure_rate(address: tuple[str, int], seconds: float) -> float:
+    """Return the served requests per second over 64 connections, without pauses."""
     count, sent, end = 0, 0, time.perf_counter() + seconds
 
-    async def one() -> None:
+    async def send_requests() -> None:
         nonlocal count, sent
-        _, connection = await asyncio.get_running_loop().create_connection(ClientConnection, *where)
+        _, connection = await asyncio.get_running_loop().create_connection(
+            ClientConnection, *address
+        )
         while time.perf_counter() < end:
             sent += 1
-            answer = await connection.send_request(HEAD % sent)
-            count += answer.status == 200  # one that is turned away is no request served
+            response = await connection.send_request(HEAD % sent)
+            count += response.status == 200  # a rejected request is not counted
         assert connection.transport is not None
         connection.transport.close()
 
-    await asyncio.gather(*(one() for _ in range(MANY)))
+    await asyncio.gather(*(send_requests() for _ in range(CONNECTIONS)))
     return count / seconds
 
 
-def spent(pid: int) -> float:
-    """Processor seconds of a process so far."""
+def cpu_seconds(pid: int) -> float:
+    """Return the CPU seconds of a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def turn(
-    folder: Path, base: int, members: bool, seconds: float, rest: float
+async def measure_node(
+    folder: Path, base: int, has_peers: bool, seconds: float, idle_s: float
 ) -> tuple[float, float]:
-    """Requests a second, and the part of a core that the node needs at rest."""
+    """Return the requests per second and the fraction of a core that the idle node uses."""
     port = base + 50
-    path = configuration(folder, base, port, members)
+    path = write_config(folder, base, port, has_peers)
     env = {**os.environ, "PYTHONPATH": str(ROOT)}
     node = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(path), env=env
     )
     try:
-        await asyncio.sleep(6.0 if members else 2.0)  # until it has met the others
-        before = spent(node.pid)
-        await asyncio.sleep(rest)
-        idle = (spent(node.pid) - before) / rest
-        return await asked((host(NODE_NET, 0), port), seconds), idle
+        await asyncio.sleep(6.0 if has_peers else 2.0)  # time to join the other members
+        cpu_before_s = cpu_seconds(node.pid)
+        await asyncio.sleep(idle_s)
+        idle_fraction = (cpu_seconds(node.pid) - cpu_before_s) / idle_s
+        return await measure_rate((host(NODE_NET, 0), port), seconds), idle_fraction
     finally:
         node.send_signal(
             signal.SIGKILL
-        )  # it is to fail for the others, not to leave: as in a crash
+        )  # as in a crash: the other members detect a failure, no leave
         await node.wait()
 
 
 async def main() -> int:
-    """Measure."""
+    """Run all turns and print the figures; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--turns", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=5.0)
@@ -141,41 +146,44 @@
     parser.add_argument("--others", type=int, default=0, help=argparse.SUPPRESS)
     args = parser.parse_args()
     if args.others:
-        await others(args.others, args.members)
+        await run_other_members(args.others, args.members)
         return 0
     slot, lock = claim()
     plan = ServersTable.model_validate({"workers": 1000, "time": "1us", "cold_for": "0s"})
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder = Path(folder_name)
         servers = Helper({
             "base": slot.base, "plan": plan.model_dump(), "seed": 1, "out": str(folder / "executions.parquet"),
             "servers": [(n, f"s{n}") for n in range(SERVERS)],
         })  # fmt: skip
         await servers.start()
-        beside = await asyncio.create_subprocess_exec(
+        members_process = await asyncio.create_subprocess_exec(
             sys.executable, __file__, "--others", str(slot.base), "--members", str(args.members),
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, env={**os.environ, "PYTHONPATH": str(ROOT)},
         )  # fmt: skip
-        assert beside.stdin is not None
-        assert beside.stdout is not None
-        assert b"ready" in await beside.stdout.readline()
-        ratios, idles = [], []
-        for number in range(args.turns):
-            order = (False, True) if number % 2 else (True, False)
-            found = {m: await turn(folder, slot.base, m, args.seconds, args.rest) for m in order}
-            (without, idle_without), (with_members, idle_with) = found[False], found[True]
+        assert members_process.stdin is not None
+        assert members_process.stdout is not None
+        assert b"ready" in await members_process.stdout.readline()
+        ratios, idle_costs = [], []
+        for turn in range(args.turns):
+            order = (False, True) if turn % 2 else (True, False)
+            figures = {
+                has_peers: await measure_node(folder, slot.base, has_peers, args.seconds, args.rest)
+                for has_peers in order
+            }
+            (without, idle_without), (with_members, idle_with) = figures[False], figures[True]
             ratios.append(with_members / without)
-            idles.append(idle_with - idle_without)
+            idle_costs.append(idle_with - idle_without)
             print(
-                f"turn {number + 1}: without {without:.0f}/s, with {with_members:.0f}/s, ratio {ratios[-1]:.3f}; "
+                f"turn {turn + 1}: without {without:.0f}/s, with {with_members:.0f}/s, ratio {ratios[-1]:.3f}; "
                 f"at rest {idle_without:.2%} and {idle_with:.2%} of a core", flush=True,
             )  # fmt: skip
         print(
             f"median ratio {statistics.median(ratios):.3f} ({min(ratios):.3f} to {max(ratios):.3f}); "
-            f"members cost {statistics.median(idles):.2%} of a core at rest"
+            f"members cost {statistics.median(idle_costs):.2%} of a core at rest"
         )
-        beside.stdin.close()
-        await beside.wait()
+        members_process.stdin.close()
+        await members_process.wait()
     lock.close()
     return 0
 
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -1,9 +1,11 @@
-"""Peak memory and small requests' latency of one node while long answers and bodies pass through it.
+"""Measures a node's peak memory and small requests' latency while long bodies pass through it.
 
     python benchmarks/streams.py [--answers 20] [--bodies 20] [--megabytes 32] [--seconds 8]
 
-One node as the platform starts it (192 MB told), two stand-in servers and the callers in this process; everything on
-loopback.  Prints small requests alone, then beside the long ones, and the node's peak (VmHWM).
+The node runs as the platform starts it, with a memory limit of 192 MB in its configuration.  Two
+stand-in servers and all clients run in this process, over loopback.  Printed are the latencies of
+small requests (ms) without and with long requests and responses beside them, and the node's peak
+resident memory (VmHWM, MB).
 """
 
 from __future__ import annotations
@@ -20,7 +22,7 @@
 import time
 from pathlib import Path
 
-PART = b"x" * 65536
+CHUNK = b"x" * 65536
 SETTINGS = {
     "allowed": {"cancelling": True, "max-attempts": 3, "connect-timeout": 2_000_000, "conn-idle": 30_000_000},
     "classes": [{"name": "look", "aim": 5_000_000, "deadline": 20_000_000, "idempotency": "pure"}],
@@ -30,113 +32,121 @@
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, size: int) -> None:
-    """A server: long answers for /long, short ones else; bodies are read whole."""
+    """Serve one connection: read whole bodies; respond long to /long, short to all else."""
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).lower()
-            left = (
+            bytes_left = (
                 int(head.split(b"content-length: ")[1].split(b"\r\n")[0])
                 if b"content-length: " in head
                 else 0
             )
-            while left:
-                left -= len(await reader.read(min(left, 65536)))
+            while bytes_left:
+                bytes_left -= len(await reader.read(min(bytes_left, 65536)))
             if b" /long " in head:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
-                for _ in range(size // len(PART)):
-                    writer.write(PART)
+                for _ in range(size // len(CHUNK)):
+                    writer.write(CHUNK)
                     await writer.drain()
             else:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
-class Callers:
-    """All callers, and what they saw."""
+class Clients:
+    """All clients, with the latencies of small requests and the count of whole long ones."""
 
     def __init__(self, port: int, size: int) -> None:
         self.port, self.size, self.number = port, size, 0
-        self.small: list[float] = []
-        self.long = 0
+        self.small_latencies_s: list[float] = []
+        self.whole_long_count = 0
 
     def _head(self, method: str, url: str, *lines: str) -> bytes:
         self.number += 1
-        first = [
+        first_lines = [
             f"{method} {url} HTTP/1.1",
             "Host: a",
             f"X-Request-ID: b{self.number}",
             "X-Priority-Class: look",
         ]
-        return ("\r\n".join([*first, *lines]) + "\r\n\r\n").encode()
+        return ("\r\n".join([*first_lines, *lines]) + "\r\n\r\n").encode()
 
     @staticmethod
-    async def _answer(reader: asyncio.StreamReader, pause: float = 0.0) -> int:
+    async def _read_response(reader: asyncio.StreamReader, pause_s: float = 0.0) -> int:
         head = await reader.readuntil(b"\r\n\r\n")
-        left = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
-        while left:
-            left -= len(await reader.read(min(left, 65536)))
-            if pause:
-                await asyncio.sleep(pause)
+        bytes_left = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
+        while bytes_left:
+            bytes_left -= len(await reader.read(min(bytes_left, 65536)))
+            if pause_s:
+                await asyncio.sleep(pause_s)
         return int(head.split(b" ")[1])
 
-    async def ask(self, until: float) -> None:
-        """Small requests, one after another."""
+    async def send_small_requests(self, until: float) -> None:
+        """Send small requests, one after another, until the time ``until`` (monotonic seconds)."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         while time.monotonic() < until:
-            began = time.perf_counter()
+            begin = time.perf_counter()
             writer.write(self._head("GET", "/short"))
-            assert await self._answer(reader) == 200
-            self.small.append(time.perf_counter() - began)
+            assert await self._read_response(reader) == 200
+            self.small_latencies_s.append(time.perf_counter() - begin)
             await asyncio.sleep(0.005)
         writer.close()
 
-    async def read(self, pause: float) -> None:
-        """One long answer, read slowly."""
+    async def read(self, pause_s: float) -> None:
+        """Read one long response, with a pause in seconds after each read of up to 64 KB."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(self._head("GET", "/long"))
-        got = await self._answer(reader, pause)
-        self.long += got == 200
+        status = await self._read_response(reader, pause_s)
+        self.whole_long_count += status == 200
         writer.close()
 
     async def write(self) -> None:
-        """One long body."""
+        """Send one request with a long body."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(self._head("POST", "/short", f"Content-Length: {self.size}"))
-        for _ in range(self.size // len(PART)):
-            writer.write(PART)
+        for _ in range(self.size // len(CHUNK)):
+            writer.write(CHUNK)
             await writer.drain()
-        got = await self._answer(reader)
-        self.long += got == 200
+        status = await self._read_response(reader)
+        self.whole_long_count += status == 200
         writer.close()
 
 
-def peak(pid: int) -> float:
-    """A process's peak resident memory in MB."""
+def peak_memory_mb(pid: int) -> float:
+    """Return a process's peak resident memory in MB; raises OSError if /proc does not give it."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmHWM"):
             return int(line.split()[1]) / 1024
-    raise OSError("no VmHWM")
+    raise OSError(f"/proc/{pid}/status: expected VmHWM, got no such line")
 
 
 async def measure(options: argparse.Namespace) -> None:
-    """Play it."""
-    size = options.megabytes * 1024 * 1024 // len(PART) * len(PART)
+    """Start servers and node, send the load and print the figures."""
+    size = options.megabytes * 1024 * 1024 // len(CHUNK) * len(CHUNK)
     servers = [
-        await asyncio.start_server(lambda r, w: serve(r, w, size), "127.0.0.1", 0) for _ in range(2)
+        await asyncio.start_server(
+            lambda reader, writer: serve(reader, writer, size), "127.0.0.1", 0
+        )
+        for _ in range(2)
     ]
-    ports = [s.sockets[0].getsockname()[1] for s in servers]
-    known = [
-        {"name": f"s-{p}", "address": f"127.0.0.1:{p}", "status": "ready", "since_ms": 0}
-        for p in ports
+    ports = [server.sockets[0].getsockname()[1] for server in servers]
+    endpoints = [
+        {
+            "name": f"s-{server_port}",
+            "address": f"127.0.0.1:{server_port}",
+            "status": "ready",
+            "since_ms": 0,
+        }
+        for server_port in ports
     ]
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder, "c.json")
-        door = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        port = door.sockets[0].getsockname()[1]
-        door.close()
+        probe_server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
+        port = probe_server.sockets[0].getsockname()[1]
+        probe_server.close()
         config.write_text(json.dumps({
             "name": "b", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9", "seed": "7", "settings": SETTINGS,
             "limits": {"memory_mb": 192, "sockets": 512},
-            "known": {"index": 1, "snapshot": True, "endpoints": known},
+            "known": {"index": 1, "snapshot": True, "endpoints": endpoints},
         }))  # fmt: skip
         node = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "oakbridge", env=os.environ | {"NODE_CONFIG": str(config), "TMPDIR": folder},
@@ -148,38 +158,44 @@
                     (await asyncio.open_connection("127.0.0.1", port))[1].close()
                     break
                 await asyncio.sleep(0.05)
-            callers = Callers(port, size)
+            clients = Clients(port, size)
             await asyncio.gather(
-                *(callers.ask(time.monotonic() + options.seconds / 2) for _ in range(4))
+                *(
+                    clients.send_small_requests(time.monotonic() + options.seconds / 2)
+                    for _ in range(4)
+                )
             )
-            show("alone", callers.small)
-            print(f"peak before {peak(node.pid):.1f} MB")
-            callers.small = []
-            pause = options.seconds / (size / 65536)
-            began = time.monotonic()
+            print_latencies("alone", clients.small_latencies_s)
+            print(f"peak before {peak_memory_mb(node.pid):.1f} MB")
+            clients.small_latencies_s = []
+            pause_s = options.seconds / (size / 65536)
+            begin = time.monotonic()
             await asyncio.gather(
-                *(callers.ask(time.monotonic() + options.seconds) for _ in range(4)),
-                *(callers.read(pause) for _ in range(options.answers)),
-                *(callers.write() for _ in range(options.bodies)),
+                *(
+                    clients.send_small_requests(time.monotonic() + options.seconds)
+                    for _ in range(4)
+                ),
+                *(clients.read(pause_s) for _ in range(options.answers)),
+                *(clients.write() for _ in range(options.bodies)),
             )
-            show("beside", callers.small)
-            print(f"{callers.long} of {options.answers + options.bodies} long ones whole in"
-                  f" {time.monotonic() - began:.1f} s, peak {peak(node.pid):.1f} MB")  # fmt: skip
+            print_latencies("beside", clients.small_latencies_s)
+            print(f"{clients.whole_long_count} of {options.answers + options.bodies} long ones whole in"
+                  f" {time.monotonic() - begin:.1f} s, peak {peak_memory_mb(node.pid):.1f} MB")  # fmt: skip
         finally:
             node.send_signal(signal.SIGKILL)
             await node.wait()
 
 
-def show(what: str, seen: list[float]) -> None:
-    """One line of latencies."""
-    cuts = statistics.quantiles(seen, n=100)
+def print_latencies(label: str, latencies_s: list[float]) -> None:
+    """Print one line of latencies; ``latencies_s`` is in seconds."""
+    cuts = statistics.quantiles(latencies_s, n=100)
     print(
-        f"small requests {what}: {len(seen)}, p50 {1000 * cuts[49]:.1f} ms, p99 {1000 * cuts[98]:.1f} ms"
+        f"small requests {label}: {len(latencies_s)}, p50 {1000 * cuts[49]:.1f} ms, p99 {1000 * cuts[98]:.1f} ms"
     )
 
 
 def main() -> None:
-    """Read the flags, and play."""
+    """Parse the command line and measure."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--answers", type=int, default=20)
     parser.add_argument("--bodies", type=int, default=20)
