--- a/benchmarks/ends.py
+++ b/benchmarks/ends.py
@@ -1,10 +1,11 @@
-"""What a node keeps of connections that have ended: descriptors and memory after thousands of ends of each kind.
+"""Measures the descriptors and memory (MB) that a node keeps after thousands of closed connections.
 
     python benchmarks/ends.py [--count 10000] [--ways rest,reset,...] [--json]
 
-One node in a process of its own, one stand-in server beside it that answers, closes, resets or says nothing by the
-request's path, and clients that end in the way that is measured, 100 at a time.  Descriptors are those in /proc once
-the node is at rest again; memory is what it holds (VmRSS), which a warm-up of all ways has brought to its level.
+One node runs in a process of its own.  A stand-in server answers, closes, resets or stays silent,
+by the request's path.  Clients close their connections in one of several ways, 100 at a time.
+Descriptors are counted in /proc once the node is idle again, beyond those of the empty node.
+Memory is the growth of VmRSS in one way, after a warm-up with all ways.
 """
 
 from __future__ import annotations
@@ -24,8 +25,10 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[1]
-AT_ONCE = 100
-SETTLED = 15.0  # seconds in which a node has to be at rest again: a caller is awaited for 2.5 s, twice at most
+CONCURRENCY = 100
+BECOME_IDLE_TIMEOUT_S = (
+    15.0  # for the node to become idle: it waits for a client 2.5 s, at most twice
+)
 CONFIG = """
 [node]
 name = "ends"
@@ -44,24 +47,24 @@
 [log]
 level = "error"
 """
-IDS = itertools.count(1)
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER for no time: the close is a reset
+REQUEST_IDS = itertools.count(1)
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: closing the socket sends a reset
 
 
-def ask(path: str, *more: str, body: bytes = b"") -> bytes:
-    """A request; the path says what the server does."""
+def request(path: str, *headers: str, body: bytes = b"") -> bytes:
+    """Return a request; its path selects what the server does."""
     lines = [
         f"POST /{path} HTTP/1.1",
         "Host: a",
-        f"X-Request-ID: r-{next(IDS)}",
+        f"X-Request-ID: r-{next(REQUEST_IDS)}",
         "X-Priority-Class: look",
-        *more,
+        *headers,
     ]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """The server: what its answer is, the path says."""
+    """Serve one connection; each request's path selects the response."""
     try:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
@@ -88,47 +91,47 @@
         writer.transport.abort() if writer.transport.is_closing() else writer.close()
 
 
-async def answer(reader: asyncio.StreamReader) -> None:
-    """Read one whole answer, whatever it says."""
+async def read_response(reader: asyncio.StreamReader) -> None:
+    """Read one whole response with any status."""
     head = await reader.readuntil(b"\r\n\r\n")
     await reader.readexactly(int(head.lower().split(b"content-length:")[1].split()[0]))
 
 
-async def client(port: int, way: str) -> None:
-    """One connection that ends in this way."""
+async def run_client(port: int, way: str) -> None:
+    """Open one connection and close it in the given way."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     sock = writer.get_extra_info("socket")
     try:
         if way in ("rest", "leave", "reset-rest"):
-            writer.write(ask("ok"))
-            await answer(reader)
+            writer.write(request("ok"))
+            await read_response(reader)
         elif way == "last":
-            writer.write(ask("ok", "Connection: close"))
+            writer.write(request("ok", "Connection: close"))
             await reader.read()
         elif way == "crossed":
-            writer.write(ask("ok", "Connection: close") + ask("ok"))
+            writer.write(request("ok", "Connection: close") + request("ok"))
             await reader.read()
         elif way in ("waiting", "waiting-reset"):
-            writer.write(ask("silent"))
+            writer.write(request("silent"))
             await writer.drain()
             await asyncio.sleep(0.01)
         elif way == "half-closed":
-            writer.write(ask("silent"))
+            writer.write(request("silent"))
             writer.write_eof()
             await reader.read()
         elif way == "pipelined":
-            writer.write(b"".join(ask("silent" if i == 3 else "ok") for i in range(20)))
-            await answer(reader)
+            writer.write(b"".join(request("silent" if i == 3 else "ok") for i in range(20)))
+            await read_response(reader)
         elif way == "half-head":
             writer.write(b"POST /ok HTTP/1.1\r\nHost: a\r\nX-Req")
         elif way == "half-body":
-            writer.write(ask("ok", "Content-Length: 9", body=b"abc"))
+            writer.write(request("ok", "Content-Length: 9", body=b"abc"))
         elif way == "garbage":
             writer.write(b"what is this\r\n\r\n")
             await reader.read()
         elif way.startswith("server-"):
-            writer.write(ask(way.removeprefix("server-")))
-            await answer(reader)
+            writer.write(request(way.removeprefix("server-")))
+            await read_response(reader)
         if way in ("waiting-reset", "reset-rest"):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     finally:
@@ -140,48 +143,48 @@
         "server-twice"]  # fmt: skip
 
 
-def held(pid: int) -> tuple[int, float]:
-    """Descriptors and megabytes of a process."""
+def process_figures(pid: int) -> tuple[int, float]:
+    """Return a process's open descriptors and resident megabytes."""
     status = Path(f"/proc/{pid}/status").read_text()
     kilobytes = int(status.split("VmRSS:")[1].split()[0])
     return len(os.listdir(f"/proc/{pid}/fd")), kilobytes / 1024
 
 
-async def at_rest(pid: int, most: int) -> tuple[int, float]:
-    """What it holds once it holds no more descriptors than before, or the time for that is over."""
-    end = time.monotonic() + SETTLED
-    while held(pid)[0] > most and time.monotonic() < end:
+async def wait_until_idle(pid: int, max_descriptors: int) -> tuple[int, float]:
+    """Wait until a process has at most so many descriptors or a timeout; return both figures."""
+    end = time.monotonic() + BECOME_IDLE_TIMEOUT_S
+    while process_figures(pid)[0] > max_descriptors and time.monotonic() < end:
         await asyncio.sleep(0.05)
-    return held(pid)
+    return process_figures(pid)
 
 
-async def end_many(port: int, way: str, count: int) -> int:
-    """So many connections that end in this way; how many failed in some other."""
-    failed, left = 0, iter(range(count))
+async def close_many(port: int, way: str, count: int) -> int:
+    """Close ``count`` connections in the given way; return how many failed otherwise."""
+    failed, remaining = 0, iter(range(count))
 
-    async def one_after_another() -> None:
+    async def run_clients() -> None:
         nonlocal failed
-        for _ in left:
+        for _ in remaining:
             try:
                 async with asyncio.timeout(10):
-                    await client(port, way)
+                    await run_client(port, way)
             except (OSError, asyncio.IncompleteReadError):
                 failed += 1
 
-    await asyncio.gather(*(one_after_another() for _ in range(AT_ONCE)))
+    await asyncio.gather(*(run_clients() for _ in range(CONCURRENCY)))
     return failed
 
 
 async def measure(options: argparse.Namespace) -> list[dict[str, object]]:
-    """All ways in turn against one node."""
+    """Measure all chosen ways in turn against one node."""
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        port = taken.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as probe_socket:
+        port = probe_socket.getsockname()[1]
     with tempfile.TemporaryDirectory() as folder:
-        file = Path(folder) / "ends.toml"
-        file.write_text(CONFIG.format(port=port, server=server.sockets[0].getsockname()[1]))
+        path = Path(folder) / "ends.toml"
+        path.write_text(CONFIG.format(port=port, server=server.sockets[0].getsockname()[1]))
         node = subprocess.Popen(
-            [sys.executable, "-m", "oakbridge", "serve", "--config", str(file)], cwd=ROOT
+            [sys.executable, "-m", "oakbridge", "serve", "--config", str(path)], cwd=ROOT
         )
         try:
             for _ in range(200):
@@ -189,19 +192,20 @@
                     socket.create_connection(("127.0.0.1", port)).close()
                     break
                 await asyncio.sleep(0.05)
-            empty, _ = held(node.pid)
+            descriptors_before, _ = process_figures(node.pid)
             for way in WAYS:
-                await end_many(port, way, max(AT_ONCE, options.count // 10))
-            found: list[dict[str, object]] = []
+                await close_many(port, way, max(CONCURRENCY, options.count // 10))
+            rows: list[dict[str, object]] = []
             for way in options.ways:
-                before = (await at_rest(node.pid, empty + 2))[1]
-                began = time.monotonic()
-                failed = await end_many(port, way, options.count)
-                took = time.monotonic() - began
-                descriptors, memory = await at_rest(node.pid, empty + 2)
-                found.append({"way": way, "seconds": round(took, 1), "failed": failed,
-                              "descriptors": descriptors - empty, "megabytes": round(memory - before, 2)})  # fmt: skip
-            return found
+                memory_before_mb = (await wait_until_idle(node.pid, descriptors_before + 2))[1]
+                begin = time.monotonic()
+                failed = await close_many(port, way, options.count)
+                duration_s = time.monotonic() - begin
+                descriptors, memory_mb = await wait_until_idle(node.pid, descriptors_before + 2)
+                rows.append({"way": way, "seconds": round(duration_s, 1), "failed": failed,
+                              "descriptors": descriptors - descriptors_before,
+                              "megabytes": round(memory_mb - memory_before_mb, 2)})  # fmt: skip
+            return rows
         finally:
             node.terminate()
             node.wait()
@@ -209,7 +213,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the measurement and print a table or JSON."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--count", type=int, default=10_000)
     parser.add_argument("--ways", type=lambda text: text.split(","), default=WAYS)
