--- a/benchmarks/ends.py
+++ b/benchmarks/ends.py
@@ -26,9 +26,8 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 CONCURRENCY = 100
-BECOME_IDLE_TIMEOUT_S = (
-    15.0  # for the node to become idle: it waits for a client 2.5 s, at most twice
-)
+# Timeout for the node to become idle again: it waits for a client 2.5 s, at most twice.
+BECOME_IDLE_TIMEOUT_S = 15.0
 CONFIG = """
 [node]
 name = "ends"
--- a/benchmarks/even.py
+++ b/benchmarks/even.py
@@ -1,4 +1,4 @@
-"""How evenly servers are used, in simulated time: by members, by chance, and by plain ways; after common events.
+"""Measures how evenly servers are loaded, for each way of choosing them, in simulated time.
 
     python benchmarks/even.py ways [--copies 300] [--servers 300] [--load 0.3,0.6,0.85] [--seeds 2] [--uneven 0.5]
     python benchmarks/even.py cases [--seeds 2]
@@ -6,11 +6,14 @@
     python benchmarks/even.py age [--copies 300] [--seeds 3]
     any of them with [--out FOLDER] for JSON and a chart
 
-`ways`: the real module with its servers divided by members, the real module alone (each copy draws a subset), and plain
-ways that see all servers; load over fair share in windows of 10 s beside what chance alone gives.  `cases`: the
-same with numbers and parts that are hard.  `herd`: the most load at one server in the 2 s after half of the servers
-were replaced at one moment, and after a tenth came back.  `age`: what is left of evenness when what copies hold of
-each other's parts is so old (reckoned, no requests).
+`ways` compares the real module with subsets divided among the members, the real module alone
+(each replica draws a subset) and simple ways that see all servers.  The figures are load / fair
+share in windows of 10 s beside the one that Poisson arrivals alone give.  `cases` does the same
+for the two ways of the real module with hard numbers of replicas and servers and with unequal
+request rates.  `herd` gives the highest load at one server in the 2 s after half of the servers
+are replaced at once, and after a tenth of the servers come back, over that of the busiest server
+by chance.  `age` computes, without requests, the load / fair share when the replicas' information
+on each other's rates has a given mean age in seconds.
 """
 
 from __future__ import annotations
@@ -40,136 +43,164 @@
 from oakbridge.spread.request_rate import STEPS_PER_DOUBLING
 from oakbridge.spread.subset_forecast import numbered_names
 
-WORKERS, QUEUE = 1, 16
-SETTLED, LASTS = 15, 40
+WORKERS, QUEUE_LIMIT = 1, 16
+WARM_UP_S, MEASURED_S = 15, 40
 RINGS = 4
-PLAIN: dict[str, strategies.Strategy] = {
+SIMPLE_WAYS: dict[str, strategies.Strategy] = {
     "random subsets": strategies.select_from_random_subset(5),
     "any server": strategies.select_random,
     "round robin": strategies.select_round_robin,
     "least loaded of all": strategies.select_least_loaded,
 }
-WAYS = ("by members", "module alone", *PLAIN)
+WAYS = ("by members", "module alone", *SIMPLE_WAYS)
 
 
-def made(way: str, copies: int, servers: int, seed: int, uneven: float) -> SimulatedFleet:
-    """A fleet that goes by one way, its servers of one worker each."""
-    plain = partial(StrategyReplica, PLAIN[way]) if way in PLAIN else None
+def create_fleet(
+    way: str, replicas: int, servers: int, seed: int, load_sigma: float
+) -> SimulatedFleet:
+    """Return a fleet that chooses servers in the given way; each server has one worker."""
+    make_replica = partial(StrategyReplica, SIMPLE_WAYS[way]) if way in SIMPLE_WAYS else None
     rings = RINGS if way == "by members" else 0
     fleet = SimulatedFleet(
-        copies, servers, seed, subset_rings=rings, load_sigma=uneven, make_replica=plain
+        replicas,
+        servers,
+        seed,
+        subset_rings=rings,
+        load_sigma=load_sigma,
+        make_replica=make_replica,
     )
     for server in fleet.servers.values():
-        server.workers, server.queue_limit = WORKERS, QUEUE
+        server.workers, server.queue_limit = WORKERS, QUEUE_LIMIT
     return fleet
 
 
-def figures(fleet: SimulatedFleet, since: int, servers: int) -> dict[str, float | None]:
-    """Of the time from then on."""
+def evenness(fleet: SimulatedFleet, since_us: int, servers: int) -> dict[str, float | None]:
+    """Return the evenness figures of the requests that finish after ``since_us``."""
     rows = [
-        (s, came - since, done - since)
-        for s, came, done in fleet.pool.visits
-        if done > since and s < servers
+        (server, arrived_us - since_us, finished_us - since_us)
+        for server, arrived_us, finished_us in fleet.pool.visits
+        if finished_us > since_us and server < servers
     ]
-    v = load_distribution.Visits(rows, [1 / servers] * servers, WORKERS, fleet.now - since)
+    visits = load_distribution.Visits(rows, [1 / servers] * servers, WORKERS, fleet.now - since_us)
     return {
-        "p99": load_distribution.load_ratio_percentile(v),
-        "over chance": load_distribution.load_ratio_over_chance(v),
-        "variation": load_distribution.load_variation(v),
-        "idle beyond chance s": load_distribution.idle_beyond_chance(v),
-        "idle while waiting": load_distribution.idle_while_waiting(v),
+        "p99": load_distribution.load_ratio_percentile(visits),
+        "over chance": load_distribution.load_ratio_over_chance(visits),
+        "variation": load_distribution.load_variation(visits),
+        "idle beyond chance s": load_distribution.idle_beyond_chance(visits),
+        "idle while waiting": load_distribution.idle_while_waiting(visits),
     }
 
 
-def play(item: tuple[str, int, int, float, int, float]) -> dict[str, Any]:
-    """One way at one load."""
-    way, copies, servers, load, seed, uneven = item
-    fleet = made(way, copies, servers, seed, uneven)
-    fleet.schedule_requests(load * servers * WORKERS * SECOND_US / MEAN_WORK_US, SETTLED + LASTS)
-    fleet.run(SETTLED + LASTS)
-    found = figures(fleet, SETTLED * SECOND_US, servers)
+def simulate_way(item: tuple[str, int, int, float, int, float]) -> dict[str, Any]:
+    """Simulate one way at one load; return its figures."""
+    way, replicas, servers, load, seed, load_sigma = item
+    fleet = create_fleet(way, replicas, servers, seed, load_sigma)
+    fleet.schedule_requests(
+        load * servers * WORKERS * SECOND_US / MEAN_WORK_US, WARM_UP_S + MEASURED_S
+    )
+    fleet.run(WARM_UP_S + MEASURED_S)
+    figures = evenness(fleet, WARM_UP_S * SECOND_US, servers)
     outcomes = fleet.clients.outcomes
-    served = outcomes[Outcome.SERVED] / max(1, outcomes.total())
-    return {"way": way, "copies": copies, "servers": servers, "load": load, "seed": seed, "uneven": uneven,
-            **found, "served in time": served}  # fmt: skip
+    served_fraction = outcomes[Outcome.SERVED] / max(1, outcomes.total())
+    return {"way": way, "copies": replicas, "servers": servers, "load": load, "seed": seed, "uneven": load_sigma,
+            **figures, "served in time": served_fraction}  # fmt: skip
 
 
-def herd(item: tuple[str, int, int]) -> dict[str, Any]:
-    """Two common events."""
-    way, copies, seed = item
-    fleet = made(way, copies, copies, seed, 0.5)
-    fleet.schedule_requests(0.5 * copies * WORKERS * SECOND_US / MEAN_WORK_US, 60)
+def simulate_herd(item: tuple[str, int, int]) -> dict[str, Any]:
+    """Simulate the return of a tenth and the replacement of half of the servers."""
+    way, replicas, seed = item
+    fleet = create_fleet(way, replicas, replicas, seed, 0.5)
+    fleet.schedule_requests(0.5 * replicas * WORKERS * SECOND_US / MEAN_WORK_US, 60)
     fleet.run(20)
-    found: dict[str, Any] = {"way": way, "copies": copies, "seed": seed}
-    back = [f"s{n}" for n in range(0, copies, 10)]
-    for name in back:
+    result: dict[str, Any] = {"way": way, "copies": replicas, "seed": seed}
+    returning = [f"s{index}" for index in range(0, replicas, 10)]
+    for name in returning:
         fleet.servers[name].is_down = True
     fleet.run(10)
-    for name in back:
+    for name in returning:
         fleet.servers[name].is_down = False
-    at = fleet.now
+    event_us = fleet.now
     fleet.run(10)
-    found["a tenth is back"] = most(fleet, at, list(fleet.servers))
-    for n in range(1, copies, 2):
-        fleet.replace_server(f"s{n}", f"new{n}", announced_after_us=0)
-        server = fleet.servers[f"new{n}"]
+    result["a tenth is back"] = highest_load(fleet, event_us, list(fleet.servers))
+    for index in range(1, replicas, 2):
+        fleet.replace_server(f"s{index}", f"new{index}", announced_after_us=0)
+        server = fleet.servers[f"new{index}"]
         server.workers = WORKERS
-        server.queue_limit = QUEUE
-        server.started_at_us = 0  # warm: the herd alone is asked for
-    at = fleet.now
+        server.queue_limit = QUEUE_LIMIT
+        server.started_at_us = 0  # counts as warm, so that only the herd has an effect
+    event_us = fleet.now
     fleet.run(10)
-    there = [name for name in fleet.servers if name.startswith("new") or int(name[1:]) % 2 == 0]
-    found["half are new"] = most(fleet, at, there)
-    return found
+    current_names = [
+        name for name in fleet.servers if name.startswith("new") or int(name[1:]) % 2 == 0
+    ]
+    result["half are new"] = highest_load(fleet, event_us, current_names)
+    return result
 
 
-def most(fleet: SimulatedFleet, at: int, names: list[str]) -> float | None:
-    """The most load at one of these servers in the 2 s from then on, over what chance gives the busiest."""
-    place = {fleet.pool.server_indexes[name]: n for n, name in enumerate(names)}
-    rows = [(place[s], came, done) for s, came, done in fleet.pool.visits if s in place]
+def highest_load(fleet: SimulatedFleet, since_us: int, names: list[str]) -> float | None:
+    """Return the highest load of named servers in the 2 s after ``since_us``, over chance's."""
+    index_by_server = {fleet.pool.server_indexes[name]: index for index, name in enumerate(names)}
+    rows = [
+        (index_by_server[server], arrived_us, finished_us)
+        for server, arrived_us, finished_us in fleet.pool.visits
+        if server in index_by_server
+    ]
     return load_distribution.herd_peak(
-        load_distribution.Visits(rows, [1 / len(names)] * len(names), WORKERS, fleet.now), [at]
+        load_distribution.Visits(rows, [1 / len(names)] * len(names), WORKERS, fleet.now),
+        [since_us],
     )
 
 
-def aged(item: tuple[int, float, float, int]) -> dict[str, Any]:
-    """Copies that tell another step now and then; each holds the others' words as they were up to 2 ``age`` ago."""
-    copies, age, often, seed = item
-    rng, names = random.Random(seed), numbered_names("copy", copies)
-    servers = dict.fromkeys(numbered_names("server", copies), 1.0)
-    base = {
+def compute_with_old_reports(item: tuple[int, float, float, int]) -> dict[str, Any]:
+    """Compute loads for replicas that know each other's rates as of up to 2 * ``age_s`` ago.
+
+    A replica reports its request rate in steps; its report changes ``changes_per_minute`` times
+    a minute on average.
+    """
+    replicas, age_s, changes_per_minute, seed = item
+    rng, names = random.Random(seed), numbered_names("copy", replicas)
+    servers = dict.fromkeys(numbered_names("server", replicas), 1.0)
+    initial_rates = {
         name: 2 ** (round(STEPS_PER_DOUBLING * rng.gauss(0, 0.7)) / STEPS_PER_DOUBLING)
         for name in names
     }
-    span = max(60.0, 2 * age)
+    span_s = max(60.0, 2 * age_s)
     changes: dict[str, list[tuple[float, float]]] = {
         name: [] for name in names
-    }  # seconds ago, by what factor
+    }  # (seconds ago, factor of the change)
     for name in names:
-        at = rng.expovariate(often / 60) if often else span
-        while at < span:
-            changes[name].append((at, 2 ** (rng.choice((-1, 1)) / STEPS_PER_DOUBLING)))
-            at += rng.expovariate(often / 60)
+        ago_s = rng.expovariate(changes_per_minute / 60) if changes_per_minute else span_s
+        while ago_s < span_s:
+            changes[name].append((ago_s, 2 ** (rng.choice((-1, 1)) / STEPS_PER_DOUBLING)))
+            ago_s += rng.expovariate(changes_per_minute / 60)
 
-    def word(name: str, ago: float) -> float:
-        return base[name] * math.prod(factor for at, factor in changes[name] if at >= ago)
+    def reported_rate(name: str, seconds_ago: float) -> float:
+        return initial_rates[name] * math.prod(
+            factor for ago_s, factor in changes[name] if ago_s >= seconds_ago
+        )
 
-    truth = {name: word(name, 0) for name in names}
-    load = Counter[str]()
-    for me in names:
-        held = {n: truth[n] if n == me else word(n, rng.uniform(0, 2 * age)) for n in names}
-        parts = subset_weights(me, held, servers, RINGS)
-        for name, part in parts.items():
-            load[name] += truth[me] * part / sum(parts.values())
-    mean = sum(truth.values()) / copies
-    over_fair = sorted(load[name] / mean for name in servers)
-    return {"age": age, "changes a minute": often, "seed": seed, "p99": over_fair[math.ceil(0.99 * copies) - 1],
-            "most": over_fair[-1], "words on their way": copies * often / 60 * age}  # fmt: skip
+    current_rates = {name: reported_rate(name, 0) for name in names}
+    load_by_server = Counter[str]()
+    for replica in names:
+        known_rates = {
+            other: current_rates[other]
+            if other == replica
+            else reported_rate(other, rng.uniform(0, 2 * age_s))
+            for other in names
+        }
+        weights = subset_weights(replica, known_rates, servers, RINGS)
+        for name, weight in weights.items():
+            load_by_server[name] += current_rates[replica] * weight / sum(weights.values())
+    mean_load = sum(current_rates.values()) / replicas
+    load_ratios = sorted(load_by_server[name] / mean_load for name in servers)
+    return {"age": age_s, "changes a minute": changes_per_minute, "seed": seed,
+            "p99": load_ratios[math.ceil(0.99 * replicas) - 1],
+            "most": load_ratios[-1], "words on their way": replicas * changes_per_minute / 60 * age_s}  # fmt: skip
 
 
 CASES: dict[
     str, tuple[int, int, float, float]
-] = {  # copies, servers, load, sigma of the copies' parts
+] = {  # replicas, servers, load, sigma of the replicas' request rates
     "300 of each": (300, 300, 0.6, 0.5),
     "parts as unequal as 1 to 50": (300, 300, 0.6, 1.0),
     "10 servers for 200 nodes": (200, 10, 0.6, 0.5),
@@ -180,7 +211,7 @@
 
 
 def chart(rows: list[dict[str, Any]], x: str, ys: tuple[str, ...], by: str, path: Path) -> None:
-    """One line for each value of ``by``."""
+    """Draw the medians of each figure over ``x``, one line for each value of ``by``."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -190,14 +221,21 @@
         1, len(ys), figsize=(5.5 * len(ys), 4), constrained_layout=True, squeeze=False
     )
     for axis, y in zip(axes.flat, ys, strict=True):
-        for value in dict.fromkeys(r[by] for r in rows):
-            xs = sorted({r[x] for r in rows if r[by] == value})
+        for value in dict.fromkeys(row[by] for row in rows):
+            xs = sorted({row[x] for row in rows if row[by] == value})
             points = [
-                [r[y] for r in rows if r[by] == value and r[x] == at and r[y] is not None]
-                for at in xs
+                [
+                    row[y]
+                    for row in rows
+                    if row[by] == value and row[x] == x_value and row[y] is not None
+                ]
+                for x_value in xs
             ]
             axis.plot(
-                xs, [statistics.median(p) if p else None for p in points], "o-", label=str(value)
+                xs,
+                [statistics.median(values) if values else None for values in points],
+                "o-",
+                label=str(value),
             )
         axis.set(xlabel=x, ylabel=y, ylim=(0, None))
         axis.legend(fontsize=7, title=by)
@@ -205,7 +243,7 @@
 
 
 def main() -> int:
-    """Measure."""
+    """Run the chosen measurement, print the figures and write JSON and a chart with ``--out``."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("what", choices=("ways", "cases", "herd", "age"))
     parser.add_argument("--copies", default="300")
@@ -217,59 +255,70 @@
     parser.add_argument("--processes", type=int, default=None)
     parser.add_argument("--out", type=Path)
     args = parser.parse_args()
-    sizes, seeds, chosen = (
-        [int(n) for n in args.copies.split(",")],
+    replica_counts, seeds, chosen_ways = (
+        [int(replicas) for replicas in args.copies.split(",")],
         range(1, args.seeds + 1),
         args.ways.split(","),
     )
-    began, work = time.monotonic(), list[Any]()
-    do: Callable[[Any], dict[str, Any]] = play
+    begin, tasks = time.monotonic(), list[Any]()
+    simulate: Callable[[Any], dict[str, Any]] = simulate_way
     if args.what == "ways":
-        loads = [float(x) for x in args.load.split(",")]
-        work = [
-            (w, n, args.servers, x, s, args.uneven)
-            for x in loads
-            for w in chosen
-            for n in sizes
-            for s in seeds
+        loads = [float(load) for load in args.load.split(",")]
+        tasks = [
+            (way, replicas, args.servers, load, seed, args.uneven)
+            for load in loads
+            for way in chosen_ways
+            for replicas in replica_counts
+            for seed in seeds
         ]
     elif args.what == "cases":
-        work = [
-            (w, n, m, x, s, sigma) for n, m, x, sigma in CASES.values() for w in WAYS[:2] for s in seeds
+        tasks = [
+            (way, replicas, servers, load, seed, sigma)
+            for replicas, servers, load, sigma in CASES.values() for way in WAYS[:2] for seed in seeds
         ]  # fmt: skip
     elif args.what == "herd":
-        do, work = herd, [(w, n, s) for n in sizes for w in WAYS[:2] for s in seeds]
+        simulate, tasks = (
+            simulate_herd,
+            [
+                (way, replicas, seed)
+                for replicas in replica_counts
+                for way in WAYS[:2]
+                for seed in seeds
+            ],
+        )
     else:
         ages = (0.0, 1.0, 2.0, 5.0, 10.0, 20.0, 60.0)
-        do, work = (
-            aged,
+        simulate, tasks = (
+            compute_with_old_reports,
             [
-                (n, age, often, s)
-                for n in sizes
-                for often in (0.02, 0.2, 2.0)
-                for age in ages
-                for s in seeds
+                (replicas, age_s, changes_per_minute, seed)
+                for replicas in replica_counts
+                for changes_per_minute in (0.02, 0.2, 2.0)
+                for age_s in ages
+                for seed in seeds
             ],
         )
     with ProcessPoolExecutor(args.processes) as pool:
-        rows = list(pool.map(do, work))
+        rows = list(pool.map(simulate, tasks))
     keys = list(rows[0])
     print(" | ".join(keys))
     for row in rows:
         print(
-            " | ".join(f"{row[k]:.3g}" if isinstance(row[k], float) else str(row[k]) for k in keys)
+            " | ".join(
+                f"{row[key]:.3g}" if isinstance(row[key], float) else str(row[key]) for key in keys
+            )
         )
-    print(f"{time.monotonic() - began:.0f} s", file=sys.stderr)
+    print(f"{time.monotonic() - begin:.0f} s", file=sys.stderr)
     if args.out:
         args.out.mkdir(parents=True, exist_ok=True)
         (args.out / f"even-{args.what}.json").write_text(json.dumps(rows, indent=1) + "\n")
-        shown = {
+        chart_axes = {
             "ways": ("load", ("over chance", "variation"), "way"),
             "herd": ("copies", ("a tenth is back", "half are new"), "way"),
             "age": ("age", ("p99", "most"), "changes a minute"),
         }.get(args.what)
-        if shown is not None:
-            chart(rows, *shown, args.out / f"even-{args.what}.png")
+        if chart_axes is not None:
+            chart(rows, *chart_axes, args.out / f"even-{args.what}.png")
     return 0
 
 
