--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -1,11 +1,15 @@
-"""Requests a second, and how late answers come at half load: the node and its peers side by side in one run.
+"""Measures requests per second and, at half load, latencies (ms) of the node and of other proxies.
 
     python benchmarks/nodes.py [--repeats 3] [--seconds 4] [--peers forwarder,aiohttp,node] [--against FOLDER] [--json]
 
-Each peer runs alone on core 0 (workers: as many cores as workers, the supervisor among them), stand-in servers on two
-other cores, the load on two more.  First as many requests as go through (64 connections, one request each at a
-time), then half of what the *slowest peer with one core* carried, on a schedule: each latency is from when the request
-was *due*, so that a stall shows in all that it delayed.  Peers take turns within a repeat; medians over repeats.
+A peer is a program under test: the node, the node with workers (nodex4), a bare byte forwarder or
+a proxy on aiohttp.  Each peer runs alone on core 0; a node with workers gets as many cores as
+workers, and its supervisor shares them.  Stand-in servers run on two other cores, the load on two
+more.  First 64 connections send without pauses, one request at a time each.  Then requests follow
+a schedule at half the rate of the *slowest peer with one core*.  Their latency counts from the
+time the request was *due*, so that a stall shows in every request that it delays.  Peers take
+turns within a repeat; figures are medians over repeats.  ``--against`` adds the peer ``before``,
+the node of another checkout.
 
 Needs what requirements-bench.txt lists.
 """
@@ -31,7 +35,7 @@
 SERVERS = 4
 CONNECTIONS = 64
 BODY = b'{"cars":[{"id":"NO-81","at":[60.39,5.32],"wait_s":140}]}'
-ANSWER = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n%s" % (
+RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n%s" % (
     len(BODY),
     BODY,
 )
@@ -59,15 +63,15 @@
 """
 
 
-def fast(main: Any) -> Any:
-    """The load and the servers run on uvloop, so that they need less of the machine than what they measure."""
+def run_on_uvloop(main: Any) -> Any:
+    """Run a coroutine on uvloop: load and servers then need less CPU time than the peer."""
     import uvloop
 
     return uvloop.run(main)
 
 
 def pin(*cores: int) -> None:
-    """Only on these cores from now on, if the machine has them."""
+    """Restrict this process to those of the given cores that it may use, if there are any."""
     have = os.sched_getaffinity(0)
     os.sched_setaffinity(0, set(cores) & have or have)
 
@@ -76,81 +80,81 @@
 
 
 class Server(asyncio.Protocol):
-    """Answers at once whatever ends in an empty line."""
+    """Responds at once to each head that ends in an empty line."""
 
     def connection_made(self, transport: Any) -> None:
-        """Keep it."""
-        self.transport, self.rest = transport, b""
+        """Keep the transport."""
+        self.transport, self.buffer = transport, b""
 
     def data_received(self, data: bytes) -> None:
-        """One answer for each request that is whole."""
-        *whole, self.rest = (self.rest + data).split(b"\r\n\r\n")
-        if whole:
-            self.transport.write(ANSWER * len(whole))
+        """Send one response for each whole request."""
+        *requests, self.buffer = (self.buffer + data).split(b"\r\n\r\n")
+        if requests:
+            self.transport.write(RESPONSE * len(requests))
 
 
-async def servers(ports: list[int]) -> None:
-    """Stand-in servers on these ports."""
+async def run_servers(ports: list[int]) -> None:
+    """Run stand-in servers on the given ports."""
     loop = asyncio.get_running_loop()
     for port in ports:
         await loop.create_server(Server, "127.0.0.1", port, backlog=1024)
     await asyncio.Event().wait()
 
 
-class Pipe(asyncio.Protocol):
-    """One direction of the bare forwarder: bytes in, bytes out, nothing read."""
+class ForwardingConnection(asyncio.Protocol):
+    """One connection of the bare forwarder: it copies bytes to another one without parsing them."""
 
-    def __init__(self, other: Any = None, ports: Any = None) -> None:
-        self.other, self.ports, self.early = other, ports, b""
+    def __init__(self, other_transport: Any = None, ports: Any = None) -> None:
+        self.other_transport, self.ports, self.pending = other_transport, ports, b""
 
     def connection_made(self, transport: Any) -> None:
-        """A caller's connection gets one to a server of its own."""
+        """Keep the transport; open a server connection for a client connection."""
         self.transport = transport
         if self.ports is not None:
             asyncio.get_running_loop().create_task(self.connect())
 
     async def connect(self) -> None:
-        """Connect to the next server."""
-        port = next(self.ports)
+        """Connect to the next server and send the bytes received so far."""
+        server_port = next(self.ports)
         loop = asyncio.get_running_loop()
-        self.other, _ = await loop.create_connection(
-            lambda: Pipe(self.transport), "127.0.0.1", port
+        self.other_transport, _ = await loop.create_connection(
+            lambda: ForwardingConnection(self.transport), "127.0.0.1", server_port
         )
-        self.other.write(self.early)
+        self.other_transport.write(self.pending)
 
     def data_received(self, data: bytes) -> None:
-        """On with it."""
-        if self.other is None:
-            self.early += data
+        """Forward the bytes, or keep them until the server connection is open."""
+        if self.other_transport is None:
+            self.pending += data
         else:
-            self.other.write(data)
+            self.other_transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Both ends go together."""
-        if self.other is not None:
-            self.other.close()
+        """Close the other connection too."""
+        if self.other_transport is not None:
+            self.other_transport.close()
 
 
-async def forwarder(port: int, ports: list[int]) -> None:
-    """A bare asyncio byte forwarder: what the socket work alone costs."""
-    turn = itertools.cycle(ports)
+async def run_forwarder(port: int, ports: list[int]) -> None:
+    """Run a bare asyncio byte forwarder; its cost is that of the socket work alone."""
+    server_ports = itertools.cycle(ports)
     await asyncio.get_running_loop().create_server(
-        lambda: Pipe(ports=turn), "127.0.0.1", port, backlog=1024
+        lambda: ForwardingConnection(ports=server_ports), "127.0.0.1", port, backlog=1024
     )
     await asyncio.Event().wait()
 
 
-async def aiohttp_proxy(port: int, ports: list[int]) -> None:
-    """A reverse proxy of a few lines on aiohttp, with kept connections."""
+async def run_aiohttp_proxy(port: int, ports: list[int]) -> None:
+    """Run a minimal reverse proxy on aiohttp, with persistent connections."""
     from aiohttp import ClientSession, TCPConnector, web
 
-    turn = itertools.cycle(ports)
+    server_ports = itertools.cycle(ports)
     session = ClientSession(connector=TCPConnector(limit=0), auto_decompress=False)
 
     async def handle(request: web.Request) -> web.Response:
-        url = f"http://127.0.0.1:{next(turn)}{request.rel_url}"
-        async with session.request(request.method, url, headers=request.headers) as answer:
-            return web.Response(status=answer.status, body=await answer.read())
+        url = f"http://127.0.0.1:{next(server_ports)}{request.rel_url}"
+        async with session.request(request.method, url, headers=request.headers) as response:
+            return web.Response(status=response.status, body=await response.read())
 
     app = web.Application()
     app.router.add_route("*", "/{rest:.*}", handle)
@@ -163,97 +167,99 @@
 # ---- the load
 
 
-class Caller(asyncio.Protocol):
-    """One kept connection with one request out at a time."""
+class ClientConnection(asyncio.Protocol):
+    """One persistent connection with one request in flight at a time."""
 
     def __init__(self, load: Load) -> None:
-        self.load, self.due, self.got, self.out = load, 0.0, b"", False
+        self.load, self.due, self.received, self.is_request_in_flight = load, 0.0, b"", False
 
     def connection_made(self, transport: Any) -> None:
-        """It is free."""
+        """Keep the transport; the connection is idle."""
         self.transport = transport
-        self.load.free.append(self)
+        self.load.idle_connections.append(self)
 
-    def ask(self, due: float) -> None:
-        """Send a request that was due then."""
-        self.due, self.out = due, True
-        self.transport.write(REQUEST % next(self.load.ids))
+    def send_request(self, due: float) -> None:
+        """Send a request whose latency counts from ``due``, in s of the performance counter."""
+        self.due, self.is_request_in_flight = due, True
+        self.transport.write(REQUEST % next(self.load.request_ids))
 
     def data_received(self, data: bytes) -> None:
-        """Count the answer once it is whole."""
-        self.got += data
-        if BODY not in self.got and b"content-length: 0" not in self.got.lower():
+        """Record the response once it is whole."""
+        self.received += data
+        if BODY not in self.received and b"content-length: 0" not in self.received.lower():
             return
-        status, self.got, self.out = self.got[9:12], b"", False
-        self.load.answered(self, status)
+        status, self.received, self.is_request_in_flight = self.received[9:12], b"", False
+        self.load.record_response(self, status)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """A connection that is lost with a request out is a failure."""
-        self.load.lost(self)
+        """Report the close; with a request in flight it counts as a failure."""
+        self.load.record_close(self)
 
 
 class Load:
-    """Sends on schedule (``rate``), or as fast as answers come (0)."""
+    """Sends ``rate`` requests per second, or with rate 0 the next one after each response."""
 
     def __init__(self, port: int, rate: float, seconds: float, connections: int, seed: int) -> None:
         from hdrh.histogram import HdrHistogram
 
         self.port, self.rate, self.seconds, self.connections = port, rate, seconds, connections
-        self.ids = itertools.count(seed << 40)
-        self.free: list[Caller] = []
-        self.late: list[float] = []  # due times that no connection was free for
+        self.request_ids = itertools.count(seed << 40)
+        self.idle_connections: list[ClientConnection] = []
+        # Due times of requests that wait for an idle connection, latest first.
+        self.waiting_due_times: list[float] = []
         self.histogram = HdrHistogram(1, 60_000_000, 3)  # microseconds
         self.ok = self.bad = 0
-        self.counting = self.over = False
+        self.is_counting = self.is_over = False
 
-    def answered(self, caller: Caller, status: bytes) -> None:
-        """One answer."""
-        if self.counting:
+    def record_response(self, connection: ClientConnection, status: bytes) -> None:
+        """Record a response and use its connection for the next request, if one is due."""
+        if self.is_counting:
             self.ok, self.bad = self.ok + (status == b"200"), self.bad + (status != b"200")
-            self.histogram.record_value(max(1, int((time.perf_counter() - caller.due) * 1e6)))
-        if not self.rate and not self.over:
-            caller.ask(time.perf_counter())
-        elif self.late:
-            caller.ask(self.late.pop())
+            self.histogram.record_value(max(1, int((time.perf_counter() - connection.due) * 1e6)))
+        if not self.rate and not self.is_over:
+            connection.send_request(time.perf_counter())
+        elif self.waiting_due_times:
+            connection.send_request(self.waiting_due_times.pop())
         else:
-            self.free.append(caller)
+            self.idle_connections.append(connection)
 
-    def lost(self, caller: Caller) -> None:
-        """One connection less."""
-        if caller.out and not self.over:
+    def record_close(self, connection: ClientConnection) -> None:
+        """Remove a closed connection; count its request in flight as failed."""
+        if connection.is_request_in_flight and not self.is_over:
             self.bad += 1
-        if caller in self.free:
-            self.free.remove(caller)
+        if connection in self.idle_connections:
+            self.idle_connections.remove(connection)
 
     async def run(self) -> dict[str, Any]:
-        """A second to warm up, then the figures."""
+        """Warm up for 1 s, then measure; percentiles are in µs, the rate is per second."""
         loop = asyncio.get_running_loop()
         for _ in range(self.connections):
-            await loop.create_connection(lambda: Caller(self), "127.0.0.1", self.port)
+            await loop.create_connection(lambda: ClientConnection(self), "127.0.0.1", self.port)
         if not self.rate:
-            for caller in self.free[:]:
-                self.free.remove(caller)
-                caller.ask(time.perf_counter())
+            for connection in self.idle_connections[:]:
+                self.idle_connections.remove(connection)
+                connection.send_request(time.perf_counter())
             await asyncio.sleep(1.0)
-            self.counting = True
+            self.is_counting = True
             begin = time.perf_counter()
             await asyncio.sleep(self.seconds)
         else:
             start = time.perf_counter()
             sent, begin = 0, start + 1.0
             while (now := time.perf_counter()) < start + 1.0 + self.seconds:
-                self.counting = self.counting or now >= begin
+                self.is_counting = self.is_counting or now >= begin
                 while (due := start + sent / self.rate) <= now:
                     sent += 1
-                    if self.free:
-                        self.free.pop().ask(due)
+                    if self.idle_connections:
+                        self.idle_connections.pop().send_request(due)
                     else:
-                        self.late.insert(0, due)
+                        self.waiting_due_times.insert(0, due)
                 await asyncio.sleep(0.0005)
-        took, self.counting, self.over = time.perf_counter() - begin, False, True
-        p = self.histogram.get_value_at_percentile
+        duration_s, self.is_counting, self.is_over = time.perf_counter() - begin, False, True
+        percentile_us = self.histogram.get_value_at_percentile
         return {
-            "rate": (self.ok + self.bad) / took, "bad": self.bad, "p50": p(50), "p99": p(99), "p999": p(99.9),
+            "rate": (self.ok + self.bad) / duration_s, "bad": self.bad,
+            "p50": percentile_us(50), "p99": percentile_us(99), "p999": percentile_us(99.9),
             "encoded": self.histogram.encode().decode(),
         }  # fmt: skip
 
@@ -262,7 +268,7 @@
 
 
 class Process:
-    """One process of this measurement, on its cores; ended by its id."""
+    """A process of this measurement on the given cores; terminated by its id."""
 
     def __init__(self, words: list[str], cores: tuple[int, ...], folder: Path = ROOT) -> None:
         self.process = subprocess.Popen(
@@ -273,11 +279,11 @@
         )
 
     def __enter__(self) -> Process:
-        """Use it for a while."""
+        """Return the process, which runs already."""
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End it."""
+        """Terminate the process; kill it if it does not exit within 5 s."""
         self.process.send_signal(signal.SIGTERM)
         try:
             self.process.wait(5)
@@ -286,151 +292,168 @@
             self.process.wait()
 
 
-def this(*words: object) -> list[str]:
-    """A part of this file."""
+def part_command(*words: object) -> list[str]:
+    """Return the command that runs one part of this program."""
     return [sys.executable, str(Path(__file__).resolve()), "--part", *map(str, words)]
 
 
 def free_port() -> int:
-    """A port that nobody has just now."""
+    """Return a TCP port that is free now."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return int(sock.getsockname()[1])
 
 
-def wait_for(port: int) -> None:
-    """Until somebody listens."""
+def wait_until_listening(port: int) -> None:
+    """Wait until a process listens on the port; raises SystemExit after 20 s."""
     for _ in range(400):
         with socket.socket() as sock:
             if sock.connect_ex(("127.0.0.1", port)) == 0:
                 return time.sleep(0.2)
         time.sleep(0.05)
-    raise SystemExit(f"nobody listens on port {port}")
+    raise SystemExit(f"port {port}: expected a listener within 20 s, got none")
 
 
-def peer(
+def peer_command(
     name: str, port: int, ports: list[int], folder: Path, scratch: Path
 ) -> tuple[list[str], tuple[int, ...]]:
-    """How a peer is started, and on which cores."""
+    """Return the command that starts a peer, and its cores; write the node's configuration."""
     if name in ("forwarder", "aiohttp"):
-        return this(name, port, *ports), (0,)
+        return part_command(name, port, *ports), (0,)
     workers = int(name.partition("x")[2] or 1)
     rows = ", ".join(f'{{name = "s{i}", address = "127.0.0.1:{p}"}}' for i, p in enumerate(ports))
     path = scratch / f"{name}-{port}.toml"
     path.write_text(CONFIG.format(port=port, servers=rows, sockets=1024 * workers))
-    words = [sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(path)]
-    return words + (["--workers", str(workers)] if workers > 1 else []), tuple(range(workers))
+    command = [sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(path)]
+    return command + (["--workers", str(workers)] if workers > 1 else []), tuple(range(workers))
 
 
-def load(port: int, rate: float, seconds: float, processes: int = 2) -> dict[str, float]:
-    """Play a load from several processes; returns its figures."""
+def run_load(port: int, rate: float, seconds: float, processes: int = 2) -> dict[str, float]:
+    """Run a load from several processes; return its figures (requests per second, ms)."""
     from hdrh.histogram import HdrHistogram
 
-    words = [
-        this("load", port, rate / processes, seconds, CONNECTIONS // processes, n + 1)
-        for n in range(processes)
+    commands = [
+        part_command("load", port, rate / processes, seconds, CONNECTIONS // processes, index + 1)
+        for index in range(processes)
     ]
-    running = [
-        subprocess.Popen(w, stdout=subprocess.PIPE, preexec_fn=lambda n=n: pin(6 + n))
-        for n, w in enumerate(words)
+    processes_running = [
+        subprocess.Popen(
+            command, stdout=subprocess.PIPE, preexec_fn=lambda index=index: pin(6 + index)
+        )
+        for index, command in enumerate(commands)
     ]
-    told = [json.loads(r.communicate()[0]) for r in running]
-    whole = HdrHistogram(1, 60_000_000, 3)
-    for part in told:
-        whole.decode_and_add(part["encoded"].encode())
-    p = whole.get_value_at_percentile
+    results = [json.loads(process.communicate()[0]) for process in processes_running]
+    histogram = HdrHistogram(1, 60_000_000, 3)
+    for process_result in results:
+        histogram.decode_and_add(process_result["encoded"].encode())
+    percentile_us = histogram.get_value_at_percentile
     return {
-        "rate": sum(t["rate"] for t in told), "bad": sum(t["bad"] for t in told),
-        "p50_ms": p(50) / 1e3, "p99_ms": p(99) / 1e3, "p999_ms": p(99.9) / 1e3,
+        "rate": sum(result["rate"] for result in results), "bad": sum(result["bad"] for result in results),
+        "p50_ms": percentile_us(50) / 1e3, "p99_ms": percentile_us(99) / 1e3, "p999_ms": percentile_us(99.9) / 1e3,
     }  # fmt: skip
 
 
-def measure(given: argparse.Namespace) -> dict[str, dict[str, list[dict[str, float]]]]:
-    """All peers, so many times."""
-    found: dict[str, dict[str, list[dict[str, float]]]] = {}
-    names = given.peers.split(",")
+def measure(options: argparse.Namespace) -> dict[str, dict[str, list[dict[str, float]]]]:
+    """Measure all peers in turn, in each repeat; return the figures by peer and kind of load."""
+    figures_by_peer: dict[str, dict[str, list[dict[str, float]]]] = {}
+    names = options.peers.split(",")
     with tempfile.TemporaryDirectory() as scratch:
         ports = [free_port() for _ in range(SERVERS)]
-        halves = [ports[::2], ports[1::2]]
-        with Process(this("servers", *halves[0]), (4,)), Process(this("servers", *halves[1]), (5,)):
+        port_halves = [ports[::2], ports[1::2]]
+        with (
+            Process(part_command("servers", *port_halves[0]), (4,)),
+            Process(part_command("servers", *port_halves[1]), (5,)),
+        ):
             for port in ports:
-                wait_for(port)
-            for repeat in range(given.repeats):
+                wait_until_listening(port)
+            for repeat in range(options.repeats):
                 for kind in ("most", "half"):
                     for name in names:
                         rate = 0.0
                         if kind == "half":
                             rate = (
-                                given.rate
-                                or min(found[n]["most"][-1]["rate"] for n in names if "x" not in n)
+                                options.rate
+                                or min(
+                                    figures_by_peer[peer]["most"][-1]["rate"]
+                                    for peer in names
+                                    if "x" not in peer
+                                )
                                 / 2
                             )
-                        folder = Path(given.against) if name.startswith("before") else ROOT
-                        mine = free_port()
-                        words, cores = peer(name, mine, ports, folder, Path(scratch))
-                        with Process(words, cores, folder):
-                            wait_for(mine)
+                        folder = Path(options.against) if name.startswith("before") else ROOT
+                        peer_port = free_port()
+                        command, cores = peer_command(name, peer_port, ports, folder, Path(scratch))
+                        with Process(command, cores, folder):
+                            wait_until_listening(peer_port)
                             time.sleep(1.0 if "x" in name else 0)
-                            figures = load(mine, rate, given.seconds)
-                        found.setdefault(name, {}).setdefault(kind, []).append(figures)
+                            figures = run_load(peer_port, rate, options.seconds)
+                        figures_by_peer.setdefault(name, {}).setdefault(kind, []).append(figures)
                         print(
                             f"repeat {repeat + 1}, {name}, {kind}: {figures['rate']:.0f}/s",
                             file=sys.stderr,
                         )
-    return found
+    return figures_by_peer
 
 
-def table(found: dict[str, dict[str, list[dict[str, float]]]]) -> str:
-    """Medians, one peer a line."""
+def format_table(figures_by_peer: dict[str, dict[str, list[dict[str, float]]]]) -> str:
+    """Return the table of medians, one line per peer."""
     lines = [
         f"{'':12}{'requests/s':>12}{'p50 ms':>9}{'p99 ms':>9}  | half load {'p50 ms':>9}{'p99 ms':>9}{'bad':>6}"
     ]
-    for name, kinds in found.items():
-        most, half = (
-            {k: statistics.median(f[k] for f in kinds[kind]) for k in kinds[kind][0]}
+    for name, kinds in figures_by_peer.items():
+        full, half = (
+            {
+                key: statistics.median(figures[key] for figures in kinds[kind])
+                for key in kinds[kind][0]
+            }
             for kind in ("most", "half")
         )
-        bad = sum(f["bad"] for kind in kinds.values() for f in kind)
+        failed = sum(figures["bad"] for kind in kinds.values() for figures in kind)
         lines.append(
-            f"{name:12}{most['rate']:12,.0f}{most['p50_ms']:9.2f}{most['p99_ms']:9.2f}  | {half['rate']:7,.0f}/s "
-            f"{half['p50_ms']:9.2f}{half['p99_ms']:9.2f}{bad:6.0f}"
+            f"{name:12}{full['rate']:12,.0f}{full['p50_ms']:9.2f}{full['p99_ms']:9.2f}  | {half['rate']:7,.0f}/s "
+            f"{half['p50_ms']:9.2f}{half['p99_ms']:9.2f}{failed:6.0f}"
         )
     return "\n".join(lines)
 
 
-def part(words: list[str]) -> None:
-    """One process of the measurement."""
-    what, numbers = words[0], words[1:]
-    if what == "servers":
-        fast(servers(list(map(int, numbers))))
-    elif what == "forwarder":
-        asyncio.run(forwarder(int(numbers[0]), list(map(int, numbers[1:]))))
-    elif what == "aiohttp":
-        asyncio.run(aiohttp_proxy(int(numbers[0]), list(map(int, numbers[1:]))))
+def run_part(arguments: list[str]) -> None:
+    """Run one part of the measurement in this process."""
+    role, numbers = arguments[0], arguments[1:]
+    if role == "servers":
+        run_on_uvloop(run_servers(list(map(int, numbers))))
+    elif role == "forwarder":
+        asyncio.run(run_forwarder(int(numbers[0]), list(map(int, numbers[1:]))))
+    elif role == "aiohttp":
+        asyncio.run(run_aiohttp_proxy(int(numbers[0]), list(map(int, numbers[1:]))))
     else:
         port, rate, seconds, connections, seed = numbers
-        one = Load(int(port), float(rate), float(seconds), int(connections), int(seed))
-        print(json.dumps(fast(one.run())))
+        load = Load(int(port), float(rate), float(seconds), int(connections), int(seed))
+        print(json.dumps(run_on_uvloop(load.run())))
 
 
 def main() -> None:
-    """Measure, and print a table."""
+    """Run the measurement and print a table or JSON."""
     if sys.argv[1:2] == ["--part"]:
-        part(sys.argv[2:])
+        run_part(sys.argv[2:])
         return
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--repeats", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=4)
-    parser.add_argument("--rate", type=float, default=0, help="in place of half of the slowest")
+    parser.add_argument(
+        "--rate",
+        type=float,
+        default=0,
+        help="requests per second instead of half of the slowest peer's",
+    )
     parser.add_argument("--peers", default="forwarder,aiohttp,node,nodex4")
-    parser.add_argument("--against", help="a folder with another checkout, for the peer 'before'")
+    parser.add_argument("--against", help="folder of another checkout, for the peer 'before'")
     parser.add_argument("--json", action="store_true")
-    given = parser.parse_args()
-    if given.against:
-        given.peers += ",before"
-    found = measure(given)
-    print(json.dumps(found, indent=1) if given.json else table(found))
+    options = parser.parse_args()
+    if options.against:
+        options.peers += ",before"
+    figures_by_peer = measure(options)
+    print(json.dumps(figures_by_peer, indent=1) if options.json else format_table(figures_by_peer))
 
 
 if __name__ == "__main__":
--- a/benchmarks/worker_kills.py
+++ b/benchmarks/worker_kills.py
@@ -1,11 +1,12 @@
-"""A worker killed each second under load: what is lost, and whether anything else is.
+"""Kills a worker each second under load and counts the requests that are lost, by cause.
 
     python benchmarks/worker_kills.py [--seconds 60] [--workers 4] [--connections 64] [--rate 3000] [--seed 1] [--json]
 
-Requests go out on a schedule over kept connections, each with an id; a worker drawn by the seed is killed (SIGKILL)
-once a second.  A request is *lost* if its connection broke before its answer.  The dead ones' connections are counted
-at the kill, from the kernel's table of sockets and the processes' descriptors: each lost request has to be on one of
-them.  All others have to have exactly one answer.  Needs what requirements-bench.txt lists.
+Requests with ids are sent on a schedule over persistent connections.  Once a second a worker,
+drawn by the seed, is killed (SIGKILL).  A request is *lost* if its connection closes before its
+response arrives.  The connections of a killed worker are taken at the kill from the kernel's
+table of sockets and the worker's descriptors: each lost request has to be on one of them, and
+each other request has to get exactly one response.  Needs what requirements-bench.txt lists.
 """
 
 from __future__ import annotations
@@ -29,21 +30,21 @@
 import nodes
 
 
-def workers_of(pid: int) -> list[int]:
-    """The supervisor's children."""
-    return [int(n) for n in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
+def worker_pids(pid: int) -> list[int]:
+    """Return the process ids of a supervisor's workers, its children."""
+    return [int(number) for number in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
 
 
-def held(pid: int, port: int) -> set[int]:
-    """The callers' ports of the connections that a process holds."""
+def client_ports(pid: int, port: int) -> set[int]:
+    """Return the client ports of the connections on ``port`` that a process has open."""
     inodes = set()
     for descriptor in Path(f"/proc/{pid}/fd").iterdir():
         try:
-            where = os.readlink(descriptor)
+            target = os.readlink(descriptor)
         except OSError:
             continue
-        if where.startswith("socket:["):
-            inodes.add(where[8:-1])
+        if target.startswith("socket:["):
+            inodes.add(target[8:-1])
     ports = set()
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         _, local, remote, *rest = line.split()
@@ -52,136 +53,138 @@
     return ports
 
 
-class Caller(asyncio.Protocol):
-    """One kept connection with one request out at a time; counts answers by request."""
+class ClientConnection(asyncio.Protocol):
+    """One persistent connection with one request in flight at a time; counts responses."""
 
     def __init__(self, load: Load) -> None:
-        self.load, self.got, self.out = load, b"", 0
+        self.load, self.received, self.request_id = load, b"", 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Free from here on."""
+        """Keep the transport; the connection is idle."""
         assert isinstance(transport, asyncio.Transport)
         self.transport, self.port = transport, transport.get_extra_info("sockname")[1]
-        self.load.free.append(self)
+        self.load.idle_connections.append(self)
 
-    def ask(self, number: int) -> None:
-        """Send a request."""
-        self.out = number
-        self.load.asked += 1
-        self.transport.write(nodes.REQUEST % number)
+    def send_request(self, request_id: int) -> None:
+        """Send the request with this id."""
+        self.request_id = request_id
+        self.load.sent += 1
+        self.transport.write(nodes.REQUEST % request_id)
 
     def data_received(self, data: bytes) -> None:
-        """An answer: to the request that is out, or to none."""
-        self.got += data
-        if nodes.BODY not in self.got and b"content-length: 0" not in self.got.lower():
+        """Count a whole response, separately if no request is in flight."""
+        self.received += data
+        if nodes.BODY not in self.received and b"content-length: 0" not in self.received.lower():
             return
-        status, self.got = self.got[9:12].decode(), b""
-        if not self.out:
-            self.load.told["answer to nothing"] += 1
+        status, self.received = self.received[9:12].decode(), b""
+        if not self.request_id:
+            self.load.counts["answer to nothing"] += 1
             return
-        self.load.told[status] += 1
-        self.out = 0
-        self.load.free.append(self)
+        self.load.counts[status] += 1
+        self.request_id = 0
+        self.load.idle_connections.append(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Open another one; a request that was out is lost, with the dead worker's or without."""
+        """Open another connection; count a request in flight as lost, by cause."""
         load = self.load
-        if load.over:
+        if load.is_over:
             return
-        load.broken += 1
-        if self.out:
-            load.told[
-                "lost with a dead worker" if self.port in load.dead else "lost otherwise"
+        load.closed_count += 1
+        if self.request_id:
+            load.counts[
+                "lost with a dead worker" if self.port in load.killed_ports else "lost otherwise"
             ] += 1
-        if self in load.free:
-            load.free.remove(self)
-        load.open()
+        if self in load.idle_connections:
+            load.idle_connections.remove(self)
+        load.open_connection()
 
 
 class Load:
-    """A schedule of requests over so many connections."""
+    """Sends requests on a schedule over a number of connections."""
 
     def __init__(self, port: int, connections: int) -> None:
         self.port, self.connections = port, connections
-        self.free: list[Caller] = []
-        self.dead: set[int] = set()  # ports of connections that a worker held when it was killed
-        self.told: Counter[str] = Counter()
-        self.asked = self.broken = 0
-        self.over = False
+        self.idle_connections: list[ClientConnection] = []
+        self.killed_ports: set[int] = set()  # client ports of a worker's connections at its kill
+        self.counts: Counter[str] = Counter()
+        self.sent = self.closed_count = 0
+        self.is_over = False
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.ids = itertools.count(1)
+        self.request_ids = itertools.count(1)
 
-    def open(self) -> None:
-        """One more connection, tried until it is there."""
-        task = asyncio.get_running_loop().create_task(self._open())
+    def open_connection(self) -> None:
+        """Open one more connection, with retries until it is open."""
+        task = asyncio.get_running_loop().create_task(self._connect())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _open(self) -> None:
-        while not self.over:
+    async def _connect(self) -> None:
+        while not self.is_over:
             try:
                 await asyncio.get_running_loop().create_connection(
-                    lambda: Caller(self), "127.0.0.1", self.port
+                    lambda: ClientConnection(self), "127.0.0.1", self.port
                 )
                 return
             except OSError:
                 await asyncio.sleep(0.02)
 
     async def run(self, rate: float, seconds: float) -> None:
-        """Ask on schedule; what finds no free connection is dropped, so that a stall can't pile up."""
+        """Send on schedule; a request without an idle connection is dropped: no backlog builds up."""
         for _ in range(self.connections):
-            self.open()
-        while len(self.free) < self.connections:
+            self.open_connection()
+        while len(self.idle_connections) < self.connections:
             await asyncio.sleep(0.01)
         start = time.perf_counter()
-        due = 0
+        due_count = 0
         while (now := time.perf_counter()) < start + seconds:
-            while start + due / rate <= now:
-                due += 1
-                if self.free:
-                    self.free.pop().ask(next(self.ids))
+            while start + due_count / rate <= now:
+                due_count += 1
+                if self.idle_connections:
+                    self.idle_connections.pop().send_request(next(self.request_ids))
                 else:
-                    self.told["not asked: no connection was free"] += 1
+                    self.counts["not asked: no connection was free"] += 1
             await asyncio.sleep(0.001)
         for _ in range(600):
-            if len(self.free) == self.connections:
+            if len(self.idle_connections) == self.connections:
                 break
             await asyncio.sleep(0.01)
-        self.over = True
-
-
-async def play(given: argparse.Namespace, supervisor: int, port: int) -> dict[str, Any]:
-    """The load, and a kill each second; kills begin once all workers are up."""
-    load, draw, kills = Load(port, given.connections), random.Random(given.seed), 0
-    running = asyncio.create_task(load.run(given.rate, given.seconds))
-    up: list[int] = []
-    while not running.done():
-        await asyncio.wait([running], timeout=1.0)
-        alive = workers_of(supervisor)
-        up.append(len(alive))
-        if running.done() or not alive:
+        self.is_over = True
+
+
+async def run_with_kills(options: argparse.Namespace, supervisor: int, port: int) -> dict[str, Any]:
+    """Run the load once all workers are up, and kill a worker each second; return the counts."""
+    load, rng, kills = Load(port, options.connections), random.Random(options.seed), 0
+    load_task = asyncio.create_task(load.run(options.rate, options.seconds))
+    worker_counts: list[int] = []
+    while not load_task.done():
+        await asyncio.wait([load_task], timeout=1.0)
+        pids = worker_pids(supervisor)
+        worker_counts.append(len(pids))
+        if load_task.done() or not pids:
             continue
-        victim = draw.choice(alive)
+        victim = rng.choice(pids)
         os.kill(
             victim, signal.SIGSTOP
-        )  # or it could take another connection between the look and its end
-        load.dead |= held(victim, port)
+        )  # else the worker could accept a connection between the lookup and its kill
+        load.killed_ports |= client_ports(victim, port)
         os.kill(victim, signal.SIGKILL)
         kills += 1
-    await running
-    answered = sum(count for what, count in load.told.items() if what.isdigit())
-    owed = (
-        load.asked - answered - sum(c for what, c in load.told.items() if what.startswith("lost"))
+    await load_task
+    answered = sum(count for label, count in load.counts.items() if label.isdigit())
+    unanswered = (
+        load.sent
+        - answered
+        - sum(lost_count for label, lost_count in load.counts.items() if label.startswith("lost"))
     )
     return {
-        "kills": kills, "workers up at a look, least": min(up), "requests": load.asked,
-        **{f"answered {what}" if what.isdigit() else what: count for what, count in sorted(load.told.items())},
-        "without an answer": owed, "connections broken": load.broken,
+        "kills": kills, "workers up at a look, least": min(worker_counts), "requests": load.sent,
+        **{f"answered {label}" if label.isdigit() else label: count for label, count in sorted(load.counts.items())},
+        "without an answer": unanswered, "connections broken": load.closed_count,
     }  # fmt: skip
 
 
 def main() -> None:
-    """Measure, and print a table."""
+    """Run the measurement and print a table or JSON."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -191,22 +194,22 @@
     parser.add_argument("--rate", type=float, default=3000)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", action="store_true")
-    given = parser.parse_args()
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory() as scratch:
-        ports = [nodes.free_port() for _ in range(nodes.SERVERS)]
-        with nodes.Process(nodes.this("servers", *ports), (4, 5)):
-            for number in ports:
-                nodes.wait_for(number)
+        server_ports = [nodes.free_port() for _ in range(nodes.SERVERS)]
+        with nodes.Process(nodes.part_command("servers", *server_ports), (4, 5)):
+            for server_port in server_ports:
+                nodes.wait_until_listening(server_port)
             port = nodes.free_port()
-            words, cores = nodes.peer(
-                f"nodex{given.workers}", port, ports, nodes.ROOT, Path(scratch)
+            command, cores = nodes.peer_command(
+                f"nodex{options.workers}", port, server_ports, nodes.ROOT, Path(scratch)
             )
-            with nodes.Process(words, cores) as node:
-                nodes.wait_for(port)
+            with nodes.Process(command, cores) as node:
+                nodes.wait_until_listening(port)
                 time.sleep(1.5)
                 nodes.pin(6, 7)
-                figures = asyncio.run(play(given, node.process.pid, port))
-    if given.json:
+                figures = asyncio.run(run_with_kills(options, node.process.pid, port))
+    if options.json:
         print(json.dumps(figures, indent=1))
     else:
         print("\n".join(f"{name:34}{figure:>12,}" for name, figure in figures.items()))
