--- a/benchmarks/even.py
+++ b/benchmarks/even.py
@@ -127,7 +127,7 @@
         server = fleet.servers[f"new{index}"]
         server.workers = WORKERS
         server.queue_limit = QUEUE_LIMIT
-        server.started_at_us = 0  # counts as warm, so that only the herd has an effect
+        server.started_at_us = 0  # counts as warm, so that the figure shows the herd alone
     event_us = fleet.now
     fleet.run(10)
     current_names = [
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -151,7 +151,7 @@
         tls = pki.tls_context(folder / "ca.crt", folder / "admin", server=False)
         durations_s = []
         for _ in range(3):
-            # All have one certificate here, and so one name: they are asked one by one by their addresses.
+            # All agents share one certificate and thus one name, so each address gets a client.
             operators = [
                 FleetClient(Inventory("f", {"h": ("127.0.0.1", port)}), tls, 20) for port in ports
             ]
@@ -166,11 +166,7 @@
             async def request_all_statuses(
                 operators: list[FleetClient] = operators, request_status: Any = request_status
             ) -> list[int]:
-                return list(
-                    await asyncio.gather(
-                        *(request_status(each_operator) for each_operator in operators)
-                    )
-                )
+                return list(await asyncio.gather(*(request_status(client) for client in operators)))
 
             begin = time.monotonic()
             statuses = asyncio.run(request_all_statuses())
--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -55,7 +55,7 @@
             if name in COLUMNS and isinstance(value, int | float):
                 total[name] += value
         for results in line["ends"].values():
-            total.update({name: n for name, n in results.items() if name != "cold"})
+            total.update({name: number for name, number in results.items() if name != "cold"})
         idle_by_server.update(line["idle"])
         total["eject"] += len(line["ejected"])
         total["left"] += line["retries_left"]
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -320,7 +320,10 @@
     if name in ("forwarder", "aiohttp"):
         return part_command(name, port, *ports), (0,)
     workers = int(name.partition("x")[2] or 1)
-    rows = ", ".join(f'{{name = "s{i}", address = "127.0.0.1:{p}"}}' for i, p in enumerate(ports))
+    rows = ", ".join(
+        f'{{name = "s{index}", address = "127.0.0.1:{server_port}"}}'
+        for index, server_port in enumerate(ports)
+    )
     path = scratch / f"{name}-{port}.toml"
     path.write_text(CONFIG.format(port=port, servers=rows, sockets=1024 * workers))
     command = [sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(path)]
