--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -124,9 +124,8 @@
         sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(path), env=env
     )
     try:
-        await asyncio.sleep(
-            6.0 if has_peers else 2.0
-        )  # until the node listens and has joined the other members
+        # Time to listen and to join the other members.
+        await asyncio.sleep(6.0 if has_peers else 2.0)
         cpu_before_s = cpu_seconds(node.pid)
         await asyncio.sleep(idle_s)
         idle_fraction = (cpu_seconds(node.pid) - cpu_before_s) / idle_s
--- a/benchmarks/server_files.py
+++ b/benchmarks/server_files.py
@@ -89,8 +89,8 @@
         applied_at: asyncio.Queue[float] = asyncio.Queue()
         apply_list = node.endpoints.on_endpoint_list
 
-        def apply_list_and_record(endpoint_list: Any, *, saved: bool = False) -> None:
-            apply_list(endpoint_list, saved=saved)
+        def apply_list_and_record(new: Any, *, saved: bool = False) -> None:
+            apply_list(new, saved=saved)
             applied_at.put_nowait(time.monotonic())
 
         node.endpoints.on_endpoint_list = apply_list_and_record  # type: ignore[method-assign]
