--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -96,7 +96,7 @@
     journal.add(entry)
     coordinator = Coordinator(operator, journal, entry, lease, options)
     phase = await coordinator.run()
-    await operator.release_lease(coordinator.held)
+    await operator.release_lease(coordinator.lease)
     outcomes = Counter(row.outcome.value for row in coordinator.machine.statuses().values())
     took_s = time.monotonic() - begin
     print(
--- a/oakbridge/cli/rollout/commands.py
+++ b/oakbridge/cli/rollout/commands.py
@@ -135,7 +135,7 @@
     """Have drained nodes run again (all, or those of --only)."""
     client = operator_of(folder, operator, CALL_TIMEOUT_S)
     targets, _ = asyncio.run(find_targets(client, waves.only))
-    drained = tuple(target.name for target in targets if target.drained)
+    drained = tuple(target.name for target in targets if target.is_drained)
     if not drained:
         raise InvalidInputError("undrain: no instance is drained")
     session = RolloutSession(folder, operator, options, as_json)
--- a/oakbridge/cli/rollout/journal_commands.py
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -41,7 +41,7 @@
     return {
         "rollout": entry.id,
         "operator": entry.operator,
-        "began": entry.began_unix_s,
+        "began": entry.started_unix_s,
         "why": entry.why,
         "change": entry.change.kind.value,
         "stage": entry.record.phase.value,
@@ -56,7 +56,7 @@
         table.add_column(column)
     for entry in entries:
         outcomes = Counter(status.outcome.value for _, status in entry.record.statuses)
-        began = time.strftime("%m-%d %H:%M", time.localtime(entry.began_unix_s))
+        began = time.strftime("%m-%d %H:%M", time.localtime(entry.started_unix_s))
         table.add_row(
             str(entry.id),
             f"{began} {entry.operator}",
@@ -124,8 +124,8 @@
     return JournalEntry(
         id=rollout.id,
         operator="unknown",
-        began_unix_s=now_unix_s,
-        changed_unix_s=now_unix_s,
+        started_unix_s=now_unix_s,
+        updated_unix_s=now_unix_s,
         why="(rebuilt)",
         change=ReplaceFiles(files),
         record=rollout.record,
--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -21,14 +21,14 @@
 from oakbridge.fleet import messages
 from oakbridge.fleet.client import FleetClient, LeaseResult
 from oakbridge.rollout.change import Change, RollBackRollout
-from oakbridge.rollout.coordinator import JOURNAL_PATIENCE_S, Coordinator, RolloutOptions
+from oakbridge.rollout.coordinator import JOURNAL_TIMEOUT_S, Coordinator, RolloutOptions
 from oakbridge.rollout.journal import (
     Journal,
     JournalEntry,
     JournalError,
     JournalUnavailableError,
 )
-from oakbridge.rollout.lease_holder import LEASE_S
+from oakbridge.rollout.lease_holder import LEASE_DURATION_S
 from oakbridge.rollout.plan import Target
 from oakbridge.rollout.record import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
 
@@ -78,8 +78,8 @@
             entry = JournalEntry(
                 id=held.token,
                 operator=f"{self.operator_name} ({getpass.getuser()})",
-                began_unix_s=now_unix_s,
-                changed_unix_s=now_unix_s,
+                started_unix_s=now_unix_s,
+                updated_unix_s=now_unix_s,
                 why=why or change.describe(),
                 change=change,
                 record=record,
@@ -116,7 +116,7 @@
                 result = await run(operator, journal, held)
                 return result
             finally:
-                await operator.release_lease(held if result is None else result.coordinator.held)
+                await operator.release_lease(held if result is None else result.coordinator.lease)
                 operator.close()
 
         with open_journal(self.folder) as journal:
@@ -171,7 +171,7 @@
 
 async def _add_entry(journal: Journal, entry: JournalEntry) -> None:
     """Write a new rollout, again while the disk fails.  Raise JournalUnavailableError after a while."""
-    give_up_at_s = time.monotonic() + JOURNAL_PATIENCE_S
+    give_up_at_s = time.monotonic() + JOURNAL_TIMEOUT_S
     while True:
         try:
             journal.add(entry)
@@ -228,8 +228,8 @@
             agent=response.agent,
             instance=report["name"],
             zone=response.body.get("zone", ""),
-            base=report["generation"],
-            drained=report.get("drained", False),
+            base_generation=report["generation"],
+            is_drained=report.get("drained", False),
         )
         for response in responses
         if response.status == 200
@@ -256,10 +256,10 @@
     record = journal.entry(change.rollout).record
     statuses = dict(record.statuses)
     return {
-        target.name: target.base
+        target.name: target.base_generation
         for wave in record.waves
         for target in wave
-        if target.base
+        if target.base_generation
         and target.name in statuses
         and statuses[target.name].outcome is InstanceOutcome.APPLIED
     }
@@ -284,7 +284,7 @@
 
 async def acquire_lease(operator: FleetClient) -> LeaseResult:
     """Return the lease.  Raise CommandFailedError, with who has it, without a majority of the agents."""
-    held = await operator.acquire_lease(LEASE_S)
+    held = await operator.acquire_lease(LEASE_DURATION_S)
     agent_count = len(operator.inventory.agents)
     if held.has_majority(agent_count):
         return held
--- a/oakbridge/rollout/actions.py
+++ b/oakbridge/rollout/actions.py
@@ -19,7 +19,7 @@
 class SendStep:
     """Send the step to this instance, perhaps again.
 
-    ``on_step_ended`` or ``on_silence`` follows.
+    ``on_step_ended`` or ``on_outcome_unknown`` follows.
     """
 
     target: Target
@@ -29,7 +29,7 @@
 class RollBack:
     """Have this instance run what it ran before.
 
-    ``on_rolled_back`` or ``on_silence`` follows.
+    ``on_rolled_back`` or ``on_outcome_unknown`` follows.
     """
 
     target: Target
@@ -39,7 +39,7 @@
 class ResolveStep:
     """Find out how the step of this instance ended, without sending it.
 
-    ``on_step_ended`` or ``on_silence`` follows.
+    ``on_step_ended`` or ``on_outcome_unknown`` follows.
     """
 
     target: Target
--- a/oakbridge/rollout/coordinator.py
+++ b/oakbridge/rollout/coordinator.py
@@ -35,7 +35,7 @@
 AWAITED_POLL_S = 0.25
 GATE_POLL_S = 1.0
 IDLE_POLL_S = 5.0
-JOURNAL_PATIENCE_S = 30.0  # for a journal that can't be written; nothing is sent meanwhile
+JOURNAL_TIMEOUT_S = 30.0  # for a journal that can't be written; nothing is sent meanwhile
 GATE_POLLS_PER_S = 500  # the most polls in a second during a gate, over all agents
 
 
@@ -57,7 +57,7 @@
         operator: FleetClient,
         journal: Journal,
         entry: JournalEntry,
-        held: LeaseResult,
+        lease: LeaseResult,
         options: RolloutOptions,
         *,
         on_update: Callable[[Coordinator], None] = lambda _: None,
@@ -79,12 +79,12 @@
         self._targets = {target.name: target for wave in entry.record.waves for target in wave}
         self._names_by_agent = _names_by_agent(self._targets)
         self._watcher = AgentWatcher(operator, tuple(self._names_by_agent), self._poll_interval_s)
-        self._lease = LeaseHolder(
-            operator, held, on_granted=self._watcher.request_poll, on_lost=self._stop
+        self._lease_holder = LeaseHolder(
+            operator, lease, on_granted=self._watcher.request_poll, on_lost=self._stop
         )
         self._sender = StepSender(
             operator,
-            self._lease,
+            self._lease_holder,
             self._watcher,
             entry.id,
             entry.change,
@@ -103,9 +103,9 @@
         self._journal_failing_since_s: float | None = None
 
     @property
-    def held(self) -> LeaseResult:
+    def lease(self) -> LeaseResult:
         """The lease as it is now: its token may have been raised."""
-        return self._lease.held
+        return self._lease_holder.lease
 
     async def run(self) -> Phase:
         """Carry the rollout through, and return the phase in which it ended or was halted."""
@@ -113,7 +113,7 @@
         self._counts_before_rollout = self._view().counts()
         self._enqueue(self.machine.start())
         self._watcher.start()
-        self._spawn(self._lease.renew_until_lost())
+        self._spawn(self._lease_holder.renew_until_lost())
         try:
             while True:
                 self._carry_out_queue()
@@ -165,7 +165,7 @@
         """Write the record; return False if the disk fails, and the queue has to wait.
 
         It is tried again with each round of events.  Raises JournalUnavailableError after
-        :data:`JOURNAL_PATIENCE_S`: then the rollout can be resumed from the record before.
+        :data:`JOURNAL_TIMEOUT_S`: then the rollout can be resumed from the record before.
         """
         now_s = time.monotonic()
         try:
@@ -174,7 +174,7 @@
             if self._journal_failing_since_s is None:
                 self._journal_failing_since_s = now_s
                 log.warning("the journal can't be written, and is tried again: %s", error)
-            if now_s - self._journal_failing_since_s >= JOURNAL_PATIENCE_S:
+            if now_s - self._journal_failing_since_s >= JOURNAL_TIMEOUT_S:
                 raise
             return False
         self._journal_failing_since_s = None
@@ -220,7 +220,7 @@
 
     def _fail_rollback(self, name: str, reason: str) -> None:
         reason = f"it was not taken back: {reason}"
-        self._enqueue(self.machine.on_silence(name, reason, time.time()))
+        self._enqueue(self.machine.on_outcome_unknown(name, reason, time.time()))
 
     # ---- reports of the agents
 
@@ -265,7 +265,7 @@
                 report,
                 step,
                 promised_token=self._watcher.promised_token(target.agent),
-                own_token=self.held.token,
+                own_token=self.lease.token,
             )
         else:
             result = step_report.step_result(report, step)
@@ -294,7 +294,7 @@
             silent = self._watcher.is_silent(agent)
             reason = "its agent does not answer" if silent else "its step has no end"
             last_response_unix_s = self._watcher.last_response_unix_s(agent)
-            self._enqueue(self.machine.on_silence(name, reason, last_response_unix_s))
+            self._enqueue(self.machine.on_outcome_unknown(name, reason, last_response_unix_s))
 
     # ---- the gate
 
--- a/oakbridge/rollout/journal.py
+++ b/oakbridge/rollout/journal.py
@@ -51,8 +51,8 @@
 
     id: int  # the fencing token under which it began, and the generation that it brings
     operator: str
-    began_unix_s: float
-    changed_unix_s: float
+    started_unix_s: float
+    updated_unix_s: float
     why: str
     change: Change
     record: RolloutRecord
@@ -103,8 +103,8 @@
         row = (
             entry.id,
             entry.operator,
-            entry.began_unix_s,
-            entry.changed_unix_s,
+            entry.started_unix_s,
+            entry.updated_unix_s,
             entry.why,
             json.dumps(encode_change(entry.change)),
             encode_record(entry.record),
@@ -143,13 +143,13 @@
 
 
 def _entry(row: tuple[Any, ...]) -> JournalEntry:
-    rollout, operator, began_unix_s, changed_unix_s, why, change, record = row
+    rollout, operator, started_unix_s, updated_unix_s, why, change, record = row
     try:
         return JournalEntry(
             id=rollout,
             operator=operator,
-            began_unix_s=began_unix_s,
-            changed_unix_s=changed_unix_s,
+            started_unix_s=started_unix_s,
+            updated_unix_s=updated_unix_s,
             why=why,
             change=decode_change(json.loads(change)),
             record=decode_record(record),
--- a/oakbridge/rollout/lease_holder.py
+++ b/oakbridge/rollout/lease_holder.py
@@ -8,9 +8,9 @@
 from oakbridge.fleet import messages
 from oakbridge.fleet.client import AgentResponse, FleetClient, LeaseResult
 
-LEASE_S = 60.0
-RENEW_S = 15.0
-_LEASE_US = int(LEASE_S * 1e6)
+LEASE_DURATION_S = 60.0
+LEASE_RENEW_INTERVAL_S = 15.0
+_LEASE_US = int(LEASE_DURATION_S * 1e6)
 
 
 class LeaseHolder:
@@ -19,24 +19,24 @@
     def __init__(
         self,
         operator: FleetClient,
-        held: LeaseResult,
+        lease: LeaseResult,
         *,
         on_granted: Callable[[str], None],
         on_lost: Callable[[str], None],
     ) -> None:
         """Keep an acquired lease; ``on_granted`` is called with each agent that joins later."""
-        self.held = held
+        self.lease = lease
         self._operator = operator
         self._on_granted = on_granted
         self._on_lost = on_lost
-        self._granted = set(held.granted_by)
+        self._granted = set(lease.granted_by)
         self._raising = asyncio.Lock()  # one task at a time asks for a higher token
 
     async def renew_until_lost(self) -> None:
         """Renew the lease; return when it is lost, as nothing more may be sent then."""
         while True:
-            await asyncio.sleep(RENEW_S)
-            renewal = messages.LeaseRequest(self.held.token, _LEASE_US, renew=True)
+            await asyncio.sleep(LEASE_RENEW_INTERVAL_S)
+            renewal = messages.LeaseRequest(self.lease.token, _LEASE_US, renew=True)
             responses = await self._operator.call_all(renewal)
             granted = sum(1 for response in responses if response.status == 200)
             if granted * 2 <= len(responses):
@@ -48,7 +48,7 @@
         if agent in self._granted:
             return True
         response = await self._operator.call(
-            agent, messages.LeaseRequest(self.held.token, _LEASE_US)
+            agent, messages.LeaseRequest(self.lease.token, _LEASE_US)
         )
         if response.status == 200:
             self._granted.add(agent)
@@ -65,17 +65,17 @@
     async def raise_above(self, token: int) -> int:
         """Return a fencing token of ours above ``token``, acquiring one if ours is not higher."""
         async with self._raising:
-            if self.held.token <= token:
-                self.held = await self._operator.raise_token(self.held, LEASE_S, token)
-                self._granted = set(self.held.granted_by)
-                if not self.held.has_majority(len(self._operator.inventory.agents)):
+            if self.lease.token <= token:
+                self.lease = await self._operator.raise_token(self.lease, LEASE_DURATION_S, token)
+                self._granted = set(self.lease.granted_by)
+                if not self.lease.has_majority(len(self._operator.inventory.agents)):
                     self._on_lost("the lease is lost: a higher token was not granted")
-            return self.held.token
+            return self.lease.token
 
     async def has_been_raised(self, token: int) -> bool:
         """Return whether our token is another one by now, after a raise in progress has ended."""
         async with self._raising:
-            return self.held.token != token
+            return self.lease.token != token
 
 
 def _loss_reason(responses: list[AgentResponse]) -> str:
--- a/oakbridge/rollout/machine.py
+++ b/oakbridge/rollout/machine.py
@@ -81,7 +81,9 @@
             return self._persisted([RollBack(self._targets[name])])
         return self._persisted(self._continue())
 
-    def on_silence(self, name: str, reason: str, last_response_unix_s: float) -> list[Action]:
+    def on_outcome_unknown(
+        self, name: str, reason: str, last_response_unix_s: float
+    ) -> list[Action]:
         """Give up waiting for an instance that was sent a step or is to be rolled back."""
         status = self._statuses.get(name)
         if status is None:
--- a/oakbridge/rollout/plan.py
+++ b/oakbridge/rollout/plan.py
@@ -24,8 +24,8 @@
     agent: str
     instance: str
     zone: str = ""
-    base: int = 0  # the generation that it ran when the plan was made
-    drained: bool = False  # whether it was drained then, so that its node was not to run
+    base_generation: int = 0  # the generation that it ran when the plan was made
+    is_drained: bool = False  # whether it was drained then, so that its node was not to run
 
     @property
     def name(self) -> str:
--- a/oakbridge/rollout/record.py
+++ b/oakbridge/rollout/record.py
@@ -111,7 +111,7 @@
 
 
 def _encode_target(target: Target) -> list[Any]:
-    return [target.agent, target.instance, target.zone, target.base, target.drained]
+    return [target.agent, target.instance, target.zone, target.base_generation, target.is_drained]
 
 
 def _decode_target(raw: Sequence[Any]) -> Target:
--- a/oakbridge/rollout/step_sender.py
+++ b/oakbridge/rollout/step_sender.py
@@ -31,7 +31,7 @@
     def __init__(
         self,
         operator: FleetClient,
-        lease: LeaseHolder,
+        lease_holder: LeaseHolder,
         watcher: AgentWatcher,
         rollout: int,
         change: Change,
@@ -45,7 +45,7 @@
         one that it runs; ``watch_s`` is how long an agent watches an instance after the step.
         """
         self._operator = operator
-        self._lease = lease
+        self._lease_holder = lease_holder
         self._watcher = watcher
         self._rollout = rollout
         self._change = change
@@ -69,34 +69,34 @@
     async def resolve(self, target: Target, is_awaited: Callable[[], bool]) -> None:
         """Have the agent promise our token: a step that has not begun by then never will."""
         while is_awaited():
-            await self._lease.admit(target.agent)
+            await self._lease_holder.admit(target.agent)
             await asyncio.sleep(RETRY_S)
 
     async def _send_once(self, target: Target) -> bool:
         """Return whether the agent has accepted the step; False without an answer."""
-        if not await self._lease.admit(target.agent):
+        if not await self._lease_holder.admit(target.agent):
             return False
         files = await self._files(target)
         if files is None:
             return False
         order = messages.StepRequest(
-            token=self._lease.held.token,
+            token=self._lease_holder.lease.token,
             step_id=step_report.step_id(self._rollout, target.instance),
             instance=target.instance,
             generation=self._rollout,
-            base_generation=target.base,
+            base_generation=target.base_generation,
             watch_us=self._watch_us,
             files=files,
         )
         return await self._order(target, order)
 
     async def _roll_back_once(self, target: Target) -> bool:
-        before = await self._fetch(target, target.base or self._rollout)
+        before = await self._fetch(target, target.base_generation or self._rollout)
         if before is None:
             return False
-        files = before if target.base else Drain("it ran nothing before").apply(before)
-        token = await self._lease.raise_above(self._rollout)
-        if not await self._lease.admit(target.agent):
+        files = before if target.base_generation else Drain("it ran nothing before").apply(before)
+        token = await self._lease_holder.raise_above(self._rollout)
+        if not await self._lease_holder.admit(target.agent):
             return False
         order = messages.StepRequest(
             token=token,
@@ -111,9 +111,9 @@
 
     async def _files(self, target: Target) -> Files | None:
         """Return the files that the instance should run by; None without an answer of its agent."""
-        source = self._sources.get(target.name, target.base)
+        source = self._sources.get(target.name, target.base_generation)
         before: Files | None = {}
-        if source and (target.drained or not isinstance(self._change, ReplaceFiles)):
+        if source and (target.is_drained or not isinstance(self._change, ReplaceFiles)):
             before = await self._fetch(target, source)
         if before is None:
             return None
@@ -137,7 +137,7 @@
         self._watcher.request_poll(target.agent)
         # The agent may have our new token before we know that it is granted: the step is sent again
         # under that.
-        if response.status == 409 and await self._lease.has_been_raised(order.token):
+        if response.status == 409 and await self._lease_holder.has_been_raised(order.token):
             return False
         if not _is_answer(response):
             return False
--- a/tests/formats/test_rollout.py
+++ b/tests/formats/test_rollout.py
@@ -189,7 +189,7 @@
     entry, row = Journal(folder).entry(rollout), ROWS[rollout]
     assert entry.change == CHANGES[rollout]
     assert entry.record == RECORDS[rollout]
-    told = entry.id, entry.operator, entry.began_unix_s, entry.changed_unix_s, entry.why
+    told = entry.id, entry.operator, entry.started_unix_s, entry.updated_unix_s, entry.why
     assert told == tuple(row[name] for name in ("id", "operator", "began", "changed", "why"))
 
 
--- a/tests/rollout/killed_tool.py
+++ b/tests/rollout/killed_tool.py
@@ -62,7 +62,7 @@
     coordinator = Coordinator(operator, journal, entry, held, QUICK)
     await coordinator.run()
     print(json.dumps(outcomes(coordinator)))
-    await operator.release_lease(coordinator.held)
+    await operator.release_lease(coordinator.lease)
     operator.close()
 
 
--- a/tests/rollout/simulated_fleet.py
+++ b/tests/rollout/simulated_fleet.py
@@ -139,8 +139,8 @@
                 agent=response.agent,
                 instance=report["name"],
                 zone=response.body["zone"],
-                base=report["generation"],
-                drained=report["drained"],
+                base_generation=report["generation"],
+                is_drained=report["drained"],
             )
             for response in await operator.call_all(messages.StatusRequest())
             if response.status == 200
@@ -190,7 +190,7 @@
         if during is not None:
             await during(coordinator)
         await task
-        await coordinator.operator.release_lease(coordinator.held)
+        await coordinator.operator.release_lease(coordinator.lease)
         return coordinator
 
     async def roll_out_first(self, aim: str = "1s") -> Coordinator:
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -94,10 +94,10 @@
 def test_silence_is_unknown_and_takes_up_a_place():
     machine = machine_for("abcd", max_unavailable=2)
     machine.start()
-    assert sent(machine.on_silence("h/a", "no answer", 7.0)) == []
+    assert sent(machine.on_outcome_unknown("h/a", "no answer", 7.0)) == []
     assert sent(apply(machine, "b")) == ["c"]
     assert machine.statuses()["h/a"].last_response_unix_s == 7.0
-    assert kinds(machine.on_silence("h/c", "no answer", 9.0)) == [Finish]
+    assert kinds(machine.on_outcome_unknown("h/c", "no answer", 9.0)) == [Finish]
     assert outcomes(machine) == "a:unknown b:took it c:unknown d:not reached"
     assert "2 instances are not heard of" in machine.record.reason
 
@@ -105,7 +105,7 @@
 def test_one_that_wakes_up_says_what_it_did():
     machine = machine_for("ab")
     machine.start()
-    machine.on_silence("h/a", "no answer", 7.0)
+    machine.on_outcome_unknown("h/a", "no answer", 7.0)
     apply(machine, "b")
     apply(machine, "a")
     assert outcomes(machine) == "a:took it b:took it"
@@ -114,7 +114,7 @@
 def test_a_canary_that_is_not_heard_of_does_not_leave_the_next_wave_waiting_for_its_place():
     machine = machine_for("a", "bc", max_unavailable=1)
     machine.start()
-    machine.on_silence("h/a", "no answer", 7.0)
+    machine.on_outcome_unknown("h/a", "no answer", 7.0)
     machine.on_gate_result(PASS)
     assert machine.record.phase is Phase.HALTED
     assert "1 may be missing" in machine.record.reason
@@ -124,7 +124,7 @@
     """One that was done sends their step again; one that was halted only asks."""
     machine = machine_for("ab", max_unavailable=2)
     machine.start()
-    machine.on_silence("h/a", "no answer", 7.0)
+    machine.on_outcome_unknown("h/a", "no answer", 7.0)
     apply(machine, "b")
     assert kinds(machine.on_gate_result(PASS)) == [Finish]
     assert machine.record.phase is Phase.DONE
@@ -137,7 +137,7 @@
 
     halted = machine_for("abc", max_unavailable=2)
     halted.start()
-    halted.on_silence("h/a", "no answer", 7.0)
+    halted.on_outcome_unknown("h/a", "no answer", 7.0)
     halted.on_step_ended("h/b", InstanceOutcome.NOT_APPLIED)
     again = RolloutMachine(halted.record)
     assert kinds(again.start()) == [ResolveStep]
@@ -146,7 +146,7 @@
 
     undone = machine_for("ab", max_unavailable=2, auto_rollback=True)
     undone.start()
-    undone.on_silence("h/a", "no answer", 7.0)
+    undone.on_outcome_unknown("h/a", "no answer", 7.0)
     undone.on_step_ended("h/b", InstanceOutcome.ROLLED_BACK)
     again = RolloutMachine(undone.record)
     assert kinds(again.start()) == [ResolveStep]
@@ -160,7 +160,7 @@
     machine.start()
     apply(machine, "a")
     assert machine.on_step_ended("h/a", InstanceOutcome.NOT_APPLIED) == []
-    assert machine.on_silence("h/a", "x", 1) == []
+    assert machine.on_outcome_unknown("h/a", "x", 1) == []
     assert machine.on_step_ended("h/b", InstanceOutcome.APPLIED) == []
     assert machine.on_step_ended("h/x", InstanceOutcome.APPLIED) == []
 
@@ -261,7 +261,7 @@
     @precondition(lambda self: not self.queue)
     @rule(name=st.sampled_from(LETTERS))
     def silence(self, name):
-        self.do(self.machine.on_silence(f"h/{name}", "no answer", 1.0))
+        self.do(self.machine.on_outcome_unknown(f"h/{name}", "no answer", 1.0))
 
     @precondition(lambda self: self.rolled_back and not self.queue)
     @rule(data=st.data())
--- a/tests/rollout/test_protocol.py
+++ b/tests/rollout/test_protocol.py
@@ -215,7 +215,9 @@
             self.in_transit.append(("acquire", who, target.agent, tool.token))
             return
         make = step_report.rollback_step_id if is_rollback else step_report.step_id
-        number, base = (tool.token, tool.rollout) if is_rollback else (tool.rollout, target.base)
+        number, base = (
+            (tool.token, tool.rollout) if is_rollback else (tool.rollout, target.base_generation)
+        )
         step = Step(
             make(tool.rollout, f"{target.agent}-n"),
             tool.token,
@@ -254,7 +256,7 @@
     def silence(self, who, host):
         if (tool := self.tools[who]).machine is not None:
             tool.awaited.discard(f"{host}/n")
-            self.do(who, tool.machine.on_silence(f"{host}/n", "no answer", 1.0))
+            self.do(who, tool.machine.on_outcome_unknown(f"{host}/n", "no answer", 1.0))
 
     @rule(who=TOOLS)
     def looks_at_all(self, who):
@@ -352,7 +354,7 @@
         elif step == step_report.rollback_step_id(tool.rollout, f"{host}-n"):
             tool.rollbacks = {t for t in tool.rollbacks if t.agent != host}
             reason = f"it was not taken back: {reason}"
-            self.do(who, tool.machine.on_silence(f"{host}/n", reason, 1.0))
+            self.do(who, tool.machine.on_outcome_unknown(f"{host}/n", reason, 1.0))
 
     def _arrive_report(self, who, host, told):
         rollout, report, promised_token = told
@@ -387,7 +389,7 @@
         if result.outcome is InstanceOutcome.APPLIED:
             self.do(who, tool.machine.on_rolled_back(name))
         else:
-            self.do(who, tool.machine.on_silence(name, result.reason, 1.0))
+            self.do(who, tool.machine.on_outcome_unknown(name, result.reason, 1.0))
 
     # ---- agents
 
--- a/tests/rollout/test_simulated_fleet.py
+++ b/tests/rollout/test_simulated_fleet.py
@@ -51,7 +51,11 @@
             assert set(fleet.running_aims().values()) == {"3s"}
             # Back to before the third: each to what it ran then, also the one that was drained.
             journal = Journal(fleet.folder)
-            before = {t.name: t.base for w in journal.entry(third.rollout).record.waves for t in w}
+            before = {
+                t.name: t.base_generation
+                for w in journal.entry(third.rollout).record.waves
+                for t in w
+            }
             back = await fleet.roll_out(RollBackRollout(third.rollout), sources=before)
             assert back.machine.is_complete()
             assert list(fleet.running_aims().values()) == ["2s", "-", "2s"]
@@ -255,7 +259,7 @@
             by_id = {r.id: r for r in found}
             assert by_id[second.rollout].files_holder is not None
             assert by_id[third.rollout].files_holder is None
-            assert {t.base for t in by_id[second.rollout].record.waves[0]} == {1}
+            assert {t.base_generation for t in by_id[second.rollout].record.waves[0]} == {1}
 
     run(test())
 
@@ -289,7 +293,7 @@
 
 
 def test_a_lease_is_lost_when_another_tool_takes_it_and_nothing_more_is_sent(tmp_path, monkeypatch):
-    monkeypatch.setattr("oakbridge.rollout.lease_holder.RENEW_S", 0.05)
+    monkeypatch.setattr("oakbridge.rollout.lease_holder.LEASE_RENEW_INTERVAL_S", 0.05)
 
     async def test():
         async with SimulatedFleet(tmp_path, 3) as fleet:
