--- a/oakbridge/rollout/__init__.py
+++ b/oakbridge/rollout/__init__.py
@@ -1,10 +1,11 @@
-"""Rollouts: a change over many instances, in waves, each with a gate.
+"""Rollouts: apply a change to many instances, in waves, with a gate after each wave.
 
-Pure decisions: ``plan`` (which instances in which wave), ``gate`` and ``gate_window`` (whether the
-changed ones serve as well as the others), ``machine`` (what is sent when, when to halt), with its
-``record`` and ``actions``; ``change`` (what is changed), ``step_report`` (what agents report),
+Decisions without input or output: ``plan`` (which instances change in which wave), ``gate`` and
+``gate_window`` (whether changed instances serve as well as unchanged ones), ``machine`` (when to
+send each step and when to halt) with its ``record`` and ``actions``, ``change`` and
+``setting_path`` (what is changed), ``step_report`` (what agents report), ``silence_timeout``,
 ``rebuild`` and ``doctor``.
 
 Input and output: ``coordinator`` carries out one rollout with ``lease_holder``, ``step_sender``
-and ``agent_watcher``; ``journal`` is the operator's record of rollouts on disk.
+and ``agent_watcher``; ``journal`` stores rollouts on the operator's disk.
 """
--- a/oakbridge/rollout/actions.py
+++ b/oakbridge/rollout/actions.py
@@ -1,4 +1,4 @@
-"""What the state machine of a rollout asks the coordinator to do."""
+"""Actions that the state machine of a rollout returns and the coordinator carries out."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write the record to disk before any of the actions that follow."""
+    """Write the record to the journal before any of the actions that follow it."""
 
     record: RolloutRecord
 
 
 @dataclass(frozen=True, slots=True)
 class SendStep:
-    """Send the step to this instance, perhaps again.
+    """Send this instance its step; the step may have been sent before.
 
-    ``on_step_ended`` or ``on_outcome_unknown`` follows.
+    The coordinator answers with ``on_step_ended`` or ``on_outcome_unknown``.
     """
 
     target: Target
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RollBack:
-    """Have this instance run what it ran before.
+    """Return this instance to the generation that it ran before the rollout.
 
-    ``on_rolled_back`` or ``on_outcome_unknown`` follows.
+    The coordinator answers with ``on_rolled_back`` or ``on_outcome_unknown``.
     """
 
     target: Target
@@ -37,9 +37,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolveStep:
-    """Find out how the step of this instance ended, without sending it.
+    """Find out how the step of this instance ended, without sending the step.
 
-    ``on_step_ended`` or ``on_outcome_unknown`` follows.
+    The coordinator answers with ``on_step_ended`` or ``on_outcome_unknown``.
     """
 
     target: Target
@@ -49,7 +49,7 @@
 class EvaluateGate:
     """Compare the changed instances with the unchanged ones over a window.
 
-    ``on_gate_result`` follows.
+    The coordinator answers with ``on_gate_result``.
     """
 
     changed: tuple[Target, ...]
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """End the rollout, or leave it halted, in this phase."""
+    """Stop carrying out the rollout, which is in this phase."""
 
     phase: Phase
 
--- a/oakbridge/rollout/coordinator.py
+++ b/oakbridge/rollout/coordinator.py
@@ -1,7 +1,7 @@
-"""The coordinator of a rollout: feeds the state machine with reports and carries out its actions.
+"""The coordinator of a rollout: passes reports to the state machine and carries out its actions.
 
-It makes no decisions: those are the state machine's and the gate's.  Sending is the
-``StepSender``'s, polling the ``AgentWatcher``'s, and the lease the ``LeaseHolder``'s part.
+The state machine and the gate make all decisions.  The ``StepSender`` sends steps, the
+``AgentWatcher`` polls agents, and the ``LeaseHolder`` keeps the lease.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.25  # the longest wait between two checks of what has expired
-# The intervals at which an agent is polled: while it is awaited, during a gate, and otherwise.
+EXPIRY_CHECK_INTERVAL_S = 0.25  # the longest wait between two checks for expired timeouts
+# Poll intervals of an agent: while a result of it is awaited, during a gate, and otherwise.
 AWAITED_POLL_S = 0.25
 GATE_POLL_S = 1.0
 IDLE_POLL_S = 5.0
-JOURNAL_TIMEOUT_S = 30.0  # for a journal that can't be written; nothing is sent meanwhile
-GATE_POLLS_PER_S = 500  # the most polls in a second during a gate, over all agents
+JOURNAL_TIMEOUT_S = 30.0  # of a journal that cannot be written; nothing is sent meanwhile
+MAX_GATE_POLLS_PER_S = 500  # over all agents
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutOptions:
-    """The times of a rollout, and the rules of its gates."""
+    """The timeouts of a rollout, and the rules of its gates."""
 
     watch_s: float = 5.0  # how long an agent watches an instance after its step
-    window_s: float = 10.0  # how long a gate compares
-    silence_timeout_s: float = 30.0  # beyond the watch, until a silent instance is unknown
+    window_s: float = 10.0  # how long a gate compares responses
+    silence_timeout_s: float = 30.0  # after watch_s; an instance without a result is unknown then
     gate_rules: GateRules = field(default_factory=GateRules)
 
 
@@ -63,10 +63,11 @@
         on_update: Callable[[Coordinator], None] = lambda _: None,
         sources: Mapping[str, int] | None = None,
     ) -> None:
-        """Take up a rollout that is in the journal.
+        """Prepare to carry out a rollout that is in the journal.
 
-        ``sources`` is the generation that an instance's files are made from, where it is not the
-        one that it runs; ``on_update`` is called after each round of events.
+        ``sources`` has, by instance name, the generation whose files the change is applied to,
+        where that is not the running generation.  ``on_update`` is called after each round of
+        events.
         """
         self.operator = operator
         self.rollout = entry.id
@@ -77,10 +78,12 @@
         self._options = options
         self._on_update = on_update
         self._targets = {target.name: target for wave in entry.record.waves for target in wave}
-        self._names_by_agent = _names_by_agent(self._targets)
-        self._watcher = AgentWatcher(operator, tuple(self._names_by_agent), self._poll_interval_s)
+        self._instances_by_agent = _instances_by_agent(self._targets)
+        self._watcher = AgentWatcher(
+            operator, tuple(self._instances_by_agent), self._poll_interval_s
+        )
         self._lease_holder = LeaseHolder(
-            operator, lease, on_granted=self._watcher.request_poll, on_lost=self._stop
+            operator, lease, on_granted=self._watcher.request_poll, on_lost=self._halt
         )
         self._sender = StepSender(
             operator,
@@ -92,25 +95,29 @@
             watch_s=options.watch_s,
         )
         timeout_s = options.watch_s + options.silence_timeout_s
-        self._steps = SilenceTimeout(timeout_s)
-        self._rollbacks = SilenceTimeout(timeout_s)
-        self._resolving: set[str] = set()  # instances whose step is not sent any more
-        self._gate: GateWindow | None = None
+        self._step_timeouts = SilenceTimeout(timeout_s)
+        self._rollback_timeouts = SilenceTimeout(timeout_s)
+        self._resolving: set[str] = set()  # instances whose step is no longer sent, only resolved
+        self._gate_window: GateWindow | None = None
         self._counts_before_rollout: dict[str, ResponseCounts] = {}
         self._queue: deque[actions.Action] = deque()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._finished: Phase | None = None
+        self._final_phase: Phase | None = None
         self._journal_failing_since_s: float | None = None
 
     @property
     def lease(self) -> LeaseResult:
-        """The lease as it is now: its token may have been raised."""
+        """The present lease, whose token may have been raised since the rollout began."""
         return self._lease_holder.lease
 
     async def run(self) -> Phase:
-        """Carry the rollout through, and return the phase in which it ended or was halted."""
+        """Carry the rollout out; return the phase in which it ended or was halted.
+
+        Raise :class:`JournalUnavailableError` if the journal cannot be written for
+        :data:`JOURNAL_TIMEOUT_S`.
+        """
         await self._watcher.poll_all()
-        self._counts_before_rollout = self._view().counts()
+        self._counts_before_rollout = self._fleet_view().counts()
         self._enqueue(self.machine.start())
         self._watcher.start()
         self._spawn(self._lease_holder.renew_until_lost())
@@ -118,10 +125,10 @@
             while True:
                 self._carry_out_queue()
                 self._on_update(self)
-                if self._finished is not None and not self._queue:
-                    return self._finished
+                if self._final_phase is not None and not self._queue:
+                    return self._final_phase
                 await self._wait_for_update()
-                self._take_reports()
+                self._process_reports()
                 self._expire_silent()
                 self._evaluate_gate()
         finally:
@@ -139,7 +146,7 @@
         self._queue.extend(new_actions)
         self._watcher.updated.set()
 
-    def _stop(self, reason: str) -> None:
+    def _halt(self, reason: str) -> None:
         self._enqueue(self.machine.stop(reason))
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
@@ -150,22 +157,22 @@
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self._stop(f"the tool failed: {error}")
+            self._halt(f"the tool failed: {error}")
 
     def _carry_out_queue(self) -> None:
-        """Carry out the queued actions in order, those that wait for agents in tasks."""
+        """Carry out the queued actions in order; those that wait for agents run in tasks."""
         records = [a.record for a in self._queue if isinstance(a, actions.Persist)]
-        # The last one covers the whole queue, and is written before any of it is done.
+        # The last record covers the whole queue, and is written before any queued action.
         if records and not self._write_record(records[-1]):
             return
         while self._queue:
             self._carry_out(self._queue.popleft())
 
     def _write_record(self, record: RolloutRecord) -> bool:
-        """Write the record; return False if the disk fails, and the queue has to wait.
+        """Write the record; return False if the disk fails, so that the queue has to wait.
 
-        It is tried again with each round of events.  Raises JournalUnavailableError after
-        :data:`JOURNAL_TIMEOUT_S`: then the rollout can be resumed from the record before.
+        The write is retried in each round of events.  Raises JournalUnavailableError after
+        :data:`JOURNAL_TIMEOUT_S`; the rollout can then be resumed from the previous record.
         """
         now_s = time.monotonic()
         try:
@@ -173,7 +180,7 @@
         except JournalUnavailableError as error:
             if self._journal_failing_since_s is None:
                 self._journal_failing_since_s = now_s
-                log.warning("the journal can't be written, and is tried again: %s", error)
+                log.warning("write of the rollout journal failed, retrying: error=%s", error)
             if now_s - self._journal_failing_since_s >= JOURNAL_TIMEOUT_S:
                 raise
             return False
@@ -183,39 +190,41 @@
     def _carry_out(self, action: actions.Action) -> None:
         match action:
             case actions.Persist():
-                pass  # written before
+                pass  # _carry_out_queue has written the record
             case actions.SendStep(target):
-                self._steps.start(target.name, time.monotonic())
+                self._step_timeouts.start(target.name, time.monotonic())
                 self._spawn(self._send_step(target))
             case actions.RollBack(target):
-                self._rollbacks.start(target.name, time.monotonic())
+                self._rollback_timeouts.start(target.name, time.monotonic())
                 self._spawn(self._roll_back(target))
             case actions.ResolveStep(target):
-                self._steps.start(target.name, time.monotonic())
+                self._step_timeouts.start(target.name, time.monotonic())
                 self._resolving.add(target.name)
                 self._spawn(self._resolve_step(target))
             case actions.EvaluateGate(changed):
                 self._spawn(self._run_gate(changed))
             case actions.Finish(phase):
-                self._finished = phase
+                self._final_phase = phase
 
     async def _send_step(self, target: Target) -> None:
         try:
-            await self._sender.send(target, lambda: self._steps.is_pending(target.name))
+            await self._sender.send(target, lambda: self._step_timeouts.is_pending(target.name))
         except StepRefusedError as refusal:
-            self._steps.cancel(target.name)
+            self._step_timeouts.cancel(target.name)
             self._enqueue(
                 self.machine.on_step_ended(target.name, InstanceOutcome.NOT_APPLIED, refusal.reason)
             )
 
     async def _resolve_step(self, target: Target) -> None:
-        await self._sender.resolve(target, lambda: self._steps.is_pending(target.name))
+        await self._sender.resolve(target, lambda: self._step_timeouts.is_pending(target.name))
 
     async def _roll_back(self, target: Target) -> None:
         try:
-            await self._sender.roll_back(target, lambda: self._rollbacks.is_pending(target.name))
+            await self._sender.roll_back(
+                target, lambda: self._rollback_timeouts.is_pending(target.name)
+            )
         except StepRefusedError as refusal:
-            self._rollbacks.cancel(target.name)
+            self._rollback_timeouts.cancel(target.name)
             self._fail_rollback(target.name, refusal.reason)
 
     def _fail_rollback(self, name: str, reason: str) -> None:
@@ -225,40 +234,42 @@
     # ---- reports of the agents
 
     def _poll_interval_s(self, agent: str) -> float:
-        """Return how often an agent is polled: often while something is awaited of it."""
-        for name in self._names_by_agent[agent]:
-            if self._steps.is_pending(name) or self._rollbacks.is_pending(name):
+        """Return the poll interval of an agent, which is short while a result of it is awaited."""
+        for name in self._instances_by_agent[agent]:
+            if self._step_timeouts.is_pending(name) or self._rollback_timeouts.is_pending(name):
                 return AWAITED_POLL_S
-        if self._gate is None:
+        if self._gate_window is None:
             return IDLE_POLL_S
-        return max(GATE_POLL_S, len(self._names_by_agent) / GATE_POLLS_PER_S)
+        return max(GATE_POLL_S, len(self._instances_by_agent) / MAX_GATE_POLLS_PER_S)
 
     async def _wait_for_update(self) -> None:
-        """Wait for a report, or until it is time to check what has expired."""
+        """Wait for a report, for at most the time to the next check for expired timeouts."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(TICK_S):
+            async with asyncio.timeout(EXPIRY_CHECK_INTERVAL_S):
                 await self._watcher.updated.wait()
         self._watcher.updated.clear()
 
-    def _view(self) -> FleetView:
+    def _fleet_view(self) -> FleetView:
         reports = {
             name: self._watcher.report(target.agent, target.instance)
             for name, target in self._targets.items()
         }
         return FleetView(reports, self.machine.statuses())
 
-    def _take_reports(self) -> None:
-        """Pass on which steps and rollbacks have ended by the agents' reports."""
+    def _process_reports(self) -> None:
+        """Pass the results of ended steps and rollbacks to the state machine."""
         for name, target in self._targets.items():
-            if not self._steps.is_pending(name) and not self._rollbacks.is_pending(name):
+            if not self._step_timeouts.is_pending(name) and not self._rollback_timeouts.is_pending(
+                name
+            ):
                 continue
             report = self._watcher.report(target.agent, target.instance)
-            if self._steps.is_pending(name):
-                self._take_step_report(target, report)
-            if self._rollbacks.is_pending(name):
-                self._take_rollback_report(target, report)
+            if self._step_timeouts.is_pending(name):
+                self._process_step_report(target, report)
+            if self._rollback_timeouts.is_pending(name):
+                self._process_rollback_report(target, report)
 
-    def _take_step_report(self, target: Target, report: step_report.Report | None) -> None:
+    def _process_step_report(self, target: Target, report: step_report.Report | None) -> None:
         step = step_report.step_id(self.rollout, target.instance)
         if target.name in self._resolving:
             result = step_report.resolved_result(
@@ -270,29 +281,32 @@
         else:
             result = step_report.step_result(report, step)
         if result is not None:
-            self._steps.cancel(target.name)
+            self._step_timeouts.cancel(target.name)
             self._resolving.discard(target.name)
             self._enqueue(self.machine.on_step_ended(target.name, result.outcome, result.reason))
 
-    def _take_rollback_report(self, target: Target, report: step_report.Report | None) -> None:
+    def _process_rollback_report(self, target: Target, report: step_report.Report | None) -> None:
         step = step_report.rollback_step_id(self.rollout, target.instance)
         result = step_report.step_result(report, step)
         if result is None:
             return
-        self._rollbacks.cancel(target.name)
+        self._rollback_timeouts.cancel(target.name)
         if result.outcome is InstanceOutcome.APPLIED:
             self._enqueue(self.machine.on_rolled_back(target.name))
         else:
             self._fail_rollback(target.name, result.reason)
 
     def _expire_silent(self) -> None:
-        """Give up on instances whose step or rollback has no known end in time."""
+        """Report instances as unknown whose step or rollback had no result in time."""
         now_s = time.monotonic()
-        for name in {*self._steps.pop_expired(now_s), *self._rollbacks.pop_expired(now_s)}:
+        for name in {
+            *self._step_timeouts.pop_expired(now_s),
+            *self._rollback_timeouts.pop_expired(now_s),
+        }:
             self._resolving.discard(name)
             agent = self._targets[name].agent
-            silent = self._watcher.is_silent(agent)
-            reason = "its agent does not answer" if silent else "its step has no end"
+            is_silent = self._watcher.is_silent(agent)
+            reason = "its agent does not answer" if is_silent else "its step has no end"
             last_response_unix_s = self._watcher.last_response_unix_s(agent)
             self._enqueue(self.machine.on_outcome_unknown(name, reason, last_response_unix_s))
 
@@ -301,28 +315,28 @@
     async def _run_gate(self, changed: tuple[Target, ...]) -> None:
         """Keep a gate open for its window.
 
-        It begins and ends with a poll of all agents, so that no report is old.
+        All agents are polled at both ends of the window, so that no report is old.
         """
         await self._watcher.poll_all()
-        gate = self._gate = GateWindow(
-            self.rollout, changed, self._view(), self._options.gate_rules, time.monotonic()
+        window = self._gate_window = GateWindow(
+            self.rollout, changed, self._fleet_view(), self._options.gate_rules, time.monotonic()
         )
         await asyncio.sleep(self._options.window_s)
-        if self._gate is gate:
+        if self._gate_window is window:
             await self._watcher.poll_all()
-            gate.ended = True
+            window.has_ended = True
 
     def _evaluate_gate(self) -> None:
-        gate, now_s = self._gate, time.monotonic()
-        if gate is None or not gate.is_due(now_s):
+        window, now_s = self._gate_window, time.monotonic()
+        if window is None or not window.is_due(now_s):
             return
-        self.gate_result = gate.evaluate(self._view(), self._counts_before_rollout, now_s)
+        self.gate_result = window.evaluate(self._fleet_view(), self._counts_before_rollout, now_s)
         if self.gate_result.verdict is not Verdict.PENDING:
-            self._gate = None
+            self._gate_window = None
             self._enqueue(self.machine.on_gate_result(self.gate_result))
 
 
-def _names_by_agent(targets: Mapping[str, Target]) -> dict[str, list[str]]:
+def _instances_by_agent(targets: Mapping[str, Target]) -> dict[str, list[str]]:
     names: dict[str, list[str]] = defaultdict(list)
     for name, target in targets.items():
         names[target.agent].append(name)
--- a/oakbridge/rollout/lease_holder.py
+++ b/oakbridge/rollout/lease_holder.py
@@ -1,4 +1,4 @@
-"""Keeps the lease over the fleet while a rollout lasts, and raises its fencing token."""
+"""Renews the lease over the fleet during a rollout, and raises its fencing token."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from oakbridge.fleet import messages
 from oakbridge.fleet.client import AgentResponse, FleetClient, LeaseResult
 
-LEASE_DURATION_S = 60.0
+LEASE_DURATION_S = 60.0  # for which an agent grants the lease
 LEASE_RENEW_INTERVAL_S = 15.0
-_LEASE_US = int(LEASE_DURATION_S * 1e6)
+_LEASE_DURATION_US = int(LEASE_DURATION_S * 1e6)
 
 
 class LeaseHolder:
-    """The lease of one tool; ``on_lost`` is called with the reason once it is lost."""
+    """The lease of one tool; ``on_lost`` is called with the reason when the lease is lost."""
 
     def __init__(
         self,
@@ -24,47 +24,47 @@
         on_granted: Callable[[str], None],
         on_lost: Callable[[str], None],
     ) -> None:
-        """Keep an acquired lease; ``on_granted`` is called with each agent that joins later."""
+        """Keep an acquired lease; ``on_granted`` is called with each agent that grants it later."""
         self.lease = lease
         self._operator = operator
         self._on_granted = on_granted
         self._on_lost = on_lost
         self._granted = set(lease.granted_by)
-        self._raising = asyncio.Lock()  # one task at a time asks for a higher token
+        self._raise_lock = asyncio.Lock()  # held by the task that requests a higher token
 
     async def renew_until_lost(self) -> None:
-        """Renew the lease; return when it is lost, as nothing more may be sent then."""
+        """Renew the lease; return when it is lost, after which nothing more may be sent."""
         while True:
             await asyncio.sleep(LEASE_RENEW_INTERVAL_S)
-            renewal = messages.LeaseRequest(self.lease.token, _LEASE_US, renew=True)
+            renewal = messages.LeaseRequest(self.lease.token, _LEASE_DURATION_US, renew=True)
             responses = await self._operator.call_all(renewal)
             granted = sum(1 for response in responses if response.status == 200)
             if granted * 2 <= len(responses):
                 self._on_lost(f"the lease is lost: {_loss_reason(responses)}")
                 return
 
-    async def admit(self, agent: str) -> bool:
-        """Return whether an agent has promised our token; one that has not is asked for it."""
+    async def ensure_granted(self, agent: str) -> bool:
+        """Return whether an agent has promised our token; request the promise if it has not."""
         if agent in self._granted:
             return True
         response = await self._operator.call(
-            agent, messages.LeaseRequest(self.lease.token, _LEASE_US)
+            agent, messages.LeaseRequest(self.lease.token, _LEASE_DURATION_US)
         )
         if response.status == 200:
             self._granted.add(agent)
             self._on_granted(agent)
             return True
-        # A tool that lost to us may hold a part of the fleet for a moment, or have left a higher
-        # token there.  A higher token of our own name is another tool of ours, which has taken
-        # over: it is never outbid.
-        expired = response.status == 409 and not response.body.get("ends_in_s")
-        if expired and response.body.get("holder") != self._operator.name:
-            await self.raise_above(int(response.body["token"]))
+        # A tool that did not get the majority may hold the lease of some agents for a moment, or
+        # have left a higher token there.  A higher token under our own name belongs to another
+        # tool of this operator, which has taken over, so that it is never outbid.
+        is_expired = response.status == 409 and not response.body.get("ends_in_s")
+        if is_expired and response.body.get("holder") != self._operator.name:
+            await self.raise_token_above(int(response.body["token"]))
         return False
 
-    async def raise_above(self, token: int) -> int:
-        """Return a fencing token of ours above ``token``, acquiring one if ours is not higher."""
-        async with self._raising:
+    async def raise_token_above(self, token: int) -> int:
+        """Return our fencing token, which is raised first if it is not above ``token``."""
+        async with self._raise_lock:
             if self.lease.token <= token:
                 self.lease = await self._operator.raise_token(self.lease, LEASE_DURATION_S, token)
                 self._granted = set(self.lease.granted_by)
@@ -72,9 +72,9 @@
                     self._on_lost("the lease is lost: a higher token was not granted")
             return self.lease.token
 
-    async def has_been_raised(self, token: int) -> bool:
-        """Return whether our token is another one by now, after a raise in progress has ended."""
-        async with self._raising:
+    async def has_token_changed(self, token: int) -> bool:
+        """Return whether our token differs from ``token``, once a raise in progress has ended."""
+        async with self._raise_lock:
             return self.lease.token != token
 
 
--- a/oakbridge/rollout/machine.py
+++ b/oakbridge/rollout/machine.py
@@ -1,18 +1,18 @@
-"""The state machine of a rollout: when to send which step, when to halt, what to roll back.  Pure.
+"""The state machine of a rollout: when to send each step, to halt and to roll back.  Pure.
 
     running -> gating -> running ... -> done
        |          |
        v          v
-    halted  (or rolling back -> rolled back, where that was asked for)
+    halted  (or rolling back -> rolled back, with ``auto_rollback``)
 
-A rollout that is over and left instances unknown may be resumed: in one that was done they get
-their step again; in one that was halted nothing more is changed, and the agents are only asked how
-the step ended.
+A rollout that ended with unknown instances may be resumed.  If it was done, these instances are
+sent their step again.  If it was halted, nothing more is changed, and the agents are only asked
+how the step ended.  If it was rolled back, those that did apply the step are rolled back too.
 
-:class:`Persist` precedes the actions that depend on it, so that a tool that is killed resumes from
-its journal: a step that may have been sent is sent again under the same id, and the agent answers
-as it did before.  An instance without an answer is *unknown*, never counted as changed or as
-unchanged; it counts as unavailable until it is heard of again.
+:class:`Persist` precedes the actions that depend on it, so that a killed tool resumes from its
+journal: a step that may have been sent is sent again under the same id, and the agent reports the
+same result.  An instance without a known result is *unknown*: it counts neither as changed nor as
+unchanged, and as unavailable until its agent reports a result.
 """
 
 from __future__ import annotations
@@ -45,16 +45,16 @@
 
 
 class RolloutMachine:
-    """Turns events of a rollout into actions; :attr:`record` is the state between events."""
+    """Turns events of a rollout into actions; :attr:`record` is the state after the last event."""
 
     def __init__(self, record: RolloutRecord) -> None:
-        """Take up a record, new or from the journal; :meth:`start` returns the first actions."""
+        """Start from a record, new or from the journal; :meth:`start` returns the first actions."""
         self.record = record
         self._targets = {target.name: target for wave in record.waves for target in wave}
         self._statuses = dict.fromkeys(self._targets, InstanceStatus()) | dict(record.statuses)
 
     def start(self) -> list[Action]:
-        """Begin, or resume from the record: whatever may have been sent is sent again."""
+        """Start, or resume from the record: what may have been sent is sent again."""
         phase = self.record.phase
         if phase is Phase.RUNNING or (phase is Phase.DONE and self._unknown_count()):
             return self._start_running()
@@ -67,7 +67,7 @@
         return [Finish(phase)]
 
     def on_step_ended(self, name: str, outcome: InstanceOutcome, reason: str = "") -> list[Action]:
-        """Take an agent's report of how a step ended, also of an instance that was unknown."""
+        """Process an agent's report of how a step ended, also for an unknown instance."""
         status = self._statuses.get(name)
         if status is None or outcome not in FINAL_OUTCOMES:
             return []
@@ -77,30 +77,34 @@
         if outcome is not InstanceOutcome.APPLIED and self.record.phase in IN_PROGRESS_PHASES:
             return self._halt(f"{name} {outcome.value}: {reason}")
         if outcome is InstanceOutcome.APPLIED and self.record.phase in ROLLBACK_PHASES:
-            self._set(phase=Phase.ROLLING_BACK)  # late news: it is rolled back like the others
+            # A late report: the instance is rolled back like the others.
+            self._set(phase=Phase.ROLLING_BACK)
             return self._persisted([RollBack(self._targets[name])])
         return self._persisted(self._continue())
 
     def on_outcome_unknown(
         self, name: str, reason: str, last_response_unix_s: float
     ) -> list[Action]:
-        """Give up waiting for an instance that was sent a step or is to be rolled back."""
+        """Process that the result of an instance's step or rollback is not known.
+
+        ``last_response_unix_s`` is the Unix time of its agent's last response in seconds, or 0.
+        """
         status = self._statuses.get(name)
         if status is None:
             return []
-        rolling_back = (
+        is_rolling_back = (
             status.outcome is InstanceOutcome.APPLIED and self.record.phase is Phase.ROLLING_BACK
         )
-        # Outside a rollback, an instance that reported that it took the step did take it.
-        if status.outcome is not InstanceOutcome.IN_PROGRESS and not rolling_back:
+        # Outside a rollback, a reported result is final.
+        if status.outcome is not InstanceOutcome.IN_PROGRESS and not is_rolling_back:
             return []
         self._statuses[name] = InstanceStatus(InstanceOutcome.UNKNOWN, reason, last_response_unix_s)
         if self.record.phase is not Phase.RUNNING:
             return self._persisted(self._continue())
-        return self._halt_if_stuck() or self._persisted(self._continue())
+        return self._halt_if_limit_reached() or self._persisted(self._continue())
 
     def on_gate_result(self, result: GateResult) -> list[Action]:
-        """Take the result of the gate after the present wave."""
+        """Process the result of the gate after the present wave."""
         if self.record.phase is not Phase.GATING or result.verdict is Verdict.PENDING:
             return []
         if result.verdict is Verdict.FAIL:
@@ -108,10 +112,10 @@
         if self.record.wave_index + 1 == len(self.record.waves):
             return self._persisted(self._finish(Phase.DONE))
         self._set(phase=Phase.RUNNING, wave_index=self.record.wave_index + 1)
-        return self._halt_if_stuck() or self._persisted(self._continue())
+        return self._halt_if_limit_reached() or self._persisted(self._continue())
 
     def on_rolled_back(self, name: str, reason: str = "") -> list[Action]:
-        """Take an agent's report that an instance runs again what it ran before."""
+        """Process an agent's report that an instance runs its previous files again."""
         status = self._statuses.get(name)
         if status is None or self.record.phase not in ROLLBACK_PHASES:
             return []
@@ -123,7 +127,7 @@
         return self._persisted(self._continue())
 
     def stop(self, reason: str) -> list[Action]:
-        """Halt without a rollback, as when the lease is lost: nothing more is sent."""
+        """Halt without a rollback, so that nothing more is sent, for example after a lost lease."""
         if self.record.phase in IN_PROGRESS_PHASES or self.record.phase is Phase.ROLLING_BACK:
             self._set(reason=reason, phase=Phase.HALTED)
             return self._persisted(self._continue())
@@ -134,7 +138,7 @@
         return {name: self._statuses[name] for name in self._targets}
 
     def is_complete(self) -> bool:
-        """Return whether every instance took the change."""
+        """Return whether every instance applied the change."""
         return all(s.outcome is InstanceOutcome.APPLIED for s in self._statuses.values())
 
     def _start_running(self) -> list[Action]:
@@ -151,7 +155,7 @@
         return [ResolveStep(target) for target in self._reopen_steps()]
 
     def _reopen_steps(self) -> list[Target]:
-        """Mark sent steps without a known end as in progress again; return their targets."""
+        """Mark sent steps without a known result as in progress; return their targets."""
         reopened = self._targets_with(UNAVAILABLE_OUTCOMES)
         for target in reopened:
             self._statuses[target.name] = InstanceStatus(InstanceOutcome.IN_PROGRESS)
@@ -184,8 +188,8 @@
             if self._statuses[target.name].outcome is InstanceOutcome.NOT_REACHED
         ]
 
-    def _halt_if_stuck(self) -> list[Action]:
-        """Halt if unknown instances use up the limit, so that no step could be sent."""
+    def _halt_if_limit_reached(self) -> list[Action]:
+        """Halt if unknown instances reach the limit, so that no further step can be sent."""
         unknown, limit = self._unknown_count(), self.record.max_unavailable
         if unknown < limit or not self._unsent():
             return []
@@ -193,8 +197,8 @@
 
     def _next_steps(self) -> list[Action]:
         """Send as many steps as the limit allows; evaluate the gate once the wave has ended."""
-        free = self.record.max_unavailable - len(self._targets_with(UNAVAILABLE_OUTCOMES))
-        next_targets = self._unsent()[: max(0, free)]
+        free_slots = self.record.max_unavailable - len(self._targets_with(UNAVAILABLE_OUTCOMES))
+        next_targets = self._unsent()[: max(0, free_slots)]
         for target in next_targets:
             self._statuses[target.name] = InstanceStatus(InstanceOutcome.IN_PROGRESS)
         if not next_targets and self._wave_has_ended():
@@ -210,7 +214,7 @@
         if self.record.phase is Phase.RUNNING:
             return self._next_steps()
         if self._targets_with({InstanceOutcome.IN_PROGRESS}):
-            return []  # steps in progress end before the rollout does
+            return []  # the rollout ends after the steps in progress
         if self.record.phase is Phase.ROLLING_BACK and not self._changed():
             return self._finish(Phase.ROLLED_BACK)
         return [Finish(Phase.HALTED)] if self.record.phase is Phase.HALTED else []
@@ -230,6 +234,6 @@
         self.record = dataclasses.replace(self.record, **changes)  # type: ignore[arg-type]
 
     def _persisted(self, actions: list[Action]) -> list[Action]:
-        """Put the statuses into the record, and have it written before the actions."""
+        """Put the statuses into the record; return an action that writes it, then ``actions``."""
         self._set(statuses=tuple(self.statuses().items()))
         return [Persist(self.record), *actions]
--- a/oakbridge/rollout/silence_timeout.py
+++ b/oakbridge/rollout/silence_timeout.py
@@ -1,4 +1,4 @@
-"""How long a rollout waits for the end of a step before the instance is unknown.  Pure."""
+"""The timeout after which an instance without a step result is unknown.  Pure."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 @dataclass(slots=True)
 class SilenceTimeout:
-    """Which instances are awaited, and since when; times are seconds of a monotonic clock."""
+    """Since when the result of each instance is awaited; times are seconds of a monotonic clock."""
 
     timeout_s: float
     _started_s: dict[str, float] = field(default_factory=dict)
 
     def start(self, name: str, now_s: float) -> None:
-        """Wait for this instance; a wait that has begun is not extended."""
+        """Start the timeout of an instance; one that is running is not extended."""
         self._started_s.setdefault(name, now_s)
 
     def cancel(self, name: str) -> None:
-        """Stop waiting for this instance."""
+        """Cancel the timeout of an instance."""
         self._started_s.pop(name, None)
 
     def is_pending(self, name: str) -> bool:
-        """Return whether this instance is awaited."""
+        """Return whether the timeout of an instance is running."""
         return name in self._started_s
 
     def pop_expired(self, now_s: float) -> list[str]:
-        """Return the instances whose time is up, oldest wait first, and stop waiting for them."""
+        """Return the instances whose timeout has expired, oldest first, and remove them."""
         expired = [
             name
             for name, started_s in self._started_s.items()
