--- a/oakbridge/rollout/doctor.py
+++ b/oakbridge/rollout/doctor.py
@@ -1,4 +1,4 @@
-"""Diagnoses a fleet: what is wrong with it, and what to do about it.  Pure."""
+"""Diagnoses a fleet: finds problems and names a remedy for each.  Pure."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 MAX_CLOCK_OFFSET_S = 5.0
 MIN_CERTIFICATE_DAYS = 30.0
-MAX_NAMES = 3  # names that a finding lists before it counts the rest
+MAX_NAMES = 3  # names that a finding lists; it gives the number of the others
 IN_PROGRESS_PHASES = frozenset({Phase.RUNNING, Phase.GATING, Phase.ROLLING_BACK})
-ABSENT_STATES = frozenset({"failed", "left"})  # of a member, in other members' words
+ABSENT_STATES = frozenset({"failed", "left"})  # states of a member that is not there
 
 REMEDIES = {
     "silent": "the node runs and says nothing: frozen, or starved",
@@ -26,19 +26,20 @@
 }
 DEFAULT_REMEDY = "look at node.log in the agent's state folder"
 
-AgentAnswers = Mapping[str, Mapping[str, Any] | str]  # by agent: its answer, or why there is none
+# By agent: the body of its response, or the reason why there is none.
+AgentResponses = Mapping[str, Mapping[str, Any] | str]
 
 
 class Severity(Enum):
     """How severe a finding is; the values are shown to operators."""
 
-    BAD = "bad"  # something does not serve, or nobody knows whether it does
+    BAD = "bad"  # an instance does not serve, or nobody knows whether it does
     NOTE = "note"  # operators should know
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that somebody should look at."""
+    """One problem of an agent, an instance, a rollout, the lease or a certificate."""
 
     severity: Severity
     subject: str
@@ -47,7 +48,7 @@
 
 
 def diagnose(
-    agents: AgentAnswers,
+    agents: AgentResponses,
     entries: Sequence[JournalEntry],
     now_unix_s: float,
     certificates: Mapping[str, float] | None = None,
@@ -55,35 +56,38 @@
 ) -> list[Finding]:
     """Return all findings, the bad ones first.
 
-    ``entries`` is the journal, newest first; ``certificates`` the days that each certificate at
-    hand is still valid for; ``members`` the members that a node knows.
+    ``entries`` are those of the journal, newest first.  ``certificates`` has the days for which
+    each certificate of the operator's folder is still valid.  ``members`` are the members that a
+    node knows; without them, membership is not diagnosed.
     """
-    answers = {name: answer for name, answer in agents.items() if not isinstance(answer, str)}
+    responses = {
+        name: response for name, response in agents.items() if not isinstance(response, str)
+    }
     reports: dict[str, Report] = {
         f"{agent}/{report['name']}": report
-        for agent, answer in answers.items()
-        for report in answer["instances"]
+        for agent, response in responses.items()
+        for report in response["instances"]
     }
     findings = _agent_findings(agents, now_unix_s)
     for name, report in reports.items():
         findings += _instance_findings(name, report)
     findings += _rollout_findings(entries, reports)
-    findings += _version_findings(answers)
-    findings += _lease_findings(answers)
+    findings += _version_findings(responses)
+    findings += _lease_findings(responses)
     if members is not None:
         findings += _membership_findings(agents, reports, members)
     findings += _certificate_findings(certificates or {})
     return sorted(findings, key=lambda finding: finding.severity is not Severity.BAD)
 
 
-def _agent_findings(agents: AgentAnswers, now_unix_s: float) -> list[Finding]:
+def _agent_findings(agents: AgentResponses, now_unix_s: float) -> list[Finding]:
     findings = []
-    for name, answer in agents.items():
-        if isinstance(answer, str):
+    for name, response in agents.items():
+        if isinstance(response, str):
             remedy = "look at the host, the agent's process, its certificate"
-            findings.append(Finding(Severity.BAD, name, f"no answer: {answer}", remedy))
+            findings.append(Finding(Severity.BAD, name, f"no answer: {response}", remedy))
             continue
-        offset_s = answer["time"] - now_unix_s
+        offset_s = response["time"] - now_unix_s
         if abs(offset_s) > MAX_CLOCK_OFFSET_S:
             problem = f"its clock is off by {offset_s:+.0f} s"
             remedy = "set it: times in reports come from it"
@@ -129,7 +133,7 @@
 
 
 def _unfinished_finding(entry: JournalEntry, reports: Mapping[str, Report]) -> Finding | None:
-    """Return the finding of a rollout that is in progress, or ended with unknown instances."""
+    """Return the finding of a rollout that is in progress or ended with unknown instances."""
     resume = f"`fleet resume {entry.id}`"
     if entry.record.phase in IN_PROGRESS_PHASES:
         problem = f"it stands at {entry.record.phase.value}"
@@ -138,8 +142,10 @@
     unknown = [
         name for name, status in entry.record.statuses if status.outcome is InstanceOutcome.UNKNOWN
     ]
-    superseded = any(reports[name]["generation"] > entry.id for name in unknown if name in reports)
-    if not unknown or superseded:
+    is_superseded = any(
+        reports[name]["generation"] > entry.id for name in unknown if name in reports
+    )
+    if not unknown or is_superseded:
         return None
     problem = f"unknown still: {_list_names(unknown)}"
     return Finding(Severity.BAD, _rollout_name(entry), problem, f"{resume} takes them along")
@@ -154,8 +160,8 @@
     return ", ".join(names[:MAX_NAMES]) + more
 
 
-def _version_findings(answers: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
-    versions = Counter(str(answer.get("version", "")) for answer in answers.values())
+def _version_findings(responses: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
+    versions = Counter(str(response.get("version", "")) for response in responses.values())
     if len(versions) < 2:
         return []
     counts = ", ".join(
@@ -165,8 +171,8 @@
     return [Finding(Severity.NOTE, "agents", problem, "bring them to one")]
 
 
-def _lease_findings(answers: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
-    leases = [answer["lease"] for answer in answers.values()]
+def _lease_findings(responses: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
+    leases = [response["lease"] for response in responses.values()]
     holders = Counter(str(lease["holder"]) for lease in leases if lease["alive"])
     remedy = "a rollout is under way, or its tool has died"
     return [
@@ -176,9 +182,9 @@
 
 
 def _membership_findings(
-    agents: AgentAnswers, reports: Mapping[str, Report], members: Sequence[Mapping[str, Any]]
+    agents: AgentResponses, reports: Mapping[str, Report], members: Sequence[Mapping[str, Any]]
 ) -> list[Finding]:
-    """Return where the inventory and the members' own view differ."""
+    """Return the differences between the inventory and the members' view."""
     findings = []
     by_name = {str(member["name"]): member for member in members}
     for name, report in reports.items():
@@ -200,7 +206,7 @@
 def _reported_member_findings(
     name: str, report: Report, member: Mapping[str, Any] | None
 ) -> list[Finding]:
-    """Return where an agent's report on its instance and the members' view of it differ."""
+    """Return the differences between an agent's report on an instance and the members' view."""
     if member is None or member["state"] in ABSENT_STATES:
         if not is_healthy(instance_health(report)):
             return []
--- a/oakbridge/rollout/gate.py
+++ b/oakbridge/rollout/gate.py
@@ -1,10 +1,11 @@
-"""Whether changed instances serve as well as unchanged ones: by a stated test.  Pure.
-
-The test is a one-sided comparison of two shares (served of answered) with a margin: the change
-fails if its share is lower than the baseline's by more than ``margin``, at the significance level
-``alpha``.  Shares are taken with one success and one failure added to each side (Agresti and
-Caffo), so that 0 and 1 have a variance too.  Requests of one instance are not independent of each
-other; ``min_responses`` and the margin keep the test from finding a fault in a single bad second.
+"""Tests whether changed instances serve as well as unchanged ones.  Pure.
+
+The test is a one-sided comparison of two served fractions (of all responses) with a margin: the
+change fails if its fraction is lower than the baseline's by more than ``margin``, at the
+significance level ``alpha``.  One success and one failure are added to each side (Agresti and
+Caffo), so that fractions of 0 and 1 have a variance too.  Requests of one instance are not
+independent of each other; ``min_responses`` and the margin keep the test from failing a change
+because of a single bad second.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
         return self.served + self.rejected + self.failed
 
     def since(self, earlier: ResponseCounts) -> ResponseCounts:
-        """Return what was counted since ``earlier``; after a restart, all since the restart."""
+        """Return the responses since ``earlier``, or since a restart that reset the counts."""
         if self.total < earlier.total or self.served < earlier.served:
             return self
         return ResponseCounts(
@@ -42,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GateRules:
-    """How strict the gate is."""
+    """The parameters of the gate's test."""
 
-    alpha: float = 0.01  # the probability with which a change that does no harm may be halted
-    margin: float = 0.005  # a share that is lower by no more than this counts as equal
-    min_responses: int = 200  # on either side, before the shares are compared
-    require_traffic: bool = False  # whether too few responses fail the gate
+    alpha: float = 0.01  # probability that a harmless change is halted (significance level)
+    margin: float = 0.005  # a served fraction that is lower by no more than this counts as equal
+    min_responses: int = 200  # of each side; with fewer, the fractions are not compared
+    require_traffic: bool = False  # whether the gate fails with too few responses
 
 
 class Verdict(Enum):
@@ -60,17 +61,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GateResult:
-    """The verdict of a gate, and the figures that it rests on."""
+    """The verdict of a gate, and the figures behind it; NaN where they were not compared."""
 
     verdict: Verdict
     reason: str
-    changed_share: float = math.nan  # served of all responses
+    changed_share: float = math.nan  # fraction of all responses
     baseline_share: float = math.nan
     p_value: float = math.nan
 
 
 def sum_counts(counts: Iterable[ResponseCounts]) -> ResponseCounts:
-    """Return the counts of several instances together."""
+    """Return the sum of the counts of several instances."""
     rows = tuple(counts)
     return ResponseCounts(
         sum(row.served for row in rows),
@@ -89,37 +90,47 @@
 ) -> GateResult:
     """Evaluate one window.
 
-    ``changed`` and ``baseline`` are the responses of changed and of unchanged instances in the
-    window; where no instance is unchanged any more, ``baseline`` is what the changed ones answered
-    before their change.  ``unhealthy`` has the reason for each changed instance that is not in
-    order.
+    ``changed`` and ``baseline`` count the responses of changed and of unchanged instances in the
+    window, by instance name; where no unchanged instance is left, ``baseline`` counts those before
+    the change.  ``unhealthy`` has the reason for each changed instance that is not healthy.
     """
     if unhealthy:
         return GateResult(Verdict.FAIL, _first_reason(unhealthy))
-    ours, theirs = sum_counts(changed.values()), sum_counts(baseline.values())
-    if min(ours.total, theirs.total) < rules.min_responses:
-        return _without_comparison(ours, theirs, rules, window_ended)
-    p_value = non_inferiority_p_value(ours, theirs, rules.margin)
-    ours_share, theirs_share = _share(ours), _share(theirs)
+    changed_counts, baseline_counts = sum_counts(changed.values()), sum_counts(baseline.values())
+    if min(changed_counts.total, baseline_counts.total) < rules.min_responses:
+        return _without_comparison(changed_counts, baseline_counts, rules, window_ended)
+    p_value = non_inferiority_p_value(changed_counts, baseline_counts, rules.margin)
+    changed_share, baseline_share = _served_share(changed_counts), _served_share(baseline_counts)
     figures = (
-        f"{ours_share:.2%} of {ours.total} served, "
-        f"{theirs_share:.2%} of {theirs.total} by the others (p = {p_value:.2g})"
+        f"{changed_share:.2%} of {changed_counts.total} served, "
+        f"{baseline_share:.2%} of {baseline_counts.total} by the others (p = {p_value:.2g})"
     )
     if p_value < rules.alpha:
         verdict, reason = Verdict.FAIL, f"it serves less: {figures}"
     else:
         verdict, reason = Verdict.PASS if window_ended else Verdict.PENDING, figures
-    return GateResult(verdict, reason, ours_share, theirs_share, p_value)
+    return GateResult(verdict, reason, changed_share, baseline_share, p_value)
+
 
+def non_inferiority_p_value(
+    changed: ResponseCounts, baseline: ResponseCounts, margin: float
+) -> float:
+    """Return the p-value of the null hypothesis of a changed instance that serves well enough.
 
-def non_inferiority_p_value(ours: ResponseCounts, theirs: ResponseCounts, margin: float) -> float:
-    """Return the p-value of the hypothesis that our share is lower by no more than ``margin``."""
-    our_share, our_total = (ours.served + 1) / (ours.total + 2), ours.total + 2
-    their_share, their_total = (theirs.served + 1) / (theirs.total + 2), theirs.total + 2
-    our_variance = our_share * (1 - our_share) / our_total
-    their_variance = their_share * (1 - their_share) / their_total
-    z = (their_share - our_share - margin) / math.sqrt(our_variance + their_variance)
-    return 1 - NormalDist().cdf(z)
+    By that hypothesis, the served fraction of ``changed`` is lower than that of ``baseline`` by no
+    more than ``margin``.
+    """
+    changed_share, changed_total = (changed.served + 1) / (changed.total + 2), changed.total + 2
+    baseline_share, baseline_total = (
+        (baseline.served + 1) / (baseline.total + 2),
+        baseline.total + 2,
+    )
+    changed_variance = changed_share * (1 - changed_share) / changed_total
+    baseline_variance = baseline_share * (1 - baseline_share) / baseline_total
+    z_score = (baseline_share - changed_share - margin) / math.sqrt(
+        changed_variance + baseline_variance
+    )
+    return 1 - NormalDist().cdf(z_score)
 
 
 def _first_reason(unhealthy: Mapping[str, str]) -> str:
@@ -129,16 +140,22 @@
 
 
 def _without_comparison(
-    ours: ResponseCounts, theirs: ResponseCounts, rules: GateRules, window_ended: bool
+    changed_counts: ResponseCounts,
+    baseline_counts: ResponseCounts,
+    rules: GateRules,
+    window_ended: bool,
 ) -> GateResult:
-    """Return the result where the responses are too few to compare."""
+    """Return the result where there are too few responses to compare."""
     if not window_ended:
-        reason = f"{ours.total} and {theirs.total} answers, {rules.min_responses} are needed"
+        reason = (
+            f"{changed_counts.total} and {baseline_counts.total} answers, "
+            f"{rules.min_responses} are needed"
+        )
         return GateResult(Verdict.PENDING, reason)
     verdict = Verdict.FAIL if rules.require_traffic else Verdict.PASS
-    counts = f"{ours.total} and {theirs.total}"
+    counts = f"{changed_counts.total} and {baseline_counts.total}"
     return GateResult(verdict, f"too few answers to compare ({counts}); all are well")
 
 
-def _share(counts: ResponseCounts) -> float:
+def _served_share(counts: ResponseCounts) -> float:
     return counts.served / max(1, counts.total)
--- a/oakbridge/rollout/gate_window.py
+++ b/oakbridge/rollout/gate_window.py
@@ -1,4 +1,4 @@
-"""The window after a wave in which a gate compares changed with unchanged instances.  Pure."""
+"""The window after a wave during which a gate compares changed and unchanged instances.  Pure."""
 
 from __future__ import annotations
 
@@ -11,23 +11,26 @@
 from oakbridge.rollout.record import InstanceOutcome, InstanceStatus
 from oakbridge.rollout.step_report import Report
 
-EVALUATION_INTERVAL_S = 0.5  # the least time between two evaluations of one window
+EVALUATION_INTERVAL_S = 0.5  # the shortest time between two evaluations of one window
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What is known of all instances of a rollout at one moment, by name."""
+    """The last report and the status of each instance of a rollout, by instance name."""
 
     reports: Mapping[str, Report | None]
     statuses: Mapping[str, InstanceStatus]
 
     def counts(self) -> dict[str, ResponseCounts]:
-        """Return the response counts of each instance since its start."""
+        """Return the response counts of each instance since its process started."""
         return {name: response_counts(report) for name, report in self.reports.items()}
 
 
 class GateWindow:
-    """One window; times are seconds of a monotonic clock."""
+    """One window; times are seconds of a monotonic clock.
+
+    The owner sets :attr:`has_ended` when the window is over.
+    """
 
     def __init__(
         self,
@@ -37,27 +40,27 @@
         rules: GateRules,
         now_s: float,
     ) -> None:
-        """Open the window; its responses are those beyond the counts of ``view``."""
-        self.ended = False
+        """Open the window; it counts the responses after those in ``view``."""
+        self.has_ended = False
         self._rollout = rollout
         self._changed = {target.name for target in changed}
         self._counts_at_start = view.counts()
         self._rules = rules
-        self._evaluated_s = now_s
+        self._last_evaluation_s = now_s
 
     def is_due(self, now_s: float) -> bool:
-        """Return whether it is time to evaluate the window."""
-        return self.ended or now_s - self._evaluated_s >= EVALUATION_INTERVAL_S
+        """Return whether the window is to be evaluated now."""
+        return self.has_ended or now_s - self._last_evaluation_s >= EVALUATION_INTERVAL_S
 
     def evaluate(
         self, view: FleetView, counts_before_rollout: Mapping[str, ResponseCounts], now_s: float
     ) -> GateResult:
         """Evaluate the window.
 
-        Instances that the rollout has not reached are the baseline; without any,
-        ``counts_before_rollout`` are.
+        The baseline is the instances that the rollout has not reached, or, if it has reached all,
+        ``counts_before_rollout``.
         """
-        self._evaluated_s = now_s
+        self._last_evaluation_s = now_s
         counts = {
             name: now.since(self._counts_at_start[name]) for name, now in view.counts().items()
         }
@@ -70,12 +73,12 @@
         return evaluate(
             changed={name: count for name, count in counts.items() if name in self._changed},
             baseline=unchanged or counts_before_rollout,
-            unhealthy=self._unhealthy(view),
+            unhealthy=self._health_problems(view),
             rules=self._rules,
-            window_ended=self.ended,
+            window_ended=self.has_ended,
         )
 
-    def _unhealthy(self, view: FleetView) -> dict[str, str]:
+    def _health_problems(self, view: FleetView) -> dict[str, str]:
         reasons = {
             name: health_problem(view.reports[name], self._rollout) for name in self._changed
         }
@@ -83,8 +86,8 @@
 
 
 def response_counts(report: Report | None) -> ResponseCounts:
-    """Return the response counts of an agent's report on an instance; all 0 without one."""
-    answers = report["node"].get("answers", {}) if report else {}
+    """Return the response counts of an agent's report on an instance; all 0 without a report."""
+    counts = report["node"].get("answers", {}) if report else {}
     return ResponseCounts(
-        answers.get("served", 0), answers.get("refused", 0), answers.get("failed", 0)
+        counts.get("served", 0), counts.get("refused", 0), counts.get("failed", 0)
     )
--- a/oakbridge/rollout/journal.py
+++ b/oakbridge/rollout/journal.py
@@ -1,11 +1,10 @@
-"""The operator's journal of rollouts, in SQLite: a killed tool resumes from it.
+"""The operator's journal of rollouts, an SQLite file from which a killed tool resumes.
 
-It is a record and not the truth: that is what the agents report.  A journal that is lost costs its
-rollouts their history, and one in progress its ``resume``; a new rollout begins from what the
+The agents' reports are authoritative, not the journal.  If the journal is lost, so is the history
+of its rollouts, and a rollout in progress cannot be resumed; a new rollout starts from what the
 agents run.
 
-Columns and JSON keep the names that they were first given: column ``files`` holds the change,
-whatever its kind.
+The columns and the JSON keys keep their first names; column ``files`` holds a change of any kind.
 """
 
 from __future__ import annotations
@@ -21,12 +20,12 @@
 from oakbridge.rollout.record import RolloutRecord, decode_record, encode_record
 
 FORMAT = 1
-BUSY_TIMEOUT_S = 10.0
+BUSY_TIMEOUT_S = 10.0  # how long a statement waits for another process that writes
 _COLUMNS = "id INTEGER PRIMARY KEY, operator, began REAL, changed REAL, why, files, record"
 
 
 class JournalError(Exception):
-    """The journal cannot be used.  ``place`` is the file or the rollout at fault."""
+    """The journal cannot be used.  ``place`` is the file or rollout that is invalid, or ""."""
 
     def __init__(self, problem: str, place: str = "") -> None:
         super().__init__(f"{place}: {problem}" if place else problem)
@@ -34,11 +33,11 @@
 
 
 class JournalUnavailableError(JournalError):
-    """The disk fails at the moment; the same call may succeed soon."""
+    """A transient error of the disk; a retry of the same call may succeed."""
 
 
 class UnknownRolloutError(JournalError):
-    """The journal has no rollout of that number."""
+    """The journal has no rollout with this number."""
 
     def __init__(self, rollout: int) -> None:
         super().__init__(f"there is no rollout {rollout}")
@@ -47,9 +46,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalEntry:
-    """One rollout."""
+    """One rollout in the journal."""
 
-    id: int  # the fencing token under which it began, and the generation that it brings
+    id: int  # the fencing token under which it started, and the generation that it rolls out
     operator: str
     started_unix_s: float
     updated_unix_s: float
@@ -62,7 +61,7 @@
     """The file ``journal.db`` of a fleet's folder; ``with`` closes it."""
 
     def __init__(self, folder: Path) -> None:
-        """Open it, or create it.  Raise :class:`JournalError` if it has another format."""
+        """Open or create the file.  Raise :class:`JournalError` if it has another format."""
         path = self._path = folder / "journal.db"
         try:
             self._db = sqlite3.connect(path, isolation_level=None, timeout=BUSY_TIMEOUT_S)
@@ -112,7 +111,7 @@
         self._execute("INSERT INTO rollouts VALUES (?, ?, ?, ?, ?, ?, ?)", row)
 
     def update(self, rollout: int, record: RolloutRecord) -> None:
-        """Write the present record of a rollout.
+        """Replace the record of a rollout.
 
         Raise :class:`JournalUnavailableError` if the disk fails.
         """
@@ -120,21 +119,28 @@
         self._execute("UPDATE rollouts SET record = ?, changed = ? WHERE id = ?", row)
 
     def entries(self, limit: int = 20) -> list[JournalEntry]:
-        """Return the newest rollouts, newest first.  Raise :class:`JournalError`."""
+        """Return at most ``limit`` rollouts, newest first.
+
+        Raise :class:`JournalError` if one of them is not valid or the disk fails.
+        """
         rows = self._execute("SELECT * FROM rollouts ORDER BY id DESC LIMIT ?", (limit,))
         return [_entry(row) for row in rows]
 
     def entry(self, rollout: int) -> JournalEntry:
-        """Return one rollout.  Raise :class:`JournalError` if it is missing or not valid."""
+        """Return one rollout.
+
+        Raise :class:`UnknownRolloutError` if it is missing, and :class:`JournalError` if it is not
+        valid or the disk fails.
+        """
         rows = self._execute("SELECT * FROM rollouts WHERE id = ?", (rollout,))
         if not rows:
             raise UnknownRolloutError(rollout)
         return _entry(rows[0])
 
     def _execute(self, statement: str, values: tuple[Any, ...]) -> list[Any]:
-        """Execute one statement, which is a transaction of its own; return its rows.
+        """Execute one statement as a transaction of its own; return its rows.
 
-        Raises JournalUnavailableError if the disk fails: then nothing was written.
+        Raises JournalUnavailableError if the disk fails; nothing was written then.
         """
         try:
             return self._db.execute(statement, values).fetchall()
--- a/oakbridge/rollout/plan.py
+++ b/oakbridge/rollout/plan.py
@@ -1,4 +1,4 @@
-"""Which instances change in which wave: a canary, then growing shares over all zones.  Pure."""
+"""Plans the waves of a rollout: a canary, then growing fractions of all instances.  Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PlanError(ValueError):
-    """The waves cannot be planned; ``field`` is the option at fault, or "" for the targets."""
+    """The waves cannot be planned; ``field`` is the invalid option, or "" for the targets."""
 
     def __init__(self, problem: str, field: str = "") -> None:
         super().__init__(f"{field}: {problem}" if field else problem)
@@ -24,8 +24,8 @@
     agent: str
     instance: str
     zone: str = ""
-    base_generation: int = 0  # the generation that it ran when the plan was made
-    is_drained: bool = False  # whether it was drained then, so that its node was not to run
+    base_generation: int = 0  # running when the waves were planned; 0: none
+    is_drained: bool = False  # when the waves were planned; its node did not run then
 
     @property
     def name(self) -> str:
@@ -40,10 +40,11 @@
 class WaveOptions:
     """How the targets are divided into waves."""
 
-    canary: int = 1  # instances of the first wave
-    shares: tuple[float, ...] = (0.1, 0.5, 1.0)  # of all targets, by the end of each later wave
-    by_zone: bool = False  # whether a wave, other than the canary, is of a single zone
-    max_unavailable: int = 1  # instances that may be in change, or silent, at one time
+    canary: int = 1  # number of instances of the first wave; 0: no canary
+    # Fractions of all targets that are planned by the end of each wave after the canary.
+    shares: tuple[float, ...] = (0.1, 0.5, 1.0)
+    by_zone: bool = False  # whether each wave but the canary has a single zone
+    max_unavailable: int = 1  # instances in progress or unknown at one time
 
     def __post_init__(self) -> None:
         """Raise :class:`PlanError` for a value out of range."""
@@ -61,9 +62,9 @@
 
 
 def interleave(targets: Sequence[Target]) -> list[Target]:
-    """Return the targets so that zones, and within them agents, alternate.
+    """Return the targets in an order in which zones, and within them agents, alternate.
 
-    Any first part of the result is then spread over zones and agents as evenly as the whole.
+    Each prefix of the result is then spread over zones and agents as evenly as the whole.
     """
     zones: list[list[Target]] = []
     for zone in sorted({target.zone for target in targets}):
@@ -75,29 +76,29 @@
 
 
 def plan_waves(targets: Sequence[Target], options: WaveOptions) -> tuple[Wave, ...]:
-    """Return the waves, none of them empty; each target is in exactly one.
+    """Return the waves, none of them empty; each target is in exactly one wave.
 
-    Raise :class:`PlanError` without targets, or if one is listed twice.
+    Raise :class:`PlanError` if there are no targets or two of the same name.
     """
     if not targets:
         raise PlanError("expected at least one instance")
     if len({target.name for target in targets}) != len(targets):
         raise PlanError("expected each instance once")
-    order = interleave(targets)
+    ordered = interleave(targets)
     waves: list[Wave] = []
     planned = 0
-    for end in _wave_ends(len(order), options):
+    for end in _wave_ends(len(ordered), options):
         if end <= planned:
             continue
-        part = tuple(order[planned:end])
+        wave = tuple(ordered[planned:end])
         is_canary = not waves and options.canary > 0
-        waves += [part] if is_canary or not options.by_zone else _divide_by_zone(part)
+        waves += [wave] if is_canary or not options.by_zone else _divide_by_zone(wave)
         planned = end
     return tuple(waves)
 
 
 def _wave_ends(count: int, options: WaveOptions) -> list[int]:
-    """Return how many targets are planned by the end of each wave."""
+    """Return the number of targets in each wave and all waves before it."""
     canary = min(options.canary, count)
     return [canary, *(max(canary, math.ceil(share * count)) for share in options.shares)]
 
--- a/oakbridge/rollout/rebuild.py
+++ b/oakbridge/rollout/rebuild.py
@@ -1,9 +1,9 @@
-"""Rebuilds a journal that was lost from what the agents remember.  Pure.
+"""Rebuilds a lost journal from the agents' reports.  Pure.
 
-Agents keep the results of their last steps under the steps' ids, which name the rollout, and the
-generation that each instance runs.  What they do not know (waves, who began it, why) is reported as
-unknown rather than guessed; instances that a rollout never reached left no trace, so the rollout
-may have been larger.
+Agents keep the results of their last steps by step id, which contains the rollout number, and the
+generation that each instance runs.  They do not know the waves, the operator or the reason of a
+rollout, which are reported as unknown.  Instances that a rollout never reached have no record of
+it, so that the rollout may have been larger.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RebuiltRollout:
-    """One rollout as the agents remember it, and an instance that has its files, if any has."""
+    """One rollout by the agents' reports, and an instance that has its files, or None."""
 
     id: int
     record: RolloutRecord
@@ -29,7 +29,10 @@
 def rebuild(
     reports_by_agent: Mapping[str, Sequence[Report]], silent: Sequence[str] = ()
 ) -> list[RebuiltRollout]:
-    """Return all rollouts that agents remember, oldest first; ``silent`` did not answer."""
+    """Return all rollouts in the agents' reports, oldest first.
+
+    ``silent`` are the agents that did not respond.
+    """
     rebuilder = _Rebuilder()
     for agent, reports in sorted(reports_by_agent.items()):
         for report in reports:
@@ -38,7 +41,7 @@
 
 
 class _Rebuilder:
-    """What is known of each rollout so far, by its number and by the name of the instance."""
+    """Collects statuses and targets by rollout number and instance name."""
 
     def __init__(self) -> None:
         self._statuses: dict[int, dict[str, InstanceStatus]] = defaultdict(dict)
@@ -46,7 +49,7 @@
         self._files_holders: dict[int, Target] = {}
 
     def add(self, agent: str, report: Report) -> None:
-        """Add one instance; of several steps of a rollout, the later one counts."""
+        """Add the report on one instance; of several steps of one rollout, the last one counts."""
         self._add_ended_steps(agent, report)
         self._add_step_in_progress(agent, report)
         holder = Target(agent, report["name"], "", report["generation"])
@@ -61,13 +64,13 @@
         return [
             RebuiltRollout(
                 rollout,
-                self._record(rollout, reason, any_silent=silent_count > 0),
+                self._record(rollout, reason, has_silent_agents=silent_count > 0),
                 self._files_holders.get(rollout),
             )
             for rollout in sorted(self._statuses)
         ]
 
-    def _record(self, rollout: int, reason: str, *, any_silent: bool) -> RolloutRecord:
+    def _record(self, rollout: int, reason: str, *, has_silent_agents: bool) -> RolloutRecord:
         statuses, targets = self._statuses[rollout], self._targets[rollout]
         wave = tuple(targets[name] for name in sorted(targets))
         outcomes = {status.outcome for status in statuses.values()}
@@ -75,7 +78,7 @@
             waves=(wave,),
             max_unavailable=len(wave),
             auto_rollback=False,
-            phase=_phase(outcomes, any_silent=any_silent),
+            phase=_phase(outcomes, has_silent_agents=has_silent_agents),
             statuses=tuple((name, statuses[name]) for name in sorted(statuses)),
             reason=reason,
         )
@@ -106,8 +109,8 @@
         self._statuses[rollout][target.name] = status
 
 
-def _phase(outcomes: set[InstanceOutcome], *, any_silent: bool) -> Phase:
-    if outcomes == {InstanceOutcome.APPLIED} and not any_silent:
+def _phase(outcomes: set[InstanceOutcome], *, has_silent_agents: bool) -> Phase:
+    if outcomes == {InstanceOutcome.APPLIED} and not has_silent_agents:
         return Phase.DONE
     if InstanceOutcome.APPLIED not in outcomes:
         return Phase.ROLLED_BACK
--- a/oakbridge/rollout/record.py
+++ b/oakbridge/rollout/record.py
@@ -1,7 +1,7 @@
-"""The record of one rollout, which outlives the tool that carries it out.
+"""The record of one rollout, from which another process of the tool can resume it.
 
-The operator's journal stores it as JSON.  The stored names and values are older than the names in
-this module: :func:`encode_record` and :func:`decode_record` are the one place that maps them.
+The operator's journal stores the record as JSON.  The stored keys and values differ from the names
+in this module; only :func:`encode_record` and :func:`decode_record` map them.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RecordError(ValueError):
-    """A stored record cannot be decoded.  ``problem`` says what was wrong with it."""
+    """A stored record cannot be decoded; ``problem`` is the reason."""
 
     def __init__(self, problem: str) -> None:
         super().__init__(f"a record that can't be read: {problem}")
@@ -24,7 +24,7 @@
 
 
 class Phase(Enum):
-    """The phase of a rollout; the values are stored and shown to operators."""
+    """The phase of a rollout; the values are stored in the journal and shown to operators."""
 
     RUNNING = "running"
     GATING = "gating"
@@ -35,7 +35,7 @@
 
 
 class InstanceOutcome(Enum):
-    """The outcome of a rollout for one instance; the values are stored and shown to operators."""
+    """The outcome for one instance; the values are stored in the journal and shown to operators."""
 
     NOT_REACHED = "not reached"
     IN_PROGRESS = "under way"
@@ -58,20 +58,20 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStatus:
-    """What is known about one instance of a rollout."""
+    """The outcome of a rollout for one instance, and the reason for it."""
 
     outcome: InstanceOutcome = InstanceOutcome.NOT_REACHED
     reason: str = ""
-    last_response_unix_s: float = 0.0  # of an instance whose outcome is unknown
+    last_response_unix_s: float = 0.0  # of its agent, where the outcome is unknown
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutRecord:
-    """The state of a rollout from which a killed tool resumes it."""
+    """The state of a rollout, from which it is resumed after the tool was killed."""
 
     waves: tuple[Wave, ...]
     max_unavailable: int
-    auto_rollback: bool  # whether a halt rolls back the instances that were changed
+    auto_rollback: bool  # whether a halt rolls back the changed instances
     phase: Phase = Phase.RUNNING
     wave_index: int = 0
     statuses: tuple[tuple[str, InstanceStatus], ...] = ()
@@ -94,7 +94,7 @@
 
 
 def decode_record(text: str) -> RolloutRecord:
-    """Return the record of a stored JSON text.  Raise :class:`RecordError` if it is not one."""
+    """Return the record of a stored JSON text.  Raise :class:`RecordError` if it is invalid."""
     try:
         raw: dict[str, Any] = json.loads(text)
         return RolloutRecord(
--- a/oakbridge/rollout/setting_path.py
+++ b/oakbridge/rollout/setting_path.py
@@ -1,4 +1,4 @@
-"""Single settings by path: ``limits.max_open`` or, of a class by name, ``class.car-nearby.aim``."""
+"""Single settings by path: ``limits.max_open``, or ``class.car-nearby.aim`` of a named class."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def parse_setting(text: str) -> tuple[str, Any]:
-    """Return path and value of ``PATH=VALUE``; a value that is not TOML is a string.
+    """Return the path and the value of ``PATH=VALUE``; a value that is not TOML is a string.
 
-    Raise :class:`ChangeError` for another form.
+    Raise :class:`ChangeError` for text of another form.
     """
     path, equals, value = text.partition("=")
     path, value = path.strip(), value.strip()
@@ -29,28 +29,28 @@
 
 
 def put_setting(document: Any, path: str, value: Any) -> None:
-    """Put a value at its path into a TOML document, with the tables that it needs.
+    """Set the value at a path of a TOML document, and create missing tables.
 
-    In an array of tables the next word of the path is the ``name`` of one of them.  Raise
-    :class:`ChangeError` if the path leads to no table.
+    For an array of tables, the next key of the path is the ``name`` of one of them.  Raise
+    :class:`ChangeError` if the path does not lead to a table.
     """
-    place, words = document, path.split(".")
-    for depth, word in enumerate(words[:-1], 1):
-        here = ".".join(words[:depth])
-        if isinstance(place, list):
-            place = _table_of_name(place, word, here)
+    table, keys = document, path.split(".")
+    for depth, key in enumerate(keys[:-1], 1):
+        prefix = ".".join(keys[:depth])
+        if isinstance(table, list):
+            table = _table_by_name(table, key, prefix)
         else:
-            if word not in place:
-                place[word] = tomlkit.table()
-            place = place[word]
-        if not isinstance(place, dict | list):
-            raise ChangeError(f"expected a table at {here}, there is a value", path)
-    if isinstance(place, list):
+            if key not in table:
+                table[key] = tomlkit.table()
+            table = table[key]
+        if not isinstance(table, dict | list):
+            raise ChangeError(f"expected a table at {prefix}, there is a value", path)
+    if isinstance(table, list):
         raise ChangeError("expected a field behind the name, as in class.car-nearby.aim", path)
-    place[words[-1]] = value
+    table[keys[-1]] = value
 
 
-def _table_of_name(array: Iterable[Any], name: str, path: str) -> Any:
+def _table_by_name(array: Iterable[Any], name: str, path: str) -> Any:
     tables = [table for table in array if isinstance(table, dict)]
     for table in tables:
         if table.get("name") == name:
