--- a/oakbridge/rollout/step_sender.py
+++ b/oakbridge/rollout/step_sender.py
@@ -68,7 +68,7 @@
         await _retry(lambda: self._roll_back_once(target), is_awaited)
 
     async def resolve(self, target: Target, is_awaited: Callable[[], bool]) -> None:
-        """Have the agent promise our token, after which it begins no step of an earlier one."""
+        """Have the agent promise our token; it then begins no step under an earlier token."""
         while is_awaited():
             await self._lease_holder.ensure_granted(target.agent)
             await asyncio.sleep(RETRY_S)
