--- a/tests/rollout/killed_tool.py
+++ b/tests/rollout/killed_tool.py
@@ -1,7 +1,8 @@
-"""A tool that kills itself by SIGKILL at a write of its journal; see ``test_killed_tool.py``.
+"""A tool that kills itself by SIGKILL at one write of its journal, for ``test_killed_tool.py``.
 
-Called with `FLEET AIM ROLLOUT WRITE before|after`.  With ROLLOUT 0 it begins a change to AIM,
-otherwise it resumes; WRITE 0 is never reached.  Prints its report.
+Usage: killed_tool.py FLEET AIM ROLLOUT WRITE before|after.  With ROLLOUT 0 the tool begins a
+rollout to AIM, otherwise it resumes ROLLOUT.  WRITE counts from 1; with 0 the tool is not killed.
+Prints the outcome of each instance as JSON.
 """
 
 import asyncio
@@ -22,7 +23,7 @@
 from oakbridge.rollout.record import RolloutRecord
 
 
-class DeadlyJournal(Journal):
+class KillingJournal(Journal):
     """Kills its process before or after one of its writes."""
 
     def __init__(self, folder: Path, fatal_write: int, side: str) -> None:
@@ -38,16 +39,16 @@
             os.kill(os.getpid(), signal.SIGKILL)
 
     def add(self, entry):
-        self._write(lambda: super(DeadlyJournal, self).add(entry))
+        self._write(lambda: super(KillingJournal, self).add(entry))
 
     def update(self, rollout, record):
-        self._write(lambda: super(DeadlyJournal, self).update(rollout, record))
+        self._write(lambda: super(KillingJournal, self).update(rollout, record))
 
 
 async def main(folder: Path, aim: str, rollout: int, write: int, side: str) -> None:
-    operator, journal = operator_of(folder, "admin", 5.0), DeadlyJournal(folder, write, side)
-    held = await operator.acquire_lease(60.0)
-    assert held.has_majority(len(operator.inventory.agents))
+    operator, journal = operator_of(folder, "admin", 5.0), KillingJournal(folder, write, side)
+    lease = await operator.acquire_lease(60.0)
+    assert lease.has_majority(len(operator.inventory.agents))
     if rollout:
         entry = journal.entry(rollout)
     else:
@@ -56,10 +57,10 @@
         waves = plan_waves(targets, WaveOptions(canary=1, shares=(1.0,), max_unavailable=2))
         record = RolloutRecord(waves, max_unavailable=2, auto_rollback=False)
         entry = JournalEntry(
-            held.token, "admin", 0.0, 0.0, "", ReplaceFiles(files_with_aim(aim)), record
+            lease.token, "admin", 0.0, 0.0, "", ReplaceFiles(files_with_aim(aim)), record
         )
         journal.add(entry)
-    coordinator = Coordinator(operator, journal, entry, held, QUICK)
+    coordinator = Coordinator(operator, journal, entry, lease, QUICK)
     await coordinator.run()
     print(json.dumps(outcomes(coordinator)))
     await operator.release_lease(coordinator.lease)
--- a/tests/rollout/test_doctor.py
+++ b/tests/rollout/test_doctor.py
@@ -1,4 +1,4 @@
-"""What the doctor finds where the inventory and the members differ."""
+"""The doctor reports differences between the inventory and the members."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from oakbridge.agent.errors import AgentConfigError
 from oakbridge.rollout.doctor import Severity, diagnose
 
-WELL = {
+HEALTHY_REPORT = {
     "process": "running",
     "crash_loop": False,
     "change": "settled",
@@ -23,19 +23,23 @@
 }
 
 
-def drift(instance, members, agents=None):
-    """Return the findings that members bring about."""
-    row = WELL | {"name": "n", "member": "10.0.0.1:1"} | instance
-    told = {
+def membership_findings(instance, members, agents=None):
+    """Return the findings that are not there without ``members``."""
+    report = HEALTHY_REPORT | {"name": "n", "member": "10.0.0.1:1"} | instance
+    responses = {
         "h": {
             "time": 0.0,
-            "instances": [row],
+            "instances": [report],
             "version": "1",
             "lease": {"alive": False, "token": 0, "holder": ""},
         }
     } | (agents or {})
-    before = diagnose(told, [], 0.0)
-    return [f for f in diagnose(told, [], 0.0, None, members) if f not in before]
+    other_findings = diagnose(responses, [], 0.0)
+    return [
+        finding
+        for finding in diagnose(responses, [], 0.0, None, members)
+        if finding not in other_findings
+    ]
 
 
 def member(name, state="alive", address="10.0.0.1:1", by=""):
@@ -43,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("instance", "members", "agents", "severity", "says"),
+    ("instance", "members", "agents", "severity", "problem"),
     [
         ({}, [], None, Severity.BAD, "do not know it"),
         (
@@ -77,16 +81,16 @@
             None,
             "",
             "",
-        ),  # both say that it is not there
+        ),  # agent and members agree that the node does not run
     ],
 )
-def test_where_inventory_and_members_differ(instance, members, agents, severity, says):
-    found = drift(instance, members, agents)
-    assert [f.severity for f in found] == ([severity] if severity else [])
-    assert all(says in f.problem and f.remedy for f in found)
+def test_differences_between_inventory_and_members(instance, members, agents, severity, problem):
+    findings = membership_findings(instance, members, agents)
+    assert [finding.severity for finding in findings] == ([severity] if severity else [])
+    assert all(problem in finding.problem and finding.remedy for finding in findings)
 
 
-def test_an_instance_has_an_address_among_members(tmp_path):
+def test_the_agent_configuration_has_the_member_address_of_an_instance(tmp_path):
     lines = 'name="h"\nfleet="f"\nlisten="127.0.0.1:1"\nstate="s"\nauthority="a"\ncertificate="c"\n'
     path = tmp_path / "agent.toml"
     path.write_text(
--- a/tests/rollout/test_killed_tool.py
+++ b/tests/rollout/test_killed_tool.py
@@ -1,4 +1,4 @@
-"""A tool killed by SIGKILL at each write of its journal in turn, then resumed to the same end."""
+"""A tool is killed by SIGKILL at each write of its journal in turn, and its rollout resumed."""
 
 import asyncio
 import contextlib
@@ -38,7 +38,7 @@
 
 
 @contextlib.asynccontextmanager
-async def served(fleet: SimulatedFleet, folder: Path):
+async def serve_agents(fleet: SimulatedFleet, folder: Path):
     """Serve the agents of a fleet on loopback, with certificates and an inventory in ``folder``."""
     pki.create_authority(folder, "f")
     operator = Identity("f", IdentityKind.OPERATOR, "admin", Role.WRITE)
@@ -62,8 +62,8 @@
             server.close()
 
 
-def rollout_to(folder: Path, aim: str) -> int | None:
-    """Return the rollout of this aim, or None if the journal has none."""
+def find_rollout(folder: Path, aim: str) -> int | None:
+    """Return the number of the rollout to this aim, or None if the journal has none."""
     journal = Journal(folder)
     entries = journal.entries()
     journal.close()
@@ -74,30 +74,30 @@
 
 
 @pytest.mark.parametrize("part", range(4))
-def test_killed_at_each_write_it_is_resumed_to_the_same_end(tmp_path, part):
-    """Before or after a write; the parts take every other write."""
+def test_killed_at_each_write_the_tool_resumes_to_the_same_end(tmp_path, part):
+    """Parts 0 and 2 kill before a write, 1 and 3 after it; each part takes every other write."""
     side = ("before", "after")[part % 2]
     folder = tmp_path / "fleet"
 
     async def test():
-        async with SimulatedFleet(tmp_path, 3) as fleet, served(fleet, folder):
+        async with SimulatedFleet(tmp_path, 3) as fleet, serve_agents(fleet, folder):
             kills = 0
-            for at in itertools.count(1 + part // 2, 2):
-                before, aim = fleet.running_aims(), f"{at}s"
-                code, reported = await run_tool(folder, aim, 0, at, side)
-                if code == 0:  # it made fewer writes
-                    assert set(reported.values()) == {"took it"}
+            for write in itertools.count(1 + part // 2, 2):
+                aims_before, aim = fleet.running_aims(), f"{write}s"
+                code, outcomes = await run_tool(folder, aim, 0, write, side)
+                if code == 0:  # the rollout needed fewer writes
+                    assert set(outcomes.values()) == {"took it"}
                     break
                 assert code == -signal.SIGKILL
                 kills += 1
-                rollout = rollout_to(folder, aim)
+                rollout = find_rollout(folder, aim)
                 if rollout is None:  # killed before its first write: nothing was sent
-                    assert fleet.running_aims() == before
-                    assert (at, side) == (1, "before")
+                    assert fleet.running_aims() == aims_before
+                    assert (write, side) == (1, "before")
                     continue
-                code, reported = await run_tool(folder, aim, rollout, 0, side)
-                assert code == 0, (at, reported)
-                assert set(reported.values()) == {"took it"}, (at, reported)
+                code, outcomes = await run_tool(folder, aim, rollout, 0, side)
+                assert code == 0, (write, outcomes)
+                assert set(outcomes.values()) == {"took it"}, (write, outcomes)
                 assert set(fleet.running_aims().values()) == {aim}
             assert kills >= 3
 
--- a/tests/rollout/test_plan.py
+++ b/tests/rollout/test_plan.py
@@ -1,4 +1,4 @@
-"""Waves: every instance in exactly one of them, spread over zones and agents."""
+"""Waves: each instance is in exactly one wave, and a wave is spread over zones and agents."""
 
 import pytest
 from hypothesis import given, settings
@@ -7,26 +7,32 @@
 from oakbridge.rollout.plan import PlanError, Target, WaveOptions, interleave, plan_waves
 
 
-def fleet(agents: int, each: int, zones: int = 3) -> list[Target]:
-    return [Target(f"h{a}", f"n{i}", f"z{a % zones}") for a in range(agents) for i in range(each)]
+def fleet_targets(agents: int, instances_per_agent: int, zones: int = 3) -> list[Target]:
+    return [
+        Target(f"h{agent}", f"n{instance}", f"z{agent % zones}")
+        for agent in range(agents)
+        for instance in range(instances_per_agent)
+    ]
 
 
-def test_a_canary_then_growing_shares():
-    assert [len(w) for w in plan_waves(fleet(10, 2), WaveOptions())] == [1, 1, 8, 10]
-    assert [len(w) for w in plan_waves(fleet(1, 1), WaveOptions())] == [1]
-    assert [len(w) for w in plan_waves(fleet(10, 2), WaveOptions(canary=0, shares=(1.0,)))] == [20]
+def test_waves_are_a_canary_then_growing_shares():
+    assert [len(w) for w in plan_waves(fleet_targets(10, 2), WaveOptions())] == [1, 1, 8, 10]
+    assert [len(w) for w in plan_waves(fleet_targets(1, 1), WaveOptions())] == [1]
+    assert [
+        len(w) for w in plan_waves(fleet_targets(10, 2), WaveOptions(canary=0, shares=(1.0,)))
+    ] == [20]
 
 
 def test_a_wave_is_spread_over_zones_and_hosts():
-    first = interleave(fleet(6, 2))[:6]
-    assert sorted(t.zone for t in first) == ["z0", "z0", "z1", "z1", "z2", "z2"]
-    assert len({t.agent for t in first}) == 6
+    first_six = interleave(fleet_targets(6, 2))[:6]
+    assert sorted(target.zone for target in first_six) == ["z0", "z0", "z1", "z1", "z2", "z2"]
+    assert len({target.agent for target in first_six}) == 6
 
 
-def test_by_zone_no_wave_but_the_canary_has_two():
-    waves = plan_waves(fleet(9, 2), WaveOptions(canary=3, shares=(0.5, 1.0), by_zone=True))
-    assert len({t.zone for t in waves[0]}) == 3
-    assert all(len({t.zone for t in wave}) == 1 for wave in waves[1:])
+def test_by_zone_only_the_canary_has_several_zones():
+    waves = plan_waves(fleet_targets(9, 2), WaveOptions(canary=3, shares=(0.5, 1.0), by_zone=True))
+    assert len({target.zone for target in waves[0]}) == 3
+    assert all(len({target.zone for target in wave}) == 1 for wave in waves[1:])
 
 
 @given(
@@ -37,10 +43,10 @@
 )
 @settings(derandomize=True, max_examples=200)
 def test_each_instance_is_in_exactly_one_wave(names, canary, by_zone, shares):
-    targets = [Target(f"h{a}", f"n{i}", f"z{a % 3}") for a, i in names]
+    targets = [Target(f"h{agent}", f"n{instance}", f"z{agent % 3}") for agent, instance in names]
     waves = plan_waves(targets, WaveOptions(canary, (*sorted(shares), 1.0), by_zone=by_zone))
-    flat = [t for wave in waves for t in wave]
-    assert sorted(flat) == sorted(targets)
+    planned = [target for wave in waves for target in wave]
+    assert sorted(planned) == sorted(targets)
     assert all(waves)
     assert (
         plan_waves(
@@ -51,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    ("made", "says"),
+    ("make", "problem"),
     [
         (lambda: WaveOptions(canary=-1), "canary"),
         (lambda: WaveOptions(max_unavailable=0), "unavailable"),
@@ -65,6 +71,6 @@
         ),
     ],
 )
-def test_a_plan_that_can_not_be_made_is_named(made, says):
-    with pytest.raises(PlanError, match=says):
-        made()
+def test_invalid_options_and_targets_are_rejected(make, problem):
+    with pytest.raises(PlanError, match=problem):
+        make()
--- a/tests/rollout/test_protocol.py
+++ b/tests/rollout/test_protocol.py
@@ -179,8 +179,8 @@
 
     @rule(who=TOOLS)
     def tool_is_killed(self, who):
-        before = self.tools[who]
-        self.tools[who] = Tool(rollout=before.rollout, disk=before.disk)
+        killed_tool = self.tools[who]
+        self.tools[who] = Tool(rollout=killed_tool.rollout, disk=killed_tool.disk)
 
     @rule(who=TOOLS)
     def ends_rollout(self, who):
@@ -390,7 +390,7 @@
 
     def process_rollback_report(self, who, host, report):
         tool, name = self.tools[who], f"{host}/n"
-        target = next((target for target in tool.rollbacks if target.name == name), None)
+        target = next((rollback for rollback in tool.rollbacks if rollback.name == name), None)
         step = step_report.rollback_step_id(tool.rollout, f"{host}-n")
         result = step_report.step_result(report, step)
         if target is None or result is None:
