--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,10 +4,10 @@
 from math import ceil
 
 LONGEST_TESTS = (
-    "test_nodes_and_agents_frozen", "test_a_thousand_rewrites_under_load", "test_a_network_that_loses_doubles",
-    "TestProtocol", "test_a_change_that_has_to_be_halted", "test_frozen_agents_are_unknown",
+    "test_nodes_and_agents_frozen", "test_a_thousand_rewrites_under_load", "test_rollouts_complete_over_a_network",
+    "TestProtocol", "test_a_halted_change_is_rolled_back", "test_frozen_agents_are_unknown",
     "test_two_operators_at_once", "test_step_has_the_same_outcome", "TestDisk", "TestHostModel",
-    "test_killed_at_each_write", "test_a_change_goes_through",
+    "test_killed_at_each_write", "test_a_valid_change_completes",
     "test_a_run_holds_and_leaves_its_tables", "test_all_rules_hold_under_overlapping_faults",
     "test_steps_are_applied_though_the_disks",
 )  # fmt: skip
--- a/tests/formats/test_rollout.py
+++ b/tests/formats/test_rollout.py
@@ -1,8 +1,8 @@
-"""The operator's journal as stored: fixtures of the program before the renames, which never change.
+"""The stored format of the operator's journal, against fixtures of an earlier release.
 
-``journal.db`` has a rollout of every kind of change and in every state; ``rows.json`` is its one
-table as text, ``resumed.json`` what a tool that resumes each of them does first, and
-``history.json`` what ``oakbridge fleet history --json`` prints of it.
+The fixtures never change.  ``journal.db`` has rollouts of every kind of change and in every phase.
+``rows.json`` is its table as text, ``resumed.json`` the first actions of a tool that resumes each
+rollout, and ``history.json`` the output of ``oakbridge fleet history --json``.
 """
 
 import json
@@ -39,13 +39,16 @@
 
 FIXTURES = Path(__file__).parent / "fixtures" / "rollout"
 ROWS = {row["id"]: row for row in json.loads((FIXTURES / "rows.json").read_text("utf-8"))}
-RESUMED = {int(k): v for k, v in json.loads((FIXTURES / "resumed.json").read_text()).items()}
+RESUMED = {
+    int(rollout): resumed
+    for rollout, resumed in json.loads((FIXTURES / "resumed.json").read_text()).items()
+}
 
 CONFIG = '[servers]\nfile = "s.toml"\n'
 H0, H1 = Target("h0", "n0", "z0", 0, False), Target("h1", "n0", "z1", 1, False)
 H2, H3 = Target("h2", "n0", "z0", 2, True), Target("h3", "n1")
-GATE = "the gate after wave 2: it serves less"
-TIME = "class[0].aim: expected a time"
+GATE_REASON = "the gate after wave 2: it serves less"
+TIME_REASON = "class[0].aim: expected a time"
 SETTINGS = {
     "class.look.aim": "2s",
     "limits.max_open": 77,
@@ -84,12 +87,12 @@
         Phase.ROLLED_BACK,
         1,
         (
-            ("h0/n0", InstanceStatus(InstanceOutcome.ROLLED_BACK, GATE)),
+            ("h0/n0", InstanceStatus(InstanceOutcome.ROLLED_BACK, GATE_REASON)),
             ("h1/n0", InstanceStatus(InstanceOutcome.ROLLED_BACK, "exit code 1")),
             ("h2/n0", InstanceStatus(InstanceOutcome.NOT_REACHED)),
             ("h3/n1", InstanceStatus(InstanceOutcome.NOT_REACHED)),
         ),
-        GATE,
+        GATE_REASON,
     ),
     5: RolloutRecord(
         ((H0, H1, H2),),
@@ -98,7 +101,7 @@
         Phase.HALTED,
         0,
         (
-            ("h0/n0", InstanceStatus(InstanceOutcome.NOT_APPLIED, TIME)),
+            ("h0/n0", InstanceStatus(InstanceOutcome.NOT_APPLIED, TIME_REASON)),
             (
                 "h1/n0",
                 InstanceStatus(
@@ -107,7 +110,7 @@
             ),
             ("h2/n0", InstanceStatus(InstanceOutcome.APPLIED)),
         ),
-        f"h0/n0 did not: {TIME}",
+        f"h0/n0 did not: {TIME_REASON}",
     ),
     7: RolloutRecord(
         ((H2,),),
@@ -144,7 +147,7 @@
     13: RolloutRecord(((H1,),), 1, False),
     15: RolloutRecord(((H0,),), 1, False),
 }
-ACTIONS = {
+FIXTURE_ACTION_NAMES = {
     SendStep: "send",
     ResolveStep: "settle",
     RollBack: "take back",
@@ -159,29 +162,30 @@
     return tmp_path
 
 
-def stored(folder: Path) -> dict[int, dict]:
-    """Return the table as it is on disk."""
+def read_rows(folder: Path) -> dict[int, dict]:
+    """Return the rows of the stored table by rollout number."""
     with sqlite3.connect(folder / "journal.db") as db:
         db.row_factory = sqlite3.Row
         return {row["id"]: dict(row) for row in db.execute("SELECT * FROM rollouts ORDER BY id")}
 
 
-def schema(folder: Path) -> tuple[str, int]:
+def read_schema(folder: Path) -> tuple[str, int]:
+    """Return the definition of the stored table, and the version of the format."""
     with sqlite3.connect(folder / "journal.db") as db:
         (sql,) = db.execute("SELECT sql FROM sqlite_master WHERE name = 'rollouts'").fetchone()
         return sql, db.execute("PRAGMA user_version").fetchone()[0]
 
 
-def act(action) -> list[str]:
-    """Return an action in the fixture's words."""
-    words = [ACTIONS[type(action)]]
+def describe_action(action) -> list[str]:
+    """Return an action as the fixture has it."""
+    words = [FIXTURE_ACTION_NAMES[type(action)]]
     if isinstance(action, EvaluateGate):
         return words + [target.name for target in action.changed]
     return [*words, action.phase.value if isinstance(action, Finish) else action.target.name]
 
 
-def test_the_binary_fixture_is_the_one_that_is_written_out(folder):
-    assert stored(folder) == ROWS
+def test_the_binary_fixture_agrees_with_its_text(folder):
+    assert read_rows(folder) == ROWS
 
 
 @pytest.mark.parametrize("rollout", sorted(ROWS))
@@ -189,59 +193,61 @@
     entry, row = Journal(folder).entry(rollout), ROWS[rollout]
     assert entry.change == CHANGES[rollout]
     assert entry.record == RECORDS[rollout]
-    told = entry.id, entry.operator, entry.started_unix_s, entry.updated_unix_s, entry.why
-    assert told == tuple(row[name] for name in ("id", "operator", "began", "changed", "why"))
+    columns = entry.id, entry.operator, entry.started_unix_s, entry.updated_unix_s, entry.why
+    assert columns == tuple(row[name] for name in ("id", "operator", "began", "changed", "why"))
 
 
-def test_all_of_them_are_read_newest_first(folder):
+def test_all_rollouts_are_read_newest_first(folder):
     assert [entry.id for entry in Journal(folder).entries()] == sorted(ROWS, reverse=True)
 
 
 @pytest.mark.parametrize("rollout", sorted(ROWS))
-def test_a_rollout_is_written_as_it_is_stored(folder, tmp_path, rollout):
+def test_a_rollout_is_written_in_the_stored_format(folder, tmp_path, rollout):
     entry = Journal(folder).entry(rollout)
     (tmp_path / "new").mkdir()
     Journal(tmp_path / "new").add(entry)
     expected = dict(ROWS[rollout])
-    if rollout == 15:  # written before a change had a kind: it gets one
+    if rollout == 15:  # of a release that stored no kind of change; the kind is added
         expected["files"] = json.dumps({"": "files", "files": json.loads(expected["files"])})
-    assert stored(tmp_path / "new") == {rollout: expected}
-    assert schema(tmp_path / "new") == schema(folder)
+    assert read_rows(tmp_path / "new") == {rollout: expected}
+    assert read_schema(tmp_path / "new") == read_schema(folder)
 
 
 @pytest.mark.parametrize("rollout", sorted(ROWS))
 def test_a_rollout_is_resumed(folder, rollout):
     journal = Journal(folder)
     actions = RolloutMachine(journal.entry(rollout).record).start()
-    assert [act(a) for a in actions if not isinstance(a, Persist)] == RESUMED[rollout]["actions"]
-    kept = [a.record for a in actions if isinstance(a, Persist)]
-    assert [json.loads(encode_record(r)) for r in kept] == (
+    assert [
+        describe_action(action) for action in actions if not isinstance(action, Persist)
+    ] == RESUMED[rollout]["actions"]
+    records = [action.record for action in actions if isinstance(action, Persist)]
+    assert [json.loads(encode_record(persisted)) for persisted in records] == (
         [RESUMED[rollout]["kept"]] if RESUMED[rollout]["kept"] else []
     )
-    for record in kept:
+    for record in records:
         journal.update(rollout, record)
-    written = stored(folder)[rollout]
+    written = read_rows(folder)[rollout]
     assert written["record"] == (
-        json.dumps(RESUMED[rollout]["kept"]) if kept else ROWS[rollout]["record"]
+        json.dumps(RESUMED[rollout]["kept"]) if records else ROWS[rollout]["record"]
     )
     unchanged = ("id", "operator", "began", "why", "files")
     assert all(written[name] == ROWS[rollout][name] for name in unchanged)
-    assert (written["changed"] > ROWS[rollout]["changed"]) == bool(kept)
+    assert (written["changed"] > ROWS[rollout]["changed"]) == bool(records)
 
 
 def test_the_history_is_printed(folder):
-    got = CliRunner().invoke(command, ["history", "--fleet", str(folder), "--json"])
-    assert got.exit_code == 0
-    assert got.output == (FIXTURES / "history.json").read_text()
+    result = CliRunner().invoke(command, ["history", "--fleet", str(folder), "--json"])
+    assert result.exit_code == 0
+    assert result.output == (FIXTURES / "history.json").read_text()
 
 
-def test_a_step_is_known_to_agents_by_its_id():
+def test_step_ids_have_the_form_that_agents_store():
     assert step_report.step_id(7, "n0") == "r7-n0"
     assert step_report.rollback_step_id(7, "n0") == "r7-back-n0"
 
 
 @pytest.mark.parametrize(
-    ("raw", "says"),
+    ("raw", "problem"),
     [
         ({"": "paint"}, "expected a change of a known kind, got 'paint'"),
         ({"": "back"}, "expected a change of a known kind, got 'back'"),
@@ -249,10 +255,10 @@
         ({"": ["drain"]}, "expected a change of a known kind, got ['drain']"),
     ],
 )
-def test_a_change_of_no_known_kind_is_refused(folder, raw, says):
-    with pytest.raises(ChangeError) as refused:
+def test_a_change_of_an_unknown_kind_is_rejected(folder, raw, problem):
+    with pytest.raises(ChangeError) as caught:
         decode_change(raw)
-    assert str(refused.value) == says
+    assert str(caught.value) == problem
     with sqlite3.connect(folder / "journal.db") as db:
         db.execute("UPDATE rollouts SET files = ? WHERE id = 5", (json.dumps(raw),))
     with pytest.raises(JournalError, match=r"^rollout 5: expected a change of a known kind"):
@@ -260,7 +266,7 @@
 
 
 @pytest.mark.parametrize(
-    "broken",
+    "invalid_fields",
     [
         {"stage": "asleep"},
         {"rows": [["h0/n0", "eaten", "", 0.0]]},
@@ -269,8 +275,8 @@
         {"wave": ...},
     ],
 )
-def test_a_record_that_cannot_be_read_is_refused(folder, broken):
-    record = json.loads(ROWS[5]["record"]) | broken
+def test_an_invalid_record_is_rejected(folder, invalid_fields):
+    record = json.loads(ROWS[5]["record"]) | invalid_fields
     record = {name: value for name, value in record.items() if value is not ...}
     with sqlite3.connect(folder / "journal.db") as db:
         db.execute("UPDATE rollouts SET record = ? WHERE id = 5", (json.dumps(record),))
@@ -278,13 +284,13 @@
         Journal(folder).entry(5)
 
 
-def test_a_journal_of_another_format_is_refused(folder):
+def test_a_journal_of_another_format_is_rejected(folder):
     with sqlite3.connect(folder / "journal.db") as db:
         db.execute("PRAGMA user_version = 2")
     with pytest.raises(JournalError, match=r"journal\.db: expected format 1, got 2"):
         Journal(folder)
 
 
-def test_a_rollout_that_is_not_there_is_refused(folder):
+def test_an_unknown_rollout_is_rejected(folder):
     with pytest.raises(JournalError, match="there is no rollout 8"):
         Journal(folder).entry(8)
--- a/tests/rollout/process_fleet.py
+++ b/tests/rollout/process_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes on loopback: agents with certificates, and the nodes that they run."""
+"""A fleet of processes on loopback: agents with certificates, and the nodes that they run."""
 
 import os
 import signal
@@ -23,7 +23,7 @@
 
 
 def files_with_aim(aim: str) -> dict[str, str]:
-    """Return the files of a configuration, which is known by its aim."""
+    """Return the files of a configuration, which its aim identifies."""
     config = (
         '[servers]\nfile = "servers.toml"\n\n[[class]]\nname = "look"\n'
         f'aim = "{aim}"\ndeadline = "9s"\nrepeat = "safe"\n'
@@ -33,10 +33,10 @@
 
 
 class ProcessFleet:
-    """Hosts ``h0``, ``h1``, ...: one agent each, in a process of its own, with the same instances.
+    """Hosts ``h0``, ``h1``, ...: one agent process each, all with the same instances.
 
-    An instance is named ``h0/n0``; ``configurations`` are the ``oakbridge.toml`` that it may run,
-    by a name for each.
+    An instance is named ``h0/n0``.  ``configurations`` has the text of each ``oakbridge.toml`` that
+    instances may run, by a name of the configuration.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
     ) -> None:
         """Issue the certificates, write the inventory and start the agents.
 
-        ``agent_environments`` are variables that single agents are started with.
+        ``agent_environments`` has additional environment variables by agent.
         """
         self.folder = folder
         self._agent_environments = agent_environments or {}
@@ -97,7 +97,7 @@
         (self.folder / f"{agent}.toml").write_text("\n".join(lines) + "\n")
 
     def start_agent(self, agent: str) -> None:
-        """Start an agent, or start it again."""
+        """Start an agent, for the first time or after its process exited."""
         environment = self.environment | self._agent_environments.get(agent, {})
         command = [*OAKBRIDGE, "agent", "--config", str(self.folder / f"{agent}.toml")]
         with (self.folder / f"{agent}.log").open("ab") as log:
@@ -112,7 +112,7 @@
         return str(folder)
 
     def running_configuration(self, instance: str) -> str:
-        """Return the name of the configuration that a node's own process says it runs."""
+        """Return the name of the configuration that a node's process reports, or "silent"."""
         try:
             with ControlClient(self.control_socket(instance)) as client:
                 return self._configuration_names[
@@ -122,7 +122,7 @@
             return "silent"
 
     def running_configurations(self) -> dict[str, str]:
-        """Return that of each instance."""
+        """Return the name of the configuration that each instance runs."""
         return {name: self.running_configuration(name) for name in self.instance_ports}
 
     def control_socket(self, instance: str) -> Path:
@@ -131,7 +131,7 @@
         return self.folder / agent / f"{name}.sock"
 
     def send_signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to an agent (``h1``) or to a node (``h1/n1``) that runs."""
+        """Send a signal to an agent (``h1``) or to a node (``h1/n1``), if it runs."""
         is_node = "/" in name
         pid = listener_pid(self.control_socket(name)) if is_node else self.agents[name].pid
         if pid is not None:
--- a/tests/rollout/simulated_fleet.py
+++ b/tests/rollout/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in one process: real agents and coordinators, simulated hosts, a network with faults."""
+"""A fleet in one process: agents and coordinators on simulated hosts and a faulty network."""
 
 import asyncio
 import random
@@ -21,29 +21,30 @@
 
 QUICK = RolloutOptions(watch_s=0.05, window_s=0.05, silence_timeout_s=20.0)
 WAVES = WaveOptions(canary=1, max_unavailable=99)
-LEASE_S = 60.0
-NEVER_S = 3600.0  # longer than any test
+LEASE_DURATION_S = 60.0
+NEVER_S = 3600.0  # delay of a lost message, longer than any test
 
 
 def files_with_aim(aim: str, plays: str = "") -> dict[str, str]:
-    """Return the files of a configuration; ``plays`` tells the host how its node fares."""
-    mark = f"# plays: {plays}\n" if plays else ""
-    config = f'{mark}[servers]\nfile = "s.toml"\n\n[[class]]\nname = "look"\naim = "{aim}"\n'
+    """Return the files of a configuration; ``plays`` sets the behaviour of the simulated node."""
+    marker = f"# plays: {plays}\n" if plays else ""
+    config = f'{marker}[servers]\nfile = "s.toml"\n\n[[class]]\nname = "look"\naim = "{aim}"\n'
     servers = '[[server]]\nname = "a"\naddress = "127.0.0.1:9"\n'
     return {"oakbridge.toml": config, "s.toml": servers}
 
 
 class Network:
-    """The network between operators and agents; messages are lost, doubled or late by seed.
+    """The network between operators and agents, which loses, duplicates and delays messages.
 
-    A frozen agent reads its messages after it has thawed.
+    ``loss`` is the fraction of messages lost in each direction, ``duplication`` the fraction of
+    requests that agents handle twice.  A frozen agent reads its messages after it has thawed.
     """
 
     def __init__(
-        self, seed: int = 0, lose: float = 0.0, double: float = 0.0, delay_s: float = 0.0
+        self, seed: int = 0, loss: float = 0.0, duplication: float = 0.0, max_delay_s: float = 0.0
     ) -> None:
-        self.draw = random.Random(seed)
-        self.lose, self.double, self.delay_s = lose, double, delay_s
+        self.rng = random.Random(seed)
+        self.loss, self.duplication, self.max_delay_s = loss, duplication, max_delay_s
         self.frozen: dict[str, asyncio.Event] = {}
         self.tasks: set[asyncio.Task] = set()
 
@@ -53,57 +54,67 @@
     def thaw(self, agent: str) -> None:
         self.frozen.pop(agent).set()
 
-    async def carry(self, agent: Agent, who: Identity, request: messages.Request):
-        """Carry a request to an agent, and its response back."""
-        await asyncio.sleep(self.draw.random() * self.delay_s)
-        if self.draw.random() < self.lose:
+    async def exchange(self, agent: Agent, sender: Identity, request: messages.Request):
+        """Deliver a request to an agent; return its response."""
+        await asyncio.sleep(self.rng.random() * self.max_delay_s)
+        if self.rng.random() < self.loss:
             await asyncio.sleep(NEVER_S)
         if (thawed := self.frozen.get(agent.name)) is not None:
             await thawed.wait()
-        response = await OperatorApi(agent).handle(who, *codec.encode_request(request))
-        if self.draw.random() < self.double:
-            response = await OperatorApi(agent).handle(who, *codec.encode_request(request))
-        if self.draw.random() < self.lose:
+        response = await OperatorApi(agent).handle(sender, *codec.encode_request(request))
+        if self.rng.random() < self.duplication:
+            response = await OperatorApi(agent).handle(sender, *codec.encode_request(request))
+        if self.rng.random() < self.loss:
             await asyncio.sleep(NEVER_S)
         return response
 
 
 class SimulatedOperator(FleetClient):
-    """An operator on such a network; a request whose caller has given up still arrives."""
+    """An operator on the simulated network; a request that has timed out is still delivered."""
 
-    def __init__(self, fleet: "SimulatedFleet", name: str, within_s: float) -> None:
+    def __init__(self, fleet: "SimulatedFleet", name: str, timeout_s: float) -> None:
         inventory = Inventory("f", dict.fromkeys(fleet.agents, ("", 0)))
-        super().__init__(inventory, None, within_s, name)
-        self.fleet, self.who = fleet, Identity("f", IdentityKind.OPERATOR, name, Role.WRITE)
+        super().__init__(inventory, None, timeout_s, name)
+        self.fleet, self.identity = fleet, Identity("f", IdentityKind.OPERATOR, name, Role.WRITE)
 
     async def call(self, agent, request, timeout_s=None):
         network = self.fleet.network
-        task = asyncio.create_task(network.carry(self.fleet.agents[agent], self.who, request))
+        task = asyncio.create_task(
+            network.exchange(self.fleet.agents[agent], self.identity, request)
+        )
         network.tasks.add(task)
         task.add_done_callback(network.tasks.discard)
         try:
             async with asyncio.timeout(min(timeout_s or self.timeout_s, self.timeout_s)):
-                status, answer = await asyncio.shield(task)
+                status, body = await asyncio.shield(task)
         except TimeoutError:
             return AgentResponse(agent, error="no answer")
-        return AgentResponse(agent, status, answer)
+        return AgentResponse(agent, status, body)
 
 
 class SimulatedFleet:
-    """Hosts ``h0``, ``h1``, ... with as many instances each; ``async with`` runs their agents."""
+    """Hosts ``h0``, ``h1``, ... with instances ``n0``, ...; ``async with`` runs their agents.
+
+    ``weak`` are the hosts whose nodes fail with a configuration that plays "weak"; other keywords
+    are those of :class:`PlayedHost`.
+    """
 
     def __init__(
         self,
         folder: Path,
         hosts: int = 4,
-        each: int = 1,
+        instances_per_host: int = 1,
         network: Network | None = None,
         weak: tuple[str, ...] = (),
-        **play,
+        **host_options,
     ) -> None:
-        self.folder, self.each, self.network = folder, each, network or Network()
+        self.folder, self.instances_per_host, self.network = (
+            folder,
+            instances_per_host,
+            network or Network(),
+        )
         names = [f"h{number}" for number in range(hosts)]
-        self.hosts = {name: PlayedHost(weak=name in weak, **play) for name in names}
+        self.hosts = {name: PlayedHost(weak=name in weak, **host_options) for name in names}
         self.agents: dict[str, Agent] = {}
 
     async def __aenter__(self) -> "SimulatedFleet":
@@ -123,17 +134,17 @@
         store = Store(self.folder / name)
         zone = f"z{len(self.agents) % 2}"
         agent = Agent(store, name, "f", zone, self.hosts[name], poll_interval_s=0.02)
-        for number in range(self.each):
+        for number in range(self.instances_per_host):
             socket = self.folder / name / f"n{number}.sock"
             agent.add_instance(f"n{number}", ["127.0.0.1:1"], socket)
         agent.start()
         self.agents[name] = agent
 
-    def operator(self, name: str = "kari", within_s: float = 5.0) -> SimulatedOperator:
-        return SimulatedOperator(self, name, within_s)
+    def operator(self, name: str = "kari", timeout_s: float = 5.0) -> SimulatedOperator:
+        return SimulatedOperator(self, name, timeout_s)
 
     async def targets(self, operator: FleetClient) -> list[Target]:
-        """Return the instances whose agents answer."""
+        """Return the instances whose agents respond."""
         return [
             Target(
                 agent=response.agent,
@@ -153,36 +164,38 @@
         operator=None,
         journal=None,
         waves=WAVES,
-        undo=False,
+        auto_rollback=False,
         options=QUICK,
         sources=None,
         during=None,
     ) -> Coordinator | None:
-        """Carry out a rollout; return its coordinator, or None without the lease.
+        """Carry out a rollout; return its coordinator, or None if the lease was not granted.
 
-        ``during`` is called once the rollout runs; it gets the coordinator.
+        ``during`` is called with the coordinator after the rollout has started.
         """
         operator = operator or self.operator()
         journal = journal or Journal(self.folder)
-        held = await operator.acquire_lease(LEASE_S)
-        if not held.has_majority(len(self.agents)):
+        lease = await operator.acquire_lease(LEASE_DURATION_S)
+        if not lease.has_majority(len(self.agents)):
             return None
         targets = await self.targets(operator)
         if sources is not None:
             targets = [target for target in targets if target.name in sources]
-        record = RolloutRecord(plan_waves(targets, waves), waves.max_unavailable, undo)
-        entry = JournalEntry(held.token, operator.name, 0.0, 0.0, "", change, record)
+        record = RolloutRecord(plan_waves(targets, waves), waves.max_unavailable, auto_rollback)
+        entry = JournalEntry(lease.token, operator.name, 0.0, 0.0, "", change, record)
         journal.add(entry)
-        coordinator = Coordinator(operator, journal, entry, held, options, sources=sources)
+        coordinator = Coordinator(operator, journal, entry, lease, options, sources=sources)
         return await self._run(coordinator, during)
 
     async def resume(self, rollout: int, operator=None, journal=None, options=QUICK) -> Coordinator:
-        """Resume a rollout, as often as it takes to get the lease."""
+        """Resume a rollout, after as many lease requests as it takes to acquire the lease."""
         operator, journal = operator or self.operator(), journal or Journal(self.folder)
-        while not (held := await operator.acquire_lease(LEASE_S)).has_majority(len(self.agents)):
-            pass  # some calls were lost
+        while not (lease := await operator.acquire_lease(LEASE_DURATION_S)).has_majority(
+            len(self.agents)
+        ):
+            pass  # too few agents responded
         entry = journal.entry(rollout)
-        return await self._run(Coordinator(operator, journal, entry, held, options))
+        return await self._run(Coordinator(operator, journal, entry, lease, options))
 
     @staticmethod
     async def _run(coordinator: Coordinator, during=None) -> Coordinator:
@@ -201,11 +214,11 @@
         return coordinator
 
     def running_aims(self) -> dict[str, str]:
-        """Return what each instance's own process runs, by its aim; "-" where none runs."""
+        """Return the aim that the node of each instance runs by; "-" where no node runs."""
         return {
             f"{name}/n{number}": self._running_aim(name, number)
             for name in self.agents
-            for number in range(self.each)
+            for number in range(self.instances_per_host)
         }
 
     def _running_aim(self, host: str, number: int) -> str:
@@ -223,6 +236,6 @@
 
 
 def outcomes(coordinator: Coordinator) -> dict[str, str]:
-    """Return the outcome of each instance, in the words of the report."""
+    """Return the outcome of each instance, in operators' words."""
     statuses = coordinator.machine.statuses()
     return {name: status.outcome.value for name, status in statuses.items()}
--- a/tests/rollout/test_frozen_hosts.py
+++ b/tests/rollout/test_frozen_hosts.py
@@ -1,6 +1,6 @@
-"""Node processes under load on many hosts, some frozen in mid-rollout: reports and facts compared.
+"""Agents and nodes under load freeze during a rollout; its report agrees with what nodes run.
 
-Twenty nodes on five hosts; with ``OAKBRIDGE_WHOLE=1`` it is fifty on ten, which takes a machine a
+There are twenty nodes on five hosts, or with ``OAKBRIDGE_WHOLE=1`` fifty on ten, which takes a
 minute.
 """
 
@@ -33,10 +33,10 @@
 
 
 class Load:
-    """Clients of all nodes; each request is counted by what became of it, by node."""
+    """Clients of all nodes, which count answered and lost requests by node."""
 
     def __init__(self, ports: dict[str, int]) -> None:
-        self.ports, self.stopped = ports, False
+        self.ports, self.is_stopped = ports, False
         self.answered = dict.fromkeys(ports, 0)
         self.lost = dict.fromkeys(ports, 0)
 
@@ -44,7 +44,7 @@
         await asyncio.gather(*map(self._send_requests, self.ports))
 
     async def _send_requests(self, name: str) -> None:
-        while not self.stopped:
+        while not self.is_stopped:
             await self._send_request(name)
             await asyncio.sleep(REQUEST_INTERVAL_S)
 
@@ -52,7 +52,7 @@
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.ports[name])
         except OSError:
-            return  # it is being restarted: nothing was accepted, and a client goes to another node
+            return  # the node restarts and accepts nothing; a client would use another node
         try:
             writer.write(REQUEST)
             async with asyncio.timeout(TIMEOUT_S):
@@ -71,14 +71,14 @@
         '[servers]\nfile = "servers.toml"\n\n[[class]]\nname = "look"\n'
         f'aim = "{aim}"\ndeadline = "20s"\nrepeat = "safe"\n'
     )
-    listed = "".join(
+    server_entries = "".join(
         f'[[server]]\nname = "s{port}"\naddress = "127.0.0.1:{port}"\n' for port in servers
     )
-    return {"oakbridge.toml": config, "servers.toml": listed}
+    return {"oakbridge.toml": config, "servers.toml": server_entries}
 
 
 class FleetUnderLoad(ProcessFleet):
-    """The hosts with their nodes, and the commands of ``oakbridge fleet``."""
+    """The hosts with their nodes, and the commands of ``oakbridge fleet`` on them."""
 
     def __init__(self, folder: Path, servers: list[int]) -> None:
         self.files = {aim: files_with_aim(aim, servers) for aim in AIMS}
@@ -113,16 +113,16 @@
         code, report = await self.apply(aim, *ALL_AT_ONCE, "--silent", "40")
         assert (code, report["complete"]) == (0, True), report
 
-    async def count_seen(self) -> int:
+    async def count_reported(self) -> int:
         _, out = await self.call("status", "--json")
         return len(json.loads(out)["instances"])
 
-    async def wait_until_seen(self) -> None:
+    async def wait_until_all_reported(self) -> None:
         async with asyncio.timeout(4 * TIMEOUT_S):
-            while await self.count_seen() < INSTANCES:
+            while await self.count_reported() < INSTANCES:
                 await asyncio.sleep(0.2)
 
-    async def wait_until_one_runs(self, aim: str) -> None:
+    async def wait_until_any_runs(self, aim: str) -> None:
         loop = asyncio.get_running_loop()
         running: list[str] = []
         while aim not in running:
@@ -133,54 +133,56 @@
             ]
 
 
-class Frozen:
-    """Which agents and nodes are frozen, drawn at random."""
+class FrozenProcesses:
+    """The agents and nodes to freeze, chosen at random."""
 
-    def __init__(self, draw: random.Random, fleet: ProcessFleet) -> None:
-        self.agents = draw.sample(sorted(fleet.agents), FROZEN_AGENTS)
+    def __init__(self, rng: random.Random, fleet: ProcessFleet) -> None:
+        self.agents = rng.sample(sorted(fleet.agents), FROZEN_AGENTS)
         on_frozen_hosts = [
             f"{agent}/n{number}"
             for agent in self.agents[-FROZEN_HOSTS:]
             for number in range(INSTANCES_PER_HOST)
         ]
-        watched = [n for n in fleet.instance_ports if n.split("/")[0] not in self.agents]
-        self.single_nodes = draw.sample(watched, FROZEN_SINGLE_NODES)
+        with_running_agent = [
+            name for name in fleet.instance_ports if name.split("/")[0] not in self.agents
+        ]
+        self.single_nodes = rng.sample(with_running_agent, FROZEN_SINGLE_NODES)
         self.nodes = {*on_frozen_hosts, *self.single_nodes}
         self.all = [*self.agents, *on_frozen_hosts, *self.single_nodes]
 
-    def explain(self, instance: str) -> bool:
-        """Return whether this instance may be unknown."""
+    def may_be_unknown(self, instance: str) -> bool:
+        """Return whether the outcome of this instance may be unknown."""
         return instance.split("/")[0] in self.agents or instance in self.single_nodes
 
 
-def check_report(report: dict, fleet: ProcessFleet, frozen: Frozen) -> None:
-    """Compare each outcome with what the process of the node says."""
+def check_report(report: dict, fleet: ProcessFleet, frozen: FrozenProcesses) -> None:
+    """Check that each outcome agrees with the configuration that the node reports."""
     for row in report["instances"]:
         name, outcome = row["instance"], row["fate"]
         if outcome == "unknown":
-            assert frozen.explain(name), (name, report)
+            assert frozen.may_be_unknown(name), (name, report)
             continue
         running = "silent" if name in frozen.nodes else fleet.running_configuration(name)
         if running != "silent":
             assert (outcome == "took it") == (running == "2s"), (name, outcome, running)
 
 
-async def scenario(folder: Path, seed: int) -> None:
-    draw = random.Random(seed)
+async def run_scenario(folder: Path, seed: int) -> None:
+    rng = random.Random(seed)
     servers = [StandIn(f"s{number}", Behaviour()) for number in range(3)]
     for server in servers:
         await server.start()
     fleet = FleetUnderLoad(folder, [server.address[1] for server in servers])
     load = Load(fleet.instance_ports)
     try:
-        await fleet.wait_until_seen()
+        await fleet.wait_until_all_reported()
         await fleet.apply_to_all("1s")
-        loading = asyncio.create_task(load.run())
+        load_task = asyncio.create_task(load.run())
 
         rollout = asyncio.create_task(fleet.apply("2s", "--window", "2"))
-        await fleet.wait_until_one_runs("2s")
-        frozen = Frozen(draw, fleet)
-        await asyncio.sleep(draw.random())
+        await fleet.wait_until_any_runs("2s")
+        frozen = FrozenProcesses(rng, fleet)
+        await asyncio.sleep(rng.random())
         for name in frozen.all:
             fleet.send_signal(name, signal.SIGSTOP)
         code, report = await rollout
@@ -194,8 +196,8 @@
         assert "unknown" not in {row["fate"] for row in resumed["instances"]}, resumed
         await fleet.apply_to_all("3s")
         assert set(fleet.running_configurations().values()) == {"3s"}
-        load.stopped = True
-        await loading
+        load.is_stopped = True
+        await load_task
         assert (await fleet.call("doctor"))[0] in (0, 1)
         lost = {
             name: count for name, count in load.lost.items() if count and name not in frozen.nodes
@@ -203,14 +205,14 @@
         assert not lost
         assert sum(load.answered.values()) > 20 * INSTANCES
     finally:
-        load.stopped = True
+        load.is_stopped = True
         fleet.close()
         for server in servers:
             server.stop()
 
 
 @pytest.mark.parametrize("seed", [7])
-def test_nodes_and_agents_frozen_in_mid_change(tmp_path, seed):
-    began = time.monotonic()
-    asyncio.run(scenario(tmp_path, seed))
-    assert time.monotonic() - began < 8 * TIMEOUT_S
+def test_nodes_and_agents_frozen_during_a_rollout(tmp_path, seed):
+    started_s = time.monotonic()
+    asyncio.run(run_scenario(tmp_path, seed))
+    assert time.monotonic() - started_s < 8 * TIMEOUT_S
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts over real agents and nodes: complete, refused, undone, and two operators at once."""
+"""Rollouts over agent and node processes: complete, refused, rolled back, and of two operators."""
 
 import json
 import signal
@@ -32,25 +32,27 @@
         assert "Traceback" not in err, err
         return process.returncode, out, err
 
-    def change(self, aim: str) -> str:
+    def write_change(self, aim: str) -> str:
         return self.write_files(aim, files_with_aim(aim))
 
-    def apply(self, aim: str, *more: str) -> tuple[int, dict]:
-        code, out, err = self.call("apply", "--files", self.change(aim), "--json", *QUICK, *more)
+    def apply(self, aim: str, *options: str) -> tuple[int, dict]:
+        code, out, err = self.call(
+            "apply", "--files", self.write_change(aim), "--json", *QUICK, *options
+        )
         assert out, err
         return code, json.loads(out)
 
     def wait_until(self, condition):
-        end = time.monotonic() + TIMEOUT_S
+        deadline_s = time.monotonic() + TIMEOUT_S
         while not (result := condition()):
-            assert time.monotonic() < end
+            assert time.monotonic() < deadline_s
             time.sleep(0.05)
         return result
 
     def has_all_instances(self) -> bool:
         return len(json.loads(self.call("status", "--json")[1])["instances"]) == HOSTS
 
-    def is_well(self) -> bool:
+    def is_healthy(self) -> bool:
         return self.call("status", "--json")[0] == 0
 
     def count_running(self, aim: str) -> int:
@@ -80,7 +82,7 @@
     return [row["fate"] for row in report["instances"]]
 
 
-def test_a_change_goes_through_and_one_that_is_refused_halts_at_its_canary(fleet):
+def test_a_valid_change_completes_and_an_invalid_one_halts_at_the_canary(fleet):
     code, report = fleet.apply("2s", "--unavailable", "2", "--why", "slower")
     assert code == 0, report
     assert outcomes(report) == ["took it"] * 4, report
@@ -100,11 +102,11 @@
 
 
 def test_two_operators_at_once_have_one_winner(fleet):
-    first = fleet.start_command("apply", "--files", fleet.change("2s"), "--json", *QUICK)
+    first = fleet.start_command("apply", "--files", fleet.write_change("2s"), "--json", *QUICK)
     fleet.wait_until(
         lambda: json.loads(fleet.call("history", "--json")[1])[0]["stage"] == "running"
     )
-    code, _, err = fleet.call("apply", "--files", fleet.change("3s"), "--as", "ola", *QUICK)
+    code, _, err = fleet.call("apply", "--files", fleet.write_change("3s"), "--as", "ola", *QUICK)
     assert code == 1
     assert "admin has the lease since" in err
     first.communicate(timeout=4 * TIMEOUT_S)
@@ -112,10 +114,10 @@
     assert set(fleet.running_configurations().values()) == {"2s"}
 
 
-def test_a_change_that_has_to_be_halted_is_taken_back_everywhere(fleet):
-    """The second instance is killed while it is watched; the first goes back too."""
+def test_a_halted_change_is_rolled_back_on_all_instances(fleet):
+    """The second instance is killed while its agent watches it; the first is rolled back too."""
     process = fleet.start_command(
-        *("apply", "--files", fleet.change("2s"), "--json"),
+        *("apply", "--files", fleet.write_change("2s"), "--json"),
         *QUICK,
         *("--watch", "6", "--undo", "--canary", "1"),
     )
@@ -128,5 +130,5 @@
     assert process.returncode == 4, report
     assert report["stage"] == "undone", report
     assert sorted(outcomes(report)) == ["not reached", "not reached", "undone", "undone"]
-    fleet.wait_until(fleet.is_well)
+    fleet.wait_until(fleet.is_healthy)
     assert set(fleet.running_configurations().values()) == {"1s"}
