--- a/oakbridge/rollout/agent_watcher.py
+++ b/oakbridge/rollout/agent_watcher.py
@@ -28,7 +28,7 @@
         self._operator = operator
         self._poll_interval_s = poll_interval_s
         self._agents = agents
-        self._responses: dict[str, AgentResponse] = {}  # of the agents that are not silent
+        self._responses: dict[str, AgentResponse] = {}  # only agents that are not silent
         self._last_response_unix_s: dict[str, float] = {}
         self._missed_polls: dict[str, int] = {}
         self._poll_requested = {agent: asyncio.Event() for agent in agents}
--- a/oakbridge/rollout/change.py
+++ b/oakbridge/rollout/change.py
@@ -24,7 +24,7 @@
 from oakbridge.rollout.setting_path import put_setting
 
 CONFIG_FILE = "oakbridge.toml"
-DRAIN_MARKER = "drained"  # the name of the marker file
+DRAIN_MARKER = "drained"  # the node of a generation with this file does not run
 Files = dict[str, str]  # texts by file name
 
 
--- a/oakbridge/rollout/coordinator.py
+++ b/oakbridge/rollout/coordinator.py
@@ -31,12 +31,12 @@
 log = logging.getLogger(__name__)
 
 EXPIRY_CHECK_INTERVAL_S = 0.25  # the longest wait between two checks for expired timeouts
-# Poll intervals of an agent: while a result of it is awaited, during a gate, and otherwise.
+# Poll intervals of an agent: while its result is awaited, during a gate, and otherwise.
 AWAITED_POLL_S = 0.25
 GATE_POLL_S = 1.0
 IDLE_POLL_S = 5.0
-JOURNAL_TIMEOUT_S = 30.0  # of a journal that cannot be written; nothing is sent meanwhile
-MAX_GATE_POLLS_PER_S = 500  # over all agents
+JOURNAL_TIMEOUT_S = 30.0  # a journal may fail for this time, in which nothing is sent
+MAX_GATE_POLLS_PER_S = 500  # during a gate, limit for all agents together
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
     watch_s: float = 5.0  # how long an agent watches an instance after its step
     window_s: float = 10.0  # how long a gate compares responses
-    silence_timeout_s: float = 30.0  # after watch_s; an instance without a result is unknown then
+    silence_timeout_s: float = 30.0  # after watch_s plus this, a missing result is unknown
     gate_rules: GateRules = field(default_factory=GateRules)
 
 
@@ -234,7 +234,7 @@
     # ---- reports of the agents
 
     def _poll_interval_s(self, agent: str) -> float:
-        """Return the poll interval of an agent, which is short while a result of it is awaited."""
+        """Return the poll interval of an agent, which is short while its result is awaited."""
         for name in self._instances_by_agent[agent]:
             if self._step_timeouts.is_pending(name) or self._rollback_timeouts.is_pending(name):
                 return AWAITED_POLL_S
--- a/oakbridge/rollout/doctor.py
+++ b/oakbridge/rollout/doctor.py
@@ -34,7 +34,7 @@
     """How severe a finding is; the values are shown to operators."""
 
     BAD = "bad"  # an instance does not serve, or nobody knows whether it does
-    NOTE = "note"  # operators should know
+    NOTE = "note"  # nothing is broken, but operators should know
 
 
 @dataclass(frozen=True, slots=True)
--- a/oakbridge/rollout/gate.py
+++ b/oakbridge/rollout/gate.py
@@ -47,7 +47,7 @@
 
     alpha: float = 0.01  # probability that a harmless change is halted (significance level)
     margin: float = 0.005  # a served fraction that is lower by no more than this counts as equal
-    min_responses: int = 200  # of each side; with fewer, the fractions are not compared
+    min_responses: int = 200  # with fewer on either side, the fractions are not compared
     require_traffic: bool = False  # whether the gate fails with too few responses
 
 
@@ -65,7 +65,7 @@
 
     verdict: Verdict
     reason: str
-    changed_share: float = math.nan  # fraction of all responses
+    changed_share: float = math.nan  # the served fraction of all responses
     baseline_share: float = math.nan
     p_value: float = math.nan
 
@@ -115,7 +115,7 @@
 def non_inferiority_p_value(
     changed: ResponseCounts, baseline: ResponseCounts, margin: float
 ) -> float:
-    """Return the p-value of the null hypothesis of a changed instance that serves well enough.
+    """Return the p-value of the null hypothesis that the changed instances serve well enough.
 
     By that hypothesis, the served fraction of ``changed`` is lower than that of ``baseline`` by no
     more than ``margin``.
--- a/oakbridge/rollout/lease_holder.py
+++ b/oakbridge/rollout/lease_holder.py
@@ -8,7 +8,7 @@
 from oakbridge.fleet import messages
 from oakbridge.fleet.client import AgentResponse, FleetClient, LeaseResult
 
-LEASE_DURATION_S = 60.0  # for which an agent grants the lease
+LEASE_DURATION_S = 60.0  # an agent grants the lease for this time
 LEASE_RENEW_INTERVAL_S = 15.0
 _LEASE_DURATION_US = int(LEASE_DURATION_S * 1e6)
 
--- a/oakbridge/rollout/machine.py
+++ b/oakbridge/rollout/machine.py
@@ -85,7 +85,7 @@
     def on_outcome_unknown(
         self, name: str, reason: str, last_response_unix_s: float
     ) -> list[Action]:
-        """Process that the result of an instance's step or rollback is not known.
+        """Process an unknown result of an instance's step or rollback.
 
         ``last_response_unix_s`` is the Unix time of its agent's last response in seconds, or 0.
         """
--- a/oakbridge/rollout/plan.py
+++ b/oakbridge/rollout/plan.py
@@ -24,8 +24,8 @@
     agent: str
     instance: str
     zone: str = ""
-    base_generation: int = 0  # running when the waves were planned; 0: none
-    is_drained: bool = False  # when the waves were planned; its node did not run then
+    base_generation: int = 0  # the generation that ran at planning; 0: none
+    is_drained: bool = False  # drained at planning, so that its node did not run
 
     @property
     def name(self) -> str:
--- a/oakbridge/rollout/record.py
+++ b/oakbridge/rollout/record.py
@@ -62,7 +62,7 @@
 
     outcome: InstanceOutcome = InstanceOutcome.NOT_REACHED
     reason: str = ""
-    last_response_unix_s: float = 0.0  # of its agent, where the outcome is unknown
+    last_response_unix_s: float = 0.0  # the last one of an unknown instance's agent
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/rollout/test_machine.py
+++ b/tests/rollout/test_machine.py
@@ -209,7 +209,7 @@
         self.disk = RolloutRecord(waves, max_unavailable=2, auto_rollback=True)
         self.queue: list = []
         self.reports: list[tuple[str, InstanceOutcome]] = []  # not yet received by the tool
-        self.runs_new = dict.fromkeys(LETTERS, False)  # the new generation, by instance
+        self.runs_new = dict.fromkeys(LETTERS, False)  # which run the new generation
         self.rolled_back: list[str] = []
         self.agent_outcomes: dict[str, InstanceOutcome] = {}
         self.applied: set[str] = set()
--- a/tests/rollout/test_protocol.py
+++ b/tests/rollout/test_protocol.py
@@ -45,7 +45,7 @@
     token_record: FencingTokenRecord = field(default_factory=FencingTokenRecord)
     record: InstanceRecord = field(default_factory=InstanceRecord)
     link: int = 0
-    step_tokens: list[int] = field(default_factory=list)  # of the steps that began, in order
+    step_tokens: list[int] = field(default_factory=list)  # one for each step that began, in order
     due_us: int | None = None
 
     def __post_init__(self):
