--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -220,12 +220,12 @@
         if isinstance(self.source, DiscoverySource):
             self.source.observer = observer
 
-    def take_out(self, server: str) -> bool | None:
+    def take_offline(self, server: str) -> bool | None:
         """Take a server offline for operators; False if it was offline, None if it is unknown."""
         return self.endpoints.take_offline(server)
 
-    def put_back(self, server: str) -> bool | None:
-        """Put a server back online; False if it was not offline, None if it is unknown."""
+    def bring_online(self, server: str) -> bool | None:
+        """Bring a server back online; False if it was not offline, None if it is unknown."""
         return self.endpoints.bring_online(server, self.settings.slow_start_window)
 
     def share_descriptors(self, predecessor_descriptors: int) -> None:
--- a/oakbridge/operators/executor.py
+++ b/oakbridge/operators/executor.py
@@ -69,14 +69,14 @@
         offline_servers = self._node.offline_servers
         if offline_servers.is_full() and not offline_servers.is_offline(server_id):
             raise CommandRejectedError("as many servers are held out as can be")
-        has_changed = self._node.take_out(server_id)
+        has_changed = self._node.take_offline(server_id)
         if has_changed is None:
             raise CommandRejectedError(f"no server {server_id} is listed")
         return f"{server_id} is out" if has_changed else f"{server_id} was out already"
 
     def _bring_online(self, server_id: str) -> str:
         """Bring a server back online, even if it was taken offline several times."""
-        has_changed = self._node.put_back(server_id)
+        has_changed = self._node.bring_online(server_id)
         if has_changed is None:
             raise CommandRejectedError(f"no server {server_id} is listed or held out")
         return f"{server_id} is back" if has_changed else f"{server_id} was not out"
