--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -228,4 +228,4 @@
     def _resume_serving(self) -> None:
         log.warning("successor disconnected: accepting connections again")
         self._node.balancer.slow_start.is_handed_over = False
-        self._node.server.cancel_hand_over()
+        self._node.server.undo_hand_over()
--- a/oakbridge/node/http_server.py
+++ b/oakbridge/node/http_server.py
@@ -281,8 +281,8 @@
         for connection in list(self.limits.connections):
             self.hand_over_if_idle(connection)
 
-    def cancel_hand_over(self) -> None:
-        """Cancel a hand-over and accept again, as the successor has exited."""
+    def undo_hand_over(self) -> None:
+        """Undo a hand-over and accept connections again, as the successor has exited."""
         self._send_descriptor = None
         self.lifecycle.undo_hand_over()
         self.listener.start()
