--- a/oakbridge/node/config.py
+++ b/oakbridge/node/config.py
@@ -35,9 +35,8 @@
     also_listen: tuple[Address, ...] = ()  # more listen addresses; not set by the platform's file
     control: Address | None = None  # listen address for operators' commands; None: disabled
     memory_mb: int = 0  # memory limit of the node in megabytes; 0: unknown
-    raw: JsonObject = field(
-        default_factory=dict, compare=False
-    )  # the file's content without the saved endpoint list
+    # ``raw`` is the file's content without the saved endpoint list.
+    raw: JsonObject = field(default_factory=dict, compare=False)
 
 
 def load_config(environment: Mapping[str, str], before: Config | None = None) -> Config:
--- a/oakbridge/node/response_parser.py
+++ b/oakbridge/node/response_parser.py
@@ -76,10 +76,8 @@
         self._bytes_read += len(data)
         try:
             self._parser.feed_data(data)
-        except (
-            httptools.HttpParserError,
-            httptools.HttpParserUpgrade,
-        ) as e:  # no upgrade was requested
+        # An upgrade is handled like an invalid response, as the node requests none.
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as e:
             if not self.complete:
                 raise ResponseError(f"expected an HTTP/1.1 response: {e}") from None
             self.reusable = False
--- a/oakbridge/policy/endpoint_reconciler.py
+++ b/oakbridge/policy/endpoint_reconciler.py
@@ -23,9 +23,8 @@
     subset: Subset
     slow_start: SlowStart
     is_partial: bool = False  # more changes of this version follow
-    known: dict[str, Server] = field(
-        default_factory=dict
-    )  # listed, announced, draining or with attempts
+    # ``known`` holds the servers that are listed, announced, draining or have attempts in flight.
+    known: dict[str, Server] = field(default_factory=dict)
     size_before: int = 0  # number of servers before this version
     subset_fraction: float = 0.0  # fraction of them in the subset
     announced: list[str] = field(default_factory=list)  # ids of servers of the next list
--- a/oakbridge/policy/outlier_detection.py
+++ b/oakbridge/policy/outlier_detection.py
@@ -57,9 +57,8 @@
                 self.eject(server, now)
             self.failures_by_zone.pop(server.zone, None)
             return
-        for _ in range(
-            1 + (result == AttemptResult.CONNECT_FAILED)
-        ):  # counts twice: the server is down
+        # A failed connect counts twice, as the server is down.
+        for _ in range(1 + (result == AttemptResult.CONNECT_FAILED)):
             self.update_score(server, failed, now)
         if failed:
             server.failed_at = now
--- a/tests/members/test_cluster.py
+++ b/tests/members/test_cluster.py
@@ -184,9 +184,8 @@
         earlier_process.is_up = False
     elif old_process == "frozen":
         cluster.freeze(names[5])
-    cluster.start(
-        names[5], names[:2], address="elsewhere"
-    )  # the same generation: there is no snapshot
+    # The new process has the same generation, as there is no snapshot of the earlier one.
+    cluster.start(names[5], names[:2], address="elsewhere")
     cluster.run_until(cluster.now_us + 20 * SECOND_US)
     assert all(
         cluster.record_in_view(member_name, names[5]).address == "elsewhere"
--- a/tests/members/test_failure_reports.py
+++ b/tests/members/test_failure_reports.py
@@ -25,10 +25,8 @@
         (("a: x", "b: x"), 0.5),
         (("a: x", "b: x", "c: x", "d: x"), 1.0),
         (("a: x y", "b: x y"), 0.5),
-        (
-            ("a: 1 2 3 4 5 6 7 x", "b: 1 2 3 4 5 6 7 x"),
-            0.0,
-        ),  # members that report many servers are more likely faulty themselves
+        # Members that report many servers are more likely faulty themselves.
+        (("a: 1 2 3 4 5 6 7 x", "b: 1 2 3 4 5 6 7 x"), 0.0),
         (("a: 1 2 3 x", "b: x", "c: 1 2 3 x"), 0.5),
         (("me: x", "a: x"), 0.0),  # this member's own report is left out
     ],
--- a/tests/members/test_member.py
+++ b/tests/members/test_member.py
@@ -53,9 +53,8 @@
     assert run_until(SECOND_US + CATCH_UP_INTERVAL_US * 3 // 2)  # retry with another member
     member.push_pull_completed(3 * SECOND_US, PushPullState("b", 1, ()), initiated=True)
     assert not receive(claim.with_state(MemberState.FAILED, "c"))  # the same verdict again
-    assert receive(claim.with_state(MemberState.FAILED, "c"), incarnation=1) == [
-        StartPushPull("b")
-    ]  # a new verdict
+    # A verdict on a later incarnation is a new one.
+    assert receive(claim.with_state(MemberState.FAILED, "c"), incarnation=1) == [StartPushPull("b")]
 
 
 def test_suspicions_from_gossip_received_before_late_timers_are_not_delayed():
--- a/tests/sources/rewritten_files.py
+++ b/tests/sources/rewritten_files.py
@@ -95,9 +95,8 @@
         self.attempts: list[tuple[int, str, str]] = []
         self.versions: dict[int, dict[str, str]] = {}  # by version: address of each ready server
         self.removals: list[tuple[str, int]] = []  # address, and time when it left the ready ones
-        self.additions: list[
-            tuple[int, set[str]]
-        ] = []  # time, and addresses added to the ready ones
+        # Each addition is a time, and the addresses that joined the ready ones.
+        self.additions: list[tuple[int, set[str]]] = []
         # Longest time for which this process, with node and servers, did not run.
         self.longest_pause_us = 0
 
--- a/tests/workers/test_pool.py
+++ b/tests/workers/test_pool.py
@@ -25,9 +25,8 @@
         self.rng = random.Random(seed)
         self.now_us = 0
         self.pool = WorkerPool(len(WORKERS))
-        self.states: dict[
-            int, str
-        ] = {}  # of each worker with a process: starting, running, stopping
+        # Each worker with a process is starting, running or stopping.
+        self.states: dict[int, str] = {}
         self.in_balancer: set[int] = set()
         self.warnings: list[str] = []
         self.timers: list[tuple[int, int]] = []  # due time in microseconds, and worker
