--- a/oakbridge/node/config.py
+++ b/oakbridge/node/config.py
@@ -67,8 +67,8 @@
     """
     try:
         settings = read_settings(raw.get("settings"))
-    except SettingsError as e:
-        raise ConfigError(str(e)) from None
+    except SettingsError as error:
+        raise ConfigError(str(error)) from None
     saved_list = raw.get("known")
     file_takes_precedence = reloading and raw.get("discovery")
     return Config(
@@ -99,11 +99,11 @@
 def _read_file(path: str) -> JsonObject:
     try:
         return _object(json.loads(Path(path).read_text("utf-8")), path)
-    except OSError as e:
-        problem = f"NODE_CONFIG: {path}: {e.strerror}"
-        raise (ConfigUnreadableError if is_read_error(e) else ConfigError)(problem) from None
-    except (ValueError, RecursionError) as e:
-        raise ConfigError(f"NODE_CONFIG: {path}: {str(e) or 'not JSON'}") from None
+    except OSError as error:
+        problem = f"NODE_CONFIG: {path}: {error.strerror}"
+        raise (ConfigUnreadableError if is_read_error(error) else ConfigError)(problem) from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(f"NODE_CONFIG: {path}: {str(error) or 'not JSON'}") from None
 
 
 def _object(value: Any, place: str) -> JsonObject:
@@ -126,8 +126,8 @@
         raise ConfigError(f"{variable}: missing, and the configuration has no {name!r}")
     try:
         return parse_address(value)
-    except ConfigError as e:
-        raise ConfigError(f"{variable}: {e}") from None
+    except ConfigError as error:
+        raise ConfigError(f"{variable}: {error}") from None
 
 
 def _has_control(environment: Mapping[str, str], raw: JsonObject) -> bool:
--- a/oakbridge/node/discovery_http.py
+++ b/oakbridge/node/discovery_http.py
@@ -72,8 +72,8 @@
         raise EndpointListError(f"response: expected status 200, got {response.status}")
     try:
         new = parse_endpoint_list(json.loads(bytes(response.body)))
-    except (ValueError, RecursionError) as e:
-        raise EndpointListError(str(e) or "response: expected JSON") from None
+    except (ValueError, RecursionError) as error:
+        raise EndpointListError(str(error) or "response: expected JSON") from None
     return PollResponse(new, response.first_byte_at)
 
 
@@ -129,9 +129,9 @@
         response.first_byte_at = response.first_byte_at or asyncio.get_running_loop().time()
         try:
             response.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as e:
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not response.complete:
-                raise EndpointListError(f"response: expected HTTP/1.1: {e}") from None
+                raise EndpointListError(f"response: expected HTTP/1.1: {error}") from None
         if len(response.body) > MAX_LIST_BYTES:
             raise EndpointListError(f"response body: expected at most {MAX_LIST_BYTES} bytes")
     return response
--- a/oakbridge/node/endpoint_list_json.py
+++ b/oakbridge/node/endpoint_list_json.py
@@ -106,10 +106,10 @@
     )
     try:
         address = _parse_server_address(raw.get("address"))
-    except ConfigError as e:
+    except ConfigError as error:
         if server.state == EndpointState.REMOVED:  # nothing is sent there, so it needs no address
             return ListedEndpoint(server, NO_ADDRESS)
-        raise EndpointListError(f"{place}.address: {e}") from None
+        raise EndpointListError(f"{place}.address: {error}") from None
     server.address = f"{address[0]}:{address[1]}"
     return ListedEndpoint(server, address)
 
--- a/oakbridge/node/listener.py
+++ b/oakbridge/node/listener.py
@@ -40,9 +40,9 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(address)
         sock.listen(BACKLOG)
-    except OSError as e:
+    except OSError as error:
         sock.close()
-        raise OSError(e.errno, f"{address[0]}:{address[1]}: {e.strerror}") from None
+        raise OSError(error.errno, f"{address[0]}:{address[1]}: {error.strerror}") from None
     return sock
 
 
--- a/oakbridge/node/node.py
+++ b/oakbridge/node/node.py
@@ -138,9 +138,9 @@
                 saved = parse_endpoint_list(self.config.saved_list)
                 if isinstance(self.source, DiscoverySource):
                     self.source.use_saved_version(saved.version)
-        except EndpointListError as e:
+        except EndpointListError as error:
             self.server.close()
-            raise ConfigError(f"known: {e}") from None
+            raise ConfigError(f"known: {error}") from None
         if self.settings.poll_discovery or not saved.endpoints:
             self.endpoints.on_endpoint_list(saved, saved=True)
         else:
--- a/oakbridge/node/response_parser.py
+++ b/oakbridge/node/response_parser.py
@@ -77,9 +77,9 @@
         try:
             self._parser.feed_data(data)
         # An upgrade is handled like an invalid response, as the node requests none.
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as e:
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.complete:
-                raise ResponseError(f"expected an HTTP/1.1 response: {e}") from None
+                raise ResponseError(f"expected an HTTP/1.1 response: {error}") from None
             self.reusable = False
         max_framing = 2 * MAX_HEAD_BYTES + MAX_FRAMING_PER_BODY_BYTE * self._body_bytes
         if self._unusable or self._bytes_read - self._body_bytes > max_framing:
--- a/oakbridge/node/run.py
+++ b/oakbridge/node/run.py
@@ -65,11 +65,11 @@
     """Reload; return False if a retry may succeed after a transient error."""
     try:
         reload(node)
-    except ConfigUnreadableError as e:
-        log.warning("reading the configuration failed; retrying: error=%s", e)
+    except ConfigUnreadableError as error:
+        log.warning("reading the configuration failed; retrying: error=%s", error)
         return False
-    except Exception as e:
+    except Exception as error:
         # An invalid or half-written file must not stop the node; a traceback would suggest a bug.
-        reason = str(e) or type(e).__name__
+        reason = str(error) or type(error).__name__
         log.error("reload of the configuration failed: error=%s", reason)  # noqa: TRY400
     return True
--- a/oakbridge/node/settings.py
+++ b/oakbridge/node/settings.py
@@ -213,8 +213,8 @@
     for i, entry in enumerate(_get(raw, "classes", list)):
         try:
             classes.append(_read_class(entry))
-        except SettingsError as e:
-            raise SettingsError(f"settings.classes[{i}]: {e}") from None
+        except SettingsError as error:
+            raise SettingsError(f"settings.classes[{i}]: {error}") from None
     return tuple(classes)
 
 
--- a/oakbridge/peers/member_query.py
+++ b/oakbridge/peers/member_query.py
@@ -43,10 +43,10 @@
         raise MemberQueryError(
             address, "connection closed by the member; does the secret match?"
         ) from None
-    except PeerMessageError as e:
-        raise MemberQueryError(address, f"response can't be decoded: {e.reason}") from None
-    except (OSError, ValueError) as e:
-        raise MemberQueryError(address, str(e)) from None
+    except PeerMessageError as error:
+        raise MemberQueryError(address, f"response can't be decoded: {error.reason}") from None
+    except (OSError, ValueError) as error:
+        raise MemberQueryError(address, str(error)) from None
     return [_row(record) for record in sorted(state.records, key=lambda r: r.name)]
 
 
--- a/oakbridge/peers/service.py
+++ b/oakbridge/peers/service.py
@@ -382,9 +382,11 @@
                 self._is_snapshot_stale = False
                 try:
                     await asyncio.to_thread(snapshot.save, path, self._snapshot())
-                except OSError as e:
+                except OSError as error:
                     self._is_snapshot_stale = True  # retried at the next interval
-                    log.warning("snapshot not written: path=%s error=%s", path, e.strerror or e)
+                    log.warning(
+                        "snapshot not written: path=%s error=%s", path, error.strerror or error
+                    )
             await asyncio.sleep(SAVE_INTERVAL_S)
 
     def _snapshot(self) -> snapshot.Snapshot:
--- a/oakbridge/peers/snapshot.py
+++ b/oakbridge/peers/snapshot.py
@@ -76,8 +76,8 @@
         raise
     except FileNotFoundError:
         return Snapshot()
-    except OSError as e:
-        raise SnapshotError(path, e.strerror or str(e)) from None
+    except OSError as error:
+        raise SnapshotError(path, error.strerror or str(error)) from None
     except (ValueError, KeyError, TypeError, RecursionError):
         raise SnapshotError(path, f"expected {EXPECTED_FORM}") from None
 
--- a/oakbridge/peers/system_state.py
+++ b/oakbridge/peers/system_state.py
@@ -52,11 +52,11 @@
         """Return a number from [0, 1)."""
         return self.getrandbits(53) / (1 << 53)
 
-    def getrandbits(self, k: int) -> int:
-        """Return ``k`` random bits, at most 64."""
+    def getrandbits(self, bit_count: int) -> int:
+        """Return ``bit_count`` random bits, at most 64."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % (1 << 64)
         value = self.state
-        return ((value ^ value >> 32) * 0x9E3779B97F4A7C15 % (1 << 64)) >> (64 - k)
+        return ((value ^ value >> 32) * 0x9E3779B97F4A7C15 % (1 << 64)) >> (64 - bit_count)
 
     def __reduce__(self) -> tuple[Any, ...]:
         """Return the constructor and state for pickle."""
--- a/oakbridge/spread/arcs.py
+++ b/oakbridge/spread/arcs.py
@@ -62,16 +62,20 @@
     for ring in range(rings):
         replica_arcs = _arcs(replicas, REPLICA, ring)
         server_arcs = _arcs(servers, SERVER, ring)
-        position, i, j = 0.0, 0, 0
-        while i < len(replica_arcs.names) and j < len(server_arcs.names):
-            end = min(replica_arcs.ends[i], server_arcs.ends[j])
+        position, replica_index, server_index = 0.0, 0, 0
+        while replica_index < len(replica_arcs.names) and server_index < len(server_arcs.names):
+            end = min(replica_arcs.ends[replica_index], server_arcs.ends[server_index])
             if end > position:
-                yield Overlap(replica_arcs.names[i], server_arcs.names[j], (end - position) / rings)
+                yield Overlap(
+                    replica_arcs.names[replica_index],
+                    server_arcs.names[server_index],
+                    (end - position) / rings,
+                )
             position = max(position, end)
-            if replica_arcs.ends[i] <= server_arcs.ends[j]:
-                i += 1
+            if replica_arcs.ends[replica_index] <= server_arcs.ends[server_index]:
+                replica_index += 1
             else:
-                j += 1
+                server_index += 1
 
 
 def subset_weights(
@@ -101,16 +105,17 @@
     server_arcs = _arcs(servers, SERVER, ring)
     own_index = replica_arcs.names.index(name)
     position, end = replica_arcs.start(own_index), replica_arcs.ends[own_index]
-    j = bisect_right(server_arcs.ends, position)
-    while j < len(server_arcs.names) and position < end:
-        segment_end = min(end, server_arcs.ends[j])
+    server_index = bisect_right(server_arcs.ends, position)
+    while server_index < len(server_arcs.names) and position < end:
+        segment_end = min(end, server_arcs.ends[server_index])
         if segment_end > position:
             yield (
-                server_arcs.names[j],
-                (segment_end - position) / (server_arcs.ends[j] - server_arcs.start(j)),
+                server_arcs.names[server_index],
+                (segment_end - position)
+                / (server_arcs.ends[server_index] - server_arcs.start(server_index)),
             )
         position = segment_end
-        j += 1
+        server_index += 1
 
 
 def _normalize(covered: Mapping[str, float], servers: Mapping[str, float]) -> dict[str, float]:
