--- a/oakbridge/handover/predecessor.py
+++ b/oakbridge/handover/predecessor.py
@@ -101,11 +101,11 @@
 
     def _accept(self) -> None:
         assert self._listener is not None
-        outcome = self._listener.accept()
-        if outcome.connection is not None:
+        result = self._listener.accept()
+        if result.connection is not None:
             # The event loop references the channel; its first message sets self._channel.
-            Channel(self._loop, outcome.connection, self._on_message, self._on_disconnect)
-        elif outcome.status is not AcceptStatus.QUEUE_EMPTY:
+            Channel(self._loop, result.connection, self._on_message, self._on_disconnect)
+        elif result.status is not AcceptStatus.QUEUE_EMPTY:
             self._loop.remove_reader(self._listener)  # accept would fail again at once
             self._loop.call_later(ACCEPT_RETRY_US / US_PER_S, self._watch_listener)
 
--- a/oakbridge/node/http_server.py
+++ b/oakbridge/node/http_server.py
@@ -232,7 +232,7 @@
         return changed
 
     def undrain(self) -> bool:
-        """Cancel a drain; return False if the node is not draining."""
+        """Undo a drain; return False if the node is not draining."""
         changed = self.lifecycle.undrain()
         self._apply_lifecycle()
         return changed
--- a/oakbridge/node/observer.py
+++ b/oakbridge/node/observer.py
@@ -13,13 +13,13 @@
     """Observes a node.  It must change nothing, and must be quick, as it runs in the event loop."""
 
     def on_event(self, now: int, event: Event) -> None:
-        """Observe an event before it is handed to the balancer; ``now`` is in microseconds."""
+        """Observe an event before it is passed to the balancer; ``now`` is in microseconds."""
 
     def on_actions(self, now: int, actions: Sequence[Action]) -> None:
         """Observe the actions that the balancer returned, before they are executed."""
 
     def on_connection_opened(self) -> None:
-        """Observe a connection to a server before it is dialled."""
+        """Observe a connection to a server before it is opened."""
 
     def on_connection_refused(self) -> None:
         """Observe a connection that a server refused, or that failed in the network."""
--- a/oakbridge/operators/executor.py
+++ b/oakbridge/operators/executor.py
@@ -43,7 +43,7 @@
             case Verb.LEAVE:
                 result = self._drain()
             case Verb.JOIN:
-                result = self._end_drain()
+                result = self._undrain()
             case _:
                 assert_never(command.verb)
         if self._on_executed is not None:
@@ -85,6 +85,6 @@
         has_changed = self._node.server.drain()
         return "the node empties" if has_changed else "the node was emptied already"
 
-    def _end_drain(self) -> str:
+    def _undrain(self) -> str:
         has_changed = self._node.server.undrain()
         return "the node takes callers again" if has_changed else "the node was not emptied"
--- a/oakbridge/operators/listener.py
+++ b/oakbridge/operators/listener.py
@@ -92,13 +92,13 @@
 
     def _accept(self) -> None:
         for _ in range(MAX_CONNECTIONS):
-            outcome = accept(self._socket, self._failures)
-            if outcome.status is AcceptStatus.QUEUE_EMPTY:
+            result = accept(self._socket, self._failures)
+            if result.status is AcceptStatus.QUEUE_EMPTY:
                 return
-            if outcome.connection is None:
+            if result.connection is None:
                 self._pause()
                 return
-            self._serve(outcome.connection)
+            self._serve(result.connection)
 
     def _serve(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
--- a/oakbridge/operators/protocol.py
+++ b/oakbridge/operators/protocol.py
@@ -23,7 +23,7 @@
     OFFLINE = "OFFLINE"  # take a server offline
     ONLINE = "ONLINE"  # bring a server back online
     LEAVE = "LEAVE"  # drain the node
-    JOIN = "JOIN"  # end the drain
+    JOIN = "JOIN"  # undrain the node
 
 
 VERBS_WITH_SERVER = frozenset({Verb.OFFLINE, Verb.ONLINE})
--- a/oakbridge/sip/framing.py
+++ b/oakbridge/sip/framing.py
@@ -1,4 +1,4 @@
-"""Framing of messages on a stream by Content-Length (RFC 3261, section 18.3); performs no I/O.
+"""Framing of messages on a stream by Content-Length (RFC 3261, section 18.3).  No I/O.
 
 The keep-alives between messages are those of RFC 5626, section 4.4.1.
 """
--- a/oakbridge/sip/header_values.py
+++ b/oakbridge/sip/header_values.py
@@ -1,6 +1,6 @@
 """Parsers of header fields that a proxy reads: CSeq, Max-Forwards, addresses and tags.
 
-Performs no I/O. The functions raise :class:`SipMessageError` for an invalid value.
+No I/O.  The functions raise :class:`SipMessageError` for an invalid value.
 """
 
 from __future__ import annotations
--- a/oakbridge/sip/message.py
+++ b/oakbridge/sip/message.py
@@ -1,6 +1,6 @@
 """SIP messages and their bytes on the wire (RFC 3261, sections 7, 18.3, 20 and 25).
 
-Performs no I/O. A proxy forwards unknown header fields unchanged, so a message keeps its header
+No I/O.  A proxy forwards unknown header fields unchanged, so a message keeps its header
 fields in order and their values unparsed; ``header_values``, ``via`` and ``uri`` parse the values
 that the proxy needs. Bytes that are not UTF-8 are kept as surrogate escapes.
 """
--- a/oakbridge/sip/parser.py
+++ b/oakbridge/sip/parser.py
@@ -1,4 +1,4 @@
-"""Parser of whole SIP messages (RFC 3261, sections 7, 16.3 and 18.3); performs no I/O."""
+"""Parser of whole SIP messages (RFC 3261, sections 7, 16.3 and 18.3).  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sip/peer.py
+++ b/oakbridge/sip/peer.py
@@ -1,4 +1,4 @@
-"""Transport addresses, and the destination of responses; performs no I/O."""
+"""Transport addresses, and the destination of responses.  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sip/proxy.py
+++ b/oakbridge/sip/proxy.py
@@ -1,4 +1,4 @@
-"""The stateful proxy (RFC 3261, section 16); performs no I/O.
+"""The stateful proxy (RFC 3261, section 16).  No I/O.
 
 Its inputs are received bytes, times and the balancer's actions; its outputs are bytes to send and
 events for the balancer. The balancer decides whether, when and to which server a request is sent.
--- a/oakbridge/sip/syntax.py
+++ b/oakbridge/sip/syntax.py
@@ -1,4 +1,4 @@
-"""Syntax common to header fields: comma-separated lists and parameters; performs no I/O."""
+"""Syntax common to header fields: comma-separated lists and parameters.  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sip/transaction.py
+++ b/oakbridge/sip/transaction.py
@@ -1,4 +1,4 @@
-"""Transactions: the state machines of RFC 3261, section 17, with their timers; performs no I/O.
+"""Transactions: the state machines of RFC 3261, section 17, with their timers.  No I/O.
 
 On a reliable transport, Timers A, E and G never run, and Timers D, I, J and K have a duration of
 zero (sections 17.1.1.2 to 17.2.2). Timers B, F, H, L and M run on any transport.
--- a/oakbridge/sip/uri.py
+++ b/oakbridge/sip/uri.py
@@ -1,4 +1,4 @@
-"""The parts of SIP URIs that routing needs (RFC 3261, section 19.1); performs no I/O."""
+"""The parts of SIP URIs that routing needs (RFC 3261, section 19.1).  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sip/via.py
+++ b/oakbridge/sip/via.py
@@ -1,4 +1,4 @@
-"""The Via header field (RFC 3261, section 20.42; RFC 3581); performs no I/O."""
+"""The Via header field (RFC 3261, section 20.42; RFC 3581).  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sites/drain_ramp.py
+++ b/oakbridge/sites/drain_ramp.py
@@ -1,4 +1,4 @@
-"""The drain ramp: a drained site loses its requests in steps; each step can be undone.  Pure."""
+"""The drain ramp: a drained site loses its requests in steps; each step can be undone.  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sites/evidence.py
+++ b/oakbridge/sites/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence about a site: the nodes' observations of its servers, pooled.  Pure.
+"""Evidence about a site: the nodes' observations of its servers, pooled.  No I/O.
 
 Each node sends attempts to a few servers only; pooled, the nodes' observations show a site's
 health.  An observation counts servers, not attempts, so a single slow server can't make its site
--- a/oakbridge/sites/fleet_load_shedding.py
+++ b/oakbridge/sites/fleet_load_shedding.py
@@ -1,4 +1,4 @@
-"""The load-shedding level: which classes all nodes reject while the fleet lacks capacity.  Pure.
+"""The load-shedding level: which classes all nodes reject while the fleet lacks capacity.  No I/O.
 
 Classes are ranked by priority weight, least first; requests beyond tenants' quotas rank before all
 classes.  At level 1.4 the first rank is rejected completely and 0.4 of the second.  One member, the
--- a/oakbridge/sites/node_sites.py
+++ b/oakbridge/sites/node_sites.py
@@ -1,4 +1,4 @@
-"""All sites as one node holds them: from observations and reports to a decision.  Pure.
+"""All sites as one node holds them: from observations and reports to a decision.  No I/O.
 
 Each update takes the node's observations and the other members' reports, and returns zone weights
 and rejected fractions.  The node's balancer applies them until the next update: this module rejects
--- a/oakbridge/sites/operator_overrides.py
+++ b/oakbridge/sites/operator_overrides.py
@@ -1,4 +1,4 @@
-"""Operators' overrides, which drain sites or return them, as members exchange them.  Pure."""
+"""Operators' overrides, which drain sites or return them, as members exchange them.  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sites/planning.py
+++ b/oakbridge/sites/planning.py
@@ -1,4 +1,4 @@
-"""Compute plans for the loss of each site and pair by linear programs (HiGHS, by scipy).  Pure.
+"""Compute plans for the loss of each site and pair by linear programs (HiGHS, by scipy).  No I/O.
 
 Each program divides the requests that arrive at the remaining sites (from their own clients, and
 from clients of the lost sites) among the remaining sites.  It maximizes the served priority weight
--- a/oakbridge/sites/proportional_routing.py
+++ b/oakbridge/sites/proportional_routing.py
@@ -1,4 +1,4 @@
-"""Proportional routing, the rule without a plan: a baseline to compare plans with.  Pure.
+"""Proportional routing, the rule without a plan: a baseline to compare plans with.  No I/O.
 
 Each site serves the requests that arrive there, most priority weight for their work first.  It
 divides the rest among the sites in proportion to their free capacity.
--- a/oakbridge/sites/recovery_ramp.py
+++ b/oakbridge/sites/recovery_ramp.py
@@ -1,4 +1,4 @@
-"""The recovery ramp: a lost site gets its requests back in steps.  Pure.
+"""The recovery ramp: a lost site gets its requests back in steps.  No I/O.
 
 A site that responds again may be cold, have fewer servers than before, or fail again at once.  So
 the fraction of its usual requests that it gets grows in steps.  A step lasts a minimum time and
--- a/oakbridge/sites/request_rates.py
+++ b/oakbridge/sites/request_rates.py
@@ -1,4 +1,4 @@
-"""A node's own observations: zones, admitted requests a second, overload, classes.  Pure."""
+"""A node's own observations: zones, admitted requests a second, overload, classes.  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sites/site_state.py
+++ b/oakbridge/sites/site_state.py
@@ -1,4 +1,4 @@
-"""One site's state machine at a node; evidence and operators change its state.  Pure.
+"""One site's state machine at a node; evidence and operators change its state.  No I/O.
 
     HEALTHY -> SUSPECT -> LOST | CUT_OFF -> RECOVERING -> WARMING_UP -> HEALTHY
     any -> DRAINING (at the end without requests) -> RECOVERING
--- a/oakbridge/sites/zone_weights.py
+++ b/oakbridge/sites/zone_weights.py
@@ -1,4 +1,4 @@
-"""Zone weights by which a node divides its requests among the remaining sites of a plan.  Pure."""
+"""Zone weights by which a node divides its requests among the remaining sites of a plan.  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sources/decoding.py
+++ b/oakbridge/sources/decoding.py
@@ -1,4 +1,4 @@
-"""Decode the bytes of a JSON or TOML server file.  Does no I/O."""
+"""Decode the bytes of a JSON or TOML server file.  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sources/list_version.py
+++ b/oakbridge/sources/list_version.py
@@ -1,4 +1,4 @@
-"""Versions of a complete, valid list of servers, and the changes from one to the next."""
+"""Versions of a complete, valid endpoint list, and the changes from one to the next."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListVersion:
-    """A complete, valid list of servers; ``digest`` identifies the bytes of all its files."""
+    """A complete, valid endpoint list; ``digest`` identifies the bytes of all its files."""
 
     number: int
     digest: str
--- a/oakbridge/sources/parsing.py
+++ b/oakbridge/sources/parsing.py
@@ -1,4 +1,4 @@
-"""Parse the files of one version: all their servers, or all their problems.  Does no I/O."""
+"""Parse the files of one version: all their servers, or all their problems.  No I/O."""
 
 from __future__ import annotations
 
--- a/oakbridge/sources/version_tracker.py
+++ b/oakbridge/sources/version_tracker.py
@@ -1,4 +1,4 @@
-"""Decide which version of the server files is used, and when.  Does no I/O.
+"""Decide which version of the server files is used, and when.  No I/O.
 
 The tracker handles the results of polls and validations and the application of versions, and
 returns the actions to execute next.  At most one version is in use and at most one other is being
--- a/oakbridge/spread/arcs.py
+++ b/oakbridge/spread/arcs.py
@@ -1,4 +1,4 @@
-"""Deterministic subsetting by arcs of rings: each server gets its share of all requests.  Pure.
+"""Deterministic subsetting by arcs of rings: each server gets its share of all requests.  No I/O.
 
 There are K rings, each of length 1.  On each ring lie all servers, each on an arc proportional to
 its weight, and all replicas, each on an arc proportional to its share of the requests.  Their
--- a/oakbridge/spread/request_rate.py
+++ b/oakbridge/spread/request_rate.py
@@ -1,4 +1,4 @@
-"""A replica's own request rate, as it reports it to other replicas.  Pure.
+"""A replica's own request rate, as it reports it to other replicas.  No I/O.
 
 The rate is reported in coarse steps that seldom change.  All replicas compute arcs from the
 reported rates; if two replicas hold different rates of many others, their arcs differ.
--- a/oakbridge/spread/subset_assigner.py
+++ b/oakbridge/spread/subset_assigner.py
@@ -1,4 +1,4 @@
-"""Assign one replica its subset of the servers, by its view of the other replicas.  Pure.
+"""Assign one replica its subset of the servers, by its view of the other replicas.  No I/O.
 
 A node that is still learning of the members, or is the only replica, draws a random subset, as
 without this package.  While part of the members is unreachable, all replicas keep their
--- a/oakbridge/spread/subset_forecast.py
+++ b/oakbridge/spread/subset_forecast.py
@@ -1,4 +1,4 @@
-"""Forecast the subsets of a tier of a given size: evenness, connections, changed subsets.  Pure.
+"""Forecast the subsets of a tier of a given size: evenness, connections, changed subsets.  No I/O.
 
 The figures are computed, not measured: each replica's requests are divided exactly by the weights
 of its servers.  Random variation within a time window comes on top of them.
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -103,7 +103,7 @@
     run(scenario())
 
 
-def test_draining_node_serves_requests_closes_connections_and_can_end_drain(monkeypatch):
+def test_draining_node_serves_requests_closes_connections_and_can_be_undrained(monkeypatch):
     monkeypatch.setattr(lifecycle, "DRAIN_NOTICE_US", 150_000)
 
     async def scenario():
--- a/tests/sources/list_versions.py
+++ b/tests/sources/list_versions.py
@@ -1,4 +1,4 @@
-"""Make entries, versions and changes of a list of servers."""
+"""Make entries, versions and changes of an endpoint list."""
 
 from oakbridge.node.endpoint_list import ListedEndpoint
 from oakbridge.policy.events import Endpoint, EndpointState
