--- a/oakbridge/operators/executor.py
+++ b/oakbridge/operators/executor.py
@@ -43,7 +43,7 @@
             case Verb.LEAVE:
                 result = self._drain()
             case Verb.JOIN:
-                result = self._end_drain()
+                result = self._undrain()
             case _:
                 assert_never(command.verb)
         if self._on_executed is not None:
@@ -69,14 +69,14 @@
         offline_servers = self._node.offline_servers
         if offline_servers.is_full() and not offline_servers.is_offline(server_id):
             raise CommandRejectedError("as many servers are held out as can be")
-        has_changed = self._node.take_out(server_id)
+        has_changed = self._node.take_offline(server_id)
         if has_changed is None:
             raise CommandRejectedError(f"no server {server_id} is listed")
         return f"{server_id} is out" if has_changed else f"{server_id} was out already"
 
     def _bring_online(self, server_id: str) -> str:
         """Bring a server back online, even if it was taken offline several times."""
-        has_changed = self._node.put_back(server_id)
+        has_changed = self._node.bring_online(server_id)
         if has_changed is None:
             raise CommandRejectedError(f"no server {server_id} is listed or held out")
         return f"{server_id} is back" if has_changed else f"{server_id} was not out"
@@ -85,6 +85,6 @@
         has_changed = self._node.server.drain()
         return "the node empties" if has_changed else "the node was emptied already"
 
-    def _end_drain(self) -> str:
+    def _undrain(self) -> str:
         has_changed = self._node.server.undrain()
         return "the node takes callers again" if has_changed else "the node was not emptied"
