--- a/tests/formats/test_node_trace.py
+++ b/tests/formats/test_node_trace.py
@@ -145,9 +145,9 @@
 def test_fleet_program_reads_the_earlier_log():
     """The program sums the counts of a line of the fixture."""
     module = fleet_day()
-    entries = list(module.lines(FIXTURE.parent))
+    entries = list(module.read_trace_lines(FIXTURE.parent))
     assert [line["node"] for line in entries] == ["n3"] * 3
-    sums = module.add_up(entries[1:2])
+    sums = module.sum_lines(entries[1:2])
     assert {name: sums[name] for name in ("nodes", "taken", "served", "ok")} == {
         "nodes": 1, "taken": 4, "served": 2, "ok": 2,
     }  # fmt: skip
