--- a/benchmarks/discovery_states.py
+++ b/benchmarks/discovery_states.py
@@ -12,7 +12,11 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from oakbridge.lab.model_check.discovery_model import DiscoveryModel, Scenario
-from oakbridge.lab.model_check.discovery_scenarios import GUARANTEED, NOT_GUARANTEED, deepened
+from oakbridge.lab.model_check.discovery_scenarios import (
+    GUARANTEED,
+    NOT_GUARANTEED,
+    with_more_failures,
+)
 from oakbridge.lab.model_check.explorer import Exploration, explore
 
 PROCESSES = 6
@@ -41,7 +45,7 @@
     parser.add_argument("--max-states", type=int, default=500_000)
     options = parser.parse_args()
     scenarios = {
-        name: deepened(scenario, options.deeper)
+        name: with_more_failures(scenario, options.deeper)
         for name, scenario in (GUARANTEED | NOT_GUARANTEED).items()
     }
     is_broken = False
--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -34,7 +34,7 @@
 from oakbridge.rollout.journal import Journal, JournalEntry
 from oakbridge.rollout.plan import Target, WaveOptions, plan_waves
 from oakbridge.rollout.record import RolloutRecord
-from oakbridge.standin.host import PlayedHost
+from oakbridge.standin.host import SimulatedHost
 
 CONFIG = '[servers]\ninline = [{name = "a", address = "127.0.0.1:9"}]\n\n[[class]]\nname = "look"\naim = "1s"\n'
 
@@ -46,7 +46,7 @@
         servers: dict[str, AgentServer] = {}
         for name in names:
             tls = pki.tls_context(folder / "ca.crt", folder / name, server=True)
-            agent = Agent(Store(folder / f"s-{name}"), name, "f", host=PlayedHost(rate=50.0))
+            agent = Agent(Store(folder / f"s-{name}"), name, "f", host=SimulatedHost(rate=50.0))
             agent.add_instance("n", ["127.0.0.1:1"], folder / f"s-{name}" / "n.sock")
             agent.start()
             frozen = asyncio.Event()
--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -22,7 +22,14 @@
 import time
 from pathlib import Path
 
-from oakbridge.lab.addresses import MEMBER, NODE_NET, SERVER, SERVER_NET, claim, host
+from oakbridge.lab.addresses import (
+    MEMBER_PORT,
+    NODE_NET,
+    SERVER_NET,
+    SERVER_PORT,
+    claim_slot,
+    host_address,
+)
 from oakbridge.lab.client_connection import ClientConnection
 from oakbridge.lab.plan import ServersTable
 from oakbridge.lab.servers import Helper
@@ -37,10 +44,10 @@
 async def run_other_members(base: int, count: int) -> None:
     """Run all members but the node under test, until standard input closes."""
     logging.disable(logging.WARNING)
-    seeds = tuple((host(NODE_NET, n), base + MEMBER) for n in range(1, 4))
+    seeds = tuple((host_address(NODE_NET, n), base + MEMBER_PORT) for n in range(1, 4))
     members = []
     for n in range(1, count):
-        listen = (host(NODE_NET, n), base + MEMBER)
+        listen = (host_address(NODE_NET, n), base + MEMBER_PORT)
         options = ServiceOptions(f"m{n:03d}", listen, SECRET, seeds=seeds, tags={"site": "a"})
         members.append(MembershipService(options))
     for member in members:
@@ -56,13 +63,13 @@
     """Write the node's secret and its configuration, with `[peers]` if asked; return the path."""
     (folder / "secret").write_bytes(SECRET)
     servers = ", ".join(
-        f'{{ name = "s{n}", address = "{host(SERVER_NET, n)}:{base + SERVER}" }}'
+        f'{{ name = "s{n}", address = "{host_address(SERVER_NET, n)}:{base + SERVER_PORT}" }}'
         for n in range(SERVERS)
     )
     text = f"""
 [node]
 name = "m000"
-listen = ["{host(NODE_NET, 0)}:{port}"]
+listen = ["{host_address(NODE_NET, 0)}:{port}"]
 [servers]
 inline = [{servers}]
 [[class]]
@@ -78,9 +85,9 @@
     if has_peers:
         text += f"""
 [peers]
-listen = "{host(NODE_NET, 0)}:{base + MEMBER}"
+listen = "{host_address(NODE_NET, 0)}:{base + MEMBER_PORT}"
 secret_file = "secret"
-seeds = ["{host(NODE_NET, 1)}:{base + MEMBER}"]
+seeds = ["{host_address(NODE_NET, 1)}:{base + MEMBER_PORT}"]
 """
     path = folder / "node.toml"
     path.write_text(text)
@@ -129,7 +136,7 @@
         cpu_before_s = cpu_seconds(node.pid)
         await asyncio.sleep(idle_s)
         idle_fraction = (cpu_seconds(node.pid) - cpu_before_s) / idle_s
-        return await measure_rate((host(NODE_NET, 0), port), seconds), idle_fraction
+        return await measure_rate((host_address(NODE_NET, 0), port), seconds), idle_fraction
     finally:
         node.send_signal(
             signal.SIGKILL
@@ -149,7 +156,7 @@
     if args.others:
         await run_other_members(args.others, args.members)
         return 0
-    slot, lock = claim()
+    slot, lock = claim_slot()
     plan = ServersTable.model_validate({"workers": 1000, "time": "1us", "cold_for": "0s"})
     with tempfile.TemporaryDirectory() as folder_name:
         folder = Path(folder_name)
--- a/benchmarks/switch.py
+++ b/benchmarks/switch.py
@@ -23,15 +23,15 @@
 from pathlib import Path
 
 from oakbridge.lab.addresses import (
-    MEMBER,
-    MEMBER_SWITCH,
+    MEMBER_PORT,
+    MEMBER_SWITCH_PORT,
     NODE_NET,
-    SERVER,
     SERVER_NET,
+    SERVER_PORT,
     SWITCH_NET,
     Slot,
-    claim,
-    host,
+    claim_slot,
+    host_address,
 )
 from oakbridge.lab.client_connection import ClientConnection
 from oakbridge.lab.plan import ServersTable
@@ -81,11 +81,11 @@
 def count_datagrams(slot: Slot, duration_s: float) -> tuple[int, int]:
     """Return the datagrams sent and received between two members, with at most 200 in flight."""
     sender, receiver = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
-    sender.bind((host(NODE_NET, 0), slot.port(MEMBER)))
-    receiver.bind((host(NODE_NET, 1), slot.port(MEMBER)))
+    sender.bind((host_address(NODE_NET, 0), slot.port(MEMBER_PORT)))
+    receiver.bind((host_address(NODE_NET, 1), slot.port(MEMBER_PORT)))
     receiver.settimeout(0.2)
     address, sent, received, end = (
-        (host(SWITCH_NET, 1), slot.port(MEMBER_SWITCH)),
+        (host_address(SWITCH_NET, 1), slot.port(MEMBER_SWITCH_PORT)),
         0,
         0,
         time.perf_counter() + duration_s,
@@ -111,7 +111,7 @@
     parser.add_argument("--turns", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=4.0)
     args = parser.parse_args()
-    slot, lock = claim()
+    slot, lock = claim_slot()
     plan = ServersTable.model_validate({"workers": 1000, "time": "1us", "cold_for": "0s"})
     nodes = [["a", "x"], ["b", "x"]]
     with tempfile.TemporaryDirectory() as folder:
@@ -135,8 +135,8 @@
             await start_process("servers", servers),
         ]
         addresses = {
-            "directly": (host(SERVER_NET, 0), slot.port(SERVER)),
-            "by the switch": (host(SWITCH_NET, 0), slot.port(0)),
+            "directly": (host_address(SERVER_NET, 0), slot.port(SERVER_PORT)),
+            "by the switch": (host_address(SWITCH_NET, 0), slot.port(0)),
         }
         for connections, pause_s in ((1, 0.004), (CONNECTIONS, 0.0)):
             for turn in range(args.turns):
--- a/oakbridge/cli/demo.py
+++ b/oakbridge/cli/demo.py
@@ -15,7 +15,7 @@
 
 from oakbridge.cli.common import CommandFailedError, say_json
 from oakbridge.cli.status import STATE_STYLE
-from oakbridge.demo.play import DemoError, Scene, play
+from oakbridge.demo.runner import DemoError, Scene, run_demo
 
 
 @click.command("demo")
@@ -32,10 +32,12 @@
     console = Console()
     try:
         if as_json or not console.is_terminal:
-            scene = asyncio.run(play(rate, seconds, seed, lambda _: None))
+            scene = asyncio.run(run_demo(rate, seconds, seed, lambda _: None))
         else:
             with Live(console=console, refresh_per_second=4) as live:
-                scene = asyncio.run(play(rate, seconds, seed, lambda s: live.update(picture(s))))
+                scene = asyncio.run(
+                    run_demo(rate, seconds, seed, lambda s: live.update(picture(s)))
+                )
     except DemoError as e:
         raise CommandFailedError(str(e)) from None
     if as_json:
@@ -58,7 +60,7 @@
         "sent": tally.sent,
         "answered": {str(k): v for k, v in sorted(tally.answered.items())},
         "lost": tally.lost,
-        "in_aim": tally.in_aim,
+        "in_aim": tally.within_objective,
         "by_server": dict(sorted(tally.by_server.items())),
         "latency_ms": {f"p{p}": round(1000 * tally.percentile(p / 100), 1) for p in (50, 90, 99)},
         "list_version": scene.status.get("list_version"),
@@ -82,10 +84,10 @@
         table.add_row(name, role, Text(state, style=style), out, str(count), f"{count / total:.0%}")
     served = tally.answered[200]
     figures = (
-        f"{tally.sent} sent, {served} served, {tally.in_aim} of them in time, "
+        f"{tally.sent} sent, {served} served, {tally.within_objective} of them in time, "
         f"{sum(tally.answered.values()) - served} refused or failed, {tally.lost} lost\n"
         f"latency p50 {1000 * tally.percentile(0.5):.0f} ms, p99 {1000 * tally.percentile(0.99):.0f} ms; "
         f"retries left in the budget {scene.status.get('retries_left', 0):g}"
     )
-    bar = ProgressBar(total=scene.of or 1, completed=scene.seconds, width=60)
-    return Group(*map(Text, scene.said), bar, table, Text(figures))
+    bar = ProgressBar(total=scene.total_s or 1, completed=scene.elapsed_s, width=60)
+    return Group(*map(Text, scene.messages), bar, table, Text(figures))
--- a/oakbridge/demo/load.py
+++ b/oakbridge/demo/load.py
@@ -22,7 +22,7 @@
     sent: int = 0
     answered: Counter[int] = field(default_factory=Counter)
     lost: int = 0
-    in_aim: int = 0
+    within_objective: int = 0
     by_server: Counter[str] = field(default_factory=Counter)
     latencies: list[float] = field(default_factory=list)
 
@@ -53,7 +53,7 @@
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-class Load:
+class LoadGenerator:
     """Sends ``rate`` requests a second for ``seconds``, over connections that are kept."""
 
     def __init__(
@@ -104,7 +104,7 @@
         self.tally.answered[status] += 1
         self.tally.latencies.append(took)
         if status == 200:
-            self.tally.in_aim += took <= self._classes[name]
+            self.tally.within_objective += took <= self._classes[name]
             self.tally.by_server[str(json.loads(body).get("server"))] += 1
 
     async def _ask(self, number: int, name: str) -> tuple[int, bytes]:
--- a/oakbridge/demo/play.py
+++ b/oakbridge/demo/runner.py
@@ -15,9 +15,9 @@
 from oakbridge.control.client import ControlClient
 from oakbridge.control.errors import NodeUnreachableError
 from oakbridge.control.protocol import ControlCommand
-from oakbridge.demo.load import Load, Tally
+from oakbridge.demo.load import LoadGenerator, Tally
 from oakbridge.standin.behaviour import Behaviour
-from oakbridge.standin.server import StandIn
+from oakbridge.standin.server import StandInServer
 
 START_S = 20.0  # in which the node must be there
 AIMS = {"car-nearby": 0.5, "price": 1.0}
@@ -60,9 +60,9 @@
     tally: Tally
     status: dict[str, Any] = field(default_factory=dict)
     roles: dict[str, str] = field(default_factory=dict)
-    said: list[str] = field(default_factory=list)
-    seconds: float = 0.0
-    of: float = 0.0
+    messages: list[str] = field(default_factory=list)
+    elapsed_s: float = 0.0
+    total_s: float = 0.0
 
 
 Draw = Callable[[Scene], None]
@@ -80,7 +80,7 @@
     }
 
 
-def write_servers(path: Path, servers: dict[str, StandIn], states: dict[str, str]) -> None:
+def write_servers(path: Path, servers: dict[str, StandInServer], states: dict[str, str]) -> None:
     """Write the server file whole: a temporary file and a rename, as anyone should."""
     rows = [
         f'[[server]]\nname = "{name}"\naddress = "127.0.0.1:{servers[name].address[1]}"\nstate = "{state}"\n'
@@ -108,11 +108,11 @@
     raise DemoError(f"the node did not start:\n{log_end}")
 
 
-async def play(rate: float, seconds: float, seed: int, draw: Draw) -> Scene:
+async def run_demo(rate: float, seconds: float, seed: int, draw: Draw) -> Scene:
     """Play it to its end; returns the last scene.  Raises :class:`DemoError`."""
     plan = _servers()
     servers = {
-        name: StandIn(name, behaviour, seed + i)
+        name: StandInServer(name, behaviour, seed + i)
         for i, (name, (_, behaviour)) in enumerate(plan.items())
     }
     with tempfile.TemporaryDirectory(prefix="oakbridge-demo-") as folder:
@@ -130,9 +130,11 @@
             )  # fmt: skip
         try:
             client = await _wait_ready(sock, process, log)
-            load = Load(("127.0.0.1", port), AIMS, rate, seconds, seed)
-            scene = Scene(load.tally, roles={n: role for n, (role, _) in plan.items()}, of=seconds)
-            scene.said.append(
+            load = LoadGenerator(("127.0.0.1", port), AIMS, rate, seconds, seed)
+            scene = Scene(
+                load.tally, roles={n: role for n, (role, _) in plan.items()}, total_s=seconds
+            )
+            scene.messages.append(
                 f"node on 127.0.0.1:{port}, {len(states)} servers, {rate:g} requests/s"
             )
             director = asyncio.create_task(_direct(scene, client, draw, seconds))
@@ -142,7 +144,7 @@
             await load.run()
             changes.cancel()
             director.cancel()
-            scene.status, scene.seconds = client.request(ControlCommand.STATUS), seconds
+            scene.status, scene.elapsed_s = client.request(ControlCommand.STATUS), seconds
             client.close()
             draw(scene)
             return scene
@@ -169,21 +171,27 @@
     begin = loop.time()
     while True:
         scene.status = await asyncio.to_thread(client.request, ControlCommand.STATUS)
-        scene.seconds = min(seconds, loop.time() - begin)
+        scene.elapsed_s = min(seconds, loop.time() - begin)
         draw(scene)
         await asyncio.sleep(0.25)
 
 
 async def _change(
-    scene: Scene, path: Path, servers: dict[str, StandIn], states: dict[str, str], seconds: float
+    scene: Scene,
+    path: Path,
+    servers: dict[str, StandInServer],
+    states: dict[str, str],
+    seconds: float,
 ) -> None:
     """In the midst of it, one server drains and another joins, by the file."""
     await asyncio.sleep(0.4 * seconds)
     states["station"] = "draining"
     states["late"] = "ready"
     write_servers(path, servers, states)
-    scene.said.append("servers.toml replaced: station drains, late joins (it counts as cold)")
+    scene.messages.append("servers.toml replaced: station drains, late joins (it counts as cold)")
     await asyncio.sleep(0.25 * seconds)
     path.with_suffix(".bad").write_text('[[server]]\nname = "harbour"\naddress = "somewhere"\n')
     path.with_suffix(".bad").rename(path)
-    scene.said.append("servers.toml replaced by a broken one: not used, the last good one stays")
+    scene.messages.append(
+        "servers.toml replaced by a broken one: not used, the last good one stays"
+    )
--- a/oakbridge/lab/addresses.py
+++ b/oakbridge/lab/addresses.py
@@ -16,11 +16,11 @@
 PORTS_PER_SLOT = 400
 
 # Ports within a slot; those from 0 on are the servers' on the switch, by number.
-SERVER = 395
-CALLERS = 396
-MEMBER = 397
-MEMBER_SWITCH = 398
-LOCK = 399
+SERVER_PORT = 395
+CLIENT_PORT = 396
+MEMBER_PORT = 397
+MEMBER_SWITCH_PORT = 398
+LOCK_PORT = 399
 
 # The second byte of each kind of address.
 NODE_NET = 66
@@ -28,13 +28,13 @@
 SERVER_NET = 68
 
 
-def host(net: int, number: int) -> str:
+def host_address(net: int, number: int) -> str:
     """Return the address of a host number, from 0, in one of the nets."""
     return f"127.{net}.{(number + 1) >> 8}.{(number + 1) & 255}"
 
 
-def number_of(address: str) -> int:
-    """Return the host number of an address that :func:`host` made."""
+def host_number(address: str) -> int:
+    """Return the host number of an address that :func:`host_address` made."""
     parts = address.split(".")
     return (int(parts[2]) << 8) + int(parts[3]) - 1
 
@@ -54,7 +54,7 @@
     """All slots are taken."""
 
 
-def claim() -> tuple[Slot, socket.socket]:
+def claim_slot() -> tuple[Slot, socket.socket]:
     """Return a slot, and the socket that holds it for as long as it is open.
 
     Raise NoFreeSlotError where all are taken.
@@ -63,7 +63,7 @@
         slot = Slot(FIRST_PORT + PORTS_PER_SLOT * ((os.getpid() + offset) % SLOTS))
         lock = socket.socket()
         try:
-            lock.bind(("127.0.0.1", slot.port(LOCK)))
+            lock.bind(("127.0.0.1", slot.port(LOCK_PORT)))
             lock.listen(1)
             return slot, lock
         except OSError:
--- a/oakbridge/lab/datagram_forwarder.py
+++ b/oakbridge/lab/datagram_forwarder.py
@@ -10,13 +10,13 @@
 from collections.abc import Sequence
 
 from oakbridge.lab.addresses import (
-    MEMBER,
-    MEMBER_SWITCH,
+    MEMBER_PORT,
+    MEMBER_SWITCH_PORT,
     NODE_NET,
     SWITCH_NET,
     Slot,
-    host,
-    number_of,
+    host_address,
+    host_number,
 )
 from oakbridge.lab.links import Links
 
@@ -55,7 +55,7 @@
         self._links = links
         self._random = rng
         self._counts = counts
-        self._socket = bind_shared(socket.SOCK_DGRAM, slot.port(MEMBER_SWITCH))
+        self._socket = bind_shared(socket.SOCK_DGRAM, slot.port(MEMBER_SWITCH_PORT))
 
     def start(self) -> None:
         """Begin to receive."""
@@ -77,7 +77,7 @@
                 continue
             destination = _destination(ancillary)
             if destination is not None:
-                self._forward(data, number_of(source[0]), number_of(destination))
+                self._forward(data, host_number(source[0]), host_number(destination))
 
     def _forward(self, data: bytes, sender: int, receiver: int) -> None:
         known = range(len(self._nodes))
@@ -96,9 +96,9 @@
                 self._send(data, sender, receiver)
 
     def _send(self, data: bytes, sender: int, receiver: int) -> None:
-        local = socket.inet_aton(host(SWITCH_NET, sender))
+        local = socket.inet_aton(host_address(SWITCH_NET, sender))
         ancillary = [(socket.IPPROTO_IP, IP_PKTINFO, PKTINFO.pack(0, local, ANY_ADDRESS))]
-        address = (host(NODE_NET, receiver), self._slot.port(MEMBER))
+        address = (host_address(NODE_NET, receiver), self._slot.port(MEMBER_PORT))
         try:
             self._socket.sendmsg([data], ancillary, 0, address)
         except OSError:
--- a/oakbridge/lab/load.py
+++ b/oakbridge/lab/load.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from oakbridge.lab import table
-from oakbridge.lab.addresses import CALLERS, NODE_NET, Slot, host
+from oakbridge.lab.addresses import CLIENT_PORT, NODE_NET, Slot, host_address
 from oakbridge.lab.client_connection import Answer, ClientConnection
 from oakbridge.lab.node_selector import NodeSelector
 
@@ -234,7 +234,7 @@
 
     async def _connect(self, node: int) -> ClientConnection | None:
         """Open a connection; return None where the node does not take it."""
-        address, port = host(NODE_NET, node), self._slot.port(CALLERS)
+        address, port = host_address(NODE_NET, node), self._slot.port(CLIENT_PORT)
         loop = asyncio.get_running_loop()
         try:
             _, connection = await loop.create_connection(ClientConnection, address, port)
--- a/oakbridge/lab/model_check/discovery_scenarios.py
+++ b/oakbridge/lab/model_check/discovery_scenarios.py
@@ -48,7 +48,7 @@
 }
 
 
-def deepened(scenario: Scenario, failures: int) -> Scenario:
+def with_more_failures(scenario: Scenario, failures: int) -> Scenario:
     """Return a scenario in which so many calls more may fail."""
     budget = scenario.budget
     return replace(scenario, budget=replace(budget, failures=budget.failures + failures))
--- a/oakbridge/lab/node_config.py
+++ b/oakbridge/lab/node_config.py
@@ -5,13 +5,13 @@
 from pathlib import Path
 
 from oakbridge.lab.addresses import (
-    CALLERS,
-    MEMBER,
-    MEMBER_SWITCH,
+    CLIENT_PORT,
+    MEMBER_PORT,
+    MEMBER_SWITCH_PORT,
     NODE_NET,
     SWITCH_NET,
     Slot,
-    host,
+    host_address,
 )
 from oakbridge.lab.fleet import Fleet, Host
 from oakbridge.lab.plan import ClassTable, Plan
@@ -39,7 +39,7 @@
     return [
         "[node]",
         f'name = "{node.name}"',
-        f'listen = ["{host(NODE_NET, node.number)}:{slot.port(CALLERS)}"]',
+        f'listen = ["{host_address(NODE_NET, node.number)}:{slot.port(CLIENT_PORT)}"]',
         f"instances = {len(fleet.nodes)}",
         f'zone = "{node.site}"',
         f"seed = {seed * 1000 + node.number}",
@@ -56,13 +56,15 @@
 
 
 def _peers_lines(plan: Plan, slot: Slot, fleet: Fleet, node: Host) -> list[str]:
-    port = slot.port(MEMBER_SWITCH)
+    port = slot.port(MEMBER_SWITCH_PORT)
     seed_count = min(SEED_PEERS, len(fleet.nodes))
-    seeds = ", ".join(f'"{host(SWITCH_NET, number)}:{port}"' for number in range(seed_count))
+    seeds = ", ".join(
+        f'"{host_address(SWITCH_NET, number)}:{port}"' for number in range(seed_count)
+    )
     return [
         "[peers]",
-        f'listen = "{host(NODE_NET, node.number)}:{slot.port(MEMBER)}"',
-        f'advertise = "{host(SWITCH_NET, node.number)}:{port}"',
+        f'listen = "{host_address(NODE_NET, node.number)}:{slot.port(MEMBER_PORT)}"',
+        f'advertise = "{host_address(SWITCH_NET, node.number)}:{port}"',
         f'secret_file = "{SECRET_FILE}"',
         f"seeds = [{seeds}]",
         f'snapshot = "{node.name}.members"',
@@ -78,5 +80,5 @@
     weight = sizes[server.number % len(sizes)]
     return (
         f'[[servers.inline]]\nname = "{server.name}"\nzone = "{server.site}"\nweight = {weight:g}\n'
-        f'address = "{host(SWITCH_NET, node.number)}:{slot.port(server.number)}"'
+        f'address = "{host_address(SWITCH_NET, node.number)}:{slot.port(server.number)}"'
     )
--- a/oakbridge/lab/node_processes.py
+++ b/oakbridge/lab/node_processes.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from oakbridge.lab.addresses import CALLERS, NODE_NET, Slot, host
+from oakbridge.lab.addresses import CLIENT_PORT, NODE_NET, Slot, host_address
 from oakbridge.lab.fleet import Fleet, Host
 from oakbridge.lab.helper_process import HelperProcesses, RunFailedError
 from oakbridge.lab.node_config import SECRET_FILE, render_node_config
@@ -131,8 +131,8 @@
         return False
 
     async def _answers_ready(self, node: Host) -> bool:
-        address = host(NODE_NET, node.number)
-        reader, writer = await asyncio.open_connection(address, self._slot.port(CALLERS))
+        address = host_address(NODE_NET, node.number)
+        reader, writer = await asyncio.open_connection(address, self._slot.port(CLIENT_PORT))
         try:
             writer.write(READY_REQUEST)
             return b" 200 " in await reader.readline()
--- a/oakbridge/lab/runner.py
+++ b/oakbridge/lab/runner.py
@@ -13,7 +13,7 @@
 from tempfile import TemporaryDirectory
 
 from oakbridge.lab import helper_configs, table
-from oakbridge.lab.addresses import Slot, claim
+from oakbridge.lab.addresses import Slot, claim_slot
 from oakbridge.lab.fleet import Fleet, build_fleet
 from oakbridge.lab.helper_process import HelperProcesses, Results
 from oakbridge.lab.history import History, PerformedStep, read_changes
@@ -62,11 +62,11 @@
     async def play(self) -> tuple[History, Results]:
         """Play to the end; return the history and the helpers' results.
 
-        Raise RunFailedError, or what :func:`claim` raises.
+        Raise RunFailedError, or what :func:`claim_slot` raises.
         """
         fleet = build_fleet(self.plan)
         schedule = draw_schedule(self.plan, fleet, self.seed)
-        slot, lock = claim()
+        slot, lock = claim_slot()
         self.out.mkdir(parents=True, exist_ok=True)
         with lock:
             return await self._play(slot, fleet, schedule)
--- a/oakbridge/lab/servers.py
+++ b/oakbridge/lab/servers.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from oakbridge.lab import table
-from oakbridge.lab.addresses import SERVER, SERVER_NET, Slot, host
+from oakbridge.lab.addresses import SERVER_NET, SERVER_PORT, Slot, host_address
 from oakbridge.lab.plan import ServersTable
 from oakbridge.lab.server_queue import ServerQueue
 from oakbridge.standin.server import Connection
@@ -40,8 +40,8 @@
         """Listen."""
         self._listener = await asyncio.get_running_loop().create_server(
             lambda: NodeConnection(self),
-            host(SERVER_NET, self.number),
-            self.helper.slot.port(SERVER),
+            host_address(SERVER_NET, self.number),
+            self.helper.slot.port(SERVER_PORT),
             backlog=1024,
             reuse_address=True,
         )
--- a/oakbridge/lab/switch.py
+++ b/oakbridge/lab/switch.py
@@ -15,14 +15,14 @@
 from typing import Any
 
 from oakbridge.lab.addresses import (
-    MEMBER,
-    MEMBER_SWITCH,
+    MEMBER_PORT,
+    MEMBER_SWITCH_PORT,
     NODE_NET,
-    SERVER,
     SERVER_NET,
+    SERVER_PORT,
     Slot,
-    host,
-    number_of,
+    host_address,
+    host_number,
 )
 from oakbridge.lab.datagram_forwarder import DatagramForwarder, bind_shared
 from oakbridge.lab.links import Links, Rule
@@ -54,7 +54,7 @@
         for number, name in enumerate(self._servers):
             await self._open_server(number, name)
         self._member_listener = await self._listen(
-            self._slot.port(MEMBER_SWITCH), self._route_to_member
+            self._slot.port(MEMBER_SWITCH_PORT), self._route_to_member
         )
         self._datagrams.start()
 
@@ -77,17 +77,21 @@
         source = self._node_at(local)
         if source is None:
             return None
-        return Route(source, name, (host(SERVER_NET, number), self._slot.port(SERVER)))
+        return Route(source, name, (host_address(SERVER_NET, number), self._slot.port(SERVER_PORT)))
 
     def _route_to_member(self, local: str, remote: str) -> Route | None:
         """Return the route of a connection between two members."""
         source, target = self._node_at(remote), self._node_at(local)
         if source is None or target is None:
             return None
-        return Route(source, target, (host(NODE_NET, number_of(local)), self._slot.port(MEMBER)))
+        return Route(
+            source,
+            target,
+            (host_address(NODE_NET, host_number(local)), self._slot.port(MEMBER_PORT)),
+        )
 
     def _node_at(self, address: str) -> str | None:
-        number = number_of(address)
+        number = host_number(address)
         return self._nodes[number] if 0 <= number < len(self._nodes) else None
 
     def do(self, command: dict[str, Any]) -> None:
--- a/oakbridge/standin/host.py
+++ b/oakbridge/standin/host.py
@@ -27,7 +27,7 @@
 _PLAYS = re.compile(r"# plays: (\w+) ?([\d.]*)")
 
 
-class PlayedNode:
+class SimulatedNode:
     """One node that is played."""
 
     def __init__(self, config: Path, ended: Callable[[str], None], rate: float, weak: bool) -> None:
@@ -35,7 +35,7 @@
         self.digest = hashlib.sha256(text.encode()).hexdigest()
         self.plays = {word: float(figure or 1) for word, figure in _PLAYS.findall(text)}
         self.pid, self.began, self._rate, self._ended = next(PIDS), time.monotonic(), rate, ended
-        self.gone = self.frozen = False
+        self.has_exited = self.frozen = False
         self._loop = asyncio.get_running_loop()
         dies = self.plays.get("dies", self.plays.get("weak") if weak else None)
         if dies is not None:
@@ -43,8 +43,8 @@
 
     def end(self, how: str) -> None:
         """End the process."""
-        if not self.gone:
-            self.gone = True
+        if not self.has_exited:
+            self.has_exited = True
             self._ended(how)
 
     def send_signal(self, number: signal.Signals) -> None:
@@ -72,25 +72,27 @@
         }  # fmt: skip
 
 
-class PlayedHost:
+class SimulatedHost:
     """One machine; nodes outlive its agent as they do on a real one."""
 
     def __init__(self, rate: float = 0.0, weak: bool = False) -> None:
         """``rate``: requests that each node answers a second."""
         self.rate, self.weak = rate, weak
-        self.nodes: dict[Path, PlayedNode] = {}
+        self.nodes: dict[Path, SimulatedNode] = {}
 
-    def find_node(self, control: Path, ended: Callable[[str], None]) -> PlayedNode | None:
+    def find_node(self, control: Path, ended: Callable[[str], None]) -> SimulatedNode | None:
         """Return the node that has this control socket."""
         node = self.nodes.get(control)
-        if node is None or node.gone:
+        if node is None or node.has_exited:
             return None
         node.follow(ended)
         return node
 
-    def start_node(self, launch: NodeLaunch, ended: Callable[[str], None]) -> PlayedNode:
+    def start_node(self, launch: NodeLaunch, ended: Callable[[str], None]) -> SimulatedNode:
         """Start a node."""
-        node = self.nodes[launch.control] = PlayedNode(launch.config, ended, self.rate, self.weak)
+        node = self.nodes[launch.control] = SimulatedNode(
+            launch.config, ended, self.rate, self.weak
+        )
         return node
 
     def last_log_line(self, log: Path) -> str:  # noqa: ARG002 - the host's interface
@@ -108,7 +110,7 @@
     async def query_node(self, control: Path, command: str, **arguments: Any) -> Any:  # noqa: ARG002
         """Ask a node how it is."""
         node = self.nodes.get(control)
-        if node is None or node.gone:
+        if node is None or node.has_exited:
             raise ConnectionRefusedError(str(control))
         if node.frozen or "mute" in node.plays:
             await asyncio.sleep(3600)
--- a/oakbridge/standin/server.py
+++ b/oakbridge/standin/server.py
@@ -14,13 +14,13 @@
 MAX_BODY = 64 * 1024
 
 
-class StandIn:
-    """One server.  ``served`` counts its answers by status; ``last`` is when the newest request came."""
+class StandInServer:
+    """One server.  ``responses`` counts its answers by status; ``last`` is when the newest request came."""
 
     def __init__(self, name: str, behaviour: Behaviour, seed: int = 0) -> None:
         self.name = name
         self.desk = Desk(behaviour, seed)
-        self.served: Counter[int] = Counter()
+        self.responses: Counter[int] = Counter()
         self.address = ("127.0.0.1", 0)
         self._slots = asyncio.Semaphore(behaviour.slots)
         self._server: asyncio.Server | None = None
@@ -41,11 +41,11 @@
         for connection in list(self.connections):
             connection.abort()
 
-    async def work(self) -> int | None:
+    async def handle_request(self) -> int | None:
         """Treat one request; returns its status, None for never."""
         fate = self.desk.come()
         if fate is None:
-            self.served[503] += 1
+            self.responses[503] += 1
             return 503
         self.desk.waiting += 1
         try:
@@ -58,7 +58,7 @@
         finally:
             self.desk.busy -= 1
             self._slots.release()
-        self.served[fate.status] += 1
+        self.responses[fate.status] += 1
         return fate.status
 
 
@@ -122,7 +122,7 @@
 class _Desked(Connection):
     """A connection to one server."""
 
-    def __init__(self, server: StandIn) -> None:
+    def __init__(self, server: StandInServer) -> None:
         super().__init__()
         self._server = server
         self._task: asyncio.Task[None] | None = None
@@ -141,7 +141,7 @@
         self._task = asyncio.get_running_loop().create_task(self._answer(request))
 
     async def _answer(self, request: bytes) -> None:
-        status = await self._server.work()
+        status = await self._server.handle_request()
         if status is not None:
             told = {"server": self._server.name, "request": request.decode("latin-1")}
             self.reply(status, json.dumps(told).encode())
--- a/tests/formats/test_fleet.py
+++ b/tests/formats/test_fleet.py
@@ -32,7 +32,7 @@
 from oakbridge.fleet.identity import Identity, IdentityKind, Role
 from oakbridge.fleet.inventory import Inventory
 from oakbridge.fleet.server import AgentServer
-from oakbridge.standin.host import PlayedHost
+from oakbridge.standin.host import SimulatedHost
 
 FIXTURES = Path(__file__).parent / "fixtures" / "fleet"
 US_PER_S = 1_000_000
@@ -121,7 +121,7 @@
     return "# broken" in config.read_text("utf-8")
 
 
-class FailingCheckHost(PlayedHost):
+class FailingCheckHost(SimulatedHost):
     """A host whose check of broken files raises an error."""
 
     async def check_config(self, config: Path) -> str:
--- a/tests/rollout/simulated_fleet.py
+++ b/tests/rollout/simulated_fleet.py
@@ -17,7 +17,7 @@
 from oakbridge.rollout.journal import Journal, JournalEntry
 from oakbridge.rollout.plan import Target, WaveOptions, plan_waves
 from oakbridge.rollout.record import RolloutRecord
-from oakbridge.standin.host import PlayedHost
+from oakbridge.standin.host import SimulatedHost
 
 QUICK = RolloutOptions(watch_s=0.05, window_s=0.05, silence_timeout_s=20.0)
 WAVES = WaveOptions(canary=1, max_unavailable=99)
@@ -96,7 +96,7 @@
     """Hosts ``h0``, ``h1``, ... with instances ``n0``, ...; ``async with`` runs their agents.
 
     ``weak`` are the hosts whose nodes fail with a configuration that plays "weak"; other keywords
-    are those of :class:`PlayedHost`.
+    are those of :class:`SimulatedHost`.
     """
 
     def __init__(
@@ -114,7 +114,7 @@
             network or Network(),
         )
         names = [f"h{number}" for number in range(hosts)]
-        self.hosts = {name: PlayedHost(weak=name in weak, **host_options) for name in names}
+        self.hosts = {name: SimulatedHost(weak=name in weak, **host_options) for name in names}
         self.agents: dict[str, Agent] = {}
 
     async def __aenter__(self) -> "SimulatedFleet":
@@ -223,7 +223,7 @@
 
     def _running_aim(self, host: str, number: int) -> str:
         node = self.hosts[host].nodes.get(self.folder / host / f"n{number}.sock")
-        if node is None or node.gone:
+        if node is None or node.has_exited:
             return "-"
         config = self.agents[host].store.generations.current_link(f"n{number}") / "oakbridge.toml"
         return config.read_text().split('aim = "')[1].split('"')[0] if config.exists() else "-"
--- a/tests/rollout/test_frozen_hosts.py
+++ b/tests/rollout/test_frozen_hosts.py
@@ -17,7 +17,7 @@
 from process_fleet import OAKBRIDGE, ProcessFleet
 
 from oakbridge.standin.behaviour import Behaviour
-from oakbridge.standin.server import StandIn
+from oakbridge.standin.server import StandInServer
 
 HOSTS, INSTANCES_PER_HOST = (10, 5) if os.environ.get("OAKBRIDGE_WHOLE") else (5, 4)
 INSTANCES = HOSTS * INSTANCES_PER_HOST
@@ -169,7 +169,7 @@
 
 async def run_scenario(folder: Path, seed: int) -> None:
     rng = random.Random(seed)
-    servers = [StandIn(f"s{number}", Behaviour()) for number in range(3)]
+    servers = [StandInServer(f"s{number}", Behaviour()) for number in range(3)]
     for server in servers:
         await server.start()
     fleet = FleetUnderLoad(folder, [server.address[1] for server in servers])
--- a/tests/sources/rewritten_files.py
+++ b/tests/sources/rewritten_files.py
@@ -15,7 +15,7 @@
 from oakbridge.sources.file_source import FileOptions, FileSource
 from oakbridge.sources.reading import digest_of, read_files
 from oakbridge.standin.behaviour import Behaviour
-from oakbridge.standin.server import StandIn
+from oakbridge.standin.server import StandInServer
 
 BROKEN_FRACTION = 0.3  # fraction of broken rewrites
 SEED = 20261201
@@ -25,16 +25,16 @@
 STABLE_NAMES = NAMES[:3]  # servers that every valid file lists as ready
 
 
-class RecordingStandIn(StandIn):
+class RecordingStandIn(StandInServer):
     """A stand-in that records the time at which each request has arrived completely."""
 
     def __init__(self, name: str, behaviour: Behaviour, seed: int, now) -> None:
         super().__init__(name, behaviour, seed)
         self.now, self.arrived_at = now, []
 
-    async def work(self):
+    async def handle_request(self):
         self.arrived_at.append(self.now())
-        return await super().work()
+        return await super().handle_request()
 
 
 def rows_of(servers: dict[str, tuple[str, int]]) -> list[dict]:
--- a/tests/sources/test_list_rewrites.py
+++ b/tests/sources/test_list_rewrites.py
@@ -6,7 +6,7 @@
 from peers import run, with_timeout
 from rewritten_files import BREAKAGE_KINDS, SEED, RewrittenFileHarness
 
-from oakbridge.demo.load import Load
+from oakbridge.demo.load import LoadGenerator
 from oakbridge.policy.actions import UnservedReason
 
 REWRITES = 1000
@@ -22,7 +22,7 @@
 
     async def scenario():
         async with RewrittenFileHarness(tmp_path) as harness:
-            load = Load(
+            load = LoadGenerator(
                 harness.node.server.address, {"look": 10.0}, rate=RATE, seconds=600, seed=SEED
             )
             running = asyncio.create_task(load.run())
--- a/tests/sources/test_slow_start.py
+++ b/tests/sources/test_slow_start.py
@@ -7,7 +7,7 @@
 from peers import SETTINGS, run, with_timeout
 from rewritten_files import RecordingStandIn, RewrittenFileHarness, rows_of
 
-from oakbridge.demo.load import Load
+from oakbridge.demo.load import LoadGenerator
 from oakbridge.node.config import Config
 from oakbridge.node.node import Node
 from oakbridge.node.settings import read_settings
@@ -58,7 +58,7 @@
         node.source.start()
         await with_timeout(node.source.ready())
         node.start()
-        load = Load(node.server.address, {"look": 10.0}, RATE, 3.0, 5)
+        load = LoadGenerator(node.server.address, {"look": 10.0}, RATE, 3.0, 5)
         running = asyncio.create_task(load.run())
         while load.tally.done < RATE // 2:
             await asyncio.sleep(0.01)
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -17,7 +17,7 @@
 from oakbridge.control.errors import NodeUnreachableError
 from oakbridge.control.protocol import ControlCommand
 from oakbridge.standin.behaviour import Behaviour
-from oakbridge.standin.server import StandIn
+from oakbridge.standin.server import StandInServer
 
 CONFIG = """
 [node]
@@ -49,7 +49,9 @@
         self.workers = workers
         self.socket = directory / "n.sock"
         (self.port,) = free_ports(1)
-        self.servers = [StandIn(f"s{i}", Behaviour(latency=0.002, slots=1000), i) for i in range(3)]
+        self.servers = [
+            StandInServer(f"s{i}", Behaviour(latency=0.002, slots=1000), i) for i in range(3)
+        ]
         self.status_codes: list[int] = []  # of the received responses
         self.requests_without_response = 0  # because their connection closed
 
@@ -133,7 +135,7 @@
 
     def requests_served(self):
         """Return the number of requests that the servers have served."""
-        return sum(server.served[200] for server in self.servers)
+        return sum(server.responses[200] for server in self.servers)
 
 
 async def send_request(reader, writer):
