--- a/oakbridge/demo/__init__.py
+++ b/oakbridge/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: stand-in servers, a real node as a process of its own, and a small bounded load."""
+"""The demo: stand-in servers, a node in its own process, and a load that is bounded in time."""
--- a/oakbridge/demo/runner.py
+++ b/oakbridge/demo/runner.py
@@ -1,4 +1,9 @@
-"""Plays the demo: five servers (one slow, one failing) behind a real node; one drains and one joins by file."""
+"""Runs the demo: a node process in front of stand-in servers, which it reads from a server file.
+
+Five servers are listed at first; one of them is slow and one fails half of its requests.  During
+the run the file is replaced twice: first one server drains and another joins, then the file is
+malformed.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +24,8 @@
 from oakbridge.standin.behaviour import Behaviour
 from oakbridge.standin.server import StandInServer
 
-START_S = 20.0  # in which the node must be there
-AIMS = {"car-nearby": 0.5, "price": 1.0}
+NODE_START_TIMEOUT_S = 20.0
+LATENCY_OBJECTIVES_S = {"car-nearby": 0.5, "price": 1.0}
 
 CONFIG = """\
 [node]
@@ -50,25 +55,25 @@
 
 
 class DemoError(Exception):
-    """The demo could not be played; the text says why."""
+    """The demo could not run; the text says why."""
 
 
 @dataclass(slots=True)
 class Scene:
-    """What is there at a moment, for whoever draws it."""
+    """A snapshot of the running demo, to be rendered."""
 
     tally: Tally
-    status: dict[str, Any] = field(default_factory=dict)
-    roles: dict[str, str] = field(default_factory=dict)
-    messages: list[str] = field(default_factory=list)
+    status: dict[str, Any] = field(default_factory=dict)  # as the node's control socket gives it
+    roles: dict[str, str] = field(default_factory=dict)  # each server's behaviour, in words
+    messages: list[str] = field(default_factory=list)  # events so far
     elapsed_s: float = 0.0
     total_s: float = 0.0
 
 
-Draw = Callable[[Scene], None]
+Render = Callable[[Scene], None]
 
 
-def _servers() -> dict[str, tuple[str, Behaviour]]:
+def _server_roles() -> dict[str, tuple[str, Behaviour]]:
     usual = Behaviour(latency=0.015)
     return {
         "harbour": ("usual", usual),
@@ -81,7 +86,7 @@
 
 
 def write_servers(path: Path, servers: dict[str, StandInServer], states: dict[str, str]) -> None:
-    """Write the server file whole: a temporary file and a rename, as anyone should."""
+    """Replace the server file atomically: write a temporary file, then rename it."""
     rows = [
         f'[[server]]\nname = "{name}"\naddress = "127.0.0.1:{servers[name].address[1]}"\nstate = "{state}"\n'
         for name, state in states.items()
@@ -97,65 +102,71 @@
         return int(sock.getsockname()[1])
 
 
-async def _wait_ready(path: Path, process: asyncio.subprocess.Process, log: Path) -> ControlClient:
+async def _connect_control(
+    socket_path: Path, process: asyncio.subprocess.Process, log: Path
+) -> ControlClient:
     loop = asyncio.get_running_loop()
-    until = loop.time() + START_S
-    while loop.time() < until and process.returncode is None:
+    deadline = loop.time() + NODE_START_TIMEOUT_S
+    while loop.time() < deadline and process.returncode is None:
         with suppress(NodeUnreachableError):
-            return ControlClient(path)
+            return ControlClient(socket_path)
         await asyncio.sleep(0.05)
-    log_end = log.read_text()[-2000:]  # noqa: ASYNC240 - the demo ends here
-    raise DemoError(f"the node did not start:\n{log_end}")
+    log_tail = log.read_text()[-2000:]  # noqa: ASYNC240 - the demo stops here
+    raise DemoError(f"the node did not start:\n{log_tail}")
 
 
-async def run_demo(rate: float, seconds: float, seed: int, draw: Draw) -> Scene:
-    """Play it to its end; returns the last scene.  Raises :class:`DemoError`."""
-    plan = _servers()
+async def run_demo(rate: float, seconds: float, seed: int, render: Render) -> Scene:
+    """Run the demo to its end; return the last scene.
+
+    ``rate``: requests per second.  ``render`` is called with the scene several times a second.
+    Raises DemoError if the node does not start.
+    """
+    plan = _server_roles()
     servers = {
         name: StandInServer(name, behaviour, seed + i)
         for i, (name, (_, behaviour)) in enumerate(plan.items())
     }
     with tempfile.TemporaryDirectory(prefix="oakbridge-demo-") as folder:
-        at = Path(folder)
+        directory = Path(folder)
         for server in servers.values():
             await server.start()
         states = {name: "ready" for name in plan if name != "late"}
-        write_servers(at / "servers.toml", servers, states)
-        port, sock, log = _free_port(), at / "demo.sock", at / "node.log"
-        (at / "oakbridge.toml").write_text(CONFIG.format(port=port, socket=sock))
+        write_servers(directory / "servers.toml", servers, states)
+        port, socket_path, log = _free_port(), directory / "demo.sock", directory / "node.log"
+        (directory / "oakbridge.toml").write_text(CONFIG.format(port=port, socket=socket_path))
         with log.open("wb") as out:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(at / "oakbridge.toml"),
+                sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(directory / "oakbridge.toml"),
                 stdin=asyncio.subprocess.DEVNULL, stdout=out, stderr=out,
             )  # fmt: skip
         try:
-            client = await _wait_ready(sock, process, log)
-            load = LoadGenerator(("127.0.0.1", port), AIMS, rate, seconds, seed)
+            client = await _connect_control(socket_path, process, log)
+            load = LoadGenerator(("127.0.0.1", port), LATENCY_OBJECTIVES_S, rate, seconds, seed)
             scene = Scene(
                 load.tally, roles={n: role for n, (role, _) in plan.items()}, total_s=seconds
             )
             scene.messages.append(
                 f"node on 127.0.0.1:{port}, {len(states)} servers, {rate:g} requests/s"
             )
-            director = asyncio.create_task(_direct(scene, client, draw, seconds))
+            rendering = asyncio.create_task(_render_repeatedly(scene, client, render, seconds))
             changes = asyncio.create_task(
-                _change(scene, at / "servers.toml", servers, states, seconds)
+                _change_server_file(scene, directory / "servers.toml", servers, states, seconds)
             )
             await load.run()
             changes.cancel()
-            director.cancel()
+            rendering.cancel()
             scene.status, scene.elapsed_s = client.request(ControlCommand.STATUS), seconds
             client.close()
-            draw(scene)
+            render(scene)
             return scene
         finally:
-            await _end(process)
+            await _stop_node(process)
             for server in servers.values():
                 server.stop()
 
 
-async def _end(process: asyncio.subprocess.Process) -> None:
-    """End the node as a planned restart does; it is killed if it does not."""
+async def _stop_node(process: asyncio.subprocess.Process) -> None:
+    """Stop the node by SIGTERM, as a planned restart does; kill it if it does not exit in 10 s."""
     if process.returncode is None:
         process.terminate()
         try:
@@ -165,33 +176,35 @@
             await process.wait()
 
 
-async def _direct(scene: Scene, client: ControlClient, draw: Draw, seconds: float) -> None:
-    """Show the state several times a second."""
+async def _render_repeatedly(
+    scene: Scene, client: ControlClient, render: Render, duration_s: float
+) -> None:
+    """Update and render the scene four times a second."""
     loop = asyncio.get_running_loop()
-    begin = loop.time()
+    started_s = loop.time()
     while True:
         scene.status = await asyncio.to_thread(client.request, ControlCommand.STATUS)
-        scene.elapsed_s = min(seconds, loop.time() - begin)
-        draw(scene)
+        scene.elapsed_s = min(duration_s, loop.time() - started_s)
+        render(scene)
         await asyncio.sleep(0.25)
 
 
-async def _change(
+async def _change_server_file(
     scene: Scene,
     path: Path,
     servers: dict[str, StandInServer],
     states: dict[str, str],
-    seconds: float,
+    duration_s: float,
 ) -> None:
-    """In the midst of it, one server drains and another joins, by the file."""
-    await asyncio.sleep(0.4 * seconds)
+    """Replace the file after 0.4 of the time, and by a malformed one after 0.65 of it."""
+    await asyncio.sleep(0.4 * duration_s)
     states["station"] = "draining"
     states["late"] = "ready"
     write_servers(path, servers, states)
-    scene.messages.append("servers.toml replaced: station drains, late joins (it counts as cold)")
-    await asyncio.sleep(0.25 * seconds)
+    scene.messages.append("servers.toml replaced: station drains, late joins (treated as cold)")
+    await asyncio.sleep(0.25 * duration_s)
     path.with_suffix(".bad").write_text('[[server]]\nname = "harbour"\naddress = "somewhere"\n')
     path.with_suffix(".bad").rename(path)
     scene.messages.append(
-        "servers.toml replaced by a broken one: not used, the last good one stays"
+        "servers.toml replaced by a malformed file: rejected, the last valid list stays"
     )
--- a/oakbridge/lab/simulation/clients.py
+++ b/oakbridge/lab/simulation/clients.py
@@ -19,7 +19,7 @@
 
 
 class Outcome(Enum):
-    """How a request ended."""
+    """The result of one try of a request."""
 
     SERVED = auto()
     LATE = auto()  # served after the class's latency objective
@@ -29,26 +29,26 @@
 
 @dataclass
 class ClientRequest:
-    """A request and its retries as the client sees them."""
+    """The current try of a request, as the client sees it."""
 
     request_class: RequestClass
     number: int
     first_sent_us: int
-    sent_us: int  # this try
+    sent_us: int  # time of the current try
     tries: int = 1
 
 
 @dataclass
 class SecondTotals:
-    """What began in one second of simulated time."""
+    """Totals of the requests that clients sent in one second of simulated time."""
 
-    offered_weight: float = 0.0  # by priority weight, of requests first sent in it
-    served_weight: float = 0.0  # of these, within the latency objective of the first try
-    tries: int = 0  # requests sent in it, with retries
+    offered_weight: float = 0.0  # priority weight of the requests first sent in this second
+    served_weight: float = 0.0  # of these, served within the objective since the first try
+    tries: int = 0  # requests sent in this second, including retries
 
 
 class SimulatedClients:
-    """All clients of a fleet, with the counts of how their requests ended."""
+    """All clients of a fleet, with counts of the results of their requests."""
 
     def __init__(
         self,
@@ -62,17 +62,19 @@
         with_keys: bool,
         deliver: Callable[[int, RequestReceived], None],
     ) -> None:
-        """``replica_loads``: each replica's relative load, empty if all get the same.
+        """``replica_loads``: each replica's relative load, empty if all are equal.
 
-        ``with_keys``: requests carry a key that their retries repeat.
+        ``with_keys``: requests carry a key, which is the same in their retries.
         """
-        self.sent = 0  # requests, without retries
+        self.sent = 0  # requests, not counting retries
         self.outcomes: Counter[Outcome] = Counter()  # of each try
-        self.by_replica: Counter[tuple[int, Outcome]] = Counter()  # late ones count as served
+        self.by_replica: Counter[tuple[int, Outcome]] = (
+            Counter()
+        )  # a late response counts as SERVED
         self.by_second: dict[int, SecondTotals] = {}
         self._events = events
         self._random = rng
-        self._classes = {c.name: c for c in classes}
+        self._classes = {request_class.name: request_class for request_class in classes}
         self._replicas = range(replica_count)
         self._replica_loads = replica_loads
         self._max_retries = max_retries
@@ -83,10 +85,10 @@
 
     def schedule_requests(self, per_second: float, seconds: float, class_name: str) -> None:
         """Schedule requests as a Poisson process, each to a random replica."""
-        begin = self._events.now
+        begin_us = self._events.now
         rate_per_us = per_second / SECOND_US
-        at_us = begin + self._random.expovariate(rate_per_us)
-        while at_us < begin + seconds * SECOND_US:
+        at_us = begin_us + self._random.expovariate(rate_per_us)
+        while at_us < begin_us + seconds * SECOND_US:
             replica = self._choose_replica()
             self._events.schedule(at_us, partial(self.send_request, replica, class_name))
             at_us += self._random.expovariate(rate_per_us)
@@ -101,13 +103,13 @@
         now = self._events.now
         self.sent += 1
         request_class = self._classes[class_name]
-        self._second(now).offered_weight += request_class.priority_weight
+        self._totals_at(now).offered_weight += request_class.priority_weight
         self._send(replica, ClientRequest(request_class, self.sent, now, now))
 
     def _send(self, replica: int, request: ClientRequest) -> None:
         request_id = next(self._ids)
         self._pending[replica, request_id] = request
-        self._second(self._events.now).tries += 1
+        self._totals_at(self._events.now).tries += 1
         key = str(request.number) if self._with_keys else ""
         request_class = request.request_class
         self._deliver(
@@ -116,15 +118,15 @@
         )
 
     def is_pending(self, replica: int, request_id: int) -> bool:
-        """Return whether the request has had no answer yet."""
+        """Return whether the request is not finished yet."""
         return (replica, request_id) in self._pending
 
     def finish(
         self, replica: int, request_id: int, outcome: Outcome, retry_after_us: int = 0
     ) -> None:
-        """Count a request's one answer, and have the client retry a rejected one.
+        """Count the result of a try, and schedule the client's retry if the request was rejected.
 
-        Raise KeyError for a request that was answered before.
+        Raises KeyError if the request is finished already.
         """
         request = self._pending.pop((replica, request_id))
         self.by_replica[replica, outcome] += 1
@@ -132,7 +134,7 @@
         objective = request.request_class.latency_objective
         if outcome is Outcome.SERVED and now - request.first_sent_us <= objective:
             weight = request.request_class.priority_weight
-            self._second(request.first_sent_us).served_weight += weight
+            self._totals_at(request.first_sent_us).served_weight += weight
         if outcome is Outcome.REJECTED and request.tries <= self._max_retries:
             self._schedule_retry(request, retry_after_us)
         if outcome is Outcome.SERVED and now - request.sent_us > objective:
@@ -152,5 +154,5 @@
         )
         self._events.schedule(now + delay_us, lambda: self._send(replica, retry))
 
-    def _second(self, at_us: int) -> SecondTotals:
+    def _totals_at(self, at_us: int) -> SecondTotals:
         return self.by_second.setdefault(at_us // SECOND_US, SecondTotals())
--- a/oakbridge/lab/simulation/discovery.py
+++ b/oakbridge/lab/simulation/discovery.py
@@ -8,19 +8,19 @@
 from oakbridge.lab.simulation.server import SimulatedServer
 from oakbridge.policy.events import Endpoint, EndpointListReceived, Event
 
-MAX_WAIT_US = 2 * SECOND_US
-FAILURE_DELAY_US = 1000
+MAX_WAIT_US = 2 * SECOND_US  # a poll that would wait longer fails
+FAILURE_DELAY_US = 1000  # from a poll to its failure
 
 Deliver = Callable[[int, Event], None]
 
 
 class SimulatedDiscovery:
-    """Poll times are in sequence; a poll that would wait for longer than two seconds fails."""
+    """Answers polls in the order of their arrival, each after ``time_per_poll_us`` of work."""
 
     def __init__(
         self, events: EventQueue, servers: Mapping[str, SimulatedServer], deliver: Deliver
     ) -> None:
-        """``servers``: all that are listed, also those that come later."""
+        """``servers``: the listed servers; the mapping may change later."""
         self.polls = 0
         self.failed_polls = 0
         self.time_per_poll_us = 0
@@ -39,6 +39,9 @@
             self._events.schedule(now + FAILURE_DELAY_US, lambda: self._deliver(replica, failure))
             return
         self._free_at_us = max(now, self._free_at_us) + self.time_per_poll_us
-        endpoints = [Endpoint(s.name, started_at=s.started_at_us) for s in self._servers.values()]
-        answer = EndpointListReceived(endpoints)
-        self._events.schedule(self._free_at_us, lambda: self._deliver(replica, answer))
+        endpoints = [
+            Endpoint(server.name, started_at=server.started_at_us)
+            for server in self._servers.values()
+        ]
+        response = EndpointListReceived(endpoints)
+        self._events.schedule(self._free_at_us, lambda: self._deliver(replica, response))
--- a/oakbridge/lab/simulation/event_queue.py
+++ b/oakbridge/lab/simulation/event_queue.py
@@ -1,4 +1,4 @@
-"""Simulated time: callbacks in the order of their due times."""
+"""Simulated time: runs callbacks in the order of their due times."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
         """Start at time 0 with nothing scheduled."""
         self.now = 0
         self._heap: list[tuple[int, int, Callback]] = []
-        self._order = itertools.count()  # callbacks due at the same time run as they were scheduled
+        self._order = itertools.count()  # ties run in the order of scheduling
 
     def schedule(self, at_us: float, callback: Callback) -> None:
-        """Run a callback at this time, rounded down to a microsecond."""
+        """Schedule a callback for a time, which is rounded down to a microsecond."""
         heapq.heappush(self._heap, (int(at_us), next(self._order), callback))
 
     def run(self, seconds: float) -> None:
-        """Run all callbacks that are due within this time, and move the clock to its end."""
-        end = self.now + int(seconds * SECOND_US)
-        while self._heap and self._heap[0][0] <= end:
+        """Run all callbacks that are due in the next ``seconds``, then advance the clock by them."""
+        end_us = self.now + int(seconds * SECOND_US)
+        while self._heap and self._heap[0][0] <= end_us:
             self.now, _, callback = heapq.heappop(self._heap)
             callback()
-        self.now = end
+        self.now = end_us
--- a/oakbridge/lab/simulation/figures.py
+++ b/oakbridge/lab/simulation/figures.py
@@ -1,4 +1,4 @@
-"""Figures that count across all replicas of a simulated fleet."""
+"""Figures over all replicas of a simulated fleet."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def max_warming_overload(fleet: SimulatedFleet, window_us: int = OVERLOAD_WINDOW_US) -> float:
-    """Return the most attempts sent to a warming server in a window, over its capacity in it.
+    """Return the highest ratio of attempts to capacity of any server in a window of its slow start.
 
-    The capacity is workers * mean speed * window / mean work.
+    The capacity is workers * mean speed * window / mean work.  Attempts count when they are sent.
     """
     worst = 0.0
     pool = fleet.pool
@@ -31,7 +31,7 @@
 
 
 def ejected_fraction(fleet: SimulatedFleet) -> float:
-    """Return the fraction of servers that do not hang which a replica has ejected, on average."""
+    """Return the fraction of servers that do not hang but are ejected, averaged over replicas."""
     hung = {name for name, server in fleet.servers.items() if server.is_hung}
     views = [
         view
@@ -43,6 +43,6 @@
 
 
 def connections_per_server(fleet: SimulatedFleet) -> list[int]:
-    """Return the connections that replicas hold at each listed server, in rising order."""
+    """Return the number of replicas' connections at each listed server, in ascending order."""
     listed = fleet.balancers[0].servers
     return sorted(sum(fleet.servers[name].connections.values()) for name in listed)
--- a/oakbridge/lab/simulation/fleet.py
+++ b/oakbridge/lab/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet: replicas, servers, clients and discovery, wired to one queue of events."""
+"""A simulated fleet: replicas, servers, clients and discovery, driven by one event queue."""
 
 from __future__ import annotations
 
@@ -47,22 +47,22 @@
 
 
 class TrackedRequest(Protocol):
-    """A request as a replica holds it."""
+    """An unfinished request in a replica."""
 
     @property
     def attempts(self) -> Sized:
-        """All attempts begun so far."""
+        """All attempts started so far."""
 
 
 class Replica(Protocol):
-    """What a fleet needs of a replica: the balancer's events and actions."""
+    """The interface of a replica: it handles the balancer's events and returns its actions."""
 
     @property
     def requests(self) -> Mapping[int, TrackedRequest]:
-        """Requests without an answer, by identifier."""
+        """Unfinished requests by identifier."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event and return what to do."""
+        """Handle one event; return the actions to carry out."""
 
 
 class SimulatedFleet:
@@ -83,15 +83,15 @@
         make_replica: Callable[[int], Replica] | None = None,
         **settings: Any,
     ) -> None:
-        """Build a fleet whose replicas know all servers.
+        """Build a fleet, and deliver the list of all servers to each replica.
 
-        ``sites``: replicas and servers are placed in them in turn.
+        ``sites``: replicas and servers are assigned to them in turn.
         ``with_site_plans``: replicas run ``oakbridge.sites``.
-        ``max_client_retries``: how often a client retries a rejected request, by its Retry-After.
-        ``subset_rings``: replicas divide the servers by ``oakbridge.spread``; 0: they do not.
-        ``load_sigma``: of the lognormal distribution of the replicas' loads; 0: all the same.
-        ``make_replica``: makes a replica from a seed, in place of the real balancer.
-        ``settings``: of the balancers, in place of DEFAULT_SETTINGS.
+        ``max_client_retries``: maximum per rejected request, each after its Retry-After.
+        ``subset_rings``: rings of ``oakbridge.spread``, which assigns subsets; 0: no subsets.
+        ``load_sigma``: sigma of the lognormal distribution of replica loads; 0: equal loads.
+        ``make_replica``: returns a replica for a seed, used instead of the real balancer.
+        ``settings``: fields of the balancers' settings; they override DEFAULT_SETTINGS.
         """
         self.events = EventQueue()
         self._random = random.Random(seed)
@@ -101,7 +101,10 @@
         self._homes = [_site_of(index, sites) for index in range(replica_count)]
         self._loads = _replica_loads(replica_count, load_sigma, seed)
 
-        servers = [SimulatedServer(f"s{n}", site=_site_of(n, sites)) for n in range(server_count)]
+        servers = [
+            SimulatedServer(f"s{number}", site=_site_of(number, sites))
+            for number in range(server_count)
+        ]
         self.pool = ServerPool(
             self.events, self._random, self.settings, servers, self._on_attempt_result
         )
@@ -123,7 +126,7 @@
             deliver=self.deliver,
         )
         self.discovery = SimulatedDiscovery(self.events, self.pool.servers, self.deliver)
-        self._announce_all()
+        self._deliver_initial_lists()
         if with_site_plans:
             self._start_site_control(seed)
         self._division = self._divide_servers(subset_rings) if subset_rings else None
@@ -160,9 +163,11 @@
         )
         return Balancer(settings, self._random.getrandbits(32))
 
-    def _announce_all(self) -> None:
+    def _deliver_initial_lists(self) -> None:
         for replica in range(len(self.replicas)):
-            endpoints = [Endpoint(s.name, zone=s.site) for s in self.servers.values()]
+            endpoints = [
+                Endpoint(server.name, zone=server.site) for server in self.servers.values()
+            ]
             self.deliver(replica, EndpointListReceived(endpoints))
 
     @property
@@ -172,44 +177,45 @@
 
     @property
     def servers(self) -> dict[str, SimulatedServer]:
-        """All servers by name, with those that were replaced."""
+        """All servers by name, including replaced ones."""
         return self.pool.servers
 
     def run(self, seconds: float) -> None:
-        """Let simulated time pass."""
+        """Advance simulated time."""
         self.events.run(seconds)
 
     def schedule_requests(
         self, per_second: float, seconds: float, class_name: str = DEFAULT_CLASS.name
     ) -> None:
-        """Schedule requests at random times from now on, each to a random replica."""
+        """Schedule requests at random times in the next ``seconds``, each to a random replica."""
         self.clients.schedule_requests(per_second, seconds, class_name)
 
     def fail_sites(self, sites: Iterable[str], seconds: float, *, hang: bool = False) -> None:
-        """Take all servers of these sites down for a time; with ``hang`` they stop answering."""
+        """Take all servers of these sites down for a time; with ``hang`` they hang instead."""
         self.pool.fail_sites(sites, seconds, hang=hang)
 
     def replace_server(self, old: str, new: str, announced_after_us: int = SECOND_US) -> None:
-        """Start a cold server in place of another, which answers until replicas are told."""
+        """Start a cold server, and replace another by it in all replicas' lists after a delay.
+
+        The replaced server keeps answering.
+        """
         self.pool.add(SimulatedServer(new, started_at_us=self.now))
         changes = [Endpoint(old, EndpointState.REMOVED), Endpoint(new, started_at=self.now)]
-        announcement = EndpointListReceived(changes, complete=False)
-        self.events.schedule(
-            self.now + announced_after_us, lambda: self._announce_changes(announcement)
-        )
+        update = EndpointListReceived(changes, complete=False)
+        self.events.schedule(self.now + announced_after_us, lambda: self._deliver_changes(update))
 
-    def _announce_changes(self, announcement: EndpointListReceived) -> None:
+    def _deliver_changes(self, update: EndpointListReceived) -> None:
         for replica in range(len(self.replicas)):
-            self.deliver(replica, announcement)
+            self.deliver(replica, update)
             if self._division is not None:
-                # Replicas assign their subsets once a second, each at its own time.
+                # Each replica updates its subset once a second, at its own time.
                 at_us = self.now + self._random.randrange(SECOND_US)
                 self.events.schedule(at_us, partial(self._division.assign, replica))
 
-    # ---- events and actions of the replicas
+    # ---- events and actions of replicas
 
     def deliver(self, replica: int, event: Event) -> None:
-        """Give a replica an event, and carry out its actions."""
+        """Deliver an event to a replica, and carry out the actions that it returns."""
         for action in self.replicas[replica].handle(self.now, event):
             self._carry_out(replica, action)
 
@@ -236,15 +242,15 @@
                 self.discovery.poll(replica)
 
     def _on_attempt_result(
-        self, key: AttemptKey, server: str, result: AttemptResult, begun_us: int
+        self, key: AttemptKey, server: str, result: AttemptResult, started_us: int
     ) -> None:
         replica, request_id, attempt = key
-        is_answer = result == AttemptResult.OK and self.clients.is_pending(replica, request_id)
-        if is_answer:
+        is_response = result == AttemptResult.OK and self.clients.is_pending(replica, request_id)
+        if is_response:
             self.clients.finish(replica, request_id, Outcome.SERVED)
-        duration_us = self.now - begun_us
-        ended = AttemptEnded(request_id, attempt, server, result, duration_us, is_answer)
-        self.deliver(replica, ended)
+        duration_us = self.now - started_us
+        attempt_ended = AttemptEnded(request_id, attempt, server, result, duration_us, is_response)
+        self.deliver(replica, attempt_ended)
 
 
 def _site_of(index: int, sites: Sequence[str]) -> str:
@@ -252,7 +258,7 @@
 
 
 def _replica_loads(replica_count: int, sigma: float, seed: int) -> list[float]:
-    """Draw the replicas' relative loads; empty if all are the same."""
+    """Draw the replicas' relative loads; return an empty list if all are equal."""
     if not sigma:
         return []
     rng = random.Random(seed)
--- a/oakbridge/lab/simulation/server.py
+++ b/oakbridge/lab/simulation/server.py
@@ -1,4 +1,4 @@
-"""One simulated server: its limits, its state and the attempts that it holds."""
+"""One simulated server: its limits, its state and its attempts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """Which attempt of which request, sent by which replica."""
+    """Identifies an attempt in the whole fleet."""
 
     replica: int
     request_id: int
@@ -16,7 +16,7 @@
 
 
 class Visit(NamedTuple):
-    """One attempt's time at a server."""
+    """The time for which an attempt was at a server."""
 
     server_index: int
     arrived_us: int
@@ -25,35 +25,35 @@
 
 @dataclass
 class SimulatedServer:
-    """Workers that take one attempt each, behind a bounded queue; a hung server answers nothing."""
+    """Workers that process one attempt each, and a bounded queue; a hung one sends no response."""
 
     name: str
-    started_at_us: int = 0  # as discovery tells it; 0: warm from the begin
+    started_at_us: int = 0  # start time reported by discovery; 0: warm from the start
     workers: int = 4
     queue_limit: int = 8
     connection_limit: int = 1000
     is_hung: bool = False
     is_down: bool = False
     site: str = ""
-    unannounced_start_us: int = -1  # a start that discovery does not tell of; -1: none
+    unannounced_start_us: int = -1  # time of a restart that discovery does not report; -1: none
     running: set[AttemptKey] = field(default_factory=set)
     waiting: deque[AttemptKey] = field(default_factory=deque)
     connections: Counter[int] = field(default_factory=Counter)  # by replica
     sent_at_us: list[int] = field(default_factory=list)
-    arrived_us: dict[AttemptKey, int] = field(default_factory=dict)  # of each attempt held
+    arrived_us: dict[AttemptKey, int] = field(default_factory=dict)  # arrival time of each attempt
 
     def holds(self, key: AttemptKey) -> bool:
-        """Return whether the attempt is running or waiting here."""
+        """Return whether the attempt is running or waiting at this server."""
         return key in self.running or key in self.waiting
 
     def accepts(self, replica: int) -> bool:
-        """Return whether the queue and the connection limit leave room for one more attempt."""
+        """Return whether the queue and the connection limit allow one more attempt of a replica."""
         return len(self.waiting) < self.queue_limit and not self._connections_exceeded(replica)
 
     def _connections_exceeded(self, replica: int) -> bool:
-        """Return whether one more attempt needs a connection beyond the limit.
+        """Return whether one more attempt needs a connection that exceeds the limit.
 
-        A replica holds a connection for each attempt in flight, and keeps its last one.
+        A replica has one connection for each attempt in flight, and keeps at least one open.
         """
         in_flight = self.in_flight_of(replica)
         open_connections = sum(max(1, count) for count in self.connections.values())
@@ -61,18 +61,18 @@
         return needs_connection and open_connections + 1 > self.connection_limit
 
     def in_flight_of(self, replica: int) -> int:
-        """Return the number of this replica's attempts running or waiting here."""
+        """Return how many of a replica's attempts are running or waiting at this server."""
         return sum(1 for key in (*self.running, *self.waiting) if key.replica == replica)
 
     def enqueue(self, key: AttemptKey, now: int) -> None:
-        """Take in an attempt, over a new connection if none of its replica's is free."""
+        """Append an attempt to the queue; open a connection if none of its replica's is idle."""
         needed = self.in_flight_of(key.replica) + 1
         self.connections[key.replica] = max(self.connections[key.replica], needed)
         self.waiting.append(key)
         self.arrived_us[key] = now
 
     def remove(self, key: AttemptKey) -> None:
-        """Forget an attempt, whether it is running or waiting."""
+        """Remove a running or waiting attempt."""
         self.running.discard(key)
         if key in self.waiting:
             self.waiting.remove(key)
@@ -82,8 +82,8 @@
 
         It rises linearly from the minimum to 1 within the slow-start window.
         """
-        since = self.started_at_us or self.unannounced_start_us
-        if since <= 0:
+        started_us = self.started_at_us or self.unannounced_start_us
+        if started_us <= 0:
             return 1.0
-        progress = (at_us - since) / slow_start_window_us
+        progress = (at_us - started_us) / slow_start_window_us
         return min(1.0, slow_start_minimum + (1 - slow_start_minimum) * progress)
--- a/oakbridge/lab/simulation/server_pool.py
+++ b/oakbridge/lab/simulation/server_pool.py
@@ -1,4 +1,4 @@
-"""The servers of a simulated fleet, the attempts at them and their faults."""
+"""The servers of a simulated fleet: the processing of attempts, and faults."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from oakbridge.policy.events import AttemptResult
 from oakbridge.policy.settings import Settings
 
-MEAN_WORK_US = 200_000  # of an attempt, at a warm server
-WORK_SPREAD = (0.7, 1.3)  # factors of it
-REFUSAL_DELAY_US = 1000  # until a replica hears that a server is full or down
+MEAN_WORK_US = 200_000  # mean processing time of an attempt at a warm server
+WORK_SPREAD = (0.7, 1.3)  # range of the random factor on the processing time
+REFUSAL_DELAY_US = 1000  # until a replica is notified that a server is full or down
 
-OnResult = Callable[[AttemptKey, str, AttemptResult, int], None]  # key, server, result, begun at
+OnResult = Callable[[AttemptKey, str, AttemptResult, int], None]  # key, server, result, start time
 
 
 class ServerPool:
-    """Servers by name, and what becomes of the attempts at them."""
+    """Processes attempts at servers, and reports their results."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         servers: Iterable[SimulatedServer],
         on_result: OnResult,
     ) -> None:
-        """``on_result`` is called once an attempt has ended, with the time at which it began."""
+        """``on_result`` is called with each attempt's result and the time at which it started."""
         self.servers = {server.name: server for server in servers}
         self.server_indexes = {name: index for index, name in enumerate(self.servers)}
         self.visits: list[Visit] = []
@@ -39,10 +39,12 @@
         self._random = rng
         self._settings = settings
         self._on_result = on_result
-        self._cancelled: set[AttemptKey] = set()  # ended by their replica, each reported once
+        self._cancelled: set[AttemptKey] = (
+            set()
+        )  # ended by their replica; their result is reported once
 
     def add(self, server: SimulatedServer) -> None:
-        """Add a server that no replica knows yet."""
+        """Add a server that is in no replica's list yet."""
         self.servers[server.name] = server
         self.server_indexes[server.name] = len(self.server_indexes)
 
@@ -54,7 +56,7 @@
     # ---- attempts
 
     def receive(self, key: AttemptKey, server_name: str, timeout_us: int) -> None:
-        """Take in an attempt, or refuse it."""
+        """Queue an attempt, or refuse it if the server is down or full."""
         server, now = self.servers[server_name], self._events.now
         if server.is_down:
             self._refuse(key, server, AttemptResult.CONNECT_FAILED)
@@ -73,7 +75,7 @@
         self._events.schedule(at_us, lambda: self._report(key, server, result, now))
 
     def _start_waiting(self, server: SimulatedServer) -> None:
-        """Have free workers begin what waits."""
+        """Start waiting attempts while workers are free."""
         now = self._events.now
         while server.waiting and len(server.running) < server.workers:
             key = server.waiting.popleft()
@@ -82,13 +84,13 @@
             if not server.is_hung:
                 self._events.schedule(now + work_us, partial(self._complete, server, key, now))
 
-    def _complete(self, server: SimulatedServer, key: AttemptKey, begun_us: int) -> None:
+    def _complete(self, server: SimulatedServer, key: AttemptKey, started_us: int) -> None:
         if key in server.running and not server.is_hung:
             self._remove(server, key)
-            self._report(key, server, AttemptResult.OK, begun_us)
+            self._report(key, server, AttemptResult.OK, started_us)
 
     def _remove(self, server: SimulatedServer, key: AttemptKey) -> None:
-        """Have a server drop an attempt, and its worker begin the next."""
+        """Remove an attempt from a server, record its visit, and start waiting attempts."""
         arrived_us = server.arrived_us.pop(key, None)
         if arrived_us is not None:
             index = self.server_indexes[server.name]
@@ -97,7 +99,7 @@
         self._start_waiting(server)
 
     def end(self, key: AttemptKey, result: AttemptResult) -> None:
-        """End an attempt from its replica's side; a hung server does not notice."""
+        """End an attempt on its replica's side; a hung server keeps it."""
         now = self._events.now
         for server in self.servers.values():
             if not server.holds(key):
@@ -109,17 +111,17 @@
                 self._events.schedule(now, partial(self._report, key, server, result, now))
 
     def _report(
-        self, key: AttemptKey, server: SimulatedServer, result: AttemptResult, begun_us: int
+        self, key: AttemptKey, server: SimulatedServer, result: AttemptResult, started_us: int
     ) -> None:
         self.results[server.name, result] += 1
-        self._on_result(key, server.name, result, begun_us)
+        self._on_result(key, server.name, result, started_us)
 
     # ---- faults
 
     def fail_sites(self, sites: Iterable[str], seconds: float, *, hang: bool) -> None:
-        """Take all servers of these sites down for a time, after which they come back cold.
+        """Take all servers of these sites down for a time; they restart cold.
 
-        With ``hang`` they stop answering instead, and come back as they were.
+        With ``hang`` they send no responses for that time instead, and resume warm.
         """
         failed_sites = set(sites)
         failed = [server for server in self.servers.values() if server.site in failed_sites]
@@ -148,14 +150,14 @@
         server.waiting.clear()
 
     def _resume_hung(self, server: SimulatedServer) -> None:
-        self._end_faults(server)
+        self._clear_faults(server)
         server.running.clear()
         self._start_waiting(server)
 
     def _bring_up(self, server: SimulatedServer) -> None:
-        self._end_faults(server)
+        self._clear_faults(server)
         server.unannounced_start_us = self._events.now
 
-    def _end_faults(self, server: SimulatedServer) -> None:
+    def _clear_faults(self, server: SimulatedServer) -> None:
         server.is_hung = False
         server.is_down = False
--- a/oakbridge/lab/simulation/site_control.py
+++ b/oakbridge/lab/simulation/site_control.py
@@ -1,4 +1,4 @@
-"""Site plans in a simulated fleet: every replica runs the sites core on the others' reports."""
+"""Site plans in a simulated fleet: each replica runs NodeSites on the other replicas' reports."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from oakbridge.sites.node_sites import OBSERVATION_WINDOW_US, NodeSites, ReceivedReport
 from oakbridge.sites.request_rates import RequestCounts, RequestRates
 
-REPORT_INTERVAL_US = 2 * SECOND_US  # half of it while a report is urgent
+REPORT_INTERVAL_US = 2 * SECOND_US  # halved while a report is urgent
 UPDATE_INTERVAL_US = SECOND_US // 2
-REPORT_DELAY_US = SECOND_US // 2  # on its way between replicas
+REPORT_DELAY_US = SECOND_US // 2  # delivery time between replicas
 
 
 class SiteControl:
-    """Update each replica's site plan twice a second, by reports up to 2.5 s old."""
+    """Updates each replica's site plan twice a second, from reports that are up to 2.5 s old."""
 
     def __init__(
         self,
@@ -41,13 +41,15 @@
         self._homes = homes
         self._clients = clients
         self._deliver = deliver
-        weights = {c.name: c.priority_weight for c in classes}
+        weights = {request_class.name: request_class.priority_weight for request_class in classes}
         self._plans = [
             NodeSites(f"n{replica}", home, weights, seed * 1000 + replica)
             for replica, home in enumerate(homes)
         ]
         self._rates = [RequestRates() for _ in homes]
-        self._reports: dict[int, tuple[int, SiteReport]] = {}  # of each replica, with its time
+        self._reports: dict[
+            int, tuple[int, SiteReport]
+        ] = {}  # by replica, with the time of sending
 
     def start(self, rng: random.Random) -> None:
         """Schedule each replica's first update at a random time within the interval."""
@@ -56,12 +58,14 @@
 
     def _update(self, replica: int) -> None:
         plan, now = self._plans[replica], self._events.now
-        own = self._rates[replica].update(
+        own_rates = self._rates[replica].update(
             self._request_counts(replica),
             zone_views(self._balancers[replica], now, OBSERVATION_WINDOW_US),
         )
-        everyone = ClusterView(ViewState.COMPLETE, known=len(self._balancers), unreachable=0)
-        decision = plan.update(now, now // 1000, everyone, self._received_reports(replica), own)
+        complete_view = ClusterView(ViewState.COMPLETE, known=len(self._balancers), unreachable=0)
+        decision = plan.update(
+            now, now // 1000, complete_view, self._received_reports(replica), own_rates
+        )
         if self._is_report_due(replica, is_urgent=plan.is_report_urgent):
             self._reports[replica] = now, plan.report()
         self._deliver(replica, ZoneWeights(decision.zone_weights, decision.probe_zones))
@@ -80,7 +84,7 @@
 
     def _request_counts(self, replica: int) -> RequestCounts:
         balancer = self._balancers[replica]
-        arrivals = {name: seen.arrivals for name, seen in balancer.latency.items()}
+        arrivals = {name: latency.arrivals for name, latency in balancer.latency.items()}
         served, rejected, failed = (
             self._clients.by_replica[replica, outcome]
             for outcome in (Outcome.SERVED, Outcome.REJECTED, Outcome.FAILED)
--- a/oakbridge/lab/simulation/strategies.py
+++ b/oakbridge/lab/simulation/strategies.py
@@ -1,7 +1,8 @@
-"""Textbook strategies of server selection, to compare the balancer with in simulated time.
+"""Common strategies of server selection, to compare with the balancer in simulated time.
 
-They take the balancer's events and return its actions, retry a failed attempt once, and have no
-limits, no health and no retry budget: they serve to compare the distribution of load alone.
+A replica with such a strategy handles the balancer's events, returns its actions, and retries a
+failed attempt once.  It has no limits, health checks or retry budget, so that only the distribution
+of load can be compared.
 """
 
 from __future__ import annotations
@@ -37,17 +38,17 @@
     """One replica that selects servers by a strategy."""
 
     def __init__(self, select: Strategy, seed: int) -> None:
-        """``seed``: of its random draws, and its offset in round robin."""
+        """``seed``: of the random draws, and the first position in round robin."""
         self.random = random.Random(seed)
         self.servers: list[str] = []
         self.requests: dict[int, TrackedRequest] = {}
         self.in_flight: Counter[str] = Counter()  # by server
-        self.subset: list[str] = []  # empty: to be drawn
+        self.subset: list[str] = []  # empty: not drawn yet
         self.round_robin_position = seed
         self._select = select
 
-    def handle(self, now: int, event: Event) -> list[Action]:  # noqa: ARG002 - the balancer's form
-        """Take one event and return what to do."""
+    def handle(self, now: int, event: Event) -> list[Action]:  # noqa: ARG002 - interface
+        """Handle one event; return the actions to carry out."""
         match event:
             case EndpointListReceived():
                 self._apply_endpoint_list(event)
@@ -63,13 +64,13 @@
         if event.complete:
             self.servers = [endpoint.id for endpoint in event.endpoints]
             return
-        gone = {e.id for e in event.endpoints if e.state != EndpointState.UP}
+        removed = {entry.id for entry in event.endpoints if entry.state != EndpointState.UP}
         added = [
-            e.id
-            for e in event.endpoints
-            if e.state == EndpointState.UP and e.id not in self.servers
+            entry.id
+            for entry in event.endpoints
+            if entry.state == EndpointState.UP and entry.id not in self.servers
         ]
-        self.servers = [*(name for name in self.servers if name not in gone), *added]
+        self.servers = [*(name for name in self.servers if name not in removed), *added]
 
     def _end_attempt(self, event: AttemptEnded) -> list[Action]:
         self.in_flight[event.server] -= 1
@@ -89,7 +90,7 @@
 
 
 def select_random(replica: StrategyReplica) -> str:
-    """Select any server."""
+    """Select a random server."""
     return replica.random.choice(replica.servers)
 
 
@@ -100,14 +101,17 @@
 
 
 def select_least_loaded(replica: StrategyReplica) -> str:
-    """Select a random one of the servers with the fewest own attempts in flight."""
+    """Select a random one of the servers with the fewest attempts in flight from this replica."""
     fewest = min(replica.in_flight[name] for name in replica.servers)
     least_loaded = [name for name in replica.servers if replica.in_flight[name] == fewest]
     return replica.random.choice(least_loaded)
 
 
 def select_from_random_subset(size: int) -> Strategy:
-    """Return a strategy: the better of two random servers of a subset that each replica draws."""
+    """Return the strategy of two random choices within a random subset of each replica.
+
+    The candidate with fewer attempts in flight is selected.
+    """
 
     def select(replica: StrategyReplica) -> str:
         if not replica.subset:
--- a/oakbridge/lab/simulation/subset_division.py
+++ b/oakbridge/lab/simulation/subset_division.py
@@ -1,4 +1,4 @@
-"""Deterministic subsetting in a simulated fleet: replicas divide the servers among them."""
+"""Deterministic subsetting in a simulated fleet."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from oakbridge.policy.view import server_sizes
 from oakbridge.spread.subset_assigner import Replica, SubsetAssigner
 
-LOAD_SCALE = 100  # of a replica's load as the others are told it, an integer
+LOAD_SCALE = 100  # factor from a relative load to the integer that a replica reports
 
 
 class SubsetDivision:
-    """Each replica's subset, by what all are told of each other's load."""
+    """Assigns each replica's subset by the reported loads of all replicas."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         rings: int,
         deliver: Callable[[int, Event], None],
     ) -> None:
-        """``homes``, ``loads``: of each replica; no loads: all the same."""
+        """``homes``, ``loads``: each replica's site and relative load; no loads: equal ones."""
         self._events = events
         self._balancers = balancers
         self._deliver = deliver
@@ -47,10 +47,10 @@
             self.assign(replica)
 
     def assign(self, replica: int) -> None:
-        """Assign one replica's subset of the servers that it has listed."""
-        everyone = ClusterView(ViewState.COMPLETE, known=len(self._replicas), unreachable=0)
+        """Assign one replica's subset of the servers in its endpoint list."""
+        complete_view = ClusterView(ViewState.COMPLETE, known=len(self._replicas), unreachable=0)
         weights = self._assigners[replica].update(
-            self._events.now, everyone, self._replicas, server_sizes(self._balancers[replica])
+            self._events.now, complete_view, self._replicas, server_sizes(self._balancers[replica])
         )
         if weights is not None:
             self._deliver(replica, SubsetAssignment(weights))
--- a/oakbridge/standin/__init__.py
+++ b/oakbridge/standin/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-in servers: what the outside systems of this project are in its demo, tests and measurements.
+"""Stand-ins for external systems, used by the demo, the tests and the benchmarks.
 
-``behaviour`` decides how each request fares, by a script and a seed (pure); ``server`` carries that out.
+``behaviour`` draws the latency and the result of each request from a seed, without I/O.  ``server``
+is an HTTP server with that behaviour.  ``host`` simulates the node processes of an agent's machine.
 """
--- a/oakbridge/standin/behaviour.py
+++ b/oakbridge/standin/behaviour.py
@@ -1,4 +1,4 @@
-"""How a stand-in server treats each request: latency, errors, hangs, queue; by a seed, without any I/O."""
+"""Latency, errors, hangs and queue limit of a stand-in server, drawn from a seed.  No I/O."""
 
 from __future__ import annotations
 
@@ -9,56 +9,66 @@
 
 @dataclass(frozen=True, slots=True)
 class Behaviour:
-    """What a stand-in does; times in seconds."""
+    """Parameters of a stand-in server."""
 
-    latency: float = 0.02  # median
-    spread: float = 0.3  # of the latency's logarithm
-    errors: float = 0.0  # share answered 500
-    hangs: float = 0.0  # share never answered
-    slots: int = 64  # requests in work at once
-    queue: int = 64  # and that wait; more are turned away unseen
+    latency: float = 0.02  # median, in seconds
+    spread: float = 0.3  # standard deviation of the latency's logarithm
+    errors: float = 0.0  # fraction of requests that get a 500 response
+    hangs: float = 0.0  # fraction of requests that never get a response
+    slots: int = 64  # requests that are processed at once
+    queue: int = 64  # requests that wait for a slot; further ones are rejected unprocessed
 
     def __post_init__(self) -> None:
-        """Refuse impossible values."""
+        """Check the values.  Raises ValueError."""
         for name in ("errors", "hangs"):
             if not 0 <= getattr(self, name) <= 1:
                 raise ValueError(
-                    f"{name}: expected a share from 0 to 1, got {getattr(self, name)!r}"
+                    f"{name}: expected a fraction from 0 to 1, got {getattr(self, name)!r}"
                 )
         if self.latency <= 0 or self.spread < 0 or self.slots < 1 or self.queue < 0:
             raise ValueError(
-                f"expected a latency above 0, a spread of 0 or more and at least one slot: {self}"
+                "behaviour: expected latency above 0, spread of 0 or more, at least one slot and "
+                f"queue of 0 or more, got {self}"
             )
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One request's fate: after ``takes`` seconds in a slot it ends with ``status``; 0 is no answer at all."""
+    """One request's processing time in a slot, and the status of its response; 0: no response."""
 
-    takes: float
+    duration_s: float
     status: int
 
 
-class Desk:
-    """The slots and the queue of one stand-in."""
+class ServerLoad:
+    """Counts requests in the slots and in the queue of one stand-in, and draws their work."""
 
     def __init__(self, behaviour: Behaviour, seed: int) -> None:
         self.behaviour = behaviour
         self._random = random.Random(seed)
-        self.busy = 0
+        self.active = 0
         self.waiting = 0
         self.draining = False
 
-    def come(self) -> Work | None:
-        """Take a request in; return its outcome, or None if it is rejected unseen.  Waits if :meth:`full`."""
-        if self.draining or (self.full and self.waiting >= self.behaviour.queue):
+    def accept_request(self) -> Work | None:
+        """Draw the work of a new request; return None if the request is rejected unprocessed.
+
+        An accepted request has to wait for a slot if :attr:`is_full`.
+        """
+        if self.draining or (self.is_full and self.waiting >= self.behaviour.queue):
             return None
-        b, draw = self.behaviour, self._random.random()
-        takes = b.latency * math.exp(self._random.gauss(0, b.spread))
-        status = 0 if draw < b.hangs else 500 if draw < b.hangs + b.errors else 200
-        return Work(takes, status)
+        behaviour, draw = self.behaviour, self._random.random()
+        duration_s = behaviour.latency * math.exp(self._random.gauss(0, behaviour.spread))
+        status = (
+            0
+            if draw < behaviour.hangs
+            else 500
+            if draw < behaviour.hangs + behaviour.errors
+            else 200
+        )
+        return Work(duration_s, status)
 
     @property
-    def full(self) -> bool:
-        """Whether a request that comes has to wait for a slot."""
-        return self.busy >= self.behaviour.slots
+    def is_full(self) -> bool:
+        """Whether a new request has to wait for a slot."""
+        return self.active >= self.behaviour.slots
--- a/oakbridge/standin/server.py
+++ b/oakbridge/standin/server.py
@@ -1,4 +1,4 @@
-"""A stand-in server on a loopback socket: HTTP/1.1 as the platform's servers speak it."""
+"""A stand-in HTTP/1.1 server on a loopback socket."""
 
 from __future__ import annotations
 
@@ -9,118 +9,118 @@
 
 import httptools
 
-from oakbridge.standin.behaviour import Behaviour, Desk
+from oakbridge.standin.behaviour import Behaviour, ServerLoad
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 
 
 class StandInServer:
-    """One server.  ``responses`` counts its answers by status; ``last`` is when the newest request came."""
+    """One server.  ``responses`` counts its responses by status."""
 
     def __init__(self, name: str, behaviour: Behaviour, seed: int = 0) -> None:
         self.name = name
-        self.desk = Desk(behaviour, seed)
+        self.load = ServerLoad(behaviour, seed)
         self.responses: Counter[int] = Counter()
         self.address = ("127.0.0.1", 0)
         self._slots = asyncio.Semaphore(behaviour.slots)
         self._server: asyncio.Server | None = None
-        self.connections: set[_Desked] = set()
+        self.connections: set[_ServerConnection] = set()
 
     async def start(self, port: int = 0) -> None:
         """Listen on loopback."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: _Desked(self), "127.0.0.1", port, backlog=1024
+            lambda: _ServerConnection(self), "127.0.0.1", port, backlog=1024
         )
         self.address = self._server.sockets[0].getsockname()
 
     def stop(self) -> None:
-        """End at once: connections are reset."""
+        """Close the listener, and reset all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
             connection.abort()
 
     async def handle_request(self) -> int | None:
-        """Treat one request; returns its status, None for never."""
-        fate = self.desk.come()
-        if fate is None:
+        """Process one request; return its response's status.  A request that hangs takes an hour."""
+        work = self.load.accept_request()
+        if work is None:
             self.responses[503] += 1
             return 503
-        self.desk.waiting += 1
+        self.load.waiting += 1
         try:
             await self._slots.acquire()
         finally:
-            self.desk.waiting -= 1
-        self.desk.busy += 1
+            self.load.waiting -= 1
+        self.load.active += 1
         try:
-            await asyncio.sleep(fate.takes if fate.status else 3600)
+            await asyncio.sleep(work.duration_s if work.status else 3600)
         finally:
-            self.desk.busy -= 1
+            self.load.active -= 1
             self._slots.release()
-        self.responses[fate.status] += 1
-        return fate.status
+        self.responses[work.status] += 1
+        return work.status
 
 
 class Connection(asyncio.Protocol):
-    """Reads requests one after another, and answers them."""
+    """Reads requests one after another, and writes their responses."""
 
     def __init__(self) -> None:
         self._parser: Any = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._request = b""
+        self._request_id = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport over."""
+        """Keep the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's interface
-        """Forget the connection."""
+        """Drop the transport."""
         self._transport = None
 
     def abort(self) -> None:
-        """Reset it."""
+        """Reset the connection."""
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a request."""
+        """Parse the data; reset the connection if it is malformed or asks for an upgrade."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.abort()
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
-        self._request = b""
+        """Forget the previous request's identifier."""
+        self._request_id = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header in."""
+        """Keep the value of X-Request-ID."""
         if name.lower() == b"x-request-id":
-            self._request = value
+            self._request_id = value
 
     def on_message_complete(self) -> None:
         """Handle the complete request."""
-        self.come(self._request)
+        self.on_request(self._request_id)
 
-    def come(self, request: bytes) -> None:
-        """Note that a request of this id is here complete."""
+    def on_request(self, request_id: bytes) -> None:
+        """Handle a complete request; ``request_id`` is empty if it has none."""
 
     def reply(self, status: int, body: bytes) -> None:
-        """Answer; 503 says that the request has not run."""
+        """Write a response; 503 says that the request was not processed."""
         if self._transport is not None:
-            unseen = b"X-Not-Processed: 1\r\n" if status == 503 else b""
+            not_processed = b"X-Not-Processed: 1\r\n" if status == 503 else b""
             head = b"HTTP/1.1 %d Answer\r\nContent-Length: %d\r\n%s\r\n" % (
                 status,
                 len(body),
-                unseen,
+                not_processed,
             )
             self._transport.write(head + body)
 
 
-class _Desked(Connection):
-    """A connection to one server."""
+class _ServerConnection(Connection):
+    """A connection of one server, which processes the requests in tasks."""
 
     def __init__(self, server: StandInServer) -> None:
         super().__init__()
@@ -137,11 +137,11 @@
         if self._task is not None:
             self._task.cancel()
 
-    def come(self, request: bytes) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._answer(request))
+    def on_request(self, request_id: bytes) -> None:
+        self._task = asyncio.get_running_loop().create_task(self._respond(request_id))
 
-    async def _answer(self, request: bytes) -> None:
+    async def _respond(self, request_id: bytes) -> None:
         status = await self._server.handle_request()
         if status is not None:
-            told = {"server": self._server.name, "request": request.decode("latin-1")}
-            self.reply(status, json.dumps(told).encode())
+            content = {"server": self._server.name, "request": request_id.decode("latin-1")}
+            self.reply(status, json.dumps(content).encode())
