--- a/oakbridge/lab/model_check/__init__.py
+++ b/oakbridge/lab/model_check/__init__.py
@@ -1,1 +1,1 @@
-"""Explicit-state model checking of the pure parts of a node."""
+"""Explicit-state model checking of those parts of a node that do no I/O."""
--- a/oakbridge/lab/model_check/explorer.py
+++ b/oakbridge/lab/model_check/explorer.py
@@ -1,10 +1,10 @@
-"""Breadth-first search over the states of a model, each visited once.
+"""Breadth-first search over the states of a model.
 
-The search takes every transition of every state, so that within the model's bounds no order of
-events is left out; the first violation found has the fewest steps.
+The search takes every transition of every state, and so covers every order of events within the
+model's bounds.  The first violation found has the fewest steps.
 
-Source of the method: G. Holzmann, "The Model Checker SPIN", 1997; no reduction is used but that
-equal states are visited once.
+The method is that of G. Holzmann, "The Model Checker SPIN", 1997, without its reductions: equal
+states are visited once.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step(Generic[State]):
-    """One thing that can happen, the state after it, and what is wrong with that ("" if nothing)."""
+    """A transition, the state after it, and the violation in that state; "": none."""
 
     label: str
     state: State
@@ -28,42 +28,42 @@
 
 
 class Model(Protocol[State]):
-    """What is explored."""
+    """A model whose states can be searched."""
 
     def initial(self) -> State:
-        """Return the state to begin with."""
+        """Return the initial state."""
 
     def steps(self, state: State) -> Iterable[Step[State]]:
-        """Return everything that can happen next; nothing where the course has ended."""
+        """Return all transitions from a state; none if the state is final."""
 
     def key(self, state: State) -> Hashable:
-        """Return what tells a state from all others that go on differently."""
+        """Return a key that is equal only for states with the same possible futures."""
 
 
 @dataclass(slots=True)
 class Exploration:
-    """What a search has found."""
+    """The result of a search."""
 
     states: int = 0
     transitions: int = 0
     seconds: float = 0.0
-    is_complete: bool = True  # every state within the bounds was visited
+    is_complete: bool = True  # every state was visited, or a violation was found
     violation: str = ""
-    trace: list[str] = field(default_factory=list)  # the shortest one to the violation
+    trace: list[str] = field(default_factory=list)  # labels of the shortest path to the violation
 
     @property
     def states_per_s(self) -> float:
-        """How many states were visited a second."""
+        """Visited states per second; 0 if no time was measured."""
         return self.states / self.seconds if self.seconds else 0.0
 
 
 def explore(model: Model[State], max_states: int) -> Exploration:
-    """Search until a violation is found, all states are visited, or there are too many."""
+    """Search until a violation is found, all states are visited, or ``max_states`` is exceeded."""
     found = Exploration()
-    begun_at = time.perf_counter()
-    first = model.initial()
-    origins: dict[Hashable, tuple[Hashable, str] | None] = {model.key(first): None}
-    frontier = deque([first])
+    started_s = time.perf_counter()
+    initial = model.initial()
+    origins: dict[Hashable, tuple[Hashable, str] | None] = {model.key(initial): None}
+    frontier = deque([initial])
     while frontier and not found.violation:
         state = frontier.popleft()
         key = model.key(state)
@@ -82,7 +82,7 @@
             found.is_complete = False
             break
     found.states = len(origins)
-    found.seconds = time.perf_counter() - begun_at
+    found.seconds = time.perf_counter() - started_s
     return found
 
 
--- a/oakbridge/lab/simulation/clients.py
+++ b/oakbridge/lab/simulation/clients.py
@@ -68,9 +68,8 @@
         """
         self.sent = 0  # requests, not counting retries
         self.outcomes: Counter[Outcome] = Counter()  # of each try
-        self.by_replica: Counter[tuple[int, Outcome]] = (
-            Counter()
-        )  # a late response counts as SERVED
+        # A late response counts as SERVED here.
+        self.by_replica: Counter[tuple[int, Outcome]] = Counter()
         self.by_second: dict[int, SecondTotals] = {}
         self._events = events
         self._random = rng
--- a/oakbridge/lab/simulation/server_pool.py
+++ b/oakbridge/lab/simulation/server_pool.py
@@ -39,9 +39,8 @@
         self._random = rng
         self._settings = settings
         self._on_result = on_result
-        self._cancelled: set[AttemptKey] = (
-            set()
-        )  # ended by their replica; their result is reported once
+        # Attempts that their replica has ended; the result of each is reported once.
+        self._cancelled: set[AttemptKey] = set()
 
     def add(self, server: SimulatedServer) -> None:
         """Add a server that is in no replica's list yet."""
--- a/oakbridge/lab/simulation/site_control.py
+++ b/oakbridge/lab/simulation/site_control.py
@@ -47,9 +47,8 @@
             for replica, home in enumerate(homes)
         ]
         self._rates = [RequestRates() for _ in homes]
-        self._reports: dict[
-            int, tuple[int, SiteReport]
-        ] = {}  # by replica, with the time of sending
+        # The latest report of each replica, with the time of sending.
+        self._reports: dict[int, tuple[int, SiteReport]] = {}
 
     def start(self, rng: random.Random) -> None:
         """Schedule each replica's first update at a random time within the interval."""
