--- a/oakbridge/lab/__init__.py
+++ b/oakbridge/lab/__init__.py
@@ -1,6 +1,8 @@
-"""A fleet of real processes on loopback, under faults by a seed, and what it is judged by.
+"""Runs a fleet of real processes on loopback under faults drawn by a seed, and checks the results.
 
-Pure: ``plan`` (the file), ``schedule`` (which fault when), ``links`` (what passes between two hosts), ``history`` and
-the checkers.  Helper processes: ``switch``, ``servers``, ``load`` and ``process_manager``; ``runner`` plays a run.
-``simulation`` is a fleet in simulated time, without processes.
+Without I/O: ``plan`` (the plan file's tables), ``schedule`` (the times of the faults), ``links``
+(the state of the network), ``history`` and ``checks``.  Helper processes: ``switch``, ``servers``,
+``load`` and ``process_manager``; ``runner`` starts them and performs a run.  ``simulation`` is a
+fleet in simulated time, without processes; ``model_check`` explores the states of a discovery
+client.
 """
--- a/oakbridge/lab/checks/__init__.py
+++ b/oakbridge/lab/checks/__init__.py
@@ -1,7 +1,6 @@
-"""What held in a run, by its history.
+"""The checks of a run, computed from its history without I/O.
 
-A module each for what is checked: answers and effects (``request_rules``), service, membership,
-server load, load distribution and lost sites; ``judge`` has the table of all figures.  All are
-pure, and each is tested with a fault planted for it (tests/lab).  A figure is None where a run has
-nothing to judge it by.
+Each module covers one subject: responses and repeated effects (``request_rules``), service,
+membership, server load, load distribution and lost sites.  ``judge`` has the table of all figures.
+The tests in tests/lab plant a fault for each check.  A figure is None if a run has no data for it.
 """
--- a/oakbridge/lab/checks/check.py
+++ b/oakbridge/lab/checks/check.py
@@ -5,16 +5,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-NEVER_S = 1e9  # in place of a time: what was wanted never came
+NEVER_S = 1e9  # instead of a time: the expected event never happened
 
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """One figure, and what was wanted of it."""
+    """One figure, its bound and whether it holds."""
 
     name: str
-    figure: float | None  # None: nothing to judge by
-    wanted: str
+    figure: float | None  # None: the run has no data for it
+    wanted: str  # the bound, in words; empty if the plan has none
     holds: bool
     note: str = ""
 
--- a/oakbridge/lab/checks/ground_truth.py
+++ b/oakbridge/lab/checks/ground_truth.py
@@ -1,4 +1,4 @@
-"""What was possible at each moment of a run, by its plan: servers' capacity and sites in reach."""
+"""The capacity of servers and the reachability of sites at each time of a run, by its plan."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteLoss:
-    """The loss of a whole site, by the plan."""
+    """The loss of a whole site according to the plan."""
 
     site: str
     kind: str
     span: Span
-    other: str | None  # of a cut: from this site only
+    other: str | None  # of a cut: the other site; None: all other sites
 
 
 def site_losses(history: History) -> list[SiteLoss]:
-    """Return the losses of whole sites in the order of time."""
+    """Return the losses of whole sites in chronological order."""
     return [
         SiteLoss(fault.site, fault.kind, _fault_span(history, fault.at, fault.lasts), fault.other)
         for fault in sorted(history.plan.faults, key=lambda fault: fault.at)
@@ -38,10 +38,10 @@
 
 
 class GroundTruth:
-    """What each server can do at each moment, and which sites reach each other."""
+    """Each server's capacity at each time, and which sites can reach each other."""
 
     def __init__(self, history: History) -> None:
-        """Read the plan and the schedule of a run."""
+        """``history``: only its plan and its schedule are used."""
         self._plan = history.plan
         self._fleet = history.fleet
         self._losses = site_losses(history)
@@ -54,7 +54,7 @@
                     self._steps[name].append(step)
 
     def capacity_per_s(self, number: int, at_us: int) -> float:
-        """Return the requests a second that a server can serve at a time.
+        """Return the requests per second that a server can serve at a time.
 
         That is workers / mean time * size * speed * warmth, or 0 while it is down.
         """
@@ -74,7 +74,7 @@
         return full_rate_per_s * speed * self._warmth(started_us, at_us)
 
     def _warmth(self, started_us: int, at_us: int) -> float:
-        """Return the speed of a server that came back at a time (-1: never gone), at most 1."""
+        """Return the relative speed of a server started at a time; -1: it never stopped."""
         servers = self._plan.servers
         if started_us < 0 or not servers.cold_for:
             return 1.0
@@ -82,16 +82,23 @@
         return servers.cold + (1 - servers.cold) * progress
 
     def reachable_groups(self, at_us: int) -> list[frozenset[str]]:
-        """Return the sites in groups that reach each other both ways at a time."""
+        """Return groups of sites; within a group all can reach each other in both directions."""
         cut = self._cut_pairs(at_us)
         groups: list[set[str]] = []
         for site in self._plan.sites:
             name = site.name
-            joined = next((g for g in groups if all((name, s) not in cut for s in g)), None)
-            if joined is None:
+            reachable = next(
+                (
+                    candidate
+                    for candidate in groups
+                    if all((name, other) not in cut for other in candidate)
+                ),
+                None,
+            )
+            if reachable is None:
                 groups.append({name})
             else:
-                joined.add(name)
+                reachable.add(name)
         return [frozenset(group) for group in groups]
 
     def _cut_pairs(self, at_us: int) -> set[tuple[str, str]]:
@@ -105,23 +112,27 @@
         return pairs
 
     def max_served_weight(self, second: int, offered: Counter[tuple[str, int]]) -> float:
-        """Return the priority weight that can be served in a second, the heaviest classes first.
+        """Return the priority weight that can be served in a second, heaviest classes first.
 
-        ``offered``: requests that come in it by site and class.
+        ``offered``: number of requests in that second by site and class.
         """
         at_us = second * SECOND_US + SECOND_US // 2
-        weights = [c.worth for c in self._plan.classes]
+        weights = [table.worth for table in self._plan.classes]
         by_weight = sorted(range(len(weights)), key=lambda number: -weights[number])
         total = 0.0
         for group in self.reachable_groups(at_us):
-            room = sum(
+            capacity = sum(
                 self.capacity_per_s(server.number, at_us)
                 for server in self._fleet.servers
                 if server.site in group
             )
             for number in by_weight:
-                came = sum(n for (site, k), n in offered.items() if k == number and site in group)
-                served = min(room, came)
-                room -= served
+                arrived = sum(
+                    count
+                    for (site, class_number), count in offered.items()
+                    if class_number == number and site in group
+                )
+                served = min(capacity, arrived)
+                capacity -= served
                 total += served * weights[number]
         return total
--- a/oakbridge/lab/checks/judge.py
+++ b/oakbridge/lab/checks/judge.py
@@ -1,4 +1,4 @@
-"""All checks of a run: the rules, which always hold, and the figures that its plan asks for."""
+"""All checks of a run: rules, which must always hold, and figures, which its plan may bound."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 MAX_NAMED_CRASHES = 5
 
 RULES: dict[str, Callable[[History], tuple[int, str]]] = {
-    "one answer": request_rules.count_unanswered,
+    "one answer": request_rules.count_response_violations,
     "no effect twice": request_rules.count_repeated_effects,
 }
 
-# The names that plans and summaries use.
+# By the names in plans and summaries.
 FIGURES: dict[str, Callable[[History], float | None]] = {
     "served": service.served_fraction,
     "worth served": service.served_weight_fraction,
@@ -41,11 +41,11 @@
 
 
 def judge(history: History) -> list[Check]:
-    """Return all checks; a figure that the plan asks nothing of holds by itself."""
+    """Return all checks; a figure that the plan does not bound always holds."""
     checks = []
     for name, rule in RULES.items():
-        broken, note = rule(history)
-        checks.append(Check(name, broken, "0", not broken, note))
+        violations, note = rule(history)
+        checks.append(Check(name, violations, "0", not violations, note))
     checks.append(_check_crashes(history))
     wanted = {check.name: check for check in history.plan.checks}
     for name, figure in FIGURES.items():
@@ -60,7 +60,7 @@
 
 
 def _check_figure(name: str, figure: float | None, wanted: CheckTable | None) -> Check:
-    """Return the check of a figure; one without anything to judge by does not hold."""
+    """Return the check of a figure; a bounded figure without data does not hold."""
     if wanted is None:
         return Check(name, figure, "", True)
     if wanted.most is not None:
--- a/oakbridge/lab/checks/load_distribution.py
+++ b/oakbridge/lab/checks/load_distribution.py
@@ -1,4 +1,4 @@
-"""The figures of load distribution, from the history of a run."""
+"""The figures of load distribution, computed from the history of a run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from oakbridge.lab.load_distribution import Visits
 from oakbridge.lab.schedule import Span, StepKind
 
-# Steps that many nodes see at once.
+# Steps that affect many nodes at the same time.
 COMMON_STEPS = frozenset(
     {
         StepKind.SERVERS_DOWN,
@@ -28,7 +28,7 @@
 
 
 def build_visits(history: History) -> Visits:
-    """Return all visits; a server that is down, slow or warming up counts as unavailable."""
+    """Return all visits to servers; one that is down, slow or warming up counts as unavailable."""
     begin_us, duration_us = history.begin_us, history.duration_us
     rows = [
         (row["server"], row["came"] - begin_us, row["ended"] - begin_us)
@@ -52,13 +52,13 @@
         for name in step.names:
             if name not in numbers:
                 continue
-            found = spans[numbers[name]]
+            server_spans = spans[numbers[name]]
             if _makes_unavailable(step.kind, step.speed):
-                found.append(Span(step.at_us, history.duration_us))
-            elif step.kind in (StepKind.SERVERS_UP, StepKind.SERVERS_SPEED) and found:
+                server_spans.append(Span(step.at_us, history.duration_us))
+            elif step.kind in (StepKind.SERVERS_UP, StepKind.SERVERS_SPEED) and server_spans:
                 is_cold = step.kind is StepKind.SERVERS_UP
                 warm_up_us = history.plan.servers.cold_for if is_cold else 0
-                found[-1] = Span(found[-1].begin_us, step.at_us + warm_up_us)
+                server_spans[-1] = Span(server_spans[-1].begin_us, step.at_us + warm_up_us)
     return dict(spans)
 
 
@@ -67,19 +67,19 @@
 
 
 def common_events(history: History) -> list[int]:
-    """Return the times of steps that many nodes see at once."""
-    return sorted({s.at_us for s in history.schedule.steps if s.kind in COMMON_STEPS})
+    """Return the times of the steps that affect many nodes at the same time."""
+    return sorted({step.at_us for step in history.schedule.steps if step.kind in COMMON_STEPS})
 
 
 def _of_visits(figure: Callable[[Visits], float | None]) -> Callable[[History], float | None]:
     return lambda history: figure(build_visits(history))
 
 
-def _herd(history: History) -> float | None:
+def _herd_peak(history: History) -> float | None:
     return load_distribution.herd_peak(build_visits(history), common_events(history))
 
 
-def _alike(history: History) -> float | None:
+def _choice_similarity(history: History) -> float | None:
     return load_distribution.choice_similarity(build_visits(history), common_events(history))
 
 
@@ -88,6 +88,6 @@
     "variation": _of_visits(load_distribution.load_variation),
     "idle while others wait": _of_visits(load_distribution.idle_while_waiting),
     "idle beyond chance": _of_visits(load_distribution.idle_beyond_chance),
-    "herd": _herd,
-    "alike": _alike,
+    "herd": _herd_peak,
+    "alike": _choice_similarity,
 }
--- a/oakbridge/lab/checks/membership.py
+++ b/oakbridge/lab/checks/membership.py
@@ -1,4 +1,4 @@
-"""What nodes held of each other: how soon failures were known, and whether verdicts were right."""
+"""The membership views of nodes: detection times of failures, and the correctness of verdicts."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from oakbridge.lab.schedule import Span, StepKind
 
 SECOND_US = 1_000_000
-MIN_OUTAGE_US = 20 * SECOND_US  # a shorter one need not be learned
-CUT_AFTER_END_US = 10 * SECOND_US  # a cut that does not end lasts beyond the run
-# One that is back is held for failed for a moment yet, and its verdict is spread meanwhile.
+MIN_OUTAGE_US = 20 * SECOND_US  # a shorter outage need not be detected
+CUT_AFTER_END_US = 10 * SECOND_US  # assumed length of an unfinished cut beyond the run's end
+# After a node has returned, views have it as failed a little longer and spread that verdict.
 VERDICT_GRACE_US = 5 * SECOND_US
 
 FAILED = "failed"
@@ -22,31 +22,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Partition:
-    """A cut between nodes, both ways."""
+    """A cut between two groups of nodes, in both directions."""
 
     span: Span
-    ours: frozenset[str]
-    others: frozenset[str]
+    one_side: frozenset[str]
+    other_side: frozenset[str]
 
     def separates(self, node: str, other: str) -> bool:
-        """Return whether it lies between two nodes."""
-        return (node in self.ours and other in self.others) or (
-            node in self.others and other in self.ours
+        """Return whether the cut is between these two nodes."""
+        return (node in self.one_side and other in self.other_side) or (
+            node in self.other_side and other in self.one_side
         )
 
 
 def longest_until_first_learns(history: History) -> float | None:
-    """Return the most seconds from a failure until the first node held it for failed."""
+    """Return the longest time, in seconds, from an outage until the first node has it as failed."""
     return max((first_s for first_s, _ in _learning_times(history)), default=None)
 
 
 def longest_until_last_learns(history: History) -> float | None:
-    """Return the most seconds from a failure until all that were up throughout had learned it."""
+    """Return the longest time, in seconds, until all nodes without an outage have one as failed."""
     return max((last_s for _, last_s in _learning_times(history)), default=None)
 
 
 def _learning_times(history: History) -> list[tuple[float, float]]:
-    """Return the seconds until the first and the last node knew, for each outage of 20 s or more."""
+    """Return the detection times, in seconds, of the first and the last observer of each outage.
+
+    Outages shorter than 20 s are left out.
+    """
     outages, verdicts = history.outages(), _failed_verdicts(history)
     observers = {node.name for node in history.fleet.nodes} - set(outages)
     if not observers:
@@ -87,19 +90,27 @@
     found = []
     for step in steps:
         rule = step.rule
-        if step.kind is not StepKind.LINK or rule is None or not (rule.cut and rule.both):
+        if (
+            step.kind is not StepKind.LINK
+            or rule is None
+            or not (rule.is_cut and rule.both_directions)
+        ):
             continue
-        ends_us = [s.at_us for s in steps if s.kind is StepKind.UNLINK and s.rule == rule]
+        ends_us = [
+            later.at_us for later in steps if later.kind is StepKind.UNLINK and later.rule == rule
+        ]
         end_us = min(ends_us, default=history.duration_us + CUT_AFTER_END_US)
-        found.append(Partition(Span(step.at_us, end_us), rule.ours & nodes, rule.others & nodes))
+        found.append(
+            Partition(Span(step.at_us, end_us), rule.sources & nodes, rule.targets & nodes)
+        )
     return found
 
 
 def convergence_time(history: History) -> float | None:
-    """Return the seconds from the last fault or its end until all views were right and stayed so.
+    """Return the seconds from the last fault or end of a fault until all views stayed correct.
 
-    A view is right where it has exactly those members for present that are up at the run's end and
-    not cut off from its holder then.
+    A view is correct if it has exactly those members as present that are running at the run's end
+    and not cut off from the observer at that time.
     """
     if not history.plan.peers or not history.member_changes:
         return None
@@ -114,7 +125,7 @@
 
 
 class _Views:
-    """All nodes' views, each entry judged by the truth at the run's end."""
+    """All nodes' views; each entry is compared with the true state at the run's end."""
 
     def __init__(self, history: History) -> None:
         end_us = history.duration_us
@@ -134,7 +145,7 @@
         self._wrong: set[tuple[str, str]] = set()
 
     def apply(self, change: MemberChange) -> bool:
-        """Take in a change; return whether an entry has become right or wrong by it."""
+        """Apply a change; return whether it has made an entry correct or wrong."""
         if change.observer == change.member:
             return False
         self._states[change.observer, change.member] = change.after
@@ -145,14 +156,14 @@
         return len(self._wrong) != wrong_before
 
     def any_wrong(self) -> bool:
-        """Return whether any entry is wrong, with those that never changed."""
+        """Return whether any entry is wrong, including entries that never changed."""
         for observer in self._up:
             for member in self._names - {observer}:
                 self._judge(observer, member)
         return bool(self._wrong)
 
     def _judge(self, observer: str, member: str) -> None:
-        is_cut = any(p.separates(observer, member) for p in self._partitions)
+        is_cut = any(partition.separates(observer, member) for partition in self._partitions)
         is_expected = member in self._up and not is_cut
         is_present = self._states.get((observer, member), "") in PRESENT_STATES
         if is_present == is_expected:
@@ -162,9 +173,9 @@
 
 
 def false_failure_verdicts(history: History) -> float | None:
-    """Count verdicts of failure about nodes that were up and in reach of whoever gave them.
+    """Count verdicts of failure about nodes that were running and reachable by the observer.
 
-    A verdict is excused from the begin of an outage of either node, or of a cut between them, until
+    A verdict is excused from the start of an outage of either node, or of a cut between them, until
     5 s after its end.
     """
     if not history.plan.peers:
@@ -174,7 +185,11 @@
     for change in history.member_changes:
         if change.after != FAILED or change.at_us < 0:
             continue
-        cuts = [p.span for p in partitions if p.separates(change.observer, change.member)]
+        cuts = [
+            partition.span
+            for partition in partitions
+            if partition.separates(change.observer, change.member)
+        ]
         excuses = (
             *outages.get(change.member, ()),
             *outages.get(change.observer, ()),
@@ -189,7 +204,10 @@
 
 
 def max_changes_per_fault(history: History) -> float | None:
-    """Return the most changes to or from failed of one member in one view, over faults and ends."""
+    """Return the most changes to or from failed of one member in one view, per fault edge.
+
+    Fault edges are the starts and the ends of faults.
+    """
     if not history.plan.peers:
         return None
     counts: Counter[tuple[str, str]] = Counter()
--- a/oakbridge/lab/checks/request_rules.py
+++ b/oakbridge/lab/checks/request_rules.py
@@ -1,4 +1,4 @@
-"""The rules that hold for every request: one answer in time, and no effect twice."""
+"""The rules for every request: exactly one response in time, and no repeated effect."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 from oakbridge.lab.schedule import Span
 
 TIMING_TOLERANCE_US = 50_000
-MAX_LATENESS_US = 500_000  # beyond the deadline
-HELD_BACK_US = 1_000_000  # until what a cut has held back has come, after its end
+MAX_LATENESS_US = 500_000  # of a response, beyond the request's deadline
+CUT_BACKLOG_US = 1_000_000  # time after a cut in which data that it delayed can still arrive
 
-NOT_ACCEPTED = -1  # in place of a status: no node took the connection
-NO_ANSWER = 0
+NOT_ACCEPTED = -1  # instead of a status: no node accepted the connection
+NO_RESPONSE = 0  # instead of a status: the request got no response
 
 
-def count_unanswered(history: History) -> tuple[int, str]:
-    """Count requests without exactly one answer in time; return the count and a note by kind.
+def count_response_violations(history: History) -> tuple[int, str]:
+    """Count requests without exactly one response in time; return the count and a note by kind.
 
-    Broken are a request without an answer, a first try answered later than deadline + 0.5 s, and an
-    answer that nobody asked for.  Requests at a node that was killed or frozen meanwhile, and those
-    that no node took, are left out.
+    Violations are a request without a response, a first try answered later than its deadline +
+    0.5 s, and a response without a request.  Requests at a node that was killed or frozen during
+    them, and requests that no node accepted, are left out.
     """
     outages = history.outages()
     names = [node.name for node in history.fleet.nodes]
-    deadlines = [c.deadline for c in history.plan.classes]
-    broken: Counter[str] = Counter()
+    deadlines = [table.deadline for table in history.plan.classes]
+    violations: Counter[str] = Counter()
     for row in history.requests:
         if row["status"] == NOT_ACCEPTED:
             continue
         if _overlaps_outage(history, row, outages.get(names[row["node"]], ())):
             continue
-        if row["status"] == NO_ANSWER:
-            broken["no answer"] += 1
+        if row["status"] == NO_RESPONSE:
+            violations["no answer"] += 1
         elif row["tries"] == 1 and row["took"] > deadlines[row["class"]] + MAX_LATENESS_US:
-            broken["late by more than half a second"] += 1
-    broken["unasked"] += history.unsolicited_answers
-    return broken.total(), _describe(broken)
+            violations["late by more than half a second"] += 1
+    violations["unasked"] += history.unsolicited_responses
+    return violations.total(), _describe(violations)
 
 
 def _overlaps_outage(history: History, row: Mapping[str, Any], outages: Iterable[Span]) -> bool:
@@ -53,32 +53,34 @@
 
 
 def count_repeated_effects(history: History) -> tuple[int, str]:
-    """Count requests with two attempts out at once, or unsafe ones begun twice; return a note too.
+    """Count requests with concurrent attempts, and unsafe ones started twice; return a note too.
 
-    Two attempts a and b, in the order of arrival, are out at once where
+    Two attempts a and b, in the order of arrival, are concurrent if
     b.arrived < a.ended - 50 ms - 2 * (delay + delay between sites).
 
-    Attempts across a cut are left out of this: what was cancelled while the way was cut goes on at
-    the server until the heal, or comes to it only then, so that the server's times do not tell
-    whether it was still out.
+    Attempts across a cut are left out of this rule.  An attempt that is cancelled during the cut
+    continues at the server until the cut ends, or arrives there only then, so that the server's
+    times do not show whether the node still had the attempt in flight.
     """
-    unsafe = {k for k, c in enumerate(history.plan.classes) if c.repeat == "unsafe"}
+    unsafe = {
+        number for number, table in enumerate(history.plan.classes) if table.repeat == "unsafe"
+    }
     classes = {row["request"]: row["class"] for row in history.requests}
     nodes = {row["request"]: row["node"] for row in history.requests if row["node"] >= 0}
-    broken: Counter[str] = Counter()
+    violations: Counter[str] = Counter()
     for request, rows in _executions_by_request(history).items():
         if len(rows) < 2:
             continue
         judged = [row for row in rows if not _crosses_cut(history, nodes.get(request), row)]
         if _has_overlap(history, judged):
-            broken["two out at once"] += 1
+            violations["two out at once"] += 1
         if classes.get(request) in unsafe and sum(row["begun"] for row in rows) > 1:
-            broken["unsafe, begun twice"] += 1
-    return broken.total(), _describe(broken)
+            violations["unsafe, begun twice"] += 1
+    return violations.total(), _describe(violations)
 
 
 def _executions_by_request(history: History) -> dict[str, list[dict[str, Any]]]:
-    """Return the executions of each request in the order of their arrival."""
+    """Return the executions of each request in the order of arrival."""
     by_request: dict[str, list[dict[str, Any]]] = defaultdict(list)
     for row in history.executions:
         by_request[row["request"]].append(row)
@@ -94,7 +96,7 @@
 
 
 def _crosses_cut(history: History, node: int | None, row: Mapping[str, Any]) -> bool:
-    """Return whether the way to the server was cut during the execution or shortly before it."""
+    """Return whether the link to the server was cut during the execution or shortly before it."""
     if node is None:
         return False
     ends = {history.fleet.nodes[node].site, history.fleet.servers[row["server"]].site}
@@ -102,7 +104,7 @@
     sites = {site.name for site in history.plan.sites}
     for fault in history.plan.faults:
         until_us = fault.at + (fault.lasts or history.duration_us)
-        is_in_time = fault.at <= ended_us and arrived_us <= until_us + HELD_BACK_US
+        is_in_time = fault.at <= ended_us and arrived_us <= until_us + CUT_BACKLOG_US
         if fault.kind == "cut" and is_in_time:
             others = {fault.other} if fault.other else sites - {fault.site}
             if fault.site in ends and ends & others:
@@ -110,5 +112,5 @@
     return False
 
 
-def _describe(broken: Counter[str]) -> str:
-    return ", ".join(f"{count} {kind}" for kind, count in sorted(broken.items()) if count)
+def _describe(violations: Counter[str]) -> str:
+    return ", ".join(f"{count} {kind}" for kind, count in sorted(violations.items()) if count)
--- a/oakbridge/lab/checks/server_load.py
+++ b/oakbridge/lab/checks/server_load.py
@@ -1,4 +1,4 @@
-"""How servers were used: idle time and the load of the busiest one."""
+"""The use of servers: idle time, and the load of the busiest ones."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def _covered_us(spans: list[Span]) -> int:
-    """Return the length of the union of the spans."""
+    """Return the total length of the union of the spans."""
     total_us = covered_until_us = 0
     for span in sorted(spans, key=lambda span: span.begin_us):
         total_us += max(0, span.end_us - max(span.begin_us, covered_until_us))
@@ -38,7 +38,10 @@
 
 
 def load_ratio_percentile(history: History) -> float | None:
-    """Return the 99th percentile of load / fair share by size, over servers and windows of 10 s."""
+    """Return the 99th percentile of load / fair share, over servers and windows of 10 s.
+
+    Fair shares are proportional to the servers' sizes.
+    """
     plan_sizes = history.plan.servers.sizes
     sizes = [plan_sizes[server.number % len(plan_sizes)] for server in history.fleet.servers]
     ratios = []
@@ -51,7 +54,7 @@
 
 
 def _counts_by_window(history: History) -> dict[int, Counter[int]]:
-    """Return the executions at each server by full window; of a short run, in its one window."""
+    """Return the executions at each server by full window; a short run is one window."""
     duration_us = history.duration_us
     end_us = duration_us if duration_us < WINDOW_US else duration_us // WINDOW_US * WINDOW_US
     counts: dict[int, Counter[int]] = defaultdict(Counter)
@@ -62,7 +65,7 @@
     return counts
 
 
-def percentile(values: list[float], part: float) -> float:
-    """Return the value that this part of all values stays at or under, by rank."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return the smallest value that at least this fraction of the values does not exceed."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, math.ceil(part * len(ordered)) - 1)]
+    return ordered[min(len(ordered) - 1, math.ceil(fraction * len(ordered)) - 1)]
--- a/oakbridge/lab/checks/service.py
+++ b/oakbridge/lab/checks/service.py
@@ -1,4 +1,4 @@
-"""What clients got: requests served in time, by number and by priority weight, and attempts."""
+"""The service to clients: requests and priority weight served in time, and executions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def first_tries(history: History) -> list[dict[str, Any]]:
-    """Return the requests that were due in the run, without the clients' retries."""
+    """Return the requests that were due during the schedule, without the clients' retries."""
     return [
         row
         for row in history.requests
@@ -20,12 +20,12 @@
 
 
 def served_fraction(history: History) -> float | None:
-    """Return requests served within their latency objective, by a retry also, over all due."""
+    """Return the fraction of requests served within their latency objective, also by a retry."""
     return _served_fraction(history, lambda _: 1.0)
 
 
 def served_weight_fraction(history: History) -> float | None:
-    """Return the priority weight served within the latency objective, over all that was due."""
+    """Return the fraction of the due priority weight served within the latency objective."""
     return _served_fraction(history, lambda number: history.plan.classes[number].worth)
 
 
@@ -46,5 +46,5 @@
 
 
 def executions_per_request(history: History) -> float | None:
-    """Return executions at servers over requests."""
+    """Return the mean number of executions at servers per request."""
     return len(history.executions) / len(history.requests) if history.requests else None
--- a/oakbridge/lab/checks/site_loss.py
+++ b/oakbridge/lab/checks/site_loss.py
@@ -1,4 +1,4 @@
-"""What became of the load when a site was lost and came back."""
+"""The load and the service during the loss of a site and after its return."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 SECOND_US = 1_000_000
 REJECTED_STATUSES = (429, 503)
-BEFORE_US = 5 * SECOND_US  # before a loss, in which a site's usual load is measured
-MAX_UNSETTLED = 0.05  # of the load that a site had carried
-USUAL_LOAD = 0.9  # of its load before: a site carries it again
+BEFORE_US = 5 * SECOND_US  # time before a loss in which a site's usual load is measured
+MAX_UNSETTLED = 0.05  # fraction of a site's usual load
+RECOVERED_LOAD = 0.9  # fraction of its usual load from which a site counts as recovered
 LOAD_WINDOW_US = 2 * SECOND_US
 LOAD_STEP_US = SECOND_US // 2
-CALM_US = 10 * SECOND_US  # after a return, before the next loss or the end
+CALM_US = 10 * SECOND_US  # minimum time from a return to the next loss or the run's end
 OVERLOAD_WINDOW_US = 5 * SECOND_US
-MIN_REQUESTS_PER_S = 20  # in a second that tells of a retry storm
+MIN_REQUESTS_PER_S = 20  # in a second that is evaluated for retry amplification
 
 
 def _second(history: History, at_us: int) -> int:
@@ -37,9 +37,9 @@
 
 
 def kept_weight_fraction(history: History) -> float | None:
-    """Return the weight served in time while a site was lost, over the most that was possible.
+    """Return the weight served in time while a site was lost, over the possible maximum.
 
-    The most is that of a policy that knows the truth at once, by capacity and reach in each second.
+    The maximum is that of a policy that knows the capacities and the reachability in each second.
     """
     seconds, truth, served = _seconds_of_loss(history), GroundTruth(history), 0.0
     names = [site.name for site in history.plan.sites]
@@ -52,14 +52,14 @@
             offered[second][names[row["site"]], row["class"]] += 1
         if is_served_in_time(row):
             served += history.plan.classes[row["class"]].worth
-    most = sum(truth.max_served_weight(second, came) for second, came in offered.items())
-    return served / most if most else None
+    maximum = sum(truth.max_served_weight(second, requests) for second, requests in offered.items())
+    return served / maximum if maximum else None
 
 
 def longest_until_moved(history: History) -> float | None:
-    """Return the most seconds until a lost site's load was served elsewhere or rejected at once.
+    """Return the most seconds until a lost site's load was served elsewhere or rejected.
 
-    It is moved after the last second in which more than 5% of the load that the site had carried is
+    The load has moved after the last second in which more than 5% of the site's usual load is
     neither served in time nor rejected.
     """
     found = []
@@ -70,13 +70,13 @@
         if not before:
             continue
         unsettled = _unsettled_by_second(history, loss)
-        late = [second for second, n in unsettled.items() if n > MAX_UNSETTLED * before]
+        late = [second for second, count in unsettled.items() if count > MAX_UNSETTLED * before]
         found.append(float(max(late) + 1) if late else 0.0)
     return max(found, default=None)
 
 
 def _unsettled_by_second(history: History, loss: SiteLoss) -> Counter[int]:
-    """Count first tries neither served in time nor rejected, by second of the loss."""
+    """Count the first tries that are neither served in time nor rejected, by second of the loss."""
     unsettled: Counter[int] = Counter()
     for row in history.requests:
         at_us = row["due"] - history.begin_us
@@ -92,7 +92,7 @@
 
 
 def _site_load(history: History, site: str, span: Span) -> float:
-    """Return the requests a second at a site's servers; 0 for an empty span."""
+    """Return the requests per second at a site's servers; 0 for an empty span."""
     if span.end_us <= span.begin_us:
         return 0.0
     numbers = {server.number for server in history.fleet.servers if server.site == site}
@@ -106,10 +106,10 @@
 
 
 def longest_recovery_time(history: History) -> float | None:
-    """Return the most seconds from a site's return until it carries 0.9 of its usual load.
+    """Return the longest time, in seconds, from a site's return until it has 0.9 of its usual load.
 
-    The load is taken in windows of 2 s, and compared with that before the first loss; returns with
-    less than 10 s of calm after them are left out.
+    The load is measured in windows of 2 s.  The usual load is that before the first loss.  Returns
+    less than 10 s before the next loss or the run's end are left out.
     """
     losses = site_losses(history)
     if not losses:
@@ -123,7 +123,7 @@
         usual = _load_before(history, loss.site, first_loss_us)
         if usual:
             calm = Span(loss.span.end_us, end_us)
-            found.append(_recovery_time(history, loss.site, calm, USUAL_LOAD * usual))
+            found.append(_recovery_time(history, loss.site, calm, RECOVERED_LOAD * usual))
     return max(found, default=None)
 
 
@@ -135,9 +135,9 @@
 
 
 def max_overload(history: History) -> float | None:
-    """Return the most requests at a server over its capacity, in windows of 5 s.
+    """Return the highest ratio of requests at a server to its capacity, in windows of 5 s.
 
-    Windows in which the server was down are left out, as a part is lost either way.
+    Windows in which the server was down for a part are left out, as requests fail there anyway.
     """
     if not history.executions:
         return None
@@ -160,13 +160,13 @@
 
 
 def priority_inversions(history: History) -> float | None:
-    """Return the fraction of rejections while something of less weight was served, by second.
+    """Return the fraction of rejections while requests of less weight were served, by second.
 
-    In each second of a loss, of the heaviest rejected class: min(its rejections, requests of less
-    weight that were served), over all rejections.
+    Each second of a loss counts min(rejections of the heaviest rejected class, served requests of
+    less weight); the sum is divided by all rejections.
     """
     seconds = _seconds_of_loss(history)
-    weights = [c.worth for c in history.plan.classes]
+    weights = [table.worth for table in history.plan.classes]
     rejected: dict[int, Counter[float]] = defaultdict(Counter)
     served: dict[int, Counter[float]] = defaultdict(Counter)
     for row in history.requests:
@@ -181,13 +181,13 @@
     inverted = 0
     for second, counts in rejected.items():
         heaviest = max(counts)
-        lighter = sum(n for weight, n in served[second].items() if weight < heaviest)
+        lighter = sum(count for weight, count in served[second].items() if weight < heaviest)
         inverted += min(counts[heaviest], lighter)
     return inverted / total if total else None
 
 
 def max_retry_amplification(history: History) -> float | None:
-    """Return the most executions over requests due, of the seconds with at least 20 of these."""
+    """Return the highest ratio of executions to due requests, of seconds with 20 or more due."""
     due = Counter(_second(history, row["due"]) for row in history.requests)
     came = Counter(_second(history, row["came"]) for row in history.executions)
     ratios = [
@@ -199,7 +199,7 @@
 
 
 def max_site_changes(history: History) -> float | None:
-    """Return the most changes of a site's state in one view, over begins and ends of losses."""
+    """Return the most changes of a site's state in one view, per start or end of a loss."""
     counts = Counter(
         (change.observer, change.site)
         for change in history.site_changes
@@ -221,10 +221,10 @@
 
 
 def site_load_by_second(history: History, sites: Iterable[str]) -> dict[str, list[float]]:
-    """Return the requests at each site's servers in each second, for charts."""
+    """Return the requests per second at each site's servers, by second, for charts."""
     site_of = {server.number: server.site for server in history.fleet.servers}
     counts: dict[str, Counter[int]] = {site: Counter() for site in sites}
     for row in history.executions:
         counts[site_of[row["server"]]][_second(history, row["came"])] += 1
     seconds = range(max(1, history.duration_us // SECOND_US))
-    return {site: [float(count[s]) for s in seconds] for site, count in counts.items()}
+    return {site: [float(count[second]) for second in seconds] for site, count in counts.items()}
--- a/oakbridge/lab/client_connection.py
+++ b/oakbridge/lab/client_connection.py
@@ -10,22 +10,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """A complete response."""
+class Response:
+    """The status of a complete response, and its Retry-After in seconds (0: none)."""
 
     status: int
     retry_after_s: float = 0.0
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection; it counts answers that nobody asked for."""
+    """One connection; it counts data that comes without a request."""
 
     def __init__(self) -> None:
-        """Wait for the transport."""
-        self.transport: asyncio.Transport | None = None  # None: not open, or lost
-        self.unsolicited_answers = 0
+        """Create a connection that is not open yet."""
+        self.transport: asyncio.Transport | None = None  # None: not open, or closed
+        self.unsolicited_responses = 0
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: asyncio.Future[Answer] | None = None
+        self._response: asyncio.Future[Response] | None = None
         self._retry_after_s = 0.0
 
     @property
@@ -38,15 +38,15 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's form
-        """Fail the request under way."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's interface
+        """Fail the request in flight."""
         self.transport = None
         self._fail()
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of the answer."""
-        if self._answer is None or self._answer.done():
-            self.unsolicited_answers += 1
+        """Parse a part of the response."""
+        if self._response is None or self._response.done():
+            self.unsolicited_responses += 1
             return
         try:
             self._parser.feed_data(data)
@@ -54,8 +54,8 @@
             self._fail()
 
     def _fail(self) -> None:
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_exception(ConnectionResetError())
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(ConnectionResetError())
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Keep Retry-After; httptools calls this for each header."""
@@ -64,17 +64,17 @@
                 self._retry_after_s = float(value)
 
     def on_message_complete(self) -> None:
-        """Hand out the answer; httptools calls this at its end."""
-        if self._answer is not None and not self._answer.done():
+        """Finish the request; httptools calls this at the end of the response."""
+        if self._response is not None and not self._response.done():
             status = int(self._parser.get_status_code())
-            self._answer.set_result(Answer(status, self._retry_after_s))
+            self._response.set_result(Response(status, self._retry_after_s))
 
-    async def send_request(self, request: bytes) -> Answer:
-        """Send a request and wait for its answer.  Raise OSError where the connection is lost."""
+    async def send_request(self, request: bytes) -> Response:
+        """Send a request and return its response.  Raises OSError if the connection closes."""
         if self.transport is None:
             raise ConnectionResetError
         self._parser = httptools.HttpResponseParser(self)
         self._retry_after_s = 0.0
-        self._answer = asyncio.get_running_loop().create_future()
+        self._response = asyncio.get_running_loop().create_future()
         self.transport.write(request)
-        return await self._answer
+        return await self._response
--- a/oakbridge/lab/compare.py
+++ b/oakbridge/lab/compare.py
@@ -1,4 +1,4 @@
-"""Comparisons of runs: the cases, pairs by seed, and the verdict on the differences.  Pure."""
+"""Compares runs: builds the cases, pairs figures by seed, and judges the differences.  No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from typing import Any
 
 RESAMPLES = 4000
-MIN_PAIRS = 5  # with fewer the interval says nothing
+MIN_PAIRS = 5  # an interval of fewer pairs is meaningless
 CONFIDENCE = 0.95
 
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """A plan, with changed values and from a checkout, that is played with each seed."""
+    """A plan file with changed values, run with each seed and the code of a checkout."""
 
     name: str
     file: Path
@@ -31,44 +31,46 @@
 
 
 def parse_variation(text: str) -> tuple[str, list[Any]]:
-    """Parse ``key=a,b,c``: a dotted path in the file, and its values in TOML.
+    """Parse ``key=a,b,c`` into a dotted path in the plan file and TOML values.
 
-    Raise InvalidVariationError for anything else.
+    Raises InvalidVariationError for any other text.
     """
-    key, sign, values = text.partition("=")
-    if not key or not sign:
+    key, separator, values = text.partition("=")
+    if not key or not separator:
         raise InvalidVariationError(f"vary: expected KEY=VALUE,VALUE..., got {text!r:.80}")
     try:
-        found = tomllib.loads(f"v = [{values}]")["v"]
-    except tomllib.TOMLDecodeError as e:
+        parsed = tomllib.loads(f"v = [{values}]")["v"]
+    except tomllib.TOMLDecodeError as error:
         raise InvalidVariationError(
-            f"vary {key}: expected values as TOML has them, texts in quotes ({e})"
+            f"vary {key}: expected values as TOML has them, texts in quotes ({error})"
         ) from None
-    if not found:
+    if not parsed:
         raise InvalidVariationError(f"vary {key}: expected a value at least")
-    return key, found
+    return key, parsed
 
 
 def apply_change(raw: dict[str, Any], key: str, value: Any) -> None:
-    """Put a value at a dotted path, in which a number is an index of a list.
+    """Set the value at a dotted path, in which a number is the index of a list item.
 
-    Raise InvalidVariationError where the path does not fit the file.
+    Raises InvalidVariationError if the path does not fit the file.
     """
     *path, last = key.split(".")
-    at: Any = raw
-    for done, word in enumerate(path):
-        if isinstance(at, list) and word.isdigit() and int(word) < len(at):
-            at = at[int(word)]
-        elif isinstance(at, dict) and isinstance(at.setdefault(word, {}), dict | list):
-            at = at[word]
+    container: Any = raw
+    for depth, part in enumerate(path):
+        if isinstance(container, list) and part.isdigit() and int(part) < len(container):
+            container = container[int(part)]
+        elif isinstance(container, dict) and isinstance(
+            container.setdefault(part, {}), dict | list
+        ):
+            container = container[part]
         else:
             raise InvalidVariationError(
-                f"vary {key}: expected a table or a list's number at {'.'.join(path[: done + 1])!r}"
+                f"vary {key}: expected a table or a list's number at {'.'.join(path[: depth + 1])!r}"
             )
-    if isinstance(at, list) and last.isdigit() and int(last) < len(at):
-        at[int(last)] = value
-    elif isinstance(at, dict):
-        at[last] = value
+    if isinstance(container, list) and last.isdigit() and int(last) < len(container):
+        container[int(last)] = value
+    elif isinstance(container, dict):
+        container[last] = value
     else:
         raise InvalidVariationError(f"vary {key}: expected a field or a list's number at its end")
 
@@ -76,34 +78,36 @@
 def build_cases(
     files: Sequence[Path], vary: Sequence[tuple[str, list[Any]]], roots: Sequence[Path]
 ) -> list[Case]:
-    """Return each file with each combination of values, from each checkout.
+    """Return a case for each file, combination of values and checkout.
 
-    Raise InvalidVariationError where two cases have the same name.
+    Raises InvalidVariationError if two cases have the same name.
     """
-    found = []
+    cases = []
     for file, root in itertools.product(files, roots or (None,)):
         for values in itertools.product(*(values for _, values in vary)):
             changes = tuple((key, value) for (key, _), value in zip(vary, values, strict=True))
-            words = [file.stem] if len(files) > 1 or not (changes or root) else []
-            words += [f"{key.split('.')[-1]}={str(value) or 'nothing'}" for key, value in changes]
-            words += [root.name] if root is not None else []
-            found.append(Case(" ".join(words), file, changes, root))
-    if len({c.name for c in found}) < len(found):
+            name_parts = [file.stem] if len(files) > 1 or not (changes or root) else []
+            name_parts += [
+                f"{key.split('.')[-1]}={str(value) or 'nothing'}" for key, value in changes
+            ]
+            name_parts += [root.name] if root is not None else []
+            cases.append(Case(" ".join(name_parts), file, changes, root))
+    if len({case.name for case in cases}) < len(cases):
         raise InvalidVariationError("expected files, values and checkouts by names that differ")
-    return found
+    return cases
 
 
 @dataclass(frozen=True, slots=True)
 class Compared:
-    """One figure of one case, beside that of the first case."""
+    """One figure of one case, compared with that of the first case."""
 
     figure: str
     case: str
     median: float
-    difference: float | None = None  # the median of the pairs'
+    difference: float | None = None  # median of the differences of pairs with the same seed
     low: float | None = None
     high: float | None = None
-    verdict: str = ""  # higher, lower, or that nothing can be said
+    verdict: str = ""  # higher, lower, no difference shown, or too few pairs
 
 
 COMPARED_COLUMNS = ("figure", "case", "median", "difference", "low", "high", "verdict")
@@ -125,47 +129,60 @@
 def bootstrap_interval(differences: Sequence[float], seed: int = 1) -> tuple[float, float]:
     """Return the bootstrap interval of the median of paired differences.
 
-    By Efron's percentile method, at a confidence of 95%.
+    It is computed by Efron's percentile method, at a confidence of 95%.
     """
     rng = random.Random(seed)
     medians = sorted(
         statistics.median(rng.choices(differences, k=len(differences))) for _ in range(RESAMPLES)
     )
-    cut = (1 - CONFIDENCE) / 2
-    return medians[int(cut * RESAMPLES)], medians[int((1 - cut) * RESAMPLES) - 1]
+    tail = (1 - CONFIDENCE) / 2
+    return medians[int(tail * RESAMPLES)], medians[int((1 - tail) * RESAMPLES) - 1]
 
 
-def compare(found: Mapping[str, Mapping[int, Mapping[str, float | None]]]) -> list[Compared]:
+def compare(figures: Mapping[str, Mapping[int, Mapping[str, float | None]]]) -> list[Compared]:
     """Compare all cases with the first one, by figure.
 
-    ``found``: the figures by case, in order, and seed.  A verdict is given only where the interval
-    leaves out 0.
+    ``figures``: by case, in order, by seed and by name.  A difference is claimed only if its
+    interval excludes 0.
     """
-    (first, base), *others = found.items()
+    (first_case, first_seeds), *others = figures.items()
     rows = []
     for figure in sorted(
-        {name for seeds in found.values() for one in seeds.values() for name in one}
+        {name for seeds in figures.values() for run in seeds.values() for name in run}
     ):
-        own = {seed: value for seed, one in base.items() if (value := one.get(figure)) is not None}
-        if own:
-            rows.append(Compared(figure, first, statistics.median(own.values())))
+        first_values = {
+            seed: value
+            for seed, run in first_seeds.items()
+            if (value := run.get(figure)) is not None
+        }
+        if first_values:
+            rows.append(Compared(figure, first_case, statistics.median(first_values.values())))
         for case, seeds in others:
-            theirs = {
-                seed: value for seed, one in seeds.items() if (value := one.get(figure)) is not None
+            values = {
+                seed: value for seed, run in seeds.items() if (value := run.get(figure)) is not None
             }
-            if not theirs:
+            if not values:
                 continue
-            pairs = [theirs[seed] - own[seed] for seed in sorted(theirs.keys() & own.keys())]
-            middle = statistics.median(theirs.values())
-            if len(pairs) < MIN_PAIRS:
-                told = statistics.median(pairs) if pairs else None
+            differences = [
+                values[seed] - first_values[seed]
+                for seed in sorted(values.keys() & first_values.keys())
+            ]
+            median = statistics.median(values.values())
+            if len(differences) < MIN_PAIRS:
+                difference = statistics.median(differences) if differences else None
                 rows.append(
-                    Compared(figure, case, middle, told, verdict=f"{len(pairs)} pairs: too few")
+                    Compared(
+                        figure,
+                        case,
+                        median,
+                        difference,
+                        verdict=f"{len(differences)} pairs: too few",
+                    )
                 )
                 continue
-            low, high = bootstrap_interval(pairs)
+            low, high = bootstrap_interval(differences)
             verdict = "higher" if low > 0 else "lower" if high < 0 else "no difference shown"
             rows.append(
-                Compared(figure, case, middle, statistics.median(pairs), low, high, verdict)
+                Compared(figure, case, median, statistics.median(differences), low, high, verdict)
             )
     return rows
--- a/oakbridge/lab/datagram_forwarder.py
+++ b/oakbridge/lab/datagram_forwarder.py
@@ -1,4 +1,4 @@
-"""The switch's forwarding of members' datagrams: lost, doubled and delayed by the links."""
+"""The switch's forwarding of members' datagrams, which links lose, duplicate and delay."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 from oakbridge.lab.links import Links
 
-IP_PKTINFO = 8  # of Linux; not in the socket module
+IP_PKTINFO = 8  # Linux constant that the socket module lacks
 PKTINFO = struct.Struct("=I4s4s")  # interface, local address, destination address
 ANY_ADDRESS = b"\0\0\0\0"
 MAX_DATAGRAMS_PER_TURN = 64
@@ -30,7 +30,7 @@
 
 
 def bind_shared(kind: int, port: int) -> socket.socket:
-    """Return a socket on all loopback addresses, shared with the switch's other processes."""
+    """Return a socket on all addresses, whose port is shared with other switch processes."""
     sock = socket.socket(socket.AF_INET, kind)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -39,7 +39,7 @@
 
 
 class DatagramForwarder:
-    """Receive datagrams at the nodes' addresses on the switch, and send them on from there."""
+    """Receives datagrams at the receivers' switch addresses; sends them from the senders'."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         rng: random.Random,
         counts: Counter[str],
     ) -> None:
-        """``nodes``: names in the order of their numbers; ``counts``: what went through."""
+        """``nodes``: names in the order of their numbers; ``counts``: to be updated."""
         self._slot = slot
         self._nodes = nodes
         self._links = links
@@ -58,7 +58,7 @@
         self._socket = bind_shared(socket.SOCK_DGRAM, slot.port(MEMBER_SWITCH_PORT))
 
     def start(self) -> None:
-        """Begin to receive."""
+        """Start to receive."""
         self._socket.setsockopt(socket.IPPROTO_IP, IP_PKTINFO, 1)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._socket.setblocking(False)
@@ -73,20 +73,22 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                self._counts["refused"] += 1  # an ICMP message about an earlier one
+                self._counts["refused"] += 1  # ICMP error about an earlier datagram
                 continue
             destination = _destination(ancillary)
             if destination is not None:
                 self._forward(data, host_number(source[0]), host_number(destination))
 
     def _forward(self, data: bytes, sender: int, receiver: int) -> None:
-        known = range(len(self._nodes))
-        if sender not in known or receiver not in known:
+        node_numbers = range(len(self._nodes))
+        if sender not in node_numbers or receiver not in node_numbers:
             self._counts["strangers"] += 1
             return
         self._counts["datagrams"] += 1
         self._counts["bytes"] += len(data)
-        delays_us = self._links.datagram(self._nodes[sender], self._nodes[receiver], self._random)
+        delays_us = self._links.draw_datagram_delays(
+            self._nodes[sender], self._nodes[receiver], self._random
+        )
         self._counts["dropped"] += not delays_us
         loop = asyncio.get_running_loop()
         for delay_us in delays_us:
@@ -106,7 +108,7 @@
 
 
 def _destination(ancillary: list[tuple[int, int, bytes]]) -> str | None:
-    """Return the address that a datagram was sent to."""
+    """Return the destination address of a datagram, None if it is unknown."""
     for level, kind, data in ancillary:
         if (level, kind) == (socket.IPPROTO_IP, IP_PKTINFO):
             _, _, address = PKTINFO.unpack(data[: PKTINFO.size])
--- a/oakbridge/lab/fleet.py
+++ b/oakbridge/lab/fleet.py
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """All hosts, each kind in the order of its numbers."""
+    """All nodes and servers, each in the order of their numbers."""
 
     nodes: tuple[Host, ...]
     servers: tuple[Host, ...]
 
 
 def build_fleet(plan: Plan) -> Fleet:
-    """Assign numbers to the plan's hosts; sites take turns, so that no site has all the low numbers."""
+    """Assign host numbers; sites take turns, so that no site gets all low numbers."""
     return Fleet(
         nodes=_number_hosts(plan, "n", lambda site: site.nodes),
         servers=_number_hosts(plan, "s", lambda site: site.servers),
@@ -36,11 +36,11 @@
 def _number_hosts(
     plan: Plan, prefix: str, count_of: Callable[[SiteTable], int]
 ) -> tuple[Host, ...]:
-    turns = sorted(
+    positions = sorted(
         (index / max(1, count_of(site)), order, site.name)
         for order, site in enumerate(plan.sites)
         for index in range(count_of(site))
     )
     return tuple(
-        Host(f"{prefix}{number:03d}", site, number) for number, (_, _, site) in enumerate(turns)
+        Host(f"{prefix}{number:03d}", site, number) for number, (_, _, site) in enumerate(positions)
     )
--- a/oakbridge/lab/helper_configs.py
+++ b/oakbridge/lab/helper_configs.py
@@ -1,4 +1,4 @@
-"""The configuration of each helper process of a run, as JSON objects."""
+"""Builds the configurations of a run's helper processes, as JSON objects."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def switch_configs(plan: Plan, slot: Slot, fleet: Fleet, seed: int) -> Iterator[dict[str, Any]]:
-    """Yield the configurations of the switch processes, which differ by their random draws."""
+    """Yield the configurations of the switch processes, which differ only in their seeds."""
     network = plan.network
     for number in range(max(1, round(len(fleet.nodes) / NODES_PER_SWITCH))):
         yield {
@@ -51,14 +51,14 @@
     plan: Plan, slot: Slot, fleet: Fleet, seed: int, out: Path
 ) -> Iterator[dict[str, Any]]:
     """Yield the configurations of the processes that send requests."""
-    rate = int(sum(c.rate for c in plan.classes))
-    for number in range(max(1, -(-rate // REQUESTS_PER_S_PER_LOADER))):
+    rate_per_s = int(sum(table.rate for table in plan.classes))
+    for number in range(max(1, -(-rate_per_s // REQUESTS_PER_S_PER_LOADER))):
         yield {
             "base": slot.base,
             "seed": seed,
             "part": number,
             "nodes": _names_and_sites(fleet.nodes),
-            "classes": [c.model_dump() for c in plan.classes],
+            "classes": [table.model_dump() for table in plan.classes],
             "sites": [(site.name, site.load) for site in plan.sites],
             "repeats": plan.callers.repeats,
             "spread": plan.callers.spread,
--- a/oakbridge/lab/helper_process.py
+++ b/oakbridge/lab/helper_process.py
@@ -1,4 +1,4 @@
-"""Helper processes as the runner sees them: start, commands, results, and an end in any case."""
+"""The runner's side of the helper processes: starts, commands, results, and exits."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 READY_TIMEOUT_S = 30.0
 RESULT_TIMEOUT_S = 30.0
-EXIT_TIMEOUT_S = 5.0  # after its pipe has closed
+EXIT_TIMEOUT_S = 5.0  # from closing the pipe until the helper is killed
 
 Results = Mapping[HelperRole, list[dict[str, Any]]]
 OnExit = Callable[[str, int], None]  # a node's name and exit code
 
-# Clients end first, then nodes, then what is behind them.
+# Clients stop first, then nodes, then the servers and the switch that nodes use.
 END_ORDER = (
     HelperRole.LOAD,
     HelperRole.PROCESS_MANAGER,
@@ -31,16 +31,16 @@
 
 
 class RunFailedError(Exception):
-    """The run could not be played; the text says why."""
+    """The run could not be performed; the text says why."""
 
 
 class HelperProcess:
-    """One helper process at the other end of its pipes."""
+    """One helper process."""
 
     def __init__(
         self, role: HelperRole, process: asyncio.subprocess.Process, on_exit: OnExit
     ) -> None:
-        """``on_exit``: called for each node that the helper reports as ended."""
+        """``on_exit``: called for each node whose exit the helper reports."""
         self.role = role
         self._process = process
         self._on_exit = on_exit
@@ -48,12 +48,12 @@
         self._reader: asyncio.Task[None] | None = None
 
     def send(self, command: Mapping[str, Any]) -> None:
-        """Have the helper carry out a command."""
+        """Send a command to the helper."""
         assert self._process.stdin is not None
         self._process.stdin.write(json.dumps(command).encode() + b"\n")
 
     async def wait_until_ready(self) -> None:
-        """Wait for the first line.  Raise RunFailedError where none comes in time."""
+        """Wait for the helper's first line.  Raises RunFailedError if none comes in time."""
         assert self._process.stdout is not None
         line = b""
         with suppress(TimeoutError):
@@ -72,12 +72,12 @@
             elif "ended" in message and not self._result.done():
                 self._result.set_result(message["ended"])
         if not self._result.done():
-            ended = RunFailedError(f"the lab's {self.role.value} process has ended")
-            self._result.set_exception(ended)
-            self._result.exception()  # marked as retrieved: it may be that nobody waits any more
+            error = RunFailedError(f"the lab's {self.role.value} process has ended")
+            self._result.set_exception(error)
+            self._result.exception()  # marks it as retrieved, as nothing may await the result
 
     async def result(self) -> dict[str, Any]:
-        """Wait for the results after ``end``.  Raise RunFailedError where they do not come."""
+        """Wait for the results after ``end``.  Raises RunFailedError if none come in time."""
         try:
             async with asyncio.timeout(RESULT_TIMEOUT_S):
                 return await self._result
@@ -85,12 +85,12 @@
             raise RunFailedError(f"the lab's {self.role.value} process did not end") from None
 
     def close_pipe(self) -> None:
-        """Close the pipe, at which the helper ends with all that it has started."""
+        """Close the pipe; the helper then exits, and stops all that it has started."""
         if self._process.stdin is not None:
             self._process.stdin.close()
 
     async def wait_closed(self) -> None:
-        """Wait for the helper's exit, and kill it where that takes too long."""
+        """Wait for the helper's exit; kill it if that takes too long."""
         try:
             async with asyncio.timeout(EXIT_TIMEOUT_S):
                 await self._process.wait()
@@ -102,15 +102,15 @@
 
 
 class HelperProcesses:
-    """All helper processes of a run; leaving the context ends them, whatever happened."""
+    """All helper processes of a run; leaving the context stops them, also after an error."""
 
     def __init__(self, on_exit: OnExit) -> None:
-        """``on_exit``: called for each node that a helper reports as ended."""
+        """``on_exit``: called for each node whose exit a helper reports."""
         self._on_exit = on_exit
         self._by_role: dict[HelperRole, list[HelperProcess]] = defaultdict(list)
 
     async def __aenter__(self) -> Self:
-        """Return itself; nothing runs yet."""
+        """Return the object itself; no helper runs yet."""
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -122,7 +122,7 @@
             await helper.wait_closed()
 
     async def start(self, role: HelperRole, config: Mapping[str, Any]) -> None:
-        """Start a helper and wait until it is ready.  Raise RunFailedError where it is not."""
+        """Start a helper and wait until it is ready.  Raises RunFailedError if it is not."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -139,16 +139,16 @@
         await helper.wait_until_ready()
 
     def count(self, role: HelperRole) -> int:
-        """Return the number of helpers in a role."""
+        """Return the number of helpers with a role."""
         return len(self._by_role[role])
 
     def send(self, role: HelperRole, command: Mapping[str, Any]) -> None:
-        """Have all helpers of a role carry out a command."""
+        """Send a command to all helpers with a role."""
         for helper in self._by_role[role]:
             helper.send(command)
 
     async def end(self) -> Results:
-        """End all helpers in order; return what each has found."""
+        """Stop all helpers in order; return the results of each."""
         results: dict[HelperRole, list[dict[str, Any]]] = {}
         for role in END_ORDER:
             self.send(role, {"do": "end"})
--- a/oakbridge/lab/history.py
+++ b/oakbridge/lab/history.py
@@ -1,6 +1,6 @@
-"""What a run left behind, as the checkers read it.
+"""The data that a run has recorded, as the checks read them.
 
-Rows of requests and executions have the keys of their Parquet columns (docs/lab.md).
+Rows of requests and executions have the column names of their Parquet files as keys (docs/lab.md).
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from oakbridge.lab.plan import Plan
 from oakbridge.lab.schedule import Schedule, Span, StepKind
 
-AFTER_END_US = 3600_000_000  # an outage that did not end lasts for so long beyond the run
+AFTER_END_US = 3600_000_000  # assumed length of an unfinished outage beyond the run's end
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A node came to hold another state of a member; times from the schedule's begin."""
+    """A change of a member's state in one node's view; times count from the schedule's start."""
 
     at_us: int
     observer: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteChange:
-    """A node came to hold another state of a site; times from the schedule's begin."""
+    """A change of a site's state in one node's view; times count from the schedule's start."""
 
     at_us: int
     observer: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PerformedStep:
-    """A step of the schedule as it was really taken."""
+    """A step of the schedule, with the time at which it was taken."""
 
     at_us: int
     kind: StepKind
@@ -64,26 +64,29 @@
 
 @dataclass(slots=True)
 class History:
-    """One run."""
+    """The plan, the schedule and the recorded data of one run."""
 
     plan: Plan
     fleet: Fleet
     schedule: Schedule
-    begin_us: int  # of the schedule, microseconds since the epoch
+    begin_us: int  # start of the schedule, since the epoch
     duration_us: int
     requests: list[dict[str, Any]] = field(default_factory=list)
     executions: list[dict[str, Any]] = field(default_factory=list)
     member_changes: list[MemberChange] = field(default_factory=list)
     site_changes: list[SiteChange] = field(default_factory=list)
     performed_steps: list[PerformedStep] = field(default_factory=list)
-    crashes: list[str] = field(default_factory=list)  # nodes that ended without being killed
-    unsolicited_answers: int = 0
+    crashes: list[str] = field(default_factory=list)  # nodes that exited without being killed
+    unsolicited_responses: int = 0
 
     def outages(self) -> dict[str, list[Span]]:
-        """Return when each node was killed or frozen, as performed; starved ones count as up."""
+        """Return the times for which each node was killed or frozen, by the performed steps.
+
+        Starved nodes count as running.
+        """
         starved = self._starved_nodes()
         down_since: dict[str, int] = {}
-        killed: set[str] = set()  # one that is killed while frozen is not back when continued
+        killed: set[str] = set()  # not running after CONTINUE either, if killed while frozen
         found: dict[str, list[Span]] = {}
         for step in self.performed_steps:
             for name in step.names:
@@ -114,7 +117,7 @@
 def read_changes(
     log: Iterable[str], observer: str, begin_us: int
 ) -> tuple[list[MemberChange], list[SiteChange]]:
-    """Read the changes that a node's JSON log tells of; skip lines that are cut short by a kill."""
+    """Return the changes in a node's JSON log; lines that a kill has truncated are skipped."""
     members, sites = list[MemberChange](), list[SiteChange]()
     for line in log:
         if '"member"' not in line and '"site"' not in line:
--- a/oakbridge/lab/load.py
+++ b/oakbridge/lab/load.py
@@ -1,6 +1,6 @@
-"""The helper process that sends requests in open loop: each when it is due, whatever else happens.
+"""The helper process that sends requests in open loop, each when it is due.
 
-Latency counts from the due time.
+Latency counts from the time at which a request is due.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 from oakbridge.lab import table
 from oakbridge.lab.addresses import CLIENT_PORT, NODE_NET, Slot, host_address
-from oakbridge.lab.client_connection import Answer, ClientConnection
+from oakbridge.lab.client_connection import ClientConnection, Response
 from oakbridge.lab.node_selector import NodeSelector
 
-LOST = Answer(0)  # in place of an answer: none came
-NOT_ACCEPTED = Answer(-1)  # no node took the connection
+NO_RESPONSE = Response(0)  # instead of a response: the request got none
+NOT_ACCEPTED = Response(-1)  # instead of a response: no node accepted the connection
 NO_NODE = -1
-ANSWER_TIMEOUT_S = 1.0  # beyond the deadline
+RESPONSE_TIMEOUT_S = 1.0  # beyond the request's deadline
 MIN_TIMEOUT_S = 0.001
 MAX_IN_FLIGHT = 20_000
 MAX_NODES_TRIED = 4
-LATE_S = 0.05
+LATE_S = 0.05  # a request sent later than this after its due time counts as sent late
 END_TIMEOUT_S = 10
 REJECTED_STATUSES = (429, 503)
-RETRY_WITHIN_DEADLINES = 3  # since the due time, in multiples of the deadline
+RETRY_WITHIN_DEADLINES = 3  # time for retries since the due time, as a multiple of the deadline
 MIN_RETRY_DELAY_S = 0.05
-RETRY_JITTER = (0.9, 1.3)  # factors of the delay
+RETRY_JITTER = (0.9, 1.3)  # range of the random factor on the delay
 COLUMNS = ("due", "class", "site", "node", "status", "took", "tries", "request", "aim")
 
 Row = tuple[int, int, int, int, int, int, int, str, int]
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """Requests of one class from one site's clients."""
+    """The requests of one class from one site's clients."""
 
     class_number: int
     site_number: int
@@ -50,7 +50,7 @@
     """All streams of one load process."""
 
     def __init__(self, config: dict[str, Any]) -> None:
-        """``config``: as ``helper_configs.load_configs`` makes it."""
+        """``config``: as built by ``helper_configs.load_configs``."""
         self._slot = Slot(config["base"])
         self._seed = config["seed"]
         self._part = config["part"]
@@ -70,14 +70,14 @@
         self._requests: set[asyncio.Task[None]] = set()
         self._streams: list[asyncio.Task[None]] = []
         self._ids = itertools.count()
-        self._unsolicited_answers = 0
+        self._unsolicited_responses = 0
         self._sent_late = 0
 
     async def start(self) -> None:
-        """Do nothing: requests begin at ``go``."""
+        """Do nothing: the command ``go`` starts the streams."""
 
     def do(self, command: dict[str, Any]) -> None:
-        """``go``, as one of so many ``parts``, and ``stop``."""
+        """Carry out ``go``, with the number of load processes as ``parts``, or ``stop``."""
         if command["do"] == "go":
             self._start_streams(command["parts"])
         else:
@@ -105,12 +105,12 @@
         await asyncio.to_thread(table.write, self._out, COLUMNS, self._rows)
         return {
             "requests": len(self._rows),
-            "unasked answers": self._unsolicited_answers,
+            "unasked answers": self._unsolicited_responses,
             "sent late": self._sent_late,
         }
 
     def abandon(self) -> None:
-        """Do nothing: nothing outlives the process."""
+        """Do nothing: the process started nothing that outlives it."""
 
     async def _run_stream(self, stream: Stream) -> None:
         """Send requests as a Poisson process."""
@@ -125,20 +125,20 @@
                 await asyncio.sleep(wait_s)
             self._sent_late += wait_s < -LATE_S
             if len(self._requests) >= MAX_IN_FLIGHT:
-                self._note_not_sent(stream)
+                self._record_not_sent(stream)
                 continue
             task = loop.create_task(self._send_with_retries(stream, selector, due_s))
             self._requests.add(task)
             task.add_done_callback(self._requests.discard)
 
     def _make_selector(self, stream: Stream) -> NodeSelector:
-        """Return the choice among the site's nodes, or among all if it has none."""
+        """Return the selector of the site's nodes, or of all nodes if the site has none."""
         site, _ = self._sites[stream.site_number]
         nodes = [number for number, (_, home) in enumerate(self._nodes) if home == site]
         return NodeSelector(nodes or range(len(self._nodes)), self._weights, self._avoided_until_s)
 
-    def _note_not_sent(self, stream: Stream) -> None:
-        """Count a request beyond the limit as one that no node took, not leave it out."""
+    def _record_not_sent(self, stream: Stream) -> None:
+        """Record a request beyond the limit as not accepted, so that it still counts."""
         due_us = time.time_ns() // 1000
         objective_us = self._classes[stream.class_number]["aim"]
         self._rows.append(
@@ -162,67 +162,67 @@
         loop = asyncio.get_running_loop()
         request_class = self._classes[stream.class_number]
         due_us = time.time_ns() // 1000 - round((loop.time() - due_s) * 1e6)
-        deadline_s = request_class["deadline"] / 1e6
-        route_key = f"{self._part}-{next(self._ids)}"  # the same in all tries
+        timeout_s = request_class["deadline"] / 1e6
+        route_key = f"{self._part}-{next(self._ids)}"  # the same for all tries
         for retries in itertools.count():
             request_id = f"{self._part}-{next(self._ids)}"
             sent_s = loop.time() if retries else due_s
             head = RequestHead(request_class, request_id, route_key)
-            node, answer = await self._send_to_any(selector, head, sent_s + deadline_s)
+            node, response = await self._send_to_any(selector, head, sent_s + timeout_s)
             self._rows.append(
                 (
                     due_us,
                     stream.class_number,
                     stream.site_number,
                     node,
-                    answer.status,
+                    response.status,
                     round((loop.time() - due_s) * 1e6),
                     retries + 1,
                     request_id,
                     request_class["aim"],
                 )
             )
-            is_too_late = loop.time() - due_s > RETRY_WITHIN_DEADLINES * deadline_s
-            is_rejected = answer.status in REJECTED_STATUSES
+            is_too_late = loop.time() - due_s > RETRY_WITHIN_DEADLINES * timeout_s
+            is_rejected = response.status in REJECTED_STATUSES
             if not is_rejected or retries >= self._max_retries or is_too_late:
                 return
-            delay_s = max(MIN_RETRY_DELAY_S, answer.retry_after_s)
+            delay_s = max(MIN_RETRY_DELAY_S, response.retry_after_s)
             await asyncio.sleep(delay_s * self._random.uniform(*RETRY_JITTER))
 
     async def _send_to_any(
-        self, selector: NodeSelector, head: RequestHead, until_s: float
-    ) -> tuple[int, Answer]:
-        """Send to the first node that takes the connection; return it and the answer."""
-        node, answer = NO_NODE, NOT_ACCEPTED
+        self, selector: NodeSelector, head: RequestHead, deadline_s: float
+    ) -> tuple[int, Response]:
+        """Send to the first node that accepts the connection; return the node and the response."""
+        node, response = NO_NODE, NOT_ACCEPTED
         tried: set[int] = set()
-        while answer is NOT_ACCEPTED and len(tried) < MAX_NODES_TRIED:
+        while response is NOT_ACCEPTED and len(tried) < MAX_NODES_TRIED:
             selected = selector.select(time.monotonic(), tried, self._random)
             if selected is None:
                 break
             node = selected
             tried.add(node)
-            answer = await self._send(node, head, until_s)
-            if answer is NOT_ACCEPTED or answer is LOST:
+            response = await self._send(node, head, deadline_s)
+            if response is NOT_ACCEPTED or response is NO_RESPONSE:
                 selector.avoid(node, time.monotonic())
-        return node, answer
+        return node, response
 
-    async def _send(self, node: int, head: RequestHead, until_s: float) -> Answer:
-        left_s = max(MIN_TIMEOUT_S, until_s - asyncio.get_running_loop().time())
+    async def _send(self, node: int, head: RequestHead, deadline_s: float) -> Response:
+        left_s = max(MIN_TIMEOUT_S, deadline_s - asyncio.get_running_loop().time())
         connection: ClientConnection | None = None
         try:
-            async with asyncio.timeout(left_s + ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(left_s + RESPONSE_TIMEOUT_S):
                 connection = self._take_idle(node) or await self._connect(node)
                 if connection is None:
                     return NOT_ACCEPTED
-                answer = await connection.send_request(head.encode(left_s))
+                response = await connection.send_request(head.encode(left_s))
         except (OSError, TimeoutError):
             if connection is not None and connection.transport is not None:
                 connection.transport.abort()
-            return LOST
-        self._unsolicited_answers += connection.unsolicited_answers
-        connection.unsolicited_answers = 0
+            return NO_RESPONSE
+        self._unsolicited_responses += connection.unsolicited_responses
+        connection.unsolicited_responses = 0
         self._idle[node].append(connection)
-        return answer
+        return response
 
     def _take_idle(self, node: int) -> ClientConnection | None:
         idle = self._idle[node]
@@ -233,7 +233,7 @@
         return None
 
     async def _connect(self, node: int) -> ClientConnection | None:
-        """Open a connection; return None where the node does not take it."""
+        """Open a connection; return None if the node does not accept it."""
         address, port = host_address(NODE_NET, node), self._slot.port(CLIENT_PORT)
         loop = asyncio.get_running_loop()
         try:
@@ -245,14 +245,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """What a request tells of itself."""
+    """The content of a request's head."""
 
     request_class: dict[str, Any]
     request_id: str
     route_key: str
 
     def encode(self, timeout_s: float) -> bytes:
-        """Return the request's bytes; those that are not safe to repeat are an empty POST."""
+        """Return the request's bytes: a GET, or an empty POST if it is not safe to repeat."""
         name = self.request_class["name"]
         is_safe = self.request_class["repeat"] == "safe"
         lines = [
--- a/oakbridge/lab/load_distribution.py
+++ b/oakbridge/lab/load_distribution.py
@@ -1,6 +1,6 @@
-"""How evenly servers were loaded, beside what chance alone gives: Poisson arrivals at the same rates.
+"""How evenly servers are loaded, compared with chance: Poisson arrivals at the same rates.
 
-The input is each request's visit to a server; times are microseconds from the schedule's begin.
+The input is each request's visit to a server; times count from the schedule's start.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 
 SECOND_US = 1_000_000
 WINDOW_US = 10 * SECOND_US
-HERD_WINDOW_US = 2 * SECOND_US  # after an event
-SIMILARITY_WINDOW_US = SECOND_US  # after an event
+HERD_WINDOW_US = 2 * SECOND_US  # length of the window after an event
+SIMILARITY_WINDOW_US = SECOND_US  # length of the window after an event
 EULER_GAMMA = 0.58
 BISECTION_STEPS = 24
 RATIO_STEP = 0.02
 MIN_PROBABILITY = 1e-300
 
-Visit = tuple[int, int, int]  # server, arrival, end; plain tuples, as a run has millions
+Visit = tuple[int, int, int]  # server, arrival, end; a plain tuple, as a run has millions
 
 
 @dataclass(frozen=True, slots=True)
 class WindowLoad:
-    """Arrivals in one window at each server that was available, and its fair share of them."""
+    """Arrivals in one window at each available server, and its fair share of all arrivals."""
 
     arrivals: Mapping[int, int]
     fair_shares: Mapping[int, float]
 
     @property
     def has_arrivals(self) -> bool:
-        """Whether any request came."""
+        """Whether there were any arrivals."""
         return sum(self.fair_shares.values()) > 0
 
     def ratios(self) -> Iterator[float]:
         """Yield each server's load over its fair share."""
-        return (self.arrivals[n] / self.fair_shares[n] for n in self.arrivals)
+        return (self.arrivals[server] / self.fair_shares[server] for server in self.arrivals)
 
 
 @dataclass(slots=True)
@@ -49,18 +49,18 @@
     """All visits to the servers of a fleet."""
 
     rows: list[Visit]
-    fair_parts: list[float]  # by server, of all requests; the sum is 1
-    workers: int  # requests that a server works on at once
+    fair_parts: list[float]  # by server, fair fraction of all requests; the sum is 1
+    workers: int  # requests that a server processes at once
     duration_us: int
     unavailable: dict[int, list[Span]] = field(default_factory=dict)  # by server
 
     def is_available(self, server: int, begin_us: int, end_us: int) -> bool:
-        """Return whether a server could be used for all of this time."""
+        """Return whether a server was available for all of this time."""
         spans = self.unavailable.get(server, ())
         return all(end_us <= span.begin_us or begin_us >= span.end_us for span in spans)
 
     def window_load(self, begin_us: int, end_us: int) -> WindowLoad:
-        """Return the load of the servers that were available for all of the window."""
+        """Return the load of the servers that were available for the whole window."""
         servers = [
             server
             for server, part in enumerate(self.fair_parts)
@@ -81,25 +81,25 @@
     by_window: dict[int, list[Visit]] = defaultdict(list)
     for row in visits.rows:
         by_window[row[1] // length_us].append(row)
-    found = []
+    windows = []
     for number in range(max(1, visits.duration_us // length_us)):
-        part = Visits(
+        window_visits = Visits(
             by_window.get(number, []),
             visits.fair_parts,
             visits.workers,
             visits.duration_us,
             visits.unavailable,
         )
-        found.append(part.window_load(number * length_us, (number + 1) * length_us))
-    return [window for window in found if window.has_arrivals]
+        windows.append(window_visits.window_load(number * length_us, (number + 1) * length_us))
+    return [window for window in windows if window.has_arrivals]
 
 
-def load_ratio_percentile(visits: Visits, part: float = 0.99) -> float | None:
+def load_ratio_percentile(visits: Visits, fraction: float = 0.99) -> float | None:
     """Return a percentile, by rank, of load / fair share over all servers and windows of 10 s."""
     ratios = sorted(ratio for window in _windows(visits) for ratio in window.ratios())
     if not ratios:
         return None
-    return ratios[min(len(ratios) - 1, math.ceil(part * len(ratios)) - 1)]
+    return ratios[min(len(ratios) - 1, math.ceil(fraction * len(ratios)) - 1)]
 
 
 def load_variation(visits: Visits) -> float | None:
@@ -112,18 +112,20 @@
     return math.sqrt(variance) / mean
 
 
-def chance_ratio_percentile(visits: Visits, part: float = 0.99) -> float | None:
+def chance_ratio_percentile(visits: Visits, fraction: float = 0.99) -> float | None:
     """Return what :func:`load_ratio_percentile` would be for independent Poisson arrivals.
 
-    That is the ratio r for which the mean of P(X <= r * m), X Poisson with mean m, over all fair
-    shares m is this part.
+    It is the ratio r for which the mean of P(X <= r * m) over all fair shares m is this fraction;
+    X is Poisson with mean m.
     """
     means = [mean for window in _windows(visits) for mean in window.fair_shares.values()]
     if not means:
         return None
 
     def is_too_low(ratio: float) -> bool:
-        return bool(sum(pdtr(math.floor(ratio * m), m) for m in means) < part * len(means))
+        return bool(
+            sum(pdtr(math.floor(ratio * mean), mean) for mean in means) < fraction * len(means)
+        )
 
     low, high = 1.0, 2.0
     while is_too_low(high):
@@ -138,16 +140,16 @@
 
 
 def load_ratio_over_chance(visits: Visits) -> float | None:
-    """Return the 99th percentile of load / fair share, over what chance alone gives."""
+    """Return the 99th percentile of load / fair share, over that of chance alone."""
     observed = load_ratio_percentile(visits)
     chance = chance_ratio_percentile(visits)
     return observed / chance if observed is not None and chance else None
 
 
 def idle_while_waiting(visits: Visits) -> float | None:
-    """Return the fraction of the servers' seconds idle while a request waited at another server.
+    """Return the fraction of the servers' time idle while a request waited at another server.
 
-    At each moment min(idle servers, waiting requests) is counted; its integral is divided by
+    It is the integral of min(idle servers, waiting requests) over time, divided by
     duration * servers.
     """
     if not visits.rows:
@@ -158,7 +160,7 @@
 
 
 class _IdleSweep:
-    """A sweep over all arrivals, ends and changes of availability, in the order of time."""
+    """A sweep over all arrivals, ends and changes of availability in chronological order."""
 
     def __init__(self, visits: Visits) -> None:
         self._visits = visits
@@ -178,7 +180,7 @@
         return lost_us
 
     def _changes(self) -> list[tuple[int, int, int]]:
-        """Return time, server and change of its requests; 0: its availability changes."""
+        """Return time, server and change of its number of requests; 0: its availability changes."""
         changes = []
         for server, arrived_us, ended_us in self._visits.rows:
             changes += [(arrived_us, server, 1), (ended_us, server, -1)]
@@ -204,9 +206,9 @@
 
 
 def idle_beyond_chance(visits: Visits) -> float | None:
-    """Return the longest seconds without an arrival at an available server, beyond chance.
+    """Return the longest gap, in seconds, between arrivals at an available server, beyond chance.
 
-    Chance gives (ln n + 0.58) / r on average, the longest of n exponential gaps with mean 1 / r.
+    By chance it is (ln n + 0.58) / r on average, the longest of n exponential gaps of mean 1 / r.
     """
     arrivals: dict[int, list[int]] = defaultdict(list)
     for server, at_us, _ in sorted(visits.rows, key=lambda row: row[1]):
@@ -239,9 +241,9 @@
 
 
 def herd_peak(visits: Visits, events_us: Iterable[int]) -> float | None:
-    """Return the highest load / fair share in the 2 s after an event, over chance's busiest server.
+    """Return the highest load / fair share in the 2 s after an event, over that of chance.
 
-    Events with less than one request a server after them tell nothing and are left out.
+    Events with fewer than one request per server in that window are left out as meaningless.
     """
     peaks = []
     for at_us in events_us:
@@ -256,7 +258,9 @@
     """Return the median of the largest ratio of independent Poisson counts to their means."""
 
     def log_probability(ratio: float) -> float:
-        return sum(math.log(max(MIN_PROBABILITY, pdtr(math.floor(ratio * m), m))) for m in means)
+        return sum(
+            math.log(max(MIN_PROBABILITY, pdtr(math.floor(ratio * mean), mean))) for mean in means
+        )
 
     ratio = 1.0
     while log_probability(ratio) < math.log(0.5):
@@ -265,16 +269,18 @@
 
 
 def choice_similarity(visits: Visits, events_us: Iterable[int]) -> float | None:
-    """Return how much more alike replicas choose in the second after an event; 1: independently.
+    """Return how similarly replicas choose in the second after an event; 1: independently.
 
-    It is the index of dispersion of the counts c at n servers with fair shares m,
-    sum((c - m)^2 / m) / (n - 1), the largest of all events.
+    It is the largest index of dispersion after any event: sum((c - m)^2 / m) / (n - 1) for the
+    counts c at n servers with fair shares m.
     """
-    found = []
+    dispersions = []
     for at_us in events_us:
         window = visits.window_load(at_us, at_us + SIMILARITY_WINDOW_US)
         arrivals, shares = window.arrivals, window.fair_shares
         if len(shares) > 1 and sum(shares.values()) >= len(shares) / 2:
-            chi_squared = sum((arrivals[n] - shares[n]) ** 2 / shares[n] for n in arrivals)
-            found.append(chi_squared / (len(shares) - 1))
-    return max(found, default=None)
+            chi_squared = sum(
+                (arrivals[server] - shares[server]) ** 2 / shares[server] for server in arrivals
+            )
+            dispersions.append(chi_squared / (len(shares) - 1))
+    return max(dispersions, default=None)
--- a/oakbridge/lab/node_config.py
+++ b/oakbridge/lab/node_config.py
@@ -1,4 +1,4 @@
-"""The ``oakbridge.toml`` of each node of a run."""
+"""Writes the ``oakbridge.toml`` of each node of a run."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def render_node_config(
     plan: Plan, slot: Slot, fleet: Fleet, node: Host, seed: int, socket_directory: Path
 ) -> str:
-    """Return a node's configuration as TOML; its secret stands in a file beside it."""
+    """Return a node's configuration as TOML; it refers to a secret file in its own directory."""
     lines = _node_lines(slot, fleet, node, seed, socket_directory)
     lines += [_class_table(table) for table in plan.classes]
     if plan.peers:
@@ -75,7 +75,7 @@
 
 
 def _server_table(plan: Plan, slot: Slot, node: Host, server: Host) -> str:
-    """Return the entry of a server, at the node's own address on the switch."""
+    """Return the entry of a server; its address is the node's own one on the switch."""
     sizes = plan.servers.sizes
     weight = sizes[server.number % len(sizes)]
     return (
--- a/oakbridge/lab/node_processes.py
+++ b/oakbridge/lab/node_processes.py
@@ -1,4 +1,4 @@
-"""The nodes of a run: their files, their starts, and whether they serve."""
+"""The nodes of a run: configuration files, starts, signals, and readiness."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from oakbridge.lab.process import HelperRole
 from oakbridge.lab.schedule import StepKind
 
-READY_TIMEOUT_S = 90.0  # in which all nodes must serve
+READY_TIMEOUT_S = 90.0  # from the start until all nodes must be ready
 REQUEST_TIMEOUT_S = 2.0
 RETRY_DELAY_S = 0.1
 PROGRESS_INTERVAL_S = 0.2
@@ -27,17 +27,17 @@
 
 
 class NodeProcesses:
-    """The run's nodes, which the process manager starts and signals."""
+    """The nodes of a run; the process manager starts and signals them."""
 
     def __init__(self, slot: Slot, fleet: Fleet, directory: Path, helpers: HelperProcesses) -> None:
-        """``directory``: of the nodes' configurations, logs and snapshots."""
+        """``directory``: holds the nodes' configurations, logs and snapshots."""
         self.unexpected_exits: list[tuple[str, int]] = []  # name and exit code
-        self.is_shutting_down = False  # from then on all exits are expected
+        self.is_shutting_down = False  # if set, all exits are expected
         self._slot = slot
         self._fleet = fleet
         self._directory = directory
         self._helpers = helpers
-        self._expected_exits: Counter[str] = Counter()  # of nodes that were killed
+        self._expected_exits: Counter[str] = Counter()  # by name, of killed nodes
 
     def log_path(self, name: str) -> Path:
         """Return the path of a node's log."""
@@ -67,25 +67,25 @@
         }
         self._helpers.send(HelperRole.PROCESS_MANAGER, command)
 
-    def send_signal(self, name: str, number: int, *, ends_it: bool) -> None:
-        """Send a node a signal; ``ends_it``: its exit is then expected."""
-        if ends_it:
+    def send_signal(self, name: str, number: int, *, is_exit_expected: bool) -> None:
+        """Send a signal to a node; ``is_exit_expected``: whether the signal makes it exit."""
+        if is_exit_expected:
             self._expected_exits[name] += 1
         command = {"do": "signal", "name": name, "signal": number}
         self._helpers.send(HelperRole.PROCESS_MANAGER, command)
 
-    def note_exit(self, name: str, exit_code: int) -> None:
-        """Keep an exit that was not expected."""
+    def record_exit(self, name: str, exit_code: int) -> None:
+        """Record an exit, unless it was expected."""
         if self._expected_exits[name]:
             self._expected_exits[name] -= 1
         elif not self.is_shutting_down:
             self.unexpected_exits.append((name, exit_code))
 
     async def start_all(self, within_s: float, on_progress: Callable[[int, int], None]) -> None:
-        """Start all nodes within a time, and wait until they serve.
+        """Start all nodes, spread over ``within_s``, and wait until they are ready.
 
-        ``on_progress`` gets the number of nodes that serve, and of all.  Raise RunFailedError where
-        one exits or does not serve in time.
+        ``on_progress`` gets the number of ready nodes, and of all.  Raises RunFailedError if a node
+        exits or is not ready in time.
         """
         for node in self._fleet.nodes:
             self.start(node.name)
@@ -117,7 +117,7 @@
         raise RunFailedError(f"{name} ended with {exit_code} at its start:\n{log_tail}")
 
     async def is_ready_in_time(self, name: str) -> bool:
-        """Wait until a node serves; return False where it does not in time."""
+        """Wait until a node is ready; return False if it is not in time."""
         node = next(node for node in self._fleet.nodes if node.name == name)
         return await self._wait_until_ready(node, time.monotonic() + READY_TIMEOUT_S)
 
@@ -125,12 +125,12 @@
         while time.monotonic() < deadline:
             with suppress(OSError, TimeoutError):
                 async with asyncio.timeout(REQUEST_TIMEOUT_S):
-                    if await self._answers_ready(node):
+                    if await self._is_ready(node):
                         return True
             await asyncio.sleep(RETRY_DELAY_S)
         return False
 
-    async def _answers_ready(self, node: Host) -> bool:
+    async def _is_ready(self, node: Host) -> bool:
         address = host_address(NODE_NET, node.number)
         reader, writer = await asyncio.open_connection(address, self._slot.port(CLIENT_PORT))
         try:
--- a/oakbridge/lab/node_selector.py
+++ b/oakbridge/lab/node_selector.py
@@ -1,15 +1,15 @@
-"""How a site's clients choose a node: by weight, without those that failed lately.  Pure."""
+"""The choice of a node by a site's clients: by weight, without recently failed nodes.  No I/O."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Collection, Mapping, Sequence
 
-AVOID_S = 3.0  # a node that took no connection, or lost a request, gets none for so long
+AVOID_S = 3.0  # time without requests for a node that refused a connection or lost a request
 
 
 class NodeSelector:
-    """One site's choice of nodes."""
+    """Selects nodes for one site's clients."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         self._avoided_until_s = avoided_until_s
 
     def select(self, now_s: float, tried: Collection[int], rng: random.Random) -> int | None:
-        """Return a node for the next try, None if none is left."""
+        """Return a node that is not avoided and not tried yet, None if there is none."""
         candidates = [
             node
             for node in self._nodes
@@ -34,5 +34,5 @@
         return rng.choices(candidates, [self._weights[node] for node in candidates])[0]
 
     def avoid(self, node: int, now_s: float) -> None:
-        """Leave out a node that failed, for a while."""
+        """Avoid a failed node for :data:`AVOID_S`."""
         self._avoided_until_s[node] = now_s + AVOID_S
--- a/oakbridge/lab/process.py
+++ b/oakbridge/lab/process.py
@@ -1,9 +1,9 @@
-"""The frame of the lab's helper processes: JSON lines over pipes, and an end when the pipe closes.
+"""The main program of the lab's helper processes, which get commands as JSON lines over a pipe.
 
     python -m oakbridge.lab.process ROLE
 
-The first line is the role's configuration.  The parent process may be killed at any time: the pipe
-then closes, and the helper ends with all that it has started.
+The first line is the role's configuration.  If the parent process is killed, the pipe closes; the
+helper then exits, and stops all that it has started.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class HelperRole(Enum):
-    """What a helper process does; its value is the module with its ``Helper``."""
+    """The role of a helper process; the value is the name of the module with its ``Helper``."""
 
     SWITCH = "switch"
     SERVERS = "servers"
@@ -30,22 +30,22 @@
 
 
 class Helper(Protocol):
-    """The work of a helper process."""
+    """The interface of a helper process's role."""
 
     def __init__(self, config: dict[str, Any]) -> None:
-        """Take the first line that the parent process has sent."""
+        """Create the helper; ``config`` is the first line from the parent process."""
 
     async def start(self) -> None:
-        """Get ready."""
+        """Do what must precede the first command."""
 
     def do(self, command: dict[str, Any]) -> None:
         """Carry out one command."""
 
     async def end(self) -> dict[str, Any]:
-        """End in order; return the results."""
+        """Stop in order; return the results."""
 
     def abandon(self) -> None:
-        """End all at once, as the parent process is gone."""
+        """Stop everything at once, as the parent process has exited."""
 
 
 def send_to_parent(message: dict[str, Any]) -> None:
@@ -64,7 +64,7 @@
 
 
 async def main(role: HelperRole) -> int:
-    """Serve in this role; return the exit code."""
+    """Run the helper of a role; return the exit code."""
     commands = read_commands()
     module = importlib.import_module(f"oakbridge.lab.{role.value}")
     helper: Helper = module.Helper(await anext(commands))
@@ -81,9 +81,9 @@
 
 if __name__ == "__main__":
     try:
-        chosen = HelperRole(" ".join(sys.argv[1:2]))
+        chosen_role = HelperRole(" ".join(sys.argv[1:2]))
     except ValueError:
         names = ", ".join(role.value for role in HelperRole)
         print(f"oakbridge.lab.process: expected one of {names}", file=sys.stderr)
         raise SystemExit(2) from None
-    raise SystemExit(asyncio.run(main(chosen)))
+    raise SystemExit(asyncio.run(main(chosen_role)))
--- a/oakbridge/lab/process_manager.py
+++ b/oakbridge/lab/process_manager.py
@@ -1,4 +1,7 @@
-"""The helper process that starts and signals nodes, reports exits, and ends nodes with itself."""
+"""The helper process that starts and signals nodes, and reports their exits.
+
+If it exits, its nodes are killed.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 
 def die_with_parent() -> None:
-    """Have the kernel kill this process when its parent ends; runs before the node's program."""
+    """Have the kernel kill this process when its parent exits; runs before the node's program."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
@@ -26,17 +29,17 @@
     """The node processes of one run."""
 
     def __init__(self, config: dict[str, Any]) -> None:
-        """``config``: ``python``, the interpreter, and ``path``, the checkout whose nodes run."""
+        """``config``: ``python``, the interpreter; ``path``, the checkout with the nodes' code."""
         self._python = config["python"]
         self._path = config["path"]
         self._running: dict[str, asyncio.subprocess.Process] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Do nothing: no node runs until it is asked for."""
+        """Do nothing: nodes are started by commands."""
 
     def do(self, command: dict[str, Any]) -> None:
-        """``start`` a node, or send it a ``signal``."""
+        """Carry out ``start`` of a node, or send it a ``signal``."""
         name = command["name"]
         if command["do"] == "start":
             loop = asyncio.get_running_loop()
@@ -48,11 +51,11 @@
                 process.send_signal(command["signal"])
 
     async def _run(self, name: str, arguments: list[str], log: str) -> None:
-        """Run a node to its end, after the end of its earlier process."""
+        """Run a node until it exits, after its earlier process has exited."""
         earlier = self._running.get(name)
         if earlier is not None:
             await earlier.wait()
-        with Path(log).open("ab") as out:  # noqa: ASYNC230 - a local file, opened once a start
+        with Path(log).open("ab") as out:  # noqa: ASYNC230 - a local file, opened once per start
             process = await asyncio.create_subprocess_exec(
                 self._python,
                 *arguments,
@@ -69,8 +72,8 @@
         send_to_parent({"exited": name, "code": exit_code})
 
     async def end(self) -> dict[str, Any]:
-        """Terminate all nodes, and kill those that stay; return their costs."""
-        costs = {name: process_cost(p.pid) for name, p in self._running.items()}
+        """Terminate all nodes, and kill those that do not exit in time; return their costs."""
+        costs = {name: process_cost(running.pid) for name, running in self._running.items()}
         for process in list(self._running.values()):
             with suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -89,7 +92,7 @@
 
 
 def process_cost(pid: int) -> tuple[float, float]:
-    """Return a process's CPU seconds and its proportional set size in MB so far; 0 if it is gone."""
+    """Return a process's CPU seconds and proportional set size in MB so far; 0 if it has exited."""
     directory = Path(f"/proc/{pid}")
     try:
         fields = (directory / "stat").read_text().rpartition(")")[2].split()
--- a/oakbridge/lab/report.py
+++ b/oakbridge/lab/report.py
@@ -1,4 +1,4 @@
-"""The result files of a run: summary.json, tables, histograms and charts."""
+"""Writes the result files of a run: summary.json, tables, histograms and charts."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt
 
-MAX_LATENCY_US = 60_000_000  # longer ones count as this
+MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as this
 SIGNIFICANT_DIGITS = 3
 
 
@@ -39,7 +39,7 @@
 ) -> dict[str, Any]:
     """Write all result files of a run; return the summary."""
     rows = first_tries(history)
-    classes = [c.name for c in history.plan.classes]
+    classes = [request_class.name for request_class in history.plan.classes]
     summary = {
         "seed": seed,
         "version": __version__,
@@ -47,73 +47,82 @@
         "nodes": len(history.fleet.nodes),
         "servers": len(history.fleet.servers),
         "seconds": history.duration_us / 1e6,
-        "ok": all(c.holds for c in checks),
-        "checks": [encode_check(c) for c in checks],
+        "ok": all(check.holds for check in checks),
+        "checks": [encode_check(check) for check in checks],
         "requests": len(rows),
-        "status": {str(k): n for k, n in sorted(Counter(r["status"] for r in rows).items())},
-        "latency_ms": _latencies(out, rows, classes),
+        "status": {
+            str(status): count
+            for status, count in sorted(Counter(row["status"] for row in rows).items())
+        },
+        "latency_ms": _write_latencies(out, rows, classes),
         "costs": _costs(results),
         "switch": _sum(results.get(HelperRole.SWITCH, [])),
-        "sent late": sum(r["sent late"] for r in results.get(HelperRole.LOAD, [])),
+        "sent late": sum(result["sent late"] for result in results.get(HelperRole.LOAD, [])),
     }
     changes = [encode_member_change(change) for change in history.member_changes]
     table.write(out / "views.parquet", MEMBER_CHANGE_COLUMNS, changes)
     steps = [encode_step(step) for step in history.performed_steps]
     table.write(out / "steps.parquet", STEP_COLUMNS, steps)
-    _charts(out, history, classes)
+    _write_charts(out, history, classes)
     (out / "summary.json").write_text(json.dumps(summary, indent=2) + "\n")
     return summary
 
 
 def _sum(counts: list[dict[str, int]]) -> dict[str, int]:
     total: Counter[str] = Counter()
-    for one in counts:
-        total.update(one)
+    for process_counts in counts:
+        total.update(process_counts)
     return dict(total)
 
 
-def _latencies(
+def _write_latencies(
     out: Path, rows: list[dict[str, Any]], classes: list[str]
 ) -> dict[str, dict[str, float]]:
-    found, kept = {}, {}
-    for k, name in enumerate(classes):
+    percentiles, histograms = {}, {}
+    for class_number, name in enumerate(classes):
         histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         for row in rows:
-            if row["class"] == k and row["status"] == 200:
+            if row["class"] == class_number and row["status"] == 200:
                 histogram.record_value(min(MAX_LATENCY_US, max(1, row["took"])))
-        found[name] = {
-            f"p{q:g}": histogram.get_value_at_percentile(q) / 1e3 for q in (50, 90, 99, 99.9)
+        percentiles[name] = {
+            f"p{rank:g}": histogram.get_value_at_percentile(rank) / 1e3
+            for rank in (50, 90, 99, 99.9)
         }
         encoded = histogram.encode()
-        kept[name] = (
+        histograms[name] = (
             encoded.decode() if isinstance(encoded, bytes) else base64.b64encode(encoded).decode()
         )
-    (out / "latencies.hdr.json").write_text(json.dumps(kept) + "\n")
-    return found
+    (out / "latencies.hdr.json").write_text(json.dumps(histograms) + "\n")
+    return percentiles
 
 
 def _costs(results: Results) -> dict[str, float]:
-    found = results.get(HelperRole.PROCESS_MANAGER)
-    costs = list(found[0]["costs"].values()) if found else []
+    manager_results = results.get(HelperRole.PROCESS_MANAGER)
+    costs = list(manager_results[0]["costs"].values()) if manager_results else []
     if not costs:
         return {}
     return {
-        "node seconds of processor, median": percentile([c[0] for c in costs], 0.5),
-        "node MB of its own, median": percentile([c[1] for c in costs], 0.5),
-        "node MB of its own, most": max(c[1] for c in costs),
+        "node seconds of processor, median": percentile([cost[0] for cost in costs], 0.5),
+        "node MB of its own, median": percentile([cost[1] for cost in costs], 0.5),
+        "node MB of its own, most": max(cost[1] for cost in costs),
     }
 
 
-def _charts(out: Path, history: History, classes: list[str]) -> None:
+def _write_charts(out: Path, history: History, classes: list[str]) -> None:
     seconds = max(1, history.duration_us // 1_000_000)
     figure, axes = plt.subplots(4, 1, figsize=(10, 13), constrained_layout=True)
-    _answers(axes[0], history, classes, seconds)
-    _views(axes[1], history, seconds)
-    _loads(axes[2], history, seconds)
-    for site, rates in site_load_by_second(history, [s.name for s in history.plan.sites]).items():
+    _chart_responses(axes[0], history, classes, seconds)
+    _chart_changes(axes[1], history, seconds)
+    _chart_loads(axes[2], history, seconds)
+    for site, rates in site_load_by_second(
+        history, [plan_site.name for plan_site in history.plan.sites]
+    ).items():
         axes[3].plot(range(seconds), rates, label=f"site {site}")
     axes[3].set(
-        xlabel="s", ylabel="requests a second", title="Load at each site's servers", ylim=(0, None)
+        xlabel="s",
+        ylabel="requests per second",
+        title="Load at each site's servers",
+        ylim=(0, None),
     )
     axes[3].legend(fontsize=7)
     for axis in (*axes[:2], axes[3]):
@@ -123,29 +132,29 @@
     plt.close(figure)
 
 
-def _answers(axis: Any, history: History, classes: list[str], seconds: int) -> None:
-    for k, name in enumerate(classes):
-        good, refused = Counter[int](), Counter[int]()
+def _chart_responses(axis: Any, history: History, classes: list[str], seconds: int) -> None:
+    for class_number, name in enumerate(classes):
+        in_time, rejected = Counter[int](), Counter[int]()
         for row in history.requests:
             second = (row["due"] - history.begin_us) // 1_000_000
-            if row["class"] == k:
-                good[second] += row["status"] == 200 and row["took"] <= row["aim"]
-                refused[second] += row["status"] in (429, 503)
+            if row["class"] == class_number:
+                in_time[second] += row["status"] == 200 and row["took"] <= row["aim"]
+                rejected[second] += row["status"] in (429, 503)
         (line,) = axis.plot(
-            range(seconds), [good[s] for s in range(seconds)], label=f"{name} served in time"
+            range(seconds), [in_time[s] for s in range(seconds)], label=f"{name} served in time"
         )
         axis.plot(
             range(seconds),
-            [refused[s] for s in range(seconds)],
+            [rejected[s] for s in range(seconds)],
             ":",
             color=line.get_color(),
-            label=f"{name} refused",
+            label=f"{name} rejected",
         )
-    axis.set(ylabel="a second", title="Answers (grey: faults)")
+    axis.set(ylabel="requests per second", title="Responses (grey: faults)")
     axis.legend(fontsize=7, ncols=2)
 
 
-def _views(axis: Any, history: History, seconds: int) -> None:
+def _chart_changes(axis: Any, history: History, seconds: int) -> None:
     changes: dict[str, Counter[int]] = defaultdict(Counter)
     for change in history.member_changes:
         changes[change.after][change.at_us // 1_000_000] += 1
@@ -157,20 +166,20 @@
             where="post",
         )
     axis.set(
-        ylabel="views changed a second", title="What nodes hold of each other", yscale="symlog"
+        ylabel="changes per second", title="Changes of members in the nodes' views", yscale="symlog"
     )
     axis.legend(fontsize=7)
 
 
-def _loads(axis: Any, history: History, seconds: int) -> None:
+def _chart_loads(axis: Any, history: History, seconds: int) -> None:
     counts = Counter(
-        e["server"]
-        for e in history.executions
-        if 0 <= e["came"] - history.begin_us < history.duration_us
+        row["server"]
+        for row in history.executions
+        if 0 <= row["came"] - history.begin_us < history.duration_us
     )
-    for site in sorted({s.site for s in history.fleet.servers}):
+    for site in sorted({server.site for server in history.fleet.servers}):
         rates = sorted(
-            (counts[s.number] / seconds for s in history.fleet.servers if s.site == site),
+            (counts[host.number] / seconds for host in history.fleet.servers if host.site == site),
             reverse=True,
         )
         axis.step(
@@ -180,13 +189,13 @@
             where="post",
         )
     axis.set(
-        xlabel="servers, busiest first", ylabel="requests a second", title="Load at each server"
+        xlabel="servers, busiest first", ylabel="requests per second", title="Load at each server"
     )
     axis.legend(fontsize=7)
 
 
 def lines(summary: dict[str, Any]) -> list[str]:
-    """Return the lines of a summary as an operator reads it."""
+    """Return a summary as lines of text."""
     head = f"seed {summary['seed']}, {summary['nodes']} nodes, {summary['servers']} servers, {summary['seconds']:g} s"
     rows = [f"{head}: {'all holds' if summary['ok'] else 'NOT ALL HOLDS'}"]
     for check in summary["checks"]:
--- a/oakbridge/lab/runner.py
+++ b/oakbridge/lab/runner.py
@@ -1,4 +1,4 @@
-"""Play one run: start the processes, take the steps when they are due, read the results."""
+"""Performs one run: starts the processes, takes the steps when they are due, reads the results."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     StepKind.STOP: signal.SIGSTOP,
     StepKind.CONTINUE: signal.SIGCONT,
 }
-# The order in which helpers hear of servers that change: a port closes before its server goes, and
-# opens after it has come back.
+# The order in which helpers get a change of servers: a port of the switch closes before its server
+# stops, and opens after its server has started again.
 SERVER_STEP_ROLES = {
     StepKind.SERVERS_DOWN: (HelperRole.SWITCH, HelperRole.SERVERS),
     StepKind.SERVERS_UP: (HelperRole.SERVERS, HelperRole.SWITCH),
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """How far a run is; 0 where a field does not apply to the phase."""
+    """The progress of a run; a field that does not apply to the phase is 0."""
 
     phase: str
     elapsed_s: float = 0.0
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class LabRun:
-    """One run of a plan; ``checkout`` is the directory whose nodes are run."""
+    """One run of a plan; ``checkout`` is the source directory of the nodes' code."""
 
     plan: Plan
     seed: int
@@ -60,9 +60,9 @@
     show_progress: Callable[[Progress], None] = lambda _: None
 
     async def play(self) -> tuple[History, Results]:
-        """Play to the end; return the history and the helpers' results.
+        """Perform the run; return its history and the helpers' results.
 
-        Raise RunFailedError, or what :func:`claim_slot` raises.
+        Raises RunFailedError, or NoFreeSlotError from :func:`claim_slot`.
         """
         fleet = build_fleet(self.plan)
         schedule = draw_schedule(self.plan, fleet, self.seed)
@@ -73,9 +73,9 @@
 
     async def _play(self, slot: Slot, fleet: Fleet, schedule: Schedule) -> tuple[History, Results]:
         async with AsyncExitStack() as stack:
-            # The path of a Unix socket must be short; that of the results may be long.
+            # The path of a Unix socket has a short limit, which the path of the results may exceed.
             sockets = stack.enter_context(TemporaryDirectory(prefix="oakbridge-lab-"))
-            helpers = HelperProcesses(lambda name, exit_code: nodes.note_exit(name, exit_code))
+            helpers = HelperProcesses(lambda name, exit_code: nodes.record_exit(name, exit_code))
             nodes = NodeProcesses(slot, fleet, self.out / "nodes", helpers)
             await stack.enter_async_context(helpers)
             stack.callback(setattr, nodes, "is_shutting_down", True)
@@ -118,8 +118,8 @@
 
     async def _warm_up(self) -> None:
         total_s = self.plan.lab.warm_up / 1e6
-        end = time.monotonic() + total_s
-        while (left_s := end - time.monotonic()) > 0:
+        end_s = time.monotonic() + total_s
+        while (left_s := end_s - time.monotonic()) > 0:
             self.show_progress(Progress("warming up", total_s - left_s, total_s))
             await asyncio.sleep(min(PROGRESS_INTERVAL_S, left_s))
 
@@ -129,39 +129,39 @@
         for node in history.fleet.nodes:
             with nodes.log_path(node.name).open(errors="replace") as log:
                 members, sites = read_changes(log, node.name, history.begin_us)
-            # After the run's end all nodes leave, which is no change to judge.
+            # After the end of the schedule all nodes leave; these changes are not checked.
             end_us = history.duration_us
-            history.member_changes += [c for c in members if c.at_us <= end_us]
-            history.site_changes += [c for c in sites if c.at_us <= end_us]
+            history.member_changes += [change for change in members if change.at_us <= end_us]
+            history.site_changes += [change for change in sites if change.at_us <= end_us]
         history.crashes = [f"{name} ended with {code}" for name, code in nodes.unexpected_exits]
-        history.unsolicited_answers = sum(
+        history.unsolicited_responses = sum(
             result["unasked answers"] for result in results[HelperRole.LOAD]
         )
 
 
 @dataclass(slots=True)
 class SchedulePlayer:
-    """Take the steps of a schedule when they are due."""
+    """Takes the steps of a schedule when they are due."""
 
     helpers: HelperProcesses
     nodes: NodeProcesses
-    begin_us: int  # since the epoch
+    begin_us: int  # start of the schedule, since the epoch
     performed_steps: list[PerformedStep] = field(default_factory=list)
 
     async def play(
         self, schedule: Schedule, total_s: float, show_progress: Callable[[Progress], None]
     ) -> None:
-        """Play a schedule for its whole time."""
+        """Take all steps of a schedule, and return after ``total_s``."""
         loop = asyncio.get_running_loop()
-        begin, steps = loop.time(), list(schedule.steps)
+        begin_s, steps = loop.time(), list(schedule.steps)
         restarts: set[asyncio.Task[None]] = set()
         try:
-            while (elapsed_s := loop.time() - begin) < total_s:
+            while (elapsed_s := loop.time() - begin_s) < total_s:
                 while steps and steps[0].at_us / 1e6 <= elapsed_s:
                     step = steps.pop(0)
                     self._take(step)
                     if step.kind is StepKind.START:
-                        restarts.add(loop.create_task(self._note_ready(step.names[0])))
+                        restarts.add(loop.create_task(self._record_ready(step.names[0])))
                 show_progress(Progress("playing", elapsed_s, total_s))
                 next_s = min(steps[0].at_us / 1e6 if steps else total_s, total_s)
                 await asyncio.sleep(max(0.0, min(PROGRESS_INTERVAL_S, next_s - elapsed_s)))
@@ -169,22 +169,22 @@
             for task in restarts:
                 task.cancel()
 
-    async def _note_ready(self, name: str) -> None:
+    async def _record_ready(self, name: str) -> None:
         if await self.nodes.is_ready_in_time(name):
-            self._note(StepKind.READY, (name,))
+            self._record(StepKind.READY, (name,))
 
-    def _note(self, kind: StepKind, names: tuple[str, ...]) -> None:
+    def _record(self, kind: StepKind, names: tuple[str, ...]) -> None:
         at_us = time.time_ns() // 1000 - self.begin_us
         self.performed_steps.append(PerformedStep(at_us, kind, names))
 
     def _take(self, step: Step) -> None:
-        self._note(step.kind, step.names)
+        self._record(step.kind, step.names)
         match step.kind:
             case StepKind.KILL | StepKind.STOP | StepKind.CONTINUE:
                 number = int(SIGNALS[step.kind])
                 for name in step.names:
                     is_kill = step.kind is StepKind.KILL
-                    self.nodes.send_signal(name, number, ends_it=is_kill)
+                    self.nodes.send_signal(name, number, is_exit_expected=is_kill)
             case StepKind.START:
                 self.nodes.start(step.names[0])
             case StepKind.SERVERS_DOWN | StepKind.SERVERS_UP | StepKind.SERVERS_SPEED:
--- a/oakbridge/lab/schedule.py
+++ b/oakbridge/lab/schedule.py
@@ -1,4 +1,4 @@
-"""The fault schedule of a run: which step is taken when and where, by plan and seed."""
+"""The fault schedule of a run: the steps, their times and hosts, drawn from a plan and a seed."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from oakbridge.lab.links import Rule
 from oakbridge.lab.plan import LINK_FAULTS, FaultTable, Plan
 
-STARVE_STOPPED_US = (400_000, 900_000)  # off the processor, at a time
-STARVE_RUNNING_US = (30_000, 120_000)  # on it
-RESTART_DELAY_US = 100_000  # where the plan gives none
+STARVE_STOPPED_US = (400_000, 900_000)  # range of the times for which a starved node is stopped
+STARVE_RUNNING_US = (30_000, 120_000)  # range of the times for which it runs in between
+RESTART_DELAY_US = 100_000  # from kill to start if the plan gives no duration
 
 
 class StepKind(Enum):
-    """What a step does, by its name in ``steps.parquet`` and in commands to helper processes."""
+    """The kind of a step; the value is its name in ``steps.parquet`` and in helper commands."""
 
     KILL = "kill"
     START = "start"
@@ -28,13 +28,13 @@
     SERVERS_DOWN = "down"
     SERVERS_UP = "up"
     SERVERS_SPEED = "speed"
-    BEGIN = "begin"  # performed only: the schedule's begin
-    READY = "ready"  # performed only: a node serves again
+    BEGIN = "begin"  # only in performed steps: the start of the schedule
+    READY = "ready"  # only in performed steps: a restarted node is ready
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step, at a time in microseconds from the schedule's begin."""
+    """One step; its time counts from the schedule's start."""
 
     at_us: int
     kind: StepKind
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A span of time, in microseconds from the schedule's begin."""
+    """A span of time, counted from the schedule's start."""
 
     begin_us: int
     end_us: int
@@ -56,12 +56,14 @@
     """All steps in the order of their times."""
 
     steps: tuple[Step, ...]
-    node_outages: dict[str, list[Span]] = field(default_factory=dict)  # by node; not starved ones
+    node_outages: dict[str, list[Span]] = field(
+        default_factory=dict
+    )  # by node; starved nodes are left out
     fault_spans: tuple[Span, ...] = ()
 
 
 def draw_schedule(plan: Plan, fleet: Fleet, seed: int) -> Schedule:
-    """Draw the schedule; the same plan and seed give the same one."""
+    """Draw the schedule; it depends only on the plan and the seed."""
     rng = random.Random(f"course {seed}")
     steps: list[Step] = []
     outages: dict[str, list[Span]] = {}
@@ -114,7 +116,7 @@
 
 
 def _starve_steps(rng: random.Random, name: str, fault: Span) -> list[Step]:
-    """Stop and continue a node in turn, so that it runs for a small part of the time."""
+    """Stop and continue a node in turn, so that it runs for a small fraction of the time."""
     steps: list[Step] = []
     stop_us = fault.begin_us
     while stop_us < fault.end_us:
@@ -153,10 +155,10 @@
 
 def _link_rule(fault: FaultTable, number: int, fleet: Fleet) -> Rule:
     hosts = (*fleet.nodes, *fleet.servers)
-    ours = frozenset(host.name for host in hosts if fault.site in (None, host.site))
-    others = ours
+    sources = frozenset(host.name for host in hosts if fault.site in (None, host.site))
+    targets = sources
     if fault.site is not None:
-        others = frozenset(
+        targets = frozenset(
             host.name
             for host in hosts
             if host.site != fault.site and fault.other in (None, host.site)
@@ -164,12 +166,12 @@
     is_lossy = fault.kind == "lossy"
     return Rule(
         number,
-        ours,
-        others,
-        both=not fault.one_way,
-        cut=fault.kind == "cut",
+        sources,
+        targets,
+        both_directions=not fault.one_way,
+        is_cut=fault.kind == "cut",
         loss=fault.loss if is_lossy else 0.0,
-        doubled=fault.doubled if is_lossy else 0.0,
-        delay=fault.delay if fault.kind == "slow links" else 0,
-        jitter=fault.delay if is_lossy else 0,
+        duplicated=fault.doubled if is_lossy else 0.0,
+        delay_us=fault.delay if fault.kind == "slow links" else 0,
+        jitter_us=fault.delay if is_lossy else 0,
     )
--- a/oakbridge/lab/server_queue.py
+++ b/oakbridge/lab/server_queue.py
@@ -1,4 +1,4 @@
-"""The workers and the queue of one stand-in server, and how fast it is.  Pure: times in seconds."""
+"""The workers, the queue and the speed of one stand-in server.  No I/O; times in seconds."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class ServerQueue(Generic[Job]):
-    """Jobs in work and jobs that wait, both bounded."""
+    """A bounded number of workers, and a bounded queue of waiting jobs."""
 
     def __init__(self, plan: ServersTable, size: float, seed: str) -> None:
-        """``size``: the server's speed as a multiple of the plan's."""
-        self.speed = 1.0  # a further multiple, which faults change
+        """``size``: the server's speed factor from the plan."""
+        self.speed = 1.0  # a further speed factor, which faults change
         self.cold_since_s: float | None = None  # None: warm
         self._plan = plan
         self._size = size
@@ -34,9 +34,9 @@
         return self._plan.cold + (1 - self._plan.cold) * progress
 
     def add(self, job: Job, now_s: float) -> float | None:
-        """Take in a job; return its work in seconds, 0 if it waits, None if it is rejected."""
+        """Add a job; return its processing time, 0 if it waits, None if it is rejected."""
         if self._busy_workers < self._plan.workers:
-            return self._begin_work(now_s)
+            return self._start_work(now_s)
         if len(self._waiting) >= self._plan.queue:
             return None
         self._waiting.append(job)
@@ -45,22 +45,22 @@
     def complete(
         self, now_s: float, is_cancelled: Callable[[Job], bool]
     ) -> tuple[Job, float] | None:
-        """End a job; return the next one and its work in seconds, None if none waits.
+        """Finish a job; return the next one and its processing time in seconds, None if none waits.
 
-        Waiting jobs that were cancelled meanwhile are dropped.
+        Waiting jobs that were cancelled in the meantime are dropped.
         """
         self._busy_workers -= 1
         while self._waiting:
             job = self._waiting.popleft()
             if not is_cancelled(job):
-                return job, self._begin_work(now_s)
+                return job, self._start_work(now_s)
         return None
 
     def clear_waiting(self) -> None:
         """Drop all waiting jobs."""
         self._waiting.clear()
 
-    def _begin_work(self, now_s: float) -> float:
+    def _start_work(self, now_s: float) -> float:
         self._busy_workers += 1
         mean_s = self._plan.time / 1e6 / (self._size * self.speed * self.warmth(now_s))
         return self._random.expovariate(1 / mean_s)
--- a/oakbridge/lab/servers.py
+++ b/oakbridge/lab/servers.py
@@ -1,4 +1,4 @@
-"""The helper process of stand-in servers: workers, queues, connections, speeds, cold starts."""
+"""The helper process that runs stand-in servers with workers, queues, speeds and cold starts."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 STATUS_OK = 200
 STATUS_REJECTED = 503
-STATUS_DISCONNECTED = 0  # in place of a status: the node closed the connection, or it was reset
-CLOSE_DELAY_S = 0.05  # until lost connections have written their rows
+STATUS_DISCONNECTED = 0  # instead of a status: the connection was closed before the response
+CLOSE_DELAY_S = 0.05  # until closed connections have added their rows
 COLUMNS = ("server", "request", "came", "ended", "status", "begun")
 
 Row = tuple[int, str, int, int, int, bool]
 
 
-class StandIn:
-    """One server."""
+class StandInServer:
+    """One stand-in server."""
 
     def __init__(self, helper: Helper, number: int, name: str) -> None:
-        """Make the server of this number, which gives its address and size."""
+        """Create a server; its number gives its address and its size."""
         self.helper = helper
         self.number = number
         self.connections: set[NodeConnection] = set()
@@ -37,7 +37,7 @@
         self._listener: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Listen."""
+        """Open the listener."""
         self._listener = await asyncio.get_running_loop().create_server(
             lambda: NodeConnection(self),
             host_address(SERVER_NET, self.number),
@@ -47,7 +47,7 @@
         )
 
     def close(self) -> None:
-        """Reset connections and refuse new ones, as a process that dies."""
+        """Reset all connections and refuse new ones, as if the process had been killed."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -56,46 +56,53 @@
         self.queue.clear_waiting()
 
     def execute(self, execution: Execution) -> None:
-        """Work on a request, queue it, or reject it."""
+        """Process a request, queue it, or reject it."""
         work_s = self.queue.add(execution, time.monotonic())
         if work_s is None:
             execution.finish(STATUS_REJECTED)
         elif work_s:
-            self._begin(execution, work_s)
+            self._start_work(execution, work_s)
 
-    def _begin(self, execution: Execution, work_s: float) -> None:
-        execution.is_begun = True
+    def _start_work(self, execution: Execution, work_s: float) -> None:
+        execution.is_started = True
         asyncio.get_running_loop().call_later(work_s, self._complete, execution)
 
     def _complete(self, execution: Execution) -> None:
         execution.finish(STATUS_OK)
-        following = self.queue.complete(time.monotonic(), lambda waiting: waiting.is_finished)
-        if following is not None:
-            self._begin(*following)
+        next_job = self.queue.complete(time.monotonic(), lambda waiting: waiting.is_finished)
+        if next_job is not None:
+            self._start_work(*next_job)
 
 
 class Execution:
     """One request at one server."""
 
-    __slots__ = ("_arrived_us", "_connection", "_request", "is_begun", "is_finished")
+    __slots__ = ("_arrived_us", "_connection", "_request_id", "is_finished", "is_started")
 
-    def __init__(self, connection: NodeConnection, request: str) -> None:
-        """``request``: its identifier."""
-        self.is_begun = False
+    def __init__(self, connection: NodeConnection, request_id: str) -> None:
+        """``request_id`` is empty if the request has none."""
+        self.is_started = False
         self.is_finished = False
         self._connection = connection
-        self._request = request
+        self._request_id = request_id
         self._arrived_us = time.time_ns() // 1000
 
     def finish(self, status: int) -> None:
-        """End it, the first time that this is called: write its row, and answer."""
+        """Add the row and send the response, unless the execution is finished already."""
         if self.is_finished:
             return
         self.is_finished = True
-        standin = self._connection.standin
-        ended_us = time.time_ns() // 1000
-        standin.helper.add_row(
-            (standin.number, self._request, self._arrived_us, ended_us, status, self.is_begun)
+        server = self._connection.server
+        finished_us = time.time_ns() // 1000
+        server.helper.add_row(
+            (
+                server.number,
+                self._request_id,
+                self._arrived_us,
+                finished_us,
+                status,
+                self.is_started,
+            )
         )
         if status != STATUS_DISCONNECTED:
             self._connection.reply(status, b"ok")
@@ -104,34 +111,34 @@
 class NodeConnection(Connection):
     """One connection from a node."""
 
-    def __init__(self, standin: StandIn) -> None:
-        """``standin``: the server that it came to."""
+    def __init__(self, server: StandInServer) -> None:
+        """``server``: the server that accepted the connection."""
         super().__init__()
-        self.standin = standin
+        self.server = server
         self._execution: Execution | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Close a connection beyond the server's limit."""
         super().connection_made(transport)
-        if len(self.standin.connections) >= self.standin.helper.plan.connections:
+        if len(self.server.connections) >= self.server.helper.plan.connections:
             transport.close()
             return
-        self.standin.connections.add(self)
+        self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Finish the request under way without an answer."""
+        """Finish the request in flight without a response."""
         super().connection_lost(exc)
-        self.standin.connections.discard(self)
+        self.server.connections.discard(self)
         if self._execution is not None:
             self._execution.finish(STATUS_DISCONNECTED)
 
-    def come(self, request: bytes) -> None:
-        """Take in a complete request."""
-        self._execution = Execution(self, request.decode("latin-1"))
-        self.standin.execute(self._execution)
+    def on_request(self, request_id: bytes) -> None:
+        """Execute a complete request."""
+        self._execution = Execution(self, request_id.decode("latin-1"))
+        self.server.execute(self._execution)
 
     def reply(self, status: int, body: bytes) -> None:
-        """Answer the request under way."""
+        """Send the response of the request in flight."""
         self._execution = None
         super().reply(status, body)
 
@@ -140,32 +147,34 @@
     """The servers of one process."""
 
     def __init__(self, config: dict[str, Any]) -> None:
-        """``config``: as ``helper_configs.server_configs`` makes it."""
+        """``config``: as built by ``helper_configs.server_configs``."""
         self.slot = Slot(config["base"])
         self.plan = ServersTable.model_construct(**config["plan"])
         self.seed = config["seed"]
         self._out = Path(config["out"])
-        self._servers = {name: StandIn(self, number, name) for number, name in config["servers"]}
+        self._servers = {
+            name: StandInServer(self, number, name) for number, name in config["servers"]
+        }
         self._rows: list[Row] = []
         self._openings: set[asyncio.Task[None]] = set()
 
     def add_row(self, row: Row) -> None:
-        """Keep one execution, in the order of the table's columns."""
+        """Add the row of one execution, with values in the order of COLUMNS."""
         self._rows.append(row)
 
     async def start(self) -> None:
-        """Listen."""
+        """Open the listeners of all servers."""
         for server in self._servers.values():
             await server.open()
 
     def do(self, command: dict[str, Any]) -> None:
-        """Servers ``down``, ``up`` (cold) and their ``speed``."""
+        """Carry out ``down``, ``up`` (with a cold start) or ``speed`` for the named servers."""
         for name in command.get("names", ()):
             server = self._servers.get(name)
             if server is not None:
                 self._change(server, command)
 
-    def _change(self, server: StandIn, command: dict[str, Any]) -> None:
+    def _change(self, server: StandInServer, command: dict[str, Any]) -> None:
         match command["do"]:
             case "down":
                 server.close()
@@ -186,4 +195,4 @@
         return {"executions": len(self._rows)}
 
     def abandon(self) -> None:
-        """Do nothing: nothing outlives the process."""
+        """Do nothing: the process started nothing that outlives it."""
--- a/oakbridge/lab/switch.py
+++ b/oakbridge/lab/switch.py
@@ -1,8 +1,8 @@
-"""The helper process between all nodes and servers, which plays network faults.
+"""The helper process that forwards all traffic between hosts and injects network faults.
 
-Connections and datagrams go through it and, by the rules in force, are cut, lost or delayed.  A
-connection to a host that is cut off is accepted by the switch and silent from then on, where a real
-one would not be accepted.  A server that is down is refused, as its port is closed here as well.
+Connections and datagrams pass through it; the active rules cut, drop or delay them.  Unlike a real
+network, the switch accepts a connection to a host that is cut off, and then transfers no data on
+it.  Connections to a server that is down are refused, as the switch closes its port too.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 
 class Helper:
-    """One of the switch's processes; all have the same rules and share the ports."""
+    """One of the switch processes; all have the same rules and share the listening ports."""
 
     def __init__(self, config: dict[str, Any]) -> None:
-        """``config``: as ``helper_configs.switch_configs`` makes it."""
+        """``config``: as built by ``helper_configs.switch_configs``."""
         self._slot = Slot(config["base"])
         self._nodes: list[str] = [name for name, _ in config["nodes"]]
         self._servers: list[str] = [name for name, _ in config["servers"]]
@@ -50,7 +50,7 @@
         self._datagrams = DatagramForwarder(self._slot, self._nodes, self._links, rng, self._counts)
 
     async def start(self) -> None:
-        """Listen."""
+        """Open the listeners, and start to forward datagrams."""
         for number, name in enumerate(self._servers):
             await self._open_server(number, name)
         self._member_listener = await self._listen(
@@ -73,7 +73,7 @@
         )
 
     def _route_to_server(self, number: int, name: str, local: str) -> Route | None:
-        """Return the route at a server's port: the node's own address on the switch tells whose."""
+        """Return the route of a connection to a server's port; the local address gives the node."""
         source = self._node_at(local)
         if source is None:
             return None
@@ -95,12 +95,12 @@
         return self._nodes[number] if 0 <= number < len(self._nodes) else None
 
     def do(self, command: dict[str, Any]) -> None:
-        """``link``, ``unlink``, ``reset``, and servers ``down`` and ``up``."""
+        """Carry out ``link``, ``unlink``, ``reset``, or ``down`` and ``up`` of servers."""
         match command["do"]:
             case "link":
-                self._links.put(Rule.from_json(command["rule"]))
+                self._links.add_rule(Rule.from_json(command["rule"]))
             case "unlink":
-                self._links.drop(command["rule"]["number"])
+                self._links.remove_rule(command["rule"]["number"])
             case "reset":
                 self._reset(Rule.from_json(command["rule"]))
             case "down":
@@ -110,7 +110,11 @@
         self._relays.apply_links()
 
     def _reset(self, rule: Rule) -> None:
-        for relay in [r for r in self._relays.relays if rule.about(r.source, r.target)]:
+        for relay in [
+            candidate
+            for candidate in self._relays.relays
+            if rule.applies_to(candidate.source, candidate.target)
+        ]:
             relay.reset()
 
     def _close_servers(self, names: Collection[str]) -> None:
@@ -129,8 +133,8 @@
                 task.add_done_callback(self._openings.discard)
 
     async def end(self) -> dict[str, Any]:
-        """Return the counts of what went through."""
+        """Return the counts of connections, datagrams and bytes."""
         return dict(self._counts)
 
     def abandon(self) -> None:
-        """Do nothing: nothing outlives the process."""
+        """Do nothing: the process started nothing that outlives it."""
--- a/oakbridge/lab/table.py
+++ b/oakbridge/lab/table.py
@@ -1,4 +1,4 @@
-"""Parquet tables of a run."""
+"""Reads and writes the Parquet tables of a run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def write(path: Path, columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Write rows atomically: into a temporary file, which is then renamed."""
+    """Write rows atomically: write a temporary file, then rename it."""
     by_column = list(zip(*rows, strict=True)) if rows else [()] * len(columns)
     arrow = pa.table({name: list(values) for name, values in zip(columns, by_column, strict=True)})
     temporary = path.with_suffix(".new")
--- a/tests/lab/test_checks.py
+++ b/tests/lab/test_checks.py
@@ -94,7 +94,7 @@
 
 
 def unasked(history):
-    history.unsolicited_answers = 1
+    history.unsolicited_responses = 1
 
 
 def two_out(history):
