--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
     "TestProtocol", "test_a_halted_change_is_rolled_back", "test_frozen_agents_are_unknown",
     "test_two_operators_at_once", "test_step_has_the_same_outcome", "TestDisk", "TestHostModel",
     "test_killed_at_each_write", "test_a_valid_change_completes",
-    "test_a_run_holds_and_leaves_its_tables", "test_all_rules_hold_under_overlapping_faults",
+    "test_all_checks_of_a_run_hold", "test_all_rules_hold_under_overlapping_faults",
     "test_steps_are_applied_though_the_disks",
 )  # fmt: skip
 
--- a/tests/formats/test_lab.py
+++ b/tests/formats/test_lab.py
@@ -1,6 +1,7 @@
-"""The files that a run of the lab leaves, held by fixtures.
+"""The formats of the files that a run of the lab writes, compared with fixtures.
 
-Parquet and histograms are compared by what they hold: their bytes depend on the library that packs them.
+Parquet files and histograms are compared by content, as their bytes depend on the library that
+writes them.
 """
 
 import json
@@ -38,18 +39,18 @@
 RULE = Rule(3, frozenset({"n001", "n000"}), frozenset({"s000"}), False, True, 0.5, 0.25, 1000, 200)
 
 
-def history():
+def make_history():
     plan = load_plan(FIXTURES / "plan.toml")
     fleet = build_fleet(plan)
-    found = History(plan, fleet, Schedule((), {}, (Span(4 * S, 9 * S),)), 1000 * S, 10 * S)
-    found.member_changes = [MemberChange(*row.values()) for row in TABLES["views.parquet"]]
-    found.performed_steps = [
+    history = History(plan, fleet, Schedule((), {}, (Span(4 * S, 9 * S),)), 1000 * S, 10 * S)
+    history.member_changes = [MemberChange(*row.values()) for row in TABLES["views.parquet"]]
+    history.performed_steps = [
         PerformedStep(0, StepKind.BEGIN, ()),
         PerformedStep(4 * S, StepKind.KILL, ("n001",)),
     ]
     for number, status in enumerate((200, 200, 503, 200, 429)):
         due = 1000 * S + number * S
-        found.requests.append(
+        history.requests.append(
             {
                 "due": due,
                 "class": number % 2,
@@ -62,13 +63,13 @@
                 "aim": S,
             }
         )
-        found.executions.append(
+        history.executions.append(
             {"server": 0, "request": f"r{number}", "came": due, "ended": due + 15_000, "status": status, "begun": True}
         )  # fmt: skip
-    return found
+    return history
 
 
-def written(out):
+def write_results(out):
     checks = [
         Check("one answer", 0, "0", True),
         Check("served", 0.6, "at least 0.99", False, "one node was dead"),
@@ -79,52 +80,52 @@
         HelperRole.LOAD: [{"sent late": 2}, {"sent late": 1}],
         HelperRole.PROCESS_MANAGER: [{"costs": {"n000": [0.5, 21.0], "n001": [0.25, 22.5]}}],
     }
-    return report.write(out, history(), checks, results, 7, "fd72d9b")
+    return report.write(out, make_history(), checks, results, 7, "fd72d9b")
 
 
-def test_a_runs_results_are_the_same(tmp_path, monkeypatch):
+def test_results_of_a_run_match_the_fixtures(tmp_path, monkeypatch):
     monkeypatch.setattr(report, "__version__", "0.3.0")
-    summary = written(tmp_path)
+    summary = write_results(tmp_path)
     assert (tmp_path / "summary.json").read_bytes() == (FIXTURES / "summary.json").read_bytes()
     assert json.loads((FIXTURES / "summary.json").read_bytes()) == summary
     for name, rows in TABLES.items():
         assert table.read([tmp_path / name]) == rows
-    found = json.loads((tmp_path / "latencies.hdr.json").read_bytes())
-    held = json.loads((FIXTURES / "latencies.hdr.json").read_bytes())
-    assert list(found) == list(held) == ["read", "write"]
+    written = json.loads((tmp_path / "latencies.hdr.json").read_bytes())
+    expected = json.loads((FIXTURES / "latencies.hdr.json").read_bytes())
+    assert list(written) == list(expected) == ["read", "write"]
     for name, served in (("read", 1), ("write", 2)):
-        assert HdrHistogram.decode(held[name]).get_total_count() == served
-        assert HdrHistogram.decode(found[name]).equals(HdrHistogram.decode(held[name]))
+        assert HdrHistogram.decode(expected[name]).get_total_count() == served
+        assert HdrHistogram.decode(written[name]).equals(HdrHistogram.decode(expected[name]))
 
 
 @pytest.mark.parametrize("name", TABLES)
-def test_a_runs_tables_are_read(name):
+def test_tables_of_a_run_are_read(name):
     assert table.read([FIXTURES / name]) == TABLES[name]
 
 
-def test_a_summary_is_read():
+def test_summary_is_read():
     summary = json.loads((FIXTURES / "summary.json").read_bytes())
     assert report.lines(summary) == (FIXTURES / "summary.txt").read_text().splitlines()
 
 
-def test_a_comparisons_table_is_the_same(tmp_path):
+def test_tables_of_a_comparison_match_the_fixtures(tmp_path):
     compare_report.write(
         tmp_path, COMPARED, {"before": {1: {"served": 0.975}}, "after": {1: {"served": 0.98}}}
     )
-    held = json.loads((FIXTURES / "compared.json").read_text())
+    expected = json.loads((FIXTURES / "compared.json").read_text())
     for name in ("compared.parquet", "runs.parquet"):
         rows = table.read([tmp_path / name])
-        assert rows == table.read([FIXTURES / name]) == held[name]
-        assert [list(row) for row in rows] == [list(row) for row in held[name]]
+        assert rows == table.read([FIXTURES / name]) == expected[name]
+        assert [list(row) for row in rows] == [list(row) for row in expected[name]]
 
 
-def test_a_rule_for_a_switch_is_read_and_written():
-    held = (FIXTURES / "rule.json").read_text()
-    assert json.dumps(RULE.as_json()) + "\n" == held
-    assert Rule.from_json(json.loads(held)) == RULE
+def test_rule_of_a_switch_is_read_and_written():
+    expected = (FIXTURES / "rule.json").read_text()
+    assert json.dumps(RULE.as_json()) + "\n" == expected
+    assert Rule.from_json(json.loads(expected)) == RULE
 
 
-def test_a_nodes_log_is_read():
+def test_log_of_a_node_is_read():
     log = (FIXTURES / "node.log").read_text().splitlines()
     members, sites = read_changes(log, "n000", 1000 * S)
     assert members == [MemberChange(5 * S, "n000", "n001", "alive", "suspect")]
--- a/tests/lab/conftest.py
+++ b/tests/lab/conftest.py
@@ -1,4 +1,4 @@
-"""A small plan that the tests of the lab share."""
+"""A small plan, shared by the tests of the lab."""
 
 import pytest
 
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def plan(tmp_path):
-    """Return the plan: two sites, two classes, a kill at 5 s and a cut from 10 to 30 s."""
+    """Return a plan with two sites and two classes; a kill at 5 s, and a cut from 10 to 30 s."""
     path = tmp_path / "plan.toml"
     path.write_text(PLAN)
     return load_plan(path)
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -1,4 +1,4 @@
-"""Runs set beside each other: cases, paired intervals, and a verdict only where there is one."""
+"""Comparisons of runs: cases, paired intervals and verdicts."""
 
 import random
 from pathlib import Path
@@ -10,25 +10,25 @@
 from oakbridge.lab import compare
 from oakbridge.lab.plan import load_plan
 
-LAB = Path(__file__).parents[2] / "benchmarks" / "lab"
+PLANS = Path(__file__).parents[2] / "benchmarks" / "lab"
 
 
-def test_cases_are_all_combinations_and_change_the_plan():
-    vary = [
+def test_cases_are_all_combinations_of_values():
+    variations = [
         compare.parse_variation('settings="","[spread]"'),
         compare.parse_variation("class.0.rate=1.5,2.5,9.0"),
     ]
-    found = compare.build_cases([LAB / "even.toml"], vary, [])
-    assert len(found) == 6
-    assert found[0].name == "settings=nothing rate=1.5"
-    plan = load_plan(found[-1].file, found[-1].changes)
+    cases = compare.build_cases([PLANS / "even.toml"], variations, [])
+    assert len(cases) == 6
+    assert cases[0].name == "settings=nothing rate=1.5"
+    plan = load_plan(cases[-1].file, cases[-1].changes)
     assert plan.settings == "[spread]"
     assert plan.classes[0].rate == 9.0
-    assert load_plan(LAB / "even.toml").classes[0].rate == 450.0
+    assert load_plan(PLANS / "even.toml").classes[0].rate == 450.0
 
 
 @pytest.mark.parametrize(
-    ("vary", "says"),
+    ("vary", "message"),
     [
         ("settings", "KEY=VALUE"),
         ("settings=[spread]", "texts in quotes"),
@@ -38,11 +38,11 @@
         ("settings=", "a value at least"),
     ],
 )
-def test_a_vary_that_makes_no_sense_is_told_in_a_line(tmp_path, vary, says):
-    words = ["lab", "compare", str(LAB / "even.toml"), "--vary", vary, "--out", str(tmp_path)]
-    result = CliRunner().invoke(cli, words)
+def test_invalid_variation_is_reported_without_a_traceback(tmp_path, vary, message):
+    arguments = ["lab", "compare", str(PLANS / "even.toml"), "--vary", vary, "--out", str(tmp_path)]
+    result = CliRunner().invoke(cli, arguments)
     assert result.exit_code == 2
-    assert says in result.output
+    assert message in result.output
     assert "Traceback" not in result.output
 
 
@@ -55,15 +55,17 @@
         (0.5, 4, "4 pairs: too few"),
     ],
 )
-def test_a_verdict_only_where_the_interval_says_so(shift, pairs, verdict):
-    """Seeds differ far more than cases: pairs see what two samples would not."""
+def test_difference_is_claimed_only_if_its_interval_excludes_zero(shift, pairs, verdict):
+    """Seeds differ far more than cases, so that only pairs of the same seed show the difference."""
     rng = random.Random(7)
-    days = {seed: rng.gauss(10, 5) for seed in range(pairs)}
-    found = {
-        "before": {seed: {"figure": day} for seed, day in days.items()},
-        "after": {seed: {"figure": day + shift + rng.gauss(0, 0.2)} for seed, day in days.items()},
+    values = {seed: rng.gauss(10, 5) for seed in range(pairs)}
+    figures = {
+        "before": {seed: {"figure": value} for seed, value in values.items()},
+        "after": {
+            seed: {"figure": value + shift + rng.gauss(0, 0.2)} for seed, value in values.items()
+        },
     }
-    before, after = compare.compare(found)
+    before, after = compare.compare(figures)
     assert before.case == "before"
     assert not before.verdict
     assert after.verdict == verdict
--- a/tests/lab/test_history.py
+++ b/tests/lab/test_history.py
@@ -1,4 +1,4 @@
-"""What is read from the files that a run leaves."""
+"""The history of a run: outages, and changes read from the nodes' logs."""
 
 from oakbridge.lab.history import History, MemberChange, PerformedStep, SiteChange, read_changes
 from oakbridge.lab.schedule import Schedule, Span, StepKind
@@ -6,7 +6,7 @@
 S = 1_000_000
 
 
-def test_one_that_is_killed_and_frozen_is_not_back_when_thawed():
+def test_node_killed_while_frozen_is_down_until_it_is_ready():
     history = History(None, None, Schedule((), {"x": []}), 0, 60 * S)
     history.performed_steps = [
         PerformedStep(at * S, StepKind(kind), ("x",))
@@ -17,7 +17,7 @@
     assert history.outages() == {"x": [Span(1 * S, 14 * S)]}
 
 
-def test_changes_are_read_from_a_log_that_is_cut_short():
+def test_changes_are_read_from_a_truncated_log():
     lines = [
         '{"event": "x"}\n',
         '{"member": "n1", "at_us": 5000000, "before": "alive", "after": "failed", "by": "n2", "cause": ""}\n',
@@ -26,8 +26,8 @@
     lines.insert(
         1, '{"site": "a", "at_us": 4000000, "was": "well", "state": "lost", "cause": ""}\n'
     )
-    found = (
+    expected = (
         [MemberChange(3 * S, "n0", "n1", "alive", "failed")],
         [SiteChange(2 * S, "n0", "a", "well", "lost")],
     )
-    assert read_changes(lines, "n0", 2 * S) == found
+    assert read_changes(lines, "n0", 2 * S) == expected
--- a/tests/lab/test_load_distribution.py
+++ b/tests/lab/test_load_distribution.py
@@ -1,4 +1,4 @@
-"""The figures of load distribution, each with a fault planted for it."""
+"""The figures of load distribution, each with an uneven choice of servers planted for it."""
 
 import random
 
@@ -11,81 +11,92 @@
 SERVERS, SECONDS = 40, 60
 
 
-def played(choose=None, seed=1, rate=200.0, takes=S // 10, **more):
-    """Requests at random moments; ``choose`` says at which server, any if absent."""
+def make_visits(choose=None, seed=1, rate=200.0, duration_us=S // 10, **fields):
+    """Return visits at random times; ``choose`` selects the server, by default at random."""
     rng = random.Random(seed)
-    at, rows = 0.0, []
-    while (at := at + rng.expovariate(rate / S)) < SECONDS * S:
-        server = choose(rng, at) if choose else rng.randrange(SERVERS)
-        rows.append((server, int(at), int(at) + takes))
-    return load_distribution.Visits(rows, [1 / SERVERS] * SERVERS, 1, SECONDS * S, **more)
+    at_us, rows = 0.0, []
+    while (at_us := at_us + rng.expovariate(rate / S)) < SECONDS * S:
+        server = choose(rng, at_us) if choose else rng.randrange(SERVERS)
+        rows.append((server, int(at_us), int(at_us) + duration_us))
+    return load_distribution.Visits(rows, [1 / SERVERS] * SERVERS, 1, SECONDS * S, **fields)
 
 
-def twice_for_some(rng, at):
+def prefer_some(rng, at_us):
     return rng.choice([*range(SERVERS), *range(SERVERS // 4)])
 
 
-def one_left_out(rng, at):
-    return rng.randrange(SERVERS - (20 * S < at < 40 * S))
+def skip_one(rng, at_us):
+    return rng.randrange(SERVERS - (20 * S < at_us < 40 * S))
 
 
-def herding(rng, at):
+def herd_to_two(rng, at_us):
     return (
-        rng.randrange(2) if 30 * S <= at < 31 * S and rng.random() < 0.5 else rng.randrange(SERVERS)
+        rng.randrange(2)
+        if 30 * S <= at_us < 31 * S and rng.random() < 0.5
+        else rng.randrange(SERVERS)
     )
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_chance_alone_is_told_for_what_it_is(seed):
-    fair = played(seed=seed)
+def test_random_choices_give_the_figures_of_chance(seed):
+    fair = make_visits(seed=seed)
     assert load_distribution.load_ratio_over_chance(fair) == pytest.approx(1, abs=0.08)
     assert load_distribution.load_variation(fair) == pytest.approx(
         1 / 50**0.5, rel=0.2
-    )  # 50 requests a window and server
+    )  # 50 requests per window and server
     assert abs(load_distribution.idle_beyond_chance(fair)) < 1.5
     assert load_distribution.choice_similarity(fair, [30 * S]) == pytest.approx(1, abs=0.6)
     assert load_distribution.herd_peak(fair, [30 * S]) < 1.6
 
 
 @pytest.mark.parametrize(
-    ("figure", "choose", "least"),
+    ("figure", "choose", "minimum"),
     [
-        (load_distribution.load_ratio_over_chance, twice_for_some, 1.2),
-        (load_distribution.load_variation, twice_for_some, 0.35),
-        (load_distribution.idle_beyond_chance, one_left_out, 15),
-        (lambda v: load_distribution.herd_peak(v, [10 * S, 30 * S]), herding, 2.5),
-        (lambda v: load_distribution.choice_similarity(v, [10 * S, 30 * S]), herding, 5),
+        (load_distribution.load_ratio_over_chance, prefer_some, 1.2),
+        (load_distribution.load_variation, prefer_some, 0.35),
+        (load_distribution.idle_beyond_chance, skip_one, 15),
+        (
+            lambda visits: load_distribution.herd_peak(visits, [10 * S, 30 * S]),
+            herd_to_two,
+            2.5,
+        ),
+        (
+            lambda visits: load_distribution.choice_similarity(visits, [10 * S, 30 * S]),
+            herd_to_two,
+            5,
+        ),
     ],
 )
-def test_each_figure_shows_the_fault_planted_for_it(figure, choose, least):
-    assert figure(played(choose)) > least > 1.1 * figure(played())
+def test_each_figure_shows_the_uneven_choice_planted_for_it(figure, choose, minimum):
+    assert figure(make_visits(choose)) > minimum > 1.1 * figure(make_visits())
 
 
-def test_servers_that_were_not_there_owe_nothing():
-    gone = {SERVERS - 1: [Span(20 * S, 40 * S)]}
-    there = played(one_left_out, unavailable=gone)
-    assert load_distribution.idle_beyond_chance(there) < 1.5
-    assert load_distribution.load_ratio_over_chance(there) == pytest.approx(1, abs=0.1)
+def test_unavailable_servers_are_left_out():
+    unavailable = {SERVERS - 1: [Span(20 * S, 40 * S)]}
+    visits = make_visits(skip_one, unavailable=unavailable)
+    assert load_distribution.idle_beyond_chance(visits) < 1.5
+    assert load_distribution.load_ratio_over_chance(visits) == pytest.approx(1, abs=0.1)
 
 
-def test_idle_while_others_wait_is_counted_in_server_seconds():
-    # Two servers and one worker each: for two seconds two wait at the first while the second has nothing.
+def test_idle_while_waiting_is_a_fraction_of_server_time():
+    # Two servers with one worker each: for two seconds requests wait at the first server, while the
+    # second one is idle.
     rows = [(0, 0, S), (0, 0, 2 * S), (0, 0, 3 * S), (1, 3 * S, 4 * S)]
-    v = load_distribution.Visits(rows, [0.5, 0.5], 1, 4 * S)
-    assert load_distribution.idle_while_waiting(v) == pytest.approx(2 / 8)
-    v.unavailable = {1: [Span(0, S)]}
-    assert load_distribution.idle_while_waiting(v) == pytest.approx(1 / 8)
+    visits = load_distribution.Visits(rows, [0.5, 0.5], 1, 4 * S)
+    assert load_distribution.idle_while_waiting(visits) == pytest.approx(2 / 8)
+    visits.unavailable = {1: [Span(0, S)]}
+    assert load_distribution.idle_while_waiting(visits) == pytest.approx(1 / 8)
     busy = load_distribution.Visits(
         [(0, 0, 4 * S), (0, 0, 4 * S), (1, 0, 4 * S)], [0.5, 0.5], 1, 4 * S
     )
     assert load_distribution.idle_while_waiting(busy) == 0
 
 
-def test_nothing_is_told_of_nothing():
+def test_figures_without_visits_are_none():
     empty = load_distribution.Visits([], [1.0], 1, S)
     assert {
-        f(empty)
-        for f in (
+        figure(empty)
+        for figure in (
             load_distribution.load_ratio_percentile,
             load_distribution.load_ratio_over_chance,
             load_distribution.load_variation,
--- a/tests/lab/test_plan.py
+++ b/tests/lab/test_plan.py
@@ -1,4 +1,4 @@
-"""Mistakes in the plan file of a run."""
+"""Errors in the plan file of a run."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "told"),
+    ("added_text", "message"),
     [
         ('[[fault]]\nat = "1s"\nkind = "flood"\n', "kind"),
         ('[[fault]]\nat = "1s"\nkind = "freeze"\n', "lasts: expected a time where kind is freeze"),
@@ -19,9 +19,9 @@
         ("[labs]\n", "labs: unknown key"),
     ],
 )
-def test_mistakes_in_a_plan_are_named_with_their_line(tmp_path, plan_text, more, told):
+def test_errors_in_a_plan_name_the_file_and_the_key(tmp_path, plan_text, added_text, message):
     path = tmp_path / "plan.toml"
-    path.write_text(plan_text + more)
-    with pytest.raises(ConfigFileError, match=told) as bad:
+    path.write_text(plan_text + added_text)
+    with pytest.raises(ConfigFileError, match=message) as raised:
         load_plan(path)
-    assert str(bad.value).startswith(f"{path}:")
+    assert str(raised.value).startswith(f"{path}:")
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -1,4 +1,4 @@
-"""Small runs of real processes: what is learned, what holds, and that nothing is left behind."""
+"""Small runs of real processes: their checks and files, and no process left after a kill."""
 
 import json
 import os
@@ -77,7 +77,7 @@
 """
 
 
-def test_a_run_holds_and_leaves_its_tables(tmp_path):
+def test_all_checks_of_a_run_hold_and_its_files_are_written(tmp_path):
     (tmp_path / "plan.toml").write_text(PLAN.format(lasts="22s") + FAULTS)
     out = tmp_path / "out"
     result = CliRunner().invoke(
@@ -86,14 +86,14 @@
     summary = (
         json.loads((out / "summary.json").read_text()) if (out / "summary.json").exists() else {}
     )
-    broken = [c for c in summary.get("checks", ()) if not c["holds"]]
-    assert (result.exit_code, broken) == (0, []), result.output
-    figures = {c["name"]: c["figure"] for c in summary["checks"]}
+    failed = [check for check in summary.get("checks", ()) if not check["holds"]]
+    assert (result.exit_code, failed) == (0, []), result.output
+    figures = {check["name"]: check["figure"] for check in summary["checks"]}
     assert summary["requests"] > 100
     assert figures["served"] > 0.5
     assert figures["attempts"] > 0.5
-    assert figures["changes"] > 0  # it was cut
-    names = {p.name for p in out.iterdir()}
+    assert figures["changes"] > 0  # the cut changes views
+    names = {path.name for path in out.iterdir()}
     assert {
         "run.png",
         "views.parquet",
@@ -106,8 +106,8 @@
     assert "all holds" in CliRunner().invoke(cli, ["lab", "show", str(out)]).output
 
 
-def running(marker: str) -> list[int]:
-    """Processes that this run has started, by what they were called with."""
+def processes_with(marker: str) -> list[int]:
+    """Return the identifiers of all processes with this text in their command line."""
     found = []
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         try:
@@ -119,7 +119,7 @@
 
 
 def children(parent: int) -> dict[int, bytes]:
-    """Its children and their command lines."""
+    """Return the command lines of a process's children by their identifiers."""
     found = {}
     for path in Path("/proc").glob("[0-9]*"):
         try:
@@ -130,11 +130,11 @@
     return found
 
 
-@pytest.mark.parametrize("whom", ["the run", "the process manager of its nodes"])
-def test_whoever_is_killed_leaves_nothing_behind(tmp_path, whom):
+@pytest.mark.parametrize("killed", ["the run", "the process manager of its nodes"])
+def test_no_node_is_left_after_a_kill(tmp_path, killed):
     (tmp_path / "plan.toml").write_text(PLAN.format(lasts="600s"))
     marker = str(tmp_path / "out")
-    words = [
+    arguments = [
         sys.executable,
         "-m",
         "oakbridge.cli",
@@ -145,27 +145,27 @@
         marker,
     ]
     root = str(Path(__file__).parents[2])
-    with (tmp_path / "said").open("wb") as said:
+    with (tmp_path / "output").open("wb") as output:
         process = subprocess.Popen(
-            words, env={**os.environ, "PYTHONPATH": root}, stdout=said, stderr=said
+            arguments, env={**os.environ, "PYTHONPATH": root}, stdout=output, stderr=output
         )
-    until = time.monotonic() + 90
+    deadline = time.monotonic() + 90
     while (
-        len(running(marker)) < 5 and time.monotonic() < until and process.poll() is None
-    ):  # it and four nodes
+        len(processes_with(marker)) < 5 and time.monotonic() < deadline and process.poll() is None
+    ):  # the run and four nodes
         time.sleep(0.05)
-    assert len(running(marker)) >= 5, (tmp_path / "said").read_text()
+    assert len(processes_with(marker)) >= 5, (tmp_path / "output").read_text()
     manager = next(pid for pid, line in children(process.pid).items() if b"process_manager" in line)
-    os.kill(process.pid if whom == "the run" else manager, signal.SIGKILL)
-    while len(running(marker)) > (whom != "the run") and time.monotonic() < until:
+    os.kill(process.pid if killed == "the run" else manager, signal.SIGKILL)
+    while len(processes_with(marker)) > (killed != "the run") and time.monotonic() < deadline:
         time.sleep(0.05)
-    nodes = [pid for pid in running(marker) if pid != process.pid]
+    nodes = [pid for pid in processes_with(marker) if pid != process.pid]
     process.kill()
     process.wait()
     assert nodes == []
 
 
-def test_mistakes_end_with_2_and_start_nothing(tmp_path):
+def test_invalid_plan_or_folder_is_reported_before_the_run_starts(tmp_path):
     (tmp_path / "plan.toml").write_text("[lab]\nlasts = 5\n")
     result = CliRunner().invoke(
         cli,
--- a/tests/lab/test_site_loss.py
+++ b/tests/lab/test_site_loss.py
@@ -1,4 +1,4 @@
-"""The checkers of lost sites: a history in which all went well, and a fault planted in it for each of them."""
+"""The checks of lost sites: each finds the fault planted for it in a faultless history."""
 
 import pytest
 
@@ -38,32 +38,40 @@
 
 @pytest.fixture
 def history(tmp_path):
-    """80 a second of 120 that can be done; without site c 80 can: all goes on at once."""
+    """Return a run without faults: 80 requests per second, at a capacity of 120.
+
+    Without site c the capacity is 80, so that the other sites can serve everything at once.
+    """
     (tmp_path / "plan.toml").write_text(PLAN)
     plan = load_plan(tmp_path / "plan.toml")
     fleet = build_fleet(plan)
-    found = History(plan, fleet, draw_schedule(plan, fleet, 1), 0, 40 * S)
-    for n in range(40 * 80):
-        at, klass = n * S // 80, int(n % 4 == 0)
-        up = [h.number for h in fleet.servers if h.site != "c" or not 10 * S <= at < 20 * S]
-        found.requests.append({
-            "due": at, "class": klass, "site": n % 3, "node": n % 6, "status": 200, "took": S // 5, "tries": 1,
-            "request": str(n), "aim": S,
+    faultless = History(plan, fleet, draw_schedule(plan, fleet, 1), 0, 40 * S)
+    for number in range(40 * 80):
+        at_us, class_number = number * S // 80, int(number % 4 == 0)
+        running = [
+            host.number
+            for host in fleet.servers
+            if host.site != "c" or not 10 * S <= at_us < 20 * S
+        ]
+        faultless.requests.append({
+            "due": at_us, "class": class_number, "site": number % 3, "node": number % 6,
+            "status": 200, "took": S // 5, "tries": 1, "request": str(number), "aim": S,
         })  # fmt: skip
-        found.executions.append({
-            "server": up[n % len(up)], "request": str(n), "came": at, "ended": at + S // 10, "status": 200,
+        faultless.executions.append({
+            "server": running[number % len(running)], "request": str(number), "came": at_us,
+            "ended": at_us + S // 10, "status": 200,
             "begun": True,
         })  # fmt: skip
-    for at, state in ((11, "lost"), (22, "well")):
-        found.site_changes.append(SiteChange(at * S, "n000", "c", "", state))
-    return found
+    for at_s, state in ((11, "lost"), (22, "well")):
+        faultless.site_changes.append(SiteChange(at_s * S, "n000", "c", "", state))
+    return faultless
 
 
 def figures(history):
     return {name: figure(history) for name, figure in site_loss.FIGURES.items()}
 
 
-def test_all_went_well(history):
+def test_figures_of_a_faultless_run(history):
     found = figures(history)
     assert found["kept"] == pytest.approx(1.0, abs=0.01)
     assert found["moved"] == 0
@@ -74,49 +82,49 @@
     assert found["site changes"] == 1.0
 
 
-def lost(history, seconds, status=0, klass=None):
-    """Answers of these seconds become this status."""
+def set_status(history, seconds, status=0, class_number=None):
+    """Set the status of all requests of these seconds, or only of those of one class."""
     for row in history.requests:
-        if row["due"] // S in seconds and (klass is None or row["class"] == klass):
+        if row["due"] // S in seconds and (class_number is None or row["class"] == class_number):
             row["status"] = status
 
 
-def served_by(history, seconds, server):
+def set_server(history, seconds, server):
     for row in history.executions:
         if row["came"] // S in seconds:
             row["server"] = server
 
 
-def doubled(history):
+def triple_executions(history):
     history.executions += [
-        dict(e) for e in history.executions if e["came"] // S == 12 for _ in range(2)
+        dict(row) for row in history.executions if row["came"] // S == 12 for _ in range(2)
     ]
 
 
 @pytest.mark.parametrize(
-    ("plant", "name", "least"),
+    ("plant_fault", "name", "minimum"),
     [
-        (lambda h: lost(h, range(10, 16)), "moved", 6),
-        (lambda h: served_by(h, range(20, 30), 0), "carries", 8),
-        (lambda h: served_by(h, range(25, 30), 0), "overload", 3),
-        (lambda h: lost(h, range(10, 20), 503, klass=1), "out of order", 0.99),
-        (doubled, "storm", 2.9),
-        (lambda h: h.site_changes.extend(h.site_changes * 2), "site changes", 3),
+        (lambda run: set_status(run, range(10, 16)), "moved", 6),
+        (lambda run: set_server(run, range(20, 30), 0), "carries", 8),
+        (lambda run: set_server(run, range(25, 30), 0), "overload", 3),
+        (lambda run: set_status(run, range(10, 20), 503, class_number=1), "out of order", 0.99),
+        (triple_executions, "storm", 2.9),
+        (lambda run: run.site_changes.extend(run.site_changes * 2), "site changes", 3),
     ],
 )
-def test_each_checker_finds_the_fault_that_is_planted_for_it(history, plant, name, least):
-    plant(history)
-    assert figures(history)[name] >= least
+def test_each_check_finds_the_fault_planted_for_it(history, plant_fault, name, minimum):
+    plant_fault(history)
+    assert figures(history)[name] >= minimum
 
 
-def test_worth_that_a_policy_with_the_truth_would_have_kept_is_missed(history):
-    lost(history, range(10, 20), 503, klass=1)
+def test_avoidable_rejections_lower_the_kept_weight(history):
+    set_status(history, range(10, 20), 503, class_number=1)
     assert figures(history)["kept"] < 0.5
-    lost(history, range(10, 20), 503)
+    set_status(history, range(10, 20), 503)
     assert figures(history)["kept"] == 0
 
 
-def test_the_truth_is_told_by_parts_that_reach_each_other(tmp_path):
+def test_cut_divides_the_sites_into_reachable_groups(tmp_path):
     (tmp_path / "plan.toml").write_text(PLAN.replace("servers down", "cut"))
     plan = load_plan(tmp_path / "plan.toml")
     fleet = build_fleet(plan)
