--- a/oakbridge/demo/load.py
+++ b/oakbridge/demo/load.py
@@ -11,9 +11,8 @@
 
 import httptools
 
-REQUEST_TIMEOUT_S = (
-    8.0  # beyond all deadlines of the demo; a request that exceeds it counts as lost
-)
+# Longer than all deadlines of the demo; a request that exceeds it counts as lost.
+REQUEST_TIMEOUT_S = 8.0
 MAX_CONNECTIONS = 400
 
 
--- a/oakbridge/demo/runner.py
+++ b/oakbridge/demo/runner.py
@@ -123,8 +123,8 @@
     """
     plan = _server_roles()
     servers = {
-        name: StandInServer(name, behaviour, seed + i)
-        for i, (name, (_, behaviour)) in enumerate(plan.items())
+        name: StandInServer(name, behaviour, seed + index)
+        for index, (name, (_, behaviour)) in enumerate(plan.items())
     }
     with tempfile.TemporaryDirectory(prefix="oakbridge-demo-") as folder:
         directory = Path(folder)
@@ -143,7 +143,9 @@
             client = await _connect_control(socket_path, process, log)
             load = LoadGenerator(("127.0.0.1", port), LATENCY_OBJECTIVES_S, rate, seconds, seed)
             scene = Scene(
-                load.tally, roles={n: role for n, (role, _) in plan.items()}, total_s=seconds
+                load.tally,
+                roles={server_name: role for server_name, (role, _) in plan.items()},
+                total_s=seconds,
             )
             scene.messages.append(
                 f"node on 127.0.0.1:{port}, {len(states)} servers, {rate:g} requests/s"
--- a/oakbridge/lab/checks/request_rules.py
+++ b/oakbridge/lab/checks/request_rules.py
@@ -99,7 +99,7 @@
     """Return whether the link to the server was cut during the execution or shortly before it."""
     if node is None:
         return False
-    ends = {history.fleet.nodes[node].site, history.fleet.servers[row["server"]].site}
+    both_sites = {history.fleet.nodes[node].site, history.fleet.servers[row["server"]].site}
     arrived_us, ended_us = row["came"] - history.begin_us, row["ended"] - history.begin_us
     sites = {site.name for site in history.plan.sites}
     for fault in history.plan.faults:
@@ -107,7 +107,7 @@
         is_in_time = fault.at <= ended_us and arrived_us <= until_us + CUT_BACKLOG_US
         if fault.kind == "cut" and is_in_time:
             others = {fault.other} if fault.other else sites - {fault.site}
-            if fault.site in ends and ends & others:
+            if fault.site in both_sites and both_sites & others:
                 return True
     return False
 
--- a/oakbridge/lab/checks/site_loss.py
+++ b/oakbridge/lab/checks/site_loss.py
@@ -137,7 +137,7 @@
 def max_overload(history: History) -> float | None:
     """Return the highest ratio of requests at a server to its capacity, in windows of 5 s.
 
-    Windows in which the server was down for a part are left out, as requests fail there anyway.
+    Windows in which the server was down for a time are left out, as requests fail then anyway.
     """
     if not history.executions:
         return None
--- a/oakbridge/lab/report.py
+++ b/oakbridge/lab/report.py
@@ -141,11 +141,13 @@
                 in_time[second] += row["status"] == 200 and row["took"] <= row["aim"]
                 rejected[second] += row["status"] in (429, 503)
         (line,) = axis.plot(
-            range(seconds), [in_time[s] for s in range(seconds)], label=f"{name} served in time"
+            range(seconds),
+            [in_time[position] for position in range(seconds)],
+            label=f"{name} served in time",
         )
         axis.plot(
             range(seconds),
-            [rejected[s] for s in range(seconds)],
+            [rejected[position] for position in range(seconds)],
             ":",
             color=line.get_color(),
             label=f"{name} rejected",
@@ -161,7 +163,7 @@
     for state, counts in sorted(changes.items()):
         axis.step(
             range(seconds),
-            [counts[s] for s in range(seconds)],
+            [counts[second] for second in range(seconds)],
             label=f"become {state}",
             where="post",
         )
@@ -183,7 +185,7 @@
             reverse=True,
         )
         axis.step(
-            [n / max(1, len(rates)) for n in range(len(rates))],
+            [index / max(1, len(rates)) for index in range(len(rates))],
             rates,
             label=f"site {site}",
             where="post",
@@ -205,8 +207,9 @@
         rows.append(
             f"{mark} {check['name']:<24}{figure:>10}{wanted}{'  ' + check['note'] if check['note'] else ''}"
         )
-    for name, found in summary["latency_ms"].items():
+    for name, percentiles in summary["latency_ms"].items():
         rows.append(
-            f"  {name:<24}" + "  ".join(f"{q} {value:.1f} ms" for q, value in found.items())
+            f"  {name:<24}"
+            + "  ".join(f"{rank} {value:.1f} ms" for rank, value in percentiles.items())
         )
     return rows
--- a/oakbridge/lab/simulation/clients.py
+++ b/oakbridge/lab/simulation/clients.py
@@ -15,7 +15,7 @@
 from oakbridge.policy.settings import RequestClass
 
 MIN_RETRY_DELAY_US = 50_000
-RETRY_JITTER = (0.9, 1.3)  # factors of the delay
+RETRY_JITTER = (0.9, 1.3)  # range of the random factor on the delay
 
 
 class Outcome(Enum):
