--- a/benchmarks/faults/fault_control.py
+++ b/benchmarks/faults/fault_control.py
@@ -1,4 +1,4 @@
-"""Switches the faults that ``fault_shim.c`` injects into a process under test."""
+"""Starts and stops the faults that ``fault_shim.c`` injects into a process under test."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 from pathlib import Path
 
 SHIM_SOURCE = Path(__file__).with_name("fault_shim.c")
-FAULT_FORMAT = struct.Struct("iiII")  # struct fault: error, percent, injected, reserved
-KINDS = 16
-CLOCK_OFFSET = KINDS * FAULT_FORMAT.size
+# ``struct fault`` of the shim: error, percent, injected, reserved.
+FAULT_FORMAT = struct.Struct("iiII")
+FAULT_KINDS = 16  # KINDS of the shim
+CLOCK_OFFSET = FAULT_KINDS * FAULT_FORMAT.size
 CONTROL_BYTES = CLOCK_OFFSET + 8
 NS_PER_S = 1_000_000_000
 
 
 class Fault(IntEnum):
-    """A system call that can be made to fail: ``enum kind`` of the shim."""
+    """A kind of system call that can be made to fail, with its number in the shim's fault_kind."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -35,16 +36,19 @@
     DISK_SYNC = 9
     DISK_METADATA = 10
     LISTEN = 11
-    SEND_PASSING = 12  # on all connections: errors that are no break
-    RECEIVE_PASSING = 13
-    EPOLL_CONTROL = 14  # any change of what an event loop waits for
+    SEND_TRANSIENT = 12  # on all connections; errors after which a connection goes on
+    RECEIVE_TRANSIENT = 13
+    EPOLL_CONTROL = 14  # any change of the events that an event loop waits for
 
 
 DISK_FAULTS = (Fault.DISK_WRITE, Fault.DISK_SYNC, Fault.DISK_METADATA)
 
 
 def build_shim() -> Path:
-    """Compile the shim once for each content of its source; return the library's path."""
+    """Compile the shim once per content of its source, and return the library's path.
+
+    Raises subprocess.CalledProcessError if the compiler fails.
+    """
     digest = hashlib.sha256(SHIM_SOURCE.read_bytes()).hexdigest()[:16]
     library = Path(tempfile.gettempdir()) / f"oakbridge-fault-shim-{os.getuid()}-{digest}.so"
     if not library.exists():
@@ -56,10 +60,14 @@
 
 
 class FaultControl:
-    """The faults of one process, or of all that share a control file."""
+    """Controls the faults of all processes that share a control file."""
 
     def __init__(self, path: Path, *, seed: int = 1, disk: Path | None = None) -> None:
-        """Make the control file; ``disk``: the folder whose writes can be made to fail."""
+        """Create the control file.
+
+        ``seed``: of the shim's draws; ``disk``: the folder to which disk faults apply; None: to
+        no folder.
+        """
         path.write_bytes(bytes(CONTROL_BYTES))
         with path.open("r+b") as file:
             self._memory = mmap.mmap(file.fileno(), CONTROL_BYTES)
@@ -70,18 +78,18 @@
         } | ({} if disk is None else {"FAULT_DISK": f"{disk}/"})
 
     def start(self, fault: Fault, error: int = errno.EIO, percent: int = 100) -> None:
-        """Have a share of the calls fail with an errno from now on."""
+        """Make a percentage of the calls fail with the errno ``error`` from now on."""
         struct.pack_into("ii", self._memory, fault * FAULT_FORMAT.size, error, percent)
 
     def stop(self, *faults: Fault) -> None:
-        """Have calls succeed again: these, or all."""
+        """Stop the given faults, or all if none is given."""
         for fault in faults or Fault:
             struct.pack_into("ii", self._memory, fault * FAULT_FORMAT.size, 0, 0)
 
     def injected(self, fault: Fault) -> int:
-        """Return how many calls were made to fail so far."""
+        """Return how often a fault has been injected so far."""
         return FAULT_FORMAT.unpack_from(self._memory, fault * FAULT_FORMAT.size)[2]
 
     def step_wall_clock(self, seconds: int) -> None:
-        """Have the wall clock show so much more than the time."""
+        """Set by how many seconds the process's wall clock is ahead of the real time."""
         struct.pack_into("q", self._memory, CLOCK_OFFSET, seconds * NS_PER_S)
--- a/benchmarks/faults/fault_shim.c
+++ b/benchmarks/faults/fault_shim.c
@@ -1,10 +1,11 @@
-/* Makes system calls of one process fail, as a control file says; loaded by LD_PRELOAD.
+/* Makes system calls of a process fail according to a control file; loaded by LD_PRELOAD.
  *
- * The control file (FAULT_CONTROL) is mapped, so that a test switches faults on and off at any
- * moment and reads how often each was injected.  Its layout is struct control, which
- * benchmarks/faults/fault_control.py mirrors.  Socket faults apply to AF_INET sockets only; disk faults
- * to regular files below FAULT_DISK only; broken reads and writes spare the connections that came in
- * at FAULT_LISTEN_PORT.  FAULT_SEED seeds the draws.
+ * The control file (FAULT_CONTROL) is memory-mapped: a test can start and stop faults at any time
+ * and read how often each was injected.  Its layout is struct control, which
+ * benchmarks/faults/fault_control.py mirrors.  Accept, connect, send, receive and listen faults
+ * apply to AF_INET sockets only, disk faults only to regular files and directories below
+ * FAULT_DISK.  SEND and RECEIVE don't apply to connections accepted at FAULT_LISTEN_PORT.
+ * FAULT_SEED seeds the random draws.
  */
 #define _GNU_SOURCE
 #include <arpa/inet.h>
@@ -25,15 +26,16 @@
 #include <time.h>
 #include <unistd.h>
 
-enum kind {
+enum fault_kind {
     ACCEPT, SOCKET, CONNECT, SEND, RECEIVE, WAIT, SHORT_SEND, SHORT_RECEIVE,
-    DISK_WRITE, DISK_SYNC, DISK_METADATA, LISTEN, SEND_PASSING, RECEIVE_PASSING, EPOLL_CONTROL, KINDS = 16
+    DISK_WRITE, DISK_SYNC, DISK_METADATA, LISTEN, SEND_TRANSIENT, RECEIVE_TRANSIENT,
+    EPOLL_CONTROL, KINDS = 16
 };
 
 struct fault {
-    int32_t error;     /* the errno that the call fails with */
-    int32_t percent;   /* of the calls; 0: the fault is off */
-    uint32_t injected; /* how often it was injected */
+    int32_t error;     /* errno of the failed call */
+    int32_t percent;   /* percentage of calls that fail; 0: the fault is stopped */
+    uint32_t injected; /* how often the fault was injected */
     uint32_t reserved;
 };
 
@@ -47,9 +49,9 @@
 static uint64_t random_state;
 static int listen_port;
 
-#define REAL(name) ((__typeof__(&name))real(#name))
+#define REAL(name) ((__typeof__(&name))real_function(#name))
 
-static void *real(const char *name)
+static void *real_function(const char *name)
 {
     return dlsym(RTLD_NEXT, name);
 }
@@ -74,16 +76,16 @@
 
 static uint32_t draw(void)
 {
-    uint64_t x = __atomic_load_n(&random_state, __ATOMIC_RELAXED);
-    x ^= x << 13;
-    x ^= x >> 7;
-    x ^= x << 17;
-    __atomic_store_n(&random_state, x, __ATOMIC_RELAXED);
-    return (uint32_t)(x >> 32);
+    uint64_t state = __atomic_load_n(&random_state, __ATOMIC_RELAXED);
+    state ^= state << 13;
+    state ^= state >> 7;
+    state ^= state << 17;
+    __atomic_store_n(&random_state, state, __ATOMIC_RELAXED);
+    return (uint32_t)(state >> 32);
 }
 
-/* Returns whether to inject a fault now, and counts it. */
-static int injects(enum kind kind)
+/* Returns whether to inject a fault into this call; if so, counts the fault. */
+static int should_inject(enum fault_kind kind)
 {
     if (control == NULL)
         return 0;
@@ -94,10 +96,10 @@
     return 1;
 }
 
-/* Returns whether to fail now; sets errno if so. */
-static int fails(enum kind kind)
+/* Returns whether this call fails; if so, sets errno. */
+static int should_fail(enum fault_kind kind)
 {
-    if (!injects(kind))
+    if (!should_inject(kind))
         return 0;
     errno = control->faults[kind].error;
     return 1;
@@ -105,23 +107,25 @@
 
 static int is_inet(int fd)
 {
-    int domain = 0, saved = errno;
+    int domain = 0, saved_errno = errno;
     socklen_t length = sizeof domain;
-    int found = getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &domain, &length) == 0 && domain == AF_INET;
-    errno = saved;
-    return found;
+    int matches = getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &domain, &length) == 0 && domain == AF_INET;
+    errno = saved_errno;
+    return matches;
 }
 
-/* Clients' connections: a test can't tell a broken one from a request that the node dropped. */
-static int is_listen_port(int fd)
+/* Returns whether the socket is bound to the port at which clients connect.  Their connections
+ * don't fail: a test couldn't tell a failed connection from a request that the node dropped. */
+static int has_listen_port(int fd)
 {
-    struct sockaddr_in name;
-    socklen_t length = sizeof name;
-    int saved = errno;
-    int found = listen_port != 0 && getsockname(fd, (struct sockaddr *)&name, &length) == 0
-        && ntohs(name.sin_port) == listen_port;
-    errno = saved;
-    return found;
+    struct sockaddr_in local_address;
+    socklen_t length = sizeof local_address;
+    int saved_errno = errno;
+    int matches = listen_port != 0
+        && getsockname(fd, (struct sockaddr *)&local_address, &length) == 0
+        && ntohs(local_address.sin_port) == listen_port;
+    errno = saved_errno;
+    return matches;
 }
 
 static int has_disk_prefix(const char *path)
@@ -133,57 +137,57 @@
 {
     char link[64], path[4096];
     struct stat status;
-    int saved = errno;
+    int saved_errno = errno;
     if (control == NULL || disk_prefix == NULL)
         return 0;
     snprintf(link, sizeof link, "/proc/self/fd/%d", fd);
     ssize_t length = readlink(link, path, sizeof path - 1);
-    int found = length > 0 && fstat(fd, &status) == 0
+    int is_file_or_folder = length > 0 && fstat(fd, &status) == 0
         && (S_ISREG(status.st_mode) || S_ISDIR(status.st_mode));
-    errno = saved;
-    if (!found)
+    errno = saved_errno;
+    if (!is_file_or_folder)
         return 0;
     path[length] = '\0';
     return has_disk_prefix(path);
 }
 
-static size_t shortened(enum kind kind, size_t length)
+static size_t draw_length(enum fault_kind kind, size_t length)
 {
-    return length > 1 && injects(kind) ? 1 + draw() % (length / 2) : length;
+    return length > 1 && should_inject(kind) ? 1 + draw() % (length / 2) : length;
 }
 
 /* ---- sockets */
 
 int socket(int domain, int type, int protocol)
 {
-    return fails(SOCKET) ? -1 : REAL(socket)(domain, type, protocol);
+    return should_fail(SOCKET) ? -1 : REAL(socket)(domain, type, protocol);
 }
 
 int socketpair(int domain, int type, int protocol, int fds[2])
 {
-    return fails(SOCKET) ? -1 : REAL(socketpair)(domain, type, protocol, fds);
+    return should_fail(SOCKET) ? -1 : REAL(socketpair)(domain, type, protocol, fds);
 }
 
 int listen(int fd, int backlog)
 {
-    return is_inet(fd) && fails(LISTEN) ? -1 : REAL(listen)(fd, backlog);
+    return is_inet(fd) && should_fail(LISTEN) ? -1 : REAL(listen)(fd, backlog);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags)
 {
-    return is_inet(fd) && fails(ACCEPT) ? -1 : REAL(accept4)(fd, address, length, flags);
+    return is_inet(fd) && should_fail(ACCEPT) ? -1 : REAL(accept4)(fd, address, length, flags);
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length)
 {
-    return is_inet(fd) && fails(ACCEPT) ? -1 : REAL(accept)(fd, address, length);
+    return is_inet(fd) && should_fail(ACCEPT) ? -1 : REAL(accept)(fd, address, length);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length)
 {
-    if (!is_inet(fd) || !fails(CONNECT))
+    if (!is_inet(fd) || !should_fail(CONNECT))
         return REAL(connect)(fd, address, length);
-    if (errno == EINTR) { /* the connection comes up all the same */
+    if (errno == EINTR) { /* an interrupted connect still establishes the connection */
         REAL(connect)(fd, address, length);
         errno = EINTR;
     }
@@ -193,9 +197,9 @@
 ssize_t send(int fd, const void *data, size_t length, int flags)
 {
     if (is_inet(fd)) {
-        if (fails(SEND_PASSING) || (!is_listen_port(fd) && fails(SEND)))
+        if (should_fail(SEND_TRANSIENT) || (!has_listen_port(fd) && should_fail(SEND)))
             return -1;
-        length = shortened(SHORT_SEND, length);
+        length = draw_length(SHORT_SEND, length);
     }
     return REAL(send)(fd, data, length, flags);
 }
@@ -203,31 +207,31 @@
 ssize_t recv(int fd, void *data, size_t length, int flags)
 {
     if (is_inet(fd)) {
-        if (fails(RECEIVE_PASSING)
-            || (!(flags & MSG_PEEK) && !is_listen_port(fd) && fails(RECEIVE)))
+        if (should_fail(RECEIVE_TRANSIENT)
+            || (!(flags & MSG_PEEK) && !has_listen_port(fd) && should_fail(RECEIVE)))
             return -1;
-        length = shortened(SHORT_RECEIVE, length);
+        length = draw_length(SHORT_RECEIVE, length);
     }
     return REAL(recv)(fd, data, length, flags);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout)
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout)
 {
-    return fails(WAIT) ? -1 : REAL(epoll_wait)(fd, events, most, timeout);
+    return should_fail(WAIT) ? -1 : REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
 int epoll_ctl(int fd, int operation, int target, struct epoll_event *event)
 {
-    return fails(EPOLL_CONTROL) ? -1 : REAL(epoll_ctl)(fd, operation, target, event);
+    return should_fail(EPOLL_CONTROL) ? -1 : REAL(epoll_ctl)(fd, operation, target, event);
 }
 
-/* ---- the clock */
+/* ---- clock */
 
-int clock_gettime(clockid_t clock, struct timespec *found)
+int clock_gettime(clockid_t clock, struct timespec *now)
 {
-    int result = REAL(clock_gettime)(clock, found);
+    int result = REAL(clock_gettime)(clock, now);
     if (result == 0 && clock == CLOCK_REALTIME && control != NULL)
-        found->tv_sec += control->realtime_offset_ns / 1000000000;
+        now->tv_sec += control->realtime_offset_ns / 1000000000;
     return result;
 }
 
@@ -240,20 +244,20 @@
     return now.tv_sec;
 }
 
-int gettimeofday(struct timeval *restrict found, void *restrict zone)
+int gettimeofday(struct timeval *restrict now, void *restrict zone)
 {
-    int result = REAL(gettimeofday)(found, zone);
+    int result = REAL(gettimeofday)(now, zone);
     if (result == 0 && control != NULL)
-        found->tv_sec += control->realtime_offset_ns / 1000000000;
+        now->tv_sec += control->realtime_offset_ns / 1000000000;
     return result;
 }
 
-/* ---- the disk: a write that fails may have written a part */
+/* ---- disk: a failed write may have written some of its data */
 
 ssize_t write(int fd, const void *data, size_t length)
 {
     if (control != NULL && control->faults[DISK_WRITE].percent > 0 && is_on_disk(fd)
-        && injects(DISK_WRITE)) {
+        && should_inject(DISK_WRITE)) {
         if (length > 1 && draw() % 2)
             return REAL(write)(fd, data, length / 2);
         errno = control->faults[DISK_WRITE].error;
@@ -265,7 +269,7 @@
 static ssize_t write_at(int fd, const void *data, size_t length, off_t offset)
 {
     if (control != NULL && control->faults[DISK_WRITE].percent > 0 && is_on_disk(fd)
-        && injects(DISK_WRITE)) {
+        && should_inject(DISK_WRITE)) {
         if (length > 1)
             REAL(pwrite64)(fd, data, length / 2, offset);
         errno = control->faults[DISK_WRITE].error;
@@ -286,30 +290,30 @@
 
 int fsync(int fd)
 {
-    return is_on_disk(fd) && fails(DISK_SYNC) ? -1 : REAL(fsync)(fd);
+    return is_on_disk(fd) && should_fail(DISK_SYNC) ? -1 : REAL(fsync)(fd);
 }
 
 int fdatasync(int fd)
 {
-    return is_on_disk(fd) && fails(DISK_SYNC) ? -1 : REAL(fdatasync)(fd);
+    return is_on_disk(fd) && should_fail(DISK_SYNC) ? -1 : REAL(fdatasync)(fd);
 }
 
 int rename(const char *from, const char *to)
 {
-    return has_disk_prefix(to) && fails(DISK_METADATA) ? -1 : REAL(rename)(from, to);
+    return has_disk_prefix(to) && should_fail(DISK_METADATA) ? -1 : REAL(rename)(from, to);
 }
 
 int mkdir(const char *path, mode_t mode)
 {
-    return has_disk_prefix(path) && fails(DISK_METADATA) ? -1 : REAL(mkdir)(path, mode);
+    return has_disk_prefix(path) && should_fail(DISK_METADATA) ? -1 : REAL(mkdir)(path, mode);
 }
 
 int symlink(const char *target, const char *path)
 {
-    return has_disk_prefix(path) && fails(DISK_METADATA) ? -1 : REAL(symlink)(target, path);
+    return has_disk_prefix(path) && should_fail(DISK_METADATA) ? -1 : REAL(symlink)(target, path);
 }
 
-static int opens_new(const char *path, int flags)
+static int creates_file(const char *path, int flags)
 {
     return (flags & O_CREAT) && has_disk_prefix(path) && access(path, F_OK) != 0;
 }
@@ -321,7 +325,8 @@
         va_start(arguments, flags);                                                           \
         mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, mode_t) : 0;          \
         va_end(arguments);                                                                    \
-        return opens_new(path, flags) && fails(DISK_METADATA) ? -1 : REAL(name)(path, flags, mode); \
+        return creates_file(path, flags) && should_fail(DISK_METADATA) ? -1                   \
+            : REAL(name)(path, flags, mode);                                                  \
     }
 
 OPEN(open)
--- a/benchmarks/faults/node_process.py
+++ b/benchmarks/faults/node_process.py
@@ -1,4 +1,4 @@
-"""A node of the platform in a process of its own, whose system calls can be made to fail."""
+"""A node in a process of its own, whose system calls can be made to fail."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from fault_control import FaultControl
 from peers import SETTINGS, Client, endpoint, free_ports, listing, with_timeout
 
-ROOT = Path(__file__).parents[2]
+REPOSITORY_ROOT = Path(__file__).parents[2]
 COMMAND = (sys.executable, "-m", "oakbridge")
 US_PER_S = 1_000_000
 CLASSES = [
@@ -26,13 +26,13 @@
 
 
 def node_settings(**changes: object) -> dict:
-    """Return settings with deadlines of two seconds, where lists are asked for."""
+    """Return settings with deadlines of 2 s in which nodes poll discovery, with changed keys."""
     invariants = SETTINGS["invariants"] | {"ask-within": 4 * US_PER_S}
     return SETTINGS | {"classes": CLASSES, "invariants": invariants} | changes
 
 
 class NodeProcess:
-    """``python -m oakbridge`` on a port of its own, for servers on these ports."""
+    """Runs ``python -m oakbridge`` on a free port, with the servers at the given ports."""
 
     def __init__(
         self,
@@ -46,10 +46,10 @@
         sockets: int = 256,
         operated: bool = False,
     ) -> None:
-        """Write the configuration; nothing is started yet.
+        """Write the configuration; ``start`` starts the process.
 
-        ``operated``: with an address for operators, so that a second process takes over from the
-        first.
+        ``discovery``: its port; ``sockets``: the limit of open sockets; ``operated``: whether the
+        node has a control address, so that a second process becomes the successor of the first.
         """
         self.is_operated = operated
         self._folder = folder
@@ -71,58 +71,61 @@
         self.reconfigure()
 
     def reconfigure(self, **changes: object) -> None:
-        """Write the configuration with changed fields, at once as a whole; SIGHUP has it read."""
+        """Replace the configuration file atomically, with changed fields; SIGHUP reloads it."""
         self._configuration |= changes
         unfinished = self._config.with_suffix(".new")
         unfinished.write_text(json.dumps(self._configuration))
         unfinished.rename(self._config)
 
     def signal(self, number: int) -> None:
-        """Send a signal to the process, if it runs; not by asyncio's, which may take its exit code."""
+        """Send a signal to the process if it runs.
+
+        Not by asyncio's method, which may collect the exit code of an exited process.
+        """
         if self.process is not None and self.process.returncode is None:
             with suppress(ProcessLookupError):
                 os.kill(self.process.pid, number)
 
     async def start(self, *, wait: bool = True) -> None:
-        """Start the process; wait until it is ready."""
+        """Start the process; if ``wait``, wait until it is ready."""
         environment = os.environ | self.faults.environment
         environment |= {"NODE_CONFIG": str(self._config), "FAULT_LISTEN_PORT": str(self.port)}
-        if self.is_operated:  # each process at an address of its own
+        if self.is_operated:  # a separate address for each process
             environment["NODE_CONTROL"] = f"127.0.0.1:{free_ports(1)[0]}"
-        environment["TMPDIR"] = str(self._folder)  # where the processes of a node meet
+        environment["TMPDIR"] = str(self._folder)  # contains the hand-over socket
         with self.log_path.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                *COMMAND, cwd=ROOT, env=environment, stderr=log
+                *COMMAND, cwd=REPOSITORY_ROOT, env=environment, stderr=log
             )
         if wait:
             await with_timeout(self.ready())
 
     async def ready(self) -> None:
-        """Wait until the node says that it is ready."""
-        while not await self._answers_ready():
+        """Wait until the node responds that it is ready; fail if its process exits."""
+        while not await self._is_ready():
             assert self.process is not None
             assert self.process.returncode is None, self.log()
             await asyncio.sleep(0.02)
 
-    async def _answers_ready(self) -> bool:
+    async def _is_ready(self) -> bool:
         try:
-            caller = await Client.connect(self.port)
+            client = await Client.connect(self.port)
         except OSError:
             return False
         try:
-            caller.writer.write(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-            return (await caller.read_response())[0] == 200
+            client.writer.write(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+            return (await client.read_response())[0] == 200
         except (OSError, EOFError):
             return False
         finally:
-            caller.close()
+            client.close()
 
     def log(self) -> str:
-        """Return what the node has logged."""
+        """Return the log of all processes of the node so far."""
         return self.log_path.read_text()
 
     async def stop(self) -> None:
-        """Kill the process, if it runs."""
+        """Kill the process if it runs, and wait for its exit."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
--- a/benchmarks/faults/soak.py
+++ b/benchmarks/faults/soak.py
@@ -1,8 +1,9 @@
-"""A randomized fault soak: real nodes and servers, faults that overlap, and the rules as the oracle.
+"""A randomized fault soak: runs real nodes and servers under overlapping faults, checks the rules.
 
-By hand: ``python benchmarks/faults/soak.py --seeds 1-50 --seconds 12``; from the root, with ``tests`` and
-its folders on PYTHONPATH as in pyproject.toml.  Everything but the machine's timing follows from the
-seed.  A run has 10 to 25 processes and some tens of clients.
+Run manually with ``python benchmarks/faults/soak.py --seeds 1-50 --seconds 12`` from the
+repository's root, with ``tests`` and its folders on PYTHONPATH as in pyproject.toml.  The seed
+determines everything but the machine's timing.  A run has 10 to 25 processes and some tens of
+clients.
 """
 
 from __future__ import annotations
@@ -27,27 +28,28 @@
 from node_process import NodeProcess, node_settings
 from peers import with_timeout
 from soak_clients import Client, SentRequest, SoakNode, hold_crowd
+from soak_notices import drain_notices
 from soak_rules import Findings, check, read_attempts
 from soak_servers import SoakServers
-from soak_told import told_of_drains
 
-LONGEST_DEADLINE_S = 2.0  # of the classes
-KILL_AFTER_S = LONGEST_DEADLINE_S + 0.7  # after SIGTERM: the earliest that the rules allow
+MAX_DEADLINE_S = 2.0  # of all request classes
+KILL_AFTER_S = MAX_DEADLINE_S + 0.7  # after SIGTERM: the earliest time that the rules allow
 WALL_CLOCK_STEPS_S = (-3600, 0, 3600)
 CROWD_SIZE, CROWD_S = 160, 2.0
-MAX_HOLD_UP_S = 0.12  # a process may be held up so long
-# Discovery can't be reached for so long at most, and then can for so long at least.
-MAX_UNREACHABLE_S, MIN_REACHABLE_S = 2.9, 4.0
-ANSWER_S, REFUSAL_S = 0.15, 0.006  # of discovery that is asked by all nodes, in some runs
-LONG_DRAIN_S = (6.8, 8.5)  # past the time at which a change counts as told
+MAX_PAUSE_S = 0.12  # of a process that SIGSTOP stops
+# The longest outage of discovery, and the shortest time between two outages.
+MAX_OUTAGE_S, MIN_OUTAGE_GAP_S = 2.9, 4.0
+# How long a response or a refusal keeps discovery busy, in runs where all nodes share its queue.
+RESPONSE_S, REFUSAL_S = 0.15, 0.006
+LONG_DRAIN_S = (6.8, 8.5)  # longer than NOTICE_LIMIT_S, after which each node counts as notified
 SHORT_DRAIN_S = (1.0, 2.0)
-OWN_DELAY_PERIOD_S = 0.02
-MAX_FAULT_S, ACCEPT_PAUSE_S = 0.5, 0.5
-UNSURE_S = 1.0  # the longest fault, and what it broke
-# Faults after which an answer that discovery has written may not have arrived.
-BREAKS_ANSWERS = (Fault.SEND, Fault.RECEIVE, Fault.CONNECT, Fault.SOCKET)
+OWN_DELAY_INTERVAL_S = 0.02
+MAX_FAULT_S, MIN_ACCEPT_FAULT_GAP_S = 0.5, 0.5
+DELIVERY_UNSURE_S = 1.0  # the longest fault and its after-effects
+# Faults during which a response that discovery has written may not arrive at the node.
+RESPONSE_LOSS_FAULTS = (Fault.SEND, Fault.RECEIVE, Fault.CONNECT, Fault.SOCKET)
 
-# Each fault, the errors that Linux documents for it, and the share of calls that fail.
+# Each fault, the errors that Linux documents for it, and the percentage of calls that fail.
 FAULTS: tuple[tuple[Fault, tuple[int, ...], int], ...] = (
     (Fault.ACCEPT, (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM), 100),
     (Fault.ACCEPT, (errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN), 60),
@@ -56,8 +58,8 @@
     (Fault.CONNECT, (errno.EINTR, errno.ETIMEDOUT, errno.EHOSTUNREACH), 50),
     (Fault.SEND, (errno.ETIMEDOUT, errno.EHOSTUNREACH), 5),
     (Fault.RECEIVE, (errno.ETIMEDOUT, errno.EHOSTUNREACH), 5),
-    (Fault.SEND_PASSING, (errno.ENOBUFS, errno.ENOMEM), 30),
-    (Fault.RECEIVE_PASSING, (errno.ENOBUFS, errno.ENOMEM), 30),
+    (Fault.SEND_TRANSIENT, (errno.ENOBUFS, errno.ENOMEM), 30),
+    (Fault.RECEIVE_TRANSIENT, (errno.ENOBUFS, errno.ENOMEM), 30),
     (Fault.WAIT, (errno.EINTR,), 50),
     (Fault.EPOLL_CONTROL, (errno.ENOMEM, errno.ENOSPC), 50),
     (Fault.SHORT_SEND, (0,), 70),
@@ -67,20 +69,20 @@
 
 @dataclass(slots=True)
 class SoakResult:
-    """What one run found."""
+    """The findings and counts of one run."""
 
     seed: int
     findings: Findings
     outcomes: Counter[str]
     injected: Counter[str]
     attempts: int
-    mode: str  # of discovery
-    own_delay_s: float  # for which the soak's own process stood still at most
+    mode: str  # how nodes get endpoint lists from discovery
+    own_delay_s: float  # the longest delay of the soak's own process
 
     def __str__(self) -> str:
-        """Return one line, and one for each rule that was broken."""
-        outcomes = ", ".join(f"{k} {v}" for k, v in sorted(self.outcomes.items()))
-        injected = ", ".join(f"{k} {v}" for k, v in sorted(self.injected.items()))
+        """Return one line for the run, and one per broken rule."""
+        outcomes = ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
+        injected = ", ".join(f"{name} {count}" for name, count in sorted(self.injected.items()))
         line = f"seed {self.seed}, lists {self.mode}: {outcomes}; {self.attempts} attempts"
         line += f"; injected: {injected}; own delay {self.own_delay_s:.2f} s"
         return f"{line}\n{self.findings}" if self.findings.by_rule else f"{line}; rules kept"
@@ -88,7 +90,7 @@
 
 @dataclass(slots=True)
 class Soak:
-    """One run: its processes, its clients, and the schedules of its faults."""
+    """One run: its processes, clients and fault schedules."""
 
     seed: int
     seconds: float
@@ -96,19 +98,19 @@
     requests: list[SentRequest] = field(default_factory=list)
     nodes: list[SoakNode] = field(default_factory=list)
     findings: Findings = field(default_factory=Findings)
-    pushed: bool = False  # whether discovery is an agent, to which lists are pushed
+    pushed: bool = False  # whether discovery is an agent that gets pushed lists
     _discoveries: list[NodeDiscovery] = field(default_factory=list)
-    _queue: RequestQueue | None = None  # of discovery that is asked
-    _ends_at: float = 0.0
+    _queue: RequestQueue | None = None  # shared by all nodes that poll discovery
+    _end_at: float = 0.0
     _own_delay_s: float = 0.0
 
     async def run(self) -> SoakResult:
-        """Play the run, and check what clients and servers saw."""
+        """Run the soak, and check the records of clients and servers against the rules."""
         draw = random.Random(self.seed)
         servers = SoakServers(self.folder, draw.randint(5, 8), self.seed)
         self.pushed = draw.random() < 0.5
         if not self.pushed and draw.random() < 0.6:
-            self._queue = RequestQueue(ANSWER_S, REFUSAL_S)
+            self._queue = RequestQueue(RESPONSE_S, REFUSAL_S)
         discoveries = [
             NodeDiscovery(servers.published, self._queue) for _ in range(draw.randint(4, 6))
         ]
@@ -117,8 +119,8 @@
             await discovery.start()
         try:
             await self._start_nodes(draw, servers, discoveries)
-            self._ends_at = time.monotonic() + self.seconds
-            await self._play(draw, servers)
+            self._end_at = time.monotonic() + self.seconds
+            await self._run_schedules(draw, servers)
         finally:
             for node in self.nodes:
                 await node.process.stop()
@@ -126,15 +128,17 @@
                 discovery.close()
             servers.close()
         attempts = read_attempts(servers.logs, servers.kills)
-        told = [
-            told
+        notices = [
+            notice
             for number, discovery in enumerate(discoveries)
-            for told in told_of_drains(number, discovery, servers.drains, pushed=self.pushed)
+            for notice in drain_notices(number, discovery, servers.drains, pushed=self.pushed)
         ]
-        found = check(self.requests, attempts, told)
+        found = check(self.requests, attempts, notices)
         for rule, texts in found.by_rule.items():
             self.findings.by_rule[rule] += texts
-        self._check_cut_answers(found.cut_long, sum(map(len, servers.kills.values())))
+        self._check_truncated_responses(
+            found.truncated_long_responses, sum(map(len, servers.kills.values()))
+        )
         self._check_logs()
         return SoakResult(
             self.seed,
@@ -149,16 +153,16 @@
     def _mode(self) -> str:
         if self.pushed:
             return "pushed"
-        return "asked" if self._queue is None else "asked of a queue"
+        return "polled" if self._queue is None else "polled through a queue"
 
     async def _start_nodes(
         self, draw: random.Random, servers: SoakServers, discoveries: list[NodeDiscovery]
     ) -> None:
-        cancelling = draw.random() < 0.7
+        is_cancelling = draw.random() < 0.7
         settings = node_settings(discovery="pushed" if self.pushed else "on_request")
         settings["invariants"] |= {"ask-within": draw.choice((4_000_000, 10_000_000))}
         settings["allowed"] = settings["allowed"] | {
-            "cancelling": cancelling,
+            "cancelling": is_cancelling,
             "conn-idle": draw.choice((1_000_000, 30_000_000)),
             "connect-timeout": draw.choice((150_000, 1_000_000)),
         }
@@ -176,7 +180,7 @@
             self.nodes.append(SoakNode(number, process))
         await asyncio.gather(*(node.process.start() for node in self.nodes))
 
-    async def _play(self, draw: random.Random, servers: SoakServers) -> None:
+    async def _run_schedules(self, draw: random.Random, servers: SoakServers) -> None:
         clients = [
             Client(self.nodes, draw.getrandbits(32), self.requests, self._is_over)
             for _ in range(draw.randint(25, 45))
@@ -184,14 +188,16 @@
         schedules = [self._measure_own_delay()]
         schedules += [self._change_servers(servers, random.Random(draw.getrandbits(32)))]
         for node in self.nodes:
-            # Two faults of a node at a time.
-            of_node = (self._inject, self._inject, self._restart, self._hold_up, self._reload)
-            schedules += [one(node, random.Random(draw.getrandbits(32))) for one in of_node]
+            # Two fault schedules per node: up to two faults of a node overlap.
+            node_schedules = (self._inject, self._inject, self._restart, self._pause, self._reload)
+            schedules += [
+                schedule(node, random.Random(draw.getrandbits(32))) for schedule in node_schedules
+            ]
         if draw.random() < 0.4:
-            schedules.append(self._crowd(random.Random(draw.getrandbits(32))))
+            schedules.append(self._hold_crowds(random.Random(draw.getrandbits(32))))
         if draw.random() < 0.8:
-            schedules.append(self._trouble_discovery(random.Random(draw.getrandbits(32))))
-        tasks = [asyncio.create_task(schedule) for schedule in schedules]
+            schedules.append(self._disturb_discovery(random.Random(draw.getrandbits(32))))
+        tasks = [asyncio.create_task(coroutine) for coroutine in schedules]
         try:
             async with asyncio.timeout(self.seconds + 30):
                 await asyncio.gather(*(client.run() for client in clients))
@@ -201,31 +207,35 @@
                 task.cancel()
 
     def _is_over(self) -> bool:
-        return time.monotonic() >= self._ends_at
+        return time.monotonic() >= self._end_at
 
-    def _left_s(self) -> float:
-        return self._ends_at - time.monotonic()
+    def _remaining_s(self) -> float:
+        return self._end_at - time.monotonic()
 
     async def _measure_own_delay(self) -> None:
-        """Note how late this process wakes up: what it measures is late by as much."""
+        """Record how late this process wakes up: its own measurements are late by as much."""
         while not self._is_over():
-            due = time.monotonic() + OWN_DELAY_PERIOD_S
-            await asyncio.sleep(OWN_DELAY_PERIOD_S)
-            self._own_delay_s = max(self._own_delay_s, time.monotonic() - due)
+            due_at = time.monotonic() + OWN_DELAY_INTERVAL_S
+            await asyncio.sleep(OWN_DELAY_INTERVAL_S)
+            self._own_delay_s = max(self._own_delay_s, time.monotonic() - due_at)
 
     # ---- schedules
 
     async def _inject(self, node: SoakNode, draw: random.Random) -> None:
-        """Have one fault after another in a node, with pauses."""
-        while self._left_s() > 1.5:
+        """Inject one fault after another into a node, with gaps."""
+        while self._remaining_s() > 1.5:
             await asyncio.sleep(draw.uniform(0.1, 0.8))
             fault, errors, percent = draw.choice(FAULTS)
             if fault is Fault.ACCEPT:
-                if time.monotonic() < node.accepts_until:
-                    continue  # two in a row would outlast the shortest request and its slack
-                node.accepts_until = time.monotonic() + MAX_FAULT_S + ACCEPT_PAUSE_S
-            if fault in BREAKS_ANSWERS:
-                self._discoveries[node.number].unsure_until = time.monotonic() + UNSURE_S
+                if time.monotonic() < node.accept_fault_not_before:
+                    continue  # two in a row last longer than the shortest timeout and its slack
+                node.accept_fault_not_before = (
+                    time.monotonic() + MAX_FAULT_S + MIN_ACCEPT_FAULT_GAP_S
+                )
+            if fault in RESPONSE_LOSS_FAULTS:
+                self._discoveries[node.number].delivery_unsure_until = (
+                    time.monotonic() + DELIVERY_UNSURE_S
+                )
             node.process.faults.start(fault, draw.choice(errors), percent)
             if draw.random() < 0.2:
                 node.process.faults.step_wall_clock(draw.choice(WALL_CLOCK_STEPS_S))
@@ -233,9 +243,9 @@
             node.process.faults.stop(fault)
 
     async def _restart(self, node: SoakNode, draw: random.Random) -> None:
-        """End a node by signals in series, kill it at the earliest, and start it again."""
+        """Terminate a node by signals, kill it at the earliest allowed time, and restart it."""
         await asyncio.sleep(draw.uniform(0.5, 4.0))
-        while self._left_s() > KILL_AFTER_S + 1.0:
+        while self._remaining_s() > KILL_AFTER_S + 1.0:
             if node.process.is_operated and draw.random() < 0.7:
                 await self._hand_over(node, draw)
                 continue
@@ -243,7 +253,7 @@
                 self._signal(node, signal.SIGHUP)
                 await asyncio.sleep(draw.uniform(0.0, 0.2))
             terminated_at = time.monotonic()
-            node.ending_since = terminated_at
+            node.terminated_at = terminated_at
             self._signal(node, signal.SIGTERM)
             for number in draw.choices((signal.SIGHUP, signal.SIGTERM), k=draw.randint(0, 2)):
                 await asyncio.sleep(draw.uniform(0.01, 0.4))
@@ -253,44 +263,49 @@
             self._discoveries[node.number].on_node_started()
             await node.process.start(wait=False)
             await with_timeout(node.process.ready())
-            node.is_up, node.ending_since = True, None
+            node.is_up, node.terminated_at = True, None
             await asyncio.sleep(draw.uniform(0.5, 4.0))
 
-    async def _hold_up(self, node: SoakNode, draw: random.Random) -> None:
-        """Have a node stand still for a moment, now and then."""
-        while self._left_s() > 2.0:
+    async def _pause(self, node: SoakNode, draw: random.Random) -> None:
+        """Stop a node with SIGSTOP for a moment, repeatedly."""
+        while self._remaining_s() > 2.0:
             await asyncio.sleep(draw.uniform(0.5, 3.0))
             process = node.process.process
             assert process is not None
             self._signal_process(process, signal.SIGSTOP)
-            await asyncio.sleep(draw.uniform(0.0, MAX_HOLD_UP_S))
+            await asyncio.sleep(draw.uniform(0.0, MAX_PAUSE_S))
             self._signal_process(process, signal.SIGCONT)
 
     async def _hand_over(self, node: SoakNode, draw: random.Random) -> None:
-        """Start a process beside the one that runs, which it takes over, and end that one."""
-        previous = node.process.process
-        assert previous is not None
+        """Start a successor beside the running process, and terminate the predecessor."""
+        predecessor = node.process.process
+        assert predecessor is not None
         node.is_starting = True
-        started_at, taken_over = time.monotonic(), node.process.log().count("taken over")
+        started_at, takeover_count = time.monotonic(), node.process.log().count("taken over")
         await node.process.start(wait=False)
-        await asyncio.sleep(draw.uniform(0.6, 1.5))  # sockets may be short at its start
+        # Faults may deny the new process sockets as it starts.
+        await asyncio.sleep(draw.uniform(0.6, 1.5))
         node.is_starting = False
-        if node.process.log().count("taken over") == taken_over:
-            # It will find the other one ending, and serve alone: a new process, told of nothing.
+        if node.process.log().count("taken over") == takeover_count:
+            # The new process finds the predecessor shutting down and starts without a hand-over:
+            # no response counts as written to it yet.
             self._discoveries[node.number].on_node_started(started_at)
-            self._discoveries[node.number].has_two_callers = True
+            self._discoveries[node.number].has_separate_processes = True
         terminated_at = time.monotonic()
         for number in (signal.SIGTERM, *draw.choices((signal.SIGHUP, signal.SIGTERM), k=1)):
-            self._signal_process(previous, number)
+            self._signal_process(predecessor, number)
             await asyncio.sleep(draw.uniform(0.01, 0.3))
         await asyncio.sleep(terminated_at + KILL_AFTER_S - time.monotonic())
-        await self._end_process(node, previous)
-        self._discoveries[node.number].has_two_callers = False
+        await self._kill_process(node, predecessor)
+        self._discoveries[node.number].has_separate_processes = False
         await asyncio.sleep(draw.uniform(0.2, 2.0))
 
     @staticmethod
     def _signal(node: SoakNode, number: signal.Signals) -> None:
-        """Send a signal; not by asyncio's process, which may take its exit code away unseen."""
+        """Send a signal to the node's present process.
+
+        Not by asyncio's method, which may collect the exit code of an exited process.
+        """
         process = node.process.process
         assert process is not None
         Soak._signal_process(process, number)
@@ -305,54 +320,55 @@
         process = node.process.process
         assert process is not None
         node.is_up = False
-        await self._end_process(node, process)
+        await self._kill_process(node, process)
 
-    async def _end_process(self, node: SoakNode, process: asyncio.subprocess.Process) -> None:
+    async def _kill_process(self, node: SoakNode, process: asyncio.subprocess.Process) -> None:
         self._signal_process(process, signal.SIGKILL)
         code = await process.wait()
-        # The interpreter gives the signals back to the system before the process has ended.
-        usual = (0, -signal.SIGTERM, -signal.SIGHUP, -signal.SIGKILL)
-        if code not in usual:
-            self.findings.add("crash", f"node {node.number} ended with {code}")
+        # The interpreter restores the default signal handlers before the process has exited.
+        expected = (0, -signal.SIGTERM, -signal.SIGHUP, -signal.SIGKILL)
+        if code not in expected:
+            self.findings.add("crash", f"node {node.number} exited with code {code}")
 
     async def _change_servers(self, servers: SoakServers, draw: random.Random) -> None:
-        """Drain one server after another, and have each back cold."""
-        while self._left_s() > 3.0:
+        """Drain one server after another, and restart each of them."""
+        while self._remaining_s() > 3.0:
             await asyncio.sleep(draw.uniform(0.5, 2.0))
             name = draw.choice(servers.names)
             servers.drain(name)
             drain_s = draw.uniform(*draw.choice((SHORT_DRAIN_S, LONG_DRAIN_S)))
-            await asyncio.sleep(min(drain_s, max(0.0, self._left_s() - 0.5)))
+            await asyncio.sleep(min(drain_s, max(0.0, self._remaining_s() - 0.5)))
             servers.restart(name)
 
     async def _reload(self, node: SoakNode, draw: random.Random) -> None:
-        """Have configurations in series move discovery for a node."""
+        """Reload a node with series of configurations that each move its discovery."""
         discovery = self._discoveries[node.number]
-        while self._left_s() > 2.0:
+        while self._remaining_s() > 2.0:
             await asyncio.sleep(draw.uniform(0.5, 5.0))
             for _ in range(draw.randint(1, 4)):
                 await asyncio.sleep(draw.uniform(0.1, 0.9))
-                if not node.takes_signals():
+                if not node.handles_signals():
                     continue
                 discovery.moved_address = draw.choice(list(MovedAddress))
                 port = await discovery.move()
                 node.process.reconfigure(discovery=f"127.0.0.1:{port}")
-                if node.takes_signals():  # one that has begun meanwhile reads the file as it is
+                # A process that has started meanwhile has read the new file at its start.
+                if node.handles_signals():
                     self._signal(node, signal.SIGHUP)
 
-    async def _trouble_discovery(self, draw: random.Random) -> None:
-        """Have answers of discovery be lost or stop half-way for some nodes, or others crowd it."""
-        while self._left_s() > MAX_UNREACHABLE_S:
+    async def _disturb_discovery(self, draw: random.Random) -> None:
+        """Lose or cut off discovery responses to some nodes, or fill its queue, repeatedly."""
+        while self._remaining_s() > MAX_OUTAGE_S:
             await asyncio.sleep(draw.uniform(0.2, 1.5))
-            seconds = draw.uniform(0.5, MAX_UNREACHABLE_S)
+            seconds = draw.uniform(0.5, MAX_OUTAGE_S)
             if self._queue is not None and draw.random() < 0.5:
                 self._queue.fill(seconds)
                 await asyncio.sleep(seconds)
             else:
-                await self._lose_answers(draw, seconds)
-            await asyncio.sleep(draw.uniform(MIN_REACHABLE_S, MIN_REACHABLE_S + 2.0))
+                await self._lose_responses(draw, seconds)
+            await asyncio.sleep(draw.uniform(MIN_OUTAGE_GAP_S, MIN_OUTAGE_GAP_S + 2.0))
 
-    async def _lose_answers(self, draw: random.Random, seconds: float) -> None:
+    async def _lose_responses(self, draw: random.Random, seconds: float) -> None:
         discoveries = draw.sample(self._discoveries, draw.randint(1, len(self._discoveries)))
         for discovery in discoveries:
             discovery.start_fault(draw.choice((AnswerFault.LOST, AnswerFault.HALF)))
@@ -360,20 +376,20 @@
         for discovery in discoveries:
             discovery.stop_fault()
 
-    async def _crowd(self, draw: random.Random) -> None:
-        while self._left_s() > CROWD_S + 1.0:
+    async def _hold_crowds(self, draw: random.Random) -> None:
+        while self._remaining_s() > CROWD_S + 1.0:
             await asyncio.sleep(draw.uniform(0.3, 1.5))
             await hold_crowd(draw.choice(self.nodes), CROWD_SIZE, CROWD_S)
 
-    # ---- what the nodes say
+    # ---- checks of what the nodes did
 
-    def _check_cut_answers(self, cut: Counter[int], kills: int) -> None:
-        """Check that no more long answers broke off than connections to servers were broken."""
+    def _check_truncated_responses(self, truncated: Counter[int], kills: int) -> None:
+        """Check that no more long responses were cut short than server connections failed."""
         for node in self.nodes:
             faults = node.process.faults
             broken = faults.injected(Fault.RECEIVE) + faults.injected(Fault.SEND) + kills
-            if cut[node.number] > broken:
-                text = f"node {node.number}: {cut[node.number]} long answers cut short"
+            if truncated[node.number] > broken:
+                text = f"node {node.number}: {truncated[node.number]} long responses cut short"
                 self.findings.add("lost", text)
 
     def _check_logs(self) -> None:
@@ -391,27 +407,27 @@
 
 
 def run_soak(seed: int, seconds: float, folder: Path) -> SoakResult:
-    """Play one run in a folder."""
+    """Run the soak once, with its files in a folder, and return its result."""
     return asyncio.run(Soak(seed, seconds, folder).run())
 
 
-def main(say: Callable[[str], None] = print) -> int:
-    """Play runs by hand; return the exit code."""
+def main(write_line: Callable[[str], None] = print) -> int:
+    """Run the seeds given on the command line; return exit code 1 if a rule is broken, else 0."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="1-10", help="FIRST-LAST")
     parser.add_argument("--seconds", type=float, default=12.0)
     parser.add_argument("--keep", type=Path, help="Keep the logs of each run here.")
     options = parser.parse_args()
     first, _, last = options.seeds.partition("-")
-    broken = []
+    broken_seeds = []
     for seed in range(int(first), int(last or first) + 1):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-", dir=options.keep))
         result = run_soak(seed, options.seconds, folder)
-        say(str(result))
+        write_line(str(result))
         if result.findings.by_rule:
-            broken.append(seed)
-    say(f"seeds with a broken rule: {broken or 'none'}")
-    return 1 if broken else 0
+            broken_seeds.append(seed)
+    write_line(f"seeds with a broken rule: {broken_seeds or 'none'}")
+    return 1 if broken_seeds else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/faults/soak_clients.py
+++ b/benchmarks/faults/soak_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the fault soak: what they sent, when they left, and what they got."""
+"""Clients of the fault soak, which record each request, its response and early disconnects."""
 
 from __future__ import annotations
 
@@ -14,72 +14,75 @@
 from node_process import CLASSES, NodeProcess
 from soak_server import arrived_at
 
-# A request's final answer may come so long after its time; later it is lost.
-ANSWER_SLACK_S = 0.5
-OWN_DELAY_S = (
-    0.05  # an answer that has arrived is read so soon; its lateness is judged all the same
-)
-# New connections go on coming to a node for so long after SIGTERM.
-FRONT_NOTICE_S = 0.3
-IDS = itertools.count(1)
+# A final response that arrives later than this after the request's timeout counts as lost.
+RESPONSE_SLACK_S = 0.5
+# Extra time in which a delayed soak process reads a response that has already arrived; the rules
+# still judge when the response arrived.
+READ_SLACK_S = 0.05
+# How long clients still open connections to a node after its SIGTERM.
+TERMINATION_NOTICE_S = 0.3
+REQUEST_NUMBERS = itertools.count(1)
 
 
 class Outcome(Enum):
-    """What a client got for one request."""
+    """How one request finished for its client; the values stand in the report line."""
 
     ANSWERED = "answered"
-    CLOSED = "closed without a byte of an answer"
-    CUT_SHORT = "an answer cut short"
-    SILENT = "no answer in time"
-    LEFT = "the client left"
-    NEVER_WHOLE = "the client left in the midst of its request"
+    CLOSED = "closed without a byte of a response"
+    CUT_SHORT = "response cut short"
+    NO_RESPONSE = "no response in time"
+    DISCONNECTED = "client disconnected"
+    INCOMPLETE = "client disconnected before it had sent all of its request"
     NOT_CONNECTED = "no connection"
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """One request, as its client knows it; times in seconds of CLOCK_MONOTONIC."""
+    """One request, as its client recorded it; times in seconds of CLOCK_MONOTONIC."""
 
     request_id: str
     node: int
     class_name: str
     timeout_s: float
     on_new_connection: bool
-    in_crowd: bool  # many idle connections were held at its node
-    sent_at: float = 0.0  # of the last byte
-    ended_at: float = 0.0  # answered, closed, or left
+    in_crowd: bool  # its node had a crowd of idle connections meanwhile
+    sent_at: float = 0.0  # when the last byte was sent
+    finished_at: float = 0.0  # when it was answered, closed or given up
     outcome: Outcome = Outcome.NOT_CONNECTED
     status: int = 0
     body: bytes = b""
-    body_length: int = 0  # as its answer's head told
+    body_length: int = 0  # the Content-Length of the response
 
 
 @dataclass(slots=True)
 class SoakNode:
-    """A node under test, as clients and the schedule see it."""
+    """A node under test, and the state that clients and schedules share about it."""
 
     number: int
     process: NodeProcess
-    ending_since: float | None = None  # SIGTERM
+    terminated_at: float | None = None  # when SIGTERM was sent; None: it wasn't
     is_up: bool = True
     has_crowd: bool = False
-    accepts_until: float = 0.0  # until then no further failure of accept begins
-    is_starting: bool = False  # a second process, which can't take signals yet
+    accept_fault_not_before: float = 0.0  # no further fault of accept starts before this time
+    is_starting: bool = False  # a successor starts, which can't handle signals yet
 
-    def takes_signals(self) -> bool:
-        """Return whether no process is at its very start, where a signal would end it."""
+    def handles_signals(self) -> bool:
+        """Return whether no process of the node is so early in its start that a signal kills it."""
         return self.is_up and not self.is_starting
 
-    def takes_new_connections(self) -> bool:
-        """Return whether the front would still send a new client here."""
+    def receives_new_connections(self) -> bool:
+        """Return whether clients still open new connections to this node."""
         if not self.is_up:
             return False
-        return self.ending_since is None or time.monotonic() < self.ending_since + FRONT_NOTICE_S
+        return (
+            self.terminated_at is None
+            or time.monotonic() < self.terminated_at + TERMINATION_NOTICE_S
+        )
 
 
 @dataclass(slots=True)
 class Connection:
-    """A client's connection, and the node that it leads to."""
+    """A client's connection to a node."""
 
     node: SoakNode
     reader: asyncio.StreamReader
@@ -88,34 +91,35 @@
 
 
 class Client:
-    """One client: sends one request at a time, and keeps its connection while that is open."""
+    """A client that sends one request at a time, and reuses its connection while it is open."""
 
     def __init__(
-        self, nodes: list[SoakNode], seed: int, log: list[SentRequest], ends: Callable[[], bool]
+        self, nodes: list[SoakNode], seed: int, log: list[SentRequest], is_over: Callable[[], bool]
     ) -> None:
         self._nodes = nodes
         self._random = random.Random(seed)
         self._log = log
-        self._ends = ends
+        self._is_over = is_over
         self._connection: Connection | None = None
 
     async def run(self) -> None:
-        """Send requests until the soak ends, then wait for the last answer."""
-        while not self._ends():
+        """Send requests until the soak is over; the last request still finishes."""
+        while not self._is_over():
             request = await self._send_one()
             if request.outcome is Outcome.CLOSED and not request.on_new_connection:
-                await self._send_one()  # it crossed the close: once more, on a new connection
+                # The node closed the connection as the request was sent: retry on a new one.
+                await self._send_one()
             await asyncio.sleep(self._pause_s())
-        self._drop()
+        self._disconnect()
 
     def _pause_s(self) -> float:
         if self._random.random() < 0.1:
-            return self._random.uniform(0.3, 1.5)  # the connection rests
+            return self._random.uniform(0.3, 1.5)  # the connection is idle
         return self._random.uniform(0.0, 0.05)
 
     async def _send_one(self) -> SentRequest:
         if self._connection is not None and self._connection.reader.at_eof():
-            self._drop()
+            self._disconnect()
         if self._connection is None:
             self._connection = await self._connect()
         request = self._new_request()
@@ -127,14 +131,14 @@
         try:
             await self._exchange(connection, request)
         finally:
-            request.ended_at = request.ended_at or time.monotonic()
+            request.finished_at = request.finished_at or time.monotonic()
             request.in_crowd = request.in_crowd or connection.node.has_crowd
         if request.outcome is not Outcome.ANSWERED:
-            self._drop()
+            self._disconnect()
         return request
 
     async def _connect(self) -> Connection | None:
-        usable = [node for node in self._nodes if node.takes_new_connections()]
+        usable = [node for node in self._nodes if node.receives_new_connections()]
         if not usable:
             return None
         node = self._random.choice(usable)
@@ -148,7 +152,7 @@
         connection = self._connection
         number = -1 if connection is None else connection.node.number
         return SentRequest(
-            request_id=f"q{next(IDS)}-{number}",
+            request_id=f"q{next(REQUEST_NUMBERS)}-{number}",
             node=number,
             class_name=self._random.choice(CLASSES)["name"],
             timeout_s=self._random.choice((0.15, 0.5, 1.0, 2.0)),
@@ -161,64 +165,66 @@
         if not await self._send(connection, request):
             return
         request.sent_at = time.monotonic()
-        patience_s = request.timeout_s + ANSWER_SLACK_S
-        leaves = self._random.random() < 0.06
-        if leaves:
-            patience_s = self._random.uniform(0.0, 0.3)
-        reading = asyncio.create_task(self._read_answer(connection, request))
-        await asyncio.wait({reading}, timeout=patience_s)
-        if not reading.done() and not leaves:
-            # This process may have stood still itself: what has arrived meanwhile is read first.
-            await asyncio.wait({reading}, timeout=OWN_DELAY_S)
-        if not reading.done():
-            request.outcome = Outcome.LEFT if leaves else Outcome.SILENT
-            reading.cancel()
+        wait_s = request.timeout_s + RESPONSE_SLACK_S
+        disconnects_early = self._random.random() < 0.06
+        if disconnects_early:
+            wait_s = self._random.uniform(0.0, 0.3)
+        read = asyncio.create_task(self._read_response(connection, request))
+        await asyncio.wait({read}, timeout=wait_s)
+        if not read.done() and not disconnects_early:
+            # This process may have been delayed itself: first read what has arrived meanwhile.
+            await asyncio.wait({read}, timeout=READ_SLACK_S)
+        if not read.done():
+            request.outcome = Outcome.DISCONNECTED if disconnects_early else Outcome.NO_RESPONSE
+            read.cancel()
             connection.writer.transport.abort()
-            request.ended_at = time.monotonic()
+            request.finished_at = time.monotonic()
             return
         try:
-            reading.result()
+            read.result()
         except asyncio.IncompleteReadError as error:
             request.outcome = Outcome.CUT_SHORT if error.partial else request.outcome
         except OSError:
             pass
 
     async def _send(self, connection: Connection, request: SentRequest) -> bool:
-        """Send a request, some slowly in pieces; return False if the client left in its midst."""
+        """Send a request, some in two pieces; return False if the client disconnects meanwhile."""
         data = self._encode(request)
         draw = self._random.random()
         if draw < 0.08:
-            half = self._random.randrange(1, len(data))
-            connection.writer.write(data[:half])
+            split_at = self._random.randrange(1, len(data))
+            connection.writer.write(data[:split_at])
             await asyncio.sleep(self._random.uniform(0.0, 0.3))
-            data = data[half:]
+            data = data[split_at:]
         if draw < 0.03:
-            request.outcome = Outcome.NEVER_WHOLE
+            request.outcome = Outcome.INCOMPLETE
             connection.writer.transport.abort()
             return False
         connection.writer.write(data)
         return True
 
-    async def _read_answer(self, connection: Connection, request: SentRequest) -> None:
+    async def _read_response(self, connection: Connection, request: SentRequest) -> None:
         request.outcome = Outcome.CLOSED
         head = await connection.reader.readuntil(b"\r\n\r\n")
         request.outcome = Outcome.CUT_SHORT
-        first, *lines = head.decode("latin-1").split("\r\n")[:-2]
-        headers = {k.lower(): v.strip() for k, v in (line.split(":", 1) for line in lines)}
+        status_line, *lines = head.decode("latin-1").split("\r\n")[:-2]
+        headers = {
+            name.lower(): value.strip() for name, value in (line.split(":", 1) for line in lines)
+        }
         request.body_length = int(headers["content-length"])
         body = await connection.reader.readexactly(request.body_length)
         request.outcome = Outcome.ANSWERED
-        request.status, request.body = int(first.split(" ")[1]), body
-        request.ended_at = self._arrived_at(connection)
+        request.status, request.body = int(status_line.split(" ")[1]), body
+        request.finished_at = self._arrived_at(connection)
         if headers.get("connection") == "close":
-            self._drop()
+            self._disconnect()
 
     @staticmethod
     def _arrived_at(connection: Connection) -> float:
-        """Return when the answer reached this machine: this process may have stood still since."""
+        """Return when the kernel received the response; this process may have read it later."""
         try:
             return arrived_at(connection.writer.transport)
-        except OSError:  # the connection broke behind the answer
+        except OSError:  # the connection failed after the response
             return time.monotonic()
 
     def _encode(self, request: SentRequest) -> bytes:
@@ -236,14 +242,14 @@
         lines.append(f"Content-Length: {len(body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._connection is not None:
             self._connection.writer.transport.abort()
             self._connection = None
 
 
 async def hold_crowd(node: SoakNode, size: int, seconds: float) -> None:
-    """Hold idle connections at a node for a while: more than it has places for."""
+    """Hold idle connections to a node for some seconds; more than its limits allow."""
     writers = []
     node.has_crowd = True
     for _ in range(size):
--- a/benchmarks/faults/soak_server.py
+++ b/benchmarks/faults/soak_server.py
@@ -1,7 +1,8 @@
-"""A stand-in server of the fault soak: one process that logs when each request began and came whole.
+"""A stand-in server of the fault soak: logs when each request began to arrive and was complete.
 
-Called with ``PORT SEED LOG``.  Its latencies, errors, resets and silences are drawn from the seed.
-Times in the log are seconds of CLOCK_MONOTONIC, which all processes of a machine share.
+Run as a process with ``PORT SEED LOG``.  The seed determines its latencies, errors, resets and
+missing responses.
+Times in the log are in seconds of CLOCK_MONOTONIC, which all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -15,28 +16,32 @@
 import time
 from typing import TextIO
 
-LAST_DATA_RECEIVED = struct.Struct("52xI")  # tcpi_last_data_recv in TCP_INFO: milliseconds ago
-BODY_REPEATS = (0, 1, 20, 2000)  # of the id in an answer's body
-LONG_REPEATS = 30_000  # of one that a node passes on as it comes
-LONG_SHARE = 0.03
-HANG_S = 60.0
+# tcpi_last_data_recv in TCP_INFO: milliseconds since data last arrived.
+LAST_DATA_RECEIVED = struct.Struct("52xI")
+BODY_REPEATS = (0, 1, 20, 2000)  # how often a response's body repeats the request id
+LONG_BODY_REPEATS = 30_000  # so long that a node forwards the body while it arrives
+LONG_BODY_FRACTION = 0.03  # of all responses
+SILENCE_S = 60.0  # longer than any client waits
 
 
 def arrived_at(transport: asyncio.BaseTransport) -> float:
-    """Return when the kernel received the last bytes on a connection, however late they are read."""
+    """Return when the kernel received the last bytes of a connection, however late they are read.
+
+    In seconds of CLOCK_MONOTONIC.  Raises OSError if the socket gives no TCP_INFO.
+    """
     sock = transport.get_extra_info("socket")
     info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
     return time.monotonic() - LAST_DATA_RECEIVED.unpack(info)[0] / 1000
 
 
 class Behaviour:
-    """What becomes of each request."""
+    """Draws how the server handles each request."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
 
     def next(self) -> tuple[str, float]:
-        """Return what to do, and after how many seconds."""
+        """Return an action, and the delay in seconds before it."""
         draw, latency_s = self._random.random(), self._random.uniform(0.002, 0.06)
         if draw < 0.02:
             return "error", latency_s
@@ -45,7 +50,7 @@
         if draw < 0.06:
             return "reset", latency_s
         if draw < 0.07:
-            return "silence", HANG_S
+            return "silence", SILENCE_S
         if draw < 0.10:
             return "answer", self._random.uniform(0.2, 0.8)
         if draw < 0.12:
@@ -53,35 +58,37 @@
         return "answer", latency_s
 
     def body(self, request_id: str) -> bytes:
-        """Return a body that only this request's answer has."""
-        is_long = self._random.random() < LONG_SHARE
-        return body_of(request_id, LONG_REPEATS if is_long else self._random.choice(BODY_REPEATS))
+        """Return a body that only the response to this request has."""
+        is_long = self._random.random() < LONG_BODY_FRACTION
+        return body_of(
+            request_id, LONG_BODY_REPEATS if is_long else self._random.choice(BODY_REPEATS)
+        )
 
 
 def body_of(request_id: str, repeats: int) -> bytes:
-    """Return the body of an answer."""
+    """Return a response's body: the request id, the count, and the id repeated as often."""
     return f"{request_id}:{repeats}:".encode() + request_id.encode() * repeats
 
 
 class Connection(asyncio.Protocol):
-    """One connection from a node: one request at a time."""
+    """One connection from a node, on which requests follow each other one at a time."""
 
     def __init__(self, behaviour: Behaviour, log: TextIO) -> None:
         self._behaviour = behaviour
         self._log = log
         self._received = bytearray()
         self._began_at = 0.0
-        self._request_id = ""  # the one that is being served
+        self._request_id = ""  # of the request being served; empty between requests
         self._timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Keep the transport of the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Serve a request once it is whole."""
+        """Collect received data, and serve the request once it is complete."""
         if not self._received:
             self._began_at = self._arrived_at()
         self._received += data
@@ -89,17 +96,20 @@
         if not end:
             return
         lines = head.decode("latin-1").split("\r\n")
-        headers = {k.lower(): v.strip() for k, v in (line.split(":", 1) for line in lines[1:])}
+        headers = {
+            name.lower(): value.strip()
+            for name, value in (line.split(":", 1) for line in lines[1:])
+        }
         if len(body) < int(headers.get("content-length", "0")):
             return
         self._received.clear()
         self._serve(headers)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Log the end of what was being served."""
+        """Log that the connection closed before the request being served had its response."""
         if self._timer is not None:
             self._timer.cancel()
-        self._end("closed by the node")
+        self._log_end("closed by the node")
 
     def _arrived_at(self) -> float:
         """Return when the kernel received the bytes that were just read."""
@@ -116,35 +126,35 @@
             whole=self._arrived_at(),
             timeout_us=int(headers["x-timeout"].removesuffix("u")),
         )
-        what, after_s = self._behaviour.next()
-        self._timer = asyncio.get_running_loop().call_later(after_s, self._answer, what)
+        action, delay_s = self._behaviour.next()
+        self._timer = asyncio.get_running_loop().call_later(delay_s, self._respond, action)
 
-    def _answer(self, what: str) -> None:
+    def _respond(self, action: str) -> None:
         assert self._transport is not None
         request_id = self._request_id
-        self._end(what)
-        if what == "reset":
+        self._log_end(action)
+        if action == "reset":
             self._transport.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
             )
             self._transport.abort()
-        elif what == "error":
+        elif action == "error":
             self._write(500, b"", "")
-        elif what == "not processed":
+        elif action == "not processed":
             self._write(503, b"", "X-Not-Processed: 1\r\n")
         else:
             self._write(200, self._behaviour.body(request_id), "")
-            if what == "answer and close":
+            if action == "answer and close":
                 self._transport.close()
 
-    def _write(self, status: int, body: bytes, more: str) -> None:
+    def _write(self, status: int, body: bytes, extra_headers: str) -> None:
         assert self._transport is not None
-        head = f"HTTP/1.1 {status} Whatever\r\n{more}Content-Length: {len(body)}\r\n\r\n"
+        head = f"HTTP/1.1 {status} Whatever\r\n{extra_headers}Content-Length: {len(body)}\r\n\r\n"
         self._transport.write(head.encode() + body)
 
-    def _end(self, how: str) -> None:
+    def _log_end(self, result: str) -> None:
         if self._request_id:
-            self._write_log(event="end", how=how, at=time.monotonic())
+            self._write_log(event="end", how=result, at=time.monotonic())
             self._request_id = ""
 
     def _write_log(self, **fields: object) -> None:
@@ -153,7 +163,7 @@
 
 
 async def main(port: int, seed: int, log_path: str) -> None:
-    """Serve until killed."""
+    """Serve on the port until the process is killed."""
     behaviour = Behaviour(seed)
     with open(log_path, "a") as log:
         server = await asyncio.get_running_loop().create_server(
--- a/benchmarks/faults/soak_servers.py
+++ b/benchmarks/faults/soak_servers.py
@@ -1,4 +1,4 @@
-"""The servers' processes of the fault soak, and what discovery has to tell of them."""
+"""Starts, drains and kills the servers of the fault soak, and publishes their endpoint list."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from discovery_standin import PublishedList
 from peers import endpoint, free_ports
-from soak_told import Drain
+from soak_notices import Drain
 
 SERVER_PROGRAM = Path(__file__).with_name("soak_server.py")
 
 
 class SoakServers:
-    """The servers' processes, and what discovery has to tell of them."""
+    """The server processes, and the endpoint list that discovery publishes of them."""
 
     def __init__(self, folder: Path, count: int, seed: int) -> None:
         self.published = PublishedList(self._entries)
@@ -32,12 +32,12 @@
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Start a server's process."""
+        """Start the process of a server; its log goes on in the same file."""
         number = self.names.index(name)
         log = self.logs[number]
         log.touch()
         command = [sys.executable, SERVER_PROGRAM, self.ports[name], self._seed * 100 + number, log]
-        self._processes[name] = subprocess.Popen([str(word) for word in command])
+        self._processes[name] = subprocess.Popen([str(argument) for argument in command])
 
     def _entries(self) -> list[dict]:
         return [
@@ -51,14 +51,14 @@
         ]
 
     def drain(self, name: str) -> None:
-        """Have a server drain."""
+        """Publish that a server drains."""
         drain = Drain(name, self.published.index + 1, time.monotonic())
         self._draining[name] = drain
         self.drains.append(drain)
         self.published.publish()
 
     def restart(self, name: str) -> None:
-        """Kill a server that drains, and have it back, cold."""
+        """Kill a draining server, start it again, and publish it as ready with a new start time."""
         self._processes[name].kill()
         self._processes[name].wait()
         self.kills[name].append(time.monotonic())
@@ -68,7 +68,7 @@
         self.published.publish()
 
     def close(self) -> None:
-        """Kill all processes."""
+        """Kill all server processes."""
         for process in self._processes.values():
             process.kill()
             process.wait()
