--- a/oakbridge/cli/demo.py
+++ b/oakbridge/cli/demo.py
@@ -35,13 +35,15 @@
             scene = asyncio.run(play(rate, seconds, seed, lambda _: None))
         else:
             with Live(console=console, refresh_per_second=4) as live:
-                scene = asyncio.run(play(rate, seconds, seed, lambda s: live.update(picture(s))))
+                scene = asyncio.run(
+                    play(rate, seconds, seed, lambda s: live.update(render_scene(s)))
+                )
     except DemoError as e:
         raise CommandFailedError(str(e)) from None
     if as_json:
         say_json(result(scene))
     elif not console.is_terminal:
-        console.print(picture(scene))
+        console.print(render_scene(scene))
     tally = scene.tally
     if tally.lost or tally.done != tally.sent:
         raise CommandFailedError(
@@ -65,7 +67,7 @@
     }
 
 
-def picture(scene: Scene) -> Group:
+def render_scene(scene: Scene) -> Group:
     """The scene as a table."""
     tally, rows = scene.tally, {r["name"]: r for r in scene.status.get("rows", [])}
     table = Table(box=box.SIMPLE_HEAD)
--- a/oakbridge/cli/fleet.py
+++ b/oakbridge/cli/fleet.py
@@ -178,7 +178,7 @@
     click.echo(f"operator {name} may {role}: {stem}.crt, {stem}.key")
 
 
-def operator_of(folder: Path, name: str, within_s: float) -> FleetClient:
+def operator_client(folder: Path, name: str, within_s: float) -> FleetClient:
     """Return the client of an operator, by the fleet's folder and the name of the certificate.
 
     Raises:
@@ -227,7 +227,7 @@
         if any(m["state"] in ("suspect", "failed") for m in members):
             raise click.exceptions.Exit(1)
         return
-    client = operator_of(folder, operator, within)
+    client = operator_client(folder, operator, within)
     responses = asyncio.run(client.call_all(messages.StatusRequest()))
     rows = instance_rows(responses)
     if as_json:
@@ -255,7 +255,7 @@
 )
 def watch(folder: Path, operator: str, every: float, count: int, as_json: bool) -> None:
     """Show the fleet as it is, again and again; what is well is summed up, what is not has a line."""
-    client = operator_of(folder, operator, max(1.0, every))
+    client = operator_client(folder, operator, max(1.0, every))
     console = Console()
     if as_json or not console.is_terminal:
         asyncio.run(_watch(client, every, count, None if as_json else console.print))
--- a/oakbridge/cli/peers.py
+++ b/oakbridge/cli/peers.py
@@ -12,7 +12,7 @@
 from rich.text import Text
 
 from oakbridge.cli.common import CommandFailedError, connect, look_options, say_json, socket_options
-from oakbridge.cli.looking import show
+from oakbridge.cli.control_output import show
 from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
 
--- a/oakbridge/cli/rollout/commands.py
+++ b/oakbridge/cli/rollout/commands.py
@@ -9,7 +9,7 @@
 import click
 
 from oakbridge.cli.common import InvalidInputError, say_json
-from oakbridge.cli.fleet import command, folder_option, operator_of, operator_option
+from oakbridge.cli.fleet import command, folder_option, operator_client, operator_option
 from oakbridge.cli.rollout.change_options import read_change
 from oakbridge.cli.rollout.options import WaveArguments, timing_options, wave_options
 from oakbridge.cli.rollout.session import (
@@ -35,7 +35,7 @@
 @click.option("--json", "as_json", is_flag=True, help="The waves as JSON.")
 def plan(folder: Path, operator: str, waves: WaveArguments, as_json: bool) -> None:
     """Show the waves in which a change would go out; nothing is sent."""
-    client = operator_of(folder, operator, CALL_TIMEOUT_S)
+    client = operator_client(folder, operator, CALL_TIMEOUT_S)
     targets, unseen = asyncio.run(find_targets(client, waves.only))
     names = [[target.name for target in wave] for wave in waves.plan(targets)]
     if as_json:
@@ -133,7 +133,7 @@
     as_json: bool,
 ) -> None:
     """Have drained nodes run again (all, or those of --only)."""
-    client = operator_of(folder, operator, CALL_TIMEOUT_S)
+    client = operator_client(folder, operator, CALL_TIMEOUT_S)
     targets, _ = asyncio.run(find_targets(client, waves.only))
     drained = tuple(target.name for target in targets if target.is_drained)
     if not drained:
--- a/oakbridge/cli/rollout/doctor_command.py
+++ b/oakbridge/cli/rollout/doctor_command.py
@@ -14,7 +14,7 @@
     command,
     folder_option,
     members_by,
-    operator_of,
+    operator_client,
     operator_option,
     via_options,
 )
@@ -38,7 +38,7 @@
     With --via also where the inventory and what the members know of each other differ.
     """
     members = None if via is None else asyncio.run(members_by(via, secret_file))
-    client = operator_of(folder, operator, CALL_TIMEOUT_S)
+    client = operator_client(folder, operator, CALL_TIMEOUT_S)
     with open_journal(folder) as journal:
         responses = asyncio.run(client.call_all(messages.StatusRequest()))
         try:
--- a/oakbridge/cli/rollout/journal_commands.py
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from oakbridge.cli.common import say_json
-from oakbridge.cli.fleet import command, folder_option, operator_of, operator_option
+from oakbridge.cli.fleet import command, folder_option, operator_client, operator_option
 from oakbridge.cli.rollout.session import CALL_TIMEOUT_S, open_journal, read_journal
 from oakbridge.fleet import messages
 from oakbridge.fleet.client import FleetClient
@@ -77,7 +77,7 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def rebuild_journal(folder: Path, operator: str, as_json: bool) -> None:
     """Add the rollouts that the journal lacks and agents remember."""
-    client = operator_of(folder, operator, CALL_TIMEOUT_S)
+    client = operator_client(folder, operator, CALL_TIMEOUT_S)
     with open_journal(folder) as journal:
         entries, silent = asyncio.run(_missing_entries(client, journal))
         for entry in entries:
--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -15,7 +15,7 @@
 from rich.live import Live
 
 from oakbridge.cli.common import CommandFailedError, InvalidInputError, say_json
-from oakbridge.cli.fleet import operator_of
+from oakbridge.cli.fleet import operator_client
 from oakbridge.cli.rollout.options import WaveArguments
 from oakbridge.cli.rollout.view import render
 from oakbridge.fleet import messages
@@ -107,7 +107,7 @@
         self, run: Callable[[FleetClient, Journal, LeaseResult], Awaitable[RolloutResult]]
     ) -> RolloutResult:
         """Run under the lease, which is released however the run ends."""
-        operator = operator_of(self.folder, self.operator_name, CALL_TIMEOUT_S)
+        operator = operator_client(self.folder, self.operator_name, CALL_TIMEOUT_S)
 
         async def run_and_release(journal: Journal) -> RolloutResult:
             held = await acquire_lease(operator)
--- a/oakbridge/cli/sites.py
+++ b/oakbridge/cli/sites.py
@@ -20,7 +20,7 @@
     say_json,
     socket_options,
 )
-from oakbridge.cli.looking import show
+from oakbridge.cli.control_output import show
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
@@ -49,7 +49,7 @@
     """Show each site's state, by whose word, its part of the calls, and what is refused meanwhile."""
     ctx.obj = (socket_path, config)
     if ctx.invoked_subcommand is None:
-        show(socket_path, config, ControlCommand.SITES, picture, as_json, watch, every)
+        show(socket_path, config, ControlCommand.SITES, render_sites, as_json, watch, every)
 
 
 def _ask(where: tuple[Path | None, Path | None], command: ControlCommand, **arguments: Any) -> Any:
@@ -182,7 +182,7 @@
     click.echo(f"{path}: good ({counts}, version {topology.version})")
 
 
-def picture(told: dict[str, Any]) -> Group:
+def render_sites(told: dict[str, Any]) -> Group:
     """Return a node's view of the sites as tables."""
     return Group(_summary(told), _site_table(told["sites"]))
 
--- a/oakbridge/cli/spread.py
+++ b/oakbridge/cli/spread.py
@@ -12,7 +12,7 @@
 from rich.text import Text
 
 from oakbridge.cli.common import InvalidInputError, look_options, say_json, socket_options
-from oakbridge.cli.looking import show
+from oakbridge.cli.control_output import show
 from oakbridge.control.protocol import ControlCommand
 from oakbridge.spread.arcs import MAX_RINGS
 
@@ -45,7 +45,7 @@
 ) -> None:
     """Show how the servers are divided, unless a subcommand is given."""
     if ctx.invoked_subcommand is None:
-        show(socket_path, config, ControlCommand.SPREAD, picture, as_json, watch, every)
+        show(socket_path, config, ControlCommand.SPREAD, render_spread, as_json, watch, every)
 
 
 @command.command(
@@ -111,7 +111,7 @@
     )
 
 
-def picture(told: dict[str, Any]) -> Group:
+def render_spread(told: dict[str, Any]) -> Group:
     """Return a node's view as tables: servers that stand out first."""
     servers = sorted(told["servers"], key=lambda row: -abs((row["load_over_fair"] or 1.0) - 1.0))
     hidden = len(servers) - MAX_ROWS
--- a/oakbridge/cli/status.py
+++ b/oakbridge/cli/status.py
@@ -12,7 +12,7 @@
 from rich.text import Text
 
 from oakbridge.cli.common import look_options, socket_options
-from oakbridge.cli.looking import show
+from oakbridge.cli.control_output import show
 from oakbridge.control.protocol import ControlCommand
 
 SHORT_DIGEST_LENGTH = 12
--- a/tests/formats/test_sites.py
+++ b/tests/formats/test_sites.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 
 from oakbridge.cli.main import cli
-from oakbridge.cli.sites import picture
+from oakbridge.cli.sites import render_sites
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.config.sites import load_plan
 from oakbridge.config.sites_file import load_topology
@@ -101,7 +101,7 @@
 def as_text(described):
     """Return the table that an operator sees."""
     console = Console(file=io.StringIO(), width=140, color_system=None)
-    console.print(picture(described))
+    console.print(render_sites(described))
     return console.file.getvalue()
 
 
--- a/tests/formats/test_spread.py
+++ b/tests/formats/test_spread.py
@@ -12,7 +12,7 @@
 from rich.console import Console
 
 from oakbridge.cli.main import cli
-from oakbridge.cli.spread import picture
+from oakbridge.cli.spread import render_spread
 from oakbridge.peers.view_state import ClusterView, ViewState
 from oakbridge.spread import operator_view
 from oakbridge.spread.request_rate import ReportedRate
@@ -60,7 +60,7 @@
 def operators_text():
     console = Console(file=io.StringIO(), width=140, color_system=None)
     for snapshot in operator_snapshots():
-        console.print(picture(snapshot["spread"]))
+        console.print(render_spread(snapshot["spread"]))
     return console.file.getvalue()
 
 
--- a/tests/rollout/killed_tool.py
+++ b/tests/rollout/killed_tool.py
@@ -14,7 +14,7 @@
 
 from simulated_fleet import QUICK, files_with_aim, outcomes
 
-from oakbridge.cli.fleet import operator_of
+from oakbridge.cli.fleet import operator_client
 from oakbridge.cli.rollout.session import find_targets
 from oakbridge.rollout.change import ReplaceFiles
 from oakbridge.rollout.coordinator import Coordinator
@@ -46,7 +46,7 @@
 
 
 async def main(folder: Path, aim: str, rollout: int, write: int, side: str) -> None:
-    operator, journal = operator_of(folder, "admin", 5.0), KillingJournal(folder, write, side)
+    operator, journal = operator_client(folder, "admin", 5.0), KillingJournal(folder, write, side)
     lease = await operator.acquire_lease(60.0)
     assert lease.has_majority(len(operator.inventory.agents))
     if rollout:
