--- a/oakbridge/cli/__init__.py
+++ b/oakbridge/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line ``oakbridge``.  Each command is a module of its own, imported when it is called."""
+"""The command line ``oakbridge``.  The module of a command is imported when the command is used."""
--- a/oakbridge/cli/__main__.py
+++ b/oakbridge/cli/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m oakbridge.cli``: the command line."""
+"""Runs the command line for ``python -m oakbridge.cli``."""
 
 import sys
 
--- a/oakbridge/cli/agent.py
+++ b/oakbridge/cli/agent.py
@@ -18,7 +18,7 @@
 from oakbridge.agent.startup import retry_while_unavailable
 from oakbridge.agent.store import Store
 from oakbridge.cli.common import CommandFailedError, InvalidInputError
-from oakbridge.cli.logs import log_option, start_logs
+from oakbridge.cli.logs import configure_log_format, log_option
 from oakbridge.fleet.errors import PkiError
 from oakbridge.fleet.pki import tls_context
 from oakbridge.fleet.server import AgentServer
@@ -63,7 +63,7 @@
     """Run the nodes of this host, and answer the fleet's operators; nodes outlive their agent."""
     try:
         config = retry_while_unavailable(lambda: read_agent_config(path))
-        start_logs(log_format, agent=config.name)
+        configure_log_format(log_format, agent=config.name)
         tls = tls_context(config.authority, config.certificate, server=True)
         store = retry_while_unavailable(lambda: Store(config.state))
         run_in_new_loop(run(config, store, tls))
--- a/oakbridge/cli/check.py
+++ b/oakbridge/cli/check.py
@@ -1,4 +1,4 @@
-"""``oakbridge check``: every mistake of a configuration at once."""
+"""``oakbridge check``: reports all mistakes of a configuration at once."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-from oakbridge.cli.common import InvalidInputError, say_json
+from oakbridge.cli.common import InvalidInputError, print_json
 from oakbridge.cli.serve import file_options
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.config.load import load
@@ -27,17 +27,17 @@
         return
     if path is None:
         raise InvalidInputError("check: expected the configuration's FILE")
-    problems, told = [], ""
+    problems, counts = [], ""
     try:
         loaded = load(path)
         options = file_options(loaded)
-        told = f"{len(loaded.file.classes)} classes, {len(loaded.file.tenants)} tenants"
+        counts = f"{len(loaded.file.classes)} classes, {len(loaded.file.tenants)} tenants"
         if options is not None:
-            found = inspect_server_files(options.path, options.is_directory)
-            problems = found.problems
-            told += f", {len(found.parsed.servers)} servers in {options.path}"
+            inspection = inspect_server_files(options.path, options.is_directory)
+            problems = inspection.problems
+            counts += f", {len(inspection.parsed.servers)} servers in {options.path}"
         elif loaded.file.servers.inline:
-            told += f", {len(loaded.file.servers.inline)} servers"
+            counts += f", {len(loaded.file.servers.inline)} servers"
         if loaded.file.peers is not None:
             from oakbridge.config.peers import peers_options
 
@@ -46,18 +46,22 @@
             from oakbridge.config.sites import node_sites
 
             node_sites(loaded)
-    except ConfigFileError as e:
-        problems = [*problems, *e.problems]
+    except ConfigFileError as error:
+        problems = [*problems, *error.problems]
     if as_json:
-        say_json({
+        print_json({
             "ok": not problems,
             "problems": [
-                {"file": p.file, "line": p.line, "field": p.field_name(), "expected": p.expected} for p in problems
+                {
+                    "file": problem.file, "line": problem.line,
+                    "field": problem.field_name(), "expected": problem.expected,
+                }
+                for problem in problems
             ],
         })  # fmt: skip
     elif problems:
         raise InvalidInputError("\n".join(map(str, problems)))
     else:
-        click.echo(f"{path}: good ({told})")
+        click.echo(f"{path}: good ({counts})")
     if problems:
         raise click.exceptions.Exit(2)
--- a/oakbridge/cli/common.py
+++ b/oakbridge/cli/common.py
@@ -1,4 +1,4 @@
-"""Shared by the commands: errors with exit codes, JSON output, and finding a node's control socket."""
+"""Shared by the commands: errors with exit codes, JSON output and the search for control sockets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     exit_code = 1
 
     def show(self, file: Any = None) -> None:  # noqa: ARG002 - click's interface
-        """Print the message on standard error, each of its lines with the program's name."""
+        """Print the message on standard error, each line after the program's name."""
         print(
             *(f"oakbridge: {line}" for line in self.message.splitlines()), sep="\n", file=sys.stderr
         )
@@ -32,7 +32,7 @@
     exit_code = 2
 
 
-def say_json(value: Any) -> None:
+def print_json(value: Any) -> None:
     """Print a result as JSON."""
     print(json.dumps(value, indent=2, sort_keys=True))
 
@@ -52,12 +52,12 @@
     )(function)
 
 
-def look_options(function: Any) -> Any:
-    """Add the options for how to show a node's state."""
-    every = click.FloatRange(0.1, 60)
-    function = click.option("--every", default=1.0, type=every, help="Seconds between two looks.")(
-        function
-    )
+def output_options(function: Any) -> Any:
+    """Add the options for how a node's state is printed: once, as JSON, or repeatedly."""
+    interval_range = click.FloatRange(0.1, 60)
+    function = click.option(
+        "--every", default=1.0, type=interval_range, help="Seconds between two looks."
+    )(function)
     function = click.option("--watch", is_flag=True, help="Go on showing it, until Ctrl-C.")(
         function
     )
@@ -65,18 +65,20 @@
 
 
 def connect(socket_path: Path | None, config: Path | None) -> ControlClient:
-    """Return a client of the node that the options name, or of the only one that runs.
+    """Return a client of the node that the options name, or of the only running node.
 
     Raises CommandFailedError or InvalidInputError.
     """
     try:
         return ControlClient(find_socket(socket_path, config))
-    except NodeUnreachableError as e:
-        raise CommandFailedError(str(e)) from None
+    except NodeUnreachableError as error:
+        raise CommandFailedError(str(error)) from None
 
 
 def find_socket(socket_path: Path | None, config: Path | None) -> Path:
-    """Return the path of the control socket of that node; it may not exist.
+    """Return the control socket's path of the node that the options name, or of the only running node.
+
+    The path that an option gives may not exist.
 
     Raises CommandFailedError or InvalidInputError.
     """
@@ -87,14 +89,14 @@
         from oakbridge.config.load import load
 
         try:
-            found = load(config).control_path
-        except ConfigFileError as e:
-            raise InvalidInputError(str(e)) from None
-        if found is None:
+            configured_path = load(config).control_path
+        except ConfigFileError as error:
+            raise InvalidInputError(str(error)) from None
+        if configured_path is None:
             raise InvalidInputError(
                 f"{config}: control: enabled is false, so this node has no control socket"
             )
-        return found
+        return configured_path
     folder = runtime_directory()
     sockets = sorted(folder.glob("*.sock"))
     if len(sockets) == 1:
@@ -103,7 +105,7 @@
         raise CommandFailedError(
             f"no control socket in {folder}: is a node running? (--socket or --config names one)"
         )
-    names = ", ".join(s.stem for s in sockets)
+    names = ", ".join(path.stem for path in sockets)
     raise InvalidInputError(
         f"several nodes have control sockets in {folder} ({names}): name one with --socket or --config"
     )
--- a/oakbridge/cli/demo.py
+++ b/oakbridge/cli/demo.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from oakbridge.cli.common import CommandFailedError, say_json
+from oakbridge.cli.common import CommandFailedError, print_json
 from oakbridge.cli.status import STATE_STYLE
 from oakbridge.demo.play import DemoError, Scene, play
 
@@ -41,7 +41,7 @@
     except DemoError as e:
         raise CommandFailedError(str(e)) from None
     if as_json:
-        say_json(result(scene))
+        print_json(result(scene))
     elif not console.is_terminal:
         console.print(render_scene(scene))
     tally = scene.tally
--- a/oakbridge/cli/fleet.py
+++ b/oakbridge/cli/fleet.py
@@ -14,7 +14,7 @@
 from rich.console import Console, Group
 from rich.live import Live
 
-from oakbridge.cli.common import CommandFailedError, InvalidInputError, say_json
+from oakbridge.cli.common import CommandFailedError, InvalidInputError, print_json
 from oakbridge.cli.fleet_view import (
     agent_row,
     fleet_view,
@@ -221,7 +221,7 @@
     if via is not None:
         members = asyncio.run(members_by(via, secret_file, within))
         if as_json:
-            say_json({"via": via, "members": members})
+            print_json({"via": via, "members": members})
         else:
             Console().print(members_view(members))
         if any(m["state"] in ("suspect", "failed") for m in members):
@@ -231,7 +231,7 @@
     responses = asyncio.run(client.call_all(messages.StatusRequest()))
     rows = instance_rows(responses)
     if as_json:
-        say_json({"agents": [agent_row(r) for r in responses], "instances": rows})
+        print_json({"agents": [agent_row(r) for r in responses], "instances": rows})
     else:
         Console().print(fleet_view(responses, rows))
     if not all(r.ok for r in responses) or not all(is_healthy(row["health"]) for row in rows):
--- a/oakbridge/cli/fleet_view.py
+++ b/oakbridge/cli/fleet_view.py
@@ -1,4 +1,4 @@
-"""What ``oakbridge fleet status`` and ``fleet watch`` show: rows for JSON, tables for people."""
+"""The output of ``oakbridge fleet status`` and ``fleet watch``: rows for JSON, tables for people."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from rich.table import Table
 from rich.text import Text
 
-from oakbridge.cli.peers import STYLE
+from oakbridge.cli.peers import STATE_STYLE
 from oakbridge.fleet.client import AgentResponse
 from oakbridge.fleet.health import instance_health, is_healthy
 
-Row = dict[str, Any]  # in the form of ``--json``
+Row = dict[str, Any]  # in the form that ``--json`` prints
 
-MAX_NAME_WIDTH = 28  # of names, in columns
-MAX_EXIT_WIDTH = 26
-MAX_GENERATIONS = 4  # that the last line counts
+MAX_NAME_WIDTH = 28  # characters
+MAX_EXIT_WIDTH = 26  # characters, for the crashes and the last exit
+MAX_GENERATIONS = 4  # newest generations that the total line counts
 
 
 def agent_row(response: AgentResponse) -> Row:
-    """Return what is known of an agent; without an answer nothing is claimed."""
+    """Return an agent's row; without a response, the agent's state is unknown."""
     if not response.ok:
         return {
             "agent": response.agent,
@@ -44,7 +44,7 @@
 
 
 def instance_rows(responses: list[AgentResponse]) -> list[Row]:
-    """Return what is known of all instances, with the health of each."""
+    """Return the rows of all instances that agents report, with the health of each."""
     return [
         {"agent": response.agent, "health": instance_health(row), **row}
         for response in responses
@@ -54,7 +54,7 @@
 
 
 def health_by_name(responses: list[AgentResponse], instances: list[Row]) -> dict[str, str]:
-    """Return each instance's health by ``AGENT/INSTANCE``; an agent without an answer is unknown."""
+    """Return each instance's health by ``AGENT/INSTANCE``; an agent without a response is unknown."""
     health = {response.agent: "unknown" for response in responses if not response.ok}
     for row in instances:
         health[f"{row['agent']}/{row['name']}"] = str(row["health"])
@@ -62,7 +62,7 @@
 
 
 def health_changes(before: dict[str, str], now: dict[str, str]) -> list[Row]:
-    """Return a row for each name whose health is another than before."""
+    """Return a row for each name whose health differs from the health before."""
     names = sorted(now.keys() | before.keys())
     return [
         {
@@ -79,9 +79,9 @@
 def fleet_view(
     responses: list[AgentResponse], instances: list[Row], *, all_rows: bool = True
 ) -> Group:
-    """Return the fleet for people, within 80 columns; without ``all_rows`` only what is unhealthy.
+    """Return the fleet as a table within 80 columns; without ``all_rows``, of unhealthy instances only.
 
-    Instances come first, then agents that do not answer, then the total.
+    Instances come first, then agents that do not respond, then the total.
     """
     table = _instance_table()
     for row in instances:
@@ -126,20 +126,27 @@
 
 def _total_line(instances: list[Row], unknown_agents: int, agents: int) -> Text:
     health = Counter(row["health"] for row in instances)
-    counts = ", ".join(f"{n} {word}" for word, n in health.most_common()) or "no instances"
+    counts = (
+        ", ".join(f"{count} {state}" for state, count in health.most_common()) or "no instances"
+    )
     generations = Counter(row["generation"] for row in instances)
     newest = sorted(generations.items(), reverse=True)[:MAX_GENERATIONS]
-    runs = ", ".join(f"{n} at {number}" for number, n in newest) or "none"
-    return Text(f"{counts}; {unknown_agents} of {agents} agents unknown; generations: {runs}")
+    generation_counts = ", ".join(f"{count} at {number}" for number, count in newest) or "none"
+    return Text(
+        f"{counts}; {unknown_agents} of {agents} agents unknown; generations: {generation_counts}"
+    )
 
 
 def members_view(members: list[Row]) -> Group:
-    """Return what one member knows of all, for people."""
+    """Return the members that one member knows, as a table with the number in each state."""
     table = Table(box=box.SIMPLE_HEAD, pad_edge=False)
     for name in ("member", "site", "state", "by", "address", "version"):
         table.add_column(name, no_wrap=True, overflow="ellipsis", max_width=MAX_NAME_WIDTH)
     for row in members:
-        state = Text(row["state"], style=STYLE.get(row["state"], ""))
+        state = Text(row["state"], style=STATE_STYLE.get(row["state"], ""))
         table.add_row(row["name"], row["site"], state, row["by"], row["address"], row["version"])
     counts = Counter(row["state"] for row in members)
-    return Group(table, Text(", ".join(f"{n} {word}" for word, n in counts.most_common())))
+    return Group(
+        table,
+        Text(", ".join(f"{count} {state_name}" for state_name, count in counts.most_common())),
+    )
--- a/oakbridge/cli/lab.py
+++ b/oakbridge/cli/lab.py
@@ -11,7 +11,7 @@
 
 import click
 
-from oakbridge.cli.common import CommandFailedError, InvalidInputError, say_json
+from oakbridge.cli.common import CommandFailedError, InvalidInputError, print_json
 from oakbridge.config.errors import ConfigFileError
 
 if TYPE_CHECKING:
@@ -192,7 +192,7 @@
     from oakbridge.lab.report import lines
 
     if as_json:
-        say_json(summary)
+        print_json(summary)
         return
     click.echo("\n".join(lines(summary)))
 
--- a/oakbridge/cli/logs.py
+++ b/oakbridge/cli/logs.py
@@ -1,4 +1,4 @@
-"""Logs of the long-running commands: lines for people, or one JSON object a line for programs."""
+"""Logs of the long-running commands: text lines for people, or a JSON object per line for programs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def log_option(function: Any) -> Any:
-    """``--log-format``."""
+    """Add the option ``--log-format``."""
     return click.option(
         "--log-format",
         default=TEXT,
@@ -21,33 +21,35 @@
     )(function)
 
 
-def start_logs(form: str, level: int = logging.INFO, **always: str) -> None:
-    """Log to stderr; ``always`` are fields that each JSON line carries, as the node's name."""
+def configure_log_format(
+    log_format: str, level: int = logging.INFO, **constant_fields: str
+) -> None:
+    """Log to stderr.  ``constant_fields`` are part of each JSON line, for example the node's name."""
     handler = logging.StreamHandler(sys.stderr)
-    if form == JSON:
-        handler.setFormatter(_json(always))
+    if log_format == JSON:
+        handler.setFormatter(_json_formatter(constant_fields))
     else:
         handler.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(message)s"))
     logging.basicConfig(level=level, handlers=[handler], force=True)
-    logging.raiseExceptions = False  # a line that can't be written is lost, and nothing else
+    logging.raiseExceptions = False  # an error in writing a log line must not print a traceback
 
 
-def _json(always: dict[str, str]) -> logging.Formatter:
-    import structlog  # what a command that logs text does not use it does not load
+def _json_formatter(constant_fields: dict[str, str]) -> logging.Formatter:
+    import structlog  # imported here: text logs don't use it
 
-    def named(_: Any, __: str, event: Any) -> Any:
-        return {**always, **event}
+    def add_constant_fields(_: Any, __: str, event: Any) -> Any:
+        return {**constant_fields, **event}
 
-    shared: list[Any] = [
+    shared_processors: list[Any] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.stdlib.ExtraAdder(),
         structlog.processors.TimeStamper(fmt="iso", utc=True),
         structlog.processors.format_exc_info,
-        named,
+        add_constant_fields,
     ]
     return structlog.stdlib.ProcessorFormatter(
-        foreign_pre_chain=shared,
+        foreign_pre_chain=shared_processors,
         processors=[
             structlog.stdlib.ProcessorFormatter.remove_processors_meta,
             structlog.processors.JSONRenderer(sort_keys=True),
--- a/oakbridge/cli/main.py
+++ b/oakbridge/cli/main.py
@@ -1,4 +1,4 @@
-"""The command ``oakbridge`` and how it ends: 0 done, 1 it did not work, 2 a mistake in how it was asked."""
+"""The command ``oakbridge``.  Exit codes: 0 success, 1 failure, 2 invalid input, 130 after Ctrl-C."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from oakbridge import __version__
 
-COMMANDS = {
+COMMAND_MODULES = {
     "serve": "oakbridge.cli.serve",
     "check": "oakbridge.cli.check",
     "servers": "oakbridge.cli.servers",
@@ -24,27 +24,27 @@
 }
 
 
-class Commands(click.Group):
-    """Imports a command only when it is called: `status` needs no load generator."""
+class LazyCommandGroup(click.Group):
+    """Imports the module of a command only when it is used: `status` needs no load generator."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002 - click's interface
-        """All commands, in the order in which one meets them."""
-        return list(COMMANDS)
+        """Return all names of commands in the order of the help."""
+        return list(COMMAND_MODULES)
 
     def get_command(
         self,
         ctx: click.Context,  # noqa: ARG002 - click's interface
         cmd_name: str,
     ) -> click.Command | None:
-        """The command of this name."""
-        if cmd_name not in COMMANDS:
+        """Return the command of this name, None if there is none."""
+        if cmd_name not in COMMAND_MODULES:
             return None
-        command = importlib.import_module(COMMANDS[cmd_name]).command
+        command = importlib.import_module(COMMAND_MODULES[cmd_name]).command
         assert isinstance(command, click.Command)
         return command
 
 
-@click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyCommandGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="oakbridge")
 def cli() -> None:
     """A load balancer for services that call services.
@@ -54,17 +54,17 @@
 
 
 def main() -> int:
-    """Run the command line; returns the exit code."""
+    """Run the command line and return the exit code."""
     try:
-        code = cli.main(prog_name="oakbridge", standalone_mode=False)
-    except click.exceptions.Exit as e:
-        return e.exit_code
+        result = cli.main(prog_name="oakbridge", standalone_mode=False)
+    except click.exceptions.Exit as error:
+        return error.exit_code
     except click.Abort:
         print("oakbridge: stopped", file=sys.stderr)
         return 130
-    except click.ClickException as e:
-        e.show()
-        return e.exit_code
+    except click.ClickException as error:
+        error.show()
+        return error.exit_code
     except BrokenPipeError:
         return 1
-    return code if isinstance(code, int) else 0  # of an Exit, which comes back as its code
+    return result if isinstance(result, int) else 0  # click returns the exit code of an Exit
--- a/oakbridge/cli/peers.py
+++ b/oakbridge/cli/peers.py
@@ -1,4 +1,4 @@
-"""``oakbridge peers``: which other nodes a node knows, and how sure it is."""
+"""``oakbridge peers``: shows the other nodes that a node knows, and the state of each."""
 
 from __future__ import annotations
 
@@ -11,17 +11,29 @@
 from rich.table import Table
 from rich.text import Text
 
-from oakbridge.cli.common import CommandFailedError, connect, look_options, say_json, socket_options
-from oakbridge.cli.control_output import show
+from oakbridge.cli.common import (
+    CommandFailedError,
+    connect,
+    output_options,
+    print_json,
+    socket_options,
+)
+from oakbridge.cli.control_output import show_result
 from oakbridge.control.errors import NodeUnreachableError, RequestRejectedError
 from oakbridge.control.protocol import ControlCommand
 
-STYLE = {"alive": "green", "this node": "bold", "suspect": "yellow", "failed": "red", "left": "dim"}
+STATE_STYLE = {
+    "alive": "green",
+    "this node": "bold",
+    "suspect": "yellow",
+    "failed": "red",
+    "left": "dim",
+}
 
 
 @click.group("peers", invoke_without_command=True)
 @socket_options
-@look_options
+@output_options
 @click.pass_context
 def command(
     ctx: click.Context,
@@ -35,22 +47,22 @@
     ctx.obj = (socket_path, config)
     if ctx.invoked_subcommand is not None:
         return
-    show(socket_path, config, ControlCommand.PEERS, render_peers, as_json, watch, every)
+    show_result(socket_path, config, ControlCommand.PEERS, render_peers, as_json, watch, every)
 
 
 @command.command("why")
 @click.argument("name")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @click.pass_obj
-def why(where: tuple[Path | None, Path | None], name: str, as_json: bool) -> None:
+def why(node_options: tuple[Path | None, Path | None], name: str, as_json: bool) -> None:
     """Tell how this node came to hold what it holds of one member, oldest first."""
-    with connect(*where) as client:
+    with connect(*node_options) as client:
         try:
             report = client.request(ControlCommand.PEER_HISTORY, name=name)
-        except (NodeUnreachableError, RequestRejectedError) as e:
-            raise CommandFailedError(str(e)) from None
+        except (NodeUnreachableError, RequestRejectedError) as error:
+            raise CommandFailedError(str(error)) from None
     if as_json:
-        say_json(report)
+        print_json(report)
         return
     for change in report["history"]:
         before = change["before"] or "not known"
@@ -61,11 +73,11 @@
 
 
 def render_peers(report: dict[str, Any]) -> Group:
-    """Return a node's view of the others as tables.  ``report``: the result of ``peers``."""
-    return Group(_summary(report), _members(report["members"]))
+    """Return a node's view of the others as tables.  ``report``: the result of the command PEERS."""
+    return Group(_summary_table(report), _members_table(report["members"]))
 
 
-def _summary(report: dict[str, Any]) -> Table:
+def _summary_table(report: dict[str, Any]) -> Table:
     place = "none yet" if report["place"] is None else "{} of {}".format(*report["place"])
     health = f"slow itself: times {report['health'] + 1}" if report["health"] else "well"
     table = Table.grid(padding=(0, 2))
@@ -80,7 +92,7 @@
     return table
 
 
-def _members(members: list[dict[str, Any]]) -> Table:
+def _members_table(members: list[dict[str, Any]]) -> Table:
     table = Table(box=box.SIMPLE_HEAD)
     for column in ("member", "site", "state", "since", "by", "incarnation", "version"):
         table.add_column(column, justify="right" if column in ("since", "incarnation") else "left")
@@ -89,7 +101,7 @@
         table.add_row(
             member["name"],
             member["site"],
-            Text(state, style=STYLE.get(state, "")),
+            Text(state, style=STATE_STYLE.get(state, "")),
             "" if state == "this node" else f"{member['since_s']:.0f} s",
             member["by"],
             str(member["incarnation"]),
--- a/oakbridge/cli/rollout/commands.py
+++ b/oakbridge/cli/rollout/commands.py
@@ -8,7 +8,7 @@
 
 import click
 
-from oakbridge.cli.common import InvalidInputError, say_json
+from oakbridge.cli.common import InvalidInputError, print_json
 from oakbridge.cli.fleet import command, folder_option, operator_client, operator_option
 from oakbridge.cli.rollout.change_options import read_change
 from oakbridge.cli.rollout.options import WaveArguments, timing_options, wave_options
@@ -39,7 +39,7 @@
     targets, unseen = asyncio.run(find_targets(client, waves.only))
     names = [[target.name for target in wave] for wave in waves.plan(targets)]
     if as_json:
-        say_json({"waves": names, "unseen": unseen})
+        print_json({"waves": names, "unseen": unseen})
         return
     for number, wave in enumerate(names, 1):
         click.echo(f"wave {number}: {', '.join(wave)}")
--- a/oakbridge/cli/rollout/doctor_command.py
+++ b/oakbridge/cli/rollout/doctor_command.py
@@ -9,7 +9,7 @@
 
 import click
 
-from oakbridge.cli.common import InvalidInputError, say_json
+from oakbridge.cli.common import InvalidInputError, print_json
 from oakbridge.cli.fleet import (
     command,
     folder_option,
@@ -54,7 +54,7 @@
     findings = diagnose(answers, entries, time.time(), _days_left(folder), members)
     bad_count = sum(1 for finding in findings if finding.severity is Severity.BAD)
     if as_json:
-        say_json([_finding_json(finding) for finding in findings])
+        print_json([_finding_json(finding) for finding in findings])
     else:
         for finding in findings:
             click.echo(f"{finding.severity.value:4}  {finding.subject}: {finding.problem}")
--- a/oakbridge/cli/rollout/journal_commands.py
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from oakbridge.cli.common import say_json
+from oakbridge.cli.common import print_json
 from oakbridge.cli.fleet import command, folder_option, operator_client, operator_option
 from oakbridge.cli.rollout.session import CALL_TIMEOUT_S, open_journal, read_journal
 from oakbridge.fleet import messages
@@ -32,7 +32,7 @@
     """Show past rollouts, and those that stand still."""
     entries = read_journal(folder, Journal.entries)
     if as_json:
-        say_json([_entry_json(entry) for entry in entries])
+        print_json([_entry_json(entry) for entry in entries])
     else:
         Console().print(_history_table(entries))
 
@@ -83,7 +83,7 @@
         for entry in entries:
             journal.add(entry)
     if as_json:
-        say_json({"rebuilt": [entry.id for entry in entries], "silent": silent})
+        print_json({"rebuilt": [entry.id for entry in entries], "silent": silent})
         return
     numbers = ", ".join(str(entry.id) for entry in entries)
     click.echo(f"rebuilt: {numbers or 'nothing that the journal does not have'}")
--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.live import Live
 
-from oakbridge.cli.common import CommandFailedError, InvalidInputError, say_json
+from oakbridge.cli.common import CommandFailedError, InvalidInputError, print_json
 from oakbridge.cli.fleet import operator_client
 from oakbridge.cli.rollout.options import WaveArguments
 from oakbridge.cli.rollout.view import render
@@ -156,7 +156,7 @@
     def _report(self, result: RolloutResult) -> None:
         machine = result.coordinator.machine
         if self.as_json:
-            say_json(_report_json(result))
+            print_json(_report_json(result))
         else:
             console = Console()
             if not console.is_terminal:
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -20,7 +20,7 @@
 from oakbridge.__main__ import configure_logging
 from oakbridge.__main__ import main as serve_platform
 from oakbridge.cli.common import CommandFailedError, InvalidInputError
-from oakbridge.cli.logs import JSON, log_option, start_logs
+from oakbridge.cli.logs import JSON, configure_log_format, log_option
 from oakbridge.config.errors import ConfigFileError
 from oakbridge.config.load import LoadedConfig, load
 from oakbridge.config.node_config import inline_endpoints
@@ -376,7 +376,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it: it ends no node
     level = getattr(logging, loaded.file.log.level.upper())
     if log_format == JSON:
-        start_logs(log_format, level, node=loaded.config.name)
+        configure_log_format(log_format, level, node=loaded.config.name)
     else:
         configure_logging(level)
     logging.getLogger("watchfiles").setLevel(logging.WARNING)
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -1,4 +1,4 @@
-"""``oakbridge servers``: check a server file, show its changes, accept a version that is held."""
+"""``oakbridge servers``: checks a server file, shows its changes, accepts a held version."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     CommandFailedError,
     InvalidInputError,
     connect,
-    say_json,
+    print_json,
     socket_options,
 )
 from oakbridge.control.errors import RequestRejectedError
@@ -68,21 +68,21 @@
     """Show the servers of a file, or what it would change."""
     if against is not None and saved is not None:
         raise InvalidInputError("servers show: expected one of --against and --saved")
-    found = _inspect_valid(path)
+    inspection = _inspect_valid(path)
     base = _load_base(against, saved)
     now_us = int(time.time() * 1e6)
-    change = compare(base, found.digest, found.parsed, now_us)
+    change = compare(base, inspection.digest, inspection.parsed, now_us)
     if as_json:
-        say_json(_encode_change(change, base))
+        print_json(_encode_change(change, base))
         return
     console = Console()
     if base is None:
         console.print(_servers_table(list(change.servers.values()), {}))
         return
-    marks = _change_marks(change)
-    entries = [entry for name, entry in change.servers.items() if name in marks]
+    kinds = _change_kinds(change)
+    entries = [entry for name, entry in change.servers.items() if name in kinds]
     entries += [base.servers[name] for name in change.removed]
-    console.print(_servers_table(entries, marks))
+    console.print(_servers_table(entries, kinds))
     console.print(_change_summary(change))
 
 
@@ -115,22 +115,25 @@
             raise CommandFailedError(str(error)) from None
 
 
-# ---- reading
+# ---- reading of server files
 
 
 def _inspect_valid(path: Path) -> Inspection:
-    """Return what the server files hold.  Raises InvalidInputError with all their mistakes."""
-    found = inspect_server_files(path)
-    if found.problems:
-        raise InvalidInputError("\n".join(map(str, found.problems)))
-    return found
+    """Return the content of the server files.  Raises InvalidInputError with all their mistakes."""
+    inspection = inspect_server_files(path)
+    if inspection.problems:
+        raise InvalidInputError("\n".join(map(str, inspection.problems)))
+    return inspection
 
 
 def _load_base(against: Path | None, saved: Path | None) -> ListVersion | None:
-    """Return the list to compare with: another server file, or the copy that a node has saved."""
+    """Return the list to compare with, from another server file or a node's saved copy; None: neither.
+
+    Raises InvalidInputError if it can't be read.
+    """
     if against is not None:
-        found = _inspect_valid(against)
-        return ListVersion(1, found.digest, found.parsed.servers)
+        inspection = _inspect_valid(against)
+        return ListVersion(1, inspection.digest, inspection.parsed.servers)
     if saved is not None:
         version = load_saved_version(saved)
         if version is None:
@@ -139,13 +142,15 @@
     return None
 
 
-# ---- views
+# ---- output
 
 
 def _check_as_json(path: Path) -> None:
-    found = inspect_server_files(path)
-    problems = [_encode_problem(problem) for problem in found.problems]
-    say_json({"ok": not problems, "servers": len(found.parsed.servers), "problems": problems})
+    inspection = inspect_server_files(path)
+    problems = [_encode_problem(problem) for problem in inspection.problems]
+    print_json(
+        {"ok": not problems, "servers": len(inspection.parsed.servers), "problems": problems}
+    )
     if problems:
         raise click.exceptions.Exit(2)
 
@@ -190,25 +195,25 @@
     }
 
 
-def _change_marks(change: ListChange) -> dict[str, str]:
-    """Return what happens to each server that the change names."""
+def _change_kinds(change: ListChange) -> dict[str, str]:
+    """Return the kind of change of each changed server, by the server's name."""
     groups = {
         "added": change.added,
         "changed": change.updated,
         "moved": change.moved,
         "gone": change.removed,
     }
-    return {name: mark for mark, names in groups.items() for name in names}
+    return {name: kind for kind, names in groups.items() for name in names}
 
 
-def _servers_table(entries: list[ListedEndpoint], marks: dict[str, str]) -> Table:
+def _servers_table(entries: list[ListedEndpoint], kinds: dict[str, str]) -> Table:
     table = Table(box=box.SIMPLE_HEAD)
     for column in _COLUMNS:
         table.add_column(column, justify="right" if column in _RIGHT_ALIGNED_COLUMNS else "left")
     for entry in entries:
         server = entry.server
         table.add_row(
-            marks.get(server.id, ""),
+            kinds.get(server.id, ""),
             server.id,
             server.address,
             server.state,
--- a/oakbridge/cli/spread.py
+++ b/oakbridge/cli/spread.py
@@ -1,4 +1,4 @@
-"""``oakbridge spread``: how servers are divided among nodes, and what another size will mean."""
+"""``oakbridge spread``: shows how servers are divided among nodes, and forecasts other sizes."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from rich.table import Table
 from rich.text import Text
 
-from oakbridge.cli.common import InvalidInputError, look_options, say_json, socket_options
-from oakbridge.cli.control_output import show
+from oakbridge.cli.common import InvalidInputError, output_options, print_json, socket_options
+from oakbridge.cli.control_output import show_result
 from oakbridge.control.protocol import ControlCommand
 from oakbridge.spread.arcs import MAX_RINGS
 
 if TYPE_CHECKING:
     from oakbridge.spread.subset_forecast import Forecast
 
-MAX_SIZE = 20_000  # nodes, and servers
-MAX_PAIRS = 1000 * MAX_SIZE  # of node and server
-UNEVEN = 1.25  # times the fair share, beyond which a row stands out
-MAX_ROWS = 40
-COUNT = click.IntRange(1, MAX_SIZE)
+MAX_TIER_SIZE = 20_000  # nodes, or servers, in a forecast
+MAX_PAIRS = 1000 * MAX_TIER_SIZE  # pairs of a node and a server in a forecast
+MAX_EVEN_LOAD = 1.25  # times the fair share; higher loads, and loads below the inverse, are marked
+MAX_ROWS = 40  # servers that the table shows
+SIZE_RANGE = click.IntRange(1, MAX_TIER_SIZE)
 
 
 @click.group(
@@ -33,7 +33,7 @@
     "and which nodes stand out.",
 )
 @socket_options
-@look_options
+@output_options
 @click.pass_context
 def command(
     ctx: click.Context,
@@ -45,7 +45,9 @@
 ) -> None:
     """Show how the servers are divided, unless a subcommand is given."""
     if ctx.invoked_subcommand is None:
-        show(socket_path, config, ControlCommand.SPREAD, render_spread, as_json, watch, every)
+        show_result(
+            socket_path, config, ControlCommand.SPREAD, render_spread, as_json, watch, every
+        )
 
 
 @command.command(
@@ -53,10 +55,10 @@
     help="Tell how even and how costly a size will be, with members and without, "
     "and what a change of it moves.",
 )
-@click.option("--nodes", required=True, type=COUNT, help="Nodes of the tier.")
-@click.option("--servers", required=True, type=COUNT, help="Servers that they use.")
-@click.option("--to-nodes", type=COUNT, help="Nodes after the change; one more if absent.")
-@click.option("--to-servers", type=COUNT, help="Servers after it; as many if absent.")
+@click.option("--nodes", required=True, type=SIZE_RANGE, help="Nodes of the tier.")
+@click.option("--servers", required=True, type=SIZE_RANGE, help="Servers that they use.")
+@click.option("--to-nodes", type=SIZE_RANGE, help="Nodes after the change; one more if absent.")
+@click.option("--to-servers", type=SIZE_RANGE, help="Servers after it; as many if absent.")
 @click.option(
     "--rings",
     default=4,
@@ -93,11 +95,11 @@
     after = TierSize(to_nodes or nodes + (to_servers is None), to_servers or servers)
     forecasts = forecast(before, after, rings=rings, sigma=uneven, seed=seed)
     if as_json:
-        say_json([forecast_row(each) for each in forecasts])
+        print_json([forecast_row(method_forecast) for method_forecast in forecasts])
         return
     click.echo(f"{nodes} nodes, {servers} servers; then {after.replicas} and {after.servers}")
-    for each in forecasts:
-        click.echo(_forecast_line(each))
+    for method_forecast in forecasts:
+        click.echo(_forecast_line(method_forecast))
 
 
 def _forecast_line(forecast: Forecast) -> str:
@@ -111,25 +113,25 @@
     )
 
 
-def render_spread(told: dict[str, Any]) -> Group:
-    """Return a node's view as tables: servers that stand out first."""
-    servers = sorted(told["servers"], key=lambda row: -abs((row["load_over_fair"] or 1.0) - 1.0))
+def render_spread(report: dict[str, Any]) -> Group:
+    """Return a node's view as tables, with the servers furthest from their fair share first."""
+    servers = sorted(report["servers"], key=lambda row: -abs((row["load_over_fair"] or 1.0) - 1.0))
     hidden = len(servers) - MAX_ROWS
     more = f"and {hidden} more; --json has all" if hidden > 0 else ""
-    return Group(_summary(told), _server_table(servers[:MAX_ROWS]), Text(more))
+    return Group(_summary_table(report), _server_table(servers[:MAX_ROWS]), Text(more))
 
 
-def _summary(told: dict[str, Any]) -> Table:
-    divided = f"divided among {told['copies']} nodes"
+def _summary_table(report: dict[str, Any]) -> Table:
+    division = f"divided among {report['copies']} nodes"
     rows = (
-        ("node", told["name"]),
-        ("servers", divided if told["divided"] else "each node draws its own"),
-        ("moves", f"{told['moves']} since the start"),
+        ("node", report["name"]),
+        ("servers", division if report["divided"] else "each node draws its own"),
+        ("moves", f"{report['moves']} since the start"),
     )
     table = Table.grid(padding=(0, 2))
     for name, value in rows:
         table.add_row(Text(name, style="bold"), value)
-    for node in told["stand_out"]:
+    for node in report["stand_out"]:
         text = f"{node['name']}: {node['over_mean']:g} times the mean"
         table.add_row(Text("stands out", style="yellow"), text)
     return table
@@ -145,14 +147,14 @@
             row["zone"],
             f"{row['size']:g}",
             str(row["copies"]),
-            _load(row["load_over_fair"]),
+            _load_cell(row["load_over_fair"]),
             f"{row['own_part']:.0%}",
         )
     return table
 
 
-def _load(over_fair_share: float | None) -> Text:
+def _load_cell(over_fair_share: float | None) -> Text:
     if over_fair_share is None:
         return Text("-")
-    is_even = 1 / UNEVEN <= over_fair_share <= UNEVEN
+    is_even = 1 / MAX_EVEN_LOAD <= over_fair_share <= MAX_EVEN_LOAD
     return Text(f"{over_fair_share:.2f}", style="" if is_even else "yellow")
--- a/oakbridge/cli/status.py
+++ b/oakbridge/cli/status.py
@@ -1,4 +1,4 @@
-"""``oakbridge status``: what a running node believes."""
+"""``oakbridge status``: shows the state of a running node."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from rich.table import Table
 from rich.text import Text
 
-from oakbridge.cli.common import look_options, socket_options
-from oakbridge.cli.control_output import show
+from oakbridge.cli.common import output_options, socket_options
+from oakbridge.cli.control_output import show_result
 from oakbridge.control.protocol import ControlCommand
 
 SHORT_DIGEST_LENGTH = 12
@@ -21,7 +21,7 @@
 
 @click.command("status")
 @socket_options
-@look_options
+@output_options
 @click.option(
     "--rows", default=40, type=click.IntRange(0, 100_000), help="Servers to show at most."
 )
@@ -34,24 +34,24 @@
     rows: int,
 ) -> None:
     """Show what a running node believes: its servers, its limits, the list that it uses."""
-    show(
+    show_result(
         socket_path, config, ControlCommand.STATUS, render_status, as_json, watch, every, rows=rows
     )
 
 
 def render_status(status: dict[str, Any]) -> Group:
-    """Return a node's status as tables.  ``status``: the result of the command of this name."""
-    parts = [_summary(status)]
+    """Return a node's status as tables.  ``status``: the result of the control command STATUS."""
+    tables = [_summary_table(status)]
     if "workers" in status:
-        parts.append(_workers(status["workers"]))
-    parts.append(_servers(status["rows"]))
+        tables.append(_workers_table(status["workers"]))
+    tables.append(_servers_table(status["rows"]))
     hidden = status["servers"] - len(status["rows"])
     if hidden > 0:
-        return Group(*parts, Text(f"{hidden} more servers (--rows)"))
-    return Group(*parts)
+        return Group(*tables, Text(f"{hidden} more servers (--rows)"))
+    return Group(*tables)
 
 
-def _summary(status: dict[str, Any]) -> Table:
+def _summary_table(status: dict[str, Any]) -> Table:
     table = Table.grid(padding=(0, 2))
     table.add_row(Text("node", style="bold"), _node_line(status))
     table.add_row(Text("source", style="bold"), "\n".join(_source_lines(status["source"])))
@@ -74,17 +74,17 @@
 
 
 def _source_lines(source: dict[str, Any]) -> list[str]:
-    """Return where the list of servers comes from, then why nothing newer is in use."""
+    """Return a line on the endpoint list in use, then one for each reason why no newer one is."""
     if "age_s" in source:
         return _discovery_lines(source)
     lines = [f"{source['kind']} {source.get('path', '')}".strip()]
     if (used := source.get("used")) is not None:
         lines[0] += (
-            f", version {used['number']} ({used['servers']} servers, {_short(used['digest'])})"
+            f", version {used['number']} ({used['servers']} servers, {_short_digest(used['digest'])})"
         )
     if held := source.get("held"):
         lines.append(
-            f"HELD: {_short(held['digest'])} takes {held['lost']} of {held['of']} ready servers away"
+            f"HELD: {_short_digest(held['digest'])} takes {held['lost']} of {held['of']} ready servers away"
         )
     if rejected := source.get("refused"):
         lines.append(f"NOT USED: {rejected['problems'][0]}")
@@ -95,7 +95,7 @@
 
 
 def _discovery_lines(source: dict[str, Any]) -> list[str]:
-    """Return how old the list is, then what was wrong last."""
+    """Return a line on the endpoint list's age, then one on the last failure."""
     line = f"discovery {source['address']}"
     if source["age_s"] is None:
         line += ", no list yet"
@@ -113,7 +113,7 @@
     return lines
 
 
-def _short(digest: str) -> str:
+def _short_digest(digest: str) -> str:
     return digest[:SHORT_DIGEST_LENGTH]
 
 
@@ -137,8 +137,8 @@
     return f"{budget}; {rates}"
 
 
-def _workers(workers: list[dict[str, Any]]) -> Table:
-    """Return a line for each worker of a node that has several."""
+def _workers_table(workers: list[dict[str, Any]]) -> Table:
+    """Return a table with a row for each worker of a node that has several."""
     table = Table(box=box.SIMPLE_HEAD)
     for column in ("worker", "pid", "state", "callers", "out", "limit", "waiting", "served"):
         table.add_column(column, justify="left" if column == "state" else "right")
@@ -160,7 +160,7 @@
     return table
 
 
-def _servers(servers: list[dict[str, Any]]) -> Table:
+def _servers_table(servers: list[dict[str, Any]]) -> Table:
     table = Table(box=box.SIMPLE_HEAD)
     for column in ("server", "address", "zone", "state"):
         table.add_column(column)
