--- a/oakbridge/cli/agent.py
+++ b/oakbridge/cli/agent.py
@@ -28,11 +28,11 @@
 
 
 async def run(config: AgentConfig, store: Store, tls: ssl.SSLContext) -> None:
-    """Run until SIGTERM; the nodes run on."""
+    """Run the agent until SIGTERM or SIGINT; its nodes keep running afterwards."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     agent = Agent(store, config.name, config.fleet, config.zone)
     server = AgentServer(tls, config.fleet, OperatorApi(agent).handle)
     for instance in config.instances:
@@ -43,7 +43,7 @@
     await retry_resource_errors_async(lambda: server.start(config.listen), "listening")
     try:
         agent.start()
-        log.info("agent %s listens on %s:%d", config.name, *server.address)
+        log.info("agent listening: name=%s address=%s:%d", config.name, *server.address)
         await stop.wait()
     finally:
         server.close()
@@ -67,7 +67,7 @@
         tls = tls_context(config.authority, config.certificate, server=True)
         store = retry_while_unavailable(lambda: Store(config.state))
         run_in_new_loop(run(config, store, tls))
-    except (AgentConfigError, StoreError, PkiError) as e:
-        raise InvalidInputError(str(e)) from None
-    except OSError as e:
-        raise CommandFailedError(f"can't start: {e}") from None
+    except (AgentConfigError, StoreError, PkiError) as error:
+        raise InvalidInputError(str(error)) from None
+    except OSError as error:
+        raise CommandFailedError(f"can't start: {error}") from None
--- a/oakbridge/cli/common.py
+++ b/oakbridge/cli/common.py
@@ -1,4 +1,4 @@
-"""Shared by the commands: errors with exit codes, JSON output and the search for control sockets."""
+"""Shared by the commands: errors with exit codes, JSON output and the lookup of control sockets."""
 
 from __future__ import annotations
 
@@ -76,9 +76,9 @@
 
 
 def find_socket(socket_path: Path | None, config: Path | None) -> Path:
-    """Return the control socket's path of the node that the options name, or of the only running node.
+    """Return the path of the node's control socket, by the options or as the only one there is.
 
-    The path that an option gives may not exist.
+    A path that the options give may not exist.
 
     Raises CommandFailedError or InvalidInputError.
     """
--- a/oakbridge/cli/demo.py
+++ b/oakbridge/cli/demo.py
@@ -1,4 +1,4 @@
-"""``oakbridge demo``: the whole of it at work, on real sockets, with one command."""
+"""``oakbridge demo``: runs servers, a node and a load on real sockets, and shows live figures."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
         else:
             with Live(console=console, refresh_per_second=4) as live:
                 scene = asyncio.run(
-                    play(rate, seconds, seed, lambda s: live.update(render_scene(s)))
+                    play(rate, seconds, seed, lambda current: live.update(render_scene(current)))
                 )
-    except DemoError as e:
-        raise CommandFailedError(str(e)) from None
+    except DemoError as error:
+        raise CommandFailedError(str(error)) from None
     if as_json:
-        print_json(result(scene))
+        print_json(scene_json(scene))
     elif not console.is_terminal:
         console.print(render_scene(scene))
     tally = scene.tally
@@ -53,23 +53,26 @@
         console.print(f"Every one of {tally.sent} requests had exactly one answer.")
 
 
-def result(scene: Scene) -> dict[str, Any]:
-    """The figures, for programs."""
+def scene_json(scene: Scene) -> dict[str, Any]:
+    """Return the figures for ``--json``."""
     tally = scene.tally
     return {
         "sent": tally.sent,
-        "answered": {str(k): v for k, v in sorted(tally.answered.items())},
+        "answered": {str(status): count for status, count in sorted(tally.answered.items())},
         "lost": tally.lost,
         "in_aim": tally.in_aim,
         "by_server": dict(sorted(tally.by_server.items())),
-        "latency_ms": {f"p{p}": round(1000 * tally.percentile(p / 100), 1) for p in (50, 90, 99)},
+        "latency_ms": {
+            f"p{percent}": round(1000 * tally.percentile(percent / 100), 1)
+            for percent in (50, 90, 99)
+        },
         "list_version": scene.status.get("list_version"),
     }
 
 
 def render_scene(scene: Scene) -> Group:
-    """The scene as a table."""
-    tally, rows = scene.tally, {r["name"]: r for r in scene.status.get("rows", [])}
+    """Return the progress, a row for each server, and the figures."""
+    tally, rows = scene.tally, {listed["name"]: listed for listed in scene.status.get("rows", [])}
     table = Table(box=box.SIMPLE_HEAD)
     for column in ("server", "what it does", "state", "out", "answers", "share"):
         table.add_column(
--- a/oakbridge/cli/fleet.py
+++ b/oakbridge/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``oakbridge fleet``: the fleet's certificates, its agents, and what all of them say."""
+"""``oakbridge fleet``: makes a fleet and its certificates, and shows the state of its agents."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def via_options(function: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options for a member that is asked for all that it knows, and for its secret."""
+    """Add the options for a member to query for all members that it knows, and for their secret."""
     function = click.option(
         "--secret-file", type=click.Path(path_type=Path), help="The members' secret, for --via."
     )(function)
@@ -58,10 +58,13 @@
     )(function)
 
 
-async def members_by(
-    via: str, secret_file: Path | None, within: float = 5.0
+async def query_members_via(
+    via: str, secret_file: Path | None, timeout_s: float = 5.0
 ) -> list[dict[str, Any]]:
-    """Return the members that the member at an address knows.  Raises InvalidInputError or CommandFailedError."""
+    """Return a row for each member that the member at the address ``via`` knows.
+
+    Raises InvalidInputError, or CommandFailedError if there is no response within ``timeout_s``.
+    """
     from oakbridge.config.errors import ConfigFileError
     from oakbridge.config.peers import read_secret
     from oakbridge.node.address import parse_address
@@ -71,13 +74,13 @@
     if secret_file is None:
         raise InvalidInputError("--via: expected --secret-file with it")
     try:
-        return await query_members(parse_address(via), read_secret(secret_file), within)
-    except ConfigFileError as e:
-        raise InvalidInputError(str(e)) from None
-    except ConfigError as e:
-        raise InvalidInputError(f"--via: {e}") from None
-    except MemberQueryError as e:
-        raise CommandFailedError(str(e)) from None
+        return await query_members(parse_address(via), read_secret(secret_file), timeout_s)
+    except ConfigFileError as error:
+        raise InvalidInputError(str(error)) from None
+    except ConfigError as error:
+        raise InvalidInputError(f"--via: {error}") from None
+    except MemberQueryError as error:
+        raise CommandFailedError(str(error)) from None
 
 
 @click.group("fleet")
@@ -85,19 +88,19 @@
     """Many nodes: make a fleet and its certificates, see all of it, change it in waves."""
 
 
-def _named(text: str, what: str) -> str:
-    if not is_valid_name(text):
+def _check_name(name: str, argument: str) -> str:
+    if not is_valid_name(name):
         raise InvalidInputError(
-            f"{what}: expected up to 63 letters, digits, dots, dashes and underscores, got {text!r:.80}"
+            f"{argument}: expected up to 63 letters, digits, dots, dashes and underscores, got {name!r:.80}"
         )
-    return text
+    return name
 
 
-def _read(folder: Path) -> Inventory:
+def _read_inventory(folder: Path) -> Inventory:
     try:
         return read_inventory(folder)
-    except InventoryError as e:
-        raise InvalidInputError(str(e)) from None
+    except InventoryError as error:
+        raise InvalidInputError(str(error)) from None
 
 
 @command.command("init")
@@ -105,7 +108,7 @@
 @click.argument("name")
 def init(folder: Path, name: str) -> None:
     """Make a fleet: its certificate authority, and an operator `admin` that may change things."""
-    _named(name, "NAME")
+    _check_name(name, "NAME")
     try:
         pki.create_authority(folder, name)
         pki.issue_certificate(
@@ -113,10 +116,10 @@
             Identity(name, IdentityKind.OPERATOR, "admin", Role.WRITE),
             folder / "operators" / "admin",
         )
-    except PkiError as e:
-        raise InvalidInputError(str(e)) from None
-    except OSError as e:
-        raise CommandFailedError(f"{folder}: {e.strerror}") from None
+    except PkiError as error:
+        raise InvalidInputError(str(error)) from None
+    except OSError as error:
+        raise CommandFailedError(f"{folder}: {error.strerror}") from None
     write_inventory(folder, Inventory(name))
     click.echo(
         f"fleet {name}: {folder / INVENTORY_FILE}; keep {folder / 'ca.key'} where nobody else can read it"
@@ -138,8 +141,8 @@
     from oakbridge.node.address import parse_address
     from oakbridge.node.errors import ConfigError
 
-    inventory = _read(folder)
-    _named(name, "NAME")
+    inventory = _read_inventory(folder)
+    _check_name(name, "NAME")
     if name in inventory.agents:
         raise InvalidInputError(f"NAME: there is an agent {name} already")
     try:
@@ -148,8 +151,8 @@
         pki.issue_certificate(
             folder, Identity(inventory.name, IdentityKind.AGENT, name, Role.READ), stem, days
         )
-    except (ConfigError, PkiError) as e:
-        raise InvalidInputError(str(e)) from None
+    except (ConfigError, PkiError) as error:
+        raise InvalidInputError(str(error)) from None
     write_inventory(folder, inventory)
     click.echo(f"agent {name}: take {stem}.crt, {stem}.key and {folder / 'ca.crt'} to its host")
 
@@ -166,36 +169,38 @@
 )
 def add_operator(folder: Path, name: str, read_only: bool, days: float) -> None:
     """Sign an operator's certificate."""
-    inventory = _read(folder)
+    inventory = _read_inventory(folder)
     role = Role.READ if read_only else Role.WRITE
-    stem = folder / "operators" / _named(name, "NAME")
+    stem = folder / "operators" / _check_name(name, "NAME")
     try:
         pki.issue_certificate(
             folder, Identity(inventory.name, IdentityKind.OPERATOR, name, role), stem, days
         )
-    except PkiError as e:
-        raise InvalidInputError(str(e)) from None
+    except PkiError as error:
+        raise InvalidInputError(str(error)) from None
     click.echo(f"operator {name} may {role}: {stem}.crt, {stem}.key")
 
 
-def operator_client(folder: Path, name: str, within_s: float) -> FleetClient:
-    """Return the client of an operator, by the fleet's folder and the name of the certificate.
+def operator_client(folder: Path, name: str, timeout_s: float) -> FleetClient:
+    """Return a client that calls the fleet's agents with the certificate of the operator ``name``.
+
+    ``timeout_s``: the timeout of one call to an agent.
 
     Raises:
         InvalidInputError: if the inventory or the certificate can't be used, or there are no agents.
     """
-    inventory = _read(folder)
+    inventory = _read_inventory(folder)
     if not inventory.agents:
         raise InvalidInputError(
             f"{folder / INVENTORY_FILE}: the fleet has no agents yet (`oakbridge fleet add-agent`)"
         )
     try:
         tls = pki.tls_context(
-            folder / "ca.crt", folder / "operators" / _named(name, "--as"), server=False
+            folder / "ca.crt", folder / "operators" / _check_name(name, "--as"), server=False
         )
-    except PkiError as e:
-        raise InvalidInputError(str(e)) from None
-    return FleetClient(inventory, tls, within_s, name)
+    except PkiError as error:
+        raise InvalidInputError(str(error)) from None
+    return FleetClient(inventory, tls, timeout_s, name)
 
 
 @command.command("status")
@@ -219,22 +224,24 @@
     With --via ADDRESS one member is asked instead, and no inventory is needed: what it knows of all others.
     """
     if via is not None:
-        members = asyncio.run(members_by(via, secret_file, within))
+        members = asyncio.run(query_members_via(via, secret_file, within))
         if as_json:
             print_json({"via": via, "members": members})
         else:
             Console().print(members_view(members))
-        if any(m["state"] in ("suspect", "failed") for m in members):
+        if any(member["state"] in ("suspect", "failed") for member in members):
             raise click.exceptions.Exit(1)
         return
     client = operator_client(folder, operator, within)
     responses = asyncio.run(client.call_all(messages.StatusRequest()))
     rows = instance_rows(responses)
     if as_json:
-        print_json({"agents": [agent_row(r) for r in responses], "instances": rows})
+        print_json({"agents": [agent_row(response) for response in responses], "instances": rows})
     else:
         Console().print(fleet_view(responses, rows))
-    if not all(r.ok for r in responses) or not all(is_healthy(row["health"]) for row in rows):
+    if not all(response.ok for response in responses) or not all(
+        is_healthy(row["health"]) for row in rows
+    ):
         raise click.exceptions.Exit(1)
 
 
@@ -266,20 +273,20 @@
 
 
 async def _watch(
-    client: FleetClient, every_s: float, count: int, show: Callable[[Group], object] | None
+    client: FleetClient, interval_s: float, count: int, show: Callable[[Group], object] | None
 ) -> None:
-    """Poll the fleet ``count`` times (0: for ever); without ``show``, write changes as lines of JSON."""
-    before: dict[str, str] = {}
-    for number in itertools.count(1):
+    """Poll the fleet ``count`` times (0: for ever); without ``show``, print changes as JSON."""
+    previous_health: dict[str, str] = {}
+    for poll_number in itertools.count(1):
         responses = await client.call_all(messages.StatusRequest())
         rows = instance_rows(responses)
         if show is not None:
             show(fleet_view(responses, rows, all_rows=False))
         else:
-            now = health_by_name(responses, rows)
-            for change in health_changes(before, now):
+            current_health = health_by_name(responses, rows)
+            for change in health_changes(previous_health, current_health):
                 click.echo(json.dumps(change))
-            before = now
-        if number == count:
+            previous_health = current_health
+        if poll_number == count:
             return
-        await asyncio.sleep(every_s)
+        await asyncio.sleep(interval_s)
--- a/oakbridge/cli/fleet_view.py
+++ b/oakbridge/cli/fleet_view.py
@@ -1,4 +1,4 @@
-"""The output of ``oakbridge fleet status`` and ``fleet watch``: rows for JSON, tables for people."""
+"""The output of ``oakbridge fleet status`` and ``watch``: rows for JSON, tables for people."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def health_by_name(responses: list[AgentResponse], instances: list[Row]) -> dict[str, str]:
-    """Return each instance's health by ``AGENT/INSTANCE``; an agent without a response is unknown."""
+    """Return each instance's health by ``AGENT/INSTANCE``; a silent agent's is unknown."""
     health = {response.agent: "unknown" for response in responses if not response.ok}
     for row in instances:
         health[f"{row['agent']}/{row['name']}"] = str(row["health"])
@@ -79,7 +79,7 @@
 def fleet_view(
     responses: list[AgentResponse], instances: list[Row], *, all_rows: bool = True
 ) -> Group:
-    """Return the fleet as a table within 80 columns; without ``all_rows``, of unhealthy instances only.
+    """Return the fleet as a table within 80 columns.  ``all_rows``: not only unhealthy instances.
 
     Instances come first, then agents that do not respond, then the total.
     """
--- a/oakbridge/cli/lab.py
+++ b/oakbridge/cli/lab.py
@@ -1,4 +1,4 @@
-"""``oakbridge lab``: a fleet of real processes under faults, by a file and a seed."""
+"""``oakbridge lab``: runs a fleet of real processes under faults, from a plan file and a seed."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     from oakbridge.lab.plan import Plan
     from oakbridge.lab.runner import Progress
 
-LATEST = "summary.json"
-MARK = "run.json"  # from a run's begin on
+SUMMARY_FILE = "summary.json"
+RUN_FILE = "run.json"  # written when a run starts; shows that a folder holds a run
 
 
 @click.group("lab")
@@ -48,44 +48,51 @@
 
     try:
         plan = load_plan(path)
-    except ConfigFileError as e:
-        raise InvalidInputError(str(e)) from None
-    began = time.monotonic()
-    summary = _play(plan, path, seed, out, quick, root)
-    _show(summary, as_json)
-    print(f"{out}: {time.monotonic() - began:.0f} s", file=sys.stderr)
+    except ConfigFileError as error:
+        raise InvalidInputError(str(error)) from None
+    started_s = time.monotonic()
+    summary = _run_plan(plan, path, seed, out, quick, root)
+    _print_summary(summary, as_json)
+    print(f"{out}: {time.monotonic() - started_s:.0f} s", file=sys.stderr)
     if not summary["ok"]:
         raise click.exceptions.Exit(1)
 
 
-def _play(
+def _run_plan(
     plan: Plan, path: Path, seed: int, out: Path, quick: bool, root: Path | None
 ) -> dict[str, Any]:
-    """One run; returns its summary."""
+    """Run the plan once, write the results to ``out`` and return the summary.
+
+    Raises InvalidInputError if ``out`` holds other files, CommandFailedError if the run fails.
+    """
     from oakbridge.lab.addresses import NoFreeSlotError
     from oakbridge.lab.helper_process import RunFailedError
     from oakbridge.lab.plan import scale_down
     from oakbridge.lab.runner import LabRun
 
-    if out.exists() and (not out.is_dir() or (any(out.iterdir()) and not (out / MARK).exists())):
+    if out.exists() and (
+        not out.is_dir() or (any(out.iterdir()) and not (out / RUN_FILE).exists())
+    ):
         raise InvalidInputError(f"{out}: expected an empty folder, or one of an earlier run")
     out.mkdir(parents=True, exist_ok=True)
-    (out / MARK).write_text(json.dumps({"file": path.name, "seed": seed, "quick": quick}) + "\n")
-    for old in [*out.glob("*.parquet"), *out.glob(LATEST)]:
-        old.unlink()
+    (out / RUN_FILE).write_text(
+        json.dumps({"file": path.name, "seed": seed, "quick": quick}) + "\n"
+    )
+    for old_file in [*out.glob("*.parquet"), *out.glob(SUMMARY_FILE)]:
+        old_file.unlink()
     plan = scale_down(plan) if quick else plan
     checkout = (root or Path(__file__).parents[2]).absolute()
     lab_run = LabRun(plan, seed, out.absolute(), checkout, show_progress=_show_progress)
     try:
         history, results = asyncio.run(lab_run.play())
-    except (RunFailedError, NoFreeSlotError) as e:
-        raise CommandFailedError(str(e)) from None
+    except (RunFailedError, NoFreeSlotError) as error:
+        raise CommandFailedError(str(error)) from None
     except KeyboardInterrupt:
         raise click.Abort from None
     from oakbridge.lab import report
     from oakbridge.lab.checks.judge import judge
 
-    return report.write(out, history, judge(history), results, seed, _commit(checkout))
+    return report.write(out, history, judge(history), results, seed, _read_commit(checkout))
 
 
 @command.command("compare")
@@ -127,31 +134,33 @@
     quick: bool,
 ) -> None:
     """Play files, settings and versions with the same seeds, and tell what may be said of the differences."""
-    from oakbridge.lab import compare as comparing
+    from oakbridge.lab import compare as case_comparison
     from oakbridge.lab import compare_report
     from oakbridge.lab.plan import load_plan
 
     try:
-        found = comparing.build_cases(
-            paths, [comparing.parse_variation(text) for text in vary], roots
+        cases = case_comparison.build_cases(
+            paths, [case_comparison.parse_variation(text) for text in vary], roots
         )
-        plans = {case.name: load_plan(case.file, case.changes) for case in found}
-    except ConfigFileError as e:
-        raise InvalidInputError(str(e)) from None
-    except comparing.InvalidVariationError as e:
-        raise InvalidInputError(str(e)) from None
-    figures: dict[str, dict[int, dict[str, float | None]]] = {case.name: {} for case in found}
+        plans = {case.name: load_plan(case.file, case.changes) for case in cases}
+    except ConfigFileError as error:
+        raise InvalidInputError(str(error)) from None
+    except case_comparison.InvalidVariationError as error:
+        raise InvalidInputError(str(error)) from None
+    figures: dict[str, dict[int, dict[str, float | None]]] = {case.name: {} for case in cases}
     for seed in range(1, seeds + 1):
-        for number, case in enumerate(found):
-            at = out / f"case-{number}" / f"seed-{seed}"
-            if (at / LATEST).exists():
-                summary = _read(at / LATEST)
+        for number, case in enumerate(cases):
+            run_folder = out / f"case-{number}" / f"seed-{seed}"
+            if (run_folder / SUMMARY_FILE).exists():
+                summary = _read_summary(run_folder / SUMMARY_FILE)
             else:
-                summary = _play(plans[case.name], case.file, seed, at, quick, case.root)
-            figures[case.name][seed] = {c["name"]: c["figure"] for c in summary["checks"]}
-            broken = [c["name"] for c in summary["checks"] if not c["holds"]]
-            click.echo(f"seed {seed}, {case.name}: {', '.join(broken) or 'holds'}", err=True)
-    rows = comparing.compare(figures)
+                summary = _run_plan(plans[case.name], case.file, seed, run_folder, quick, case.root)
+            figures[case.name][seed] = {
+                check["name"]: check["figure"] for check in summary["checks"]
+            }
+            failed_checks = [check["name"] for check in summary["checks"] if not check["holds"]]
+            click.echo(f"seed {seed}, {case.name}: {', '.join(failed_checks) or 'holds'}", err=True)
+    rows = case_comparison.compare(figures)
     compare_report.write(out, rows, figures)
     click.echo("\n".join(compare_report.lines(rows)))
 
@@ -160,11 +169,12 @@
 @click.argument("folder", default=Path(), type=click.Path(path_type=Path, exists=True))
 def list_runs(folder: Path) -> None:
     """List the runs below a folder."""
-    for found in sorted(folder.glob(f"**/{LATEST}")):
-        summary = _read(found)
-        broken = [c["name"] for c in summary["checks"] if not c["holds"]]
+    for summary_path in sorted(folder.glob(f"**/{SUMMARY_FILE}")):
+        summary = _read_summary(summary_path)
+        failed_checks = [check["name"] for check in summary["checks"] if not check["holds"]]
         click.echo(
-            f"{found.parent}  seed {summary['seed']}  {'holds' if not broken else ', '.join(broken)}"
+            f"{summary_path.parent}  seed {summary['seed']}  "
+            f"{'holds' if not failed_checks else ', '.join(failed_checks)}"
         )
 
 
@@ -173,22 +183,22 @@
 @click.option("--json", "as_json", is_flag=True, help="The summary as JSON.")
 def show(folder: Path, as_json: bool) -> None:
     """Show a run's figures."""
-    _show(_read(folder / LATEST), as_json)
+    _print_summary(_read_summary(folder / SUMMARY_FILE), as_json)
 
 
-def _read(path: Path) -> dict[str, Any]:
+def _read_summary(path: Path) -> dict[str, Any]:
     try:
-        found = json.loads(path.read_text())
-        found["checks"], found["latency_ms"], found["seed"]
-    except OSError as e:
-        raise InvalidInputError(f"{path}: {e.strerror or e}") from None
+        summary = json.loads(path.read_text())
+        summary["checks"], summary["latency_ms"], summary["seed"]
+    except OSError as error:
+        raise InvalidInputError(f"{path}: {error.strerror or error}") from None
     except (ValueError, KeyError, TypeError):
         raise InvalidInputError(f"{path}: expected the summary of a run") from None
-    assert isinstance(found, dict)
-    return found
+    assert isinstance(summary, dict)
+    return summary
 
 
-def _show(summary: dict[str, Any], as_json: bool) -> None:
+def _print_summary(summary: dict[str, Any], as_json: bool) -> None:
     from oakbridge.lab.report import lines
 
     if as_json:
@@ -200,15 +210,15 @@
 def _show_progress(progress: Progress) -> None:
     if not sys.stderr.isatty():
         return
-    where = f"{progress.elapsed_s:.0f} of {progress.total_s:.0f} s" if progress.total_s else ""
+    elapsed = f"{progress.elapsed_s:.0f} of {progress.total_s:.0f} s" if progress.total_s else ""
     ready = f"{progress.ready_nodes} of {progress.nodes} nodes ready" if progress.nodes else ""
-    print(f"\r\033[K{progress.phase} {where}{ready}", end="", file=sys.stderr, flush=True)
+    print(f"\r\033[K{progress.phase} {elapsed}{ready}", end="", file=sys.stderr, flush=True)
     if progress.phase == "ending":
         print(file=sys.stderr)
 
 
-def _commit(root: Path) -> str:
-    """The checkout's commit, read from its files."""
+def _read_commit(root: Path) -> str:
+    """Return the checkout's abbreviated commit, read from .git, or "" if it can't be read."""
     try:
         head = (root / ".git" / "HEAD").read_text().strip()
         if head.startswith("ref: "):
--- a/oakbridge/cli/logs.py
+++ b/oakbridge/cli/logs.py
@@ -1,4 +1,4 @@
-"""Logs of the long-running commands: text lines for people, or a JSON object per line for programs."""
+"""Logs of the long-running commands: text for people, or one JSON object per line for programs."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def configure_log_format(
     log_format: str, level: int = logging.INFO, **constant_fields: str
 ) -> None:
-    """Log to stderr.  ``constant_fields`` are part of each JSON line, for example the node's name."""
+    """Log to stderr.  ``constant_fields`` are added to each JSON line, such as the node's name."""
     handler = logging.StreamHandler(sys.stderr)
     if log_format == JSON:
         handler.setFormatter(_json_formatter(constant_fields))
--- a/oakbridge/cli/main.py
+++ b/oakbridge/cli/main.py
@@ -1,4 +1,4 @@
-"""The command ``oakbridge``.  Exit codes: 0 success, 1 failure, 2 invalid input, 130 after Ctrl-C."""
+"""The command ``oakbridge``.  Exit codes: 0 success, 1 failure, 2 invalid input, 130 Ctrl-C."""
 
 from __future__ import annotations
 
--- a/oakbridge/cli/peers.py
+++ b/oakbridge/cli/peers.py
@@ -73,7 +73,7 @@
 
 
 def render_peers(report: dict[str, Any]) -> Group:
-    """Return a node's view of the others as tables.  ``report``: the result of the command PEERS."""
+    """Return a node's view of the others as tables.  ``report``: the result of PEERS."""
     return Group(_summary_table(report), _members_table(report["members"]))
 
 
--- a/oakbridge/cli/rollout/__init__.py
+++ b/oakbridge/cli/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""The commands of ``oakbridge fleet`` that change a fleet, or look at its changes.
+"""The commands of ``oakbridge fleet`` that roll out changes to a fleet, or show its rollouts.
 
 ``commands`` (``plan``, ``apply``, ``drain``, ``undrain``, ``rollback``, ``resume``),
 ``journal_commands`` (``history``, ``rebuild``) and ``doctor_command`` register themselves with
--- a/oakbridge/cli/rollout/change_options.py
+++ b/oakbridge/cli/rollout/change_options.py
@@ -1,4 +1,4 @@
-"""Reads the change of ``oakbridge fleet apply`` from its options."""
+"""Reads the change that the options of ``oakbridge fleet apply`` describe."""
 
 from __future__ import annotations
 
@@ -20,22 +20,28 @@
 from oakbridge.rollout.setting_path import parse_setting
 
 
-def read_change(files: Path | None, servers: Path | None, values: tuple[str, ...]) -> Change:
-    """Return the change of the options, exactly one of which must be given.  Raise InvalidInputError."""
-    if sum(1 for given in (files, servers, values) if given) != 1:
+def read_change(files: Path | None, servers: Path | None, settings: tuple[str, ...]) -> Change:
+    """Return the change that the one option given describes.
+
+    Raises InvalidInputError if none or several are given, or the change is invalid.
+    """
+    if sum(1 for given in (files, servers, settings) if given) != 1:
         raise InvalidInputError("apply: expected one of --files, --servers or --set")
     if files is not None:
         return ReplaceFiles(_read_files(files))
     if servers is not None:
         return ReplaceServerFile(_read_server_file(servers))
     try:
-        return SetValues(dict(parse_setting(value) for value in values))
+        return SetValues(dict(parse_setting(setting) for setting in settings))
     except ChangeError as error:
         raise InvalidInputError(str(error)) from None
 
 
 def _read_files(folder: Path) -> Files:
-    """Return all files of a folder that are not hidden, by name."""
+    """Return the content of the folder's files by name, without hidden ones.
+
+    Raises InvalidInputError if they can't be read or are no valid generation.
+    """
     try:
         files = {
             path.name: path.read_text("utf-8")
--- a/oakbridge/cli/rollout/commands.py
+++ b/oakbridge/cli/rollout/commands.py
@@ -36,15 +36,15 @@
 def plan(folder: Path, operator: str, waves: WaveArguments, as_json: bool) -> None:
     """Show the waves in which a change would go out; nothing is sent."""
     client = operator_client(folder, operator, CALL_TIMEOUT_S)
-    targets, unseen = asyncio.run(find_targets(client, waves.only))
+    targets, unreachable = asyncio.run(find_targets(client, waves.only))
     names = [[target.name for target in wave] for wave in waves.plan(targets)]
     if as_json:
-        print_json({"waves": names, "unseen": unseen})
+        print_json({"waves": names, "unseen": unreachable})
         return
-    for number, wave in enumerate(names, 1):
-        click.echo(f"wave {number}: {', '.join(wave)}")
-    for text in unseen:
-        click.echo(f"not seen, and so in no wave: {text}")
+    for wave_number, wave in enumerate(names, 1):
+        click.echo(f"wave {wave_number}: {', '.join(wave)}")
+    for agent in unreachable:
+        click.echo(f"not seen, and so in no wave: {agent}")
 
 
 @command.command("apply")
@@ -187,5 +187,6 @@
     folder: Path, operator: str, rollout: int, options: RolloutOptions, as_json: bool
 ) -> None:
     """Resume a rollout from the journal."""
-    read_journal(folder, lambda journal: journal.entry(rollout))  # before the lease is acquired
+    # Fails for an unknown rollout before the lease is acquired.
+    read_journal(folder, lambda journal: journal.entry(rollout))
     RolloutSession(folder, operator, options, as_json).resume(rollout)
--- a/oakbridge/cli/rollout/doctor_command.py
+++ b/oakbridge/cli/rollout/doctor_command.py
@@ -13,9 +13,9 @@
 from oakbridge.cli.fleet import (
     command,
     folder_option,
-    members_by,
     operator_client,
     operator_option,
+    query_members_via,
     via_options,
 )
 from oakbridge.cli.rollout.session import CALL_TIMEOUT_S, open_journal
@@ -37,7 +37,7 @@
 
     With --via also where the inventory and what the members know of each other differ.
     """
-    members = None if via is None else asyncio.run(members_by(via, secret_file))
+    members = None if via is None else asyncio.run(query_members_via(via, secret_file))
     client = operator_client(folder, operator, CALL_TIMEOUT_S)
     with open_journal(folder) as journal:
         responses = asyncio.run(client.call_all(messages.StatusRequest()))
@@ -45,13 +45,13 @@
             entries = journal.entries()
         except JournalError as error:
             raise InvalidInputError(str(error)) from None
-    answers: dict[str, dict[str, Any] | str] = {
+    responses_by_agent: dict[str, dict[str, Any] | str] = {
         response.agent: response.body
         if response.status == 200
         else response.error or str(response.body.get("error", ""))
         for response in responses
     }
-    findings = diagnose(answers, entries, time.time(), _days_left(folder), members)
+    findings = diagnose(responses_by_agent, entries, time.time(), _days_left(folder), members)
     bad_count = sum(1 for finding in findings if finding.severity is Severity.BAD)
     if as_json:
         print_json([_finding_json(finding) for finding in findings])
@@ -59,22 +59,27 @@
         for finding in findings:
             click.echo(f"{finding.severity.value:4}  {finding.subject}: {finding.problem}")
             click.echo(f"      -> {finding.remedy}")
-        click.echo(f"{bad_count} bad, {len(findings)} in all; {len(answers)} agents asked")
+        click.echo(
+            f"{bad_count} bad, {len(findings)} in all; {len(responses_by_agent)} agents asked"
+        )
     if bad_count:
         raise click.exceptions.Exit(1)
 
 
 def _days_left(folder: Path) -> dict[str, float]:
-    """Return the days that each certificate of the folder is still valid for, by path."""
+    """Return the days until each certificate of the folder expires, by its path in the folder.
+
+    A certificate that can't be read has 0 days.
+    """
     paths = (folder / "ca.crt", *folder.glob("agents/*.crt"), *folder.glob("operators/*.crt"))
-    days_by_name: dict[str, float] = {}
+    days_by_path: dict[str, float] = {}
     for path in paths:
         try:
             days = pki.certificate_days_left(path)
         except (PkiError, OSError, ValueError):
             days = 0.0
-        days_by_name[str(path.relative_to(folder))] = days
-    return days_by_name
+        days_by_path[str(path.relative_to(folder))] = days
+    return days_by_path
 
 
 def _finding_json(finding: Finding) -> dict[str, str]:
--- a/oakbridge/cli/rollout/journal_commands.py
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -22,7 +22,7 @@
 from oakbridge.rollout.journal import Journal, JournalEntry
 from oakbridge.rollout.rebuild import RebuiltRollout, rebuild
 
-ALL_ENTRIES = 1_000_000
+ALL_ENTRIES = 1_000_000  # used as a limit: more than any journal has
 
 
 @command.command("history")
@@ -94,7 +94,7 @@
 async def _missing_entries(
     operator: FleetClient, journal: Journal
 ) -> tuple[list[JournalEntry], list[str]]:
-    """Return the rollouts that only agents remember, and the agents without an answer."""
+    """Return rollouts that agents report and the journal lacks, and agents without a response."""
     responses = await operator.call_all(messages.StatusRequest())
     silent = [response.agent for response in responses if response.status != 200]
     reports = {
--- a/oakbridge/cli/rollout/options.py
+++ b/oakbridge/cli/rollout/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share: waves, and the times of a rollout."""
+"""Options that several commands share: the waves and the timing of a rollout."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from oakbridge.rollout.coordinator import RolloutOptions
 from oakbridge.rollout.plan import PlanError, Target, Wave, WaveOptions, plan_waves
 
-# Click's decorators keep no type of the command that they decorate.
+# Click's decorators do not keep the type of the command that they decorate.
 Command = Callable[..., Any]
 
 
 @dataclass(frozen=True, slots=True)
 class WaveArguments:
-    """How a fleet is divided into waves, as the command line has it."""
+    """The options that say how a fleet is divided into waves."""
 
     canary: int
     shares: tuple[float, ...]
@@ -28,7 +28,7 @@
     only: tuple[str, ...]
 
     def plan(self, targets: Sequence[Target]) -> tuple[Wave, ...]:
-        """Return the waves.  Raise InvalidInputError if they cannot be planned."""
+        """Return the waves.  Raises InvalidInputError if they can't be planned."""
         shares = self.shares or WaveOptions().shares
         try:
             options = WaveOptions(self.canary, shares, self.by_zone, self.unavailable)
@@ -38,7 +38,7 @@
 
 
 def wave_options(command: Command) -> Command:
-    """Add the options of waves; the command gets ``waves``, a :class:`WaveArguments`."""
+    """Add the options for waves; the command gets ``waves``, a :class:`WaveArguments`."""
 
     @functools.wraps(command)
     def with_waves(
@@ -47,10 +47,10 @@
         unavailable: int,
         by_zone: bool,
         only: tuple[str, ...],
-        **others: Any,
+        **other_options: Any,
     ) -> Any:
         waves = WaveArguments(canary, shares, unavailable, by_zone, only)
-        return command(waves=waves, **others)
+        return command(waves=waves, **other_options)
 
     options = (
         click.option(
@@ -86,11 +86,11 @@
 
 
 def timing_options(command: Command) -> Command:
-    """Add the options of times, and ``--json``; the command gets ``options``."""
+    """Add the options for timeouts and ``--json``; the command gets ``options`` and ``as_json``."""
 
     @functools.wraps(command)
-    def with_options(watch: float, window: float, silent: float, **others: Any) -> Any:
-        return command(options=RolloutOptions(watch, window, silent), **others)
+    def with_options(watch: float, window: float, silent: float, **other_options: Any) -> Any:
+        return command(options=RolloutOptions(watch, window, silent), **other_options)
 
     options = (
         click.option(
--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -1,4 +1,4 @@
-"""Carries out one command that changes a fleet, from the lease to the report."""
+"""Runs one command that changes a fleet, from the lease to the report."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 from oakbridge.rollout.plan import Target
 from oakbridge.rollout.record import InstanceOutcome, InstanceStatus, Phase, RolloutRecord
 
-EXIT_PARTIAL = 3  # done but for some instances that are unknown
+EXIT_PARTIAL = 3  # done, except for instances whose state is unknown
 EXIT_HALTED = 4  # halted or rolled back
-REFRESH_S = 0.25  # the least time between two pictures of the live view
-JOURNAL_RETRY_S = 0.25  # after a new rollout that could not be written
+REFRESH_INTERVAL_S = 0.25  # shortest time between two updates of the live view
+JOURNAL_RETRY_DELAY_S = 0.25  # before a new rollout that could not be written is written again
 CALL_TIMEOUT_S = 5.0  # of one call to an agent
 
 Result = TypeVar("Result")
@@ -43,15 +43,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutResult:
-    """A rollout that has ended, and the agents without an answer when it began."""
+    """A finished rollout, and the agents that did not respond when it started, with the reasons."""
 
     coordinator: Coordinator
-    unseen: list[str]
+    unreachable: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutSession:
-    """One call of a command that changes the fleet."""
+    """One run of a command that changes the fleet."""
 
     folder: Path
     operator_name: str
@@ -67,16 +67,20 @@
         why: str,
         sources: Mapping[str, int] | None = None,
     ) -> None:
-        """Roll a change out, and end the command with its exit code."""
+        """Roll a change out and print the report.
 
-        async def run(operator: FleetClient, journal: Journal, held: LeaseResult) -> RolloutResult:
-            targets, unseen = await find_targets(operator, waves.only)
+        ``sources``: see :func:`rollback_sources`.  Raises Exit with EXIT_HALTED or EXIT_PARTIAL if
+        the rollout is not complete, InvalidInputError or CommandFailedError.
+        """
+
+        async def run(operator: FleetClient, journal: Journal, lease: LeaseResult) -> RolloutResult:
+            targets, unreachable = await find_targets(operator, waves.only)
             if sources is not None:
                 targets = [target for target in targets if target.name in sources]
             record = RolloutRecord(waves.plan(targets), waves.unavailable, auto_rollback)
             now_unix_s = time.time()
             entry = JournalEntry(
-                id=held.token,
+                id=lease.token,
                 operator=f"{self.operator_name} ({getpass.getuser()})",
                 started_unix_s=now_unix_s,
                 updated_unix_s=now_unix_s,
@@ -86,19 +90,19 @@
             )
             await _add_entry(journal, entry)
             return RolloutResult(
-                await self._coordinate(operator, journal, entry, held, sources), unseen
+                await self._coordinate(operator, journal, entry, lease, sources), unreachable
             )
 
         self._report(self._run_with_lease(run))
 
     def resume(self, rollout: int) -> None:
-        """Resume a rollout, and end the command with its exit code."""
+        """Resume a rollout and print the report.  Raises what :meth:`roll_out` raises."""
 
-        async def run(operator: FleetClient, journal: Journal, held: LeaseResult) -> RolloutResult:
+        async def run(operator: FleetClient, journal: Journal, lease: LeaseResult) -> RolloutResult:
             entry = journal.entry(rollout)
             sources = rollback_sources(journal, entry.change)
             return RolloutResult(
-                await self._coordinate(operator, journal, entry, held, sources), []
+                await self._coordinate(operator, journal, entry, lease, sources), []
             )
 
         self._report(self._run_with_lease(run))
@@ -106,17 +110,17 @@
     def _run_with_lease(
         self, run: Callable[[FleetClient, Journal, LeaseResult], Awaitable[RolloutResult]]
     ) -> RolloutResult:
-        """Run under the lease, which is released however the run ends."""
+        """Acquire the lease, run, and release the lease, also if the run fails."""
         operator = operator_client(self.folder, self.operator_name, CALL_TIMEOUT_S)
 
         async def run_and_release(journal: Journal) -> RolloutResult:
-            held = await acquire_lease(operator)
+            lease = await acquire_lease(operator)
             result: RolloutResult | None = None
             try:
-                result = await run(operator, journal, held)
+                result = await run(operator, journal, lease)
                 return result
             finally:
-                await operator.release_lease(held if result is None else result.coordinator.lease)
+                await operator.release_lease(lease if result is None else result.coordinator.lease)
                 operator.close()
 
         with open_journal(self.folder) as journal:
@@ -130,13 +134,15 @@
         operator: FleetClient,
         journal: Journal,
         entry: JournalEntry,
-        held: LeaseResult,
+        lease: LeaseResult,
         sources: Mapping[str, int] | None,
     ) -> Coordinator:
-        """Carry the rollout out, with a live view on a terminal."""
+        """Run the rollout, with a live view on a terminal; return its coordinator."""
         console = Console()
         if self.as_json or not console.is_terminal:
-            coordinator = Coordinator(operator, journal, entry, held, self.options, sources=sources)
+            coordinator = Coordinator(
+                operator, journal, entry, lease, self.options, sources=sources
+            )
             await coordinator.run()
             return coordinator
         with Live(console=console, auto_refresh=False) as live:
@@ -144,7 +150,7 @@
                 operator,
                 journal,
                 entry,
-                held,
+                lease,
                 self.options,
                 on_update=_live_view_updater(live),
                 sources=sources,
@@ -161,16 +167,19 @@
             console = Console()
             if not console.is_terminal:
                 console.print(render(result.coordinator))
-            for text in result.unseen:
-                click.echo(f"not seen at the start, and so in no wave: {text}")
+            for agent in result.unreachable:
+                click.echo(f"not seen at the start, and so in no wave: {agent}")
         if machine.record.phase is not Phase.DONE:
             raise click.exceptions.Exit(EXIT_HALTED)
-        if result.unseen or not machine.is_complete():
+        if result.unreachable or not machine.is_complete():
             raise click.exceptions.Exit(EXIT_PARTIAL)
 
 
 async def _add_entry(journal: Journal, entry: JournalEntry) -> None:
-    """Write a new rollout, again while the disk fails.  Raise JournalUnavailableError after a while."""
+    """Write a new rollout to the journal, with retries while the disk fails.
+
+    Raises JournalUnavailableError after JOURNAL_TIMEOUT_S.
+    """
     give_up_at_s = time.monotonic() + JOURNAL_TIMEOUT_S
     while True:
         try:
@@ -179,16 +188,16 @@
         except JournalUnavailableError:
             if time.monotonic() >= give_up_at_s:
                 raise
-        await asyncio.sleep(JOURNAL_RETRY_S)
+        await asyncio.sleep(JOURNAL_RETRY_DELAY_S)
 
 
 def _live_view_updater(live: Live) -> Callable[[Coordinator], None]:
-    last_s = 0.0
+    last_update_s = 0.0
 
     def update(coordinator: Coordinator) -> None:
-        nonlocal last_s
-        if time.monotonic() - last_s > REFRESH_S:
-            last_s = time.monotonic()
+        nonlocal last_update_s
+        if time.monotonic() - last_update_s > REFRESH_INTERVAL_S:
+            last_update_s = time.monotonic()
             live.update(render(coordinator), refresh=True)
 
     return update
@@ -200,8 +209,8 @@
         "rollout": result.coordinator.rollout,
         "stage": machine.record.phase.value,
         "reason": machine.record.reason,
-        "complete": machine.is_complete() and not result.unseen,
-        "unseen": result.unseen,
+        "complete": machine.is_complete() and not result.unreachable,
+        "unseen": result.unreachable,
         "instances": [_status_json(name, status) for name, status in machine.statuses().items()],
     }
 
@@ -218,24 +227,25 @@
 async def find_targets(
     operator: FleetClient, only: tuple[str, ...]
 ) -> tuple[list[Target], list[str]]:
-    """Return the instances that answer, or those of ``only``, and the silent agents.
+    """Return the instances of all agents that respond, and the agents that don't, with the reasons.
 
-    Raise InvalidInputError if one of ``only`` is missing.
+    ``only``: names of the only instances to return; empty: all.  Raises InvalidInputError if one of
+    them is missing.
     """
     responses = await operator.call_all(messages.StatusRequest())
     targets = [
         Target(
             agent=response.agent,
-            instance=report["name"],
+            instance=instance_report["name"],
             zone=response.body.get("zone", ""),
-            base_generation=report["generation"],
-            is_drained=report.get("drained", False),
+            base_generation=instance_report["generation"],
+            is_drained=instance_report.get("drained", False),
         )
         for response in responses
         if response.status == 200
-        for report in response.body["instances"]
+        for instance_report in response.body["instances"]
     ]
-    unseen = [
+    unreachable = [
         f"{response.agent}: {response.error or response.body.get('error', '')}"
         for response in responses
         if response.status != 200
@@ -243,13 +253,13 @@
     if missing := set(only) - {target.name for target in targets}:
         names = ", ".join(sorted(missing))
         raise InvalidInputError(f"--only: there is no instance {names} that can be seen")
-    return [target for target in targets if not only or target.name in only], unseen
+    return [target for target in targets if not only or target.name in only], unreachable
 
 
 def rollback_sources(journal: Journal, change: Change) -> dict[str, int] | None:
-    """Return the generation that each instance ran before the rollout that ``change`` takes back.
+    """Return the generation that each instance ran before the rollout that ``change`` rolls back.
 
-    None for another kind of change.  Raise JournalError if that rollout is not in the journal.
+    None for another kind of change.  Raises JournalError if that rollout is not in the journal.
     """
     if not isinstance(change, RollBackRollout):
         return None
@@ -266,7 +276,7 @@
 
 
 def read_journal(folder: Path, read: Callable[[Journal], Result]) -> Result:
-    """Return what ``read`` reads in the fleet's journal.  Raise InvalidInputError if it cannot be read."""
+    """Return what ``read`` returns for the journal.  Raises InvalidInputError if it fails."""
     try:
         with Journal(folder) as journal:
             return read(journal)
@@ -275,7 +285,7 @@
 
 
 def open_journal(folder: Path) -> Journal:
-    """Return the fleet's journal.  Raise InvalidInputError if it cannot be used."""
+    """Return the fleet's journal.  Raises InvalidInputError if it can't be opened."""
     try:
         return Journal(folder)
     except JournalError as error:
@@ -283,22 +293,26 @@
 
 
 async def acquire_lease(operator: FleetClient) -> LeaseResult:
-    """Return the lease.  Raise CommandFailedError, with who has it, without a majority of the agents."""
-    held = await operator.acquire_lease(LEASE_DURATION_S)
+    """Acquire the lease and return it.
+
+    Raises CommandFailedError, with the lease's holder if there is one, if no majority of the agents
+    grants it.
+    """
+    lease = await operator.acquire_lease(LEASE_DURATION_S)
     agent_count = len(operator.inventory.agents)
-    if held.has_majority(agent_count):
-        return held
-    for response in held.denied:
+    if lease.has_majority(agent_count):
+        return lease
+    for response in lease.denied:
         if holder := response.body.get("holder"):
-            since = time.strftime("%H:%M:%S", time.localtime(response.body["since"]))
-            ends_in_s = response.body.get("ends_in_s")
-            ends = f", ends in {ends_in_s:.0f} s" if ends_in_s else ""
+            held_since = time.strftime("%H:%M:%S", time.localtime(response.body["since"]))
+            expires_in_s = response.body.get("ends_in_s")
+            expiry = f", ends in {expires_in_s:.0f} s" if expires_in_s else ""
             raise CommandFailedError(
-                f"{holder} has the lease since {since}{ends} (agent {response.agent})"
+                f"{holder} has the lease since {held_since}{expiry} (agent {response.agent})"
             )
-    if held.denied:
-        response = held.denied[0]
+    if lease.denied:
+        response = lease.denied[0]
         raise CommandFailedError(f"agent {response.agent} refuses: {response.body.get('error')}")
     raise CommandFailedError(
-        f"{len(held.granted_by)} of {agent_count} agents answer; a majority is needed for a change"
+        f"{len(lease.granted_by)} of {agent_count} agents answer; a majority is needed for a change"
     )
--- a/oakbridge/cli/rollout/view.py
+++ b/oakbridge/cli/rollout/view.py
@@ -21,13 +21,13 @@
     InstanceOutcome.ROLLED_BACK: "red",
 }
 ORDINARY_OUTCOMES = frozenset({InstanceOutcome.APPLIED, InstanceOutcome.NOT_REACHED})
-MAX_INSTANCES_LISTED = 12  # smaller rollouts have a row for every instance
-BAR_WIDTH = 16
-NAME_WIDTH = 28
+MAX_INSTANCES_LISTED = 12  # larger rollouts have rows only for instances that need attention
+BAR_WIDTH = 16  # characters
+NAME_WIDTH = 28  # characters
 
 
 def render(coordinator: Coordinator) -> Group:
-    """Return the whole view."""
+    """Return the view: the waves, the instances that need attention, the totals and the gate."""
     record = coordinator.machine.record
     statuses = coordinator.machine.statuses()
     counts = Counter(status.outcome.value for status in statuses.values())
@@ -53,12 +53,12 @@
         table.add_column(column, no_wrap=column != "instances")
     for index, wave in enumerate(record.waves):
         outcomes = Counter(statuses[target.name].outcome for target in wave)
-        ended = sum(count for outcome, count in outcomes.items() if outcome in FINAL_OUTCOMES)
+        finished = sum(count for outcome, count in outcomes.items() if outcome in FINAL_OUTCOMES)
         marker = ">" if index == record.wave_index else " "
         table.add_row(
             f"{marker}{index + 1}",
-            ProgressBar(total=len(wave), completed=ended, width=BAR_WIDTH),
-            f"{ended}/{len(wave)}",
+            ProgressBar(total=len(wave), completed=finished, width=BAR_WIDTH),
+            f"{finished}/{len(wave)}",
             Text(", ").join(
                 Text(f"{count} {outcome.value}", style=STYLES.get(outcome, ""))
                 for outcome, count in outcomes.most_common()
@@ -82,7 +82,7 @@
 def _reason(status: InstanceStatus) -> str:
     if status.outcome is not InstanceOutcome.UNKNOWN:
         return status.reason
-    last = "never"
+    last_response = "never"
     if status.last_response_unix_s:
-        last = time.strftime("%H:%M:%S", time.localtime(status.last_response_unix_s))
-    return f"{status.reason}; last heard {last}"
+        last_response = time.strftime("%H:%M:%S", time.localtime(status.last_response_unix_s))
+    return f"{status.reason}; last heard {last_response}"
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -1,4 +1,4 @@
-"""``oakbridge serve``: run a node that one TOML file configures."""
+"""``oakbridge serve``: runs a node that a TOML file configures."""
 
 from __future__ import annotations
 
@@ -48,67 +48,75 @@
 
 @dataclass(frozen=True, slots=True)
 class ServeOptions:
-    """The command's options: the file, and what overrides it, so that one file can serve many nodes."""
+    """The command's options: the file, and what overrides it, so that nodes can share a file."""
 
     path: Path
     name: str | None
     listen: tuple[str, ...]
     control: Path | None
     workers: int | None = None
-    worker: int = 0  # which of the workers this process is, from 1; 0: it is none
+    worker: int = 0  # number of this worker process, from 1; 0: not a worker process
     log_format: str = "text"
-    member: tuple[str, str] | None = None  # name and address in the cluster, in place of the file's
+    member: tuple[str, str] | None = None  # name and address in the cluster; override the file's
 
     def load(self) -> LoadedConfig:
-        """Return the configuration with the overrides; for a worker, with its share of the limits.
+        """Return the configuration with the overrides; a worker gets its share of the limits.
 
         Raises ConfigFileError or ConfigError.
         """
         loaded = load(self.path)
-        config, control = loaded.config, loaded.control_path
+        config, control_path = loaded.config, loaded.control_path
         if self.name is not None:
             config = replace(config, name=self.name)
-            control = (
-                default_socket_path(self.name) if loaded.file.control.socket is None else control
+            control_path = (
+                default_socket_path(self.name)
+                if loaded.file.control.socket is None
+                else control_path
             )
         if self.listen:
             first, *others = map(parse_address, self.listen)
             config = replace(config, listen=first, also_listen=tuple(others))
-        control = self.control or control
+        control_path = self.control or control_path
         workers = self.workers or loaded.file.node.workers
         if workers > 1 and loaded.file.sip is not None:
             raise ConfigError(
                 f"{self.path}: sip: expected one worker, as datagrams can't be handed on"
             )
         try:
-            parts = (
+            worker_configs = (
                 [worker_config(config, worker, workers) for worker in range(1, workers + 1)]
                 if workers > 1
                 else []
             )
-        except WorkerLimitsError as e:
-            raise ConfigError(f"{self.path}: {e}") from None
+        except WorkerLimitsError as error:
+            raise ConfigError(f"{self.path}: {error}") from None
         if self.worker:
-            config = parts[self.worker - 1]
-            control = worker_socket_path(control, self.worker) if control is not None else None
+            config = worker_configs[self.worker - 1]
+            control_path = (
+                worker_socket_path(control_path, self.worker) if control_path is not None else None
+            )
         member = self.member and (self.member[0], parse_address(self.member[1]))
-        return replace(loaded, config=config, control_path=control, member_override=member)
+        return replace(loaded, config=config, control_path=control_path, member_override=member)
 
     def worker_command(self, worker: int, workers: int, channel: int) -> list[str]:
-        """Return the command line that starts a worker's process; ``channel``: its descriptor there."""
-        words = [sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(self.path)]
-        words += ["--name", self.name] if self.name is not None else []
-        words += [word for address in self.listen for word in ("--listen", address)]
-        words += ["--control", str(self.control)] if self.control is not None else []
-        words += ["--log-format", self.log_format, "--workers", str(workers)]
-        return [*words, "--worker", str(worker), "--channel", str(channel)]
+        """Return the command line of a worker's process.
+
+        ``worker``: its number, from 1.  ``workers``: how many there are.  ``channel``: the worker's
+        file descriptor of its channel to the supervisor.
+        """
+        arguments = [sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(self.path)]
+        arguments += ["--name", self.name] if self.name is not None else []
+        arguments += [argument for address in self.listen for argument in ("--listen", address)]
+        arguments += ["--control", str(self.control)] if self.control is not None else []
+        arguments += ["--log-format", self.log_format, "--workers", str(workers)]
+        return [*arguments, "--worker", str(worker), "--channel", str(channel)]
 
 
-FIRST_READ_TIMEOUT_S = 10.0  # for the server file, at the start
+FIRST_READ_TIMEOUT_S = 10.0  # for reading the server file before the node starts
 
 
 def file_options(loaded: LoadedConfig) -> FileOptions | None:
-    """Return how to watch the configuration's server file or directory; None if it has neither."""
+    """Return the options for watching the server file or directory; None without either."""
     servers = loaded.file.servers
     path = servers.file or servers.directory
     if path is None:
@@ -126,16 +134,19 @@
 def build_node(
     loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, *, listens: bool = True
 ) -> Node:
-    """Return the configured node with its endpoint source; a worker's node does not listen itself."""
+    """Return the configured node with its endpoint source.
+
+    ``listens``: False for a worker, which gets its connections from the supervisor.
+    """
     options, entries = file_options(loaded), inline_endpoints(loaded.file)
 
-    def source(clock: Clock) -> EndpointSource:
+    def create_source(clock: Clock) -> EndpointSource:
         return FileSource(options, clock.now) if options is not None else InlineSource(entries)
 
     return Node(
         loaded.config,
         loop,
-        None if loaded.config.discovery else source,
+        None if loaded.config.discovery else create_source,
         listening=ListenOptions(enabled=listens),
     )
 
@@ -143,9 +154,9 @@
 async def build_ready_node(
     loaded: LoadedConfig, loop: asyncio.AbstractEventLoop, *, listens: bool = True
 ) -> Node:
-    """Return the node once its server file has been read.
+    """Build the node, wait until its server file, if any, has been read, and return the node.
 
-    Raises ConfigError if there is no list to start from.
+    Raises ConfigError if there is no valid endpoint list within FIRST_READ_TIMEOUT_S.
     """
     node = build_node(loaded, loop, listens=listens)
     if isinstance(node.source, FileSource):
@@ -153,10 +164,11 @@
         try:
             async with asyncio.timeout(FIRST_READ_TIMEOUT_S):
                 await node.source.ready()
-        except (TimeoutError, ConfigError) as e:
+        except (TimeoutError, ConfigError) as error:
             node.close()
             raise ConfigError(
-                str(e) or f"{node.source.options.path}: not read within {FIRST_READ_TIMEOUT_S:g} s"
+                str(error)
+                or f"{node.source.options.path}: not read within {FIRST_READ_TIMEOUT_S:g} s"
             ) from None
     # Objects made at the start live as long as the process: exclude them from later collections.
     gc.collect()
@@ -168,7 +180,10 @@
 async def node_services(
     loaded: LoadedConfig, node: Node, channel: socket.socket | None
 ) -> AsyncIterator[None]:
-    """Run the services that live as long as the node; ``channel``: a worker's to its supervisor."""
+    """Run the services that live as long as the node.
+
+    ``channel``: a worker's socket to its supervisor; None if the node is no worker.
+    """
     async with (
         _membership(loaded, node, is_member=channel is None) as membership,
         _sites(loaded, node, membership) as sites,
@@ -189,9 +204,9 @@
 async def _membership(
     loaded: LoadedConfig, node: Node | None, *, is_member: bool = True
 ) -> AsyncIterator[MembershipService | None]:
-    """Run the cluster membership, if the file configures one; of workers, only the supervisor is a member.
+    """Run the cluster membership, if the file configures one; not in a worker, only in its supervisor.
 
-    ``node``: the source of the load reports and the target of the failure reports; None: a supervisor's.
+    ``node``: where load reports come from and failure reports go to; None for a supervisor.
     """
     if loaded.file.peers is None or not is_member:
         yield None
@@ -207,8 +222,8 @@
         node_adapters = () if node is None else (load_source(node), failure_report_sink(node))
         membership = MembershipService(options, *node_adapters)
         await membership.start()
-    except (ConfigFileError, SnapshotError) as e:
-        raise ConfigError(str(e)) from None
+    except (ConfigFileError, SnapshotError) as error:
+        raise ConfigError(str(error)) from None
     path = seeds_file_options(loaded)
     seeds = SeedFile(path, membership) if path is not None else None
     try:
@@ -223,7 +238,7 @@
 async def _sites(
     loaded: LoadedConfig, node: Node, membership: MembershipService | None
 ) -> AsyncIterator[SitesRunner | None]:
-    """Run the recovery plans for lost sites, if the file configures sites."""
+    """Run the plans for lost sites, if the file configures sites and the node is a member."""
     if loaded.file.sites is None or membership is None:
         yield None
         return
@@ -231,11 +246,11 @@
     from oakbridge.sites.runner import SitesRunner
 
     try:
-        core = node_sites(loaded)
-    except ConfigFileError as e:
-        raise ConfigError(str(e)) from None
-    assert core is not None
-    async with SitesRunner(node, membership, core) as runner:
+        sites_state = node_sites(loaded)
+    except ConfigFileError as error:
+        raise ConfigError(str(error)) from None
+    assert sites_state is not None
+    async with SitesRunner(node, membership, sites_state) as runner:
         yield runner
 
 
@@ -243,7 +258,7 @@
 async def _subsets(
     loaded: LoadedConfig, node: Node, membership: MembershipService | None
 ) -> AsyncIterator[SubsetRunner | None]:
-    """Divide the servers among the nodes of a tier, if the file configures it."""
+    """Divide the servers among a tier's nodes, if the file says so and the node is a member."""
     if loaded.file.spread is None or membership is None:
         yield None
         return
@@ -255,7 +270,7 @@
 
 @asynccontextmanager
 async def _sip_front(loaded: LoadedConfig, node: Node) -> AsyncIterator[None]:
-    """Run the SIP front, if the file configures one; unused parts are not imported."""
+    """Run the SIP front, if the file configures one; its modules are imported only then."""
     if loaded.file.sip is None:
         yield
         return
@@ -267,7 +282,7 @@
 
 
 async def supervise(options: ServeOptions, loaded: LoadedConfig, workers: int) -> int:
-    """Run this number of workers; return the exit code."""
+    """Run a supervisor with this number of workers; return its exit code."""
     from oakbridge.workers.supervisor import WorkerSupervisor
 
     config = loaded.config
@@ -276,7 +291,7 @@
         config.name,
         addresses,
         workers,
-        lambda w, channel: options.worker_command(w, workers, channel),
+        lambda worker, channel: options.worker_command(worker, workers, channel),
         loaded.control_path,
     )
     async with _membership(loaded, None) as membership:
@@ -301,10 +316,10 @@
 
 
 def reload(options: ServeOptions, node: Node) -> None:
-    """Read the file anew, and check the server file.
+    """Reload the configuration, and poll the server file.
 
-    Raises ConfigFileError or ConfigError with all mistakes, and changes nothing then;
-    ConfigUnreadableError if the file may be readable in a moment.
+    Raises ConfigFileError or ConfigError, with all mistakes, and keeps the old configuration;
+    ConfigUnreadableError if a transient error kept the file from being read.
     """
     try:
         loaded = options.load()
@@ -371,9 +386,10 @@
     options = ServeOptions(path, name, listen, socket_path, workers, worker, log_format, member)
     try:
         loaded = options.load()
-    except (ConfigFileError, ConfigError) as e:
-        raise InvalidInputError(str(e)) from None
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it: it ends no node
+    except (ConfigFileError, ConfigError) as error:
+        raise InvalidInputError(str(error)) from None
+    # Until the event loop handles SIGHUP, the signal must not kill the process.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     level = getattr(logging, loaded.file.log.level.upper())
     if log_format == JSON:
         configure_log_format(log_format, level, node=loaded.config.name)
@@ -384,15 +400,15 @@
     try:
         if worker_count > 1 and not worker:
             raise click.exceptions.Exit(run_in_new_loop(supervise(options, loaded, worker_count)))
-        to_supervisor = None if channel is None else socket.socket(fileno=channel)
+        supervisor_channel = None if channel is None else socket.socket(fileno=channel)
         run_in_new_loop(
             serve(
-                lambda loop: build_ready_node(loaded, loop, listens=to_supervisor is None),
+                lambda loop: build_ready_node(loaded, loop, listens=supervisor_channel is None),
                 lambda node: reload(options, node),
-                lambda node: node_services(loaded, node, to_supervisor),
+                lambda node: node_services(loaded, node, supervisor_channel),
             )
         )
-    except ConfigError as e:
-        raise InvalidInputError(str(e)) from None
-    except OSError as e:
-        raise CommandFailedError(f"can't start: {e}") from None
+    except ConfigError as error:
+        raise InvalidInputError(str(error)) from None
+    except OSError as error:
+        raise CommandFailedError(f"can't start: {error}") from None
--- a/oakbridge/cli/servers.py
+++ b/oakbridge/cli/servers.py
@@ -127,7 +127,7 @@
 
 
 def _load_base(against: Path | None, saved: Path | None) -> ListVersion | None:
-    """Return the list to compare with, from another server file or a node's saved copy; None: neither.
+    """Return the list of another server file or of a node's saved copy; None without either.
 
     Raises InvalidInputError if it can't be read.
     """
