--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as it is called: nodes, files, status, and how each command ends."""
+"""The command line as a process: output and exit codes, without and with a running node."""
 
 import json
 import os
@@ -17,65 +17,73 @@
 from oakbridge.control.protocol import ControlCommand
 
 ROOT = Path(__file__).parents[2]
-CLASSES = '[[class]]\nname = "look"\naim = "1s"\ndeadline = "2s"\nrepeat = "safe"\n'
-SERVERS = '[[server]]\nname = "{}"\naddress = "127.0.0.1:{}"\n'
+CLASS_TABLE = '[[class]]\nname = "look"\naim = "1s"\ndeadline = "2s"\nrepeat = "safe"\n'
+SERVER_TABLE = '[[server]]\nname = "{}"\naddress = "127.0.0.1:{}"\n'
 
 
-def environment(**more: str) -> dict[str, str]:
+def environment(**variables: str) -> dict[str, str]:
     return (
-        {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
+        {name: value for name, value in os.environ.items() if not name.startswith("NODE_")}
         | {"PYTHONPATH": str(ROOT)}
-        | more
+        | variables
     )
 
 
-def call(*words: str, cwd: Path = ROOT, **more: str) -> subprocess.CompletedProcess:
-    command = [sys.executable, "-m", "oakbridge.cli", *map(str, words)]
+def run_cli(*arguments: str, cwd: Path = ROOT, **variables: str) -> subprocess.CompletedProcess:
+    command = [sys.executable, "-m", "oakbridge.cli", *map(str, arguments)]
     return subprocess.run(
-        command, cwd=cwd, env=environment(**more), capture_output=True, text=True, timeout=2 * TIMEOUT_S
-    )  # fmt: skip
+        command,
+        cwd=cwd,
+        env=environment(**variables),
+        capture_output=True,
+        text=True,
+        timeout=2 * TIMEOUT_S,
+    )
 
 
-def written(folder: Path, servers: str = 'file = "servers.toml"', more: str = "") -> Path:
+def write_config(
+    folder: Path, servers: str = 'file = "servers.toml"', more_tables: str = ""
+) -> Path:
     path = folder / "oakbridge.toml"
     path.write_text(
         f'[node]\nname = "t"\nlisten = ["127.0.0.1:{free_ports(1)[0]}", "127.0.0.1:{free_ports(1)[0]}"]\n\n'
         f"[servers]\n{servers}\n\n"
-        f'{CLASSES}\n[control]\nsocket = "{folder}/t.sock"\n{more}'
+        f'{CLASS_TABLE}\n[control]\nsocket = "{folder}/t.sock"\n{more_tables}'
     )
     return path
 
 
-class Serving:
-    """`oakbridge serve` as a process of its own."""
+class ServeProcess:
+    """`oakbridge serve` with this configuration, as a process."""
 
     def __init__(self, config: Path) -> None:
         self.config, self.log = config, config.with_suffix(".log")
 
-    def __enter__(self) -> "Serving":
+    def __enter__(self) -> "ServeProcess":
         with self.log.open("wb") as out:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "oakbridge.cli", "serve", "--config", str(self.config)],
                 env=environment(), stdout=out, stderr=out,
             )  # fmt: skip
-        self.until(lambda: self.ask("status"))
+        self.wait_until(lambda: self.request("status"))
         return self
 
-    def ask(self, do: str, **arguments):
+    def request(self, command_name: str, **arguments):
+        """Return the result of a control command, None while the node is unreachable."""
         try:
             with ControlClient(self.config.parent / "t.sock") as client:
-                return client.request(ControlCommand(do), **arguments)
+                return client.request(ControlCommand(command_name), **arguments)
         except NodeUnreachableError:
             return None
 
-    def until(self, what):
-        """Until something is so; the node may not end meanwhile."""
-        end = time.monotonic() + TIMEOUT_S
-        while not (got := what()):
+    def wait_until(self, condition):
+        """Wait until the condition is true, and return its value; fail if the node exits."""
+        deadline_s = time.monotonic() + TIMEOUT_S
+        while not (value := condition()):
             assert self.process.poll() is None, self.log.read_text()
-            assert time.monotonic() < end, self.log.read_text()
+            assert time.monotonic() < deadline_s, self.log.read_text()
             time.sleep(0.02)
-        return got
+        return value
 
     def __exit__(self, *_) -> None:
         if self.process.poll() is None:
@@ -83,54 +91,55 @@
         self.process.wait()
 
 
-def source(node: Serving) -> dict:
-    return node.ask("status")["source"]
+def source(node: ServeProcess) -> dict:
+    return node.request("status")["source"]
 
 
-def test_a_node_from_a_file_to_its_end(tmp_path):
+def test_a_node_with_a_server_file_from_its_start_to_its_exit(tmp_path):
     servers = tmp_path / "servers.toml"
-    servers.write_text(SERVERS.format("a", 1) + SERVERS.format("b", 2))
-    config = written(tmp_path)
-    with Serving(config) as node:
-        told = json.loads(call("status", "--socket", tmp_path / "t.sock", "--json").stdout)
-        assert (told["name"], told["servers"], told["pid"], len(told["listen"])) == (
+    servers.write_text(SERVER_TABLE.format("a", 1) + SERVER_TABLE.format("b", 2))
+    config = write_config(tmp_path)
+    with ServeProcess(config) as node:
+        status = json.loads(run_cli("status", "--socket", tmp_path / "t.sock", "--json").stdout)
+        assert (status["name"], status["servers"], status["pid"], len(status["listen"])) == (
             "t",
             2,
             node.process.pid,
             2,
         )
-        for address in told["listen"]:
+        for address in status["listen"]:
             host, port = address.split(":")
-            with socket.create_connection((host, int(port))) as caller:
-                caller.sendall(b"GET /-/ready HTTP/1.1\r\nHost: t\r\n\r\n")
-                assert caller.recv(100).startswith(b"HTTP/1.1 200")
-        shown = call("status", "--config", config)
-        assert shown.returncode == 0
-        assert "version 1 (2 servers" in shown.stdout
+            with socket.create_connection((host, int(port))) as connection:
+                connection.sendall(b"GET /-/ready HTTP/1.1\r\nHost: t\r\n\r\n")
+                assert connection.recv(100).startswith(b"HTTP/1.1 200")
+        status_result = run_cli("status", "--config", config)
+        assert status_result.returncode == 0
+        assert "version 1 (2 servers" in status_result.stdout
 
         servers.write_text("broken")
-        node.until(lambda: source(node)["refused"])
+        node.wait_until(lambda: source(node)["refused"])
         assert (
-            "NOT USED: servers.toml:1: expected TOML" in call("status", "--config", config).stdout
+            "NOT USED: servers.toml:1: expected TOML"
+            in run_cli("status", "--config", config).stdout
         )
-        servers.write_text(SERVERS.format("c", 3))
-        held = node.until(lambda: source(node)["held"])
-        refused = call("servers", "accept", "--config", config, "--digest", "00")
-        assert refused.returncode == 1
-        assert f"is {held['digest'][:12]}, not 00" in refused.stderr
+        servers.write_text(SERVER_TABLE.format("c", 3))
+        held = node.wait_until(lambda: source(node)["held"])
+        rejection = run_cli("servers", "accept", "--config", config, "--digest", "00")
+        assert rejection.returncode == 1
+        assert f"is {held['digest'][:12]}, not 00" in rejection.stderr
         assert (
-            call("servers", "accept", "--config", config, "--digest", held["digest"]).returncode
+            run_cli("servers", "accept", "--config", config, "--digest", held["digest"]).returncode
             == 0
         )
-        node.until(lambda: source(node)["used"]["number"] == 2)
-        assert [row["name"] for row in node.ask("status")["rows"]] == ["c"]
+        node.wait_until(lambda: source(node)["used"]["number"] == 2)
+        assert [row["name"] for row in node.request("status")["rows"]] == ["c"]
 
         config.write_text(config.read_text().replace("1s", "soon"))
         node.process.send_signal(signal.SIGHUP)
-        node.until(
+        node.wait_until(
             lambda: "oakbridge.toml:10: class[0].aim: expected a time" in node.log.read_text()
         )
-        assert node.ask("status")["servers"] == 1
+        assert node.request("status")["servers"] == 1
 
         node.process.terminate()
         assert node.process.wait(TIMEOUT_S) == 0
@@ -139,83 +148,91 @@
 
 
 def test_a_node_with_servers_in_its_configuration(tmp_path):
-    config = written(tmp_path, 'inline = [{name = "a", address = "127.0.0.1:1"}]')
-    with Serving(config) as node:
-        told = node.ask("status")
-        assert (told["source"]["kind"], told["servers"]) == ("inline", 1)
-        assert call("servers", "accept", "--config", config).returncode == 1
+    config = write_config(tmp_path, 'inline = [{name = "a", address = "127.0.0.1:1"}]')
+    with ServeProcess(config) as node:
+        status = node.request("status")
+        assert (status["source"]["kind"], status["servers"]) == ("inline", 1)
+        assert run_cli("servers", "accept", "--config", config).returncode == 1
 
 
 @pytest.mark.parametrize(
-    ("content", "says"),
+    ("content", "expected"),
     [
         (None, "No such file"),
         ("", "empty file"),
         ('[[server]]\nname = "a"\n', "servers.toml:1: server[0].address"),
     ],
 )
-def test_a_bad_server_file_at_the_start_is_one_line(tmp_path, content, says):
+def test_an_invalid_server_file_at_the_start_prints_one_error_line(tmp_path, content, expected):
     if content is not None:
         (tmp_path / "servers.toml").write_text(content)
-    done = call("serve", "--config", written(tmp_path))
-    assert done.returncode == 2
-    lines = [line for line in done.stderr.splitlines() if line.startswith("oakbridge: ")]
+    result = run_cli("serve", "--config", write_config(tmp_path))
+    assert result.returncode == 2
+    lines = [line for line in result.stderr.splitlines() if line.startswith("oakbridge: ")]
     assert len(lines) == 1
-    assert says in lines[0]
-    assert "Traceback" not in done.stderr
+    assert expected in lines[0]
+    assert "Traceback" not in result.stderr
 
 
-def test_a_port_in_use_is_one_line(tmp_path):
-    config = written(tmp_path, 'inline = [{name = "a", address = "127.0.0.1:1"}]')
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        address = f"127.0.0.1:{taken.getsockname()[1]}"
+def test_a_port_in_use_prints_one_error_line(tmp_path):
+    config = write_config(tmp_path, 'inline = [{name = "a", address = "127.0.0.1:1"}]')
+    with socket.create_server(("127.0.0.1", 0)) as busy_socket:
+        address = f"127.0.0.1:{busy_socket.getsockname()[1]}"
         config.write_text(config.read_text().replace("listen = [", f'listen = ["{address}", '))
-        done = call("serve", "--config", config)
-    assert done.returncode == 1
-    assert address in done.stderr
-    assert len(done.stderr.splitlines()) == 1
+        result = run_cli("serve", "--config", config)
+    assert result.returncode == 1
+    assert address in result.stderr
+    assert len(result.stderr.splitlines()) == 1
 
 
-def test_check_tells_every_mistake_of_the_configuration_and_of_its_servers(tmp_path):
-    config = written(tmp_path)
+def test_check_reports_every_mistake_of_the_configuration_and_of_its_servers(tmp_path):
+    config = write_config(tmp_path)
     (tmp_path / "servers.toml").write_text(
         '[[server]]\nname = "a"\naddress = "127.0.0.1:1"\nweight = -1\n'
     )
-    done = call("check", config)
-    assert done.returncode == 2
-    assert "servers.toml:4: server[0].weight: expected a number above 0" in done.stderr
+    result = run_cli("check", config)
+    assert result.returncode == 2
+    assert "servers.toml:4: server[0].weight: expected a number above 0" in result.stderr
     config.write_text(config.read_text().replace('"1s"', '"x"').replace('"safe"', '"y"'))
-    done = call("check", config, "--json")
-    assert done.returncode == 2
-    told = json.loads(done.stdout)
-    assert [p["line"] for p in told["problems"]] == [10, 12]
-    assert told["ok"] is False
-    (tmp_path / "servers.toml").write_text(SERVERS.format("a", 1))
-    done = call("check", written(tmp_path))
-    assert (done.returncode, "1 servers" in done.stdout) == (0, True)
-
-
-def test_servers_show_tells_what_a_file_would_change(tmp_path):
-    old, new = tmp_path / "old.toml", tmp_path / "new.toml"
-    old.write_text(SERVERS.format("a", 1) + SERVERS.format("b", 2) + SERVERS.format("c", 3))
-    new.write_text(SERVERS.format("a", 1) + SERVERS.format("b", 9) + SERVERS.format("d", 4))
-    told = json.loads(call("servers", "show", new, "--against", old, "--json").stdout)
-    assert (told["added"], told["moved"], told["gone"], told["taken_away"]) == (
+    result = run_cli("check", config, "--json")
+    assert result.returncode == 2
+    report = json.loads(result.stdout)
+    assert [problem["line"] for problem in report["problems"]] == [10, 12]
+    assert report["ok"] is False
+    (tmp_path / "servers.toml").write_text(SERVER_TABLE.format("a", 1))
+    result = run_cli("check", write_config(tmp_path))
+    assert (result.returncode, "1 servers" in result.stdout) == (0, True)
+
+
+def test_servers_show_prints_what_a_file_would_change(tmp_path):
+    old_file, new_file = tmp_path / "old.toml", tmp_path / "new.toml"
+    old_file.write_text(
+        SERVER_TABLE.format("a", 1) + SERVER_TABLE.format("b", 2) + SERVER_TABLE.format("c", 3)
+    )
+    new_file.write_text(
+        SERVER_TABLE.format("a", 1) + SERVER_TABLE.format("b", 9) + SERVER_TABLE.format("d", 4)
+    )
+    change = json.loads(
+        run_cli("servers", "show", new_file, "--against", old_file, "--json").stdout
+    )
+    assert (change["added"], change["moved"], change["gone"], change["taken_away"]) == (
         ["d"],
         ["b"],
         ["c"],
         2,
     )
-    shown = call("servers", "show", new, "--against", old).stdout
-    assert "1 added, 0 changed, 1 moved, 1 gone; 2 of 3 ready servers (67%)" in shown
-    assert call("servers", "check", new).stdout.endswith("good (3 servers, 3 of them ready)\n")
-    new.write_text("x")
-    assert call("servers", "check", new).returncode == 2
-    assert json.loads(call("servers", "check", new, "--json").stdout)["ok"] is False
+    output = run_cli("servers", "show", new_file, "--against", old_file).stdout
+    assert "1 added, 0 changed, 1 moved, 1 gone; 2 of 3 ready servers (67%)" in output
+    assert run_cli("servers", "check", new_file).stdout.endswith(
+        "good (3 servers, 3 of them ready)\n"
+    )
+    new_file.write_text("x")
+    assert run_cli("servers", "check", new_file).returncode == 2
+    assert json.loads(run_cli("servers", "check", new_file, "--json").stdout)["ok"] is False
 
 
 @pytest.mark.parametrize(
-    ("words", "code", "says"),
+    ("arguments", "exit_code", "expected"),
     [
         (["unheard-of"], 2, "No such command"),
         (["serve"], 2, "expected --config FILE"),
@@ -226,45 +243,45 @@
         (["demo", "--rate", "0"], 2, "--rate"),
     ],
 )
-def test_a_mistake_in_the_call_is_told_without_a_traceback(words, code, says):
-    done = call(*words)
-    assert done.returncode == code
-    assert says in done.stderr
-    assert "Traceback" not in done.stderr
+def test_invalid_usage_prints_an_error_without_a_traceback(arguments, exit_code, expected):
+    result = run_cli(*arguments)
+    assert result.returncode == exit_code
+    assert expected in result.stderr
+    assert "Traceback" not in result.stderr
 
 
-def test_status_without_a_name_finds_the_only_node(tmp_path):
-    done = call("status", XDG_RUNTIME_DIR=str(tmp_path))
-    assert done.returncode == 1
-    assert "is a node running?" in done.stderr
+def test_status_without_options_fails_if_no_node_runs(tmp_path):
+    result = run_cli("status", XDG_RUNTIME_DIR=str(tmp_path))
+    assert result.returncode == 1
+    assert "is a node running?" in result.stderr
 
 
-def test_the_demo_runs_to_its_end():
-    done = call("demo", "--seconds", "3", "--rate", "120", "--json")
-    assert done.returncode == 0, done.stderr
-    told = json.loads(done.stdout)
-    assert told["lost"] == 0
-    assert sum(told["answered"].values()) == told["sent"] > 200
-    assert told["by_server"]["late"] > 0
-    assert told["list_version"] == 2
+def test_the_demo_answers_every_request():
+    result = run_cli("demo", "--seconds", "3", "--rate", "120", "--json")
+    assert result.returncode == 0, result.stderr
+    report = json.loads(result.stdout)
+    assert report["lost"] == 0
+    assert sum(report["answered"].values()) == report["sent"] > 200
+    assert report["by_server"]["late"] > 0
+    assert report["list_version"] == 2
 
 
-def test_the_platforms_node_imports_none_of_what_it_does_not_use():
-    """Guards start-up and memory: the command line's libraries, and every subsystem that is off there."""
+def test_the_platforms_node_imports_no_unused_library_or_subsystem():
+    """Guards start-up time and memory, which unused libraries and subsystems would cost."""
     code = "import sys, oakbridge.__main__; print(*sys.modules)"
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S
     )
-    loaded = set(done.stdout.split())
-    assert "oakbridge.node.node" in loaded
+    modules = set(result.stdout.split())
+    assert "oakbridge.node.node" in modules
     for name in ("click", "rich", "pydantic", "watchfiles", "tree_sitter", "sqlite3", "tomllib"):
-        assert name not in loaded
-    ours = {name.split(".")[1] for name in loaded if name.startswith("oakbridge.")}
-    assert ours == {"node", "policy", "__main__"}
+        assert name not in modules
+    subsystems = {name.split(".")[1] for name in modules if name.startswith("oakbridge.")}
+    assert subsystems == {"node", "policy", "__main__"}
 
 
-def test_without_platform_and_arguments_the_program_says_what_there_is():
-    done = subprocess.run(
+def test_without_configuration_and_arguments_the_program_prints_how_to_start():
+    result = subprocess.run(
         [sys.executable, "-m", "oakbridge"],
         cwd=ROOT,
         env=environment(),
@@ -272,7 +289,7 @@
         text=True,
         timeout=TIMEOUT_S,
     )
-    assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1
-    assert "NODE_CONFIG" in done.stderr
-    assert "oakbridge demo" in done.stderr
+    assert result.returncode == 2
+    assert len(result.stderr.splitlines()) == 1
+    assert "NODE_CONFIG" in result.stderr
+    assert "oakbridge demo" in result.stderr
--- a/tests/cli/test_servers.py
+++ b/tests/cli/test_servers.py
@@ -1,4 +1,4 @@
-"""``oakbridge servers`` on files: what it prints, its JSON, and how it ends on bad input."""
+"""``oakbridge servers`` on files: its output, its JSON, and its exit code for invalid input."""
 
 import json
 from pathlib import Path
@@ -16,19 +16,21 @@
     return CliRunner().invoke(command, [str(argument) for argument in arguments])
 
 
-def server(name: str, port: int, **fields: object) -> dict[str, object]:
-    """Return a server's row in discovery's form."""
+def server_entry(name: str, port: int, **fields: object) -> dict[str, object]:
+    """Return a server's entry in the format of discovery's endpoint list."""
     return {"name": name, "address": f"127.0.0.1:{port}"} | fields
 
 
-def server_file(path: Path, *rows: dict[str, object]) -> Path:
-    """Write a server file in discovery's form."""
-    path.write_text(json.dumps({"endpoints": rows}))
+def write_server_file(path: Path, *servers: dict[str, object]) -> Path:
+    """Write a server file in the format of discovery's endpoint list; return its path."""
+    path.write_text(json.dumps({"endpoints": servers}))
     return path
 
 
-def test_check_prints_each_problem_with_its_place_and_ends_with_2(tmp_path):
-    path = server_file(tmp_path / "s.json", server("a", 1, weight=-1), server("a", 2))
+def test_check_prints_each_problem_with_its_place_and_exits_with_2(tmp_path):
+    path = write_server_file(
+        tmp_path / "s.json", server_entry("a", 1, weight=-1), server_entry("a", 2)
+    )
     result = invoke("check", path)
     assert result.exit_code == 2
     assert "s.json:1: endpoints[0].weight: expected a number above 0" in result.output
@@ -36,7 +38,7 @@
 
 
 def test_check_as_json_has_file_path_line_field_and_expectation(tmp_path):
-    path = server_file(tmp_path / "s.json", server("a", 1, weight=-1))
+    path = write_server_file(tmp_path / "s.json", server_entry("a", 1, weight=-1))
     result = invoke("check", path, "--json")
     assert result.exit_code == 2
     assert json.loads(result.output) == {
@@ -54,20 +56,24 @@
     }
 
 
-def test_check_of_a_missing_file_names_it_and_ends_with_2(tmp_path):
+def test_check_of_a_missing_file_names_it_and_exits_with_2(tmp_path):
     result = invoke("check", tmp_path / "nothing.toml")
     assert result.exit_code == 2
     assert "nothing.toml: No such file or directory" in result.output
 
 
 def test_show_as_json_has_all_fields_of_servers_and_changes(tmp_path):
-    old = server_file(tmp_path / "old.json", server("a", 1), server("b", 2), server("c", 3))
-    new = server_file(tmp_path / "new.json", server("a", 1, weight=2.5), server("b", 9, zone="z"))
-    result = invoke("show", new, "--against", old, "--json")
+    old_path = write_server_file(
+        tmp_path / "old.json", server_entry("a", 1), server_entry("b", 2), server_entry("c", 3)
+    )
+    new_path = write_server_file(
+        tmp_path / "new.json", server_entry("a", 1, weight=2.5), server_entry("b", 9, zone="z")
+    )
+    result = invoke("show", new_path, "--against", old_path, "--json")
     assert result.exit_code == 0
-    shown = json.loads(result.output)
-    assert shown.pop("digest")
-    assert shown == {
+    output = json.loads(result.output)
+    assert output.pop("digest")
+    assert output == {
         "servers": [
             {
                 "name": "a",
@@ -85,7 +91,7 @@
                 "weight": 1.0,
                 "zone": "z",
                 "group": 0,
-                "since": shown["servers"][1]["since"],
+                "since": output["servers"][1]["since"],
             },
         ],
         "added": [],
@@ -95,11 +101,11 @@
         "taken_away": 2,
         "of_ready": 3,
     }
-    assert shown["servers"][1]["since"] > 0
+    assert output["servers"][1]["since"] > 0
 
 
 def test_show_compares_with_a_saved_copy(tmp_path):
-    path = server_file(tmp_path / "s.json", server("s1", 1))
+    path = write_server_file(tmp_path / "s.json", server_entry("s1", 1))
     result = invoke("show", path, "--saved", SAVED_COPY)
     assert result.exit_code == 0
     assert "0 added, 0 changed, 1 moved, 2 gone; 2 of 2 ready servers (100%)" in result.output
@@ -114,9 +120,9 @@
         (["--against", "nothing"], "nothing: No such file or directory"),
     ],
 )
-def test_show_reports_bad_input_and_ends_with_2(tmp_path, monkeypatch, options, expected):
+def test_show_reports_invalid_input_and_exits_with_2(tmp_path, monkeypatch, options, expected):
     monkeypatch.chdir(tmp_path)
-    path = server_file(tmp_path / "s.json", server("a", 1))
+    path = write_server_file(tmp_path / "s.json", server_entry("a", 1))
     result = invoke("show", path, *options)
     assert result.exit_code == 2
     assert expected in result.output
