--- a/oakbridge/cli/fleet_view.py
+++ b/oakbridge/cli/fleet_view.py
@@ -17,8 +17,8 @@
 
 Row = dict[str, Any]  # in the form that ``--json`` prints
 
-MAX_NAME_WIDTH = 28  # characters
-MAX_EXIT_WIDTH = 26  # characters, for the crashes and the last exit
+MAX_NAME_WIDTH = 28  # longest name that a column shows, in characters
+MAX_EXIT_WIDTH = 26  # longest text on crashes and the last exit, in characters
 MAX_GENERATIONS = 4  # newest generations that the total line counts
 
 
--- a/oakbridge/cli/rollout/commands.py
+++ b/oakbridge/cli/rollout/commands.py
@@ -1,4 +1,4 @@
-"""``oakbridge fleet plan | apply | drain | undrain | rollback | resume``."""
+"""``oakbridge fleet plan | apply | drain | undrain | rollback | resume``: roll changes out."""
 
 from __future__ import annotations
 
--- a/oakbridge/cli/rollout/doctor_command.py
+++ b/oakbridge/cli/rollout/doctor_command.py
@@ -1,4 +1,4 @@
-"""``oakbridge fleet doctor``."""
+"""``oakbridge fleet doctor``: reports problems of a fleet and what to do about each."""
 
 from __future__ import annotations
 
--- a/oakbridge/cli/rollout/journal_commands.py
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -1,4 +1,4 @@
-"""``oakbridge fleet history | rebuild``."""
+"""``oakbridge fleet history | rebuild``: show the journal, recover it from the agents."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from oakbridge.rollout.journal import Journal, JournalEntry
 from oakbridge.rollout.rebuild import RebuiltRollout, rebuild
 
-ALL_ENTRIES = 1_000_000  # used as a limit: more than any journal has
+ALL_ENTRIES = 1_000_000  # more than any journal has; used where a limit is required
 
 
 @command.command("history")
--- a/oakbridge/cli/rollout/session.py
+++ b/oakbridge/cli/rollout/session.py
@@ -35,8 +35,8 @@
 EXIT_PARTIAL = 3  # done, except for instances whose state is unknown
 EXIT_HALTED = 4  # halted or rolled back
 REFRESH_INTERVAL_S = 0.25  # shortest time between two updates of the live view
-JOURNAL_RETRY_DELAY_S = 0.25  # before a new rollout that could not be written is written again
-CALL_TIMEOUT_S = 5.0  # of one call to an agent
+JOURNAL_RETRY_DELAY_S = 0.25  # between attempts to write a new rollout
+CALL_TIMEOUT_S = 5.0  # how long an agent may take to respond to one call
 
 Result = TypeVar("Result")
 
--- a/oakbridge/cli/rollout/view.py
+++ b/oakbridge/cli/rollout/view.py
@@ -21,9 +21,9 @@
     InstanceOutcome.ROLLED_BACK: "red",
 }
 ORDINARY_OUTCOMES = frozenset({InstanceOutcome.APPLIED, InstanceOutcome.NOT_REACHED})
-MAX_INSTANCES_LISTED = 12  # larger rollouts have rows only for instances that need attention
-BAR_WIDTH = 16  # characters
-NAME_WIDTH = 28  # characters
+MAX_INSTANCES_LISTED = 12  # in larger rollouts, only instances that need attention have rows
+BAR_WIDTH = 16  # a wave's progress bar, in characters
+NAME_WIDTH = 28  # longest instance name that the table shows, in characters
 
 
 def render(coordinator: Coordinator) -> Group:
--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServeOptions:
-    """The command's options: the file, and what overrides it, so that nodes can share a file."""
+    """The command's options: the file, and overrides of its values for nodes that share a file."""
 
     path: Path
     name: str | None
@@ -204,7 +204,7 @@
 async def _membership(
     loaded: LoadedConfig, node: Node | None, *, is_member: bool = True
 ) -> AsyncIterator[MembershipService | None]:
-    """Run the cluster membership, if the file configures one; not in a worker, only in its supervisor.
+    """Run the cluster membership, if the file configures one; for workers, only in the supervisor.
 
     ``node``: where load reports come from and failure reports go to; None for a supervisor.
     """
--- a/oakbridge/cli/sites.py
+++ b/oakbridge/cli/sites.py
@@ -37,7 +37,7 @@
 }
 PATH_TYPE = click.Path(path_type=Path)
 MIN_SHOWN_FRACTION = 0.0005  # smaller rejected fractions of a class are not printed
-MAX_OTHER_PLANS = 5  # nodes with another plan that the summary shows
+MAX_OTHER_PLANS = 5  # most nodes with another plan that the summary shows
 
 
 @click.group("sites", invoke_without_command=True)
--- a/oakbridge/cli/spread.py
+++ b/oakbridge/cli/spread.py
@@ -19,10 +19,10 @@
 if TYPE_CHECKING:
     from oakbridge.spread.subset_forecast import Forecast
 
-MAX_TIER_SIZE = 20_000  # nodes, or servers, in a forecast
-MAX_PAIRS = 1000 * MAX_TIER_SIZE  # pairs of a node and a server in a forecast
-MAX_EVEN_LOAD = 1.25  # times the fair share; higher loads, and loads below the inverse, are marked
-MAX_ROWS = 40  # servers that the table shows
+MAX_TIER_SIZE = 20_000  # most nodes, and most servers, of a forecast
+MAX_PAIRS = 1000 * MAX_TIER_SIZE  # most pairs of a node and a server of a forecast
+MAX_EVEN_LOAD = 1.25  # a load over fair share above this, or below its inverse, is marked
+MAX_ROWS = 40  # most servers that the table shows
 SIZE_RANGE = click.IntRange(1, MAX_TIER_SIZE)
 
 
