--- a/oakbridge/cli/serve.py
+++ b/oakbridge/cli/serve.py
@@ -224,8 +224,8 @@
         await membership.start()
     except (ConfigFileError, SnapshotError) as error:
         raise ConfigError(str(error)) from None
-    path = seeds_file_options(loaded)
-    seeds = SeedFile(path, membership) if path is not None else None
+    seeds_options = seeds_file_options(loaded)
+    seeds = SeedFile(seeds_options, membership) if seeds_options is not None else None
     try:
         yield membership
     finally:
