--- a/oakbridge/cli/demo.py
+++ b/oakbridge/cli/demo.py
@@ -1,4 +1,4 @@
-"""``oakbridge demo``: the whole of it at work, on real sockets, with one command."""
+"""``oakbridge demo``: runs servers, a node and a load on real sockets, and shows live figures."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from oakbridge.cli.common import CommandFailedError, say_json
+from oakbridge.cli.common import CommandFailedError, print_json
 from oakbridge.cli.status import STATE_STYLE
 from oakbridge.demo.runner import DemoError, Scene, run_demo
 
@@ -36,14 +36,16 @@
         else:
             with Live(console=console, refresh_per_second=4) as live:
                 scene = asyncio.run(
-                    run_demo(rate, seconds, seed, lambda s: live.update(picture(s)))
+                    run_demo(
+                        rate, seconds, seed, lambda current: live.update(render_scene(current))
+                    )
                 )
-    except DemoError as e:
-        raise CommandFailedError(str(e)) from None
+    except DemoError as error:
+        raise CommandFailedError(str(error)) from None
     if as_json:
-        say_json(result(scene))
+        print_json(scene_json(scene))
     elif not console.is_terminal:
-        console.print(picture(scene))
+        console.print(render_scene(scene))
     tally = scene.tally
     if tally.lost or tally.done != tally.sent:
         raise CommandFailedError(
@@ -53,23 +55,26 @@
         console.print(f"Every one of {tally.sent} requests had exactly one answer.")
 
 
-def result(scene: Scene) -> dict[str, Any]:
-    """The figures, for programs."""
+def scene_json(scene: Scene) -> dict[str, Any]:
+    """Return the figures for ``--json``."""
     tally = scene.tally
     return {
         "sent": tally.sent,
-        "answered": {str(k): v for k, v in sorted(tally.answered.items())},
+        "answered": {str(status): count for status, count in sorted(tally.answered.items())},
         "lost": tally.lost,
         "in_aim": tally.within_objective,
         "by_server": dict(sorted(tally.by_server.items())),
-        "latency_ms": {f"p{p}": round(1000 * tally.percentile(p / 100), 1) for p in (50, 90, 99)},
+        "latency_ms": {
+            f"p{percent}": round(1000 * tally.percentile(percent / 100), 1)
+            for percent in (50, 90, 99)
+        },
         "list_version": scene.status.get("list_version"),
     }
 
 
-def picture(scene: Scene) -> Group:
-    """The scene as a table."""
-    tally, rows = scene.tally, {r["name"]: r for r in scene.status.get("rows", [])}
+def render_scene(scene: Scene) -> Group:
+    """Return the progress, a row for each server, and the figures."""
+    tally, rows = scene.tally, {listed["name"]: listed for listed in scene.status.get("rows", [])}
     table = Table(box=box.SIMPLE_HEAD)
     for column in ("server", "what it does", "state", "out", "answers", "share"):
         table.add_column(
--- a/oakbridge/cli/rollout/commands.py
+++ b/oakbridge/cli/rollout/commands.py
@@ -1,4 +1,4 @@
-"""``oakbridge fleet plan | apply | drain | undrain | rollback | resume``."""
+"""``oakbridge fleet plan | apply | drain | undrain | rollback | resume``: roll changes out."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import click
 
-from oakbridge.cli.common import InvalidInputError, say_json
-from oakbridge.cli.fleet import command, folder_option, operator_of, operator_option
+from oakbridge.cli.common import InvalidInputError, print_json
+from oakbridge.cli.fleet import command, folder_option, operator_client, operator_option
 from oakbridge.cli.rollout.change_options import read_change
 from oakbridge.cli.rollout.options import WaveArguments, timing_options, wave_options
 from oakbridge.cli.rollout.session import (
@@ -35,16 +35,16 @@
 @click.option("--json", "as_json", is_flag=True, help="The waves as JSON.")
 def plan(folder: Path, operator: str, waves: WaveArguments, as_json: bool) -> None:
     """Show the waves in which a change would go out; nothing is sent."""
-    client = operator_of(folder, operator, CALL_TIMEOUT_S)
-    targets, unseen = asyncio.run(find_targets(client, waves.only))
+    client = operator_client(folder, operator, CALL_TIMEOUT_S)
+    targets, unreachable = asyncio.run(find_targets(client, waves.only))
     names = [[target.name for target in wave] for wave in waves.plan(targets)]
     if as_json:
-        say_json({"waves": names, "unseen": unseen})
+        print_json({"waves": names, "unseen": unreachable})
         return
-    for number, wave in enumerate(names, 1):
-        click.echo(f"wave {number}: {', '.join(wave)}")
-    for text in unseen:
-        click.echo(f"not seen, and so in no wave: {text}")
+    for wave_number, wave in enumerate(names, 1):
+        click.echo(f"wave {wave_number}: {', '.join(wave)}")
+    for agent in unreachable:
+        click.echo(f"not seen, and so in no wave: {agent}")
 
 
 @command.command("apply")
@@ -133,7 +133,7 @@
     as_json: bool,
 ) -> None:
     """Have drained nodes run again (all, or those of --only)."""
-    client = operator_of(folder, operator, CALL_TIMEOUT_S)
+    client = operator_client(folder, operator, CALL_TIMEOUT_S)
     targets, _ = asyncio.run(find_targets(client, waves.only))
     drained = tuple(target.name for target in targets if target.is_drained)
     if not drained:
@@ -187,5 +187,6 @@
     folder: Path, operator: str, rollout: int, options: RolloutOptions, as_json: bool
 ) -> None:
     """Resume a rollout from the journal."""
-    read_journal(folder, lambda journal: journal.entry(rollout))  # before the lease is acquired
+    # Fails for an unknown rollout before the lease is acquired.
+    read_journal(folder, lambda journal: journal.entry(rollout))
     RolloutSession(folder, operator, options, as_json).resume(rollout)
--- a/oakbridge/cli/rollout/journal_commands.py
+++ b/oakbridge/cli/rollout/journal_commands.py
@@ -1,4 +1,4 @@
-"""``oakbridge fleet history | rebuild``."""
+"""``oakbridge fleet history | rebuild``: show the journal, recover it from the agents."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from oakbridge.cli.common import say_json
-from oakbridge.cli.fleet import command, folder_option, operator_of, operator_option
+from oakbridge.cli.common import print_json
+from oakbridge.cli.fleet import command, folder_option, operator_client, operator_option
 from oakbridge.cli.rollout.session import CALL_TIMEOUT_S, open_journal, read_journal
 from oakbridge.fleet import messages
 from oakbridge.fleet.client import FleetClient
@@ -22,7 +22,7 @@
 from oakbridge.rollout.journal import Journal, JournalEntry
 from oakbridge.rollout.rebuild import RebuiltRollout, rebuild
 
-ALL_ENTRIES = 1_000_000
+ALL_ENTRIES = 1_000_000  # more than any journal has; used where a limit is required
 
 
 @command.command("history")
@@ -32,7 +32,7 @@
     """Show past rollouts, and those that stand still."""
     entries = read_journal(folder, Journal.entries)
     if as_json:
-        say_json([_entry_json(entry) for entry in entries])
+        print_json([_entry_json(entry) for entry in entries])
     else:
         Console().print(_history_table(entries))
 
@@ -77,13 +77,13 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def rebuild_journal(folder: Path, operator: str, as_json: bool) -> None:
     """Add the rollouts that the journal lacks and agents remember."""
-    client = operator_of(folder, operator, CALL_TIMEOUT_S)
+    client = operator_client(folder, operator, CALL_TIMEOUT_S)
     with open_journal(folder) as journal:
         entries, silent = asyncio.run(_missing_entries(client, journal))
         for entry in entries:
             journal.add(entry)
     if as_json:
-        say_json({"rebuilt": [entry.id for entry in entries], "silent": silent})
+        print_json({"rebuilt": [entry.id for entry in entries], "silent": silent})
         return
     numbers = ", ".join(str(entry.id) for entry in entries)
     click.echo(f"rebuilt: {numbers or 'nothing that the journal does not have'}")
@@ -94,7 +94,7 @@
 async def _missing_entries(
     operator: FleetClient, journal: Journal
 ) -> tuple[list[JournalEntry], list[str]]:
-    """Return the rollouts that only agents remember, and the agents without an answer."""
+    """Return rollouts that agents report and the journal lacks, and agents without a response."""
     responses = await operator.call_all(messages.StatusRequest())
     silent = [response.agent for response in responses if response.status != 200]
     reports = {
